--- a/tests/dataplane/fuzz.py
+++ b/tests/dataplane/fuzz.py
@@ -22,7 +22,14 @@
     + ["late", "doubled", "swapped", "swapped", "unframed", "cut", "reset", "pieces", "pieces"]
     + ["early", "early", "forget", "forget", "full", "grudging", "error", "mute", "no stamp"]
 )
-CLIENT_FAULTS = ["fine"] * 10 + ["leaves", "leaves early", "ahead", "ahead", "slow", "new connection"]
+CLIENT_FAULTS = ["fine"] * 10 + [
+    "leaves",
+    "leaves early",
+    "ahead",
+    "ahead",
+    "slow",
+    "new connection",
+]
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,7 +67,9 @@
         asked = self.asked.get(number)
         path = message.first.split()[1]
         if asked is None or not path.startswith(asked.path) or message.body != asked.body:
-            self.faults.append(f"a host got what nobody sent: {message.first} {message.body[:40]!r}")
+            self.faults.append(
+                f"a host got what nobody sent: {message.first} {message.body[:40]!r}"
+            )
 
     def check_all(self) -> None:
         """What hosts saw, over all requests."""
@@ -120,10 +129,15 @@
     async def _early(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
         """Reject a long request before its body has come, and read that later; False if that was done."""
         head = await reader.readuntil(b"\r\n\r\n")
-        lines = {k.lower(): v.strip() for k, _, v in (x.partition(":") for x in head.decode().split("\r\n"))}
+        lines = {
+            k.lower(): v.strip()
+            for k, _, v in (x.partition(":") for x in head.decode().split("\r\n"))
+        }
         size = int(lines.get("content-length", "0"))
         number = lines["x-request-id"]
-        writer.write(f"HTTP/1.1 503 Full\r\nX-Request-Id: {number}\r\nX-Not-Executed: 1\r\n".encode())
+        writer.write(
+            f"HTTP/1.1 503 Full\r\nX-Request-Id: {number}\r\nX-Not-Executed: 1\r\n".encode()
+        )
         writer.write(b"Content-Length: 0\r\nKeep-Alive: timeout=5\r\n\r\n")
         await asyncio.sleep(self.draw.uniform(0, 0.02))
         await reader.readexactly(size)
@@ -133,7 +147,9 @@
         """Run a request and answer it, somehow; whether the connection goes on."""
         number = message.headers["x-request-id"]
         if fault == "full":
-            writer.write(f"HTTP/1.1 429 Much\r\nX-Request-Id: {number}\r\nX-Not-Executed: 1\r\n".encode())
+            writer.write(
+                f"HTTP/1.1 429 Much\r\nX-Request-Id: {number}\r\nX-Not-Executed: 1\r\n".encode()
+            )
             writer.write(b"Content-Length: 0\r\n\r\n")
             return True
         self.ledger.ran(message)
@@ -168,7 +184,9 @@
         if fault == "unframed":
             top, _, body = whole.partition(b"\r\n\r\n")
             if b"chunked" not in top:
-                lines = [line for line in top.split(b"\r\n") if not line.startswith(b"Content-Length")]
+                lines = [
+                    line for line in top.split(b"\r\n") if not line.startswith(b"Content-Length")
+                ]
                 whole = b"\r\n".join(lines) + b"\r\n\r\n" + body
             writer.write(whole)
             return False
@@ -224,7 +242,9 @@
         now = asyncio.get_running_loop().time()
         self.ledger.asked[number] = Asked(path, body, now)
         deadline = str(int(DEADLINE_S * 1000))
-        return number, request(path + "x", body=body, X_Request_Id=number, X_Request_Deadline=deadline)
+        return number, request(
+            path + "x", body=body, X_Request_Id=number, X_Request_Deadline=deadline
+        )
 
     async def _turn(self, client: StreamClient, fault: str) -> bool:
         number, sent = self._request()
@@ -261,7 +281,9 @@
         took_s = asyncio.get_running_loop().time() - asked.at
         limit_s = min(DEADLINE_S, ROUTE_S.get(asked.path, DEADLINE_S))
         ahead = len(self.ledger.asked) > 1 and took_s > limit_s
-        assert took_s <= (2 * limit_s if ahead else limit_s) + 0.1 + SLACK_S, f"answered after {took_s:.3f} s"
+        assert took_s <= (2 * limit_s if ahead else limit_s) + 0.1 + SLACK_S, (
+            f"answered after {took_s:.3f} s"
+        )
         if got.status in PROMISES and not asked.path.startswith(REPEATABLE):
             assert not runs, f"{got.status} for what ran"
             asked.left_at = asked.left_at or asyncio.get_running_loop().time()  # and it never will
@@ -270,7 +292,9 @@
             assert "x-response-signature" in got.headers
             if asked.path in STREAMS:
                 assert got.ids == list(range(1, EVENTS + 1)), f"{asked.path} gave {got.ids}"
-                assert all(number.encode() in line for line in got.body.split(b"\n") if b"data:" in line)
+                assert all(
+                    number.encode() in line for line in got.body.split(b"\n") if b"data:" in line
+                )
             else:
                 assert got.body == whole_body(number, asked.body)
         elif got.status == 200:
--- a/tests/dataplane/stage.py
+++ b/tests/dataplane/stage.py
@@ -224,11 +224,15 @@
 
 
 @asynccontextmanager
-async def stage(*behaviours: Behaviour, by: Decisions | None = None, **changes: Any) -> AsyncIterator[Stage]:
+async def stage(
+    *behaviours: Behaviour, by: Decisions | None = None, **changes: Any
+) -> AsyncIterator[Stage]:
     """Hosts and a data plane that decides `by` the fake, if nothing else is told."""
     hosts = [await FakeHost(f"i-{i}", behave).start() for i, behave in enumerate(behaviours)]
     decider, authority, quotas = FakeDecider(), FakeAuthority(), FakeQuotas()
-    plane = DataPlane(settings(), asyncio.get_running_loop(), by or decider, authority, quotas, FakeBudget())
+    plane = DataPlane(
+        settings(), asyncio.get_running_loop(), by or decider, authority, quotas, FakeBudget()
+    )
     made = Stage(plane, decider, authority, quotas, hosts)
     authority.now_in_force = made.snapshot(*(host_line(host) for host in hosts), **changes)
     await plane.start()
--- a/tests/dataplane/test_checks.py
+++ b/tests/dataplane/test_checks.py
@@ -36,12 +36,20 @@
 
 def routes(*told: tuple[str, str, str]) -> list[dict[str, Any]]:
     return [
-        {"name": name, "hostname": host, "path_prefix": prefix, "kind": "idempotent", "service": "model"}
+        {
+            "name": name,
+            "hostname": host,
+            "path_prefix": prefix,
+            "kind": "idempotent",
+            "service": "model",
+        }
         for name, host, prefix in told
     ]
 
 
-TOLD = routes(("a", "One.example", "/a/"), ("ab", "one.example", "/a/b/"), ("root", "two.example", "/"))
+TOLD = routes(
+    ("a", "One.example", "/a/"), ("ab", "one.example", "/a/b/"), ("root", "two.example", "/")
+)
 
 
 @pytest.mark.parametrize(
@@ -69,7 +77,11 @@
 
 
 def test_a_split_is_drawn_by_its_weights() -> None:
-    split = [{"service": "a", "weight": 90}, {"service": "b", "weight": 10}, {"service": "c", "weight": 0}]
+    split = [
+        {"service": "a", "weight": 90},
+        {"service": "b", "weight": 10},
+        {"service": "c", "weight": 0},
+    ]
     [route] = routes(("r", "h", "/"))
     entry = table(routes=[route | {"traffic_split": split}]).find("h", "/x")
     assert entry is not None
@@ -144,7 +156,13 @@
 
 @pytest.mark.parametrize(
     ("usage", "tokens"),
-    [(b"1460,80", (1460, 80)), (b" 1, 2", (1, 2)), (b"1460", None), (b"a,b", None), (b"1,-2", None)],
+    [
+        (b"1460,80", (1460, 80)),
+        (b" 1, 2", (1, 2)),
+        (b"1460", None),
+        (b"a,b", None),
+        (b"1,-2", None),
+    ],
 )
 def test_token_usage(usage: bytes, tokens: tuple[int, int] | None) -> None:
     assert made((b"X-Token-Usage", usage)).tokens == tokens
@@ -165,7 +183,9 @@
 
 
 def route_named(name: str) -> Route:
-    return next(route for route in Configuration.from_document(document()).routes if route.name == name)
+    return next(
+        route for route in Configuration.from_document(document()).routes if route.name == name
+    )
 
 
 def tenant(**changes: Any) -> Tenant:
@@ -215,7 +235,9 @@
     ]
     assert b"Priority: 4\r\n" in host_head(request, route_named("chat"), tenant())
     assert b"X-Tenant-Id" not in host_head(request, route_named("open"), None)
-    assert attempt_head("i-1", 25, b"") == b"X-Target-Instance: i-1\r\nX-Request-Deadline: 25\r\n\r\n"
+    assert (
+        attempt_head("i-1", 25, b"") == b"X-Target-Instance: i-1\r\nX-Request-Deadline: 25\r\n\r\n"
+    )
     assert b"Last-Event-Id: 7\r\n" in attempt_head("i-1", 25, b"7")
 
 
@@ -287,7 +309,9 @@
         (b"", 0.5, 1.2),
     ],
 )
-def test_when_clients_of_a_fleet_that_starts_come_back(deadline: bytes, chance: float, told_s: float) -> None:
+def test_when_clients_of_a_fleet_that_starts_come_back(
+    deadline: bytes, chance: float, told_s: float
+) -> None:
     request = made((b"X-Request-Deadline", deadline))
     assert unconfigured_retry_s(request, chance) == pytest.approx(told_s)
 
@@ -300,7 +324,12 @@
 
 @pytest.mark.parametrize(
     ("told", "route", "seconds"),
-    [(b"5000", "safe", 5.0), (b"20000", "safe", 15.0), (b"", "safe", 15.0), (b"5000", "brief", 0.3)],
+    [
+        (b"5000", "safe", 5.0),
+        (b"20000", "safe", 15.0),
+        (b"", "safe", 15.0),
+        (b"5000", "brief", 0.3),
+    ],
 )
 def test_the_shorter_time_counts(told: bytes, route: str, seconds: float) -> None:
     assert allowed_s(made((b"X-Request-Deadline", told)), route_named(route)) == seconds
--- a/tests/dataplane/test_clients.py
+++ b/tests/dataplane/test_clients.py
@@ -191,7 +191,9 @@
 # Draining.
 
 
-async def drains(s: Stage, monkeypatch: pytest.MonkeyPatch, accept_s: float = 0.1) -> asyncio.Task[None]:
+async def drains(
+    s: Stage, monkeypatch: pytest.MonkeyPatch, accept_s: float = 0.1
+) -> asyncio.Task[None]:
     monkeypatch.setattr(plane_module, "ACCEPT_S", accept_s)
     s.plane.begin_drain()
     return asyncio.get_running_loop().create_task(s.plane.drained())
--- a/tests/dataplane/test_directory.py
+++ b/tests/dataplane/test_directory.py
@@ -34,12 +34,16 @@
 
 def snapshot(hosts: tuple[Host, ...], gateways: int = 2, connections: int = 360) -> Snapshot:
     told = document(services=[{"name": "model", "max_connections": connections}])
-    roster = tuple(Member(f"edge-{number}", f"10.1.0.{number}:7500", 1) for number in range(gateways))
+    roster = tuple(
+        Member(f"edge-{number}", f"10.1.0.{number}:7500", 1) for number in range(gateways)
+    )
     return Snapshot(VersionVector(), Configuration.from_document(told), hosts, roster)
 
 
 def state(of: HostDirectory) -> dict[str, tuple[object, ...]]:
-    return {name: (host.address, host.service, host.most, host.ready) for name, host in of.hosts.items()}
+    return {
+        name: (host.address, host.service, host.most, host.ready) for name, host in of.hosts.items()
+    }
 
 
 @pytest.mark.parametrize(
@@ -59,7 +63,9 @@
     assert state(made) == {"h": expected}
 
 
-@pytest.mark.parametrize(("gateways", "connections", "most"), [(2, 360, 180), (4, 360, 90), (2, 100, 50)])
+@pytest.mark.parametrize(
+    ("gateways", "connections", "most"), [(2, 360, 180), (4, 360, 90), (2, 100, 50)]
+)
 def test_new_bounds_hold_for_hosts_that_stay(gateways: int, connections: int, most: int) -> None:
     made, _ = directory()
     made.update(snapshot((HOST,)))
@@ -87,11 +93,15 @@
             )
         before = {name: host for name, host in made.hosts.items() if host.ready}
         pool.retired.clear()
-        now = snapshot(tuple(lines.values()), chance.choice((2, 2, 2, 5)), chance.choice((360, 360, 100)))
+        now = snapshot(
+            tuple(lines.values()), chance.choice((2, 2, 2, 5)), chance.choice((360, 360, 100))
+        )
         made.update(now)
         fresh, _ = directory()
         fresh.update(now)
         assert state(made) == state(fresh)
-        kept = {name for name, host in before.items() if made.hosts.get(name) is host and host.ready}
+        kept = {
+            name for name, host in before.items() if made.hosts.get(name) is host and host.ready
+        }
         assert before.keys() - kept <= set(pool.retired)
         assert not kept & set(pool.retired)
--- a/tests/dataplane/test_events.py
+++ b/tests/dataplane/test_events.py
@@ -85,7 +85,12 @@
         (numbered(1, 2), numbered(1) + UNNUMBERED + numbered(2, 3), numbered(3), False),
         (numbered(1, 2), COMMENT + numbered(3) + COMMENT, numbered(3) + COMMENT, False),
         (numbered(1, 2), b"", b"", False),
-        (numbered(1, 2), numbered(1) + b"data: half", b"", False),  # of an event that the client has
+        (
+            numbered(1, 2),
+            numbered(1) + b"data: half",
+            b"",
+            False,
+        ),  # of an event that the client has
         (numbered(1, 2), numbered(3) + b"data: half", numbered(3) + b"data: half", False),
     ],
 )
--- a/tests/dataplane/test_fuzz.py
+++ b/tests/dataplane/test_fuzz.py
@@ -19,10 +19,15 @@
     """Play one seed; how many requests were served."""
     draw = random.Random(seed)
     ledger = Ledger()
-    hosts = [await FuzzHost(f"fuzz-{n}", ledger, random.Random(draw.random())).start() for n in range(HOSTS)]
+    hosts = [
+        await FuzzHost(f"fuzz-{n}", ledger, random.Random(draw.random())).start()
+        for n in range(HOSTS)
+    ]
     async with stage(plain(), by=FleetDecider("z", seed, 0.2, 10.0)) as s:
         s.authority.tell(s.snapshot(*(host_line(host) for host in hosts)))
-        clients = [FuzzClient(s, ledger, random.Random(draw.random()), f"c{n}") for n in range(CLIENTS)]
+        clients = [
+            FuzzClient(s, ledger, random.Random(draw.random()), f"c{n}") for n in range(CLIENTS)
+        ]
         await asyncio.gather(*(client.run(TURNS) for client in clients))
         await until(lambda: not s.plane.engine.open)
         await asyncio.sleep(0.15)
--- a/tests/dataplane/test_guards.py
+++ b/tests/dataplane/test_guards.py
@@ -69,7 +69,9 @@
             assert most - MARGIN_MS < left_ms < most
 
 
-@pytest.mark.parametrize(("path", "most"), [("/brief/x", 300), ("/safe/x", 15000), ("/chat/x", 15000)])
+@pytest.mark.parametrize(
+    ("path", "most"), [("/brief/x", 300), ("/safe/x", 15000), ("/chat/x", 15000)]
+)
 @on_loop
 async def test_a_host_is_handed_no_more_than_its_route_allows(path: str, most: int) -> None:
     last = stream(2) if path == "/chat/x" else plain()
@@ -121,7 +123,9 @@
 
 
 @on_loop
-async def test_a_stream_that_may_not_resume_is_resumed_by_nobody_whatever_the_decider_says() -> None:
+async def test_a_stream_that_may_not_resume_is_resumed_by_nobody_whatever_the_decider_says() -> (
+    None
+):
     async with stage(stream(5, cut_after=2), stream(5), by=Greedy()) as s, s.client() as client:
         got = await client.ask("/plan/x")
         assert (got.whole, got.ids) == (False, [1, 2])
@@ -282,10 +286,15 @@
                 top = await reader.readuntil(b"\r\n\r\n")
                 if not top.startswith(b"POST /"):
                     self.wrong.append(top[:60])
-                lines = dict(line.split(b": ", 1) for line in top.split(b"\r\n")[1:] if b": " in line)
+                lines = dict(
+                    line.split(b": ", 1) for line in top.split(b"\r\n")[1:] if b": " in line
+                )
                 answered = b"HTTP/1.1 503 Full\r\nX-Not-Executed: 1\r\nKeep-Alive: timeout=9\r\n"
                 writer.write(
-                    answered + b"X-Request-Id: " + lines[b"X-Request-Id"] + b"\r\nContent-Length: 0\r\n\r\n"
+                    answered
+                    + b"X-Request-Id: "
+                    + lines[b"X-Request-Id"]
+                    + b"\r\nContent-Length: 0\r\n\r\n"
                 )
                 await asyncio.sleep(0.1)
                 body = await reader.readexactly(int(lines[b"Content-Length"]))
@@ -348,7 +357,11 @@
 
     def ended(self, told: AttemptEnded) -> list[Action]:
         time.sleep(self.pause_s)
-        return [self.send(told.number)] if told.outcome in NEVER_RAN and self.sent[told.number] < 3 else []
+        return (
+            [self.send(told.number)]
+            if told.outcome in NEVER_RAN and self.sent[told.number] < 3
+            else []
+        )
 
 
 @on_loop
@@ -417,7 +430,10 @@
         try:
             while True:
                 top = (await reader.readuntil(b"\r\n\r\n")).decode()
-                lines = {k.lower(): v.strip() for k, _, v in (x.partition(":") for x in top.split("\r\n"))}
+                lines = {
+                    k.lower(): v.strip()
+                    for k, _, v in (x.partition(":") for x in top.split("\r\n"))
+                }
                 message = Message(top.split("\r\n")[0], lines, b"")
                 keeps = "Keep-Alive: timeout=9"
                 if int(lines["content-length"]) > PROVEN_LIMIT:
--- a/tests/dataplane/test_plane.py
+++ b/tests/dataplane/test_plane.py
@@ -75,7 +75,11 @@
         assert s.decider.count(FirstEvent) == 0
         steps.put_nowait(None)
         status, headers = await client.head()
-        assert (status, headers["versions"], headers["content-type"]) == (200, "3", "text/event-stream")
+        assert (status, headers["versions"], headers["content-type"]) == (
+            200,
+            "3",
+            "text/event-stream",
+        )
         assert await client.chunk() == b"id: 1\ndata: 1\n\n"
         assert s.decider.count(FirstEvent) == 1
         steps.put_nowait(None)
@@ -87,7 +91,9 @@
 @pytest.mark.parametrize("end", ["reset", "close", "garbage"])
 @pytest.mark.parametrize("half", [b"id: 9\nda", b""])
 @on_loop
-async def test_a_cut_stream_goes_on_at_another_host_inside_the_answer(end: str, half: bytes) -> None:
+async def test_a_cut_stream_goes_on_at_another_host_inside_the_answer(
+    end: str, half: bytes
+) -> None:
     first = stream(6, cut_after=2, half=half or b"\n", end=end)
     async with stage(first, stream(6)) as s, s.client() as client:
         got = await client.ask("/chat/x")
@@ -96,7 +102,11 @@
         assert s.hosts[1].seen[0].headers["last-event-id"] == "2"
         assert s.hosts[1].seen[0].headers["x-target-instance"] == "i-1"
         cut, whole = s.decider.ends()
-        assert (cut.outcome, cut.progressed, whole.outcome) == (Outcome.RESET, True, Outcome.SUCCESS)
+        assert (cut.outcome, cut.progressed, whole.outcome) == (
+            Outcome.RESET,
+            True,
+            Outcome.SUCCESS,
+        )
         assert [told.attempt for told in s.decider.events if isinstance(told, FirstEvent)] == [0, 1]
 
 
@@ -165,7 +175,9 @@
     ],
 )
 @on_loop
-async def test_what_may_have_run_is_never_refused(path: str, behave: Behaviour, status: int) -> None:
+async def test_what_may_have_run_is_never_refused(
+    path: str, behave: Behaviour, status: int
+) -> None:
     async with stage(behave) as s, s.client() as client:
         got = await client.ask(path)
         assert got.status == status
@@ -176,7 +188,9 @@
         assert len(s.hosts[0].seen) == (3 if status == 503 else 1)
 
 
-@pytest.mark.parametrize("first", [rejects(), rejects("421 Other", "X-Any: 1"), rejects("429 Much")])
+@pytest.mark.parametrize(
+    "first", [rejects(), rejects("421 Other", "X-Any: 1"), rejects("429 Much")]
+)
 @pytest.mark.parametrize("path", ["/plan/x", "/once/x", "/safe/x"])
 @on_loop
 async def test_what_did_not_run_goes_to_another_host(path: str, first: Behaviour) -> None:
--- a/tests/dataplane/test_pool.py
+++ b/tests/dataplane/test_pool.py
@@ -45,7 +45,9 @@
             assert (await client.ask(path)).status == 200
 
 
-@pytest.mark.parametrize(("told", "connections"), [((KEEPS,), 1), ((KEEPS, "Connection: close"), 3), ((), 1)])
+@pytest.mark.parametrize(
+    ("told", "connections"), [((KEEPS,), 1), ((KEEPS, "Connection: close"), 3), ((), 1)]
+)
 @on_loop
 async def test_connections_are_used_again(told: tuple[str, ...], connections: int) -> None:
     async with stage(plain(b"ok", "200 OK", *told)) as s:
@@ -55,7 +57,13 @@
 
 @pytest.mark.parametrize(
     ("header", "seconds"),
-    [(b"timeout=1", 0.5), (b"timeout=8", 6.0), (b"max=5, timeout=8", 6.0), (b"", 0.4), (b"timeout=x", 0.4)],
+    [
+        (b"timeout=1", 0.5),
+        (b"timeout=8", 6.0),
+        (b"max=5, timeout=8", 6.0),
+        (b"", 0.4),
+        (b"timeout=x", 0.4),
+    ],
 )
 def test_no_connection_rests_as_long_as_its_host_keeps_it(header: bytes, seconds: float) -> None:
     assert upstream._idle_s(header) == seconds
@@ -190,7 +198,9 @@
         clients = [await s.client().__aenter__() for _ in range(CONNECTIONS_LEAST + 1)]
         for client in clients:
             client.writer.write(request("/once/x"))
-        assert (await clients[-1].answer()).status == 200  # moot at the first host, then at the other
+        assert (
+            await clients[-1].answer()
+        ).status == 200  # moot at the first host, then at the other
         assert len(s.hosts[0].seen) == CONNECTIONS_LEAST
         for client in clients:
             await client.__aexit__()
@@ -202,7 +212,11 @@
     async with stage(stream(5, cut_after=2), rejects(), stream(5)) as s, s.client() as client:
         got = await client.ask("/chat/x")
         assert (got.whole, got.ids) == (True, [1, 2, 3, 4, 5])
-        assert [end.outcome for end in s.decider.ends()] == [Outcome.RESET, Outcome.FULL, Outcome.SUCCESS]
+        assert [end.outcome for end in s.decider.ends()] == [
+            Outcome.RESET,
+            Outcome.FULL,
+            Outcome.SUCCESS,
+        ]
         assert all(end.progressed for end in s.decider.ends())
 
 
@@ -230,7 +244,10 @@
     async with stage(slow, late) as s, s.client() as client:
         s.decider.hedges = 1
         got = await client.ask("/chat/x")
-        assert (got.whole, got.body) == (True, b"".join(event(number, "slow") for number in range(1, 4)))
+        assert (got.whole, got.body) == (
+            True,
+            b"".join(event(number, "slow") for number in range(1, 4)),
+        )
         assert {end.attempt: end.outcome for end in s.decider.ends()} == {
             0: Outcome.SUCCESS,
             1: Outcome.CANCELLED,
@@ -342,7 +359,9 @@
 
     async with stage(flood) as s:
         client = StreamClient(s.plane.port)
-        client.reader, client.writer = await asyncio.open_connection("127.0.0.1", s.plane.port, limit=4096)
+        client.reader, client.writer = await asyncio.open_connection(
+            "127.0.0.1", s.plane.port, limit=4096
+        )
         client.writer.write(request("/plan/x", X_Request_Deadline="20000"))
         await until(lambda: any(c._unread for c in s.plane.server.connections))
         stopped = -1
--- a/tests/dataplane/test_storm.py
+++ b/tests/dataplane/test_storm.py
@@ -9,7 +9,14 @@
 import pytest
 
 from roselink.dataplane.interfaces import Decisions
-from roselink.routing.decisions import Action, AttemptEnded, Event, RequestArrived, RequestClosed, SendAttempt
+from roselink.routing.decisions import (
+    Action,
+    AttemptEnded,
+    Event,
+    RequestArrived,
+    RequestClosed,
+    SendAttempt,
+)
 from roselink.routing.fleet import FleetDecider
 from tests.dataplane.stage import (
     Answer,
@@ -27,7 +34,10 @@
 from tests.net import Message, on_loop, reset, until
 
 EVENTS = 6
-SERVED = {"fake": 70, "fleet": 20}  # of 160, or the storm shows nothing; the fleet's decider may refuse
+SERVED = {
+    "fake": 70,
+    "fleet": 20,
+}  # of 160, or the storm shows nothing; the fleet's decider may refuse
 PROMISES = (408, 421, 429, 503)
 FAULTS = (
     ["fine"] * 8
@@ -143,7 +153,11 @@
             assert got.whole
             return "refused" if got.status in PROMISES else "failed"
         assert "x-response-signature" in got.headers
-        whole = b"".join(event(at, number) for at in range(1, EVENTS + 1)) if streams else number.encode()
+        whole = (
+            b"".join(event(at, number) for at in range(1, EVENTS + 1))
+            if streams
+            else number.encode()
+        )
         if got.whole:
             assert got.body == whole
             return "served"
@@ -179,7 +193,9 @@
         await until(lambda: not s.plane.engine.open)
         assert sum(outcomes.values()) == 160
         assert outcomes["served"] > SERVED[kind]
-        arrived = [told.facts.number for told in recorded.events if isinstance(told, RequestArrived)]
+        arrived = [
+            told.facts.number for told in recorded.events if isinstance(told, RequestArrived)
+        ]
         closed = [told.number for told in recorded.events if isinstance(told, RequestClosed)]
         assert sorted(arrived) == sorted(closed)
         sent = [(a.number, a.attempt) for a in recorded.actions if isinstance(a, SendAttempt)]
--- a/tests/distribution/test_host_changes.py
+++ b/tests/distribution/test_host_changes.py
@@ -191,7 +191,9 @@
             pair.pull(lost=chance.random() < 0.3)
     pair.pull()
     pair.pull()
-    assert [_plain(entry) for entry in pair.held] == [_plain(listed[name]) for name in sorted(listed)]
+    assert [_plain(entry) for entry in pair.held] == [
+        _plain(listed[name]) for name in sorted(listed)
+    ]
     assert pair.lists
     assert pair.changes
 
--- a/tests/distribution/test_pull.py
+++ b/tests/distribution/test_pull.py
@@ -168,11 +168,17 @@
 @pytest.mark.parametrize(
     ("later", "confirmed"),
     [
-        (reply(2, 4, 5), False),  # an older configuration than is in force here: no confirmation of it
+        (
+            reply(2, 4, 5),
+            False,
+        ),  # an older configuration than is in force here: no confirmation of it
         (reply(3, 2, 5), True),
         (reply(3, 4, 2), True),
         (reply(3, 0, 0), True),
-        (reply(9, 4, 5, configuration=None), False),  # told that there is a newer one, and not given it
+        (
+            reply(9, 4, 5, configuration=None),
+            False,
+        ),  # told that there is a newer one, and not given it
     ],
 )
 def test_nothing_moves_back(later: PullReply, confirmed: bool) -> None:
@@ -264,7 +270,9 @@
     vector = VersionVector(7, 1 << 33, 1 << 33)
     question = frame(0, 1, Pull(MEMBER, vector, True))
     answer = frame(
-        1, 1, PullReply(True, vector, None, None, None, tuple(f"10.{n}.0.26:7500" for n in (1, 2, 3)))
+        1,
+        1,
+        PullReply(True, vector, None, None, None, tuple(f"10.{n}.0.26:7500" for n in (1, 2, 3))),
     )
     assert len(question) < 200 and len(answer) < 200
 
--- a/tests/experiments/test_losses.py
+++ b/tests/experiments/test_losses.py
@@ -37,7 +37,12 @@
 
 @pytest.mark.parametrize(
     ("values", "middle", "half"),
-    [([], 0.0, math.inf), ([0.3], 0.3, math.inf), ([1.0, 1.0, 1.0], 1.0, 0.0), ([0.0, 2.0], 1.0, 12.71)],
+    [
+        ([], 0.0, math.inf),
+        ([0.3], 0.3, math.inf),
+        ([1.0, 1.0, 1.0], 1.0, 0.0),
+        ([0.0, 2.0], 1.0, 12.71),
+    ],
 )
 def test_intervals(values: list[float], middle: float, half: float) -> None:
     assert interval(values) == pytest.approx((middle, half))
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -27,7 +27,11 @@
 
 
 def route(effect: Effect = Effect.SAFE, **changes: Any) -> Route:
-    values: dict[str, Any] = {"aim_us": AIM_US, "deadline_us": DEADLINE_US, "memory_span_us": 2_000_000}
+    values: dict[str, Any] = {
+        "aim_us": AIM_US,
+        "deadline_us": DEADLINE_US,
+        "memory_span_us": 2_000_000,
+    }
     values.update(changes)
     return Route(name="r", effect=effect, **values)
 
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -68,7 +68,9 @@
     return Run(process)
 
 
-def test_a_fleet_serves_through_the_loss_of_a_gateway_and_of_the_tail_and_ends_whole(tmp_path: Path) -> None:
+def test_a_fleet_serves_through_the_loss_of_a_gateway_and_of_the_tail_and_ends_whole(
+    tmp_path: Path,
+) -> None:
     folder = tmp_path / "lab"
 
     async def work() -> Run:
--- a/tests/lab/test_stand_ins.py
+++ b/tests/lab/test_stand_ins.py
@@ -102,7 +102,9 @@
             server = await asyncio.start_server(serve, "127.0.0.1", 0)
             address = server.sockets[0].getsockname()[:2]
             tally, stopping = Tally(), asyncio.Event()
-            client = Client("c", Ingress([Gateway("g", address, address, ready=True)]), tally, stopping)
+            client = Client(
+                "c", Ingress([Gateway("g", address, address, ready=True)]), tally, stopping
+            )
             running = asyncio.create_task(client.run())
             while not any(tally.ends.values()):
                 await asyncio.sleep(0)
@@ -124,10 +126,20 @@
         (RECORDS, {"X-Request-Id": "a"}, 200, record("/p")),
         (RECORDS, {}, 400, b""),
         (RECORDS, {"X-Request-Id": "a", "X-Target-Instance": "other"}, 421, b""),
-        (MODEL, {"X-Request-Id": "a", "X-Token-Usage": "5,2"}, 200, event("/p", 1) + event("/p", 2)),
         (
             MODEL,
-            {"X-Request-Id": "a", "X-Token-Usage": "5,3", "Last-Event-Id": "2", "X-Target-Instance": "h"},
+            {"X-Request-Id": "a", "X-Token-Usage": "5,2"},
+            200,
+            event("/p", 1) + event("/p", 2),
+        ),
+        (
+            MODEL,
+            {
+                "X-Request-Id": "a",
+                "X-Token-Usage": "5,3",
+                "Last-Event-Id": "2",
+                "X-Target-Instance": "h",
+            },
             200,
             event("/p", 3),
         ),
@@ -145,7 +157,9 @@
     assert answer is not None
     assert (answer.head.status, answer.body) == (status, body)
     assert ("x-not-executed" in answer.head.headers) is (status != 200)
-    assert answer.head.headers.get("x-response-signature") == (signature("a") if status == 200 else None)
+    assert answer.head.headers.get("x-response-signature") == (
+        signature("a") if status == 200 else None
+    )
 
 
 @pytest.mark.parametrize(
@@ -162,7 +176,9 @@
 
 
 def test_a_retry_meets_another_gateway() -> None:
-    gateways = [Gateway(name, ("", 0), ("", 0), ready=name != "g-3") for name in ("g-1", "g-2", "g-3")]
+    gateways = [
+        Gateway(name, ("", 0), ("", 0), ready=name != "g-3") for name in ("g-1", "g-2", "g-3")
+    ]
     ingress = Ingress(gateways)
     for _ in range(20):
         assert ingress.pick({"g-1"}) is gateways[1]
--- a/tests/membership/checks.py
+++ b/tests/membership/checks.py
@@ -24,11 +24,15 @@
 def admitted(decisions: Iterable[Decision], tenant: str) -> list[tuple[float, float]]:
     """When and how much ran."""
     return [
-        (entry.decided_at, entry.amount) for entry in decisions if entry.tenant == tenant and entry.allowed
+        (entry.decided_at, entry.amount)
+        for entry in decisions
+        if entry.tenant == tenant and entry.allowed
     ]
 
 
-def within_limit(decisions: Iterable[Decision], tenant: str, rate: float, burst: float) -> list[Decision]:
+def within_limit(
+    decisions: Iterable[Decision], tenant: str, rate: float, burst: float
+) -> list[Decision]:
     """The requests that an exact bucket, fed in the order of arrival, lets pass."""
     level, at = burst, 0.0
     passed = []
--- a/tests/membership/fleet.py
+++ b/tests/membership/fleet.py
@@ -212,9 +212,13 @@
         if silent_s >= FRESH_S:
             self.ledger.end_terms()
             self.repeat_ledger.end_terms(silent_s)
-        tenants = [name for name in self.fleet.limits if self.roles.owns(quota_client.KEY_PREFIX + name)]
+        tenants = [
+            name for name in self.fleet.limits if self.roles.owns(quota_client.KEY_PREFIX + name)
+        ]
         self.ledger.own(tenants, roster, now)
-        services = [name for name in self.fleet.services if self.roles.owns(repeats.KEY_PREFIX + name)]
+        services = [
+            name for name in self.fleet.services if self.roles.owns(repeats.KEY_PREFIX + name)
+        ]
         self.repeat_ledger.own(services, now)
 
     def serve(self, ask: Any) -> Any:
@@ -255,7 +259,9 @@
                 case QuotaDecided(number, allowed, retry_after_s):
                     tenant, amount, asked_at = self._asked.pop(number)
                     fleet.decisions.append(
-                        Decision(tenant, self.index, amount, asked_at, fleet.now, allowed, retry_after_s)
+                        Decision(
+                            tenant, self.index, amount, asked_at, fleet.now, allowed, retry_after_s
+                        )
                     )
                 case RepeatDecided(number, allowed):
                     service = self._repeats.pop(number)
@@ -273,7 +279,9 @@
         return lambda answer: self.perform(self.client.answered(call, answer, self.fleet.now))
 
     def _repeat_done(self, number: int) -> Callable[[Any], None]:
-        return lambda answer: self.perform(self.repeat_client.answered(number, answer, self.fleet.now))
+        return lambda answer: self.perform(
+            self.repeat_client.answered(number, answer, self.fleet.now)
+        )
 
     def _schedule(self) -> None:
         due = self.client.due_at(self.fleet.now)
--- a/tests/membership/test_due_quotas.py
+++ b/tests/membership/test_due_quotas.py
@@ -58,7 +58,11 @@
         else:
             effects = client.wake(now)
         asks += [effect for effect in effects if isinstance(effect, SendQuotaAsk)]
-        looked = min((client._due(state, now) for state in client._tenants.values()), default=float("inf"))
+        looked = min(
+            (client._due(state, now) for state in client._tenants.values()), default=float("inf")
+        )
         assert client.due_at(now) <= max(looked, now)  # what is past is due now
-        if chosen >= 0.6:  # right after a wake-up nothing is due but what waits for an owner's answer
+        if (
+            chosen >= 0.6
+        ):  # right after a wake-up nothing is due but what waits for an owner's answer
             assert client.due_at(now) > now
--- a/tests/membership/test_fleet.py
+++ b/tests/membership/test_fleet.py
@@ -59,9 +59,9 @@
     owed = sum(entry.amount for entry in within_limit(fleet.decisions, "hot", RATE, BURST))
     assert sum(amount for _, amount in got) >= 0.99 * owed
     # the exact bucket, and the grace for requests that cross each other
-    assert largest_window(got, RULE.window_s) <= RATE * RULE.window_s + BURST + 0.16 * RULE.allowance(
-        Limit(RATE, BURST)
-    )
+    assert largest_window(
+        got, RULE.window_s
+    ) <= RATE * RULE.window_s + BURST + 0.16 * RULE.allowance(Limit(RATE, BURST))
 
 
 @pytest.mark.parametrize("trouble", [*TROUBLES, "any"])
@@ -77,7 +77,9 @@
     assert max(entry.decided_at - entry.asked_at for entry in awake) <= 0.25
 
 
-@pytest.mark.parametrize(("trouble", "most_lost"), [("stop", 0.005), ("kill", 0.03), ("link", 0.04)])
+@pytest.mark.parametrize(
+    ("trouble", "most_lost"), [("stop", 0.005), ("kill", 0.03), ("link", 0.04)]
+)
 def test_a_tenant_near_its_limit_loses_little(trouble: str, most_lost: float) -> None:
     lost = owed = 0.0
     for seed in range(3):
@@ -124,6 +126,8 @@
         limits = {"hot": Limit(RATE / 2, BURST / 2)}
         fleet.at(change_at, lambda gateway=gateway, limits=limits: gateway.configure(limits))  # type: ignore[misc]
     fleet.run(until + 1)
-    later = [entry for entry in admitted(fleet.decisions, "hot") if entry[0] > change_at + RULE.window_s]
+    later = [
+        entry for entry in admitted(fleet.decisions, "hot") if entry[0] > change_at + RULE.window_s
+    ]
     bound = (RATE / 2 * RULE.window_s + BURST / 2) * (1 + RULE.over) + RULE.slack
     assert largest_window(later, RULE.window_s) <= bound
--- a/tests/membership/test_ledger.py
+++ b/tests/membership/test_ledger.py
@@ -21,7 +21,13 @@
 def ask(
     *amounts: float, member: Member = A, report: tuple[Used, ...] | None = (), **values: object
 ) -> QuotaAsk:
-    parts: dict[str, object] = {"ahead": 0.0, "returned": 0.0, "alone": 0.0, "leaving": False, "known": None}
+    parts: dict[str, object] = {
+        "ahead": 0.0,
+        "returned": 0.0,
+        "alone": 0.0,
+        "leaving": False,
+        "known": None,
+    }
     return QuotaAsk(
         "t",
         5,
@@ -73,7 +79,9 @@
         ((0.0, 0.0), (True, True)),
     ],
 )
-def test_a_full_bucket_holds_its_burst(amounts: tuple[float, ...], admitted: tuple[bool, ...]) -> None:
+def test_a_full_bucket_holds_its_burst(
+    amounts: tuple[float, ...], admitted: tuple[bool, ...]
+) -> None:
     assert full().ask(ask(*amounts), 10.0).admitted == admitted
 
 
@@ -105,7 +113,9 @@
     assert ledger.ask(ask(100.0, grace - 0.01, 1.0), 10.0).admitted == (True, True, False)
 
 
-@pytest.mark.parametrize(("at", "most"), [(0.0, 0.0), (0.5, 50 + START_PART * 120 / 2), (1.0, 100.0)])
+@pytest.mark.parametrize(
+    ("at", "most"), [(0.0, 0.0), (0.5, 50 + START_PART * 120 / 2), (1.0, 100.0)]
+)
 def test_a_term_that_nobody_told_anything_starts_with_nothing(at: float, most: float) -> None:
     answer = owner(LOOSE).ask(ask(), at)
     assert answer.level == pytest.approx(most)
@@ -222,7 +232,12 @@
 
 @pytest.mark.parametrize(
     ("limit", "level"),
-    [(Limit(100.0, 150.0), 90.0), (Limit(100.0, 20.0), 20.0), (Limit(500.0, 100.0), 40.0), (LIMIT, 40.0)],
+    [
+        (Limit(100.0, 150.0), 90.0),
+        (Limit(100.0, 20.0), 20.0),
+        (Limit(500.0, 100.0), 40.0),
+        (LIMIT, 40.0),
+    ],
 )
 def test_a_new_limit_is_adopted_at_once(limit: Limit, level: float) -> None:
     ledger = full()
--- a/tests/membership/test_quota_client.py
+++ b/tests/membership/test_quota_client.py
@@ -78,7 +78,10 @@
     again = sent(asker.answered(ask.call, QuotaAnswer(Verdict.REPORT_WANTED, 5), 10.102))
     assert again.ask.amounts == (5.0,)
     assert again.ask.report is not None and sum(used.amount for used in again.ask.report) == 40.0
-    assert again.ask.known is not None and (again.ask.known.term, again.ask.known.level) == (77, 42.0)
+    assert again.ask.known is not None and (again.ask.known.term, again.ask.known.level) == (
+        77,
+        42.0,
+    )
 
 
 def test_a_new_token_brings_the_report_again() -> None:
@@ -152,7 +155,9 @@
 def test_after_that_only_a_part_of_the_allowance_is_used(share: float, part: float) -> None:
     asker = alone(share)
     late = 10.56 + ALONE_S
-    total = sum(decided(asker.admit(number, "t", 1.0, late)).get(number, False) for number in range(2, 500))
+    total = sum(
+        decided(asker.admit(number, "t", 1.0, late)).get(number, False) for number in range(2, 500)
+    )
     assert total == int(part * ALLOWANCE + 1e-9)
 
 
@@ -248,7 +253,9 @@
         (RepeatAnswer(Verdict.NOT_YET, 4, False), [RefreshRoster(), RepeatDecided(1, False)]),
     ],
 )
-def test_a_repeat_is_allowed_only_by_its_owner(outcome: RepeatAnswer | None, effects: list[object]) -> None:
+def test_a_repeat_is_allowed_only_by_its_owner(
+    outcome: RepeatAnswer | None, effects: list[object]
+) -> None:
     asker = repeats()
     [ask] = asker.ask(1, "s", 10.0)
     assert isinstance(ask, SendRepeatAsk) and ask.address == OTHER.address and ask.ask.token == 5
--- a/tests/membership/test_roles.py
+++ b/tests/membership/test_roles.py
@@ -9,7 +9,8 @@
 from roselink.protocol.ledger import Verdict
 
 ROSTER = tuple(
-    Member(f"edge-{name}", f"10.0.0.{number}:7500", number) for number, name in enumerate("abcdef", 1)
+    Member(f"edge-{name}", f"10.0.0.{number}:7500", number)
+    for number, name in enumerate("abcdef", 1)
 )
 KEYS = [f"quota/t{number}" for number in range(600)]
 
--- a/tests/membership/test_sampling.py
+++ b/tests/membership/test_sampling.py
@@ -107,7 +107,9 @@
 def test_views_stay_connected_and_forget_the_dead() -> None:
     chance = random.Random(3)
     members = OTHERS[:20]
-    views = {member.address: Sampling(member, random.Random(member.incarnation)) for member in members}
+    views = {
+        member.address: Sampling(member, random.Random(member.incarnation)) for member in members
+    }
     for index, member in enumerate(members):  # a ring
         views[member.address].know([members[(index + 1) % len(members)]])
     now = 0.0
@@ -116,7 +118,9 @@
         now += 0.02
         if step == 3000:
             dead = {member.address for member in members[:8]}
-        address = chance.choice([member.address for member in members if member.address not in dead])
+        address = chance.choice(
+            [member.address for member in members if member.address not in dead]
+        )
         for effect in views[address].wake(now):
             assert isinstance(effect, SendShuffle)
             if effect.address in dead:
@@ -132,13 +136,19 @@
                 reached.add(seen.member.address)
                 frontier.append(seen.member.address)
     assert reached == {member.address for member in alive}
-    stale = sum(seen.member.address in dead for member in alive for seen in views[member.address].view)
+    stale = sum(
+        seen.member.address in dead for member in alive for seen in views[member.address].view
+    )
     assert stale <= 0.1 * len(alive) * module.VIEW_SIZE
 
 
 def test_calm_traffic_is_tiny() -> None:
-    entries = tuple(Seen(Member("edge-zg-maksimir-1", "10.1.0.16:7500", 2**55), 3) for _ in range(4))
+    entries = tuple(
+        Seen(Member("edge-zg-maksimir-1", "10.1.0.16:7500", 2**55), 3) for _ in range(4)
+    )
     news = News(VersionVector(9, 9, 9), tuple(f"10.{n}.0.26:7500" for n in (1, 2, 3)), 100)
     size = len(frame(0, 1, Shuffle(entries, news))) + len(frame(1, 1, Shuffled(entries, news)))
-    assert 2 * size / module.CALM_EVERY_S < 200  # both ends of own and others' exchanges, bytes a second
+    assert (
+        2 * size / module.CALM_EVERY_S < 200
+    )  # both ends of own and others' exchanges, bytes a second
     assert size / module.CALM_EVERY_S < 100
--- a/tests/model/test_settings_file.py
+++ b/tests/model/test_settings_file.py
@@ -9,7 +9,12 @@
 import pytest
 
 from roselink.__main__ import EXIT_BAD_SETTINGS, main
-from roselink.model.settings import ENVIRONMENT_VARIABLE, SettingsError, load_settings, read_settings
+from roselink.model.settings import (
+    ENVIRONMENT_VARIABLE,
+    SettingsError,
+    load_settings,
+    read_settings,
+)
 
 
 def document() -> dict[str, Any]:
@@ -94,7 +99,10 @@
 
 @pytest.mark.parametrize("command", ["router", "controller"])
 def test_a_program_with_bad_settings_says_so_and_ends(
-    command: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+    command: str,
+    tmp_path: Path,
+    monkeypatch: pytest.MonkeyPatch,
+    capsys: pytest.CaptureFixture[str],
 ) -> None:
     path = tmp_path / "boot.json"
     path.write_text(json.dumps(document() | {"ip": None}))
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -24,7 +24,11 @@
 TIME_LIMIT_S = 400
 PASSED, FAILED = 0, 1  # pytest's exit statuses
 
-COORDINATION = ("tests/coordination", "tests/simulation/test_search.py", "tests/simulation/test_days.py")
+COORDINATION = (
+    "tests/coordination",
+    "tests/simulation/test_search.py",
+    "tests/simulation/test_days.py",
+)
 STORAGE = ("tests/simulation/test_disk.py", "tests/control/test_storage.py")
 PULLS = (
     "tests/control/test_pulls.py",
@@ -56,7 +60,9 @@
         path = tree / "roselink" / self.file
         text = path.read_text(encoding="utf-8")
         if text.count(self.guard) != 1:
-            raise ValueError(f"{self.name}: its guard stands {text.count(self.guard)} times in {self.file}")
+            raise ValueError(
+                f"{self.name}: its guard stands {text.count(self.guard)} times in {self.file}"
+            )
         path.write_text(text.replace(self.guard, self.instead), encoding="utf-8")
 
 
@@ -78,9 +84,21 @@
         ),
         ("a leaving machine stays", "self.disk_ok and not self.leaving", "self.disk_ok"),
         ("a bad disk stays", "self.live and self.disk_ok and", "self.live and"),
-        ("a young view does not wait", "(settling and _takes_state_over(", "(False and _takes_state_over("),
-        ("any voter gives its place up", "return index if longest >= after_s else None", "return index"),
-        ("voters go below what is tolerated", "len(voters) > 2 * rules.tolerated + 1", "len(voters) > 1"),
+        (
+            "a young view does not wait",
+            "(settling and _takes_state_over(",
+            "(False and _takes_state_over(",
+        ),
+        (
+            "any voter gives its place up",
+            "return index if longest >= after_s else None",
+            "return index",
+        ),
+        (
+            "voters go below what is tolerated",
+            "len(voters) > 2 * rules.tolerated + 1",
+            "len(voters) > 1",
+        ),
         ("a joiner need not be steady", "if peer.fit and peer.steady and", "if peer.fit and"),
     ),
     *_of(
@@ -112,11 +130,23 @@
             "len(self._accepted) >= 1",
         ),
         ("whoever is no voter votes", "self.voter in self.view.voters", "True"),
-        ("an accepted view is not told", "self.entitled and self.accepted is None", "self.entitled"),
+        (
+            "an accepted view is not told",
+            "self.entitled and self.accepted is None",
+            "self.entitled",
+        ),
         ("a newer view is not told", "self.view.epoch == epoch\n", "self.view.epoch >= 0\n"),
-        ("an older view is followed", "view.epoch <= self.view.epoch", "view.epoch == self.view.epoch"),
+        (
+            "an older view is followed",
+            "view.epoch <= self.view.epoch",
+            "view.epoch == self.view.epoch",
+        ),
         ("answers of other epochs count", " and answer.epoch == self.view.epoch + 1", ""),
-        ("strangers' answers count", "return same and answer.sender in self.view.voters", "return same"),
+        (
+            "strangers' answers count",
+            "return same and answer.sender in self.view.voters",
+            "return same",
+        ),
     ),
     *_of(
         "coordination/ballots.py",
@@ -130,7 +160,11 @@
     *_of(
         "coordination/chain.py",
         COORDINATION,
-        ("writes out of order", "message.sequence == self.applied.sequence + 1", "message.sequence > 0"),
+        (
+            "writes out of order",
+            "message.sequence == self.applied.sequence + 1",
+            "message.sequence > 0",
+        ),
         ("writes of anyone", "            and link.voter == sender\n", ""),
         ("records of another epoch", "            and epoch == self.view.epoch\n", ""),
         (
@@ -168,7 +202,11 @@
     *_of(
         "coordination/reads.py",
         COORDINATION,
-        ("one answer confirms", "len(self._confirmed_by) < majority(view)", "len(self._confirmed_by) < 1"),
+        (
+            "one answer confirms",
+            "len(self._confirmed_by) < majority(view)",
+            "len(self._confirmed_by) < 1",
+        ),
         ("a no confirms", "if not answer.newest or answer.sender", "if answer.sender"),
         ("answers of an older round confirm", " or answer.round != self._round", ""),
         ("whoever is no voter confirms", " or answer.sender not in view.voters", ""),
@@ -181,8 +219,16 @@
     *_of(
         "coordination/orders.py",
         COORDINATION,
-        ("an order is answered before it is committed", "if sequence <= self.chain.committed:", "if True:"),
-        ("waiting answers leave too early", "if answer.sequence <= self.chain.committed]", "if True]"),
+        (
+            "an order is answered before it is committed",
+            "if sequence <= self.chain.committed:",
+            "if True:",
+        ),
+        (
+            "waiting answers leave too early",
+            "if answer.sequence <= self.chain.committed]",
+            "if True]",
+        ),
         ("answers outlive the view", "self._before, self._answers = [], []", "self._before = []"),
         (
             "a document of another version is shown",
@@ -212,7 +258,11 @@
     *_of(
         "coordination/member.py",
         COORDINATION,
-        ("a wiped machine keeps its name", "0 if self._fresh else self._start.fresh_incarnation", "0"),
+        (
+            "a wiped machine keeps its name",
+            "0 if self._fresh else self._start.fresh_incarnation",
+            "0",
+        ),
         (
             "a new member speaks before it is on disk",
             "        if self._saved_first:\n            self._messages.handle(message, now)",
@@ -227,7 +277,11 @@
     *_of(
         "coordination/messages.py",
         COORDINATION,
-        ("an order for another epoch is taken", "message.epoch == self.voting.view.epoch and ", ""),
+        (
+            "an order for another epoch is taken",
+            "message.epoch == self.voting.view.epoch\n            and ",
+            "",
+        ),
         (
             "a sync of an unknown view is dropped",
             "        self.follow(message.view, now)\n        if self.chain.on_sync",
@@ -237,16 +291,32 @@
     *_of(
         "coordination/peering.py",
         COORDINATION,
-        ("a link that carries one way counts", " and self.own.address in known.heartbeat.heard", ""),
+        (
+            "a link that carries one way counts",
+            " and self.own.address in known.heartbeat.heard",
+            "",
+        ),
         ("a large save counts as stuck", "limit_s + self.size / DISK_BYTES_S", "limit_s"),
-        ("a sleeper suspects everyone", "known.heard_at = min(now, known.heard_at + seconds)", "pass"),
+        (
+            "a sleeper suspects everyone",
+            "known.heard_at = min(now, known.heard_at + seconds)",
+            "pass",
+        ),
     ),
     *_of(
         "control/storage.py",
         STORAGE,
-        ("files are not synced", "            self.files.sync(base + part)\n", "            pass\n"),
+        (
+            "files are not synced",
+            "            self.files.sync(base + part)\n",
+            "            pass\n",
+        ),
         ("the folder is not synced", "        self.files.sync(self.folder)\n", ""),
-        ("a torn record is taken", "if checksum != _checksum(number, record, payload):", "if False:"),
+        (
+            "a torn record is taken",
+            "if checksum != _checksum(number, record, payload):",
+            "if False:",
+        ),
         (
             "half of a disk is taken",
             "isinstance(votes, Votes) and isinstance(state, StoredState)",
@@ -261,7 +331,11 @@
     *_of(
         "control/api.py",
         ORDERS,
-        ("an order's base is not part of its name", "digest_of(base, body))", "digest_of(0, body))"),
+        (
+            "an order's base is not part of its name",
+            "digest_of(base, body))",
+            "digest_of(0, body))",
+        ),
         (
             "unclear is told as refused",
             'return _unavailable(request, "unsettled")',
@@ -295,10 +369,18 @@
     *_of(
         "control/updates.py",
         UPDATES,
-        ("an update's base is not part of its name", 'struct.pack("!q", base)', 'struct.pack("!q", 0)'),
+        (
+            "an update's base is not part of its name",
+            'struct.pack("!q", base)',
+            'struct.pack("!q", 0)',
+        ),
         ("an update has a whole document's name", "_DIGEST_PREFIX + ", ""),
         ("an update is merged onto any base", "if base != confirmed.generation:", "if False:"),
-        ("a merged document is not checked", "    if isinstance(checked, Refused):\n", "    if False:\n"),
+        (
+            "a merged document is not checked",
+            "    if isinstance(checked, Refused):\n",
+            "    if False:\n",
+        ),
         ("an item stands twice in an update", "elif name in seen:", "elif False:"),
         (
             "an item is both added and removed",
@@ -320,14 +402,26 @@
             "if confirmation is None or not self._is_tail or",
             "if not self._is_tail or",
         ),
-        ("a pull is sent on for ever", "if forwarded or self._tail is None:", "if self._tail is None:"),
+        (
+            "a pull is sent on for ever",
+            "if forwarded or self._tail is None:",
+            "if self._tail is None:",
+        ),
         (
             "a late pull of a former start counts",
             "            if member.incarnation in known.former:\n                return\n",
             "",
         ),
-        ("a pause is the gateways' silence", "        if pause > self._times.pause_s:", "        if False:"),
-        ("a roster before all were heard", "        if now < self._collect_until:\n            return\n", ""),
+        (
+            "a pause is the gateways' silence",
+            "        if pause > self._times.pause_s:",
+            "        if False:",
+        ),
+        (
+            "a roster before all were heard",
+            "        if now < self._collect_until:\n            return\n",
+            "",
+        ),
         (
             "hosts of an older view are published",
             "if not self._is_tail or epoch != self._epoch:",
@@ -349,8 +443,16 @@
             "told.configuration != held.configuration and",
         ),
         ("older hosts are taken", "told.hosts > held.hosts and", "told.hosts != held.hosts and"),
-        ("an older roster is taken", "told.roster > held.roster and", "told.roster != held.roster and"),
-        ("an unconfirmed reply is taken", "if reply is None or not reply.confirmed:", "if reply is None:"),
+        (
+            "an older roster is taken",
+            "told.roster > held.roster and",
+            "told.roster != held.roster and",
+        ),
+        (
+            "an unconfirmed reply is taken",
+            "if reply is None or not reply.confirmed:",
+            "if reply is None:",
+        ),
         (
             "a reply without the configuration confirms",
             "if told.configuration == held.configuration:",
@@ -392,7 +494,11 @@
             "                bucket.take(amount)\n                record",
             "                record",
         ),
-        ("a stranger needs no report", "if asker not in bucket.askers and ask.report is None:", "if False:"),
+        (
+            "a stranger needs no report",
+            "if asker not in bucket.askers and ask.report is None:",
+            "if False:",
+        ),
         ("nothing is held back for the silent", "+ grace - held_back)", "+ grace)"),
         ("a term begins full", "START_PART * self._rule.allowance(limit))", "limit.burst)"),
         ("terms never end", "        self._buckets.clear()\n", "        pass\n"),
@@ -410,7 +516,11 @@
             "return self._first if age_s < self._window_s else self._most",
             "return self._most",
         ),
-        ("a term lends at its beginning", "        if age_s < FIRST_S:\n            return 0.0\n", ""),
+        (
+            "a term lends at its beginning",
+            "        if age_s < FIRST_S:\n            return 0.0\n",
+            "",
+        ),
         ("lent repeats are forgotten", "            term.lent.append(now)\n", "            pass\n"),
     ),
     *_of(
@@ -436,7 +546,11 @@
             "exchange.closed or host.service != exchange.service or",
             "exchange.closed or",
         ),
-        ("sent again after its time", "in_time = self._loop.time() < exchange.give_up_at", "in_time = True"),
+        (
+            "sent again after its time",
+            "in_time = self._loop.time() < exchange.give_up_at",
+            "in_time = True",
+        ),
         (
             "a host is handed the whole time",
             "(exchange.give_up_at - self._loop.time())",
@@ -487,7 +601,7 @@
             "if stream.gap or stream.held > HOLD_LIMIT:",
             "if stream.held > HOLD_LIMIT:",
         ),
-        ("a host's promise is passed on", " or self.status in PROMISES or", " or"),
+        ("a host's promise is passed on", " or self.status in PROMISES\n            or", " or"),
         (
             "bytes that were sent count as unsent",
             "return self.attempt is not None and self.attempt.sent",
@@ -497,7 +611,11 @@
     *_of(
         "dataplane/engine.py",
         DATAPLANE,
-        ("sent for a client that has left", "        if exchange.client.gone():", "        if False:"),
+        (
+            "sent for a client that has left",
+            "        if exchange.client.gone():",
+            "        if False:",
+        ),
         (
             "sent with a key that is gone",
             "return held and self._authority.may_use_keys()",
@@ -508,13 +626,21 @@
             "return held and self._authority.may_use_keys()",
             "return held",
         ),
-        ("a promise for what may have run", "        elif not exchange.may_run:\n", "        elif True:\n"),
+        (
+            "a promise for what may have run",
+            "        elif not exchange.may_run:\n",
+            "        elif True:\n",
+        ),
         (
             "an answer that has begun is ended as whole",
             "            exchange.client.cut()\n",
             "            exchange.client.end()\n",
         ),
-        ("admitted twice", "if exchange.closed or exchange.facts is not None:", "if exchange.closed:"),
+        (
+            "admitted twice",
+            "if exchange.closed or exchange.facts is not None:",
+            "if exchange.closed:",
+        ),
         (
             "taken when its time is over",
             "        if exchange.give_up_at <= self._loop.time():\n            self._refuse(",
@@ -561,7 +687,11 @@
             "return Refusal(404) if keys_usable else NOT_CONFIRMED",
             "return Refusal(404)",
         ),
-        ("keys are judged without being sure", "    if not keys_usable:\n        return NOT_CONFIRMED\n", ""),
+        (
+            "keys are judged without being sure",
+            "    if not keys_usable:\n        return NOT_CONFIRMED\n",
+            "",
+        ),
         (
             "the client's time alone counts",
             "return min(told, route.timeout_ms / 1000) if route.timeout_ms > 0 else told",
@@ -628,7 +758,11 @@
             'rest = b"" if self._repeating or self.gap else',
             'rest = b"" if self.gap else',
         ),
-        ("an event without id is no matter", "self._loose = self._loose or not event.comment", "pass"),
+        (
+            "an event without id is no matter",
+            "self._loose = self._loose or not event.comment",
+            "pass",
+        ),
     ),
     *_of(
         "dataplane/requests.py",
@@ -684,7 +818,7 @@
         ),
         (
             "a reset counts as the end",
-            "endless and self._look is not None and not self._look.reset()",
+            "endless\n            and self._look is not None\n            and not self._look.reset()",
             "endless and self._look is not None",
         ),
         (
@@ -762,12 +896,26 @@
         tree = Path(folder)
         copy_tree(tree)
         mutation.apply(tree)
-        command = [sys.executable, "-m", "pytest", "-x", "-q", "-p", "no:cacheprovider", *mutation.tests]
+        command = [
+            sys.executable,
+            "-m",
+            "pytest",
+            "-x",
+            "-q",
+            "-p",
+            "no:cacheprovider",
+            *mutation.tests,
+        ]
         environment = {**os.environ, "PYTHONPATH": str(tree), "PYTHONDONTWRITEBYTECODE": "1"}
         environment.pop("PYTEST_ADDOPTS", None)
         try:
             ended = subprocess.run(
-                command, cwd=tree, env=environment, capture_output=True, timeout=TIME_LIMIT_S, check=False
+                command,
+                cwd=tree,
+                env=environment,
+                capture_output=True,
+                timeout=TIME_LIMIT_S,
+                check=False,
             )
             if ended.returncode not in (PASSED, FAILED):
                 raise ValueError(f"{mutation.name}: pytest ended with {ended.returncode}")
--- a/tests/net.py
+++ b/tests/net.py
@@ -51,7 +51,9 @@
     head = (await reader.readuntil(b"\r\n\r\n")).decode()
     first, *lines = head.strip().split("\r\n")
     headers = {k.lower(): v.strip() for k, _, v in (line.partition(":") for line in lines)}
-    return Message(first, headers, await reader.readexactly(int(headers.get("content-length", "0"))))
+    return Message(
+        first, headers, await reader.readexactly(int(headers.get("content-length", "0")))
+    )
 
 
 def answer(body: bytes = b"ok", status: str = "200 OK", *headers: str) -> bytes:
@@ -100,7 +102,9 @@
         self.name, self.behave = name, behave
         self.seen: list[Message] = []
         self.came: asyncio.Queue[Message] = asyncio.Queue()
-        self.closed: asyncio.Queue[int] = asyncio.Queue()  # numbers of connections that the gateway ended
+        self.closed: asyncio.Queue[int] = (
+            asyncio.Queue()
+        )  # numbers of connections that the gateway ended
         self.writers: list[asyncio.StreamWriter] = []
 
     async def start(self, port: int = 0) -> FakeHost:
@@ -138,8 +142,14 @@
 
     def entry(self, **changes: Any) -> dict[str, Any]:
         line: dict[str, Any] = {
-            "instanceId": self.name, "hostPort": f"127.0.0.1:{self.address[1]}", "zone": "room",
-            "machineType": "two-core", "cell": 0, "lifecycle": "up", "weight": 1.0, "startedAtMs": 0,
+            "instanceId": self.name,
+            "hostPort": f"127.0.0.1:{self.address[1]}",
+            "zone": "room",
+            "machineType": "two-core",
+            "cell": 0,
+            "lifecycle": "up",
+            "weight": 1.0,
+            "startedAtMs": 0,
         }
         return line | changes
 
@@ -169,7 +179,9 @@
         self.generation = 1
         self.first: bytes = self.line(True, *entries)
         self.asked: asyncio.Queue[str] = asyncio.Queue()
-        self.ended: asyncio.Queue[int] = asyncio.Queue()  # numbers of watches that the gateway ended
+        self.ended: asyncio.Queue[int] = (
+            asyncio.Queue()
+        )  # numbers of watches that the gateway ended
         self.watches: list[asyncio.StreamWriter] = []
 
     def line(self, whole: bool, *entries: dict[str, Any]) -> bytes:
@@ -210,7 +222,9 @@
             pass
         finally:
             writer.close()
-            if number is not None:  # also by RST, which is how it ends with bytes unread at the gateway
+            if (
+                number is not None
+            ):  # also by RST, which is how it ends with bytes unread at the gateway
                 self.ended.put_nowait(number)
 
     def send(self, data: bytes) -> None:
@@ -223,19 +237,42 @@
 
 def told_settings(**changes: Any) -> dict[str, Any]:
     lanes = [
-        {"name": "status-check", "semantics": "safe", "goal_time": 5_000_000, "deadline": 60_000_000},
-        {"name": "seat-checkout", "semantics": "keyed", "group": "all", "memory_span": 6_000_000,
-         "goal_time": 5_000_000, "deadline": 60_000_000, "importance": 8.0},
+        {
+            "name": "status-check",
+            "semantics": "safe",
+            "goal_time": 5_000_000,
+            "deadline": 60_000_000,
+        },
+        {
+            "name": "seat-checkout",
+            "semantics": "keyed",
+            "group": "all",
+            "memory_span": 6_000_000,
+            "goal_time": 5_000_000,
+            "deadline": 60_000_000,
+            "importance": 8.0,
+        },
         {"name": "audit", "semantics": "unsafe", "goal_time": 5_000_000, "deadline": 60_000_000},
     ]
     limits = {
-        "attempts_cap": 4, "cancelling": True, "parallel_tries": True, "retry_after": True,
-        "max_retry_after": 600_000, "connect_timeout": 5_000_000, "conn_idle": 15_000_000,
+        "attempts_cap": 4,
+        "cancelling": True,
+        "parallel_tries": True,
+        "retry_after": True,
+        "max_retry_after": 600_000,
+        "connect_timeout": 5_000_000,
+        "conn_idle": 15_000_000,
     }
     settings: dict[str, Any] = {
-        "balancers": 1, "my_number": 0, "discovery": "ask", "lanes": lanes, "models": ["two-core"],
+        "balancers": 1,
+        "my_number": 0,
+        "discovery": "ask",
+        "lanes": lanes,
+        "models": ["two-core"],
         "zones": ["room"],
-        "orgs": [{"name": "acme", "quota_per_s": 1000.0}], "guarantees": {}, "limits": limits,
+        "orgs": [{"name": "acme", "quota_per_s": 1000.0}],
+        "guarantees": {},
+        "limits": limits,
     }
     settings["limits"] = limits | changes.pop("limits", {})
     return settings | changes
@@ -243,8 +280,12 @@
 
 def config_data(discovery_port: int, **changes: Any) -> dict[str, Any]:
     data: dict[str, Any] = {
-        "name": "n0", "listen": "127.0.0.1:0", "discovery": f"127.0.0.1:{discovery_port}", "seed": "8c1f",
-        "limits": {"sockets": 1024}, "settings": told_settings(),
+        "name": "n0",
+        "listen": "127.0.0.1:0",
+        "discovery": f"127.0.0.1:{discovery_port}",
+        "seed": "8c1f",
+        "limits": {"sockets": 1024},
+        "settings": told_settings(),
     }
     return data | changes
 
@@ -272,7 +313,10 @@
     name = path.split("/")[1]
     number = f"{next(request_numbers):x}"
     told: dict[str, str | None] = {
-        "Host": "service.internal", "Request-Id": number, "Tenant": "acme", "Request-Timeout-Ms": "9000",
+        "Host": "service.internal",
+        "Request-Id": number,
+        "Tenant": "acme",
+        "Request-Timeout-Ms": "9000",
         "Idempotency-Key": "key-" + number if name == "seat-checkout" else None,
     }
     told |= {key.replace("_", "-"): value for key, value in headers.items()}
@@ -330,7 +374,11 @@
         self.writer.close()
 
     def send(
-        self, path: str = "/status-check/k1", body: bytes = b"", method: str = "", **headers: str | None
+        self,
+        path: str = "/status-check/k1",
+        body: bytes = b"",
+        method: str = "",
+        **headers: str | None,
     ) -> str:
         """Write one request as `client_request` words it."""
         number, data = client_request(path, body, method, **headers)
@@ -341,7 +389,11 @@
         return await read_message(self.reader)
 
     async def ask(
-        self, path: str = "/status-check/k1", body: bytes = b"", method: str = "", **headers: str | None
+        self,
+        path: str = "/status-check/k1",
+        body: bytes = b"",
+        method: str = "",
+        **headers: str | None,
     ) -> Message:
         self.send(path, body, method, **headers)
         return await self.receive()
@@ -390,7 +442,9 @@
 @asynccontextmanager
 async def alone(agent: FakeHost, known: dict[str, Any], **changes: Any) -> AsyncIterator[Gateway]:
     """A gateway that has only its known list, with `agent` in discovery's place."""
-    gateway = Gateway(make_config(agent.address[1], known=known, **changes), asyncio.get_running_loop())
+    gateway = Gateway(
+        make_config(agent.address[1], known=known, **changes), asyncio.get_running_loop()
+    )
     await gateway.start()
     try:
         yield gateway
--- a/tests/router/test_app.py
+++ b/tests/router/test_app.py
@@ -160,7 +160,9 @@
         # the burst, its grace, and what a second or so refills; each gateway got some
         assert any(results) and not all(results)
         repeats = [await repeat(control) for control in gateways.controls * 4]
-        assert sum(repeats) <= FIRST_PART * 50  # of a term's first window, however slow the machine is
+        assert (
+            sum(repeats) <= FIRST_PART * 50
+        )  # of a term's first window, however slow the machine is
         gateways.stop()
         core.server.close()
 
@@ -207,10 +209,14 @@
         path.write_text("{ half a file")
         control.puller.reload()
         assert control.puller.snapshot() is None
-        moved = json.dumps({**json.loads(settings_text(dead)), "port_range": [core.port, core.port]})
+        moved = json.dumps(
+            {**json.loads(settings_text(dead)), "port_range": [core.port, core.port]}
+        )
         path.write_text(moved)
         reached = asyncio.get_running_loop().create_future()
-        control.puller.subscribe(lambda snapshot: None if reached.done() else reached.set_result(None))
+        control.puller.subscribe(
+            lambda snapshot: None if reached.done() else reached.set_result(None)
+        )
         await asyncio.wait_for(reached, 10)
         control.stop()
         core.server.close()
--- a/tests/router/test_status_log.py
+++ b/tests/router/test_status_log.py
@@ -50,11 +50,15 @@
         status_log.start()
         for number in range(len(states)):
             loop.timers[number].work()
-    assert [record.getMessage() for record in caplog.records] == [f"gateway_status {x}" for x in written]
+    assert [record.getMessage() for record in caplog.records] == [
+        f"gateway_status {x}" for x in written
+    ]
     assert len(loop.timers) == len(states) + 1
 
 
-def test_the_last_state_is_written_at_the_end_and_no_timer_is_left(caplog: pytest.LogCaptureFixture) -> None:
+def test_the_last_state_is_written_at_the_end_and_no_timer_is_left(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
     loop = Loop()
     status_log = StatusLog(cast(asyncio.AbstractEventLoop, loop), lambda: "a")
     with caplog.at_level(logging.INFO, "roselink.router"):
--- a/tests/routing/builders.py
+++ b/tests/routing/builders.py
@@ -29,7 +29,9 @@
 Kind = TypeVar("Kind")
 
 
-def host(name: str, service: str = "s", zone: str = "z", capacity: int = 64, ready: bool = True) -> Host:
+def host(
+    name: str, service: str = "s", zone: str = "z", capacity: int = 64, ready: bool = True
+) -> Host:
     state = HostState.READY if ready else HostState.DRAINING
     return Host(name, service, "10.0.0.1:8000", zone, "v1", capacity, state, 0.0, ())
 
@@ -52,7 +54,9 @@
 
     def tell(self, event: d.Event) -> list[d.Action]:
         actions = self.decider.handle(self.now, event)
-        self.timers += [(action.at, action.tag) for action in actions if isinstance(action, d.StartTimer)]
+        self.timers += [
+            (action.at, action.tag) for action in actions if isinstance(action, d.StartTimer)
+        ]
         return [action for action in actions if not isinstance(action, d.StartTimer)]
 
     def list_hosts(self, *listed: Host) -> list[d.Action]:
@@ -63,7 +67,9 @@
         shifted = replace(facts, arrived_at=self.now, give_up_at=self.now + facts.give_up_at)
         return self.tell(d.RequestArrived(shifted))
 
-    def end(self, outcome: Outcome, attempt: int = 0, number: int = 1, **more: bool) -> list[d.Action]:
+    def end(
+        self, outcome: Outcome, attempt: int = 0, number: int = 1, **more: bool
+    ) -> list[d.Action]:
         return self.tell(d.AttemptEnded(number, attempt, outcome, 0.01, **more))
 
     def wait(self, until: float) -> list[d.Action]:
--- a/tests/routing/test_affinity_simulation.py
+++ b/tests/routing/test_affinity_simulation.py
@@ -75,7 +75,9 @@
             heapq.heappush(queue, (now + 0.3, next(order), gateway, done))
         actions = gateway.handle(now, event)
         for timer in only(d.StartTimer, actions):
-            heapq.heappush(queue, (max(now, timer.at), next(order), gateway, d.TimerFired(timer.tag)))
+            heapq.heappush(
+                queue, (max(now, timer.at), next(order), gateway, d.TimerFired(timer.tag))
+            )
         for sent in only(d.SendAttempt, actions):
             read, done_at = engines[sent.host].read(prompts[sent.number][1], now)
             result.requests += 1
--- a/tests/routing/test_budget.py
+++ b/tests/routing/test_budget.py
@@ -9,7 +9,9 @@
 from roselink.routing.budget import RepeatBudget
 
 WINDOW_S, RATIO = 10.0, 0.2
-STEPS = st.lists(st.tuples(st.sampled_from("ffffr"), st.floats(0, 3), st.integers(1, 40)), max_size=80)
+STEPS = st.lists(
+    st.tuples(st.sampled_from("ffffr"), st.floats(0, 3), st.integers(1, 40)), max_size=80
+)
 
 
 @settings(max_examples=300, deadline=None)
@@ -34,7 +36,15 @@
 
 @pytest.mark.parametrize(
     ("firsts", "pause_s", "granted"),
-    [(0, 0.0, 0), (5, 0.0, 0), (6, 0.0, 1), (101, 0.0, 18), (101, 5.0, 18), (100, 10.0, 0), (1000, 60.0, 0)],
+    [
+        (0, 0.0, 0),
+        (5, 0.0, 0),
+        (6, 0.0, 1),
+        (101, 0.0, 18),
+        (101, 5.0, 18),
+        (100, 10.0, 0),
+        (1000, 60.0, 0),
+    ],
 )
 def test_tokens_expire_with_the_window(firsts: int, pause_s: float, granted: int) -> None:
     budget = RepeatBudget(RATIO, WINDOW_S)
--- a/tests/routing/test_fleet.py
+++ b/tests/routing/test_fleet.py
@@ -63,7 +63,9 @@
         (O.MOOT, False, False, AGAIN),
     ],
 )
-def test_outcome_by_kind_of_route(outcome: O, repeatable: bool, streaming: bool, expected: str) -> None:
+def test_outcome_by_kind_of_route(
+    outcome: O, repeatable: bool, streaming: bool, expected: str
+) -> None:
     made = bench()
     first = only(d.SendAttempt, made.arrive(repeatable=repeatable, streaming=streaming))[0]
     actions = settle(made, made.end(outcome), until=0.1)
@@ -75,7 +77,12 @@
 
 @pytest.mark.parametrize(
     ("outcome", "reason"),
-    [(O.FULL, NOT_RUN), (O.ERROR, MAY_HAVE_RUN), (O.TIMEOUT, MAY_HAVE_RUN), (O.RESET, MAY_HAVE_RUN)],
+    [
+        (O.FULL, NOT_RUN),
+        (O.ERROR, MAY_HAVE_RUN),
+        (O.TIMEOUT, MAY_HAVE_RUN),
+        (O.RESET, MAY_HAVE_RUN),
+    ],
 )
 def test_a_route_of_one_attempt_gets_its_answer_at_once(outcome: O, reason: str) -> None:
     made = bench()
@@ -222,7 +229,9 @@
 
 @pytest.mark.parametrize("outcome", [O.RESET, O.ERROR, O.TIMEOUT])
 @pytest.mark.parametrize(("repeatable", "expected"), [(True, AGAIN), (False, MAY_HAVE_RUN)])
-def test_a_cut_stream_goes_on_elsewhere_if_it_may(outcome: O, repeatable: bool, expected: str) -> None:
+def test_a_cut_stream_goes_on_elsewhere_if_it_may(
+    outcome: O, repeatable: bool, expected: str
+) -> None:
     made = bench()
     first = only(d.SendAttempt, made.arrive(repeatable=repeatable, streaming=True))[0]
     made.tell(d.FirstEvent(1, 0))
@@ -464,7 +473,9 @@
         for number in range(300):
             now = number * 0.02
             facts = d.RequestArrived(
-                d.RequestFacts(number, "r", "s", True, False, now, now + 2, 0.5, 3, 0, False, (), 0, 0)
+                d.RequestFacts(
+                    number, "r", "s", True, False, now, now + 2, 0.5, 3, 0, False, (), 0, 0
+                )
             )
             log.append(decider.handle(now, facts))
             ended = d.AttemptEnded(number, 0, draw.choice(list(Outcome)), 0.01)
--- a/tests/routing/test_host_choice.py
+++ b/tests/routing/test_host_choice.py
@@ -48,9 +48,17 @@
 
 @pytest.mark.parametrize(
     ("payoff", "in_flight", "zone", "expected"),
-    [(1.0, 0, "z", 1.0), (1.0, 1, "z", 0.5), (0.5, 4, "z", 0.1), (0.0, 0, "z", 0.0), (1.0, 0, "y", 0.95)],
+    [
+        (1.0, 0, "z", 1.0),
+        (1.0, 1, "z", 0.5),
+        (0.5, 4, "z", 0.1),
+        (0.0, 0, "z", 0.0),
+        (1.0, 0, "y", 0.95),
+    ],
 )
-def test_payoff_over_one_plus_in_flight(payoff: float, in_flight: int, zone: str, expected: float) -> None:
+def test_payoff_over_one_plus_in_flight(
+    payoff: float, in_flight: int, zone: str, expected: float
+) -> None:
     state = replace(fresh_state(host("a", zone=zone)), payoff=payoff, in_flight=in_flight)
     assert chooser().score(state) == pytest.approx(expected)
 
@@ -78,7 +86,9 @@
 
 
 def parts(facts: d.RequestFacts, *tokens: int) -> d.RequestFacts:
-    sized = tuple(replace(part, tokens=size) for part, size in zip(facts.prompt, tokens, strict=True))
+    sized = tuple(
+        replace(part, tokens=size) for part, size in zip(facts.prompt, tokens, strict=True)
+    )
     return replace(facts, prompt=sized)
 
 
@@ -246,7 +256,9 @@
         (("own",), False, "own"),
     ],
 )
-def test_the_key_is_the_last_shared_part(parts: tuple[str, ...], comes_again: bool, key: str) -> None:
+def test_the_key_is_the_last_shared_part(
+    parts: tuple[str, ...], comes_again: bool, key: str
+) -> None:
     memory = PrefixMemory()
     for number in range(100):
         last = parts[-1] if comes_again else f"{parts[-1]}{number}"
@@ -264,7 +276,9 @@
         (("group", "session"), False, 0),
     ],
 )
-def test_tokens_that_a_host_would_have_to_read(read: tuple[str, ...], home: bool, expected: float) -> None:
+def test_tokens_that_a_host_would_have_to_read(
+    read: tuple[str, ...], home: bool, expected: float
+) -> None:
     memory = PrefixMemory()
     memory.read_by("h0", prompt(*read), 0.0)
     assert memory.to_read("h0", MODEL.prompt[:2], home, 1.0) == pytest.approx(expected)
--- a/tests/routing/test_invariants.py
+++ b/tests/routing/test_invariants.py
@@ -176,7 +176,9 @@
 
 @settings(max_examples=120, deadline=None)
 @given(st.integers(0, 2**32), OUTCOMES, st.sampled_from([0.0, 0.5, 1.0]), st.integers(20, 250))
-def test_any_order_of_events(seed: int, outcomes: list[Outcome], share_granted: float, steps: int) -> None:
+def test_any_order_of_events(
+    seed: int, outcomes: list[Outcome], share_granted: float, steps: int
+) -> None:
     play = Play(seed, outcomes, share_granted)
     play.topology()
     for _ in range(steps):
--- a/tests/rulecheck.py
+++ b/tests/rulecheck.py
@@ -112,7 +112,9 @@
             return
         if isinstance(action, Refuse) and any(s.may_have_run for s in case.sent):
             spec = case.route
-            if spec.effect is Effect.UNSAFE or (spec.effect is Effect.KEYED and spec.group is not Group.ALL):
+            if spec.effect is Effect.UNSAFE or (
+                spec.effect is Effect.KEYED and spec.group is not Group.ALL
+            ):
                 raise RuleBroken(f"2: request {action.request} refused though it may have run")
         case.ended = True
 
@@ -135,7 +137,9 @@
                     Group.CELL: earlier.server.cell == server.cell,
                 }[spec.group]
                 if not same or now_us >= earlier.at_us + spec.memory_span_us:
-                    raise RuleBroken(f"2: keyed request {action.request} sent outside its group or time")
+                    raise RuleBroken(
+                        f"2: keyed request {action.request} sent outside its group or time"
+                    )
         told_off = self.told_off.get(action.server)
         if told_off is not None and now_us > told_off + self.told.drain_grace_us:
             raise RuleBroken(f"3: server {action.server} sent to after its drain")
@@ -155,4 +159,6 @@
             + (1 - self.told.cold_from) * max(0, now_us - window - started) / self.told.cold_us
         )
         if work > self.told.fall_multiple * warmth * window:
-            raise RuleBroken(f"4: cold server {server.id} sent more than its budget by one balancer alone")
+            raise RuleBroken(
+                f"4: cold server {server.id} sent more than its budget by one balancer alone"
+            )
--- a/tests/simulation/test_days.py
+++ b/tests/simulation/test_days.py
@@ -27,7 +27,9 @@
     return ConfigurationOrder(base, generation, document, digest_of(base, document))
 
 
-def submit(world: World, machine: Machine, order: ConfigurationOrder, most_s: float = 4.0) -> SubmitOutcome:
+def submit(
+    world: World, machine: Machine, order: ConfigurationOrder, most_s: float = 4.0
+) -> SubmitOutcome:
     got: list[SubmitOutcome] = []
     machine.submit(order, got.append)
     assert world.run_until(lambda: bool(got), most_s)
@@ -69,7 +71,9 @@
 @pytest.mark.parametrize("victim", [0, 1, 2])
 @pytest.mark.parametrize("trouble", ["kill", "freeze", "isolate", "stall", "full"])
 @pytest.mark.parametrize("by", [0, 1, 2])
-def test_one_trouble_delays_an_order_by_less_than_two_seconds(victim: int, trouble: str, by: int) -> None:
+def test_one_trouble_delays_an_order_by_less_than_two_seconds(
+    victim: int, trouble: str, by: int
+) -> None:
     world = calm()
     machines = list(world.machines.values())
     hurt = machines[victim]
--- a/tests/simulation/test_disk.py
+++ b/tests/simulation/test_disk.py
@@ -26,7 +26,9 @@
 
 def state(sequence: int) -> StoredState:
     """Its second half is history alone: zeros in its place still read as a record."""
-    return StoredState(3, ConfigurationState(sequence, sequence, b"document" * 5, b"h" * (300 + sequence)))
+    return StoredState(
+        3, ConfigurationState(sequence, sequence, b"document" * 5, b"h" * (300 + sequence))
+    )
 
 
 def saved(files: MemoryFiles) -> Storage:
@@ -132,7 +134,9 @@
     except OSError:
         ended = False
         if not on:
-            assert len(files.present) == RECORD_FILES  # a full disk needs the room of what it refused
+            assert (
+                len(files.present) == RECORD_FILES
+            )  # a full disk needs the room of what it refused
     files.heal()
     for contents in remains(files, random.Random(at), most):
         kept_votes, kept_state = load(contents)
--- a/tests/simulation/test_history.py
+++ b/tests/simulation/test_history.py
@@ -4,7 +4,16 @@
 
 import pytest
 
-from roselink.simulation.history import Change, History, InForce, Judge, KeyUse, OrderCall, Reading, Said
+from roselink.simulation.history import (
+    Change,
+    History,
+    InForce,
+    Judge,
+    KeyUse,
+    OrderCall,
+    Reading,
+    Said,
+)
 
 ONE = Change(0, 1, "one", frozenset({"k"}))
 TWO = Change(1, 2, "two")
@@ -47,10 +56,17 @@
         (sent(LOST, 0, 1, Said.REFUSED), Reading(2, 3, None)),
         (A, InForce("g", 1, 2, ONE), InForce("g", 2, 3, ONE), KeyUse("g", 9, "k")),
         (A, sent(TWO, 2, 3), KeyUse("g", 7.9, "k")),
-        (A, sent(TWO, 2, 3), sent(Change(2, 3, "k again", frozenset({"k"})), 4, 5), KeyUse("g", 30, "k")),
+        (
+            A,
+            sent(TWO, 2, 3),
+            sent(Change(2, 3, "k again", frozenset({"k"})), 4, 5),
+            KeyUse("g", 30, "k"),
+        ),
     ],
 )
-def test_what_one_register_can_say(events: tuple[OrderCall | Reading | InForce | KeyUse, ...]) -> None:
+def test_what_one_register_can_say(
+    events: tuple[OrderCall | Reading | InForce | KeyUse, ...],
+) -> None:
     assert rules(*events) == []
 
 
@@ -60,15 +76,27 @@
         ((A, sent(TWO, 2, 3), sent(RIVAL, 2, 3)), "two changes under one number"),
         ((A, sent(TWO, 2, 3), sent(ALSO_ON_ONE, 2, 3)), "two changes on one base"),
         ((A, sent(TWO, 2, 3), sent(TWO, 4, 5, Said.REFUSED)), "a refused change is in force"),
-        ((A, sent(RIVAL, 2, 3, Said.REFUSED), Reading(4, 5, RIVAL)), "a refused change is in force"),
+        (
+            (A, sent(RIVAL, 2, 3, Said.REFUSED), Reading(4, 5, RIVAL)),
+            "a refused change is in force",
+        ),
         ((A, sent(LOST, 2, 3)), "built on what never was"),
         ((A, Reading(2, 3, TWO), sent(TWO, 4, 5)), "shown before it was sent"),
         ((A, sent(TWO, 2, 3), Reading(4, 5, ONE)), "an old configuration was shown"),
         ((A, Reading(2, 3, None)), "an old configuration was shown"),
-        ((A, sent(TWO, 2, 9), Reading(3, 4, TWO), Reading(5, 6, ONE)), "an old configuration was shown"),
-        ((A, sent(TWO, 2, 3), sent(THREE, 4, 5), sent(Change(3, 2, "back"), 6, 7)), "a change went back"),
+        (
+            (A, sent(TWO, 2, 9), Reading(3, 4, TWO), Reading(5, 6, ONE)),
+            "an old configuration was shown",
+        ),
+        (
+            (A, sent(TWO, 2, 3), sent(THREE, 4, 5), sent(Change(3, 2, "back"), 6, 7)),
+            "a change went back",
+        ),
         ((A, sent(TWO, 2, 3, Said.REFUSED)), "a proper change was refused"),
-        ((A, sent(TWO, 2, 3), InForce("g", 1, 4, TWO), InForce("g", 1, 5, ONE)), "a gateway went back"),
+        (
+            (A, sent(TWO, 2, 3), InForce("g", 1, 4, TWO), InForce("g", 1, 5, ONE)),
+            "a gateway went back",
+        ),
         ((A, sent(TWO, 2, 3), KeyUse("g", 8.1, "k")), "a removed key was used"),
     ],
 )
--- a/tests/simulation/test_search.py
+++ b/tests/simulation/test_search.py
@@ -52,9 +52,18 @@
     "a view is decided": (view_decided, Bounds(30, STATES, kills=1, proposals=1, reads=0)),
     "a member joins": (member_joining, Bounds(30, STATES, kills=1, proposals=0, reads=0)),
     "two propose": (two_proposers, Bounds(30, STATES, kills=0, proposals=0, reads=0)),
-    "the tail is left behind": (partial(left_behind, "c:1"), Bounds(30, STATES, kills=0, proposals=0)),
-    "the head is left behind": (partial(left_behind, "a:1"), Bounds(30, STATES, kills=0, proposals=0)),
-    "a disk is lost": (calm_system, Bounds(30, STATES, kills=0, wipes=1, proposals=1, sent_again=1, reads=0)),
+    "the tail is left behind": (
+        partial(left_behind, "c:1"),
+        Bounds(30, STATES, kills=0, proposals=0),
+    ),
+    "the head is left behind": (
+        partial(left_behind, "a:1"),
+        Bounds(30, STATES, kills=0, proposals=0),
+    ),
+    "a disk is lost": (
+        calm_system,
+        Bounds(30, STATES, kills=0, wipes=1, proposals=1, sent_again=1, reads=0),
+    ),
 }
 
 
@@ -97,7 +106,9 @@
     begin, bounds = STARTS[start]
     found = search(with_calls(begin), bounds)
     for seed in range(60):
-        walk(with_calls(begin), Bounds(STEPS, STATES, 2, bounds.wipes, 3, 3, 4), random.Random(seed))
+        walk(
+            with_calls(begin), Bounds(STEPS, STATES, 2, bounds.wipes, 3, 3, 4), random.Random(seed)
+        )
     return found
 
 
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -104,7 +104,9 @@
     attempts = sum(map(len, stage.sends.values()))
     stage.pass_time(2_000_000)
     assert not stage.balancer.requests
-    assert len(stage.sends) >= 400 * balance.LEAST_ADMITTED / 2  # the pick falls back to the whole fleet
+    assert (
+        len(stage.sends) >= 400 * balance.LEAST_ADMITTED / 2
+    )  # the pick falls back to the whole fleet
     assert attempts <= len(stage.sends) * (1 + balance.EARN) + 2
 
 
@@ -121,7 +123,9 @@
     assert request not in stage.balancer.requests
 
 
-@pytest.mark.parametrize("told", [settings(route(Effect.UNSAFE), parallel_tries=True), settings(route())])
+@pytest.mark.parametrize(
+    "told", [settings(route(Effect.UNSAFE), parallel_tries=True), settings(route())]
+)
 def test_no_hedge_for_unsafe_routes_or_where_one_attempt_is_the_limit(told: Settings) -> None:
     stage = Stage(told, 4)
     stage.warm_up(100, 5000)
@@ -202,7 +206,9 @@
     for t in times:
         warmth = 0.2 + 0.8 * (t - started) / 10_000_000
         # one core's worth of 4 ms requests, our half of it
-        assert sum(1 for u in times if t - 1_000_000 < u <= t) <= 2.0 * warmth * 1_000_000 / 4000 / 2
+        assert (
+            sum(1 for u in times if t - 1_000_000 < u <= t) <= 2.0 * warmth * 1_000_000 / 4000 / 2
+        )
 
 
 def test_a_server_may_be_listed_anew_as_another_kind_of_machine() -> None:
@@ -353,7 +359,9 @@
         stage.balancer.admitted = 1.0  # load shedding is not what is tested
         request = stage.arrive()
         if number % 4 == 0:
-            assert not any(isinstance(a, Refuse | Fail) for a in stage.done(request, Outcome.RESET)), number
+            assert not any(
+                isinstance(a, Refuse | Fail) for a in stage.done(request, Outcome.RESET)
+            ), number
         stage.pass_time(20_000)
         if request in stage.balancer.requests:
             stage.done(request, Outcome.SUCCESS)
@@ -542,8 +550,14 @@
 
 def test_a_thin_share_of_many_cold_servers_is_put_to_use() -> None:
     """Join day, e48f6231: 40 balancers with turns at each of 36 cold servers used a fifth of them in all."""
-    told: dict[str, Any] = {"balancers": 40, "cold_us": 20_000_000, "cold_from": 0.2, "fall_multiple": 3.0,
-                            "fall_window_us": 2_000_000, "hints_are_sizes": True}
+    told: dict[str, Any] = {
+        "balancers": 40,
+        "cold_us": 20_000_000,
+        "cold_from": 0.2,
+        "fall_multiple": 3.0,
+        "fall_window_us": 2_000_000,
+        "hints_are_sizes": True,
+    }
     start, work_us, count = 50_000_000, 100_000, 30
     cold = tuple(Server(7 + i, started_us=start, hint=2.0) for i in range(count))
     safe = route(aim_us=1_000_000, deadline_us=2_000_000)
@@ -577,7 +591,9 @@
         if now in balancer.requests and balancer.requests[now].attempts:
             if not start + 500_000 <= now < start + 9_500_000:
                 parts[now >= start + 500_000] += 1
-            balancer.handle(now, [AttemptDone(now, 0, outcome, work_us, outcome is Outcome.SUCCESS)])
+            balancer.handle(
+                now, [AttemptDone(now, 0, outcome, work_us, outcome is Outcome.SUCCESS)]
+            )
         balancer.handle(now, [Departed(now)])
         for s in balancer.candidates:
             s.ejected_until_us = 0
@@ -613,8 +629,12 @@
     assert Refuse(request) in stage.pass_time(AIM_US // 5)
 
 
-@pytest.mark.parametrize(("admitted", "away_us"), [(1.0, AIM_US * balance.BACKOFF), (0.9, 1_500_000)])
-def test_a_client_stays_away_for_long_only_where_load_has_to_fall(admitted: float, away_us: float) -> None:
+@pytest.mark.parametrize(
+    ("admitted", "away_us"), [(1.0, AIM_US * balance.BACKOFF), (0.9, 1_500_000)]
+)
+def test_a_client_stays_away_for_long_only_where_load_has_to_fall(
+    admitted: float, away_us: float
+) -> None:
     """Clients that did as told came back when their aim was long over, though others had room at once."""
     stage = Stage(settings(retry_after=True, max_retry_after_us=1_500_000), 1)
     while not stage.balancer.queued:
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -15,7 +15,9 @@
     "balancers": 1,
     "discovery": "push",
     "future_key": {"x": 1},
-    "lanes": [{"name": "c", "semantics": "safe", "goal_time": 200000, "deadline": 900000, "novel": 3}],
+    "lanes": [
+        {"name": "c", "semantics": "safe", "goal_time": 200000, "deadline": 900000, "novel": 3}
+    ],
     "limits": {"attempts_cap": 3, "cancelling": True},
 }
 START = ["provision", 5, PROFILE]
@@ -116,7 +118,8 @@
 
     moments = range(1000, 30000, 1000)
     joined = [
-        json.dumps({"moment": m, "parts": [{"gateway": g, "news": news(m)} for g in (0, 1)]}) for m in moments
+        json.dumps({"moment": m, "parts": [{"gateway": g, "news": news(m)} for g in (0, 1)]})
+        for m in moments
     ]
     _, together, _ = run(*joined)
     for g in (0, 1):
--- a/tests/test_closes.py
+++ b/tests/test_closes.py
@@ -163,7 +163,7 @@
         client.send()
         close(connection)
         got = b""
-        while (data := await received(client)):
+        while data := await received(client):
             got += data
         assert got.count(b"x") == BODY_LIMIT
         close(connection)  # nothing crosses this one
@@ -185,14 +185,16 @@
         monkeypatch.setattr(ClientConnection, "answer", cross)
         client.send()
         got = b""
-        while (data := await received(client)):
+        while data := await received(client):
             got += data
         assert got.count(b"HTTP/1.1 200 OK") == 2
         assert got.count(b"Connection: keep-alive") == got.count(b"Connection: close") == 1
 
 
 @on_loop
-async def test_what_comes_after_the_shutdown_is_not_sent_on(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_what_comes_after_the_shutdown_is_not_sent_on(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """Its client is told by the end, and sends it once more on a new connection."""
     monkeypatch.setattr(connections, "LINGER_S", 1000.0)
     async with world(serve_ok) as w:
@@ -215,7 +217,9 @@
         for taken_s in (1000.0, 0.0):
             w.gateway.server.draining = False
             w.gateway.server.drain(taken_s, 2.5)
-            w.gateway.server.draining = False  # so that its connection is kept for the second request
+            w.gateway.server.draining = (
+                False  # so that its connection is kept for the second request
+            )
             assert (await client.ask(Request_Timeout_Ms="4000")).status == 200
         early, late = (request.expires for request in asked)
         assert late == w.gateway.server._drained_by
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -56,22 +56,53 @@
 
 
 DESKS = Site(
-    aims_us=(1_200_000, 800_000), deadlines_us=(5_000_000, 2_000_000), works_us=(57_000, 57_000),
-    io_us=140_000, cv=2.0, hints=False, cores=1, speeds=(1.3, 0.98, 0.7), speed_cv=0.2,
-    cold_us=9_000_000, cold_from=0.3, fall_window_us=3_000_000, slots=30,
+    aims_us=(1_200_000, 800_000),
+    deadlines_us=(5_000_000, 2_000_000),
+    works_us=(57_000, 57_000),
+    io_us=140_000,
+    cv=2.0,
+    hints=False,
+    cores=1,
+    speeds=(1.3, 0.98, 0.7),
+    speed_cv=0.2,
+    cold_us=9_000_000,
+    cold_from=0.3,
+    fall_window_us=3_000_000,
+    slots=30,
 )
 ENROLMENT = Site(
-    aims_us=(500_000, 600_000), deadlines_us=(1_500_000, 1_500_000), works_us=(150_000, 130_000),
-    io_us=0, cv=0.5, hints=True, cores=2, speeds=(1.8, 0.88), speed_cv=0.2,
-    cold_us=23_000_000, cold_from=0.15, fall_window_us=2_000_000, slots=6,
+    aims_us=(500_000, 600_000),
+    deadlines_us=(1_500_000, 1_500_000),
+    works_us=(150_000, 130_000),
+    io_us=0,
+    cv=0.5,
+    hints=True,
+    cores=2,
+    speeds=(1.8, 0.88),
+    speed_cv=0.2,
+    cold_us=23_000_000,
+    cold_from=0.15,
+    fall_window_us=2_000_000,
+    slots=6,
 )
 SITES = {
     "upisnik-zagreb": ENROLMENT,
-    "split-clinic": ENROLMENT._replace(aims_us=(450_000, 550_000), deadlines_us=(1_100_000, 1_300_000),
-                                       works_us=(115_000, 120_000), parallel=False, attempts=4),
+    "split-clinic": ENROLMENT._replace(
+        aims_us=(450_000, 550_000),
+        deadlines_us=(1_100_000, 1_300_000),
+        works_us=(115_000, 120_000),
+        parallel=False,
+        attempts=4,
+    ),
     "bratislava-desks": DESKS,
-    "kosice-permits": DESKS._replace(aims_us=(600_000, 700_000), deadlines_us=(1_500_000, 1_800_000),
-                                     io_us=90_000, hints=True, fall_window_us=2_000_000, attempts=2),
+    "kosice-permits": DESKS._replace(
+        aims_us=(600_000, 700_000),
+        deadlines_us=(1_500_000, 1_800_000),
+        io_us=90_000,
+        hints=True,
+        fall_window_us=2_000_000,
+        attempts=2,
+    ),
 }
 
 
@@ -89,22 +120,41 @@
 class Fleet:
     """All balancers of a site and its cold servers, with a request at hand wherever one may be sent."""
 
-    def __init__(self, site: Site, balancers: int, seed: int, learnt: int, cold: int = 1, kind: int = -1,
-                 sized_by_speed: bool = False, told_after_us: int = 0) -> None:
+    def __init__(
+        self,
+        site: Site,
+        balancers: int,
+        seed: int,
+        learnt: int,
+        cold: int = 1,
+        kind: int = -1,
+        sized_by_speed: bool = False,
+        told_after_us: int = 0,
+    ) -> None:
         self.site, self.rng, self.now = site, random.Random(seed), START_US
         self.ids, self.tie = itertools.count(1), itertools.count()
         self.heap: list[tuple[float, int, int, Event]] = []
         self.works: dict[int, float] = {}  # of each request that was offered, its true work
         told: dict[str, Any] = {
-            "balancers": balancers, "cold_us": site.cold_us, "cold_from": site.cold_from,
-            "fall_multiple": 3.0, "fall_window_us": site.fall_window_us, "hints_are_sizes": True,
-            "cancelling": True, "parallel_tries": site.parallel, "max_attempts": site.attempts,
-            "routes": tuple(Route("r", Effect.SAFE, a, d)
-                            for a, d in zip(site.aims_us, site.deadlines_us, strict=True)),
+            "balancers": balancers,
+            "cold_us": site.cold_us,
+            "cold_from": site.cold_from,
+            "fall_multiple": 3.0,
+            "fall_window_us": site.fall_window_us,
+            "hints_are_sizes": True,
+            "cancelling": True,
+            "parallel_tries": site.parallel,
+            "max_attempts": site.attempts,
+            "routes": tuple(
+                Route("r", Effect.SAFE, a, d)
+                for a, d in zip(site.aims_us, site.deadlines_us, strict=True)
+            ),
         }
         self.kind_speed = [s * self.rng.uniform(0.85, 1.15) for s in site.speeds]
         self.sized_by_speed = sized_by_speed
-        warm = [self.machine(10 * k + i, k, None) for k in range(len(site.speeds)) for i in range(3)]
+        warm = [
+            self.machine(10 * k + i, k, None) for k in range(len(site.speeds)) for i in range(3)
+        ]
         kind %= len(site.speeds)
         self.start_us = START_US - told_after_us
         self.cold = [self.machine(100 + i, kind, self.start_us) for i in range(cold)]
@@ -119,8 +169,12 @@
 
     def machine(self, number: int, kind: int, started_us: int | None) -> Machine:
         spread = self.site.speed_cv
-        speed = self.kind_speed[kind] * min(1 + 2 * spread, max(1 - 2 * spread, self.rng.gauss(1.0, spread)))
-        size = self.site.cores * (speed if self.sized_by_speed else 1.0) * self.rng.uniform(0.8, 1.25)
+        speed = self.kind_speed[kind] * min(
+            1 + 2 * spread, max(1 - 2 * spread, self.rng.gauss(1.0, spread))
+        )
+        size = (
+            self.site.cores * (speed if self.sized_by_speed else 1.0) * self.rng.uniform(0.8, 1.25)
+        )
         spec = Server(number, kind=kind, hint=size, started_us=started_us)
         return Machine(spec, speed, [0.0] * self.site.cores)
 
@@ -139,7 +193,10 @@
             event = self.arrived(now)
             for send in b.handle(now, [event]):
                 if isinstance(send, Send):
-                    took = int(self.works[send.request] / self.machines[send.server].speed) + self.site.io_us
+                    took = (
+                        int(self.works[send.request] / self.machines[send.server].speed)
+                        + self.site.io_us
+                    )
                     b.handle(now, [AttemptDone(send.request, 0, Outcome.SUCCESS, took, True)])
         b.alarms.clear()
         if answers > 64:
@@ -179,7 +236,9 @@
             end += self.site.io_us
         if end > request.give_up_us:
             outcome, end = Outcome.TIMEOUT, request.give_up_us
-        event = AttemptDone(send.request, attempt, outcome, int(end - self.now), outcome is Outcome.SUCCESS)
+        event = AttemptDone(
+            send.request, attempt, outcome, int(end - self.now), outcome is Outcome.SUCCESS
+        )
         heapq.heappush(self.heap, (end, next(self.tie), n, event))
 
     def play(self, span_us: int, idle_us: int = 0) -> None:
@@ -192,8 +251,10 @@
             self.now = tick
             for n, b in enumerate(self.group if tick >= START_US + idle_us else ()):
                 for _ in range(20):
-                    if not any(s.rest_until_us <= tick and s.in_flight + 1 <= max(1.0, b.share)
-                               for s in b.cold):
+                    if not any(
+                        s.rest_until_us <= tick and s.in_flight + 1 <= max(1.0, b.share)
+                        for s in b.cold
+                    ):
                         break
                     event = self.arrived(tick)
                     if not self.feed(n, [event]):
@@ -224,7 +285,9 @@
 @pytest.mark.parametrize("site", SITES)
 @pytest.mark.parametrize("balancers", [2, 25, 100])
 @pytest.mark.parametrize("learnt", [0, 150])
-def test_a_fleet_keeps_a_cold_server_within_its_budget(site: str, balancers: int, learnt: int) -> None:
+def test_a_fleet_keeps_a_cold_server_within_its_budget(
+    site: str, balancers: int, learnt: int
+) -> None:
     """Term 3 of the operators, under requests without end, also with all that answers can teach."""
     fleet = Fleet(SITES[site], balancers, balancers, learnt)
     fleet.play(3_000_000)
@@ -252,7 +315,9 @@
 @pytest.mark.parametrize("learnt", [0, 2, 8])
 def test_first_turns_are_spread_by_the_work_of_heavy_classes_too(learnt: int, hints: bool) -> None:
     """A short class beside a long one: spread over the short one's work, the first turns all come at once."""
-    site = SITES["upisnik-zagreb"]._replace(aims_us=(100_000, 2_000_000), works_us=(20_000, 500_000))
+    site = SITES["upisnik-zagreb"]._replace(
+        aims_us=(100_000, 2_000_000), works_us=(20_000, 500_000)
+    )
     for seed in range(1, 5):
         fleet = Fleet(site._replace(hints=hints), 100, seed, learnt)
         fleet.play(4_000_000)
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -36,7 +36,9 @@
     monkeypatch.setattr(upstream, "SETTLE_S", -1.0)
 
 
-@pytest.fixture(autouse=True, params=[SuddenClient.close, SuddenClient.reset, SuddenClient.end_sending])
+@pytest.fixture(
+    autouse=True, params=[SuddenClient.close, SuddenClient.reset, SuddenClient.end_sending]
+)
 def way_of_leaving(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(SuddenClient, "how", request.param)
 
@@ -128,7 +130,9 @@
 
 
 @on_loop
-async def test_while_queued_behind_another_request_of_its_connection(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_while_queued_behind_another_request_of_its_connection(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """The answer before it and its client's end come in one turn."""
     async with world(hang) as w:
         client = SuddenClient(w.gateway.port)
@@ -176,7 +180,9 @@
             for _ in range(20):  # the module learns what is slow
                 await client.ask()
             while not all(host.idle for host in w.gateway.engine.hosts.values()):
-                await client.ask()  # a copy that had to connect first would come after the client's end
+                await (
+                    client.ask()
+                )  # a copy that had to connect first would come after the client's end
         await until(lambda: len(alarms.held) == len(w.gateway.engine._balancer.alarms))
         alarms.ring()  # those of the requests before: what is held from now on is the next one's
         for host in w.hosts:
@@ -205,7 +211,7 @@
         if pieces == 2:
             client.socket.sendall(data[:20])
             await until(lambda: any(c._partial for c in w.gateway.server.connections))
-        client.socket.sendall(data[20 * (pieces - 1):])
+        client.socket.sendall(data[20 * (pieces - 1) :])
         client.leave()
         await until(lambda: bool(asked))
         await settled(w)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -44,16 +44,36 @@
 def entry_with(change: dict[str, Any]) -> Callable[[FakeDiscovery], None]:
     """A list of a good entry and one that is spoilt, which must not be taken in part."""
     good = {"instanceId": "s-8", "hostPort": "127.0.0.1:9", "lifecycle": "up"}
-    told = {"generation": 9, "reset": True, "instances": [good, good | {"instanceId": "s-9"} | change]}
+    told = {
+        "generation": 9,
+        "reset": True,
+        "instances": [good, good | {"instanceId": "s-9"} | change],
+    }
     return lambda d: d.send(json.dumps(told).encode() + b"\n")
 
 
 SPOILT: list[dict[str, Any]] = [
-    {"instanceId": ""}, {"instanceId": None}, {"instanceId": 5}, {"lifecycle": "sleeping"},
-    {"lifecycle": ["up"]}, {"hostPort": "127.0.0.1:0"}, {"hostPort": "somewhere:80"},
-    {"hostPort": "::1:80"}, {"hostPort": None}, {"cell": "three"}, {"cell": -1}, {"cell": 1.5},
-    {"startedAtMs": -5}, {"startedAtMs": 1e400}, {"startedAtMs": "today"}, {"weight": float("nan")},
-    {"weight": 1e400}, {"weight": -1.0}, {"weight": "heavy"}, {"weight": True}, {"zone": 7},
+    {"instanceId": ""},
+    {"instanceId": None},
+    {"instanceId": 5},
+    {"lifecycle": "sleeping"},
+    {"lifecycle": ["up"]},
+    {"hostPort": "127.0.0.1:0"},
+    {"hostPort": "somewhere:80"},
+    {"hostPort": "::1:80"},
+    {"hostPort": None},
+    {"cell": "three"},
+    {"cell": -1},
+    {"cell": 1.5},
+    {"startedAtMs": -5},
+    {"startedAtMs": 1e400},
+    {"startedAtMs": "today"},
+    {"weight": float("nan")},
+    {"weight": 1e400},
+    {"weight": -1.0},
+    {"weight": "heavy"},
+    {"weight": True},
+    {"zone": 7},
     {"machineType": []},
 ]
 BROKEN: list[Callable[[FakeDiscovery], None]] = [
@@ -146,7 +166,9 @@
 
 @pytest.mark.parametrize("trickle", TRICKLES)
 @on_loop
-async def test_a_trickle_keeps_no_dead_watch(trickle: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_trickle_keeps_no_dead_watch(
+    trickle: bytes, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Bytes go on coming, each well before the time-out, but never a list or an empty line."""
     monkeypatch.setattr(discovery, "SILENCE_S", 0.3)
     async with world(serve_ok) as w:
@@ -160,7 +182,9 @@
 
 
 @on_loop
-async def test_an_answer_that_stalls_in_its_head_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_an_answer_that_stalls_in_its_head_is_given_up(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(discovery, "ANSWER_S", 0.3)
     host = await FakeHost("s-known").start()
 
@@ -178,7 +202,8 @@
 
 
 @pytest.mark.parametrize(
-    "endless", [b'{"generation":9,"x":"' + b"y" * 2**21, b"[" * 99, b'{"a":' * 99, b"X" * 2**21],
+    "endless",
+    [b'{"generation":9,"x":"' + b"y" * 2**21, b"[" * 99, b'{"a":' * 99, b"X" * 2**21],
     ids=["text", "array", "depth", "noise"],
 )
 @on_loop
@@ -284,7 +309,9 @@
         w.discovery.tell(*(host.entry(zone=zone) for host, zone in zip(hosts, zones, strict=True)))
         known = w.gateway.engine._balancer.servers
         await until(lambda: len(known) == 4)
-        attic, cellar, loft = (known[discovery.server_number(host.name)].spec.zone for host in hosts)
+        attic, cellar, loft = (
+            known[discovery.server_number(host.name)].spec.zone for host in hosts
+        )
         assert attic == loft != cellar
         assert known[discovery.server_number(w.hosts[0].name)].spec.zone not in (attic, cellar)
 
@@ -338,8 +365,17 @@
 
 
 @pytest.mark.parametrize(
-    "trouble", [None, hang, break_off, say(answer(b"", "503 Busy")), say(b"no HTTP\r\n\r\n"),
-                say(HEAD + chunk(b"[]\n")), say(HEAD), say(HEAD, end=True)],
+    "trouble",
+    [
+        None,
+        hang,
+        break_off,
+        say(answer(b"", "503 Busy")),
+        say(b"no HTTP\r\n\r\n"),
+        say(HEAD + chunk(b"[]\n")),
+        say(HEAD),
+        say(HEAD, end=True),
+    ],
     ids=["refused", "nothing", "reset", "503", "noise", "no list", "silent", "ended"],
 )
 @on_loop
@@ -395,6 +431,8 @@
         assert (await new.asked.get()).endswith("from=1")
         new.tell(w.hosts[0].entry(lifecycle="draining"))
         await until(lambda: not next(iter(w.gateway.engine.hosts.values())).ready)
-        watches = [task for task in asyncio.all_tasks() if "Discovery._run" in repr(task.get_coro())]
+        watches = [
+            task for task in asyncio.all_tasks() if "Discovery._run" in repr(task.get_coro())
+        ]
         assert len(watches) == 1
         assert (len(w.discovery.watches), len(new.watches)) == (1, 1)
--- a/tests/test_framing.py
+++ b/tests/test_framing.py
@@ -64,7 +64,9 @@
             return self.inner.search(data, at)
 
     for name in ("_STRUCTURE", "_IN_TEXT"):
-        monkeypatch.setattr(f"roselink.gateway.framing.{name}", Counted(Framer.feed.__globals__[name]))
+        monkeypatch.setattr(
+            f"roselink.gateway.framing.{name}", Counted(Framer.feed.__globals__[name])
+        )
     data = json.dumps({"instances": [{"id": "x" * 9}] * 500}, indent=1).encode()
     framer = Framer(2**20)
     got = [value for i in range(len(data)) for value in framer.feed(data[i : i + 1])]
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -81,8 +81,13 @@
 
 @on_loop
 async def test_a_request_goes_on_unchanged_and_its_answer_comes_back() -> None:
-    async with world(say(answer(b"seat 7", "200 OK", "Content-Type: text/seat"))) as w, w.client() as client:
-        got = await client.ask("/seat-checkout/k%201?x=1", b"take", Idempotency_Key="abc", Work_Hint="900")
+    async with (
+        world(say(answer(b"seat 7", "200 OK", "Content-Type: text/seat"))) as w,
+        w.client() as client,
+    ):
+        got = await client.ask(
+            "/seat-checkout/k%201?x=1", b"take", Idempotency_Key="abc", Work_Hint="900"
+        )
         seen = w.hosts[0].seen[0]
         assert (got.status, got.body, got.headers["content-type"]) == (200, b"seat 7", "text/seat")
         assert (seen.first, seen.body) == ("POST /seat-checkout/k%201?x=1 HTTP/1.1", b"take")
@@ -132,8 +137,13 @@
 @on_loop
 async def test_with_no_room_a_client_is_told_while_a_try_elsewhere_can_come_in_time() -> None:
     """Late answers have a worth here, so that requests used to wait for most of the client's time."""
-    lane = {"name": "status-check", "semantics": "safe", "goal_time": 3_000_000, "deadline": 60_000_000,
-            "late_worth": 0.2}
+    lane = {
+        "name": "status-check",
+        "semantics": "safe",
+        "goal_time": 3_000_000,
+        "deadline": 60_000_000,
+        "late_worth": 0.2,
+    }
     async with world(hang, settings=told_settings(lanes=[lane])) as w:
         balancer, clients = w.gateway.engine._balancer, []
         while not balancer.queued:
@@ -160,7 +170,9 @@
         w.hosts[0].writers[0].write(answer(b"too late"))
         w.hosts[0].behave = serve_ok
         w.gateway.server.draining = True
-        assert b"too late" not in (await client.ask(Connection="close", Request_Timeout_Ms="300")).body
+        assert (
+            b"too late" not in (await client.ask(Connection="close", Request_Timeout_Ms="300")).body
+        )
         assert await at_end(client) == b""
 
 
@@ -219,7 +231,9 @@
 
 
 @on_loop
-async def test_answers_quicker_than_the_clock_counts_are_no_fault(caplog: pytest.LogCaptureFixture) -> None:
+async def test_answers_quicker_than_the_clock_counts_are_no_fault(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
     async with world(serve_ok) as w, w.client() as client:
         w.gateway.engine._loop = frozen = FrozenClock(asyncio.get_running_loop())  # type: ignore[assignment]
         for _ in range(3):
@@ -252,7 +266,9 @@
 # Rule 2: no effect twice.
 
 
-@pytest.mark.parametrize("behave", [break_off, say(answer(b"", "500 Error")), say(answer(b"", "503 Busy"))])
+@pytest.mark.parametrize(
+    "behave", [break_off, say(answer(b"", "500 Error")), say(answer(b"", "503 Busy"))]
+)
 @on_loop
 async def test_an_unsafe_request_is_not_sent_again_once_it_may_have_run(behave: Any) -> None:
     async with world(behave, behave) as w, w.client() as client:
@@ -280,7 +296,9 @@
             if w.hosts[0].seen:
                 break
         first, others = w.hosts[0].seen[0], w.hosts[1].seen
-        assert first.headers["idempotency-key"] in {other.headers["idempotency-key"] for other in others}
+        assert first.headers["idempotency-key"] in {
+            other.headers["idempotency-key"] for other in others
+        }
 
 
 @on_loop
@@ -288,8 +306,14 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Within the hosts' memory when it was decided, past it when its connection came up."""
-    lane = {"name": "seat-checkout", "semantics": "keyed", "group": "all", "memory_span": 400_000,
-            "goal_time": 2_000_000, "deadline": 60_000_000}
+    lane = {
+        "name": "seat-checkout",
+        "semantics": "keyed",
+        "group": "all",
+        "memory_span": 400_000,
+        "goal_time": 2_000_000,
+        "deadline": 60_000_000,
+    }
     async with world(break_off, settings=told_settings(lanes=[lane])) as w, w.client() as client:
         made = HostConnection.connection_made
 
@@ -427,7 +451,9 @@
         now_ms = time.time_ns() // 1_000_000
         assert abs(w.gateway.engine.now_us() / 1000 - now_ms) < 60_000
         young, old = await FakeHost("s-young").start(), await FakeHost("s-old").start()
-        w.discovery.tell(young.entry(startedAtMs=now_ms - 1000), old.entry(startedAtMs=now_ms - 3_600_000))
+        w.discovery.tell(
+            young.entry(startedAtMs=now_ms - 1000), old.entry(startedAtMs=now_ms - 3_600_000)
+        )
         await until(lambda: len(w.gateway.engine.hosts) == 3)
         balancer = w.gateway.engine._balancer
         assert [s.spec.id for s in balancer.cold] == [server_number("s-young")]
@@ -479,7 +505,9 @@
 ) -> None:
     async with world(serve_ok) as w, w.client() as client:
         assert (await client.ask(path, **headers)).status == status
-        assert (await client.ask()).status == 200  # its framing was whole, so the connection serves on
+        assert (
+            await client.ask()
+        ).status == 200  # its framing was whole, so the connection serves on
         assert len(w.hosts[0].seen) == 1
 
 
@@ -494,9 +522,18 @@
         (b"GET /status-check/k HTTP/1.1\r\nno colon\r\n\r\n", 400),
         (b"POST /audit/k HTTP/1.1\r\nContent-Length: -4\r\n\r\n", 400),
         (b"POST /audit/k HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nxy", 400),
-        (b"POST /audit/k HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400),
-        (b"POST /audit/k HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n0\r\n\r\n", 400),
-        (b"POST /audit/k HTTP/1.1\r\nTransfer_Encoding: chunked\r\nContent-Length: 3\r\n\r\nabc", 400),
+        (
+            b"POST /audit/k HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+            400,
+        ),
+        (
+            b"POST /audit/k HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n0\r\n\r\n",
+            400,
+        ),
+        (
+            b"POST /audit/k HTTP/1.1\r\nTransfer_Encoding: chunked\r\nContent-Length: 3\r\n\r\nabc",
+            400,
+        ),
         (b"POST /audit/k HTTP/1.1\r\nContent_Length: 3\r\n\r\n", 400),
         (b"POST /audit/k HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", 400),
         (b"POST /audit/k HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400),
@@ -504,7 +541,11 @@
         (b"POST /audit/k HTTP/1.1\r\nContent-Length: +3\r\n\r\nabc", 400),
         (b"POST /audit/k HTTP/2.0\r\nContent-Length: 3\r\n\r\nabc", 400),
         (b"POST /audit/k HTTP/1.1\r\nContent-Length: 65537\r\n\r\n", 413),
-        (b"POST /audit/k HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n11000\r\n" + b"x" * 0x11000, 413),
+        (
+            b"POST /audit/k HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n11000\r\n"
+            + b"x" * 0x11000,
+            413,
+        ),
         (b"GET /status-check/k HTTP/1.1\r\nX: " + b"y" * 20_000, 431),
         (b"GET /" + b"y" * 400_000, 431),
         (b"POST /audit/k HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1;" + b"e" * 900_000, 413),
@@ -574,7 +615,9 @@
     """The margins before the deadline shrink with it: fixed ones would leave such a client none."""
     async with world(hang) as w:
         before = asyncio.get_running_loop().time()
-        request = ClientRequest("hurry", 0, 0, None, before + 0.030, False, None, b"GET / HTTP/1.1\r\n", b"")
+        request = ClientRequest(
+            "hurry", 0, 0, None, before + 0.030, False, None, b"GET / HTTP/1.1\r\n", b""
+        )
         opened = w.gateway.engine.accept(request, lambda reply: None, lambda: False)
         assert before + 0.022 < opened.give_up < request.expires
 
@@ -628,7 +671,9 @@
             await until(lambda number=number: len(w.gateway.engine._ids) == number + 1)  # type: ignore[misc]
         assert await at_end(idle) == b""
         async with w.client() as client:
-            for _ in range(2):  # on one connection: being turned away must not cost a new one each time
+            for _ in range(
+                2
+            ):  # on one connection: being turned away must not cost a new one each time
                 got = await client.ask()
                 assert (got.status, got.headers["connection"]) == (503, "keep-alive")
         for client in busy:
@@ -702,9 +747,12 @@
                 await client.ask()
         engine = w.gateway.engine
         await until(lambda: not engine._open and not engine._ids and not engine._balancer.requests)
-        await until(lambda: w.gateway.server._descriptors.used == sum(
-            len(host.idle) for host in engine.hosts.values()
-        ))
+        await until(
+            lambda: (
+                w.gateway.server._descriptors.used
+                == sum(len(host.idle) for host in engine.hosts.values())
+            )
+        )
 
 
 # The engine's own.
@@ -731,7 +779,9 @@
 
 
 @on_loop
-async def test_a_client_that_asked_once_and_stays_is_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_client_that_asked_once_and_stays_is_let_go(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """On the churn day 625 of these in a minute held memory and descriptors for good."""
     async with world(serve_ok) as w, w.client() as once, w.client() as usual:
         for _ in range(2):
@@ -769,24 +819,34 @@
             clients = [await w.client().__aenter__() for _ in range(12)]
             for number, client in enumerate(clients):
                 wait = "150" if number % 3 else "9000"
-                client.send(("/status-check/k", "/audit/k")[number % 2] + str(turn), Request_Timeout_Ms=wait)
+                client.send(
+                    ("/status-check/k", "/audit/k")[number % 2] + str(turn), Request_Timeout_Ms=wait
+                )
             host = w.hosts[turn % 5]
             if turn == 5:
-                w.discovery.tell(host.entry(lifecycle="removed"), w.hosts[1].entry(instanceId="s-new"))
+                w.discovery.tell(
+                    host.entry(lifecycle="removed"), w.hosts[1].entry(instanceId="s-new")
+                )
             else:
                 w.discovery.tell(host.entry(startedAtMs=turn + 1, weight=1.0 + turn))
             for number, client in enumerate(clients):
                 if number % 3:
                     await client.receive()
                 client.writer.close()
-        await until(lambda: not w.gateway.server.connections and not engine._open and not engine._ids)
-        await until(lambda: not balancer.requests and not w.gateway.upstream._tasks and not balancer.queued)
+        await until(
+            lambda: not w.gateway.server.connections and not engine._open and not engine._ids
+        )
+        await until(
+            lambda: not balancer.requests and not w.gateway.upstream._tasks and not balancer.queued
+        )
         assert all(s.in_flight == s.overdue == 0 for s in balancer.servers.values())
         assert set(balancer.servers) == set(engine.hosts)
         idle = [c for host in engine.hosts.values() for c in host.idle]
         assert set(w.gateway.upstream._idle) == set(idle)
         await until(lambda: w.gateway.server._descriptors.used == len(w.gateway.upstream._idle))
-        assert not (w.gateway.server._unheard or w.gateway.server._resting or w.gateway.server._leaving)
+        assert not (
+            w.gateway.server._unheard or w.gateway.server._resting or w.gateway.server._leaving
+        )
 
 
 @on_loop
@@ -796,7 +856,9 @@
     async with world(serve_ok, limits={"sockets": RESERVED + 40}) as w, w.client() as usual:
         stayed = [await w.client().__aenter__() for _ in range(15)]
         for client in stayed:
-            assert (await usual.ask()).status == 200  # in use between them, it is never the longest idle
+            assert (
+                await usual.ask()
+            ).status == 200  # in use between them, it is never the longest idle
             assert (await client.ask()).status == 200
         assert await at_end(stayed[0]) == b""
         await until(lambda: len(w.gateway.server.connections) <= 10)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -8,7 +8,16 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-PACKAGES = ("control", "dataplane", "distribution", "membership", "model", "protocol", "router", "routing")
+PACKAGES = (
+    "control",
+    "dataplane",
+    "distribution",
+    "membership",
+    "model",
+    "protocol",
+    "router",
+    "routing",
+)
 OTHER_PROGRAMS = {"balance.py", "benchlink.py"}  # the module in service, and its wire
 LEVELS = {"debug", "info", "warning", "error", "exception", "critical"}
 NAME = re.compile(r"[a-z]+(_[a-z]+)*\Z")
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -67,7 +67,9 @@
 
 @pytest.mark.parametrize("seed", range(8))
 @pytest.mark.parametrize(("service_s", "most_s"), [(0.1, 40.0), (SERVICE_S, 80.0)])
-def test_a_fleet_whose_calls_all_failed_comes_back(service_s: float, most_s: float, seed: int) -> None:
+def test_a_fleet_whose_calls_all_failed_comes_back(
+    service_s: float, most_s: float, seed: int
+) -> None:
     """The hardest case: discovery's queue is already longer than a call may wait, and all retry. What keeps
     the bound after a return, a call every 6 s, leaves it a sixth of its time for a queue of 9 s with turns
     of 0.125 s: 42 s and a round at best."""
@@ -83,7 +85,9 @@
     assert max(pacing.wait_s(Cause.FAILED, 0.0) for _ in range(50)) < 1.5
 
 
-def returned(gateways: int, service_s: float, down_s: float, fails_after_s: float, seed: int) -> Fleet:
+def returned(
+    gateways: int, service_s: float, down_s: float, fails_after_s: float, seed: int
+) -> Fleet:
     """A fleet whose watches all end at once, as discovery goes down for so long. Calls fail after that time
     until then, also those that are waiting at the return."""
     fleet, begin = Fleet(gateways, seed, service_s), []
@@ -100,8 +104,8 @@
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize("fails_after_s", [0.0, PATIENCE_S])
 @pytest.mark.parametrize(
-    ("gateways", "service_s"), [(3, 0.2), (20, 0.125), (40, 0.1), (60, 0.0625), (200, 0.0125), (200, 0.02),
-                                (2100, 0.0018)]
+    ("gateways", "service_s"),
+    [(3, 0.2), (20, 0.125), (40, 0.1), (60, 0.0625), (200, 0.0125), (200, 0.02), (2100, 0.0018)],
 )
 def test_a_fleet_is_told_in_time_when_discovery_comes_back(
     gateways: int, service_s: float, fails_after_s: float, seed: int
@@ -137,7 +141,9 @@
 # A gateway of a large fleet is held to a bound for each cause, which the fleet's spread must not exceed.
 
 
-def widest(cause: Cause, pushed: bool = False, asking_s: float = ASKING_S, gateways: int = 200) -> float:
+def widest(
+    cause: Cause, pushed: bool = False, asking_s: float = ASKING_S, gateways: int = 200
+) -> float:
     pacing = [CallPacing(gateways, not pushed, asking_s, seed) for seed in range(300)]
     return max(one.wait_s(cause, 100.0) for one in pacing)
 
@@ -145,7 +151,9 @@
 @pytest.mark.parametrize("asking_s", [3.0, 10.0])
 @pytest.mark.parametrize("cause", [Cause.START, Cause.ENDED, Cause.REFUSED])
 def test_a_list_is_asked_for_within_the_time_for_asking(cause: Cause, asking_s: float) -> None:
-    bound = min(0.6 * asking_s, FAILED_TOLD_S - CALL_S)  # its call may fail, and then this counts too
+    bound = min(
+        0.6 * asking_s, FAILED_TOLD_S - CALL_S
+    )  # its call may fail, and then this counts too
     assert 0.9 * bound < widest(cause, asking_s=asking_s) <= bound
 
 
@@ -185,7 +193,10 @@
 
 def test_many_calls_in_vain_may_slow_a_fleet_down_to_the_bound_from_their_end_and_no_more() -> None:
     pacing = asked(200, 7)
-    assert max(pacing.wait_s(Cause.FAILED, 0.0, PATIENCE_S) for _ in range(200)) + CALL_S <= FAILED_TOLD_S
+    assert (
+        max(pacing.wait_s(Cause.FAILED, 0.0, PATIENCE_S) for _ in range(200)) + CALL_S
+        <= FAILED_TOLD_S
+    )
 
 
 @pytest.mark.parametrize("cause", list(Cause))
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -41,9 +41,17 @@
 async def program(folder: Path, data: Any) -> Process:
     path = folder / "config.json"
     path.write_text(data if isinstance(data, str) else json.dumps(data))
-    environment = {k: v for k, v in os.environ.items() if not k.startswith("GW_")} | {"GW_CONFIG": str(path)}
+    environment = {k: v for k, v in os.environ.items() if not k.startswith("GW_")} | {
+        "GW_CONFIG": str(path)
+    }
     return await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "roselink.gateway", cwd=ROOT, env=environment, stdout=PIPE, stderr=PIPE
+        sys.executable,
+        "-m",
+        "roselink.gateway",
+        cwd=ROOT,
+        env=environment,
+        stdout=PIPE,
+        stderr=PIPE,
     )
 
 
@@ -64,7 +72,9 @@
     """A gateway that has answered `/up` with 200."""
     discovery = await FakeDiscovery(host.entry()).start()
     port = free_port()
-    process = await program(folder, config_data(discovery.port, listen=f"127.0.0.1:{port}", **changes))
+    process = await program(
+        folder, config_data(discovery.port, listen=f"127.0.0.1:{port}", **changes)
+    )
     await up(port)
     return process, port
 
@@ -125,19 +135,36 @@
 
 # What a start imports beside the event loop and the parser. Each import is a part of the time to be ready.
 IMPORTED = {
-    "__future__", "bisect", "copy", "dataclasses", "hashlib", "importlib", "ipaddress", "json", "random",
-    "roselink", "runpy", "urllib", "zlib",
+    "__future__",
+    "bisect",
+    "copy",
+    "dataclasses",
+    "hashlib",
+    "importlib",
+    "ipaddress",
+    "json",
+    "random",
+    "roselink",
+    "runpy",
+    "urllib",
+    "zlib",
 }
 OWN_PACKAGES = {"roselink.gateway", "roselink.routing"}  # and of its own packages only these two
 
 
 def imports(text: str) -> set[str]:
     """The modules in Python's own report on a process's imports."""
-    return {line.rpartition("|")[2].strip() for line in text.splitlines() if line.startswith("import time:")}
+    return {
+        line.rpartition("|")[2].strip()
+        for line in text.splitlines()
+        if line.startswith("import time:")
+    }
 
 
 @on_loop
-async def test_a_start_imports_no_more_than_it_needs(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_start_imports_no_more_than_it_needs(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setenv("PYTHONPROFILEIMPORTTIME", "1")
     base = await asyncio.create_subprocess_exec(
         sys.executable, "-c", "import httptools, uvloop", stdout=PIPE, stderr=PIPE
@@ -151,7 +178,9 @@
     added = imports((await ended(process))[1]) - imports(text)
     tops = {name.partition(".")[0] for name in added}
     public = {name for name in tops if not name.startswith("_") or name == "__future__"}
-    loaded_by_site = {name for name in IMPORTED if name in imports(text)}  # by a library's .pth file
+    loaded_by_site = {
+        name for name in IMPORTED if name in imports(text)
+    }  # by a library's .pth file
     assert {name for name in public if importlib.util.find_spec(name)} | loaded_by_site == IMPORTED
     own = {".".join(name.split(".")[:2]) for name in added if name.startswith("roselink.")}
     assert own == OWN_PACKAGES
@@ -209,16 +238,28 @@
     ("[]", "GW_CONFIG"),
     (config_data(1, settings=None), "settings"),
     (config_data(1, settings=told_settings(balancers=0)), "balancers"),
-    (config_data(1, settings=told_settings(lanes=[{"name": "a", "semantics": "safe"}])), "deadline"),
+    (
+        config_data(1, settings=told_settings(lanes=[{"name": "a", "semantics": "safe"}])),
+        "deadline",
+    ),
     (config_data(1, settings=told_settings(lanes=[{"name": "a", "deadline": 5}])), "semantics"),
     (config_data(1, settings=told_settings(lanes=[3])), "lanes"),
     (config_data(1, settings=told_settings(lanes={"a": 1})), "lanes"),
-    (config_data(1, settings=told_settings(lanes=[{"semantics": "safe", "deadline": "soon"}])), "deadline"),
-    (config_data(1, settings=told_settings(lanes=[{"semantics": "wild", "deadline": 5}])), "semantics"),
+    (
+        config_data(1, settings=told_settings(lanes=[{"semantics": "safe", "deadline": "soon"}])),
+        "deadline",
+    ),
+    (
+        config_data(1, settings=told_settings(lanes=[{"semantics": "wild", "deadline": 5}])),
+        "semantics",
+    ),
     (config_data(1, settings=told_settings(orgs=["acme"])), "orgs"),
     (config_data(1, settings=told_settings(guarantees=[1])), "guarantees"),
     (config_data(1, settings=told_settings(guarantees={"cold": "long"})), "guarantees.cold"),
-    (config_data(1, settings=told_settings(guarantees={"ask_within": 1e400})), "guarantees.ask_within"),
+    (
+        config_data(1, settings=told_settings(guarantees={"ask_within": 1e400})),
+        "guarantees.ask_within",
+    ),
     (config_data(1, settings=told_settings(balancers=1.5)), "balancers"),
     (config_data(1, settings=told_settings(limits={"attempts_cap": True})), "limits.attempts_cap"),
     (config_data(1, settings=told_settings(limits={"conn_idle": -1})), "conn_idle"),
@@ -240,7 +281,8 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "field"), [BAD[0], BAD[3], (config_data(1, known={"generation": 1, "instances": [3]}), "known")]
+    ("data", "field"),
+    [BAD[0], BAD[3], (config_data(1, known={"generation": 1, "instances": [3]}), "known")],
 )
 @on_loop
 async def test_a_bad_configuration_ends_the_program_with_one_line(
@@ -256,7 +298,9 @@
 async def test_an_address_that_is_taken_ends_the_program_with_one_line(tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as taken:
         port = taken.getsockname()[1]
-        code, text = await ended(await program(tmp_path, config_data(1, listen=f"127.0.0.1:{port}")))
+        code, text = await ended(
+            await program(tmp_path, config_data(1, listen=f"127.0.0.1:{port}"))
+        )
     assert code == 2
     assert len(text.splitlines()) == 1
     assert "GW_LISTEN" in text
@@ -273,7 +317,11 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config_data(1)))
     config = load({"GW_CONFIG": str(path), "GW_NAME": "n7", "GW_LISTEN": "127.0.0.9:80"})
-    assert (config.name, config.listen, config.discovery) == ("n7", ("127.0.0.9", 80), ("127.0.0.1", 1))
+    assert (config.name, config.listen, config.discovery) == (
+        "n7",
+        ("127.0.0.9", 80),
+        ("127.0.0.1", 1),
+    )
 
 
 @on_loop
@@ -374,11 +422,18 @@
 @on_loop
 async def test_clients_that_take_every_descriptor_leave_discovery_its_own(tmp_path: Path) -> None:
     """While discovery is down, and at a reload: the file has to be read, and the new one called."""
-    one, two, three = [await FakeHost(name, say(answer(name.encode()))).start() for name in ("1", "2", "3")]
-    first, second = await FakeDiscovery(one.entry()).start(), await FakeDiscovery(two.entry()).start()
+    one, two, three = [
+        await FakeHost(name, say(answer(name.encode()))).start() for name in ("1", "2", "3")
+    ]
+    first, second = (
+        await FakeDiscovery(one.entry()).start(),
+        await FakeDiscovery(two.entry()).start(),
+    )
     port = free_port()
     data = config_data(
-        first.port, listen=f"127.0.0.1:{port}", settings=told_settings(discovery="push"),
+        first.port,
+        listen=f"127.0.0.1:{port}",
+        settings=told_settings(discovery="push"),
         limits={"sockets": 2 * DESCRIPTORS},  # or it would keep some free
     )
     process = await program(tmp_path, data)
@@ -391,7 +446,9 @@
         first.tell(one.entry(lifecycle="draining"), two.entry())
     await serves(port, b"2")
     async with crowd(process, port):
-        (tmp_path / "config.json").write_text(json.dumps(data | {"discovery": f"127.0.0.1:{second.port}"}))
+        (tmp_path / "config.json").write_text(
+            json.dumps(data | {"discovery": f"127.0.0.1:{second.port}"})
+        )
         process.send_signal(signal.SIGHUP)
         assert await second.asked.get() == "/discovery/hosts"
         assert "watch=1" in await second.asked.get()
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -126,7 +126,11 @@
             self.servers[index] = line
             return [ServerList(ListKind.CHANGES, (line,))]
         if roll < 0.015:
-            return [ServerList(ListKind.FULL, tuple(s for s in self.servers if s.state is not State.GONE))]
+            return [
+                ServerList(
+                    ListKind.FULL, tuple(s for s in self.servers if s.state is not State.GONE)
+                )
+            ]
         return [ServerList(ListKind.FAILED)] if roll < 0.02 else []
 
     def arrival(self) -> Event:
@@ -193,7 +197,9 @@
     memory_us=st.sampled_from([30_000, 100_000, 2_000_000]),
     bad=st.sampled_from([0.05, 0.3, 0.8, 1.0]),
 )
-def test_random_legal_histories_keep_the_rules(seed: int, parallel: bool, memory_us: int, bad: float) -> None:
+def test_random_legal_histories_keep_the_rules(
+    seed: int, parallel: bool, memory_us: int, bad: float
+) -> None:
     World(seed, parallel, memory_us, bad).play(1000)
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -7,7 +7,16 @@
 import pytest
 
 from roselink.routing.benchlink import read_settings
-from roselink.routing.interface import Effect, Group, Outcome, Route, Send, Server, Settings, StreamStarted
+from roselink.routing.interface import (
+    Effect,
+    Group,
+    Outcome,
+    Route,
+    Send,
+    Server,
+    Settings,
+    StreamStarted,
+)
 from tests.helpers import Stage, route, settings
 
 
@@ -27,7 +36,9 @@
         Settings(**values)
 
 
-@pytest.mark.parametrize("values", [{"aim_us": 0}, {"deadline_us": -1}, {"worth": -1.0}, {"late_worth": 2.0}])
+@pytest.mark.parametrize(
+    "values", [{"aim_us": 0}, {"deadline_us": -1}, {"worth": -1.0}, {"late_worth": 2.0}]
+)
 def test_bad_routes_name_the_field(values: dict[str, Any]) -> None:
     with pytest.raises(ValueError, match="route." + next(iter(values))):
         Route(**values)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -46,11 +46,16 @@
 
     def start(self, request: bytes = REQUEST, timeout_s: float = LONG_S) -> Attempt:
         return self.upstream.start(
-            self.host, request, timeout_s, lambda outcome, got: self.results.append((outcome, got)),
+            self.host,
+            request,
+            timeout_s,
+            lambda outcome, got: self.results.append((outcome, got)),
             lambda: self.wanted,
         )
 
-    async def run(self, request: bytes = REQUEST, timeout_s: float = LONG_S) -> tuple[Outcome, Answer | None]:
+    async def run(
+        self, request: bytes = REQUEST, timeout_s: float = LONG_S
+    ) -> tuple[Outcome, Answer | None]:
         before = len(self.results)
         self.start(request, timeout_s)
         await until(lambda: len(self.results) > before)
@@ -95,7 +100,11 @@
         (say_and_reset(answer(b"whole")), Outcome.SUCCESS, b"whole"),
         (say(b"HTTP/1.1 200 OK\r\nX: y\r\n", end=True), Outcome.RESET, None),
         (say(b"HTTP/1.1 100 Continue\r\n\r\n", end=True), Outcome.RESET, None),
-        (say(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nhalf", end=True), Outcome.RESET, None),
+        (
+            say(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nhalf", end=True),
+            Outcome.RESET,
+            None,
+        ),
         (say(b"no HTTP at all\r\n\r\n"), Outcome.ERROR, None),
         (say(answer(b"x" * 70_000)), Outcome.ERROR, None),
         (say(b"HTTP/1.1 200 OK\r\nX: " + b"y" * 20_000 + b"\r\n\r\n"), Outcome.ERROR, None),
@@ -105,8 +114,11 @@
         (say(CHUNKED + b"1;" + b"e" * 300_000), Outcome.ERROR, None),
         (say(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"), Outcome.ERROR, None),
         (say(b"HTTP/1.1 200 OK\r\nContent-Length: -7\r\n\r\n"), Outcome.ERROR, None),
-        (say(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n"),
-         Outcome.ERROR, None),
+        (
+            say(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n"),
+            Outcome.ERROR,
+            None,
+        ),
     ],
 )
 @on_loop
@@ -124,7 +136,7 @@
 @pytest.mark.parametrize("taken_for_an_end", [False, True])
 @on_loop
 async def test_an_answer_without_a_length_is_not_served_when_its_rest_is_reset(
-    taken_for_an_end: bool
+    taken_for_an_end: bool,
 ) -> None:
     """Its first bytes were read when the reset comes. A loop that sees the connection gone before it reads
     the error may call that an end."""
@@ -147,7 +159,11 @@
 
 @pytest.mark.parametrize(
     "start",
-    [b"HTTP/1.1 200 OK\r\nConte", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", CHUNKED + b"3\r\nab"],
+    [
+        b"HTTP/1.1 200 OK\r\nConte",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
+        CHUNKED + b"3\r\nab",
+    ],
 )
 @on_loop
 async def test_an_answer_that_stops_half_way_is_not_waited_for(start: bytes) -> None:
@@ -318,7 +334,9 @@
 
 
 @on_loop
-async def test_a_connection_settles_before_it_is_used_again(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_connection_settles_before_it_is_used_again(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """What comes a moment behind an answer must find the connection idle, not in use by another request."""
     monkeypatch.setattr(upstream, "SETTLE_S", 1000.0)
     host = await FakeHost().start()
@@ -377,7 +395,10 @@
     assert await host.closed.get() == 0
     assert (await bench.run())[0] is Outcome.MOOT
     await until(lambda: bench.descriptors.used == 0)
-    assert (len(host.seen), len(host.writers)) == (1, 1)  # not even a connection: it would cost the host work
+    assert (len(host.seen), len(host.writers)) == (
+        1,
+        1,
+    )  # not even a connection: it would cost the host work
 
 
 @on_loop
