--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -1,9 +1,9 @@
 """Tells pytest to pass over the tests in KNOWN-RED.txt, and prints their lines.
 
-A line is `test, cause, issue`, where `test` is pytest's id of one test; without the brackets of a table's
-case it stands for all its cases. The options go to standard output, all else to standard error. A line that
-isn't whole, names no test, or would take other tests along (pytest goes by the begin of ids) is an error:
-exit status 1.
+A line is `test, cause, issue`, where `test` is pytest's id of one test; without the brackets of a
+table's case it stands for all its cases. The options go to standard output, all else to standard
+error. A line that isn't whole, names no test, or would take other tests along (pytest goes by the
+begin of ids) is an error: exit status 1.
 """
 
 from __future__ import annotations
--- a/experiments/asks.py
+++ b/experiments/asks.py
@@ -1,7 +1,9 @@
-"""Asks to the owners of quotas: both sides' processor time, bytes and the number of asks, without a network.
+"""Asks to the owners of quotas: both sides' processor time, bytes and the number of asks, without a
+network.
 
-The number of asks is counted over made-up time at one gateway whose requests are spread evenly over the
-tenants, with an owner that answers at once. The owner's cost is taken with so many askers in its bucket.
+The number of asks is counted over made-up time at one gateway whose requests are spread evenly over
+the tenants, with an owner that answers at once. The owner's cost is taken with so many askers in
+its bucket.
 """
 
 from __future__ import annotations
@@ -45,7 +47,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientCost:
-    """One gateway: asks sent per second, and processor time per ask and per request, wake-ups included."""
+    """One gateway: asks sent per second, and processor time per ask and per request, wake-ups
+    included.
+    """
 
     tenants: int
     asks_per_s: float
--- a/experiments/compare.py
+++ b/experiments/compare.py
@@ -2,9 +2,9 @@
 
     python -m experiments.compare BENCH BEFORE AFTER --days SITE:DAY ... --seeds 1 2 3
 
-Plays are interleaved, so that both sides meet the same machine. Printed: each pair, and for each day and all
-days the mean difference of worth, of its parts and of each price, with a 95% interval (Student's t). Worth
-is the report's `G`, which no mark clips.
+Plays are interleaved, so that both sides meet the same machine. Printed: each pair, and for each
+day and all days the mean difference of worth, of its parts and of each price, with a 95% interval
+(Student's t). Worth is the report's `G`, which no mark clips.
 """
 
 from __future__ import annotations
--- a/experiments/configurations.py
+++ b/experiments/configurations.py
@@ -1,4 +1,6 @@
-"""A configuration against its routes: bytes, the check at the core, and what a gateway does with it."""
+"""A configuration against its routes: bytes, the check at the core, and what a gateway does with
+it.
+"""
 
 from __future__ import annotations
 
--- a/experiments/core.py
+++ b/experiments/core.py
@@ -1,4 +1,5 @@
-"""The core without a network or a disk's waits: confirm rounds, heartbeats, and writes down the chain.
+"""The core without a network or a disk's waits: confirm rounds, heartbeats, and writes down the
+chain.
 
 A save is timed as processor time only, in a temporary folder; a machine's disk adds three syncs.
 """
@@ -41,7 +42,9 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageCost:
-    """So many members: processor time in microseconds, and bytes, of all messages of one round or beat."""
+    """So many members: processor time in microseconds, and bytes, of all messages of one round or
+    beat.
+    """
 
     members: int
     spent_us: float
@@ -87,7 +90,9 @@
 
 
 def beat_cost(count: int, times: int) -> MessageCost:
-    """One heartbeat of a member to all others, and one from each of them; bytes of those it sends."""
+    """One heartbeat of a member to all others, and one from each of them; bytes of those it
+    sends.
+    """
     beat = Heartbeat(
         Voter(make_cores(1)[0], 1), 1, 1, 1, 1, True, True, False, True, make_cores(count)
     )
--- a/experiments/decider.py
+++ b/experiments/decider.py
@@ -1,7 +1,9 @@
-"""The decider against the number of hosts: one request, one host replaced, memory; and the memory of prompts.
+"""The decider against the number of hosts: one request, one host replaced, memory; and the memory
+of prompts.
 
-A request is a stream on a route with affinity: arrival, first event, end. A replacement is a new list with
-one other host, and the first request to its service after it, which builds that service's ring.
+A request is a stream on a route with affinity: arrival, first event, end. A replacement is a new
+list with one other host, and the first request to its service after it, which builds that service's
+ring.
 """
 
 from __future__ import annotations
--- a/experiments/losses.py
+++ b/experiments/losses.py
@@ -2,8 +2,9 @@
 
     python -m experiments.losses FILE...
 
-Each day is a row: worth, what its parts cost (weight times what they lack of 1), and each price, as worth.
-The last row is the mean over the days with half of the width of its 95% interval; columns go by that mean.
+Each day is a row: worth, what its parts cost (weight times what they lack of 1), and each price, as
+worth. The last row is the mean over the days with half of the width of its 95% interval; columns go
+by that mean.
 """
 
 from __future__ import annotations
--- a/experiments/measure.py
+++ b/experiments/measure.py
@@ -1,4 +1,6 @@
-"""What the experiments share: processor time of a call, bytes on the heap, a fitted line, a printed table."""
+"""What the experiments share: processor time of a call, bytes on the heap, a fitted line, a printed
+table.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +23,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """A least-squares line, y = fixed + slope * x, and how much of y's variance it explains (0 to 1)."""
+    """A least-squares line, y = fixed + slope * x, and how much of y's variance it explains (0 to
+    1).
+    """
 
     fixed: float
     slope: float
@@ -50,9 +54,9 @@
 def processor_us(work: Callable[[], object], times: int) -> float:
     """Processor time of one call in microseconds: the least of some rounds, each of `times` calls.
 
-    Other programs on the machine slow this one down, in processor time too. So a fixed loop is timed on both
-    sides of each round, and a round counts as calm when both took little longer than the loop's least. Rounds
-    are added, up to `MOST_ROUNDS`, until `ROUNDS` of them were calm.
+    Other programs on the machine slow this one down, in processor time too. So a fixed loop is
+    timed on both sides of each round, and a round counts as calm when both took little longer than
+    the loop's least. Rounds are added, up to `MOST_ROUNDS`, until `ROUNDS` of them were calm.
     """
     best, calm = float("inf"), 0
     gc.collect()
@@ -125,7 +129,8 @@
     """Print and return the line through some points."""
     line = fit(points)
     print(
-        f"  {what}: {line.fixed:.4g} + {line.slope:.4g} {unit} per {by} (explains {line.explained:.3f})"
+        f"  {what}: {line.fixed:.4g} + {line.slope:.4g} {unit} per {by} "
+        f"(explains {line.explained:.3f})"
     )
     return line
 
--- a/experiments/own_days.py
+++ b/experiments/own_days.py
@@ -1,9 +1,9 @@
 """Write a deployment file whose days pair every kind of trouble with every other.
 
-`python -m experiments.own_days SITE OUT --days 60 --seed 1` keeps the deployment of SITE and replaces its
-standard days. Each day has two kinds of trouble, each twice and close together, above a background of
-configuration changes. The first half of every fourteen follows `SCENARIOS`: what operators saw go wrong
-before.
+`python -m experiments.own_days SITE OUT --days 60 --seed 1` keeps the deployment of SITE and
+replaces its standard days. Each day has two kinds of trouble, each twice and close together, above
+a background of configuration changes. The first half of every fourteen follows `SCENARIOS`: what
+operators saw go wrong before.
 """
 
 from __future__ import annotations
@@ -187,7 +187,9 @@
 
 
 def losses_that_overlap(draw: random.Random) -> list[Trouble]:
-    """Halves that can't agree, a minority that missed changes, and power lost by all machines meanwhile."""
+    """Halves that can't agree, a minority that missed changes, and power lost by all machines
+    meanwhile.
+    """
     return [
         {"kind": "core_cut", "for_s": draw.uniform(3, 6), "how": "split hard", "at": 4.0},
         {"kind": "core_cut", "count": 1, "for_s": 3.0, "how": "behind", "at": 13.0},
@@ -203,7 +205,9 @@
 
 
 def last_disks(draw: random.Random) -> list[Trouble]:
-    """Disks and the power of all machines are lost shortly before the end, which may take disks as well."""
+    """Disks and the power of all machines are lost shortly before the end, which may take disks as
+    well.
+    """
     return [
         {"kind": "after_ack_wipe", "for_s": 1.5, "how": draw.choice(("", "oldest")), "at": 12.0},
         {
--- a/experiments/platform.py
+++ b/experiments/platform.py
@@ -1,4 +1,5 @@
-"""The platform's list against the number of hosts: how long a pass takes at the told rate, and its reading.
+"""The platform's list against the number of hosts: how long a pass takes at the told rate, and its
+reading.
 
 The reader's schedule runs in made-up time; each call is answered after `CALL_S`.
 """
@@ -32,7 +33,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """`shown_s`: from a host's end until the published list lacks it, at worst; `read_us`: a pass's pages."""
+    """`shown_s`: from a host's end until the published list lacks it, at worst; `read_us`: a pass's
+    pages.
+    """
 
     hosts: int
     calls: int
@@ -93,7 +96,9 @@
 
 
 def measure(count: int, times: int) -> Cost:
-    """One fleet's list. The host whose end is looked for is on the first page, and ends once that is read."""
+    """One fleet's list. The host whose end is looked for is on the first page, and ends once that
+    is read.
+    """
     platform = Platform(count)
     platform.next_list()
     began, calls = platform.now, platform.calls
--- a/experiments/pulls.py
+++ b/experiments/pulls.py
@@ -1,6 +1,8 @@
-"""Pulls in one process, without a network: a gateway's side, the tail's side, and what a change costs each.
+"""Pulls in one process, without a network: a gateway's side, the tail's side, and what a change
+costs each.
 
-Frames are made and read as on the wire. What a confirmed read costs the tail and its voters isn't in here.
+Frames are made and read as on the wire. What a confirmed read costs the tail and its voters isn't
+in here.
 """
 
 from __future__ import annotations
@@ -43,7 +45,9 @@
 
 @dataclass(frozen=True, slots=True)
 class QuietPull:
-    """A pull that brings nothing, at a gateway; `cores`: members of the core, which each reply names."""
+    """A pull that brings nothing, at a gateway; `cores`: members of the core, which each reply
+    names.
+    """
 
     cores: int
     gateway_us: float
@@ -62,10 +66,11 @@
 
 @dataclass(frozen=True, slots=True)
 class HostList:
-    """A whole list of hosts: made known at the tail, encoded for one gateway, and read and taken there.
+    """A whole list of hosts: made known at the tail, encoded for one gateway, and read and taken
+    there.
 
-    `one_us`: taken by the data plane where all lines but one are those of before. `memory`: bytes on a
-    gateway's heap of the list and of the data plane's directory.
+    `one_us`: taken by the data plane where all lines but one are those of before. `memory`: bytes
+    on a gateway's heap of the list and of the data plane's directory.
     """
 
     hosts: int
@@ -80,8 +85,10 @@
 
 @dataclass(frozen=True, slots=True)
 class HostDifference:
-    """One host of a list replaced, sent as what changed: at the tail for one gateway after the first, and at
-    a gateway up to its new list. `list_again_us`: the tail's whole list for one gateway after the first."""
+    """One host of a list replaced, sent as what changed: at the tail for one gateway after the
+    first, and at a gateway up to its new list. `list_again_us`: the tail's whole list for one
+    gateway after the first.
+    """
 
     hosts: int
     tail_us: float
--- a/experiments/streams.py
+++ b/experiments/streams.py
@@ -1,7 +1,8 @@
-"""Event streams: what cutting, noting and passing on costs per event, without sockets, framing or timers.
+"""Event streams: what cutting, noting and passing on costs per event, without sockets, framing or
+timers.
 
-One read of the socket brings a number of events of one stream. A read that brings one event is the usual case
-where a model makes tokens one by one.
+One read of the socket brings a number of events of one stream. A read that brings one event is the
+usual case where a model makes tokens one by one.
 """
 
 from __future__ import annotations
--- a/roselink/__main__.py
+++ b/roselink/__main__.py
@@ -1,9 +1,10 @@
 """The command line: `python3 -m roselink COMMAND`.
 
-`router` and `controller` are the fleet's two programs and take no options: what they need stands in the
-settings file that ROSELINK_BOOT names. `gateway` is the gateway of the deployments in service, the same as
-`python3 -m roselink.gateway`. They are dispatched before anything else is imported: each import is time in
-which a restarted process doesn't serve. All other commands are in `roselink.cli`.
+`router` and `controller` are the fleet's two programs and take no options: what they need stands in
+the settings file that ROSELINK_BOOT names. `gateway` is the gateway of the deployments in service,
+the same as `python3 -m roselink.gateway`. They are dispatched before anything else is imported:
+each import is time in which a restarted process doesn't serve. All other commands are in
+`roselink.cli`.
 """
 
 from __future__ import annotations
--- a/roselink/cli.py
+++ b/roselink/cli.py
@@ -1,6 +1,7 @@
 """Commands for people: check a file, show the fleet's state, run a whole fleet on loopback.
 
-Each returns the exit status: 0 all well, 1 the fleet can't tell or can't run, 2 the input is at fault.
+Each returns the exit status: 0 all well, 1 the fleet can't tell or can't run, 2 the input is at
+fault.
 """
 
 from __future__ import annotations
@@ -23,7 +24,8 @@
 def check(file: Path) -> int:
     """Check a settings file or a configuration, and name every fault by its path.
 
-    :param file: JSON; one with `node_name` is taken for a process's settings, any other for a configuration
+    :param file: JSON; one with `node_name` is taken for a process's settings, any other for a
+    configuration
     """
     try:
         document = codec.loads(file.read_bytes())
--- a/roselink/control/api.py
+++ b/roselink/control/api.py
@@ -1,9 +1,10 @@
 """The operator's interface over HTTP: a klein application in front of the replicated chain.
 
-Every member answers for itself. An order's digest covers its kind, its base version and its bytes, so the
-chain knows an order that comes again, at any member and after a restart. An update of single items is merged
-onto the confirmed document of its base, and goes on as a whole document. Answers: 200 committed; 412 another
-version is in place; 400 invalid; 413 too large; 503 with Retry-After when nobody could say in time.
+Every member answers for itself. An order's digest covers its kind, its base version and its bytes,
+so the chain knows an order that comes again, at any member and after a restart. An update of single
+items is merged onto the confirmed document of its base, and goes on as a whole document. Answers:
+200 committed; 412 another version is in place; 400 invalid; 413 too large; 503 with Retry-After
+when nobody could say in time.
 """
 
 from __future__ import annotations
@@ -58,7 +59,9 @@
 
 
 def read_base(values: list[str]) -> int | None:
-    """The version in the X-Base-Version headers of a request; None if there is none, or more than one."""
+    """The version in the X-Base-Version headers of a request; None if there is none, or more than
+    one.
+    """
     if len(values) != 1:
         return None
     text = values[0].strip()
--- a/roselink/control/app.py
+++ b/roselink/control/app.py
@@ -1,11 +1,13 @@
-"""One core process: the chain, the pull service, the list reader and the operator's interface, assembled.
-
-The chain takes part before the HTTP libraries are loaded: their imports are most of a start's processor
-time, and while the core waits for a view the gateways wait for the core. So they are imported in short steps
-beside the running chain, with a turn of the loop after each, and not at all while the members are agreeing
-on a view: each of a view's messages would wait for a step at every member on its way. The platform's client
-comes first, as gateways need hosts before the operator is heard. The order matters for one more reason:
-Twisted's reactor must be installed on the event loop before anything else imports it.
+"""One core process: the chain, the pull service, the list reader and the operator's interface,
+assembled.
+
+The chain takes part before the HTTP libraries are loaded: their imports are most of a start's
+processor time, and while the core waits for a view the gateways wait for the core. So they are
+imported in short steps beside the running chain, with a turn of the loop after each, and not at all
+while the members are agreeing on a view: each of a view's messages would wait for a step at every
+member on its way. The platform's client comes first, as gateways need hosts before the operator is
+heard. The order matters for one more reason: Twisted's reactor must be installed on the event loop
+before anything else imports it.
 """
 
 from __future__ import annotations
@@ -133,7 +135,9 @@
 
 
 class ImportsInSteps:
-    """Imports modules in order; between two of them the loop serves what came, and a view may be agreed."""
+    """Imports modules in order; between two of them the loop serves what came, and a view may be
+    agreed.
+    """
 
     def __init__(self, forming: Callable[[], bool], clock: Callable[[], float]) -> None:
         self._forming, self._clock = forming, clock
@@ -231,7 +235,9 @@
         log.info("core_started", peer_port=settings.peer_port, epoch=node.epoch)
 
     async def _start_http(self, node: CoreNode, pulls: PullService) -> None:
-        """Load the HTTP libraries beside the chain; read the platform, then listen to the operator."""
+        """Load the HTTP libraries beside the chain; read the platform, then listen to the
+        operator.
+        """
         imports = ImportsInSteps(lambda: node.forming, self._loop.time)
         await imports.load(REACTOR_MODULES)
         reactor = install_reactor(self._loop)
--- a/roselink/control/checking.py
+++ b/roselink/control/checking.py
@@ -1,7 +1,8 @@
-"""The check of an operator's configuration document: shape by voluptuous, then what ties its parts together.
+"""The check of an operator's configuration document: shape by voluptuous, then what ties its parts
+together.
 
-Fields that are not known here are passed over. What is absent and has a default is not a fault; null counts
-as absent. Whatever passes can be read by `Configuration.from_document`.
+Fields that are not known here are passed over. What is absent and has a default is not a fault;
+null counts as absent. Whatever passes can be read by `Configuration.from_document`.
 """
 
 from __future__ import annotations
@@ -34,7 +35,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One thing that is wrong: where (as in `routes[2].timeout_ms`; empty: the whole document), and why."""
+    """One thing that is wrong: where (as in `routes[2].timeout_ms`; empty: the whole document), and
+    why.
+    """
 
     path: str
     reason: str
--- a/roselink/control/contract.py
+++ b/roselink/control/contract.py
@@ -1,7 +1,7 @@
 """What the operator's interface and the replicated chain say to each other.
 
-An order ends with exactly one outcome. `Unsettled` says nothing about whether the order was or will be taken:
-the caller may send it again unchanged, to any member.
+An order ends with exactly one outcome. `Unsettled` says nothing about whether the order was or will
+be taken: the caller may send it again unchanged, to any member.
 """
 
 from __future__ import annotations
@@ -58,7 +58,9 @@
         """Have an order decided; `done` is called once."""
 
     def confirm(self, done: Callable[[Confirmation | None], None]) -> None:
-        """Read linearizably, begun after this call; `done` gets None when nothing could be confirmed."""
+        """Read linearizably, begun after this call; `done` gets None when nothing could be
+        confirmed.
+        """
 
     def on_view(self, callback: Callable[[], None]) -> None:
         """Have `callback` called after each change of the active view."""
--- a/roselink/control/event_log.py
+++ b/roselink/control/event_log.py
@@ -1,7 +1,7 @@
 """Events of a core process as JSON lines on standard error, from its first moment on.
 
-The logging library takes a tenth of a second to load, while the chain should be running. Until `begin` names
-its logger, events are written here in the same form.
+The logging library takes a tenth of a second to load, while the chain should be running. Until
+`begin` names its logger, events are written here in the same form.
 """
 
 from __future__ import annotations
--- a/roselink/control/host_versions.py
+++ b/roselink/control/host_versions.py
@@ -1,4 +1,5 @@
-"""The list of hosts at the tail: its versions, and what changed from one to the next. No I/O, no clock.
+"""The list of hosts at the tail: its versions, and what changed from one to the next. No I/O, no
+clock.
 
 What goes to gateways is encoded once, however many of them ask for it.
 """
@@ -38,7 +39,9 @@
         self._changes: dict[int, bytes | None] = {}
 
     def publish(self, hosts: tuple[Host, ...], next_version: Callable[[int], int]) -> None:
-        """Take a list in any order. It is a new version if a host in it is another one than before."""
+        """Take a list in any order. It is a new version if a host in it is another one than
+        before.
+        """
         ordered = tuple(sorted(hosts, key=lambda host: host.id))
         identities = {host.id: _identity(host) for host in ordered}
         if self.hosts is not None:
@@ -60,8 +63,9 @@
         return self._whole
 
     def since(self, held: int) -> bytes | None:
-        """What changed from an older version, encoded as `HostChanges`; None where only the whole list will
-        do."""
+        """What changed from an older version, encoded as `HostChanges`; None where only the whole
+        list will do.
+        """
         if held not in self._changes:
             self._changes[held] = self._merged(held)
         return self._changes[held]
--- a/roselink/control/logs.py
+++ b/roselink/control/logs.py
@@ -1,4 +1,5 @@
-"""Logs of a core process: one JSON event a line on standard error, with a bound on lines of each event.
+"""Logs of a core process: one JSON event a line on standard error, with a bound on lines of each
+event.
 
 What the standard library's and Twisted's loggers say at warning and above goes the same way.
 """
--- a/roselink/control/node.py
+++ b/roselink/control/node.py
@@ -1,4 +1,6 @@
-"""The asyncio driver of one core member: its clock, its peers' connections, and its disk's worker thread."""
+"""The asyncio driver of one core member: its clock, its peers' connections, and its disk's worker
+thread.
+"""
 
 from __future__ import annotations
 
@@ -39,7 +41,9 @@
 
 
 class ControlNode:
-    """One core member on real sockets and a real disk. All methods are for the loop's own thread."""
+    """One core member on real sockets and a real disk. All methods are for the loop's own
+    thread.
+    """
 
     def __init__(
         self, settings: ProcessSettings, pool: PeerPool, loop: asyncio.AbstractEventLoop
@@ -61,8 +65,9 @@
     # --- life
 
     def start(self) -> None:
-        """Read the disk, then take part. Nothing else can be done before the disk is read, so the loop's own
-        thread reads it; the disk's thread begins with the first save."""
+        """Read the disk, then take part. Nothing else can be done before the disk is read, so the
+        loop's own thread reads it; the disk's thread begins with the first save.
+        """
         self._running = True
         self._load()
 
@@ -108,7 +113,9 @@
         self._perform(effects)
 
     def confirm(self, done: Callable[[Confirmation | None], None]) -> None:
-        """Read the committed state, confirmed after this call; None if that can't be had in 1.5 s or so."""
+        """Read the committed state, confirmed after this call; None if that can't be had in 1.5 s
+        or so.
+        """
         if self._member is None or not self._running:
             done(None)
             return
@@ -157,8 +164,9 @@
 
     @property
     def forming(self) -> bool:
-        """Whether enough members are there to agree on a view, and none is active here yet. Then each message
-        counts: whatever else can wait should."""
+        """Whether enough members are there to agree on a view, and none is active here yet. Then
+        each message counts: whatever else can wait should.
+        """
         return (
             self._member is not None and self._running and self._member.forming(self._loop.time())
         )
--- a/roselink/control/payoffs.py
+++ b/roselink/control/payoffs.py
@@ -1,7 +1,8 @@
-"""Payoffs of hosts, pooled from what all gateways report. Sans I/O; `now` in seconds of a steady clock.
+"""Payoffs of hosts, pooled from what all gateways report. Sans I/O; `now` in seconds of a steady
+clock.
 
-Evidence halves with time, and what is kept of it is bounded: a host that recovers is believed soon. A host
-that few requests reach any more, since it is avoided, returns by that alone.
+Evidence halves with time, and what is kept of it is bounded: a host that recovers is believed soon.
+A host that few requests reach any more, since it is avoided, returns by that alone.
 """
 
 from __future__ import annotations
--- a/roselink/control/platform.py
+++ b/roselink/control/platform.py
@@ -1,8 +1,8 @@
 """Reading the platform's list of hosts: its entries, and the schedule of the calls. Sans I/O.
 
-A pass reads all pages, one call at a time; only a whole pass replaces the list. A call costs money and all
-processes share the platform's rate, so only the fleet's one reader asks, seldom when it is calm, and with
-growing waits when calls fail.
+A pass reads all pages, one call at a time; only a whole pass replaces the list. A call costs money
+and all processes share the platform's rate, so only the fleet's one reader asks, seldom when it is
+calm, and with growing waits when calls fail.
 """
 
 from __future__ import annotations
@@ -24,7 +24,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ReaderTimes:
-    """Bounds of the schedule, in seconds: from pass to pass, the waits after failed calls, and one call."""
+    """Bounds of the schedule, in seconds: from pass to pass, the waits after failed calls, and one
+    call.
+    """
 
     interval_s: float = 0.6
     backoff_s: float = 0.1
@@ -34,7 +36,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """One answer of the platform: its entries, those that can't be read, and the token of the next page."""
+    """One answer of the platform: its entries, those that can't be read, and the token of the next
+    page.
+    """
 
     hosts: tuple[Host, ...]
     unreadable: tuple[str, ...]
@@ -144,7 +148,9 @@
 
 
 class ListReader:
-    """The schedule of one reader. It runs between `start` and `stop`; at most one call is under way."""
+    """The schedule of one reader. It runs between `start` and `stop`; at most one call is under
+    way.
+    """
 
     def __init__(
         self, rate_per_s: float, chance: random.Random, times: ReaderTimes | None = None
--- a/roselink/control/platform_client.py
+++ b/roselink/control/platform_client.py
@@ -1,6 +1,7 @@
 """The driver of the list reader: treq's client on a pool that keeps one connection to the platform.
 
-Where the member must stop reading it cancels the open call: at most the one under way reaches the platform.
+Where the member must stop reading it cancels the open call: at most the one under way reaches the
+platform.
 """
 
 from __future__ import annotations
--- a/roselink/control/pulls.py
+++ b/roselink/control/pulls.py
@@ -1,8 +1,9 @@
 """The pull service of one core member: what each gateway misses, and which gateways live. Sans I/O.
 
-The tail of the active view answers; any other member sends a pull on to the tail, one hop only. Every answer
-waits for a confirmation that was begun after its pull came. What the tail knows beside the configuration
-(hosts, live gateways) is collected anew in every view: a newer view's version is never older in content.
+The tail of the active view answers; any other member sends a pull on to the tail, one hop only.
+Every answer waits for a confirmation that was begun after its pull came. What the tail knows beside
+the configuration (hosts, live gateways) is collected anew in every view: a newer view's version is
+never older in content.
 
 Inputs are methods with `now` in seconds of a steady clock; each returns its effects.
 """
@@ -30,7 +31,9 @@
 @record(64)
 @dataclass(frozen=True, slots=True)
 class ForwardedPull:
-    """A pull that a member sends on to the tail; answered like the pull itself, and never sent on again."""
+    """A pull that a member sends on to the tail; answered like the pull itself, and never sent on
+    again.
+    """
 
     pull: Pull
 
@@ -47,9 +50,9 @@
 class PullTimes:
     """Bounds of the service, in seconds.
 
-    `silence_s`: a gateway that has not pulled for so long is gone. `collect_s`: how long a new view's tail
-    waits for pulls before its first roster. `pause_s`: with no input for so long the member itself stood
-    still, and no gateway's silence counts.
+    `silence_s`: a gateway that has not pulled for so long is gone. `collect_s`: how long a new
+    view's tail waits for pulls before its first roster. `pause_s`: with no input for so long the
+    member itself stood still, and no gateway's silence counts.
     """
 
     silence_s: float = 1.2
@@ -114,7 +117,9 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayLag:
-    """A gateway as the tail sees it, for people: versions it misses, and how long it has been silent."""
+    """A gateway as the tail sees it, for people: versions it misses, and how long it has been
+    silent.
+    """
 
     name: str
     address: str
@@ -148,13 +153,17 @@
 
     @property
     def versions(self) -> VersionVector:
-        """The versions that this member has published in its view; the configuration's is the chain's."""
+        """The versions that this member has published in its view; the configuration's is the
+        chain's.
+        """
         return VersionVector(0, self._hosts.version, self._roster_version)
 
     def view_changed(
         self, now: float, epoch: int, is_tail: bool, tail: Address | None, cores: tuple[str, ...]
     ) -> list[PullEffect]:
-        """The active view, or what is known of it, is another. Open questions end at their own time-outs."""
+        """The active view, or what is known of it, is another. Open questions end at their own
+        time-outs.
+        """
         self._note(now)
         self._tail, self._cores = tail, cores
         if epoch == self._epoch and is_tail == self._is_tail:
@@ -175,7 +184,9 @@
     def pull(
         self, now: float, number: int, pull: Pull, forwarded: bool = False, changes: bool = False
     ) -> list[PullEffect]:
-        """A pull came, from a gateway or `forwarded` by another member; `changes`: as a `ChangesPull`."""
+        """A pull came, from a gateway or `forwarded` by another member; `changes`: as a
+        `ChangesPull`.
+        """
         self._note(now)
         if self._is_tail:
             self._heard(now, pull)
--- a/roselink/control/storage.py
+++ b/roselink/control/storage.py
@@ -1,11 +1,11 @@
-"""A core member's disk: two records, each as generations of `dbm.dumb` files. Blocking; for one worker
-thread.
-
-`dbm.dumb` rewrites its index in place and syncs nothing. Here a database holds one record and is never
-changed: a save makes the files of the next number, syncs both and the folder, and only then removes those
-before. A record carries its number and a checksum; the newest generation whose record is whole counts, so a
-save that was broken off anywhere leaves the record before it. At most two generations of a record are on the
-disk, and what a refused save left is removed.
+"""A core member's disk: two records, each as generations of `dbm.dumb` files. Blocking; for one
+worker thread.
+
+`dbm.dumb` rewrites its index in place and syncs nothing. Here a database holds one record and is
+never changed: a save makes the files of the next number, syncs both and the folder, and only then
+removes those before. A record carries its number and a checksum; the newest generation whose record
+is whole counts, so a save that was broken off anywhere leaves the record before it. At most two
+generations of a record are on the disk, and what a refused save left is removed.
 """
 
 from __future__ import annotations
@@ -142,7 +142,9 @@
         return None
 
     def _read(self, store: Store, number: int) -> object:
-        """The record of one generation, or None when it isn't whole. OSError: nothing is known of it."""
+        """The record of one generation, or None when it isn't whole. OSError: nothing is known of
+        it.
+        """
         try:
             files = self.files.database(self._base(store, number), "r")
             try:
--- a/roselink/control/updates.py
+++ b/roselink/control/updates.py
@@ -1,13 +1,15 @@
 """Updates of single items: how one is read, merged onto its base, and made an order of the chain.
 
-An update names a section's items by `name`. What it adds or replaces stands under `upsert`, what it takes
-away under `remove`; all else of the document it builds on stays, also fields that are not known here. The
-merged document goes down the chain as any whole document does, so nothing behind the operator's interface
-knows of updates. Decisions on what the interface's page leaves open:
+An update names a section's items by `name`. What it adds or replaces stands under `upsert`, what it
+takes away under `remove`; all else of the document it builds on stays, also fields that are not
+known here. The merged document goes down the chain as any whole document does, so nothing behind
+the operator's interface knows of updates. Decisions on what the interface's page leaves open:
 
 - a section that is an object (`limits`) is replaced whole; it can't be removed;
-- a section that the document has not yet begins empty, known or not; an update on base 0 builds on nothing;
-- an item without a name, one that stands twice, or one that is both upserted and removed is a fault;
+- a section that the document has not yet begins empty, known or not; an update on base 0 builds on
+  nothing;
+- an item without a name, one that stands twice, or one that is both upserted and removed is a
+  fault;
 - a name to remove that is not there is none: what is asked for holds.
 """
 
@@ -32,7 +34,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Update:
-    """An update whose own shape is right. `upsert` maps a section to its items, or to its new object."""
+    """An update whose own shape is right. `upsert` maps a section to its items, or to its new
+    object.
+    """
 
     generation: int
     upsert: Mapping[str, Any]
@@ -41,7 +45,9 @@
 
 @dataclass(frozen=True, slots=True)
 class UpdateCall:
-    """An update that an operator has sent: the version it builds on, and its name when it comes again."""
+    """An update that an operator has sent: the version it builds on, and its name when it comes
+    again.
+    """
 
     base: int
     update: Update
@@ -80,8 +86,8 @@
 def merge(document: Mapping[str, Any], update: Update) -> dict[str, Any]:
     """The document after the update. Items keep their places; new ones follow in the order given.
 
-    The sections of `document` that the update names are lists of objects, or absent, or, where the update
-    brings an object, anything.
+    The sections of `document` that the update names are lists of objects, or absent, or, where the
+    update brings an object, anything.
     """
     merged = dict(document)
     for section in (*update.remove, *update.upsert):
@@ -101,9 +107,10 @@
 ) -> ConfigurationOrder | Refused:
     """The order that brings an update about, on a state confirmed after the update was read.
 
-    Where the base is not in place the order has no document: the head then only looks for its digest, and
-    refuses it otherwise. Where it is, all states of that generation hold the same document, so an order
-    that is sent again, or taken by two members at once, brings the same result.
+    Where the base is not in place the order has no document: the head then only looks for its
+    digest, and refuses it otherwise. Where it is, all states of that generation hold the same
+    document, so an order that is sent again, or taken by two members at once, brings the same
+    result.
     """
     if base != confirmed.generation:
         return ConfigurationOrder(base, update.generation, b"", digest)
@@ -124,7 +131,9 @@
     submit: Callable[[ConfigurationOrder, Callable[[SubmitOutcome], None]], None],
     done: Callable[[SubmitOutcome | Refused], None],
 ) -> None:
-    """Confirm the state, merge the update onto it, and have the order decided. `done` gets one outcome."""
+    """Confirm the state, merge the update onto it, and have the order decided. `done` gets one
+    outcome.
+    """
 
     def on_state(confirmed: Confirmation | None) -> None:
         if confirmed is None:
@@ -140,7 +149,8 @@
 
 
 def _order(base: int, checked: Checked, digest: bytes) -> ConfigurationOrder:
-    # In ASCII: half a character, which JSON allows in fields that are passed over, has no bytes of its own.
+    # In ASCII: half a character, which JSON allows in fields that are passed over, has no bytes of
+    # its own.
     document = json.dumps(checked.document, separators=(",", ":")).encode()
     return ConfigurationOrder(base, checked.generation, document, digest)
 
--- a/roselink/control/values.py
+++ b/roselink/control/values.py
@@ -1,4 +1,6 @@
-"""Checks of single values, lists and objects of a document: each returns the value, or raises `Invalid`."""
+"""Checks of single values, lists and objects of a document: each returns the value, or raises
+`Invalid`.
+"""
 
 from __future__ import annotations
 
--- a/roselink/coordination/ballots.py
+++ b/roselink/coordination/ballots.py
@@ -1,4 +1,6 @@
-"""A voter's answers and its disk: no answer leaves before the disk has what it says. No I/O, no clock."""
+"""A voter's answers and its disk: no answer leaves before the disk has what it says. No I/O, no
+clock.
+"""
 
 from __future__ import annotations
 
--- a/roselink/coordination/chain.py
+++ b/roselink/coordination/chain.py
@@ -1,13 +1,13 @@
 """One member's part in the chain of one epoch after the other. No I/O, no clock.
 
-An epoch begins with the head's state: it goes down the chain as `Sync`, each member puts it on its disk
-before it passes it on, and the tail's `Ack` travels back; from then the chain is active there. Writes take
-the same way. Nothing of another epoch is taken, and none of an epoch that this process isn't in the view for.
-`applied` may run ahead of the disk; only what is durable is passed on, acknowledged or shown. What the tail
-has on its disk is on every disk of the chain: it is committed.
-
-Messages may be lost, doubled or come out of order: each is taken only in its place, and sent again until the
-`Ack` that covers it.
+An epoch begins with the head's state: it goes down the chain as `Sync`, each member puts it on its
+disk before it passes it on, and the tail's `Ack` travels back; from then the chain is active there.
+Writes take the same way. Nothing of another epoch is taken, and none of an epoch that this process
+isn't in the view for. `applied` may run ahead of the disk; only what is durable is passed on,
+acknowledged or shown. What the tail has on its disk is on every disk of the chain: it is committed.
+
+Messages may be lost, doubled or come out of order: each is taken only in its place, and sent again
+until the `Ack` that covers it.
 """
 
 from __future__ import annotations
@@ -84,8 +84,8 @@
         """Leave the present epoch and take this process's part in the new view, if it has one."""
         link = link_of(view, self.voter)
         self.view = view
-        # No process has the session 0: it stands in the first view, in which any process takes part that made
-        # it.
+        # No process has the session 0: it stands in the first view, in which any process takes part
+        # that made it.
         self.taking_part = link is not None and (
             fresh if link.session == 0 else link.session == self.session
         )
@@ -107,7 +107,9 @@
             self._advance(now)
 
     def on_sync(self, message: Sync, now: float) -> bool:
-        """The state with which the epoch begins, from the predecessor; whether it committed anything."""
+        """The state with which the epoch begins, from the predecessor; whether it committed
+        anything.
+        """
         if not self._from(self._predecessor, message.sender, message.epoch):
             return False
         if self.synced:
@@ -180,7 +182,9 @@
         self._save()
 
     def _save(self) -> None:
-        """Save the newest state, one save at a time; what comes meanwhile goes together into the next."""
+        """Save the newest state, one save at a time; what comes meanwhile goes together into the
+        next.
+        """
         if self._saving is not None:
             return
         if self.applied is self.durable and self.applied_epoch == self.durable_epoch:
--- a/roselink/coordination/effects.py
+++ b/roselink/coordination/effects.py
@@ -11,14 +11,18 @@
 
 @dataclass(frozen=True, slots=True)
 class TakenOrder:
-    """The order is in force or was: every disk of the chain has it. `sequence`: its place in the history."""
+    """The order is in force or was: every disk of the chain has it. `sequence`: its place in the
+    history.
+    """
 
     sequence: int
 
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """The order builds on another generation than the current one. It will never come into force."""
+    """The order builds on another generation than the current one. It will never come into
+    force.
+    """
 
     current: int
 
@@ -68,7 +72,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Persist:
-    """Write `payload` durably; `persisted` or `persist_failed` with this store must follow, in order."""
+    """Write `payload` durably; `persisted` or `persist_failed` with this store must follow, in
+    order.
+    """
 
     store: Store
     payload: bytes
--- a/roselink/coordination/member.py
+++ b/roselink/coordination/member.py
@@ -1,23 +1,25 @@
-"""One core member: heartbeats, agreed views, the chain, orders and confirmed reads together. No I/O, no
-clock.
-
-Inputs are method calls with `now` (seconds of one monotonic clock); each returns the effects in order. What
-the parts argue for: `views` (what is acknowledged outlives view changes), `votes` (one decided view an
-epoch), `reads` (a confirmed read misses nothing), `orders` (a refusal lasts). What is left to this module:
-
-- A vote leaves only after the disk has it: `ballots` keeps each answer until its version of `Votes` is
-  durable.
-- A decided view is followed at once, before it is on this disk. A member that restarts with an older view is
-  as one that hasn't heard of the newer one; it does not take part in any chain of its earlier process, as the
-  view names another session. Its state may be of a later epoch than its view, which only says how new the
-  state is.
-- From the moment at which a member follows a newer view it takes nothing of the older epoch. Acceptance of a
-  proposal alone changes nothing in its chain: the older epoch may still acknowledge through it, and the new
-  head begins with what it has when it follows the new view itself.
-- A process that was frozen wakes with its old view. Each write that it could still acknowledge is on the
-  disks of that whole chain, the next head's too; a read needs answers to a round, which voters that accepted
-  a newer view refuse.
-- A member whose disk was lost has a new incarnation: it is another voter, and is let in by a view change.
+"""One core member: heartbeats, agreed views, the chain, orders and confirmed reads together. No
+I/O, no clock.
+
+Inputs are method calls with `now` (seconds of one monotonic clock); each returns the effects in
+order. What the parts argue for: `views` (what is acknowledged outlives view changes), `votes` (one
+decided view an epoch), `reads` (a confirmed read misses nothing), `orders` (a refusal lasts). What
+is left to this module:
+
+- A vote leaves only after the disk has it: `ballots` keeps each answer until its version of `Votes`
+  is durable.
+- A decided view is followed at once, before it is on this disk. A member that restarts with an
+  older view is as one that hasn't heard of the newer one; it does not take part in any chain of its
+  earlier process, as the view names another session. Its state may be of a later epoch than its
+  view, which only says how new the state is.
+- From the moment at which a member follows a newer view it takes nothing of the older epoch.
+  Acceptance of a proposal alone changes nothing in its chain: the older epoch may still acknowledge
+  through it, and the new head begins with what it has when it follows the new view itself.
+- A process that was frozen wakes with its old view. Each write that it could still acknowledge is
+  on the disks of that whole chain, the next head's too; a read needs answers to a round, which
+  voters that accepted a newer view refuse.
+- A member whose disk was lost has a new incarnation: it is another voter, and is let in by a view
+change.
 """
 
 from __future__ import annotations
@@ -144,8 +146,9 @@
         return self.disk.fit
 
     def forming(self, now: float) -> bool:
-        """Whether others wait for this member: it is not on its disk yet, or a majority of the voters is
-        heard while the newest view's chain is not active here."""
+        """Whether others wait for this member: it is not on its disk yet, or a majority of the
+        voters is heard while the newest view's chain is not active here.
+        """
         if not self._saved_first:
             return True
         if self.view is None or self.chain.active:
@@ -329,7 +332,9 @@
             self._out.effects.append(effect)
 
     def _flush(self, now: float) -> list[Effect]:
-        """Deliver what the member told itself, save votes that changed, and hand the effects out."""
+        """Deliver what the member told itself, save votes that changed, and hand the effects
+        out.
+        """
         while self._out.own:
             own, self._out.own = self._out.own, []
             for message in own:
--- a/roselink/coordination/messages.py
+++ b/roselink/coordination/messages.py
@@ -40,7 +40,8 @@
 class MessageHandler:
     """Hands each record to the parts of one member that it concerns.
 
-    `follow` enters a decided view if it is newer; `committed` is called when the chain has committed.
+    `follow` enters a decided view if it is newer; `committed` is called when the chain has
+    committed.
     """
 
     voting: Voting
@@ -123,7 +124,8 @@
 
     def _on_confirm_answer(self, message: ConfirmAnswer, now: float) -> None:
         if self.voting.view is None:
-            return  # and no round is under way: only an active tail begins one, and a new view drops it
+            # and no round is under way: only an active tail begins one, and a new view drops it
+            return
         state = self.chain.durable
         for read in self.reads.answer(message):
             document = None if read.known == state.sequence else state.document
--- a/roselink/coordination/orders.py
+++ b/roselink/coordination/orders.py
@@ -1,11 +1,12 @@
 """Orders at the head, and the calls that this member carries for its own callers. No I/O, no clock.
 
-The head judges an order on top of everything it has appended, and answers once the state that it judged by is
-committed; a view change drops what wasn't answered, and the member that carries the order sends it again.
+The head judges an order on top of everything it has appended, and answers once the state that it
+judged by is committed; a view change drops what wasn't answered, and the member that carries the
+order sends it again.
 
-Why a refused order never comes into force: a refusal rests on a committed state. Every later head's state
-follows that one, generations only rise, and an order whose base is still to come is noted in the state itself
-as refused.
+Why a refused order never comes into force: a refusal rests on a committed state. Every later head's
+state follows that one, generations only rise, and an order whose base is still to come is noted in
+the state itself as refused.
 """
 
 from __future__ import annotations
@@ -128,7 +129,9 @@
 
 @dataclass(slots=True)
 class OwnCalls:
-    """Orders and reads of this member's callers, sent to head and tail again and again until they end."""
+    """Orders and reads of this member's callers, sent to head and tail again and again until they
+    end.
+    """
 
     voter: Voter
     emit: Emit
--- a/roselink/coordination/peering.py
+++ b/roselink/coordination/peering.py
@@ -1,7 +1,8 @@
-"""What a member knows of the other core machines from their heartbeats, and its own disk's health. No I/O.
+"""What a member knows of the other core machines from their heartbeats, and its own disk's health.
+No I/O.
 
-Times are seconds of the member's own clock. A machine is live while its heartbeats come and say that it hears
-this one: a link that carries one way only counts as broken on both ends.
+Times are seconds of the member's own clock. A machine is live while its heartbeats come and say
+that it hears this one: a link that carries one way only counts as broken on both ends.
 """
 
 from __future__ import annotations
@@ -78,7 +79,9 @@
         )
 
     def picture(self, now: float, own: Peer, expected: Iterable[str]) -> dict[str, Peer]:
-        """Every known machine as a plan needs it. `expected`: those that get the grace of a new system."""
+        """Every known machine as a plan needs it. `expected`: those that get the grace of a new
+        system.
+        """
         for address in [a for a, known in self._known.items() if now - known.heard_at >= FORGET_S]:
             del self._known[address]
         live = [known for known in self._known.values() if self._live(known, now)]
@@ -132,7 +135,9 @@
 
 @dataclass(slots=True)
 class _Save:
-    """A save that was asked for. `began_at`: when it was the disk's turn to take it; `size` in bytes."""
+    """A save that was asked for. `began_at`: when it was the disk's turn to take it; `size` in
+    bytes.
+    """
 
     began_at: float
     size: int
--- a/roselink/coordination/presence.py
+++ b/roselink/coordination/presence.py
@@ -1,4 +1,6 @@
-"""What a member tells the others by heartbeats, and the picture of the core that it plans by. No I/O."""
+"""What a member tells the others by heartbeats, and the picture of the core that it plans by. No
+I/O.
+"""
 
 from __future__ import annotations
 
@@ -38,7 +40,9 @@
         self._beat_at = float("-inf")
 
     def greet(self, view: View | None, now: float) -> None:
-        """A machine speaks that has not heard this one: tell it at once, and not with the next heartbeat."""
+        """A machine speaks that has not heard this one: tell it at once, and not with the next
+        heartbeat.
+        """
         if now - self._beat_at >= GREETING_S:
             self._beat_at = float("-inf")
             self.beat(view, now)
@@ -60,7 +64,9 @@
         )
 
     def picture(self, view: View | None, now: float) -> dict[str, Peer]:
-        """Every known machine. In the first view, those that may still be starting count as well."""
+        """Every known machine. In the first view, those that may still be starting count as
+        well.
+        """
         expected = view.chain if view is not None and view.epoch == 1 else ()
         return self.peers.picture(
             now, self.own(view, now), [link.voter.address for link in expected]
--- a/roselink/coordination/proposing.py
+++ b/roselink/coordination/proposing.py
@@ -1,8 +1,8 @@
 """When a voter proposes the next view, and its attempt to have it decided. No I/O, no clock.
 
-A voter proposes what `views.plan` wants, after a delay by its place, so that two rarely propose at once. A
-vote that was begun by another and not ended is ended by whoever sees it first: while an accepted proposal is
-open, no read can be confirmed.
+A voter proposes what `views.plan` wants, after a delay by its place, so that two rarely propose at
+once. A vote that was begun by another and not ended is ended by whoever sees it first: while an
+accepted proposal is open, no read can be confirmed.
 """
 
 from __future__ import annotations
--- a/roselink/coordination/reads.py
+++ b/roselink/coordination/reads.py
@@ -1,17 +1,19 @@
 """Confirmed reads at the tail. No I/O, no clock.
 
-A round asks every voter of the tail's epoch e whether it has accepted, or heard of, a view after e. The reads
-that waited before the round began get the tail's committed state once a majority says no.
-
-Why such a read misses nothing acknowledged before it began: what was acknowledged in an epoch up to e is in
-the tail's state (`roselink.coordination.views`; the tail itself acknowledges in e). Suppose that a write was
-acknowledged in an epoch after e before the read began. Then the view e+1 had been decided before: a majority
-of the voters of e had put its acceptance on their disks. Any majority of the same voters has one of them in
-common, and that one, asked afterwards, does not say yes: a voter keeps its acceptance over a restart, and one
-that lost its disk has another identity and no vote. The tail itself answers like any other voter.
-
-Why reads don't go backwards: a read shows what is on every disk of the chain, the next head's too, which had
-it before it left e; each later view begins with at least that. No clock is read, and no clocks are compared.
+A round asks every voter of the tail's epoch e whether it has accepted, or heard of, a view after e.
+The reads that waited before the round began get the tail's committed state once a majority says no.
+
+Why such a read misses nothing acknowledged before it began: what was acknowledged in an epoch up to
+e is in the tail's state (`roselink.coordination.views`; the tail itself acknowledges in e). Suppose
+that a write was acknowledged in an epoch after e before the read began. Then the view e+1 had been
+decided before: a majority of the voters of e had put its acceptance on their disks. Any majority of
+the same voters has one of them in common, and that one, asked afterwards, does not say yes: a voter
+keeps its acceptance over a restart, and one that lost its disk has another identity and no vote.
+The tail itself answers like any other voter.
+
+Why reads don't go backwards: a read shows what is on every disk of the chain, the next head's too,
+which had it before it left e; each later view begins with at least that. No clock is read, and no
+clocks are compared.
 """
 
 from __future__ import annotations
@@ -79,7 +81,9 @@
         return confirmed
 
     def proceed(self, view: View, now: float) -> None:
-        """Begin the next round if reads wait, and a round again that has had no majority for a time."""
+        """Begin the next round if reads wait, and a round again that has had no majority for a
+        time.
+        """
         if self._asking and now - self._began >= ROUND_AGAIN_S:
             self._next, self._asking = self._asking + self._next, []
         if self._next and not self._asking:
--- a/roselink/coordination/state.py
+++ b/roselink/coordination/state.py
@@ -1,7 +1,9 @@
-"""The replicated configuration state and the rules by which an order changes it. Pure functions of values.
+"""The replicated configuration state and the rules by which an order changes it. Pure functions of
+values.
 
-The history holds the newest orders as packed entries of digest, generation and sequence. An entry of
-generation 0 is an order that was refused although a later state might have let it in; it stays refused.
+The history holds the newest orders as packed entries of digest, generation and sequence. An entry
+of generation 0 is an order that was refused although a later state might have let it in; it stays
+refused.
 
 >>> first = ConfigurationOrder(0, 5, b"{}", digest_of(0, b"{}"))
 >>> judge(EMPTY, first)
@@ -58,8 +60,8 @@
 def judge(state: ConfigurationState, order: ConfigurationOrder) -> Verdict:
     """What becomes of an order on top of `state`.
 
-    Each refusal stays true in every state that follows: generations only rise. An order without a document
-    only asks for its outcome, or for its refusal: it is never appended.
+    Each refusal stays true in every state that follows: generations only rise. An order without a
+    document only asks for its outcome, or for its refusal: it is never appended.
     """
     entry = find(state, order.digest)
     if entry is not None:
--- a/roselink/coordination/views.py
+++ b/roselink/coordination/views.py
@@ -1,39 +1,40 @@
-"""Membership views: what a member knows of its peers, and the view that it would propose next. No I/O, no
-clock.
-
-A view lists the voters who decide its successor, and the chain. `Link.since` of a chain member is the epoch
-from which it has been in every chain. A member whose disk holds a state written in epoch `since` or later is
-*intact*:
-
-  The state of an intact member of the chain of epoch e, once it has stopped taking part in e, has every write
-  that is ever acknowledged in an epoch up to e.
-
-Proof, by induction over epochs. Let the state on the disk of B have been written in s, since <= s <= e. B
-took part in s, so its state of s began as that of the head of s, which was intact in the view before (below),
-and has all from before s. A write is acknowledged in s only when every member of the chain has it on its
-disk, B too, and B had to take part in s for that, so it had it when it left. For each epoch k between s and
-e, B is in the chain of k. If B isn't its head, no write is acknowledged in k before B has put the state of k
-on its disk, and then the state on its disk were of k and not of s. If B is its head, B's own state is that
-with which k begins, and it holds what it appends. B never takes part in k after it has left k. So nothing is
-acknowledged in k, ever, that B lacks.
-
-The head of a proposed view must be intact in the view before; it pushes its state down the chain, and nothing
-is acknowledged before the tail has it on its disk. This also holds when a view never becomes active: its
-members that were in the chain before stay intact until they take over the new state. Whoever is not intact
-can only be synced.
-
-Why a young view waits: a member that is new to the chain is not intact before it has taken over the state.
-Were another suspected falsely just then, a shorter chain would rest on fewer intact members than may be lost,
-and the loss of those would leave a chain that nobody can head. The state comes from the head within some
-hundredths of a second, whether the suspected member lives or not; so for a while no chain is proposed that
-has fewer than `tolerated + 1` intact members while one of it still takes the state over. A member whose disk
-does not take it in that time counts as lost itself.
-
-Why a chain needs `tolerated + 1` members: what is acknowledged is on every disk of the chain, so it outlives
-the loss of any `tolerated` disks. A machine that is away counts as lost until `sync_s` after its return, and
-within that time it is back in the chain; so the disks that a shorter chain lacks are already counted. A chain
-is never proposed shorter (save that all the voters together are fewer), also when a majority of the voters
-could decide it.
+"""Membership views: what a member knows of its peers, and the view that it would propose next. No
+I/O, no clock.
+
+A view lists the voters who decide its successor, and the chain. `Link.since` of a chain member is
+the epoch from which it has been in every chain. A member whose disk holds a state written in epoch
+`since` or later is *intact*:
+
+  The state of an intact member of the chain of epoch e, once it has stopped taking part in e, has
+  every write that is ever acknowledged in an epoch up to e.
+
+Proof, by induction over epochs. Let the state on the disk of B have been written in s, since <= s
+<= e. B took part in s, so its state of s began as that of the head of s, which was intact in the
+view before (below), and has all from before s. A write is acknowledged in s only when every member
+of the chain has it on its disk, B too, and B had to take part in s for that, so it had it when it
+left. For each epoch k between s and e, B is in the chain of k. If B isn't its head, no write is
+acknowledged in k before B has put the state of k on its disk, and then the state on its disk were
+of k and not of s. If B is its head, B's own state is that with which k begins, and it holds what it
+appends. B never takes part in k after it has left k. So nothing is acknowledged in k, ever, that B
+lacks.
+
+The head of a proposed view must be intact in the view before; it pushes its state down the chain,
+and nothing is acknowledged before the tail has it on its disk. This also holds when a view never
+becomes active: its members that were in the chain before stay intact until they take over the new
+state. Whoever is not intact can only be synced.
+
+Why a young view waits: a member that is new to the chain is not intact before it has taken over the
+state. Were another suspected falsely just then, a shorter chain would rest on fewer intact members
+than may be lost, and the loss of those would leave a chain that nobody can head. The state comes
+from the head within some hundredths of a second, whether the suspected member lives or not; so for
+a while no chain is proposed that has fewer than `tolerated + 1` intact members while one of it
+still takes the state over. A member whose disk does not take it in that time counts as lost itself.
+
+Why a chain needs `tolerated + 1` members: what is acknowledged is on every disk of the chain, so it
+outlives the loss of any `tolerated` disks. A machine that is away counts as lost until `sync_s`
+after its return, and within that time it is back in the chain; so the disks that a shorter chain
+lacks are already counted. A chain is never proposed shorter (save that all the voters together are
+fewer), also when a majority of the voters could decide it.
 """
 
 from __future__ import annotations
@@ -51,9 +52,9 @@
 class Peer:
     """What is known of one core machine at the moment of a plan.
 
-    `live`: it hears the planner and the planner hears it. `heard`: the addresses that it says it hears.
-    `silent_s`: how long nothing came from it. `steady`: it has been live and well for long enough to join.
-    `taking_part`: in the chain of `epoch`.
+    `live`: it hears the planner and the planner hears it. `heard`: the addresses that it says it
+    hears. `silent_s`: how long nothing came from it. `steady`: it has been live and well for long
+    enough to join. `taking_part`: in the chain of `epoch`.
     """
 
     voter: Voter
@@ -78,9 +79,9 @@
 class Rules:
     """Figures for plans. `tolerated`: machines that may be lost at once. Times are seconds.
 
-    A voter that has been silent for `gone_after_s` gives its place to a joiner, and goes without one while
-    more than `2 * tolerated + 1` stay: fewer votes of the living then decide. It comes back as any joiner
-    does.
+    A voter that has been silent for `gone_after_s` gives its place to a joiner, and goes without
+    one while more than `2 * tolerated + 1` stay: fewer votes of the living then decide. It comes
+    back as any joiner does.
     """
 
     tolerated: int
@@ -132,7 +133,9 @@
 
 
 def reunited(view: View, peers: Mapping[str, Peer]) -> bool:
-    """Whether all machines of the view's chain are there and hear each other, in whatever process."""
+    """Whether all machines of the view's chain are there and hear each other, in whatever
+    process.
+    """
     found = [peers.get(link.voter.address) for link in view.chain]
     group = tuple(peer for peer in found if peer is not None and peer.fit)
     return len(group) == len(view.chain) and _all_hear(group)
@@ -144,7 +147,9 @@
 
 
 def waits_for_joiners(view: View, proposal: View, peers: Mapping[str, Peer]) -> bool:
-    """Whether a proposal only lets machines join a whole chain, while others are about to be able to join."""
+    """Whether a proposal only lets machines join a whole chain, while others are about to be able
+    to join.
+    """
     members = {link.voter for link in proposal.chain}
     if not whole(view, peers) or not {link.voter for link in view.chain} < members:
         return False
@@ -154,7 +159,9 @@
 
 
 def _complete(view: View, peers: Mapping[str, Peer]) -> bool:
-    """Whether every known machine is in the chain and well: the ordinary state, told without a search."""
+    """Whether every known machine is in the chain and well: the ordinary state, told without a
+    search.
+    """
     if not len(peers) == len(view.chain) == len(view.voters):
         return False
     return (
@@ -235,7 +242,9 @@
 def _takes_state_over(
     view: View, chain: tuple[Link, ...], peers: Mapping[str, Peer], rules: Rules
 ) -> bool:
-    """Whether a chain should wait for a member of it that the present view's head is bringing up to date."""
+    """Whether a chain should wait for a member of it that the present view's head is bringing up to
+    date.
+    """
     members = [peers[link.voter.address] for link in chain]
     intact_members = sum(intact(view, peer) for peer in members)
     behind = any(
@@ -254,7 +263,8 @@
 def _order(view: View, group: tuple[Peer, ...]) -> tuple[Link, ...]:
     """Head first. Those who were in the chain keep their order, behind an intact head.
 
-    Whoever is new goes before the tail if that isn't the head: the tail, which answers, stays the same one.
+    Whoever is new goes before the tail if that isn't the head: the tail, which answers, stays the
+    same one.
     """
     stayed = [peer for peer in group if link_of(view, peer.voter) is not None]
     new = [peer for peer in group if link_of(view, peer.voter) is None]
--- a/roselink/coordination/votes.py
+++ b/roselink/coordination/votes.py
@@ -1,9 +1,10 @@
-"""Single-decree Paxos on the view that follows: one voter's vote, and one proposer's attempt. No I/O, no
-clock.
+"""Single-decree Paxos on the view that follows: one voter's vote, and one proposer's attempt. No
+I/O, no clock.
 
-Each epoch is an instance of its own among the voters of the view before. A voter's answers may leave only
-once `Votes` is on its disk: `Voting.version` counts changes, and the member holds each answer until its
-version is durable. A voter that has learned the decided view answers nothing about that instance any more.
+Each epoch is an instance of its own among the voters of the view before. A voter's answers may
+leave only once `Votes` is on its disk: `Voting.version` counts changes, and the member holds each
+answer until its version is durable. A voter that has learned the decided view answers nothing about
+that instance any more.
 """
 
 from __future__ import annotations
@@ -26,7 +27,9 @@
 
 @dataclass(slots=True)
 class Voting:
-    """A voter's own part. `view` is the newest decided view it knows; the votes are on its successor."""
+    """A voter's own part. `view` is the newest decided view it knows; the votes are on its
+    successor.
+    """
 
     voter: Voter
     view: View | None = None
--- a/roselink/dataplane/admission.py
+++ b/roselink/dataplane/admission.py
@@ -1,4 +1,6 @@
-"""Whether a request may go on, by configuration and keys, and what the decider is told of it. No I/O."""
+"""Whether a request may go on, by configuration and keys, and what the decider is told of it. No
+I/O.
+"""
 
 from __future__ import annotations
 
@@ -34,7 +36,9 @@
 
 
 class Admitted(NamedTuple):
-    """The route of a request, and the tenant whose key it brings (None on routes that take no key)."""
+    """The route of a request, and the tenant whose key it brings (None on routes that take no
+    key).
+    """
 
     entry: RouteEntry
     tenant: Tenant | None
@@ -46,17 +50,19 @@
 def unconfigured_retry_s(request: ProxyRequest, chance: float) -> float:
     """When a client is to come back to a gateway that was never configured, in seconds.
 
-    Most likely many gateways start, and the others are no better off. A client that comes back before there
-    are hosts is refused again, and few come a third time; one that comes later than it had to loses little.
-    `chance` is drawn from 0 to 1, so that those who were refused together come back apart.
+    Most likely many gateways start, and the others are no better off. A client that comes back
+    before there are hosts is refused again, and few come a third time; one that comes later than it
+    had to loses little. `chance` is drawn from 0 to 1, so that those who were refused together come
+    back apart.
     """
     told = UNCONFIGURED_RETRY_S * (1 + UNCONFIGURED_SPREAD * (2 * chance - 1))
     return told if request.deadline_s is None else min(told, CLIENT_PART * request.deadline_s)
 
 
 def judge(table: RouteTable | None, keys_usable: bool, request: ProxyRequest) -> Refusal | Admitted:
-    """What the configuration says. A gateway that can't confirm its keys refuses by none, and does not call
-    a route unknown, as it may have missed one."""
+    """What the configuration says. A gateway that can't confirm its keys refuses by none, and does
+    not call a route unknown, as it may have missed one.
+    """
     if table is None:
         return NOT_CONFIRMED
     entry = table.find(request.host, request.path)
--- a/roselink/dataplane/attempts.py
+++ b/roselink/dataplane/attempts.py
@@ -45,7 +45,9 @@
         self._loop, self._upstream, self._hosts, self._owner = loop, upstream, hosts, owner
 
     def send(self, exchange: Exchange | None, action: SendAttempt) -> None:
-        """Begin one, or report that it is moot: its request is over, its host gone, or its key doubtful."""
+        """Begin one, or report that it is moot: its request is over, its host gone, or its key
+        doubtful.
+        """
         host = self._hosts.get(action.host)
         if exchange is not None:
             exchange.sends += 1
@@ -82,8 +84,9 @@
         return in_time and self._wanted(exchange)
 
     def _wanted(self, exchange: Exchange) -> bool:
-        """Asked right before each write. What may run once only is never sent while another attempt of it may
-        have run, whatever the decider says."""
+        """Asked right before each write. What may run once only is never sent while another attempt
+        of it may have run, whatever the decider says.
+        """
         once = not exchange.route.repeatable
         return not (once and exchange.may_run) and self._owner.wanted(exchange)
 
@@ -128,7 +131,9 @@
         self._owner.settle(exchange)
 
     def _succeeded(self, answer: AttemptAnswer) -> bool:
-        """A whole answer with its stamp: pass on what of it has not gone on. False if it turns out cut."""
+        """A whole answer with its stamp: pass on what of it has not gone on. False if it turns out
+        cut.
+        """
         exchange = answer.exchange
         if exchange.closed or not answer.may_go_on:
             return True
@@ -143,8 +148,9 @@
         return True
 
     def _failed(self, answer: AttemptAnswer) -> bool:
-        """A whole answer that is no success. A host's 4xx is the client's own; a failure is kept while the
-        decider may try again. Whether the client has it."""
+        """A whole answer that is no success. A host's 4xx is the client's own; a failure is kept
+        while the decider may try again. Whether the client has it.
+        """
         exchange, failure = answer.exchange, answer.failure()
         if failure is None or exchange.closed or exchange.begun:
             return False
--- a/roselink/dataplane/engine.py
+++ b/roselink/dataplane/engine.py
@@ -1,8 +1,8 @@
 """Drives the decider: events in, actions out, timers, one clock. Owns the open requests.
 
-Nothing about hosts, retries or refusals is decided here. What the engine adds is what real sockets need: an
-answer in time even if the decider says nothing, promises kept whatever it says, and a fault in one request
-that stays that request's own.
+Nothing about hosts, retries or refusals is decided here. What the engine adds is what real sockets
+need: an answer in time even if the decider says nothing, promises kept whatever it says, and a
+fault in one request that stays that request's own.
 """
 
 from __future__ import annotations
@@ -87,8 +87,9 @@
     # From the authority.
 
     def refresh(self) -> None:
-        """Take over the snapshot in force. It takes effect on the sockets first: what it ends must not get a
-        byte more. The decider hears of it before it hears what became of that."""
+        """Take over the snapshot in force. It takes effect on the sockets first: what it ends must
+        not get a byte more. The decider hears of it before it hears what became of that.
+        """
         snapshot = self._authority.snapshot()
         if snapshot is None:
             return
@@ -104,7 +105,9 @@
     # From the client side.
 
     def accept(self, request: ProxyRequest, client: ClientAnswer) -> Exchange | None:
-        """Take a request; None if it is answered already. The client gets one answer, unless it leaves."""
+        """Take a request; None if it is answered already. The client gets one answer, unless it
+        leaves.
+        """
         self.counts["requests"] += 1
         if self.table is None:
             self._refuse(client, 503, unconfigured_retry_s(request, self._random.random()))
@@ -186,7 +189,9 @@
         exchange.guard = self._loop.call_at(at, self._out_of_time, exchange)
 
     def _out_of_time(self, exchange: Exchange) -> None:
-        """The decider hears that the attempts were timed out; the last word is said now in any case."""
+        """The decider hears that the attempts were timed out; the last word is said now in any
+        case.
+        """
         if exchange.closed:
             return
         ends_at = exchange.expires_at + STREAM_OVER_S
@@ -233,7 +238,9 @@
     # What the attempts ask and tell.
 
     def wanted(self, exchange: Exchange) -> bool:
-        """Asked right before each write to a host: does someone wait, and does the key still count."""
+        """Asked right before each write to a host: does someone wait, and does the key still
+        count.
+        """
         if exchange.closed:
             return False
         if exchange.client.gone():
@@ -293,7 +300,9 @@
             self._quotas.give_back(exchange.tenant, amount_of(exchange.request, exchange.tenant))
 
     def _close(self, exchange: Exchange) -> None:
-        """It has its final answer, or nobody waits for one. The decider is told, and what is out ends."""
+        """It has its final answer, or nobody waits for one. The decider is told, and what is out
+        ends.
+        """
         exchange.closed = True
         if self.open.pop(exchange.number, None) is None:
             return
--- a/roselink/dataplane/events.py
+++ b/roselink/dataplane/events.py
@@ -1,4 +1,5 @@
-"""Event streams without I/O: cut bytes into whole events, and keep a resumed stream without gap or repeat.
+"""Event streams without I/O: cut bytes into whole events, and keep a resumed stream without gap or
+repeat.
 
 An event ends with an empty line. Ids are whole numbers that rise.
 """
@@ -15,7 +16,9 @@
 
 
 class StreamEvent(NamedTuple):
-    """One whole event as it came. `id`: None where it has none; `comment`: it has no field at all."""
+    """One whole event as it came. `id`: None where it has none; `comment`: it has no field at
+    all.
+    """
 
     data: bytes
     id: int | None
@@ -79,8 +82,9 @@
 
 
 class StreamFilter:
-    """One attempt's stream on its way: what of it goes on. With `resumed`, events that the client has are
-    left out, and a stream that leaves some out sets `gap`."""
+    """One attempt's stream on its way: what of it goes on. With `resumed`, events that the client
+    has are left out, and a stream that leaves some out sets `gap`.
+    """
 
     def __init__(self, progress: Progress, resumed: bool) -> None:
         self._progress, self._resumed = progress, resumed
--- a/roselink/dataplane/exchange.py
+++ b/roselink/dataplane/exchange.py
@@ -1,7 +1,8 @@
-"""One client request from its admission to its last byte: the answers of its attempts, and which goes on.
+"""One client request from its admission to its last byte: the answers of its attempts, and which
+goes on.
 
-At most one attempt's answer goes on to the client. An answer is held until it is whole, an event stream until
-its first event; a resumed stream goes on inside the answer that the first host began.
+At most one attempt's answer goes on to the client. An answer is held until it is whole, an event
+stream until its first event; a resumed stream goes on inside the answer that the first host began.
 """
 
 from __future__ import annotations
@@ -67,7 +68,9 @@
 
 
 class Exchange:
-    """One request. `attempts`: those still out; `closed`: it has its final answer, or its client has left."""
+    """One request. `attempts`: those still out; `closed`: it has its final answer, or its client
+    has left.
+    """
 
     def __init__(
         self,
@@ -268,7 +271,9 @@
         return HeldAnswer(self.status, relayed_headers(self.headers), b"".join(self._body))
 
     def failure(self) -> HeldAnswer | None:
-        """The host's own failure, if a client may see it: no status that promises what nobody knows."""
+        """The host's own failure, if a client may see it: no status that promises what nobody
+        knows.
+        """
         if (
             self._outcome is not Outcome.ERROR
             or self.status in PROMISES
--- a/roselink/dataplane/interfaces.py
+++ b/roselink/dataplane/interfaces.py
@@ -1,4 +1,6 @@
-"""What the data plane is given by the rest of the process. All calls are made on the loop's thread."""
+"""What the data plane is given by the rest of the process. All calls are made on the loop's
+thread.
+"""
 
 from __future__ import annotations
 
@@ -11,10 +13,12 @@
 
 
 class Decisions(Protocol):
-    """Which host gets which attempt, and when to give up. The engine feeds it, in this order for each
-    request: `RequestArrived`; then `FirstEvent` (of each attempt whose events go on, once), `AttemptEnded`
-    and `BudgetDecided` as they come; `RequestClosed` once. Each attempt that was asked for ends with one
-    `AttemptEnded`, also one called off by the close, behind `RequestClosed`."""
+    """Which host gets which attempt, and when to give up. The engine feeds it, in this order for
+    each request: `RequestArrived`; then `FirstEvent` (of each attempt whose events go on, once),
+    `AttemptEnded` and `BudgetDecided` as they come; `RequestClosed` once. Each attempt that was
+    asked for ends with one `AttemptEnded`, also one called off by the close, behind
+    `RequestClosed`.
+    """
 
     def handle(self, now: float, event: Event) -> list[Action]: ...
 
@@ -37,7 +41,9 @@
     """The tenants' quotas over all gateways."""
 
     def admit(self, tenant: Tenant, amount: float, decide: Callable[[bool, float], None]) -> None:
-        """Ask for `amount` requests or tokens; `decide(allowed, retry_after_s)` comes once, maybe later."""
+        """Ask for `amount` requests or tokens; `decide(allowed, retry_after_s)` comes once, maybe
+        later.
+        """
         ...
 
     def give_back(self, tenant: Tenant, amount: float) -> None:
--- a/roselink/dataplane/queue.py
+++ b/roselink/dataplane/queue.py
@@ -23,7 +23,9 @@
 
 
 class EventQueue:
-    """Feeds one decider. `perform` carries an action out; `fail` ends a request that a fault has struck."""
+    """Feeds one decider. `perform` carries an action out; `fail` ends a request that a fault has
+    struck.
+    """
 
     def __init__(
         self,
@@ -37,7 +39,9 @@
         self._busy = False
 
     def feed(self, event: Event) -> None:
-        """Give the decider one event. What an action brings about at once is fed after it, in order."""
+        """Give the decider one event. What an action brings about at once is fed after it, in
+        order.
+        """
         self._events.append(event)
         self.run()
 
--- a/roselink/dataplane/requests.py
+++ b/roselink/dataplane/requests.py
@@ -16,7 +16,8 @@
 )
 # Not passed on to a host as the client sent them: set here, or not for hosts to see.
 _OWN = frozenset(
-    b"authorization content-length expect x-tenant-id x-target-instance x-request-deadline priority "
+    b"authorization content-length expect x-tenant-id x-target-instance x-request-deadline "
+    b"priority "
     b"expect-version last-event-id".split()
 )
 _ONCE = frozenset(
@@ -31,8 +32,9 @@
 
 @dataclass(slots=True)
 class ProxyRequest:
-    """One whole request. `since`: loop time from which its deadline counts; `deadline_s`: how long its client
-    waits, None if it does not say; `version`: of HTTP, as its client speaks it."""
+    """One whole request. `since`: loop time from which its deadline counts; `deadline_s`: how long
+    its client waits, None if it does not say; `version`: of HTTP, as its client speaks it.
+    """
 
     method: bytes
     url: bytes
--- a/roselink/dataplane/server.py
+++ b/roselink/dataplane/server.py
@@ -174,8 +174,9 @@
         self._apply()
 
     def limit(self, limits: Limits) -> None:
-        """Go by a configuration's limits from now on, and by those before where they allow more: clients that
-        have not heard of the new ones, or sent before them, keep within the old."""
+        """Go by a configuration's limits from now on, and by those before where they allow more:
+        clients that have not heard of the new ones, or sent before them, keep within the old.
+        """
         if limits != self._limits[-1]:
             self._limits = (self._limits[-1], limits) if self._told else (limits,)
             self._apply()
--- a/roselink/dataplane/topology.py
+++ b/roselink/dataplane/topology.py
@@ -19,8 +19,9 @@
         self._bounds: tuple[int, dict[str, int]] = (0, {})
 
     def update(self, snapshot: Snapshot) -> None:
-        """Go by a snapshot. What drains or is gone gets nothing new; what runs there runs on. Hosts whose
-        line is the very same as before, under the same bounds, are passed over."""
+        """Go by a snapshot. What drains or is gone gets nothing new; what runs there runs on. Hosts
+        whose line is the very same as before, under the same bounds, are passed over.
+        """
         gateways = len(snapshot.roster) or ROSTER_GUESS
         limits = {
             service.name: service.max_connections for service in snapshot.configuration.services
--- a/roselink/dataplane/upstream.py
+++ b/roselink/dataplane/upstream.py
@@ -1,7 +1,7 @@
 """The host side: pooled connections that pass an answer on as it comes.
 
-What parts it from the gateway's `Upstream`: bodies go on piece by piece, silence is no failure, a surplus
-answer is told by its id, and each host takes so many connections from here and no more.
+What parts it from the gateway's `Upstream`: bodies go on piece by piece, silence is no failure, a
+surplus answer is told by its id, and each host takes so many connections from here and no more.
 """
 
 from __future__ import annotations
--- a/roselink/distribution/host_changes.py
+++ b/roselink/distribution/host_changes.py
@@ -13,8 +13,9 @@
 
 
 def completed(reply: ChangesReply, held: int, hosts: tuple[Host, ...]) -> PullReply | None:
-    """The reply with its whole document, and its whole list from the list held under a version; None if it
-    can't be read, or its changes are from another version."""
+    """The reply with its whole document, and its whole list from the list held under a version;
+    None if it can't be read, or its changes are from another version.
+    """
     try:
         listed = _listed(reply, held, hosts)
         configuration = (
--- a/roselink/distribution/pull.py
+++ b/roselink/distribution/pull.py
@@ -1,9 +1,11 @@
-"""The gateway's pulls: which core member to ask and when, what is in force, and how long keys may be used.
-
-No clock and no I/O: `now` is seconds of one monotonic clock. Parts of the snapshot only move forward. The
-lease on keys begins when a confirmed pull was SENT: a key's removal that was acknowledged before then is in
-the reply, and one acknowledged later leaves `revoke_ms` from a moment after it. A request was sent by its
-client before the gateway checks, so the check itself needs no more than a margin for clock rates.
+"""The gateway's pulls: which core member to ask and when, what is in force, and how long keys may
+be used.
+
+No clock and no I/O: `now` is seconds of one monotonic clock. Parts of the snapshot only move
+forward. The lease on keys begins when a confirmed pull was SENT: a key's removal that was
+acknowledged before then is in the reply, and one acknowledged later leaves `revoke_ms` from a
+moment after it. A request was sent by its client before the gateway checks, so the check itself
+needs no more than a margin for clock rates.
 """
 
 from __future__ import annotations
@@ -143,7 +145,9 @@
     def answered(
         self, call: int, reply: PullReply | ChangesReply | None, now: float
     ) -> list[Effect]:
-        """The outcome of a call: the reply, or None. A reply whose hosts can't be read counts as none."""
+        """The outcome of a call: the reply, or None. A reply whose hosts can't be read counts as
+        none.
+        """
         if self._open is None or self._open[0] != call:
             return []
         sent_at = self._open[1]
@@ -166,8 +170,9 @@
         return effects
 
     def _pause_s(self) -> float:
-        """Until the next pull. Without any list of hosts nothing goes on here: the core will have one soon,
-        or not for long."""
+        """Until the next pull. Without any list of hosts nothing goes on here: the core will have
+        one soon, or not for long.
+        """
         if self._vector.hosts:
             return PULL_EVERY_S
         self._bare_s = min(PULL_EVERY_S, self._bare_s * BACKOFF_GROWTH)
@@ -198,7 +203,9 @@
             self._arrange()
 
     def _arrange(self) -> None:
-        """The member that answered last stays first; then the core's own list, hints, and seeds, shuffled."""
+        """The member that answered last stays first; then the core's own list, hints, and seeds,
+        shuffled.
+        """
         first = self._order[:1] if self._failures == 0 and self._calls else []
         order: list[Address] = [address for address in first if address in self._cores]
         for group in (self._cores, self._hints, self._seeds):
@@ -208,7 +215,9 @@
         self._order = order or self._order
 
     def _take(self, reply: PullReply, sent_at: float) -> list[Effect]:
-        """Move each part forward. A reply that misses a configuration it should have confirms nothing."""
+        """Move each part forward. A reply that misses a configuration it should have confirms
+        nothing.
+        """
         held, told = self._vector, reply.vector
         changed = self._parts
         effects: list[Effect] = []
--- a/roselink/distribution/puller.py
+++ b/roselink/distribution/puller.py
@@ -1,4 +1,6 @@
-"""Drives a `PullMachine`: its calls over a `PeerPool`, its timer, and the seeds in the settings file."""
+"""Drives a `PullMachine`: its calls over a `PeerPool`, its timer, and the seeds in the settings
+file.
+"""
 
 from __future__ import annotations
 
@@ -34,8 +36,9 @@
 
 
 class Puller:
-    """What is in force at this gateway, kept new. Times are of `time.monotonic`: an event loop's cached clock
-    is behind after a freeze, and a lease judged by it would last too long."""
+    """What is in force at this gateway, kept new. Times are of `time.monotonic`: an event loop's
+    cached clock is behind after a freeze, and a lease judged by it would last too long.
+    """
 
     def __init__(
         self,
@@ -91,7 +94,9 @@
     def share_payoffs(
         self, outcomes: Callable[[], tuple[HostOutcomes, ...]], told: Callable[[Payoffs], None]
     ) -> None:
-        """Report `outcomes()` with each pull, and call `told` with what all gateways' reports come to."""
+        """Report `outcomes()` with each pull, and call `told` with what all gateways' reports come
+        to.
+        """
         self._machine.outcomes, self._on_payoffs = outcomes, told
 
     def cores(self) -> tuple[str, ...]:
--- a/roselink/gateway/__main__.py
+++ b/roselink/gateway/__main__.py
@@ -63,8 +63,9 @@
         log.info("%s listens on %s:%d", self.config.name, self.config.listen[0], self.port)
 
     def reload(self, environment: Mapping[str, str]) -> None:
-        """Take over what a new file changes: the address of discovery. List, connections and open requests
-        stay as they are, also while draining; a file that cannot work changes nothing."""
+        """Take over what a new file changes: the address of discovery. List, connections and open
+        requests stay as they are, also while draining; a file that cannot work changes nothing.
+        """
         try:
             with self._for_reload.lent():
                 config = reload(environment)
@@ -87,8 +88,9 @@
                 log.exception("a sweep failed")
 
     async def drain(self) -> None:
-        """Answers say `Connection: close` at once; the listener and idle connections stay while the front
-        may still send, for ending them first would lose what crosses the close."""
+        """Answers say `Connection: close` at once; the listener and idle connections stay while the
+        front may still send, for ending them first would lose what crosses the close.
+        """
         longest_s = (
             max((route.deadline_us for route in self.config.settings.routes), default=0) / 1e6
         )
--- a/roselink/gateway/config.py
+++ b/roselink/gateway/config.py
@@ -1,6 +1,7 @@
 """What a gateway is told at its start and at a reload: `GW_*` and the JSON file, as typed values.
 
-Everything is checked here, once, so that a gateway that came up has no missing value to trip over at night.
+Everything is checked here, once, so that a gateway that came up has no missing value to trip over
+at night.
 """
 
 from __future__ import annotations
@@ -18,7 +19,8 @@
 
 Address = tuple[str, int]
 
-OWN = 24  # descriptors for what is no connection: listener, event loop, standard streams, watch, reload
+# descriptors for what is no connection: listener, event loop, standard streams, watch, reload
+OWN = 24
 LENT = 12  # descriptors on which those are told that find none left
 RESERVED = OWN + LENT
 
@@ -28,8 +30,9 @@
 
 
 class Descriptors:
-    """Counts the open sockets of both sides. Guards against running into the process's limit, where an
-    accept or a connect fails at a place that can no longer answer anyone."""
+    """Counts the open sockets of both sides. Guards against running into the process's limit, where
+    an accept or a connect fails at a place that can no longer answer anyone.
+    """
 
     def __init__(self, limit: int) -> None:
         self.limit = max(1, limit - RESERVED)
@@ -40,7 +43,9 @@
 
 
 class HeldDescriptor:
-    """One that no client can take: free only within a block that does not wait, to open a file in it."""
+    """One that no client can take: free only within a block that does not wait, to open a file in
+    it.
+    """
 
     def __init__(self) -> None:
         self._held = socket.socket()
@@ -56,7 +61,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """One gateway's configuration. The names that the sockets use stand in their order in the settings."""
+    """One gateway's configuration. The names that the sockets use stand in their order in the
+    settings.
+    """
 
     name: str
     listen: Address
@@ -114,7 +121,9 @@
 
 
 def load(environment: Mapping[str, str]) -> Config:
-    """The configuration that the environment points at; raises `ConfigError` where it cannot work."""
+    """The configuration that the environment points at; raises `ConfigError` where it cannot
+    work.
+    """
     path = environment.get("GW_CONFIG")
     if not path:
         raise ConfigError("GW_CONFIG: missing")
@@ -157,7 +166,9 @@
 
 
 def reload(environment: Mapping[str, str]) -> Config:
-    """The file as it is now. Its `discovery` counts, not the environment's, which is that of the start."""
+    """The file as it is now. Its `discovery` counts, not the environment's, which is that of the
+    start.
+    """
     return load({name: value for name, value in environment.items() if name != "GW_DISCOVERY"})
 
 
--- a/roselink/gateway/connections.py
+++ b/roselink/gateway/connections.py
@@ -1,8 +1,9 @@
-"""Client connections of any HTTP server here: parsing, limits, one request at a time, idle ends, draining.
+"""Client connections of any HTTP server here: parsing, limits, one request at a time, idle ends,
+draining.
 
-Clients are not trusted: heads, bodies, half requests, idle and unread connections are all bounded, and what
-cannot be read costs the connection that sent it and nothing else. What a request means and who answers it is
-the part of the subclasses.
+Clients are not trusted: heads, bodies, half requests, idle and unread connections are all bounded,
+and what cannot be read costs the connection that sent it and nothing else. What a request means and
+who answers it is the part of the subclasses.
 """
 
 from __future__ import annotations
@@ -47,8 +48,10 @@
 UNHEARD_S = (
     0.2  # after which a first request would have been read here, or a last answer by the client
 )
-TAKE_S = 0.2  # for connections that wait to be accepted when the listener closes, however many still come
-HEARD_PART = 0.25  # of the descriptors: past it the longest idle client connection ends, for new ones to come
+# for connections that wait to be accepted when the listener closes, however many still come
+TAKE_S = 0.2
+# of the descriptors: past it the longest idle client connection ends, for new ones to come
+HEARD_PART = 0.25
 END_TRIES = 8  # connections looked at to make room for one: each look costs a system call
 LINGER_S, LINGER_BYTES = (
     1.0,
@@ -57,7 +60,9 @@
 
 
 class Sizes(NamedTuple):
-    """What a request may hold, in bytes. `message`: all of it, a chunked body's framing included."""
+    """What a request may hold, in bytes. `message`: all of it, a chunked body's framing
+    included.
+    """
 
     head: int
     body: int
@@ -65,9 +70,10 @@
 
 
 class Times(NamedTuple):
-    """How long a client may take, in seconds. `head` and `body`: from a request's first byte until they are
-    whole; `unread`: to take an answer; `idle`: by the requests that its connection has brought, the last one
-    for all higher numbers."""
+    """How long a client may take, in seconds. `head` and `body`: from a request's first byte until
+    they are whole; `unread`: to take an answer; `idle`: by the requests that its connection has
+    brought, the last one for all higher numbers.
+    """
 
     head: float
     body: float
@@ -76,9 +82,10 @@
 
 
 def check_framing(version: str, headers: list[tuple[bytes, bytes]], body_limit: int) -> None:
-    """Raise `Bad` unless it is beyond doubt where the request ends. Guards against one hidden in the body of
-    another: a host that goes by the other of two headers would run it. The parser has checks of its own, but
-    what it is lenient about changes with its version."""
+    """Raise `Bad` unless it is beyond doubt where the request ends. Guards against one hidden in
+    the body of another: a host that goes by the other of two headers would run it. The parser has
+    checks of its own, but what it is lenient about changes with its version.
+    """
     framing = [
         (n.lower().replace(b"_", b"-").strip(), n, v) for n, v in headers if n[:1] in b"cCtT"
     ]
@@ -107,7 +114,9 @@
 
 
 class Pending:
-    """A request that is complete, or the status that it gets, waiting for its turn on the connection."""
+    """A request that is complete, or the status that it gets, waiting for its turn on the
+    connection.
+    """
 
     def __init__(self, request: Any, status: int, keep: bool, why: str = "") -> None:
         self.request, self.status, self.keep, self.why = request, status, keep, why
@@ -116,8 +125,8 @@
 class HttpConnection(asyncio.Protocol):
     """One client connection: one request at a time, those sent ahead in order.
 
-    A subclass says what a whole request is (`_read`), begins its answer (`_serve`), writes it (`_write`) and
-    calls `_finish` behind its last byte.
+    A subclass says what a whole request is (`_read`), begins its answer (`_serve`), writes it
+    (`_write`) and calls `_finish` behind its last byte.
     """
 
     def __init__(self, server: HttpServer) -> None:
@@ -185,13 +194,16 @@
                 self.abort()
             return
         if not self._unfed:
-            # What lay unread for a while may have come at any time in it: its client counts from then on.
+            # What lay unread for a while may have come at any time in it: its client counts from
+            # then on.
             self._read_at, self._empty_at = min(self._server.loop.time(), self._empty_at), math.inf
         self._unfed += data
         self._advance()
 
     def _feed(self) -> None:
-        """Parse what was read, no further ahead than a client needs; the rest waits, as the client must."""
+        """Parse what was read, no further ahead than a client needs; the rest waits, as the client
+        must.
+        """
         while (
             self._unfed
             and len(self._backlog) < AHEAD
@@ -210,7 +222,8 @@
                     if self._received > self._server.sizes.message:
                         raise Bad(413, "request too long")
             except httptools.HttpParserUpgrade:
-                # The offer is not taken up: the request is served, and what follows is not HTTP any more.
+                # The offer is not taken up: the request is served, and what follows is not HTTP any
+                # more.
                 self._ended, self._backlog[-1].keep = True, False
             except (httptools.HttpParserError, Bad) as error:
                 bad = (
@@ -308,7 +321,9 @@
     # What a subclass says.
 
     def _read(self, method: bytes, keep: bool) -> Pending:
-        """The request that has just come whole; raises `Bad`. `keep`: its client lets the connection stay."""
+        """The request that has just come whole; raises `Bad`. `keep`: its client lets the
+        connection stay.
+        """
         raise NotImplementedError
 
     def _serve(self, pending: Pending) -> None:
@@ -321,8 +336,9 @@
     # An answer.
 
     def _may_keep(self) -> bool:
-        """Whether the connection stays open behind this answer. What was sent ahead has been taken and is
-        owed an answer, also where it lies in the kernel: the last answer says `close`."""
+        """Whether the connection stays open behind this answer. What was sent ahead has been taken
+        and is owed an answer, also where it lies in the kernel: the last answer says `close`.
+        """
         ahead = bool(self._backlog) or bool(self._unfed) or self._partial
         if ahead or not self._server.draining or not self._keep:
             return self._keep
@@ -347,8 +363,10 @@
             self._close()
 
     def _close(self) -> None:
-        """End the connection after its last answer. A close on unread bytes would reset it and could take
-        the answer along, so the sending side ends first and what still comes is thrown away for a while."""
+        """End the connection after its last answer. A close on unread bytes would reset it and
+        could take the answer along, so the sending side ends first and what still comes is thrown
+        away for a while.
+        """
         self._ended = True
         self._backlog.clear()
         self._unfed = b""
@@ -362,8 +380,9 @@
             self._server.loop.call_later(LINGER_S, self._lingered)
 
     def _lingered(self) -> None:
-        """The end of the time that a last answer has. (`sweep` ends a connection whose client does not take
-        it.)"""
+        """The end of the time that a last answer has. (`sweep` ends a connection whose client does
+        not take it.)
+        """
         if self._transport is not None and not self.close_left():
             self._server.loop.call_later(LINGER_S, self._lingered)
 
@@ -376,7 +395,9 @@
             self._transport.abort()
 
     def gone(self) -> bool:
-        """Whether the client has left. Not read any further, its connection would stay: it ends here."""
+        """Whether the client has left. Not read any further, its connection would stay: it ends
+        here.
+        """
         if self._look is not None and self._look.left():
             self.abort()
             return True
@@ -385,28 +406,35 @@
     # What the server asks.
 
     def idle(self) -> bool:
-        """Whether it is between two requests, as far as this process has read, with all answers gone out."""
+        """Whether it is between two requests, as far as this process has read, with all answers
+        gone out.
+        """
         busy = self._serving or self._backlog or self._unfed or self._partial or self._unread
         return not (busy or self._ended)
 
     def close_idle(self) -> bool:
-        """End it between two requests, by our choice; whether it ended. A request that lies unread in the
-        kernel has been taken and is owed an answer, and a close on it would be a reset."""
+        """End it between two requests, by our choice; whether it ended. A request that lies unread
+        in the kernel has been taken and is owed an answer, and a close on it would be a reset.
+        """
         if self._look is None or self._look.unread():
             return False
         self.abort()
         return True
 
     def close_left(self) -> bool:
-        """End it after its last answer, once the kernel has that; whether it ended. What comes meanwhile is
-        read first: a close on it would be a reset, which takes along what the client's kernel has not got."""
+        """End it after its last answer, once the kernel has that; whether it ended. What comes
+        meanwhile is read first: a close on it would be a reset, which takes along what the client's
+        kernel has not got.
+        """
         if self._unread or self._look is None or self._look.unread():
             return False
         self.abort()
         return True
 
     def sweep(self, now: float, times: Times) -> None:
-        """Ends what takes too long. Guards the descriptors against clients that come and say nothing."""
+        """Ends what takes too long. Guards the descriptors against clients that come and say
+        nothing.
+        """
         waited = now - self.last_change
         if self._unread and waited > times.unread:
             self.abort()
@@ -468,16 +496,18 @@
     # The crowd of connections.
 
     async def listen(self, host: str, port: int) -> int:
-        # Bound here: for a host's name the loop starts threads that resolve it, and imports what encodes it.
+        # Bound here: for a host's name the loop starts threads that resolve it, and imports what
+        # encodes it.
         bound = socket.create_server((host, port), backlog=BACKLOG)
         self._listener = await self.loop.create_server(self.connection, sock=bound, backlog=BACKLOG)
         port_used: int = self._listener.sockets[0].getsockname()[1]
         return port_used
 
     def joined(self, connection: HttpConnection) -> None:
-        """Past the clients' part of the descriptors each new connection ends another. Guards against floods:
-        first go those that have their last answer and those that never said anything, then those between two
-        requests, never one with a request."""
+        """Past the clients' part of the descriptors each new connection ends another. Guards
+        against floods: first go those that have their last answer and those that never said
+        anything, then those between two requests, never one with a request.
+        """
         self._descriptors.used += 1
         self.connections[connection] = self._unheard[connection] = None
         if len(self.connections) > self._most:
@@ -503,8 +533,10 @@
         self._resting.pop(connection, None)
 
     def rests(self, connection: HttpConnection) -> None:
-        """It is between two requests. Clients may hold so many connections here and no more: guards against
-        those that ask once and stay, which would take the places of all others for as long as they may."""
+        """It is between two requests. Clients may hold so many connections here and no more: guards
+        against those that ask once and stay, which would take the places of all others for as long
+        as they may.
+        """
         self._resting[connection] = None
         heard = len(self.connections) - len(self._unheard) - len(self._leaving)
         if heard > self._heard_most and len(self._resting) > 1:
@@ -525,8 +557,9 @@
         self.closes(connection)
 
     def crowded(self) -> bool:
-        """Whether there are no descriptors left to serve one more: then it is turned away, not started. Part
-        of the reserved ones serves to tell those clients."""
+        """Whether there are no descriptors left to serve one more: then it is turned away, not
+        started. Part of the reserved ones serves to tell those clients.
+        """
         quiet = len(self._unheard) + len(self._resting) + len(self._leaving)
         return len(self.connections) - quiet > self._most
 
@@ -536,8 +569,9 @@
             connection.sweep(now, times)
 
     async def stop_taking(self) -> None:
-        """The front has stopped sending connections: no more are taken. Those that wait in the kernel have
-        been accepted by this machine, and are taken first: the close would reset them."""
+        """The front has stopped sending connections: no more are taken. Those that wait in the
+        kernel have been accepted by this machine, and are taken first: the close would reset them.
+        """
         if self._listener is None:
             return
         poll = select.poll()
@@ -553,8 +587,9 @@
             self._listener = None
 
     def close_idle(self) -> None:
-        """While draining: end those between two requests, and those of which none came in the time that a
-        first one takes."""
+        """While draining: end those between two requests, and those of which none came in the time
+        that a first one takes.
+        """
         settled = self.loop.time() - UNHEARD_S
         for connection in list(self.connections):
             if connection.idle() and (
--- a/roselink/gateway/discovery.py
+++ b/roselink/gateway/discovery.py
@@ -1,7 +1,9 @@
-"""Watches the list of hosts, for as long as the gateway runs, and turns what it tells into a `ServerList`.
+"""Watches the list of hosts, for as long as the gateway runs, and turns what it tells into a
+`ServerList`.
 
-The last list stands whatever happens to the watch: a fleet that runs is not given up because nobody tells of
-it. A list that makes no sense is not taken in part; the watch starts again from the last version understood.
+The last list stands whatever happens to the watch: a fleet that runs is not given up because nobody
+tells of it. A list that makes no sense is not taken in part; the watch starts again from the last
+version understood.
 """
 
 from __future__ import annotations
@@ -49,8 +51,9 @@
 
 
 class _Answer:
-    """What one call brings. Each has a parser and a framer of its own: nothing left of one call can mix with
-    what the next one brings."""
+    """What one call brings. Each has a parser and a framer of its own: nothing left of one call can
+    mix with what the next one brings.
+    """
 
     def __init__(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
@@ -70,7 +73,9 @@
             raise Malformed(f"status {self.status}")
 
     def values(self, fed: int) -> Iterator[bytes]:
-        """What the last `fed` bytes brought, up to what makes no sense: a list before that counts as told."""
+        """What the last `fed` bytes brought, up to what makes no sense: a list before that counts
+        as told.
+        """
         body = b"".join(self._body)
         self._body.clear()
         self._bare = 0 if body else self._bare + fed
@@ -95,7 +100,9 @@
 
 
 async def _connect(connection: socket.socket, address: Address) -> None:
-    """Connect a socket that does not block. (The loop's own call has threads resolve what is an address.)"""
+    """Connect a socket that does not block. (The loop's own call has threads resolve what is an
+    address.)
+    """
     error = connection.connect_ex(address)
     if error == errno.EINPROGRESS:
         loop, up = asyncio.get_running_loop(), asyncio.Event()
@@ -110,8 +117,9 @@
 
 
 class ReservedSocket:
-    """The descriptor of the calls. The socket of the next call is made in the very turn in which the one
-    before is closed: clients that take every descriptor there is find none in between."""
+    """The descriptor of the calls. The socket of the next call is made in the very turn in which
+    the one before is closed: clients that take every descriptor there is find none in between.
+    """
 
     def __init__(self) -> None:
         self._next: socket.socket | None = self._made()
@@ -181,9 +189,10 @@
     def follow(self, address: Address) -> None:
         """Watch another discovery from now on; the list held stands until its first answer.
 
-        The old watch takes no step more, so that nothing left in its buffers can undo what the new one tells.
-        Generations of two discoveries cannot be compared: the new one is asked for its whole list. (Changes
-        from version 0 on are no substitute: they leave out what was there at version 0.)
+        The old watch takes no step more, so that nothing left in its buffers can undo what the new
+        one tells. Generations of two discoveries cannot be compared: the new one is asked for its
+        whole list. (Changes from version 0 on are no substitute: they leave out what was there at
+        version 0.)
         """
         self.address, self._whole_due = address, True
         if self._task is not None:
@@ -191,7 +200,9 @@
             self._start(self._wait_s(Cause.MOVED))
 
     async def _run(self, wait_s: float) -> None:
-        """Watch for ever; a broken, silent or malformed watch is begun again at the fleet's pace."""
+        """Watch for ever; a broken, silent or malformed watch is begun again at the fleet's
+        pace.
+        """
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(wait_s)
@@ -208,7 +219,8 @@
             except OSError as error:
                 cause, reason = Cause.ENDED, str(error) or type(error).__name__
             except Exception:
-                # With no watch a drain would go unheard while all else seems well: no fault may end it.
+                # With no watch a drain would go unheard while all else seems well: no fault may end
+                # it.
                 log.exception("the watch of hosts failed")
                 cause, reason = Cause.REFUSED, "a fault of ours"
             if not self._watching and cause is not Cause.UNANSWERED:
@@ -230,8 +242,8 @@
     async def _ask(self, target: str, watch: bool = False) -> None:
         """Take each list of an answer as it comes.
 
-        A sign of life is a whole list or an empty line between two, nothing less: bytes that trickle in, or
-        an answer that stalls half way, tell nothing and must not keep a dead watch.
+        A sign of life is a whole list or an empty line between two, nothing less: bytes that
+        trickle in, or an answer that stalls half way, tell nothing and must not keep a dead watch.
         """
         loop, answer, connection = asyncio.get_running_loop(), _Answer(), self._reserve.take()
         try:
@@ -316,8 +328,9 @@
         return server, name, address
 
     def _zone(self, name: Any) -> int:
-        """The module's number of a zone. Those that the settings do not name differ from one another too:
-        as one zone their hosts would count as dropping each other's repeats."""
+        """The module's number of a zone. Those that the settings do not name differ from one
+        another too: as one zone their hosts would count as dropping each other's repeats.
+        """
         if name is None:
             return -1
         if not isinstance(name, str):
--- a/roselink/gateway/engine.py
+++ b/roselink/gateway/engine.py
@@ -1,7 +1,8 @@
 """Drives the decision module: events in, actions out, alarms, one clock. Owns the open requests.
 
-Nothing about hosts, retries or refusals is decided here. What the engine adds is what real sockets need: an
-answer in time even if the module says nothing, and a fault in one request that stays that request's own.
+Nothing about hosts, retries or refusals is decided here. What the engine adds is what real sockets
+need: an answer in time even if the module says nothing, and a fault in one request that stays that
+request's own.
 """
 
 from __future__ import annotations
@@ -41,8 +42,9 @@
 
 log = logging.getLogger("roselink.gateway.engine")
 
-# Before the client's deadline by this much the attempts are timed out and the module says its last word:
-# room for the way to the client, for a loop that runs late and for a core that another gateway has just now.
+# Before the client's deadline by this much the attempts are timed out and the module says its last
+# word: room for the way to the client, for a loop that runs late and for a core that another
+# gateway has just now.
 MARGIN_S = 0.040
 GUARD_S = 0.015  # and this much before it the engine answers by itself, if the module said nothing
 MARGIN_PART = (
@@ -72,7 +74,8 @@
     expires: float  # loop time at which the client stops waiting
     repeat: bool
     work_us: int | None
-    head: bytes  # what goes on unchanged: request line and headers, the deadline's and the last line apart
+    # what goes on unchanged: request line and headers, the deadline's and the last line apart
+    head: bytes
     body: bytes
 
 
@@ -97,8 +100,9 @@
 
 
 class Engine:
-    """One module, one clock. `now_us` is Unix time that never goes back, so starts of hosts told in Unix
-    time, also those before this process began, lie where they belong on it."""
+    """One module, one clock. `now_us` is Unix time that never goes back, so starts of hosts told in
+    Unix time, also those before this process began, lie where they belong on it.
+    """
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, balancer: Balancer, upstream: Upstream
@@ -127,7 +131,9 @@
     def accept(
         self, request: ClientRequest, reply: Callable[[Reply], None], gone: Callable[[], bool]
     ) -> OpenRequest:
-        """Take a request; `reply` is called once, before the client's deadline, unless it departs."""
+        """Take a request; `reply` is called once, before the client's deadline, unless it
+        departs.
+        """
         left_s = max(0.0, request.expires - self._loop.time())
         shrink = min(1.0, MARGIN_PART * left_s / MARGIN_S)
         opened = OpenRequest(
@@ -158,9 +164,11 @@
             self._forget(opened)
 
     def _wanted(self, opened: OpenRequest, before_us: int) -> bool:
-        """Asked right before each write to a host. A client's end comes with the loop's next turn, or not at
-        all while its connection is not read, and must not be overtaken by a retry, a hedge or a connect. Nor
-        may a connect that takes long carry an attempt past the time that the module gave it."""
+        """Asked right before each write to a host. A client's end comes with the loop's next turn,
+        or not at all while its connection is not read, and must not be overtaken by a retry, a
+        hedge or a connect. Nor may a connect that takes long carry an attempt past the time that
+        the module gave it.
+        """
         if opened.reply is not None and opened.gone():
             self.depart(opened)
         return opened.reply is not None and not 0 < before_us <= self.now_us()
@@ -178,8 +186,10 @@
     def update(
         self, servers: ServerList, names: dict[int, str], addresses: dict[int, Address]
     ) -> None:
-        """A list takes effect on the sockets first: what it ends must not get a byte more. The module hears
-        of it before it hears what became of that, or it would send again by the list before."""
+        """A list takes effect on the sockets first: what it ends must not get a byte more. The
+        module hears of it before it hears what became of that, or it would send again by the list
+        before.
+        """
         self._events.append(servers)
         self._busy = True
         try:
@@ -215,8 +225,9 @@
     # The module.
 
     def feed(self, event: Event) -> None:
-        """Give the module one event and carry out what it decides. What an action brings about at once is
-        fed after it, in order, never from inside the module."""
+        """Give the module one event and carry out what it decides. What an action brings about at
+        once is fed after it, in order, never from inside the module.
+        """
         self._events.append(event)
         if not self._busy:
             self._run()
@@ -233,7 +244,8 @@
         try:
             actions = self._balancer.handle(self.now_us(), [event])
         except Exception:
-            # One request's fault must not take the gateway down. What was decided before it still counts.
+            # One request's fault must not take the gateway down. What was decided before it still
+            # counts.
             log.exception("the module failed on %s", type(event).__name__)
             actions = self._balancer.actions
             if isinstance(event, Arrived | AttemptDone | StreamStarted):
@@ -303,7 +315,8 @@
                 partial(self._wanted, opened, action.before_us),
             )
         except Exception:
-            # A fault of ours that may have come after the first byte: the module must not take it for unsent.
+            # A fault of ours that may have come after the first byte: the module must not take it
+            # for unsent.
             log.exception("request %s could not be sent", opened.request.id)
             opened.attempts.append(None)
             self._events.append(AttemptDone(action.request, number, Outcome.RESET, 0))
--- a/roselink/gateway/framing.py
+++ b/roselink/gateway/framing.py
@@ -1,7 +1,9 @@
-"""Cuts a stream into the JSON objects that stand in it one behind the other, however they are laid out.
+"""Cuts a stream into the JSON objects that stand in it one behind the other, however they are laid
+out.
 
-Every byte is looked at once, whatever pieces it comes in: a list that trickles in costs no more work than one
-that comes whole. Size and depth are bounded, for a value that never ends must cost its connection only.
+Every byte is looked at once, whatever pieces it comes in: a list that trickles in costs no more
+work than one that comes whole. Size and depth are bounded, for a value that never ends must cost
+its connection only.
 """
 
 from __future__ import annotations
@@ -33,8 +35,9 @@
         return self._depth > 0
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """The values that `data` completes, in order, up to what cannot be one; an empty one for each stretch
-        between two values that holds a line's end, which is a sign of life."""
+        """The values that `data` completes, in order, up to what cannot be one; an empty one for
+        each stretch between two values that holds a line's end, which is a sign of life.
+        """
         start = at = 0  # where the value's part in `data` starts; how far it was looked at
         while at < len(data):
             if self._text:
--- a/roselink/gateway/look.py
+++ b/roselink/gateway/look.py
@@ -1,7 +1,7 @@
 """A look at a socket right before something is done with it that cannot be taken back.
 
-The loop tells of bytes and ends in its next turn only, and of neither while reading is paused. What is about
-to be closed, or written for someone who may have left, is asked here first.
+The loop tells of bytes and ends in its next turn only, and of neither while reading is paused. What
+is about to be closed, or written for someone who may have left, is asked here first.
 """
 
 from __future__ import annotations
@@ -29,9 +29,13 @@
         return bool(self._events())
 
     def left(self) -> bool:
-        """Whether the other side has ended its sending or is gone, however much of it is still unread."""
+        """Whether the other side has ended its sending or is gone, however much of it is still
+        unread.
+        """
         return bool(self._events() & _LEFT)
 
     def reset(self) -> bool:
-        """Whether the connection is gone in both directions, as a reset leaves it and an end does not."""
+        """Whether the connection is gone in both directions, as a reset leaves it and an end does
+        not.
+        """
         return bool(self._events() & (select.POLLHUP | select.POLLERR))
--- a/roselink/gateway/pacing.py
+++ b/roselink/gateway/pacing.py
@@ -1,21 +1,24 @@
-"""When to call discovery: as spread over the fleet as the rules on what counts as told allow, and no wider.
-
-Discovery is one service for all gateways and handles calls in turn. A call that waits too long there fails,
-yet its turn is worked off all the same. Gateways that all call at once, and again soon after they all failed,
-thus keep its queue longer than any call may wait, for good. So the time over which the calls are spread grows
-with the number of gateways, and the jitter covers all of it: what failed together must not return together.
-
-But a gateway is held to what it would have been told, and each cause of a call has a bound of its own. Where
-lists are pushed, all that discovery has counts as told at once. Where it is asked, a gateway with no watch
-has the settings' time for asking; but once a call has failed, a change counts as told 6 s after discovery had
-it and could be reached. What a silent watch misses, and what a new discovery tells, counts as told so many
-seconds after it.
-
-A call that fails tells little: discovery answers 503 after the same wait whether it is down or has too many
-callers, and one that waits there when discovery returns may fail yet. So calls go on, down or not, at the
-slowest pace that keeps the bound: the next begins so soon after the one that failed began that it can take
-its time and still be answered. The first such wait is drawn over all of that, and the later ones keep the
-fleet as spread as the draw has made it: whenever discovery comes back, the calls come evenly over the bound.
+"""When to call discovery: as spread over the fleet as the rules on what counts as told allow, and
+no wider.
+
+Discovery is one service for all gateways and handles calls in turn. A call that waits too long
+there fails, yet its turn is worked off all the same. Gateways that all call at once, and again soon
+after they all failed, thus keep its queue longer than any call may wait, for good. So the time over
+which the calls are spread grows with the number of gateways, and the jitter covers all of it: what
+failed together must not return together.
+
+But a gateway is held to what it would have been told, and each cause of a call has a bound of its
+own. Where lists are pushed, all that discovery has counts as told at once. Where it is asked, a
+gateway with no watch has the settings' time for asking; but once a call has failed, a change counts
+as told 6 s after discovery had it and could be reached. What a silent watch misses, and what a new
+discovery tells, counts as told so many seconds after it.
+
+A call that fails tells little: discovery answers 503 after the same wait whether it is down or has
+too many callers, and one that waits there when discovery returns may fail yet. So calls go on, down
+or not, at the slowest pace that keeps the bound: the next begins so soon after the one that failed
+began that it can take its time and still be answered. The first such wait is drawn over all of
+that, and the later ones keep the fleet as spread as the draw has made it: whenever discovery comes
+back, the calls come evenly over the bound.
 """
 
 from __future__ import annotations
@@ -37,7 +40,8 @@
     6.0  # after a call failed, what discovery had, or has from its return on, counts as told
 )
 CALL_S = 2.0  # for a call to wait its turn and to be answered: what the spread leaves of each bound
-TURN_S = 0.02  # of a call at discovery: what a fleet's calls must be spread over if they fail again and again
+# of a call at discovery: what a fleet's calls must be spread over if they fail again and again
+TURN_S = 0.02
 STEADY_PART = (
     0.95  # least part of a further wait: the fleet stays as spread as the first ones have made it
 )
@@ -92,8 +96,9 @@
         )
 
     def wait_s(self, cause: Cause, now: float, took_s: float = 0.0) -> float:
-        """Before the next call, from now on; `now` on any clock that never goes back. `took_s` is how long
-        the call took that failed."""
+        """Before the next call, from now on; `now` on any clock that never goes back. `took_s` is
+        how long the call took that failed.
+        """
         self._failures = self._failures + 1 if cause is Cause.FAILED else 0
         self._waited = self._waited + (took_s >= WAITED_S) if cause is Cause.FAILED else 0
         draw = self._random.random()
@@ -116,10 +121,12 @@
         return min(max(least_s, self._slot_s), self._lost_most_s)
 
     def _failed_spread_s(self, took_s: float) -> float:
-        """At first the bound runs from the begin of the call that failed. After many that waited in vain it
-        runs from the end: it is still kept by the calls that begin after the return, and a queue that is too
-        long becomes shorter. Only where the turns of all calls take longer than the bound, which no pace
-        could keep, the calls slow down to the pace of those turns: else the queue would stay too long."""
+        """At first the bound runs from the begin of the call that failed. After many that waited in
+        vain it runs from the end: it is still kept by the calls that begin after the return, and a
+        queue that is too long becomes shorter. Only where the turns of all calls take longer than
+        the bound, which no pace could keep, the calls slow down to the pace of those turns: else
+        the queue would stay too long.
+        """
         over = self._waited - PATIENT_FAILURES
         if over < 0:
             return max(AGAIN_LEAST_S, min(self._failed_s, self._in_time_s - took_s))
--- a/roselink/gateway/server.py
+++ b/roselink/gateway/server.py
@@ -1,4 +1,6 @@
-"""The client side: check requests, frame the one answer, drain. `connections` has what is any server's."""
+"""The client side: check requests, frame the one answer, drain. `connections` has what is any
+server's.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +27,8 @@
 log = logging.getLogger("roselink.gateway.server")
 
 HOP_BY_HOP = frozenset(
-    b"connection keep-alive proxy-connection te trailer transfer-encoding upgrade expect content-length "
+    b"connection keep-alive proxy-connection te trailer transfer-encoding upgrade expect "
+    b"content-length "
     b"request-timeout-ms proxy-authorization proxy-authenticate".split()
 )
 MESSAGE_LIMIT = HEAD_LIMIT + 4 * BODY_LIMIT  # with a chunked body's framing
@@ -137,8 +140,10 @@
         return Times(RECEIVE_S, RECEIVE_S, UNREAD_S, (RECEIVE_S, IDLE_ONCE_S, IDLE_S))
 
     def drain(self, taken_s: float, most_s: float) -> None:
-        """From now on each answer ends its connection. What comes later than `taken_s` from now on one that
-        is still open has to be answered within `most_s` from now, before the process may be killed."""
+        """From now on each answer ends its connection. What comes later than `taken_s` from now on
+        one that is still open has to be answered within `most_s` from now, before the process may
+        be killed.
+        """
         self.draining = True
         self._drained_from, self._drained_by = self.loop.time() + taken_s, self.loop.time() + most_s
 
--- a/roselink/gateway/upstream.py
+++ b/roselink/gateway/upstream.py
@@ -1,10 +1,11 @@
 """The host side: a pool of connections, and one attempt at a time on each with its exact `Outcome`.
 
-An HTTP client library would resend on a broken kept-alive connection by itself and hide whether the last
-byte was written. Either would break the rule on duplicated effects, so this file speaks HTTP itself.
+An HTTP client library would resend on a broken kept-alive connection by itself and hide whether the
+last byte was written. Either would break the rule on duplicated effects, so this file speaks HTTP
+itself.
 
-Hosts are not trusted to keep to HTTP: an answer that is too long, does not end or cannot be read is a failed
-attempt that may have run, and what comes beside an answer never reaches another request.
+Hosts are not trusted to keep to HTTP: an answer that is too long, does not end or cannot be read is
+a failed attempt that may have run, and what comes beside an answer never reaches another request.
 """
 
 from __future__ import annotations
@@ -26,8 +27,10 @@
     HEAD_LIMIT + 4 * BODY_LIMIT
 )  # all bytes of an answer: a chunk's extension reaches no callback
 INTERIM_LIMIT = 8  # 1xx answers ahead of the one that counts; none or one is usual
-SETTLE_S = 0.02  # after an answer, before its connection is used again: time for what comes right behind it
-IDLE_PART = 0.5  # part of the hosts' idle time after which a connection is dropped: they must never be first
+# after an answer, before its connection is used again: time for what comes right behind it
+SETTLE_S = 0.02
+# part of the hosts' idle time after which a connection is dropped: they must never be first
+IDLE_PART = 0.5
 
 
 class Answer(NamedTuple):
@@ -58,8 +61,9 @@
 
 
 class Attempt:
-    """One copy of a request on its way to one host. `done` is called exactly once, never from `start`;
-    `wanted` is asked once a connection is up: whether someone still waits for the answer."""
+    """One copy of a request on its way to one host. `done` is called exactly once, never from
+    `start`; `wanted` is asked once a connection is up: whether someone still waits for the answer.
+    """
 
     def __init__(
         self,
@@ -84,7 +88,9 @@
         self._end(Outcome.CANCELLED)
 
     def _end(self, outcome: Outcome) -> None:
-        """Given up from this side: whatever still comes on the connection belongs to nobody, so it goes."""
+        """Given up from this side: whatever still comes on the connection belongs to nobody, so it
+        goes.
+        """
         connection, task, connecting = self.connection, self.task, self in self.host.connecting
         if connecting:  # no byte went out, whatever the reason to stop
             outcome = Outcome.CONNECT_FAILED if outcome is Outcome.TIMEOUT else Outcome.MOOT
@@ -92,8 +98,9 @@
         if connection is not None:
             connection.drop()
             if self.host.heard < self.began:
-                # Not a byte from it in all that time: it may have vanished, and then every connection kept to
-                # it would hang as long again. A new one tells within the limit for connects.
+                # Not a byte from it in all that time: it may have vanished, and then every
+                # connection kept to it would hang as long again. A new one tells within the limit
+                # for connects.
                 self.host.drop_idle()
         elif task is not None:
             task.cancel()
@@ -143,8 +150,9 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass of it
-        # With the marks at 0 `pause_writing` stands for "bytes left in this process", `resume_writing` for
-        # "the kernel has the last byte": what parts a failed connection from a reset.
+        # With the marks at 0 `pause_writing` stands for "bytes left in this process",
+        # `resume_writing` for "the kernel has the last byte": what parts a failed connection from a
+        # reset.
         self.transport.set_write_buffer_limits(high=0)
         self._look = SocketLook(transport)
 
@@ -173,8 +181,9 @@
         return False  # `Upstream.sweep` ends those
 
     def unread(self) -> bool:
-        """Whether bytes, or the end, have come that this process has not read yet: a close, or more than
-        belonged to the last answer, which would be taken for the next one's."""
+        """Whether bytes, or the end, have come that this process has not read yet: a close, or more
+        than belonged to the last answer, which would be taken for the next one's.
+        """
         return self._look is not None and self._look.unread()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -187,7 +196,8 @@
     def data_received(self, data: bytes) -> None:
         attempt = self.attempt
         if attempt is None or self._parser is None:
-            self.drop()  # bytes that no request asked for: the next answer could not be told from them
+            # bytes that no request asked for: the next answer could not be told from them
+            self.drop()
             return
         self.host.heard = self.upstream.now()
         self._received += len(data)
@@ -203,8 +213,9 @@
             self._stall = self.upstream.later(self._stalled)
 
     def eof_received(self) -> bool:
-        """The host's end is that of an answer that tells no length. A reset is no end: it comes with
-        `connection_lost` alone, unless the loop has read only that the connection is gone."""
+        """The host's end is that of an answer that tells no length. A reset is no end: it comes
+        with `connection_lost` alone, unless the loop has read only that the connection is gone.
+        """
         told = b"content-length" in self._headers or b"transfer-encoding" in self._headers
         endless = self._partial and not (self._head or self._excess or told)
         if (
@@ -238,8 +249,10 @@
             self._spoilt()
 
     def _spoilt(self) -> None:
-        """The answer cannot be read, or does not end: it may have run, and nothing later on this connection
-        can be trusted. Hosts write an answer at once; a rest that does not follow never will."""
+        """The answer cannot be read, or does not end: it may have run, and nothing later on this
+        connection can be trusted. Hosts write an answer at once; a rest that does not follow never
+        will.
+        """
         self._quiet()
         if self.attempt is not None:
             self.attempt.finish(Outcome.ERROR)
@@ -319,8 +332,9 @@
     def start(
         self, host: Host, request: bytes, timeout_s: float, done: Done, wanted: Wanted
     ) -> Attempt:
-        """Begin an attempt on the connection used last that has settled, which is the least likely to be
-        closing and brings nothing that belongs to the answer before."""
+        """Begin an attempt on the connection used last that has settled, which is the least likely
+        to be closing and brings nothing that belongs to the answer before.
+        """
         attempt = Attempt(self._loop, host, timeout_s, done, wanted)
         self.launch(attempt, lambda: request)
         return attempt
@@ -367,13 +381,16 @@
         return self._loop.time()
 
     def later(self, act: Callable[[], None]) -> asyncio.TimerHandle:
-        """After the time that a connect may take: the settings' own measure of a network that is stuck."""
+        """After the time that a connect may take: the settings' own measure of a network that is
+        stuck.
+        """
         return self._loop.call_later(self._connect_timeout_s, act)
 
     def _connected(self, connection: HostConnection, task: asyncio.Task[bool]) -> None:
-        """The connect is over. In a callback, since a task cancelled before its first step runs no line of
-        its own, and its descriptor would count for ever. One that came up in the turn in which its time was
-        up, or it was called off, has a transport that nobody else would close."""
+        """The connect is over. In a callback, since a task cancelled before its first step runs no
+        line of its own, and its descriptor would count for ever. One that came up in the turn in
+        which its time was up, or it was called off, has a transport that nobody else would close.
+        """
         self._tasks.discard(task)
         if task.cancelled() or task.exception() is not None or not task.result():
             connection.drop()
@@ -431,14 +448,18 @@
             connection.host.idle.remove(connection)
 
     def retire(self, host: Host) -> None:
-        """The host drains or is gone: attempts whose first byte has not gone out are called back."""
+        """The host drains or is gone: attempts whose first byte has not gone out are called
+        back.
+        """
         host.ready = False
         for attempt in list(host.connecting):
             attempt.withdraw()
         host.drop_idle()
 
     def sweep(self) -> None:
-        """Drop what has been idle for long, before the host does and a request crosses its close."""
+        """Drop what has been idle for long, before the host does and a request crosses its
+        close.
+        """
         oldest = self._loop.time() - self._idle_s
         for connection in list(self._idle):
             if connection.idle_since > oldest:
--- a/roselink/lab/clients.py
+++ b/roselink/lab/clients.py
@@ -1,4 +1,6 @@
-"""Stand-ins for clients: they check every byte, try again as clients do, and count how each request ended."""
+"""Stand-ins for clients: they check every byte, try again as clients do, and count how each request
+ended.
+"""
 
 from __future__ import annotations
 
--- a/roselink/lab/command.py
+++ b/roselink/lab/command.py
@@ -1,4 +1,6 @@
-"""The lab from start to end: a fleet, its surroundings, a line a second, and everything ended again."""
+"""The lab from start to end: a fleet, its surroundings, a line a second, and everything ended
+again.
+"""
 
 from __future__ import annotations
 
@@ -24,8 +26,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What is asked of a lab. `seconds`: how long it serves, None: until a signal; `folder`: for settings,
-    disks and logs, None: a temporary one, removed at the end."""
+    """What is asked of a lab. `seconds`: how long it serves, None: until a signal; `folder`: for
+    settings, disks and logs, None: a temporary one, removed at the end.
+    """
 
     routers: int = 3
     clients: int = 6
@@ -36,7 +39,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """What came of it. `late`: processes that had to be killed at the end; `pids`: of all that ran."""
+    """What came of it. `late`: processes that had to be killed at the end; `pids`: of all that
+    ran.
+    """
 
     ends: dict[End, int]
     retries: int
@@ -140,7 +145,8 @@
             self._say(f"  {place}  {where}, peers {ports.peer}  pid {machine.pids[-1]}")
         for host in self._hosts:
             self._say(
-                f"  host {host.id:<8} {host.address[0]}:{host.address[1]}  {host.zone}  {host.service}"
+                f"  host {host.id:<8} {host.address[0]}:{host.address[1]}"
+                f"  {host.zone}  {host.service}"
             )
 
     async def _lines(self) -> None:
--- a/roselink/lab/fleet.py
+++ b/roselink/lab/fleet.py
@@ -103,7 +103,8 @@
                 stdin=asyncio.subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
-                process_group=0,  # a Ctrl-C at the terminal reaches the lab alone, which ends its fleet
+                # A Ctrl-C at the terminal reaches the lab alone, which ends its fleet.
+                process_group=0,
             )
         self.pids.append(self.process.pid)
 
@@ -193,7 +194,8 @@
                     f"{machine.name}: exit status {machine.status}: {machine.last_words()}"
                 )
             self._say(
-                f"{machine.name} ended with status {machine.status}; starts again in {RESTART_S:g} s"
+                f"{machine.name} ended with status {machine.status}; "
+                f"starts again in {RESTART_S:g} s"
             )
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self._ending.wait(), RESTART_S)
--- a/roselink/lab/hosts.py
+++ b/roselink/lab/hosts.py
@@ -1,4 +1,5 @@
-"""Stand-ins for hosts: a model service that answers with event streams, and a service of plain answers.
+"""Stand-ins for hosts: a model service that answers with event streams, and a service of plain
+answers.
 
 What a request asks for decides its answer, so a client can check each byte whichever host gave it.
 """
@@ -39,7 +40,9 @@
 
 @dataclass(slots=True)
 class Host:
-    """One host: so many requests at once, a few more in a queue, the rest is told that it has not run."""
+    """One host: so many requests at once, a few more in a queue, the rest is told that it has not
+    run.
+    """
 
     id: str
     service: str
@@ -138,7 +141,9 @@
         self.answered += 1
 
     async def _stream(self, head: Head, writer: asyncio.StreamWriter) -> None:
-        """Events from the one behind `Last-Event-Id` on; the second number of X-Token-Usage says how many."""
+        """Events from the one behind `Last-Event-Id` on; the second number of X-Token-Usage says
+        how many.
+        """
         _, _, asked = head.headers.get("x-token-usage", "0,1").partition(",")
         events = min(int(asked), MOST_EVENTS)
         first = int(head.headers.get("last-event-id", "0")) + 1
--- a/roselink/lab/operator.py
+++ b/roselink/lab/operator.py
@@ -1,4 +1,6 @@
-"""A stand-in for the operator: writes configurations, sends them until they are taken, reads the state."""
+"""A stand-in for the operator: writes configurations, sends them until they are taken, reads the
+state.
+"""
 
 from __future__ import annotations
 
--- a/roselink/lab/platform.py
+++ b/roselink/lab/platform.py
@@ -1,4 +1,6 @@
-"""A stand-in for the platform: the list of hosts, and the choice of gateways for new connections."""
+"""A stand-in for the platform: the list of hosts, and the choice of gateways for new
+connections.
+"""
 
 from __future__ import annotations
 
--- a/roselink/membership/__init__.py
+++ b/roselink/membership/__init__.py
@@ -1,1 +1,3 @@
-"""What the live gateways share: roles sharded over the roster, quotas, the shared slack of repeats."""
+"""What the live gateways share: roles sharded over the roster, quotas, the shared slack of
+repeats.
+"""
--- a/roselink/membership/alone.py
+++ b/roselink/membership/alone.py
@@ -1,8 +1,9 @@
 """Decisions on one tenant's requests at a gateway that has no owner in reach.
 
-For a while the gateway goes on at most of its own recent rate, whether its roster is confirmed or not: the
-owner that knew its use holds as much back, and so does a new owner that heard from others how much all had
-used (`ledger`). Beyond that, requests fit into a part of the rule's allowance, which nobody holds back.
+For a while the gateway goes on at most of its own recent rate, whether its roster is confirmed or
+not: the owner that knew its use holds as much back, and so does a new owner that heard from others
+how much all had used (`ledger`). Beyond that, requests fit into a part of the rule's allowance,
+which nobody holds back.
 """
 
 from __future__ import annotations
@@ -26,7 +27,9 @@
         self._is_backed = False
 
     def begin(self, rate: float, backed: bool, now: float) -> None:
-        """The owner is out of reach. `rate`: own use a second lately; `backed`: an owner knew of it."""
+        """The owner is out of reach. `rate`: own use a second lately; `backed`: an owner knew of
+        it.
+        """
         self.under_way = True
         self._since = self._at = now
         self._rate = rate * RATE_PART
@@ -38,7 +41,9 @@
         self.under_way = False
 
     def admit(self, amount: float, most: float, now: float) -> bool:
-        """Whether an amount may run. `most`: what may run in a window with nobody holding it back."""
+        """Whether an amount may run. `most`: what may run in a window with nobody holding it
+        back.
+        """
         self._level = min(self._rate * BURST_S, self._level + self._rate * max(0.0, now - self._at))
         self._at = max(self._at, now)
         if self._at_recent_rate(now):
--- a/roselink/membership/budget_service.py
+++ b/roselink/membership/budget_service.py
@@ -99,7 +99,9 @@
             self._own_roles(now)
 
     def admit(self, tenant: Tenant, amount: float, decide: DecideQuota) -> None:
-        """Decide whether a request is within its tenant's quota: `decide(allowed, retry_after_s)`, once."""
+        """Decide whether a request is within its tenant's quota: `decide(allowed, retry_after_s)`,
+        once.
+        """
         if tenant.rate_per_s <= 0:
             decide(True, 0.0)
             return
@@ -113,7 +115,9 @@
         self._perform(())
 
     def ask(self, service: str, decide: DecideRepeat) -> None:
-        """Decide whether one repeat may draw on the service's shared slack: `decide(allowed)`, once."""
+        """Decide whether one repeat may draw on the service's shared slack: `decide(allowed)`,
+        once.
+        """
         number = next(self._numbers)
         self._repeat_waits[number] = decide
         self._perform(self._repeat_client.ask(number, service, self._clock()))
--- a/roselink/membership/due_times.py
+++ b/roselink/membership/due_times.py
@@ -42,7 +42,9 @@
         return self._heap[0][0] if self._heap else NEVER
 
     def due(self, now: float) -> list[str]:
-        """The names that are due by `now`, earliest first; they have no time until one is put again."""
+        """The names that are due by `now`, earliest first; they have no time until one is put
+        again.
+        """
         names = []
         while self.first() <= now:
             name = heappop(self._heap)[1]
--- a/roselink/membership/ledger.py
+++ b/roselink/membership/ledger.py
@@ -1,13 +1,13 @@
 """The owner's side of quotas: one exact token bucket a tenant, and who used how much.
 
-A term begins when this gateway becomes the owner of a tenant. Each asker tells what its last answer said of
-the bucket of the owner before, and what it admitted by itself since then: the newest such answer and all of
-the latter together say how the bucket stands now. Where nobody knows, the term starts at a part of the
-rule's allowance, for gateways that are gone may have used any amount.
-
-An asker that falls silent may be cut off and admit at its recent rate by itself (`alone`): the owner holds
-that much back from the others meanwhile. So does a new owner, for all use that it heard of from the owner
-before and not from those who used it.
+A term begins when this gateway becomes the owner of a tenant. Each asker tells what its last answer
+said of the bucket of the owner before, and what it admitted by itself since then: the newest such
+answer and all of the latter together say how the bucket stands now. Where nobody knows, the term
+starts at a part of the rule's allowance, for gateways that are gone may have used any amount.
+
+An asker that falls silent may be cut off and admit at its recent rate by itself (`alone`): the
+owner holds that much back from the others meanwhile. So does a new owner, for all use that it heard
+of from the owner before and not from those who used it.
 """
 
 from __future__ import annotations
@@ -49,10 +49,12 @@
 
 @dataclass(slots=True)
 class _Bucket:
-    """One tenant in this owner's term. `assumed` is where the owner before stood at a moment, and this term
-    counts from it; `told_at` is when an asker heard the newest level of that owner. `bonus` is what a term
-    that starts with nothing is still to gain, and `gained` what it has. `used` is what all had used by then,
-    and `heard_used` what those used that were heard in this term."""
+    """One tenant in this owner's term. `assumed` is where the owner before stood at a moment, and
+    this term counts from it; `told_at` is when an asker heard the newest level of that owner.
+    `bonus` is what a term that starts with nothing is still to gain, and `gained` what it has.
+    `used` is what all had used by then, and `heard_used` what those used that were heard in this
+    term.
+    """
 
     limit: Limit
     term: int
@@ -76,8 +78,10 @@
         self.level = min(self.limit.burst, self.level - amount)
 
     def count_from(self, known: Level, now: float) -> None:
-        """Count from where the owner before stood, as an asker heard it; the newest such level stays. What an
-        old one seems to have gained since, others may have taken: it counts as the bonus at most."""
+        """Count from where the owner before stood, as an asker heard it; the newest such level
+        stays. What an old one seems to have gained since, others may have taken: it counts as the
+        bonus at most.
+        """
         at = now - known.age_ms / 1000
         if known.term == self.term or at <= self.told_at:
             return
@@ -113,7 +117,9 @@
 
 
 class QuotaLedger:
-    """The buckets of all tenants that this gateway owns. `incarnation` tells its terms from others'."""
+    """The buckets of all tenants that this gateway owns. `incarnation` tells its terms from
+    others'.
+    """
 
     def __init__(self, rule: QuotaRule, incarnation: int) -> None:
         self._rule = rule
@@ -132,8 +138,9 @@
                 self._buckets[tenant].adopt(limit, now)
 
     def own(self, tenants: Iterable[str], roster: Iterable[Member], now: float) -> None:
-        """The tenants that this gateway owns from now on: terms begin and end. Nothing is held back for a
-        process that started anew."""
+        """The tenants that this gateway owns from now on: terms begin and end. Nothing is held back
+        for a process that started anew.
+        """
         owned = {
             name for name in tenants if name in self._limits and self._limits[name].rate_per_s > 0
         }
@@ -151,7 +158,9 @@
                     record.rate = 0.0
 
     def end_terms(self) -> None:
-        """This gateway's view was not confirmed for so long that another may have owned its tenants."""
+        """This gateway's view was not confirmed for so long that another may have owned its
+        tenants.
+        """
         self._buckets.clear()
 
     def ask(self, ask: QuotaAsk, now: float) -> QuotaAnswer:
@@ -201,7 +210,9 @@
     def _decide(
         self, bucket: _Bucket, record: _Record, amounts: tuple[float, ...], now: float
     ) -> tuple[tuple[bool, ...], float]:
-        """Each amount that the bucket holds is admitted; one above the whole burst wants a full bucket."""
+        """Each amount that the bucket holds is admitted; one above the whole burst wants a full
+        bucket.
+        """
         grace = GRACE_PART * self._rule.allowance(bucket.limit)
         held_back = bucket.held_back(record, now)
         decisions = []
@@ -224,7 +235,9 @@
         return ahead
 
     def _used(self, bucket: _Bucket, now: float) -> float:
-        """What the askers used in the last window, but for those that left; forgets who used nothing."""
+        """What the askers used in the last window, but for those that left; forgets who used
+        nothing.
+        """
         for asker, record in list(bucket.askers.items()):
             if not record.usage.total(now) and now - record.heard_at > self._rule.window_s:
                 del bucket.askers[asker]
--- a/roselink/membership/quota_client.py
+++ b/roselink/membership/quota_client.py
@@ -1,7 +1,8 @@
 """The asker's side of quotas: requests wait for the owner's decision, together, for a bounded time.
 
-One ask a tenant is under way; what arrives meanwhile goes with the next. A gateway that had use lately is
-heard by the owner every `SIGN_OF_LIFE_S`. Without an owner in reach requests are decided here (`alone`).
+One ask a tenant is under way; what arrives meanwhile goes with the next. A gateway that had use
+lately is heard by the owner every `SIGN_OF_LIFE_S`. Without an owner in reach requests are decided
+here (`alone`).
 """
 
 from __future__ import annotations
@@ -32,7 +33,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SendQuotaAsk:
-    """Effect: put the ask to the owner; `QuotaClient.answered` wants the outcome under this number."""
+    """Effect: put the ask to the owner; `QuotaClient.answered` wants the outcome under this
+    number.
+    """
 
     call: int
     address: str
@@ -119,7 +122,9 @@
         return effects
 
     def admit(self, number: int, tenant: str, amount: float, now: float) -> list[Effect]:
-        """One request; `number` is the caller's, unique. `QuotaDecided` comes once, perhaps at once."""
+        """One request; `number` is the caller's, unique. `QuotaDecided` comes once, perhaps at
+        once.
+        """
         state = self._tenants.get(tenant)
         if state is None:
             return [QuotaDecided(number, True, 0.0)]
@@ -198,7 +203,9 @@
         return max(now, due)
 
     def _plan(self, tenant: str, state: _Tenant, now: float) -> None:
-        """Note when a tenant is due, after any change to its state; what is noted is never too late."""
+        """Note when a tenant is due, after any change to its state; what is noted is never too
+        late.
+        """
         self._due_times.put(tenant, self._due(state, now))
 
     def _due(self, state: _Tenant, now: float) -> float:
@@ -208,7 +215,8 @@
                 due = min(due, state.not_before)
             elif state.returned or state.lease or abs(state.used.total(now)) > 0:
                 due = min(due, max(state.not_before, self._next_sign(state)))
-            else:  # what was given back may outweigh what is left of the use, once some of it is old
+            else:
+                # What was given back may outweigh what is left of the use, once some of it is old.
                 due = min(
                     due, max(state.not_before, self._next_sign(state), state.used.leaves_at())
                 )
--- a/roselink/membership/repeats.py
+++ b/roselink/membership/repeats.py
@@ -1,10 +1,10 @@
 """The shared slack of repeats: owner's and asker's sides.
 
-The rule adds `retry_slack` repeats of a service to those its requests earn, in any window, over all gateways.
-An owner lends at most `LENT_PART` of it within any window. Nobody can know what the owner before lent until
-its end: it may have been cut off with some of the gateways. So a term lends `FIRST_PART` at most in its first
-window, and nothing at its very beginning, for owners pass fast while a roster forms. Four moves of ownership
-within one window stay under the slack.
+The rule adds `retry_slack` repeats of a service to those its requests earn, in any window, over all
+gateways. An owner lends at most `LENT_PART` of it within any window. Nobody can know what the owner
+before lent until its end: it may have been cut off with some of the gateways. So a term lends
+`FIRST_PART` at most in its first window, and nothing at its very beginning, for owners pass fast
+while a roster forms. Four moves of ownership within one window stay under the slack.
 """
 
 from __future__ import annotations
@@ -48,8 +48,10 @@
             self._terms[service] = _Term(now)
 
     def end_terms(self, silent_s: float) -> None:
-        """This gateway's view was not confirmed for so long. Another owner may have lent `FIRST_PART` within
-        less than a window, which the parts allow for; only a longer gap ends the terms."""
+        """This gateway's view was not confirmed for so long. Another owner may have lent
+        `FIRST_PART` within less than a window, which the parts allow for; only a longer gap ends
+        the terms.
+        """
         if silent_s >= self._window_s:
             self._terms.clear()
 
@@ -76,7 +78,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SendRepeatAsk:
-    """Effect: put the ask to the owner at an address; the outcome goes to `RepeatClient.answered`."""
+    """Effect: put the ask to the owner at an address; the outcome goes to
+    `RepeatClient.answered`.
+    """
 
     number: int
     address: str
--- a/roselink/membership/roles.py
+++ b/roselink/membership/roles.py
@@ -1,8 +1,8 @@
 """Singleton roles, sharded by key over the live gateways, under a fencing token.
 
-The owner of a key is the member with the highest hash of key and name. The token is the roster's version. An
-owner serves only asks under its own token, and only while its own view was confirmed lately: another may own
-the key as soon as the core has missed this gateway for longer.
+The owner of a key is the member with the highest hash of key and name. The token is the roster's
+version. An owner serves only asks under its own token, and only while its own view was confirmed
+lately: another may own the key as soon as the core has missed this gateway for longer.
 """
 
 from __future__ import annotations
@@ -58,8 +58,10 @@
         return True
 
     def confirm(self, at: float, now: float) -> float:
-        """The view in force was the newest after `at`. Returns for how long it had not been confirmed, in
-        seconds; from `FRESH_S` on another may have owned this gateway's roles meanwhile."""
+        """The view in force was the newest after `at`. Returns for how long it had not been
+        confirmed, in seconds; from `FRESH_S` on another may have owned this gateway's roles
+        meanwhile.
+        """
         silent_s = now - self._confirmed_at
         self._confirmed_at = max(self._confirmed_at, at)
         return silent_s
@@ -81,7 +83,9 @@
         return now - self._confirmed_at < FRESH_S
 
     def judge(self, key: str, token: int, now: float) -> Verdict:
-        """Whether this gateway may decide, as owner, what is asked under a token (`Verdict.DECIDED`)."""
+        """Whether this gateway may decide, as owner, what is asked under a token
+        (`Verdict.DECIDED`).
+        """
         if token < self.token:
             return Verdict.STALE_TOKEN
         if token > self.token or not self.fresh(now):
--- a/roselink/membership/sampler.py
+++ b/roselink/membership/sampler.py
@@ -24,9 +24,9 @@
 
 
 class Sampler:
-    """One gateway's part. `hear_cores` gets peer addresses of core members, `refresh` is called when
-    something
-    newer is known to exist."""
+    """One gateway's part. `hear_cores` gets peer addresses of core members, `refresh` is called
+    when something newer is known to exist.
+    """
 
     def __init__(
         self,
--- a/roselink/membership/sampling.py
+++ b/roselink/membership/sampling.py
@@ -1,8 +1,8 @@
 """Peer sampling: each gateway keeps a small, shuffled view of others, and exchanges parts of it.
 
-A gateway that reaches no core member learns from peers where the core is now; all learn that something newer
-is in force. Exchanges are rare in calm times, for pulls bring the same, and frequent without a confirmed
-pull.
+A gateway that reaches no core member learns from peers where the core is now; all learn that
+something newer is in force. Exchanges are rare in calm times, for pulls bring the same, and
+frequent without a confirmed pull.
 """
 
 from __future__ import annotations
@@ -121,7 +121,9 @@
         return News(self._vector, self._cores, age_ms)
 
     def _merge(self, entries: tuple[Seen, ...], sent: list[str]) -> None:
-        """Newer words replace older ones; new names take free places, then those of what was sent away."""
+        """Newer words replace older ones; new names take free places, then those of what was sent
+        away.
+        """
         for seen in entries[:VIEW_SIZE]:
             name = seen.member.name
             if name == self._own.name:
--- a/roselink/membership/usage.py
+++ b/roselink/membership/usage.py
@@ -41,7 +41,9 @@
 
 
 class Usage:
-    """Amounts of the last window, summed by slot. A slot counts until its newest moment leaves the window."""
+    """Amounts of the last window, summed by slot. A slot counts until its newest moment leaves the
+    window.
+    """
 
     __slots__ = ("_slots", "_total", "window_s")
 
--- a/roselink/model/configuration.py
+++ b/roselink/model/configuration.py
@@ -1,4 +1,6 @@
-"""The operator's configuration as typed values. `roselink.control.checking` decides whether one is valid."""
+"""The operator's configuration as typed values. `roselink.control.checking` decides whether one is
+valid.
+"""
 
 from __future__ import annotations
 
@@ -26,7 +28,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One route: host and prefix pick it, the longest prefix wins. Times are milliseconds, 0: none."""
+    """One route: host and prefix pick it, the longest prefix wins. Times are milliseconds, 0:
+    none.
+    """
 
     name: str
     hostname: str
@@ -60,7 +64,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """One service: how its health is asked for, and the connections that each of its hosts takes."""
+    """One service: how its health is asked for, and the connections that each of its hosts
+    takes.
+    """
 
     name: str
     health_check: str
--- a/roselink/model/fleet.py
+++ b/roselink/model/fleet.py
@@ -35,7 +35,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One live gateway: its name, its address for peers ("ip:port"), and a number drawn at its start."""
+    """One live gateway: its name, its address for peers ("ip:port"), and a number drawn at its
+    start.
+    """
 
     name: str
     address: str
@@ -47,8 +49,8 @@
     """The versions of each part that a gateway holds; 0 where it holds none. Each only rises.
 
     `configuration` is the place of a committed write in the chain's order; `hosts` and `roster` are
-    (view epoch << 32) + a counter of the member that made them, so that a later view's are always newer. The
-    roster's version is the fencing token of every role that is assigned over the roster.
+    (view epoch << 32) + a counter of the member that made them, so that a later view's are always
+    newer. The roster's version is the fencing token of every role that is assigned over the roster.
     """
 
     configuration: int = 0
--- a/roselink/model/settings.py
+++ b/roselink/model/settings.py
@@ -28,7 +28,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Resources:
-    """What a process may use. `memory_mb`: past it the process is killed; `max_fds`: all its descriptors."""
+    """What a process may use. `memory_mb`: past it the process is killed; `max_fds`: all its
+    descriptors.
+    """
 
     cpu_share: float
     cpu_cores: int
@@ -66,7 +68,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Platform:
-    """Where the list of hosts is asked for, and how often all processes together may ask, a second."""
+    """Where the list of hosts is asked for, and how often all processes together may ask, a
+    second.
+    """
 
     address: Address
     rate_per_s: float
--- a/roselink/protocol/chain.py
+++ b/roselink/protocol/chain.py
@@ -1,7 +1,8 @@
-"""Records between the core's members: heartbeats, votes on views, the chain itself, and confirmed reads.
+"""Records between the core's members: heartbeats, votes on views, the chain itself, and confirmed
+reads.
 
-Every message names its sender. Chain messages (`Sync`, `Write`, `Ack`) and orders under way carry the epoch
-of the view in which they were sent; a member takes them in that epoch only.
+Every message names its sender. Chain messages (`Sync`, `Write`, `Ack`) and orders under way carry
+the epoch of the view in which they were sent; a member takes them in that epoch only.
 """
 
 from __future__ import annotations
@@ -14,7 +15,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Voter:
-    """One voter: its peer address ("ip:port") and a number that is new whenever its disk is empty."""
+    """One voter: its peer address ("ip:port") and a number that is new whenever its disk is
+    empty.
+    """
 
     address: str
     incarnation: int
@@ -24,8 +27,9 @@
 class Link:
     """One place of the chain.
 
-    `since` is the epoch from which the voter has been in every view's chain. `session` is the process that
-    takes part: a process with another number, started later, does not (0 in the first view).
+    `since` is the epoch from which the voter has been in every view's chain. `session` is the
+    process that takes part: a process with another number, started later, does not (0 in the first
+    view).
     """
 
     voter: Voter
@@ -45,7 +49,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Ballot:
-    """A proposal's number: no two proposals have the same, as each process draws its own session."""
+    """A proposal's number: no two proposals have the same, as each process draws its own
+    session.
+    """
 
     round: int
     address: str
@@ -60,7 +66,9 @@
 @record(33)
 @dataclass(frozen=True, slots=True)
 class Votes:
-    """What a voter keeps on its disk: its identity, its newest view, its vote on the view that follows."""
+    """What a voter keeps on its disk: its identity, its newest view, its vote on the view that
+    follows.
+    """
 
     voter: Voter
     view: View | None
@@ -74,8 +82,9 @@
 class ConfigurationOrder:
     """One change of the operator's: a whole document on top of the generation `base`.
 
-    `digest` is taken over base and bytes as the operator sent them; it names the order when it comes again.
-    `document` is empty where it could not be made, as the base was not in place (`coordination.state.judge`).
+    `digest` is taken over base and bytes as the operator sent them; it names the order when it
+    comes again. `document` is empty where it could not be made, as the base was not in place
+    (`coordination.state.judge`).
     """
 
     base: int
@@ -87,7 +96,9 @@
 @record(35)
 @dataclass(frozen=True, slots=True)
 class ConfigurationState:
-    """The replicated state. `history`: packed entries of the newest orders (`coordination.state`)."""
+    """The replicated state. `history`: packed entries of the newest orders
+    (`coordination.state`).
+    """
 
     sequence: int
     generation: int
@@ -109,8 +120,8 @@
 class Heartbeat:
     """Sent to every known core machine. `heard`: the addresses that the sender heard of late.
 
-    `state_epoch` is the epoch of the state on its disk; `settled`: it takes part in the chain of `epoch`, and
-    finds that chain whole.
+    `state_epoch` is the epoch of the state on its disk; `settled`: it takes part in the chain of
+    `epoch`, and finds that chain whole.
     """
 
     sender: Voter
@@ -192,7 +203,8 @@
 class Sync:
     """The whole state with which the epoch begins, from predecessor to successor.
 
-    It names the view, so that a successor that has not heard of the decision yet follows it at once.
+    It names the view, so that a successor that has not heard of the decision yet follows it at
+    once.
     """
 
     sender: Voter
@@ -208,7 +220,9 @@
 @record(45)
 @dataclass(frozen=True, slots=True)
 class Write:
-    """One change, from predecessor to successor. `refused`: the order is only noted as refused for good."""
+    """One change, from predecessor to successor. `refused`: the order is only noted as refused for
+    good.
+    """
 
     sender: Voter
     epoch: int
@@ -271,7 +285,9 @@
 @record(50)
 @dataclass(frozen=True, slots=True)
 class SubmitReply:
-    """How the order ended. `value`: the sequence of the write, or the generation that is current."""
+    """How the order ended. `value`: the sequence of the write, or the generation that is
+    current.
+    """
 
     number: int
     kind: OutcomeKind
@@ -281,7 +297,9 @@
 @record(51)
 @dataclass(frozen=True, slots=True)
 class ReadAsk:
-    """A question for the tail's confirmed state. `known`: the sequence whose document the asker holds."""
+    """A question for the tail's confirmed state. `known`: the sequence whose document the asker
+    holds.
+    """
 
     sender: Voter
     number: int
--- a/roselink/protocol/ledger.py
+++ b/roselink/protocol/ledger.py
@@ -1,7 +1,7 @@
 """Records between gateways and the owners of quotas and of the shared slack of repeats.
 
-Every ask carries the fencing token (the roster's version) under which the asker takes the other for the
-owner.
+Every ask carries the fencing token (the roster's version) under which the asker takes the other for
+the owner.
 """
 
 from __future__ import annotations
@@ -36,8 +36,9 @@
 @record(101)
 @dataclass(frozen=True, slots=True)
 class Level:
-    """How an owner's bucket stood so long ago. `term` names that owner's term; `used`: what the gateways that
-    it took for live had used in the window before."""
+    """How an owner's bucket stood so long ago. `term` names that owner's term; `used`: what the
+    gateways that it took for live had used in the window before.
+    """
 
     term: int
     level: float
@@ -50,10 +51,10 @@
 class QuotaAsk:
     """Whether these amounts may run now, each decided by itself and in order.
 
-    `ahead`: tokens wanted on top, to be used within the lease. `returned`: tokens admitted or lent before
-    that weren't used. `alone`: admitted by the asker itself since an owner last answered. `leaving`: the
-    asker drains and admits nothing by itself. `known`: the last answer's level. `report`: all that the
-    asker admitted in the last window, where the owner may not know it.
+    `ahead`: tokens wanted on top, to be used within the lease. `returned`: tokens admitted or lent
+    before that weren't used. `alone`: admitted by the asker itself since an owner last answered.
+    `leaving`: the asker drains and admits nothing by itself. `known`: the last answer's level.
+    `report`: all that the asker admitted in the last window, where the owner may not know it.
     """
 
     tenant: str
@@ -72,10 +73,12 @@
 @record(98)
 @dataclass(frozen=True, slots=True)
 class QuotaAnswer:
-    """`admitted` has one decision an amount. `retry_after_s`: when the first refused one may come again.
+    """`admitted` has one decision an amount. `retry_after_s`: when the first refused one may come
+    again.
 
-    `used`: what all live gateways admitted of the tenant in the last window; `share`: the asker's part of it
-    (0 to 1). `term` and `level` are the bucket's, after these decisions. `token` is the owner's.
+    `used`: what all live gateways admitted of the tenant in the last window; `share`: the asker's
+    part of it (0 to 1). `term` and `level` are the bucket's, after these decisions. `token` is the
+    owner's.
     """
 
     verdict: Verdict
--- a/roselink/protocol/peers.py
+++ b/roselink/protocol/peers.py
@@ -1,8 +1,9 @@
-"""Connections between roselink's processes: records over TCP, calls with one answer, one-way notices.
+"""Connections between roselink's processes: records over TCP, calls with one answer, one-way
+notices.
 
-A call ends with exactly one outcome: the answer, or None when none came in time or the connection broke; None
-says nothing about whether the other side acted. Frames that can't be read are counted, logged and end their
-connection.
+A call ends with exactly one outcome: the answer, or None when none came in time or the connection
+broke; None says nothing about whether the other side acted. Frames that can't be read are counted,
+logged and end their connection.
 """
 
 from __future__ import annotations
@@ -54,7 +55,9 @@
         self._unread = bytearray()
 
     def feed(self, data: bytes) -> list[tuple[int, int, Any]]:
-        """The (kind, call number, message) of each frame that `data` completes; raises `FrameError`."""
+        """The (kind, call number, message) of each frame that `data` completes; raises
+        `FrameError`.
+        """
         self._unread += data
         whole = []
         at = 0
@@ -225,7 +228,9 @@
             self.connection = None
 
     def expire(self, call: int, began: float) -> None:
-        """A call is overdue. A connection that brought nothing since it began may be dead: it goes."""
+        """A call is overdue. A connection that brought nothing since it began may be dead: it
+        goes.
+        """
         done = self.pending.pop(call, None)
         connection = self.connection
         if done is None and connection is not None:
--- a/roselink/protocol/records.py
+++ b/roselink/protocol/records.py
@@ -1,8 +1,8 @@
 """Typed messages as struct records.
 
-A message is a frozen dataclass marked with `@record(number)`. Its fields may be int (64 bits, signed), float,
-bool, str, bytes, an IntEnum, another dataclass, `tuple[X, ...]` of these, or `X | None`. The codec of each
-class is built once, from its annotations.
+A message is a frozen dataclass marked with `@record(number)`. Its fields may be int (64 bits,
+signed), float, bool, str, bytes, an IntEnum, another dataclass, `tuple[X, ...]` of these, or `X |
+None`. The codec of each class is built once, from its annotations.
 
 >>> from dataclasses import dataclass
 >>> @record(0xFFF0)
@@ -59,7 +59,9 @@
 
 
 def number_of(message: object) -> int:
-    """The number under which the message's class is registered; raises KeyError for any other class."""
+    """The number under which the message's class is registered; raises KeyError for any other
+    class.
+    """
     return _numbers[type(message)]
 
 
--- a/roselink/protocol/sampling.py
+++ b/roselink/protocol/sampling.py
@@ -20,7 +20,9 @@
 @record(129)
 @dataclass(frozen=True, slots=True)
 class News:
-    """What the teller has in force, and the core's peer addresses as it learned them `age_ms` ago."""
+    """What the teller has in force, and the core's peer addresses as it learned them `age_ms`
+    ago.
+    """
 
     vector: VersionVector
     cores: tuple[str, ...]
@@ -30,7 +32,9 @@
 @record(130)
 @dataclass(frozen=True, slots=True)
 class Shuffle:
-    """Part of the sender's view, itself among it; the answer is a `Shuffled` of as many entries at most."""
+    """Part of the sender's view, itself among it; the answer is a `Shuffled` of as many entries at
+    most.
+    """
 
     entries: tuple[Seen, ...]
     news: News
--- a/roselink/router/app.py
+++ b/roselink/router/app.py
@@ -32,7 +32,9 @@
 
 
 def run(settings: ProcessSettings) -> None:
-    """Run the gateway until SIGTERM or SIGINT and a drain; exits with a code when it can't start."""
+    """Run the gateway until SIGTERM or SIGINT and a drain; exits with a code when it can't
+    start.
+    """
     start_log()
     signal.signal(
         signal.SIGHUP, signal.SIG_IGN
@@ -53,8 +55,9 @@
     make_decider: Callable[..., Any],
     make_data_plane: MakeDataPlane,
 ) -> None:
-    """Start all parts, wait for the signal to stop, and drain. Raises OSError when an address can't be
-    had."""
+    """Start all parts, wait for the signal to stop, and drain. Raises OSError when an address can't
+    be had.
+    """
     loop = asyncio.get_running_loop()
     stopping = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/roselink/routing/__init__.py
+++ b/roselink/routing/__init__.py
@@ -1,4 +1,6 @@
-"""Decisions of a reverse proxy that stay good when servers fail. Start at `Balancer` and `interface`."""
+"""Decisions of a reverse proxy that stay good when servers fail. Start at `Balancer` and
+`interface`.
+"""
 
 from roselink.routing.balance import Balancer
 from roselink.routing.interface import (
--- a/roselink/routing/affinity.py
+++ b/roselink/routing/affinity.py
@@ -1,13 +1,15 @@
-"""Prompt caches of hosts: which key a request's hosts are found by, and what a host would have to read.
-
-A prompt comes in parts; a host that keeps a part and all before it reads neither again. How affinity shapes
-the draw: the two hosts that are compared are the first two of the ring for the request's key, in place of two
-random ones, and each is charged the shared tokens that it would have to read as if they were requests in
-flight. So the host that keeps more wins, unless it is more loaded by that much. The first of the ring (its
-home) is taken to keep the shared parts though this gateway has not sent them: the others send them there too.
-
-The key is the last shared part. The last part of a prompt is the request's own, or its session's: a route's
-last parts tell, by how many of them come again.
+"""Prompt caches of hosts: which key a request's hosts are found by, and what a host would have to
+read.
+
+A prompt comes in parts; a host that keeps a part and all before it reads neither again. How
+affinity shapes the draw: the two hosts that are compared are the first two of the ring for the
+request's key, in place of two random ones, and each is charged the shared tokens that it would have
+to read as if they were requests in flight. So the host that keeps more wins, unless it is more
+loaded by that much. The first of the ring (its home) is taken to keep the shared parts though this
+gateway has not sent them: the others send them there too.
+
+The key is the last shared part. The last part of a prompt is the request's own, or its session's: a
+route's last parts tell, by how many of them come again.
 """
 
 from __future__ import annotations
--- a/roselink/routing/backoff.py
+++ b/roselink/routing/backoff.py
@@ -13,11 +13,15 @@
 
 
 def backoff_s(groups: int, aim_s: float, draw: random.Random) -> float:
-    """The wait after `groups` failed groups (from 1), drawn from half to one and a half of its mean."""
+    """The wait after `groups` failed groups (from 1), drawn from half to one and a half of its
+    mean.
+    """
     first_s = aim_s * FIRST_PART if aim_s > 0 else FIRST_S
     return min(LONGEST_S, first_s * 2.0 ** (groups - 1)) * (0.5 + draw.random())
 
 
 def retry_after_s(refused_share: float, draw: random.Random) -> float:
-    """When to come back, by the share of late attempts that were refused; spread so that none meet again."""
+    """When to come back, by the share of late attempts that were refused; spread so that none meet
+    again.
+    """
     return (RETRY_AFTER_S + CROWDED_S * refused_share) * (0.75 + 0.5 * draw.random())
