--- a/roselink/__main__.py
+++ b/roselink/__main__.py
@@ -38,7 +38,7 @@
     if command == "router":
         from roselink.router.app import run
     else:
-        from roselink.control.app import run
+        from roselink.controller.app import run
     run(settings)
     return 0
 
--- /dev/null
+++ b/roselink/balancer/__init__.py
@@ -0,0 +1,63 @@
+"""Decisions of a reverse proxy that stay good when servers fail. Start at `Balancer` and
+`interface`.
+"""
+
+from roselink.balancer.balance import Balancer
+from roselink.balancer.interface import (
+    Action,
+    Alarm,
+    Arrived,
+    AttemptDone,
+    Cancel,
+    Departed,
+    Effect,
+    Event,
+    Fail,
+    Group,
+    ListKind,
+    Log,
+    Outcome,
+    Probe,
+    ProbeDone,
+    Refuse,
+    Route,
+    Send,
+    Server,
+    ServerList,
+    SetAlarm,
+    Settings,
+    State,
+    StreamStarted,
+    Watch,
+)
+
+__version__ = "0.2.0"
+
+__all__ = [
+    "Action",
+    "Alarm",
+    "Arrived",
+    "AttemptDone",
+    "Balancer",
+    "Cancel",
+    "Departed",
+    "Effect",
+    "Event",
+    "Fail",
+    "Group",
+    "ListKind",
+    "Log",
+    "Outcome",
+    "Probe",
+    "ProbeDone",
+    "Refuse",
+    "Route",
+    "Send",
+    "Server",
+    "ServerList",
+    "SetAlarm",
+    "Settings",
+    "State",
+    "StreamStarted",
+    "Watch",
+]
--- a/roselink/routing/balance.py
+++ b/roselink/balancer/balance.py
@@ -1,5 +1,5 @@
 """Every decision of the gateway. Its types, events and actions stand in
-roselink/routing/interface.py.
+roselink/balancer/interface.py.
 """
 
 from __future__ import annotations
@@ -8,10 +8,9 @@
 import random
 import zlib
 from collections import deque
-from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
-from roselink.routing.interface import (
+from roselink.balancer.interface import (
     NEVER_RAN,
     Action,
     Alarm,
@@ -38,6 +37,9 @@
     Watch,
 )
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 UNKNOWN = 0.5  # payoff of a server nothing is known of
 EXPLORE = 0.05  # share of picks that go to the lower-scored of the two drawn
 SMOOTH = 0.12  # weight of the newest outcome in a payoff: quick to learn against steady
@@ -634,7 +636,7 @@
             self.out - attempt.warm,
         )
         if outcome is Outcome.CANCELLED or outcome is Outcome.MOOT:
-            return
+            return None
         if not attempt.warm:
             self.thaw(outcome is Outcome.SUCCESS and event.elapsed_us <= route.patience_us)
         if outcome is Outcome.SUCCESS:
--- a/roselink/routing/interface.py
+++ b/roselink/balancer/interface.py
@@ -6,10 +6,12 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
 from dataclasses import dataclass
 from enum import Enum
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
+
+if TYPE_CHECKING:
+    from collections.abc import Mapping
 
 
 class Outcome(Enum):
--- a/roselink/routing/benchlink.py
+++ b/roselink/balancer/simulator_adapter.py
@@ -2,7 +2,7 @@
 encode.
 
 No decision is made here. The dialect's words stay in this file; the library speaks of servers and
-attempts. Run as `python -m roselink.routing.benchlink`. Input that is no legal batch ends the run
+attempts. Run as `python -m roselink.balancer.simulator_adapter`. Input that is no legal batch ends the run
 with status 2.
 """
 
@@ -11,12 +11,11 @@
 import json
 import math
 import sys
-from collections.abc import Callable
 from enum import Enum
-from typing import IO, Any, TypeVar
+from typing import IO, TYPE_CHECKING, Any, TypeVar
 
-from roselink.routing.balance import Balancer
-from roselink.routing.interface import (
+from roselink.balancer.balance import Balancer
+from roselink.balancer.interface import (
     Action,
     Alarm,
     Arrived,
@@ -44,6 +43,9 @@
     Watch,
 )
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 OUTCOMES = {
     "success": Outcome.SUCCESS,
     "failure": Outcome.ERROR,
--- a/roselink/membership/alone.py
+++ b/roselink/budgets/alone.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-from roselink.membership.usage import Usage
+from roselink.budgets.usage import Usage
 
 RATE_PART = 0.8  # of the recent rate
 ALONE_S = 3.0  # at that rate; in any window no more than this in all
--- a/roselink/membership/budget_service.py
+++ b/roselink/budgets/budget_service.py
@@ -12,27 +12,29 @@
 from collections import deque
 from collections.abc import Callable, Iterable
 from functools import partial
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
-from roselink.membership import quota_client, repeats
-from roselink.membership.ledger import QuotaLedger
-from roselink.membership.quota_client import QuotaClient, QuotaDecided, SendQuotaAsk
-from roselink.membership.repeats import (
+from roselink.budgets import quota_client, repeats
+from roselink.budgets.ledger import QuotaLedger
+from roselink.budgets.quota_client import QuotaClient, QuotaDecided, SendQuotaAsk
+from roselink.budgets.repeats import (
     RefreshRoster,
     RepeatClient,
     RepeatDecided,
     RepeatLedger,
     SendRepeatAsk,
 )
-from roselink.membership.roles import FRESH_S, Roles
-from roselink.membership.usage import Limit, QuotaRule
-from roselink.model.configuration import Tenant
-from roselink.model.fleet import Member, Snapshot
-from roselink.model.settings import Thresholds
+from roselink.budgets.roles import FRESH_S, Roles
+from roselink.budgets.usage import Limit, QuotaRule
 from roselink.protocol.ledger import QuotaAnswer, QuotaAsk, RepeatAnswer, RepeatAsk, Verdict
-from roselink.protocol.peers import Address, PeerPool, Reply
 
-log = logging.getLogger("roselink.membership")
+if TYPE_CHECKING:
+    from roselink.model.configuration import Tenant
+    from roselink.model.fleet import Member, Snapshot
+    from roselink.model.settings import Thresholds
+    from roselink.protocol.peers import Address, PeerPool, Reply
+
+log = logging.getLogger("roselink.budgets")
 
 REPEAT_TIMEOUT_S = 0.1
 SOONEST_WAKE_S = 0.002
--- a/roselink/membership/ledger.py
+++ b/roselink/budgets/ledger.py
@@ -12,13 +12,17 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
 
-from roselink.membership.usage import GRACE_PART, START_PART, Limit, QuotaRule, Usage
-from roselink.model.fleet import Member
+from roselink.budgets.usage import GRACE_PART, START_PART, Limit, QuotaRule, Usage
 from roselink.protocol.ledger import Level, QuotaAnswer, QuotaAsk, Used, Verdict
 
+if TYPE_CHECKING:
+    from collections.abc import Iterable, Mapping
+
+    from roselink.model.fleet import Member
+
 SILENT_S = (
     0.65  # askers with recent use are heard about twice as often (quota_client.SIGN_OF_LIFE_S)
 )
--- a/roselink/membership/quota_client.py
+++ b/roselink/budgets/quota_client.py
@@ -8,16 +8,20 @@
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Mapping
 from dataclasses import dataclass, field, replace
+from typing import TYPE_CHECKING
 
-from roselink.membership.alone import Alone
-from roselink.membership.due_times import NEVER, DueTimes
-from roselink.membership.repeats import RefreshRoster
-from roselink.membership.roles import Roles
-from roselink.membership.usage import LOCAL_PART, NEWCOMER_PART, Limit, QuotaRule, Usage
+from roselink.budgets.alone import Alone
+from roselink.budgets.due_times import NEVER, DueTimes
+from roselink.budgets.repeats import RefreshRoster
+from roselink.budgets.usage import LOCAL_PART, NEWCOMER_PART, Limit, QuotaRule, Usage
 from roselink.protocol.ledger import Level, QuotaAnswer, QuotaAsk, Verdict
 
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
+    from roselink.budgets.roles import Roles
+
 KEY_PREFIX = "quota/"
 ASK_TIMEOUT_S = 0.15
 ASK_TIMEOUT_LEAST_S = 0.03  # for requests that waited behind an ask that failed
--- a/roselink/membership/repeats.py
+++ b/roselink/budgets/repeats.py
@@ -10,12 +10,16 @@
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Iterable
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
-from roselink.membership.roles import Roles
 from roselink.protocol.ledger import RepeatAnswer, RepeatAsk, Verdict
 
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
+    from roselink.budgets.roles import Roles
+
 LENT_PART = 0.8
 FIRST_PART = 0.05
 FIRST_S = 0.5  # from its beginning on a term lends nothing for so long
--- a/roselink/membership/roles.py
+++ b/roselink/budgets/roles.py
@@ -7,13 +7,17 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
 from dataclasses import dataclass
 from hashlib import blake2b
+from typing import TYPE_CHECKING
 
-from roselink.model.fleet import Member
 from roselink.protocol.ledger import Verdict
 
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
+    from roselink.model.fleet import Member
+
 FRESH_S = 1.0  # an owner acts for so long after its newest confirmed pull was sent
 
 
--- a/roselink/cli.py
+++ b/roselink/cli.py
@@ -8,14 +8,17 @@
 
 import json as codec
 import sys
-from pathlib import Path
+from typing import TYPE_CHECKING
 
 import defopt  # type: ignore[import-untyped]
 
-from roselink.control.checking import Refused, check_document
+from roselink.controller.checking import Refused, check_document
 from roselink.model.settings import SettingsError, read_settings
 from roselink.status import NoAnswer, fetch_state, render
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
 EXIT_UNAVAILABLE = 1
 EXIT_FAULTS = 2
 MOST_MACHINES = 9  # that vote
--- a/roselink/control/api.py
+++ b/roselink/controller/api.py
@@ -10,18 +10,17 @@
 from __future__ import annotations
 
 import json
-from collections.abc import Callable
 from dataclasses import asdict
 from io import BytesIO
-from typing import Any, Protocol
+from typing import TYPE_CHECKING, Any, Protocol
 
 import structlog
 from klein import Klein
 from twisted.internet.defer import Deferred
 from twisted.web.server import Request, Site
 
-from roselink.control.checking import Fault, Refused, check
-from roselink.control.contract import (
+from roselink.controller.checking import Fault, Refused, check
+from roselink.controller.contract import (
     ConfigurationOrder,
     Confirmation,
     Conflict,
@@ -31,11 +30,15 @@
     TakenOrder,
     Unsettled,
 )
-from roselink.control.pulls import GatewayLag
-from roselink.control.updates import carry_update, read_call
-from roselink.control.values import MOST_NUMBER
+from roselink.controller.updates import carry_update, read_call
+from roselink.controller.values import MOST_NUMBER
 from roselink.coordination.state import digest_of
-from roselink.model.fleet import VersionVector
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from roselink.controller.pulls import GatewayLag
+    from roselink.model.fleet import VersionVector
 
 MAX_BODY_BYTES = 16 * 1024 * 1024
 SUBMIT_TIMEOUT_S = 2.3
--- a/roselink/control/app.py
+++ b/roselink/controller/app.py
@@ -21,8 +21,8 @@
 from collections.abc import Callable, Coroutine
 from typing import TYPE_CHECKING, Any, Protocol
 
-from roselink.control.contract import Address, ControlNode
-from roselink.control.event_log import log
+from roselink.controller.contract import Address, ControlNode
+from roselink.controller.event_log import log
 from roselink.model.settings import (
     DEFAULT_PATH,
     ENVIRONMENT_VARIABLE,
@@ -33,9 +33,9 @@
 from roselink.protocol.peers import PeerPool, PeerServer
 
 if TYPE_CHECKING:
-    from roselink.control.api import AdminApi
-    from roselink.control.platform_client import PlatformClient
-    from roselink.control.pull_service import PullService
+    from roselink.controller.api import AdminApi
+    from roselink.controller.platform_client import PlatformClient
+    from roselink.controller.pull_service import PullService
 
 STOP_SHARE = 0.25  # of `grace_s`: how long orders under way may take to end after SIGTERM
 MOST_STOP_S = 1.5
@@ -58,10 +58,10 @@
     "twisted.web.client",
     "structlog.processors",
     "structlog",
-    "roselink.control.logs",
+    "roselink.controller.logs",
     "treq.api",
     "treq.client",
-    "roselink.control.platform_client",
+    "roselink.controller.platform_client",
 )
 SERVER_MODULES = (  # and the operator's interface
     "twisted.cred.checkers",
@@ -74,9 +74,9 @@
     "klein._form",
     "klein",
     "voluptuous",
-    "roselink.control.checking",
-    "roselink.control.updates",
-    "roselink.control.api",
+    "roselink.controller.checking",
+    "roselink.controller.updates",
+    "roselink.controller.api",
 )
 FORMING_STEP_S = 0.02
 FORMING_MOST_S = 1.5  # so long in all imports wait for the members to agree on a view
@@ -159,7 +159,7 @@
 
 
 def _make_node(settings: ProcessSettings, pool: PeerPool) -> CoreNode:
-    node = importlib.import_module("roselink.control.node")
+    node = importlib.import_module("roselink.controller.node")
     made: CoreNode = node.ControlNode(settings, pool, asyncio.get_running_loop())
     return made
 
@@ -223,7 +223,7 @@
         settings = self._settings
         log.name(settings.node_name)
         self._node = node = self._make_node(settings, self._pool)
-        self._pulls = importlib.import_module("roselink.control.pull_service").PullService(
+        self._pulls = importlib.import_module("roselink.controller.pull_service").PullService(
             node, self._pool
         )
         await self._listen(settings.ip, settings.peer_port)
@@ -250,8 +250,8 @@
         """Log as the libraries do, and read the platform's list when this member is the tail."""
         import structlog
 
-        from roselink.control.logs import start_logs
-        from roselink.control.platform_client import PlatformClient
+        from roselink.controller.logs import start_logs
+        from roselink.controller.platform_client import PlatformClient
 
         start_logs(self._settings.node_name)
         log.begin(structlog.get_logger("roselink.core"))
@@ -263,7 +263,7 @@
 
     def _start_api(self, node: CoreNode, pulls: PullService, reactor: Any) -> None:
         """Listen to the operator."""
-        from roselink.control.api import AdminApi
+        from roselink.controller.api import AdminApi
 
         self._api = AdminApi(node, pulls, reactor)
         admin = self._settings.bind.get("admin")
--- a/roselink/control/checking.py
+++ b/roselink/controller/checking.py
@@ -8,13 +8,12 @@
 from __future__ import annotations
 
 import json
-from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
-from typing import Any, NoReturn
+from typing import TYPE_CHECKING, Any, NoReturn
 
 from voluptuous import In, Invalid, MultipleInvalid, Required, Schema
 
-from roselink.control.values import (
+from roselink.controller.values import (
     amount,
     any_text,
     count,
@@ -30,6 +29,9 @@
 )
 from roselink.model.configuration import RouteKind
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable, Mapping
+
 MOST_FAULTS = 100  # faults reported of one document
 
 
--- a/roselink/control/contract.py
+++ b/roselink/controller/contract.py
@@ -6,8 +6,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from typing import Protocol
+from typing import TYPE_CHECKING, Protocol
 
 from roselink.coordination.effects import (
     Confirmation,
@@ -20,6 +19,9 @@
 from roselink.protocol.chain import ConfigurationOrder
 from roselink.protocol.peers import Address
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 __all__ = [
     "Address",
     "ConfigurationOrder",
--- a/roselink/control/host_versions.py
+++ b/roselink/controller/host_versions.py
@@ -7,13 +7,17 @@
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Callable
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
-from roselink.model.fleet import Host
 from roselink.protocol.pull import HostChanges, HostList
 from roselink.protocol.records import encode
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from roselink.model.fleet import Host
+
 MOST_STEPS = 64  # versions back from the newest for which changes are known
 MOST_PART = 0.5  # of the list's length: more changes than that go as the whole list
 
--- a/roselink/control/node.py
+++ b/roselink/controller/node.py
@@ -9,10 +9,10 @@
 import secrets
 import threading
 from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
-from roselink.control.event_log import log
-from roselink.control.storage import Storage, record_number
+from roselink.controller.event_log import log
+from roselink.controller.storage import Storage, record_number
 from roselink.coordination.effects import (
     Confirmation,
     Effect,
@@ -27,9 +27,11 @@
 )
 from roselink.coordination.member import TICK_S, Member, Start
 from roselink.coordination.messages import HANDLED
-from roselink.model.settings import ProcessSettings
 from roselink.protocol.chain import ConfigurationOrder, StoredState, View, Votes
-from roselink.protocol.peers import Address, PeerPool, Reply
+
+if TYPE_CHECKING:
+    from roselink.model.settings import ProcessSettings
+    from roselink.protocol.peers import Address, PeerPool, Reply
 
 LEAVE_S = 1.0
 LOAD_AGAIN_S = 0.2
--- a/roselink/control/payoffs.py
+++ b/roselink/controller/payoffs.py
@@ -7,12 +7,15 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 from roselink.protocol.payoffs import HostOutcomes, HostPayoff, PooledPayoffs
 from roselink.protocol.records import encode
 
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
 HALF_S = 2.0
 MOST_WEIGHT = 12.0  # outcomes that are remembered of a host
 LEAST_WEIGHT = 0.05  # below, a host is forgotten
--- a/roselink/control/platform.py
+++ b/roselink/controller/platform.py
@@ -8,13 +8,15 @@
 from __future__ import annotations
 
 import json
-import random
 from collections.abc import Mapping
 from dataclasses import dataclass
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from roselink.model.fleet import Host, HostState
 
+if TYPE_CHECKING:
+    import random
+
 RATE_SHARE = (
     0.5  # of the platform's rate: the rest is left for a former reader that has not stopped yet
 )
--- a/roselink/control/platform_client.py
+++ b/roselink/controller/platform_client.py
@@ -8,19 +8,17 @@
 
 import random
 import time
-from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import structlog
 from treq.client import HTTPClient
-from twisted.internet.defer import Deferred
 from twisted.internet.endpoints import TCP4ClientEndpoint
 from twisted.python.failure import Failure
 from twisted.web.client import Agent, HTTPConnectionPool
 from twisted.web.iweb import IAgentEndpointFactory, IResponse
 from zope.interface import implementer  # type: ignore[import-untyped]
 
-from roselink.control.platform import (
+from roselink.controller.platform import (
     Fetch,
     Listed,
     ListReader,
@@ -30,8 +28,14 @@
     WakeAt,
     read_page,
 )
-from roselink.model.fleet import Host
-from roselink.model.settings import Platform
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from twisted.internet.defer import Deferred
+
+    from roselink.model.fleet import Host
+    from roselink.model.settings import Platform
 
 CONNECT_TIMEOUT_S = 0.6
 IDLE_TIMEOUT_S = 30  # an idle connection is closed after so long
--- a/roselink/control/pull_service.py
+++ b/roselink/controller/pull_service.py
@@ -5,10 +5,9 @@
 import itertools
 import time
 from collections.abc import Callable
-from typing import Any, Protocol
+from typing import TYPE_CHECKING, Any, Protocol
 
-from roselink.control.contract import Address, Confirmation, ControlNode
-from roselink.control.pulls import (
+from roselink.controller.pulls import (
     Answer,
     AnswerChanges,
     Confirm,
@@ -20,9 +19,12 @@
     PullEffect,
     PullTimes,
 )
-from roselink.model.fleet import Host, VersionVector
 from roselink.protocol.pull import ChangesPull, ChangesReply, Pull, PullReply
 
+if TYPE_CHECKING:
+    from roselink.controller.contract import Address, Confirmation, ControlNode
+    from roselink.model.fleet import Host, VersionVector
+
 FORWARD_TIMEOUT_S = 0.4
 
 Reply = Callable[[Any], None]
--- a/roselink/control/pulls.py
+++ b/roselink/controller/pulls.py
@@ -13,14 +13,17 @@
 import zlib
 from collections import deque
 from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
 
-from roselink.control.contract import Address, Confirmation
-from roselink.control.host_versions import HostVersions
-from roselink.control.payoffs import PayoffPool
+from roselink.controller.host_versions import HostVersions
+from roselink.controller.payoffs import PayoffPool
 from roselink.model.fleet import Host, Member, VersionVector
 from roselink.protocol.pull import ChangesReply, Pull, PullReply
 from roselink.protocol.records import record
 
+if TYPE_CHECKING:
+    from roselink.controller.contract import Address, Confirmation
+
 EPOCH_SHIFT = 32
 COMPRESSION = 1  # zlib's fastest: documents repeat themselves so much that more effort gains little
 FORMER_INCARNATIONS = (
--- a/roselink/control/updates.py
+++ b/roselink/controller/updates.py
@@ -18,15 +18,17 @@
 import hashlib
 import json
 import struct
-from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from voluptuous import Invalid
 
-from roselink.control.checking import Checked, Fault, Refused, check_document, read_json
-from roselink.control.contract import ConfigurationOrder, Confirmation, SubmitOutcome, Unsettled
-from roselink.control.values import positive_whole
+from roselink.controller.checking import Checked, Fault, Refused, check_document, read_json
+from roselink.controller.contract import ConfigurationOrder, Confirmation, SubmitOutcome, Unsettled
+from roselink.controller.values import positive_whole
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable, Mapping
 
 UPSERT, REMOVE, GENERATION = "upsert", "remove", "generation"
 _DIGEST_PREFIX = b"config/update\0"  # no whole document's digest begins with these bytes
--- a/roselink/control/values.py
+++ b/roselink/controller/values.py
@@ -5,11 +5,13 @@
 from __future__ import annotations
 
 import math
-from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from voluptuous import ALLOW_EXTRA, Invalid, MultipleInvalid, Optional, Schema
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 MOST_NUMBER = 2**63 - 1  # what a record's whole number holds
 MOST_ERRORS = 100  # collected of one list
 
--- a/roselink/coordination/ballots.py
+++ b/roselink/coordination/ballots.py
@@ -5,11 +5,14 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
 
 from roselink.coordination.effects import Emit, Persist, Send, Store
-from roselink.coordination.votes import Voting
 from roselink.protocol.records import encode
 
+if TYPE_CHECKING:
+    from roselink.coordination.votes import Voting
+
 
 @dataclass(slots=True)
 class BallotBox:
--- a/roselink/coordination/effects.py
+++ b/roselink/coordination/effects.py
@@ -5,8 +5,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from enum import Enum
+from typing import TYPE_CHECKING
 
-from roselink.protocol.chain import View
+if TYPE_CHECKING:
+    from roselink.protocol.chain import View
 
 
 @dataclass(frozen=True, slots=True)
--- a/roselink/coordination/messages.py
+++ b/roselink/coordination/messages.py
@@ -2,19 +2,11 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
-from roselink.coordination.ballots import BallotBox
-from roselink.coordination.chain import ChainMember
 from roselink.coordination.effects import Emit, Send
-from roselink.coordination.orders import HeadOrders, OwnCalls
-from roselink.coordination.peering import Peers
-from roselink.coordination.presence import Presence
-from roselink.coordination.proposing import Proposer
 from roselink.coordination.reads import ReadRounds, Waiting
-from roselink.coordination.votes import Voting
 from roselink.protocol.chain import (
     Accept,
     Accepted,
@@ -35,6 +27,17 @@
     Write,
 )
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from roselink.coordination.ballots import BallotBox
+    from roselink.coordination.chain import ChainMember
+    from roselink.coordination.orders import HeadOrders, OwnCalls
+    from roselink.coordination.peering import Peers
+    from roselink.coordination.presence import Presence
+    from roselink.coordination.proposing import Proposer
+    from roselink.coordination.votes import Voting
+
 
 @dataclass(slots=True)
 class MessageHandler:
--- a/roselink/coordination/orders.py
+++ b/roselink/coordination/orders.py
@@ -12,8 +12,8 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
 
-from roselink.coordination.chain import ChainMember
 from roselink.coordination.effects import (
     Confirmation,
     Conflict,
@@ -38,6 +38,9 @@
     Voter,
 )
 
+if TYPE_CHECKING:
+    from roselink.coordination.chain import ChainMember
+
 SUBMIT_ENDS_S = 2.5
 READ_ENDS_S = 1.5
 ORDER_AGAIN_S = 0.5
--- a/roselink/coordination/peering.py
+++ b/roselink/coordination/peering.py
@@ -7,12 +7,15 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
 from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
 
 from roselink.coordination.views import Peer
 from roselink.protocol.chain import Heartbeat, Voter
 
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
 SILENT_S = 0.45  # a machine that said nothing for so long is suspected
 STEADY_S = 0.3  # a machine that has been live and well for so long may join a chain
 FORGET_S = 10.0  # a machine that said nothing for so long is not known any more
--- a/roselink/coordination/presence.py
+++ b/roselink/coordination/presence.py
@@ -5,13 +5,16 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
-from roselink.coordination.chain import ChainMember
 from roselink.coordination.effects import Emit, Send
-from roselink.coordination.peering import DiskHealth, Peers
 from roselink.coordination.views import Peer, whole
 from roselink.protocol.chain import Heartbeat, View, Voter
 
+if TYPE_CHECKING:
+    from roselink.coordination.chain import ChainMember
+    from roselink.coordination.peering import DiskHealth, Peers
+
 HEARTBEAT_S = 0.1
 GREETING_S = (
     0.02  # between a heartbeat and one that answers a machine which has not heard this one yet
--- a/roselink/coordination/proposing.py
+++ b/roselink/coordination/proposing.py
@@ -7,14 +7,17 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 from roselink.coordination.effects import Emit, Send
 from roselink.coordination.views import Peer, Rules, majority, plan, waits_for_joiners
 from roselink.coordination.votes import Attempt, Voting
 from roselink.protocol.chain import Accept, Accepted, Ballot, Prepare, Promise, Refusal, View, Voter
 
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
 RANK_S = 0.12  # delay for each live voter that comes before
 OPEN_S = 0.25  # a vote of another that stays open for so long is taken up
 ATTEMPT_S = 0.4  # an attempt without a majority for so long is given up; longer with each next one
--- a/roselink/coordination/views.py
+++ b/roselink/coordination/views.py
@@ -39,12 +39,15 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 from itertools import combinations
+from typing import TYPE_CHECKING
 
 from roselink.protocol.chain import Link, View, Voter
 
+if TYPE_CHECKING:
+    from collections.abc import Iterable, Mapping
+
 MAX_VOTERS = 9
 
 
--- a/roselink/dataplane/admission.py
+++ b/roselink/dataplane/admission.py
@@ -4,14 +4,16 @@
 
 from __future__ import annotations
 
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
-from roselink.dataplane.exchange import Exchange
 from roselink.dataplane.requests import ProxyRequest, priority_of
-from roselink.dataplane.routes import RouteEntry, RouteTable
-from roselink.model.configuration import Route, Tenant
 from roselink.routing.decisions import RequestFacts
 
+if TYPE_CHECKING:
+    from roselink.dataplane.exchange import Exchange
+    from roselink.dataplane.routes import RouteEntry, RouteTable
+    from roselink.model.configuration import Route, Tenant
+
 DEFAULT_DEADLINE_S = 30.0
 # Before the client's deadline by this much the last word is said: room for the way to the client.
 MARGIN_S = 0.030
--- a/roselink/dataplane/attempts.py
+++ b/roselink/dataplane/attempts.py
@@ -2,17 +2,19 @@
 
 from __future__ import annotations
 
-import asyncio
-from collections import Counter
-from collections.abc import Mapping
 from functools import partial
-from typing import Protocol
+from typing import TYPE_CHECKING, Protocol
 
+from roselink.balancer.interface import NEVER_RAN, Outcome
 from roselink.dataplane.exchange import AnswerMode, AttemptAnswer, Exchange
 from roselink.dataplane.requests import attempt_head
 from roselink.dataplane.upstream import FleetAttempt, FleetHost, FleetUpstream
 from roselink.routing.decisions import AttemptEnded, Event, FirstEvent, SendAttempt
-from roselink.routing.interface import NEVER_RAN, Outcome
+
+if TYPE_CHECKING:
+    import asyncio
+    from collections import Counter
+    from collections.abc import Mapping
 
 HOST_MARGIN_MS = (
     5  # hosts are told so much less: what they say at their deadline is still passed on
--- a/roselink/dataplane/engine.py
+++ b/roselink/dataplane/engine.py
@@ -7,13 +7,14 @@
 
 from __future__ import annotations
 
-import asyncio
 import itertools
 import logging
 import random
 from collections import Counter
 from functools import partial
+from typing import TYPE_CHECKING
 
+from roselink.balancer.interface import Outcome
 from roselink.dataplane.admission import (
     NOT_CONFIRMED_RETRY_S,
     Admitted,
@@ -27,13 +28,10 @@
 )
 from roselink.dataplane.attempts import Attempts
 from roselink.dataplane.exchange import ClientAnswer, Exchange
-from roselink.dataplane.interfaces import Authority, Decisions, Quotas, SharedBudget
 from roselink.dataplane.queue import EventQueue
 from roselink.dataplane.requests import ProxyRequest, host_head
 from roselink.dataplane.routes import RouteTable
 from roselink.dataplane.topology import HostDirectory
-from roselink.dataplane.upstream import FleetUpstream
-from roselink.model.configuration import Tenant
 from roselink.routing.decisions import (
     Action,
     AskSharedBudget,
@@ -49,7 +47,13 @@
     TimerFired,
     TopologyChanged,
 )
-from roselink.routing.interface import Outcome
+
+if TYPE_CHECKING:
+    import asyncio
+
+    from roselink.dataplane.interfaces import Authority, Decisions, Quotas, SharedBudget
+    from roselink.dataplane.upstream import FleetUpstream
+    from roselink.model.configuration import Tenant
 
 log = logging.getLogger("roselink.dataplane")
 
--- a/roselink/dataplane/exchange.py
+++ b/roselink/dataplane/exchange.py
@@ -7,17 +7,20 @@
 
 from __future__ import annotations
 
-import asyncio
-from collections.abc import Callable
 from enum import Enum
-from typing import NamedTuple, Protocol
+from typing import TYPE_CHECKING, NamedTuple, Protocol
 
+from roselink.balancer.interface import NEVER_RAN, Outcome
 from roselink.dataplane.events import Progress, StreamFilter
 from roselink.dataplane.requests import Headers, ProxyRequest, relayed_headers
 from roselink.dataplane.upstream import PROMISES, FleetAttempt, outcome_of
 from roselink.model.configuration import Route, RouteKind, Tenant
-from roselink.routing.decisions import RequestFacts
-from roselink.routing.interface import NEVER_RAN, Outcome
+
+if TYPE_CHECKING:
+    import asyncio
+    from collections.abc import Callable
+
+    from roselink.routing.decisions import RequestFacts
 
 SENDS_MOST = 64  # attempts of one request: a decider that never stops must not stop the loop
 HOLD_LIMIT = 256 * 1024  # bytes of an answer that wait here for the rest of it
--- a/roselink/dataplane/interfaces.py
+++ b/roselink/dataplane/interfaces.py
@@ -4,12 +4,14 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from typing import Protocol
+from typing import TYPE_CHECKING, Protocol
 
-from roselink.model.configuration import Tenant
-from roselink.model.fleet import Snapshot
-from roselink.routing.decisions import Action, Event
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from roselink.model.configuration import Tenant
+    from roselink.model.fleet import Snapshot
+    from roselink.routing.decisions import Action, Event
 
 
 class Decisions(Protocol):
--- a/roselink/dataplane/plane.py
+++ b/roselink/dataplane/plane.py
@@ -5,17 +5,20 @@
 import asyncio
 import logging
 import zlib
+from typing import TYPE_CHECKING
 
 from roselink.dataplane.engine import Engine
-from roselink.dataplane.interfaces import Authority, Decisions, Quotas, SharedBudget
 from roselink.dataplane.server import DataServer, ReadinessServer
 from roselink.dataplane.upstream import FleetUpstream
 from roselink.gateway.config import Descriptors
-from roselink.gateway.connections import HttpServer
-from roselink.model.fleet import Snapshot
-from roselink.model.settings import ProcessSettings
 from roselink.routing.decisions import PooledPayoffs
 
+if TYPE_CHECKING:
+    from roselink.dataplane.interfaces import Authority, Decisions, Quotas, SharedBudget
+    from roselink.gateway.connections import HttpServer
+    from roselink.model.fleet import Snapshot
+    from roselink.model.settings import ProcessSettings
+
 log = logging.getLogger("roselink.dataplane")
 
 SWEEP_S = 0.25
--- a/roselink/dataplane/queue.py
+++ b/roselink/dataplane/queue.py
@@ -2,13 +2,11 @@
 
 from __future__ import annotations
 
-import asyncio
 import logging
 from collections import deque
-from collections.abc import Callable, Iterator
 from contextlib import contextmanager
+from typing import TYPE_CHECKING
 
-from roselink.dataplane.interfaces import Decisions
 from roselink.routing.decisions import (
     Action,
     AttemptEnded,
@@ -19,6 +17,12 @@
     StartTimer,
 )
 
+if TYPE_CHECKING:
+    import asyncio
+    from collections.abc import Callable, Iterator
+
+    from roselink.dataplane.interfaces import Decisions
+
 log = logging.getLogger("roselink.dataplane")
 
 
--- a/roselink/dataplane/routes.py
+++ b/roselink/dataplane/routes.py
@@ -2,10 +2,13 @@
 
 from __future__ import annotations
 
-import random
 from itertools import accumulate
+from typing import TYPE_CHECKING
 
-from roselink.model.configuration import Configuration, Route, Tenant
+if TYPE_CHECKING:
+    import random
+
+    from roselink.model.configuration import Configuration, Route, Tenant
 
 
 class RouteEntry:
--- a/roselink/dataplane/server.py
+++ b/roselink/dataplane/server.py
@@ -2,17 +2,13 @@
 
 from __future__ import annotations
 
-import asyncio
 import logging
 import socket
 import struct
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 from roselink.dataplane.admission import NOT_CONFIRMED_RETRY_S
-from roselink.dataplane.engine import Engine
-from roselink.dataplane.exchange import Exchange
 from roselink.dataplane.requests import Headers, ProxyRequest, read_request
-from roselink.gateway.config import Descriptors
 from roselink.gateway.connections import (
     REASONS,
     Bad,
@@ -24,6 +20,14 @@
 )
 from roselink.model.configuration import Limits
 
+if TYPE_CHECKING:
+    import asyncio
+    from collections.abc import Callable
+
+    from roselink.dataplane.engine import Engine
+    from roselink.dataplane.exchange import Exchange
+    from roselink.gateway.config import Descriptors
+
 log = logging.getLogger("roselink.dataplane")
 
 BODY_S = 10.0  # for a body to come in whole, behind the head's own time
--- a/roselink/dataplane/upstream.py
+++ b/roselink/dataplane/upstream.py
@@ -6,16 +6,13 @@
 
 from __future__ import annotations
 
-import asyncio
 import socket
-from collections.abc import Callable
 from contextlib import suppress
-from typing import Protocol
+from typing import TYPE_CHECKING, Protocol
 
 import httptools
 
-from roselink.dataplane.requests import Headers
-from roselink.gateway.config import Address, Descriptors
+from roselink.balancer.interface import Outcome
 from roselink.gateway.upstream import (
     HEAD_LIMIT,
     INTERIM_LIMIT,
@@ -25,7 +22,13 @@
     Upstream,
     Wanted,
 )
-from roselink.routing.interface import Outcome
+
+if TYPE_CHECKING:
+    import asyncio
+    from collections.abc import Callable
+
+    from roselink.dataplane.requests import Headers
+    from roselink.gateway.config import Address, Descriptors
 
 CONNECT_TIMEOUT_S = 0.25
 USER_TIMEOUT_MS = 2500  # unacknowledged bytes for so long: the machine is gone
--- a/roselink/distribution/host_changes.py
+++ b/roselink/distribution/host_changes.py
@@ -3,11 +3,14 @@
 from __future__ import annotations
 
 import zlib
+from typing import TYPE_CHECKING
 
-from roselink.model.fleet import Host
 from roselink.protocol.pull import ChangesReply, HostChanges, HostList, PullReply
 from roselink.protocol.records import RecordError, decode, number_of
 
+if TYPE_CHECKING:
+    from roselink.model.fleet import Host
+
 _LIST = number_of(HostList(()))
 _CHANGES = number_of(HostChanges(0, (), ()))
 
--- a/roselink/distribution/pull.py
+++ b/roselink/distribution/pull.py
@@ -11,9 +11,8 @@
 from __future__ import annotations
 
 import json
-import random
-from collections.abc import Callable, Iterable
 from dataclasses import dataclass, replace
+from typing import TYPE_CHECKING
 
 from roselink.distribution.host_changes import completed
 from roselink.model.configuration import Configuration, Limits
@@ -22,6 +21,10 @@
 from roselink.protocol.pull import ChangesReply, Pull, PullReply
 from roselink.protocol.records import RecordError, decode, number_of_type
 
+if TYPE_CHECKING:
+    import random
+    from collections.abc import Callable, Iterable
+
 Address = tuple[str, int]
 
 PULL_EVERY_S = 0.2
--- a/roselink/distribution/puller.py
+++ b/roselink/distribution/puller.py
@@ -11,6 +11,7 @@
 import time
 from collections.abc import Callable, Iterable
 from functools import partial
+from typing import TYPE_CHECKING
 
 from roselink.distribution.pull import (
     Apply,
@@ -21,12 +22,14 @@
     SendPull,
     Unreadable,
 )
-from roselink.model.fleet import Member, Snapshot
 from roselink.model.settings import ProcessSettings, SettingsError, load_settings
-from roselink.protocol.payoffs import HostOutcomes
-from roselink.protocol.peers import PeerPool
 from roselink.protocol.pull import ChangesPull, ChangesReply, PullReply
 
+if TYPE_CHECKING:
+    from roselink.model.fleet import Member, Snapshot
+    from roselink.protocol.payoffs import HostOutcomes
+    from roselink.protocol.peers import PeerPool
+
 log = logging.getLogger("roselink.distribution")
 
 EPOCH_SPAN = 1 << 32  # versions of hosts and roster are epoch and counter (`VersionVector`)
--- a/roselink/gateway/__main__.py
+++ b/roselink/gateway/__main__.py
@@ -8,10 +8,11 @@
 import os
 import signal
 import sys
-from collections.abc import Mapping
+from typing import TYPE_CHECKING
 
 import uvloop
 
+from roselink.balancer.balance import Balancer
 from roselink.gateway.config import (
     Config,
     ConfigError,
@@ -26,7 +27,9 @@
 from roselink.gateway.logs import start_log
 from roselink.gateway.server import Server
 from roselink.gateway.upstream import Upstream
-from roselink.routing.balance import Balancer
+
+if TYPE_CHECKING:
+    from collections.abc import Mapping
 
 log = logging.getLogger("roselink.gateway")
 
--- a/roselink/gateway/config.py
+++ b/roselink/gateway/config.py
@@ -9,13 +9,16 @@
 import json
 import socket
 import zlib
-from collections.abc import Iterator, Mapping
 from contextlib import contextmanager
 from dataclasses import dataclass, fields
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
-from roselink.routing.benchlink import read_settings
-from roselink.routing.interface import Settings
+from roselink.balancer.simulator_adapter import read_settings
+
+if TYPE_CHECKING:
+    from collections.abc import Iterator, Mapping
+
+    from roselink.balancer.interface import Settings
 
 Address = tuple[str, int]
 
--- a/roselink/gateway/connections.py
+++ b/roselink/gateway/connections.py
@@ -14,14 +14,16 @@
 import select
 import socket
 from collections import deque
-from collections.abc import Callable
-from typing import Any, NamedTuple, cast
+from typing import TYPE_CHECKING, Any, NamedTuple, cast
 
 import httptools
 
 from roselink.gateway.config import LENT, Descriptors
 from roselink.gateway.look import SocketLook
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 REASONS = {
     200: b"OK",
     201: b"Created",
@@ -160,7 +162,7 @@
     # The transport's side.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass of it
+        self._transport = cast("asyncio.Transport", transport)  # uvloop's are no subclass of it
         # With the marks at 0 `_unread` stands for "bytes of an answer left in this process".
         self._transport.set_write_buffer_limits(high=0)
         self._look = SocketLook(transport)
--- a/roselink/gateway/engine.py
+++ b/roselink/gateway/engine.py
@@ -7,20 +7,15 @@
 
 from __future__ import annotations
 
-import asyncio
 import itertools
 import logging
 import time
 from collections import deque
-from collections.abc import Callable
 from dataclasses import dataclass
 from functools import partial
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
-from roselink.gateway.config import Address
-from roselink.gateway.upstream import Answer, Attempt, Host, Upstream
-from roselink.routing.balance import Balancer
-from roselink.routing.interface import (
+from roselink.balancer.interface import (
     Action,
     Alarm,
     Arrived,
@@ -39,6 +34,14 @@
     State,
     StreamStarted,
 )
+from roselink.gateway.upstream import Answer, Attempt, Host, Upstream
+
+if TYPE_CHECKING:
+    import asyncio
+    from collections.abc import Callable
+
+    from roselink.balancer.balance import Balancer
+    from roselink.gateway.config import Address
 
 log = logging.getLogger("roselink.gateway.engine")
 
--- a/roselink/gateway/framing.py
+++ b/roselink/gateway/framing.py
@@ -9,7 +9,10 @@
 from __future__ import annotations
 
 import re
-from collections.abc import Iterator
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from collections.abc import Iterator
 
 DEPTH_LIMIT = 16  # a list is three deep; past some hundreds the parser of JSON itself gives up
 _STRUCTURE = re.compile(rb'["{}\[\]]')
--- a/roselink/gateway/look.py
+++ b/roselink/gateway/look.py
@@ -6,8 +6,11 @@
 
 from __future__ import annotations
 
-import asyncio
 import select
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    import asyncio
 
 _LEFT = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
--- a/roselink/gateway/server.py
+++ b/roselink/gateway/server.py
@@ -4,13 +4,12 @@
 
 from __future__ import annotations
 
-import asyncio
 import logging
 import math
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 from urllib.parse import unquote
 
-from roselink.gateway.config import Config, Descriptors
+from roselink.balancer.interface import Effect
 from roselink.gateway.connections import (
     REASONS,
     Bad,
@@ -22,7 +21,12 @@
 )
 from roselink.gateway.engine import ClientRequest, Engine, OpenRequest, Reply
 from roselink.gateway.upstream import BODY_LIMIT, HEAD_LIMIT
-from roselink.routing.interface import Effect
+
+if TYPE_CHECKING:
+    import asyncio
+    from collections.abc import Callable
+
+    from roselink.gateway.config import Config, Descriptors
 
 log = logging.getLogger("roselink.gateway.server")
 
--- a/roselink/gateway/upstream.py
+++ b/roselink/gateway/upstream.py
@@ -13,13 +13,15 @@
 import asyncio
 from collections.abc import Callable
 from functools import partial
-from typing import NamedTuple, cast
+from typing import TYPE_CHECKING, NamedTuple, cast
 
 import httptools
 
-from roselink.gateway.config import Address, Descriptors
+from roselink.balancer.interface import Outcome
 from roselink.gateway.look import SocketLook
-from roselink.routing.interface import Outcome
+
+if TYPE_CHECKING:
+    from roselink.gateway.config import Address, Descriptors
 
 BODY_LIMIT = 64 * 1024
 HEAD_LIMIT = 16 * 1024
@@ -149,7 +151,7 @@
         self._status = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass of it
+        self.transport = cast("asyncio.Transport", transport)  # uvloop's are no subclass of it
         # With the marks at 0 `pause_writing` stands for "bytes left in this process",
         # `resume_writing` for "the kernel has the last byte": what parts a failed connection from a
         # reset.
--- a/roselink/membership/sampler.py
+++ b/roselink/gossip/driver.py
@@ -6,9 +6,9 @@
 import os
 import random
 import time
-from collections.abc import Callable, Iterable
+from typing import TYPE_CHECKING
 
-from roselink.membership.sampling import (
+from roselink.gossip.peer_sampling import (
     TIMEOUT_S,
     CoresHeard,
     Effect,
@@ -17,9 +17,13 @@
     SendShuffle,
 )
 from roselink.model.fleet import Member, Snapshot, VersionVector
-from roselink.protocol.peers import PeerPool, Reply
 from roselink.protocol.sampling import Shuffle, Shuffled
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable
+
+    from roselink.protocol.peers import PeerPool, Reply
+
 LOOK_S = 0.5  # between looks at whether an exchange is due
 
 
--- a/roselink/membership/sampling.py
+++ b/roselink/gossip/peer_sampling.py
@@ -7,13 +7,16 @@
 
 from __future__ import annotations
 
-import random
-from collections.abc import Iterable
 from dataclasses import dataclass, replace
+from typing import TYPE_CHECKING
 
 from roselink.model.fleet import Member, VersionVector
 from roselink.protocol.sampling import News, Seen, Shuffle, Shuffled
 
+if TYPE_CHECKING:
+    import random
+    from collections.abc import Iterable
+
 VIEW_SIZE = 8
 SHUFFLE_SIZE = 4
 CALM_EVERY_S = 10.0
--- a/roselink/lab/clients.py
+++ b/roselink/lab/clients.py
@@ -10,13 +10,16 @@
 import time
 from dataclasses import dataclass, field
 from enum import Enum
+from typing import TYPE_CHECKING
 
 from roselink.dataplane.events import EventSplitter
 from roselink.lab.hosts import event, record, signature
 from roselink.lab.operator import HOSTNAME, KEY
-from roselink.lab.platform import Ingress
 from roselink.lab.wire import BrokenMessage, Head, message, read_body, read_head, read_parts
 
+if TYPE_CHECKING:
+    from roselink.lab.platform import Ingress
+
 PROMISES = (408, 421, 429, 503)
 DEADLINE_S = 5.0
 TRIES = 4
--- a/roselink/lab/fleet.py
+++ b/roselink/lab/fleet.py
@@ -12,11 +12,13 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
-from roselink.lab.wire import Address
 from roselink.model.settings import ENVIRONMENT_VARIABLE
 
+if TYPE_CHECKING:
+    from roselink.lab.wire import Address
+
 CONTROLLERS = 3
 MOST_ROUTERS = 100
 RESTART_S = 2.0  # from a process's end to its next start
--- a/roselink/lab/platform.py
+++ b/roselink/lab/platform.py
@@ -7,12 +7,16 @@
 import asyncio
 import json
 import random
-from collections.abc import Collection
 from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
 
-from roselink.lab.hosts import Host
 from roselink.lab.wire import Address, BrokenMessage, ask, message, read_body, read_head
 
+if TYPE_CHECKING:
+    from collections.abc import Collection
+
+    from roselink.lab.hosts import Host
+
 ASK_EVERY_S = 1.0  # for readiness
 FIRST_ASK_EVERY_S = 0.1  # until a gateway was ready once
 SILENCE_S = 0.8
--- a/roselink/lab/wire.py
+++ b/roselink/lab/wire.py
@@ -3,8 +3,11 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import AsyncIterator
 from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from collections.abc import AsyncIterator
 
 Address = tuple[str, int]
 MOST_HEAD_BYTES = 65536
--- a/roselink/model/configuration.py
+++ b/roselink/model/configuration.py
@@ -1,13 +1,15 @@
-"""The operator's configuration as typed values. `roselink.control.checking` decides whether one is
+"""The operator's configuration as typed values. `roselink.controller.checking` decides whether one is
 valid.
 """
 
 from __future__ import annotations
 
-from collections.abc import Mapping
 from dataclasses import dataclass
 from enum import Enum
-from typing import Any
+from typing import TYPE_CHECKING, Any
+
+if TYPE_CHECKING:
+    from collections.abc import Mapping
 
 
 class RouteKind(Enum):
--- a/roselink/model/fleet.py
+++ b/roselink/model/fleet.py
@@ -7,8 +7,10 @@
 
 from dataclasses import dataclass
 from enum import IntEnum
+from typing import TYPE_CHECKING
 
-from roselink.model.configuration import Configuration
+if TYPE_CHECKING:
+    from roselink.model.configuration import Configuration
 
 
 class HostState(IntEnum):
--- a/roselink/protocol/peers.py
+++ b/roselink/protocol/peers.py
@@ -92,7 +92,7 @@
         self.heard_at = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)
+        self.transport = cast("asyncio.Transport", transport)
         peer = transport.get_extra_info("peername") or ("", 0)
         self.peer = (peer[0], peer[1])
         raw = transport.get_extra_info("socket")
--- a/roselink/router/app.py
+++ b/roselink/router/app.py
@@ -14,10 +14,10 @@
 
 import uvloop
 
+from roselink.budgets.budget_service import BudgetService
 from roselink.distribution.puller import Puller
 from roselink.gateway.logs import start_log
-from roselink.membership.budget_service import BudgetService
-from roselink.membership.sampler import Sampler
+from roselink.gossip.driver import Sampler
 from roselink.model.fleet import Member
 from roselink.model.settings import DEFAULT_PATH, ENVIRONMENT_VARIABLE, ProcessSettings
 from roselink.protocol.payoffs import HostOutcomes
--- a/roselink/router/status_log.py
+++ b/roselink/router/status_log.py
@@ -2,9 +2,12 @@
 
 from __future__ import annotations
 
-import asyncio
 import logging
-from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    import asyncio
+    from collections.abc import Callable
 
 log = logging.getLogger("roselink.router")
 
--- a/roselink/routing/affinity.py
+++ b/roselink/routing/affinity.py
@@ -16,9 +16,10 @@
 
 from collections import OrderedDict
 from dataclasses import dataclass
-from typing import TypeVar
+from typing import TYPE_CHECKING, TypeVar
 
-from roselink.routing.decisions import PromptPart, RequestFacts
+if TYPE_CHECKING:
+    from roselink.routing.decisions import PromptPart, RequestFacts
 
 KEPT_PARTS = 8192  # parts whose hosts are remembered
 KEPT_LASTS = 2048  # last parts remembered, to see which come again
--- a/roselink/routing/backoff.py
+++ b/roselink/routing/backoff.py
@@ -2,7 +2,10 @@
 
 from __future__ import annotations
 
-import random
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    import random
 
 FIRST_PART = 1 / 64  # first wait, as part of the aim; it doubles with each group
 FIRST_S = 0.008  # first wait where no aim is told
--- a/roselink/routing/decisions.py
+++ b/roselink/routing/decisions.py
@@ -8,10 +8,12 @@
 
 from dataclasses import dataclass
 from enum import Enum
+from typing import TYPE_CHECKING
 
-from roselink.model.configuration import Service
-from roselink.model.fleet import Host
-from roselink.routing.interface import Outcome
+if TYPE_CHECKING:
+    from roselink.balancer.interface import Outcome
+    from roselink.model.configuration import Service
+    from roselink.model.fleet import Host
 
 
 @dataclass(frozen=True, slots=True)
--- a/roselink/routing/fleet.py
+++ b/roselink/routing/fleet.py
@@ -9,23 +9,26 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
+from roselink.balancer.interface import Outcome
 from roselink.routing import decisions as d
 from roselink.routing.affinity import PrefixMemory
 from roselink.routing.backoff import NO_HOST_S, backoff_s, retry_after_s
 from roselink.routing.budget import RepeatBudget
 from roselink.routing.classifier import Verdict, classify
 from roselink.routing.host_choice import HostChooser
-from roselink.routing.host_state import HostState
-from roselink.routing.interface import Outcome
 from roselink.routing.learning import Learner
 from roselink.routing.policy import EffectivePolicy, RouteTable
 from roselink.routing.request_state import Attempt, Request, Stage
 from roselink.routing.timers import Due, Entry, Timers, is_over
 from roselink.routing.topology import Topology
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from roselink.routing.host_state import HostState
+
 HELD_PART = 0.2  # part of its aim that a request may wait for a host
 HELD_S = 0.1  # the same where no aim is told
 LOW_PRIORITY = 2  # from this rank on a request is refused at once where every host is full
@@ -149,7 +152,7 @@
         if due is Due.OVERDUE:
             return self._learner.overdue(request, request.attempts[number], self._now)
         if request.closed:
-            return
+            return None
         if due is Due.GIVE_UP:
             if not request.streams():  # the data plane ends a running stream at its deadline
                 self._finish(request, out_of_time=True)
--- a/roselink/routing/host_choice.py
+++ b/roselink/routing/host_choice.py
@@ -8,13 +8,16 @@
 
 from __future__ import annotations
 
-import random
-from collections.abc import Collection
+from typing import TYPE_CHECKING
 
-from roselink.routing.affinity import PrefixMemory
-from roselink.routing.decisions import PromptPart, RequestFacts
-from roselink.routing.host_state import HostState
-from roselink.routing.pool import Pool
+if TYPE_CHECKING:
+    import random
+    from collections.abc import Collection
+
+    from roselink.routing.affinity import PrefixMemory
+    from roselink.routing.decisions import PromptPart, RequestFacts
+    from roselink.routing.host_state import HostState
+    from roselink.routing.pool import Pool
 
 EXPLORE = 0.05  # share of picks that go to the lower-scored of the two
 CHEAP_TOKENS = 1000.0  # shared tokens read again up to which a pick is a cheap one to explore with
--- a/roselink/routing/host_state.py
+++ b/roselink/routing/host_state.py
@@ -3,8 +3,10 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
 
-from roselink.model.fleet import Host
+if TYPE_CHECKING:
+    from roselink.model.fleet import Host
 
 UNKNOWN = 0.5  # payoff of a host that nothing is known of
 SMOOTH = 0.12  # weight of the newest outcome in a payoff
--- a/roselink/routing/learning.py
+++ b/roselink/routing/learning.py
@@ -2,12 +2,16 @@
 
 from __future__ import annotations
 
-from roselink.routing.affinity import PrefixMemory
-from roselink.routing.decisions import AttemptEnded
-from roselink.routing.host_state import HostState
-from roselink.routing.interface import Outcome
-from roselink.routing.request_state import Attempt, Request
-from roselink.routing.topology import Topology
+from typing import TYPE_CHECKING
+
+from roselink.balancer.interface import Outcome
+
+if TYPE_CHECKING:
+    from roselink.routing.affinity import PrefixMemory
+    from roselink.routing.decisions import AttemptEnded
+    from roselink.routing.host_state import HostState
+    from roselink.routing.request_state import Attempt, Request
+    from roselink.routing.topology import Topology
 
 BROKEN = frozenset({Outcome.CONNECT_FAILED, Outcome.RESET})
 UNTOLD = frozenset({Outcome.CANCELLED, Outcome.MOOT})  # outcomes that tell nothing of a host
@@ -55,7 +59,7 @@
         if attempt.trial and host.probation:
             host.trial_out = False
         if outcome in UNTOLD:
-            return
+            return None
         full = outcome is Outcome.FULL and not event.wrong_host
         self._topology.pool(request.facts.service).count(full)
         if outcome is Outcome.SUCCESS:
--- a/roselink/routing/policy.py
+++ b/roselink/routing/policy.py
@@ -4,9 +4,12 @@
 
 from collections import OrderedDict
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
-from roselink.routing.balance import LatencyTracker
-from roselink.routing.decisions import RequestFacts
+from roselink.balancer.balance import LatencyTracker
+
+if TYPE_CHECKING:
+    from roselink.routing.decisions import RequestFacts
 
 PolicyKey = str  # the route's name
 
--- a/roselink/routing/pool.py
+++ b/roselink/routing/pool.py
@@ -2,13 +2,16 @@
 
 from __future__ import annotations
 
-import random
 from collections.abc import Callable, Iterator
 from itertools import islice
+from typing import TYPE_CHECKING
 
 from roselink.routing.host_state import HostState
 from roselink.routing.ring import HashRing
 
+if TYPE_CHECKING:
+    import random
+
 DRAWS = 8  # random tries for a host that will do, before a scan
 SCAN = 64  # hosts looked at in a row after that
 REFUSED_SMOOTH = 0.1
--- a/roselink/routing/request_state.py
+++ b/roselink/routing/request_state.py
@@ -4,12 +4,15 @@
 
 from dataclasses import dataclass, field
 from enum import Enum, auto
+from typing import TYPE_CHECKING
 
+from roselink.balancer.interface import NEVER_RAN, Outcome
 from roselink.routing.classifier import NEVER_SENT
-from roselink.routing.decisions import RequestFacts
-from roselink.routing.host_state import HostState
-from roselink.routing.interface import NEVER_RAN, Outcome
-from roselink.routing.policy import EffectivePolicy, RouteRecord
+
+if TYPE_CHECKING:
+    from roselink.routing.decisions import RequestFacts
+    from roselink.routing.host_state import HostState
+    from roselink.routing.policy import EffectivePolicy, RouteRecord
 
 UNSENT = 3  # attempts that may end unsent beyond the bound on attempts
 
--- a/roselink/routing/ring.py
+++ b/roselink/routing/ring.py
@@ -9,9 +9,12 @@
 
 from array import array
 from bisect import bisect_right
-from collections.abc import Iterable, Iterator
 from functools import lru_cache
 from hashlib import blake2b
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable, Iterator
 
 MANY, VERY_MANY = 64, 1024  # hosts
 POINTS, POINTS_OF_MANY, POINTS_OF_VERY_MANY = 128, 32, 8
--- a/roselink/routing/timers.py
+++ b/roselink/routing/timers.py
@@ -2,13 +2,16 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from enum import Enum, auto
 from heapq import heappop, heappush
+from typing import TYPE_CHECKING
 
 from roselink.routing.decisions import StartTimer
 from roselink.routing.request_state import Request
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 
 class Due(Enum):
     """What comes due for a request."""
--- a/roselink/simulation/clients.py
+++ b/roselink/simulation/clients.py
@@ -3,12 +3,11 @@
 from __future__ import annotations
 
 import json
-from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
-from roselink.control.checking import Refused
-from roselink.control.updates import UpdateCall, carry_update, read_call
+from roselink.controller.checking import Refused
+from roselink.controller.updates import UpdateCall, carry_update, read_call
 from roselink.coordination.effects import (
     Confirmation,
     Conflict,
@@ -20,7 +19,11 @@
 from roselink.coordination.state import digest_of
 from roselink.protocol.chain import ConfigurationOrder
 from roselink.simulation.history import Change, Reading, Said
-from roselink.simulation.world import Machine, World
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from roselink.simulation.world import Machine, World
 
 SILENCE_S = 1.0  # a caller moves on after so long
 TRIES = 12
--- a/roselink/simulation/command.py
+++ b/roselink/simulation/command.py
@@ -6,11 +6,14 @@
 
 import multiprocessing
 import time
-from collections.abc import Callable
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 from roselink.simulation.days import Played, day_of_seed, storm_day, trouble_day
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 LARGEST_TOLERATING_ONE = 4  # with more machines two may be lost at once
 
 
--- a/roselink/simulation/days.py
+++ b/roselink/simulation/days.py
@@ -4,14 +4,17 @@
 
 from dataclasses import dataclass
 from functools import partial
+from typing import TYPE_CHECKING
 
-from roselink.coordination.effects import Confirmation
 from roselink.coordination.state import find
 from roselink.simulation.clients import Operator, Reader, change_in
 from roselink.simulation.gateways import REVOKE_S, Gateway
 from roselink.simulation.history import Judge, Reading, Said, Violation
 from roselink.simulation.world import SAVE_S, Machine, World
 
+if TYPE_CHECKING:
+    from roselink.coordination.effects import Confirmation
+
 SYNC_S = 4.0  # so long after its return a machine still counts as lost
 GATEWAYS = 3
 TROUBLES = (
--- a/roselink/simulation/disk.py
+++ b/roselink/simulation/disk.py
@@ -14,13 +14,15 @@
 import io
 import itertools
 import os
-import random
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 from enum import Enum
-from typing import IO, Any
+from typing import IO, TYPE_CHECKING, Any
 
-from roselink.control.storage import Database
+if TYPE_CHECKING:
+    import random
+
+    from roselink.controller.storage import Database
 
 FOLDER = "/disk"
 
--- a/roselink/simulation/gateways.py
+++ b/roselink/simulation/gateways.py
@@ -5,16 +5,19 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Callable
 from functools import partial
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from roselink.distribution.pull import Apply, Confirmed, PullMachine, SendPull
 from roselink.distribution.pull import Effect as PullerEffect
 from roselink.model.fleet import Member, Snapshot
 from roselink.protocol.pull import ChangesPull
 from roselink.simulation.history import Change, InForce, KeyUse, Reading
-from roselink.simulation.world import World
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from roselink.simulation.world import World
 
 REVOKE_S = 5.0
 USE_EVERY_S = 0.1  # a request with each key
--- a/roselink/simulation/history.py
+++ b/roselink/simulation/history.py
@@ -10,9 +10,12 @@
 
 from bisect import bisect_left
 from collections import defaultdict
-from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 from enum import Enum
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable, Iterator
 
 
 class Said(Enum):
--- a/roselink/simulation/search.py
+++ b/roselink/simulation/search.py
@@ -7,17 +7,20 @@
 
 from __future__ import annotations
 
-import random
 import time
-from collections.abc import Iterator
 from dataclasses import dataclass
 from enum import Enum
+from typing import TYPE_CHECKING
 
 from roselink.coordination.state import find
 from roselink.protocol.chain import ConfigurationState, Decided, StoredState, Sync, View, Voter
 from roselink.protocol.records import decode, number_of_type
 from roselink.simulation.system import PackedMachine, System, Trouble, stored_state, stored_votes
 
+if TYPE_CHECKING:
+    import random
+    from collections.abc import Iterator
+
 _TELL_VIEWS = frozenset((number_of_type(Decided), number_of_type(Sync)))
 
 
--- a/roselink/simulation/system.py
+++ b/roselink/simulation/system.py
@@ -9,11 +9,10 @@
 from __future__ import annotations
 
 import pickle
-from collections.abc import Mapping
 from dataclasses import dataclass, field, fields, is_dataclass
 from enum import Enum
 from functools import lru_cache
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from roselink.coordination.effects import (
     Conflict,
@@ -42,6 +41,9 @@
 )
 from roselink.protocol.records import decode, encode, number_of, number_of_type
 
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
 RECORDS = {Store.VOTES: 33, Store.STATE: 36}
 NOW = 100.0
 LATER = NOW + 10.0  # when whatever had no answer is sent again
--- a/roselink/simulation/world.py
+++ b/roselink/simulation/world.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from functools import partial
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
-from roselink.control.pulls import (
+from roselink.controller.pulls import (
     Answer,
     AnswerChanges,
     Confirm,
@@ -20,7 +20,7 @@
     PullDesk,
     PullEffect,
 )
-from roselink.control.storage import Storage, record_number
+from roselink.controller.storage import Storage, record_number
 from roselink.coordination.effects import (
     Confirmation,
     Effect,
@@ -33,13 +33,15 @@
 )
 from roselink.coordination.member import TICK_S, Member, Start
 from roselink.model.fleet import Host, HostState
-from roselink.protocol.chain import ConfigurationOrder
-from roselink.protocol.pull import ChangesPull
 from roselink.protocol.records import decode, encode, number_of
 from roselink.simulation.disk import FOLDER, Broken, MemoryFiles
 from roselink.simulation.history import Change, History
 from roselink.simulation.timeline import Timeline
 
+if TYPE_CHECKING:
+    from roselink.protocol.chain import ConfigurationOrder
+    from roselink.protocol.pull import ChangesPull
+
 SEEDS = 3  # that settings name
 SAVE_S = 0.015
 SAVE_STEPS = 14  # of a save on a disk, about
--- a/roselink/status.py
+++ b/roselink/status.py
@@ -9,14 +9,16 @@
 
 import http.client
 import json
-from collections.abc import Iterable, Sequence
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
-from roselink.membership.quota_client import KEY_PREFIX as QUOTA_PREFIX
-from roselink.membership.repeats import KEY_PREFIX as REPEAT_PREFIX
-from roselink.membership.roles import owner_of
+from roselink.budgets.quota_client import KEY_PREFIX as QUOTA_PREFIX
+from roselink.budgets.repeats import KEY_PREFIX as REPEAT_PREFIX
+from roselink.budgets.roles import owner_of
 from roselink.model.fleet import Member
 
+if TYPE_CHECKING:
+    from collections.abc import Iterable, Sequence
+
 TIMEOUT_S = 3.0
 
 State = dict[str, Any]
--- a/tests/test_balance.py
+++ b/tests/balancer/test_balance.py
@@ -8,8 +8,7 @@
 
 import pytest
 
-from roselink.routing import balance
-from roselink.routing.interface import (
+from roselink.balancer.interface import (
     Arrived,
     AttemptDone,
     Cancel,
@@ -28,7 +27,8 @@
     State,
     Watch,
 )
-from tests.helpers import AIM_US, DEADLINE_US, Stage, route, settings
+from roselink.balancer import balance
+from tests.support.helpers import AIM_US, DEADLINE_US, Stage, route, settings
 
 MODULE = Path(balance.__file__)
 
@@ -37,7 +37,7 @@
     lines = [line for line in MODULE.read_text().splitlines() if line.strip()]
     assert len(lines) <= 1200
     assert max(map(len, lines)) <= 110
-    assert "roselink/routing/interface.py" in lines[0]
+    assert "roselink/balancer/interface.py" in lines[0]
 
 
 def test_bucket_is_capped_and_spends_whole_tokens() -> None:
--- a/tests/test_cold_fleet.py
+++ b/tests/balancer/test_cold_fleet.py
@@ -15,8 +15,8 @@
 
 import pytest
 
-from roselink.routing.balance import Balancer
-from roselink.routing.interface import (
+from roselink.balancer.balance import Balancer
+from roselink.balancer.interface import (
     Alarm,
     Arrived,
     AttemptDone,
--- a/tests/test_property.py
+++ b/tests/balancer/test_property.py
@@ -3,16 +3,14 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from roselink.routing import balance
-from roselink.routing.balance import Balancer
-from roselink.routing.interface import (
+from roselink.balancer.balance import Balancer
+from roselink.balancer.interface import (
     Alarm,
     Arrived,
     AttemptDone,
@@ -33,7 +31,11 @@
     Settings,
     State,
 )
-from tests.rulecheck import Checker, RuleBroken
+from roselink.balancer import balance
+from tests.support.rulecheck import Checker, RuleBroken
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
 
 WORK_US = 20_000
 TICK_US = 5_000
--- a/tests/test_benchlink.py
+++ b/tests/balancer/test_simulator_adapter.py
@@ -5,11 +5,12 @@
 import json
 import subprocess
 import sys
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
-import pytest
+from roselink.balancer.simulator_adapter import Host
 
-from roselink.routing.benchlink import Host
+if TYPE_CHECKING:
+    import pytest
 
 PROFILE: dict[str, Any] = {
     "balancers": 1,
@@ -30,7 +31,7 @@
 
 def run(*lines: str) -> tuple[int, list[Any], str]:
     done = subprocess.run(
-        [sys.executable, "-m", "roselink.routing.benchlink"],
+        [sys.executable, "-m", "roselink.balancer.simulator_adapter"],
         input="".join(line + "\n" for line in lines),
         capture_output=True,
         text=True,
--- a/tests/membership/checks.py
+++ b/tests/budgets/checks.py
@@ -2,9 +2,12 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
+from typing import TYPE_CHECKING
 
-from tests.membership.fleet import Decision
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
+    from tests.budgets.fleet import Decision
 
 
 def largest_window(events: Iterable[tuple[float, float]], window_s: float) -> float:
--- a/tests/membership/fleet.py
+++ b/tests/budgets/fleet.py
@@ -12,23 +12,25 @@
 import random
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
-from roselink.membership import quota_client, repeats
-from roselink.membership.ledger import QuotaLedger
-from roselink.membership.quota_client import QuotaClient, QuotaDecided, SendQuotaAsk
-from roselink.membership.repeats import (
+from roselink.budgets import quota_client, repeats
+from roselink.budgets.ledger import QuotaLedger
+from roselink.budgets.quota_client import QuotaClient, QuotaDecided, SendQuotaAsk
+from roselink.budgets.repeats import (
     RefreshRoster,
     RepeatClient,
     RepeatDecided,
     RepeatLedger,
     SendRepeatAsk,
 )
-from roselink.membership.roles import FRESH_S, Roles
-from roselink.membership.usage import Limit, QuotaRule
+from roselink.budgets.roles import FRESH_S, Roles
 from roselink.model.fleet import Member
 from roselink.protocol.ledger import QuotaAnswer, QuotaAsk, RepeatAnswer, RepeatAsk, Verdict
 
+if TYPE_CHECKING:
+    from roselink.budgets.usage import Limit, QuotaRule
+
 PULL_S = 0.2
 CORE_MISSES_S = 1.2
 CORE_PAUSE_S = 0.6
--- a/tests/membership/test_due_quotas.py
+++ b/tests/budgets/test_due_quotas.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from roselink.membership.quota_client import QuotaClient, SendQuotaAsk
-from roselink.membership.roles import Roles
-from roselink.membership.usage import Limit, QuotaRule
+from roselink.budgets.quota_client import QuotaClient, SendQuotaAsk
+from roselink.budgets.roles import Roles
+from roselink.budgets.usage import Limit, QuotaRule
 from roselink.model.fleet import Member
 from roselink.protocol.ledger import QuotaAnswer, QuotaAsk, Verdict
 
--- a/tests/membership/test_fleet.py
+++ b/tests/budgets/test_fleet.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from roselink.membership.usage import Limit, QuotaRule
-from tests.membership.checks import admitted, largest_window, within_limit
-from tests.membership.fleet import Fleet
-from tests.membership.troubles import TROUBLES, make_trouble
+from roselink.budgets.usage import Limit, QuotaRule
+from tests.budgets.checks import admitted, largest_window, within_limit
+from tests.budgets.fleet import Fleet
+from tests.budgets.troubles import TROUBLES, make_trouble
 
 RATE = BURST = 120_000.0
 RULE = QuotaRule(window_s=8.0, over=0.1, slack=110_000.0)
--- a/tests/membership/test_quota_client.py
+++ b/tests/budgets/test_quota_client.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from roselink.membership import quota_client as module
-from roselink.membership.alone import ALONE_S, RATE_PART
-from roselink.membership.quota_client import Effect, QuotaClient, QuotaDecided, SendQuotaAsk
-from roselink.membership.repeats import RefreshRoster, RepeatClient, RepeatDecided, SendRepeatAsk
-from roselink.membership.roles import Roles
-from roselink.membership.usage import LOCAL_PART, NEWCOMER_PART, Limit, QuotaRule
+from roselink.budgets import quota_client as module
+from roselink.budgets.alone import ALONE_S, RATE_PART
+from roselink.budgets.quota_client import Effect, QuotaClient, QuotaDecided, SendQuotaAsk
+from roselink.budgets.repeats import RefreshRoster, RepeatClient, RepeatDecided, SendRepeatAsk
+from roselink.budgets.roles import Roles
+from roselink.budgets.usage import LOCAL_PART, NEWCOMER_PART, Limit, QuotaRule
 from roselink.model.fleet import Member
 from roselink.protocol.ledger import QuotaAnswer, QuotaAsk, RepeatAnswer, Verdict
 
--- a/tests/membership/troubles.py
+++ b/tests/budgets/troubles.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Callable
 
-from tests.membership.fleet import Fleet, Gateway
+from tests.budgets.fleet import Fleet, Gateway
 
 Trouble = Callable[[Fleet, random.Random, Gateway, float], None]
 
--- a/tests/cli/test_check.py
+++ b/tests/cli/test_check.py
@@ -3,17 +3,19 @@
 from __future__ import annotations
 
 import json
-from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
 from roselink.__main__ import main
 from roselink.cli import EXIT_FAULTS
-from tests.control.test_checking import document as configuration
-from tests.control.test_checking import route
+from tests.controller.test_checking import document as configuration
+from tests.controller.test_checking import route
 from tests.model.test_settings_file import document as settings
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
 
 def play(folder: Path, content: bytes) -> int:
     path = folder / "file.json"
--- a/tests/cli/test_status.py
+++ b/tests/cli/test_status.py
@@ -4,19 +4,21 @@
 
 import json
 import threading
-from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
 from roselink.__main__ import main
+from roselink.budgets.roles import owner_of
 from roselink.cli import EXIT_UNAVAILABLE
-from roselink.membership.roles import owner_of
 from roselink.model.fleet import Member
 from roselink.status import owners, render
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterator
+
 Pages = dict[str, Any]
 
 
--- a/tests/control/core_alone.py
+++ b/tests/controller/core_alone.py
@@ -2,14 +2,12 @@
 
 from __future__ import annotations
 
-import asyncio
 import sys
 import types
-from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
-from roselink.control.app import run
-from roselink.control.contract import (
+from roselink.controller.app import run
+from roselink.controller.contract import (
     Address,
     ConfigurationOrder,
     Confirmation,
@@ -18,7 +16,12 @@
     TakenOrder,
 )
 from roselink.model.settings import ProcessSettings, load_settings
-from roselink.protocol.peers import PeerPool
+
+if TYPE_CHECKING:
+    import asyncio
+    from collections.abc import Callable
+
+    from roselink.protocol.peers import PeerPool
 
 START = sys.argv[2] if len(sys.argv) > 2 else "succeeds"
 
@@ -72,9 +75,9 @@
 
 
 def main() -> None:
-    stand_in = types.ModuleType("roselink.control.node")
+    stand_in = types.ModuleType("roselink.controller.node")
     stand_in.ControlNode = LoneNode  # type: ignore[attr-defined]
-    sys.modules["roselink.control.node"] = stand_in
+    sys.modules["roselink.controller.node"] = stand_in
     run(load_settings(sys.argv[1]))
 
 
--- a/tests/control/fakes.py
+++ b/tests/controller/fakes.py
@@ -5,9 +5,17 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 
-from roselink.control.contract import Address, ConfigurationOrder, Confirmation, SubmitOutcome
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from roselink.controller.contract import (
+        Address,
+        ConfigurationOrder,
+        Confirmation,
+        SubmitOutcome,
+    )
 
 
 class FakeNode:
--- a/tests/control/reactor.py
+++ b/tests/controller/reactor.py
@@ -5,10 +5,12 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Coroutine
-from typing import Any, TypeVar
+from typing import TYPE_CHECKING, Any, TypeVar
 
-from roselink.control.app import install_reactor
+from roselink.controller.app import install_reactor
+
+if TYPE_CHECKING:
+    from collections.abc import Coroutine
 
 Result = TypeVar("Result")
 
--- a/tests/control/test_api.py
+++ b/tests/controller/test_api.py
@@ -4,15 +4,14 @@
 
 import asyncio
 import json
-from collections.abc import AsyncIterator, Awaitable, Callable
 from contextlib import asynccontextmanager
 from dataclasses import dataclass
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 from twisted.internet.task import Clock
 
-from roselink.control.contract import (
+from roselink.controller.contract import (
     Confirmation,
     Conflict,
     NotNewer,
@@ -20,15 +19,15 @@
     TakenOrder,
     Unsettled,
 )
-from roselink.control.pulls import GatewayLag
-from roselink.control.updates import digest_of_update
+from roselink.controller.pulls import GatewayLag
+from roselink.controller.updates import digest_of_update
 from roselink.coordination.state import digest_of
 from roselink.model.fleet import VersionVector
-from tests.control.fakes import FakeNode
-from tests.control.reactor import REACTOR, play
-from tests.control.test_checking import document
+from tests.controller.fakes import FakeNode
+from tests.controller.reactor import REACTOR, play
+from tests.controller.test_checking import document
 
-from roselink.control.api import (  # isort: skip - after the reactor
+from roselink.controller.api import (  # isort: skip - after the reactor
     CONFIRM_TIMEOUT_S,
     MAX_BODY_BYTES,
     SUBMIT_TIMEOUT_S,
@@ -36,6 +35,9 @@
     read_base,
 )
 
+if TYPE_CHECKING:
+    from collections.abc import AsyncIterator, Awaitable, Callable
+
 ORDER = json.dumps(document()).encode()
 
 
--- a/tests/control/test_app.py
+++ b/tests/controller/test_app.py
@@ -15,10 +15,10 @@
 from roselink.model.settings import ENVIRONMENT_VARIABLE
 from roselink.protocol.peers import PeerPool
 from roselink.protocol.pull import Pull, PullReply
-from tests.control.reactor import play
-from tests.control.test_api import Answered, Caller
-from tests.control.test_checking import document
-from tests.control.test_platform import StandIn, body, entry
+from tests.controller.reactor import play
+from tests.controller.test_api import Answered, Caller
+from tests.controller.test_checking import document
+from tests.controller.test_platform import StandIn, body, entry
 
 ROOT = Path(__file__).resolve().parents[2]
 GATEWAY = Member("g-1", "10.1.0.1:7500", 1)
@@ -65,7 +65,7 @@
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "tests.control.core_alone",
+            "tests.controller.core_alone",
             str(self.path),
             how,
             cwd=ROOT,
--- a/tests/control/test_checking.py
+++ b/tests/controller/test_checking.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from roselink.control.checking import MOST_FAULTS, Checked, Refused, check, check_document
+from roselink.controller.checking import MOST_FAULTS, Checked, Refused, check, check_document
 from roselink.model.configuration import Configuration
 
 ABSENT = object()
--- a/tests/control/test_host_versions.py
+++ b/tests/controller/test_host_versions.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from roselink.control.host_versions import MOST_STEPS, HostVersions
+from roselink.controller.host_versions import MOST_STEPS, HostVersions
 from roselink.model.fleet import Host, HostState
 from roselink.protocol.pull import HostChanges, HostList
 from roselink.protocol.records import decode, number_of
--- a/tests/control/test_imports.py
+++ b/tests/controller/test_imports.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from roselink.control.app import FORMING_MOST_S, ImportsInSteps
+from roselink.controller.app import FORMING_MOST_S, ImportsInSteps
 
 MODULE = "this"  # of the standard library, and imported by nothing else
 
--- a/tests/control/test_logs.py
+++ b/tests/controller/test_logs.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from tests.control.reactor import REACTOR  # isort: skip - first: it installs the reactor
+from tests.controller.reactor import REACTOR  # isort: skip - first: it installs the reactor
 
-from roselink.control.logs import MOST_EVENTS, LineBudget
+from roselink.controller.logs import MOST_EVENTS, LineBudget
 
 assert REACTOR.running
 
--- a/tests/control/test_node.py
+++ b/tests/controller/test_node.py
@@ -5,17 +5,20 @@
 import asyncio
 import socket
 import threading
-from pathlib import Path
+from typing import TYPE_CHECKING
 
 import pytest
 
-from roselink.control.node import ControlNode
+from roselink.controller.node import ControlNode
 from roselink.coordination.effects import Confirmation, Conflict, SubmitOutcome, TakenOrder
 from roselink.coordination.state import digest_of
 from roselink.model.settings import ProcessSettings, read_settings
 from roselink.protocol.chain import ConfigurationOrder
 from roselink.protocol.peers import Address, PeerPool, PeerServer, Reply
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
 HOSTS = ("127.0.31.1", "127.0.31.2", "127.0.31.3")
 
 
--- a/tests/control/test_payoffs.py
+++ b/tests/controller/test_payoffs.py
@@ -4,13 +4,13 @@
 
 import pytest
 
-from roselink.control.payoffs import MOST_HOSTS, PUBLISH_S, PayoffPool
-from roselink.control.pulls import AnswerChanges, PullDesk
+from roselink.controller.payoffs import MOST_HOSTS, PUBLISH_S, PayoffPool
+from roselink.controller.pulls import AnswerChanges, PullDesk
 from roselink.distribution.host_changes import completed
 from roselink.protocol.payoffs import HostOutcomes, PooledPayoffs
 from roselink.protocol.pull import Pull
 from roselink.protocol.records import decode, encode, number_of, number_of_type
-from tests.control.test_pulls import CORES, EPOCH, TAIL, TIMES, Tail, confirmation, member, pull
+from tests.controller.test_pulls import CORES, EPOCH, TAIL, TIMES, Tail, confirmation, member, pull
 
 
 def told(data: bytes) -> dict[str, int]:
--- a/tests/control/test_platform.py
+++ b/tests/controller/test_platform.py
@@ -8,13 +8,12 @@
 import itertools
 import json
 import random
-from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 from urllib.parse import parse_qs, urlsplit
 
 import pytest
 
-from roselink.control.platform import (
+from roselink.controller.platform import (
     PAGE_TRIES,
     Fetch,
     Listed,
@@ -29,7 +28,10 @@
 )
 from roselink.model.fleet import Host, HostState
 from roselink.model.settings import Platform
-from tests.control.reactor import REACTOR, play
+from tests.controller.reactor import REACTOR, play
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
 
 ENTRY: dict[str, Any] = {
     "service": "model",
@@ -363,7 +365,7 @@
     call_s: float = 5.0,
 ) -> list[tuple[int, list[str]]]:
     """Let a client read until it has brought so many whole lists."""
-    from roselink.control.platform_client import PlatformClient  # noqa: PLC0415 - after the reactor
+    from roselink.controller.platform_client import PlatformClient  # noqa: PLC0415 - after the reactor
 
     lists: asyncio.Queue[tuple[int, tuple[Host, ...]]] = asyncio.Queue()
     platform = Platform(await stand_in.start(), 10_000.0, 0.0)
@@ -416,7 +418,7 @@
 
 def test_driver_makes_no_call_without_the_role() -> None:
     async def hold_and_drop() -> None:
-        from roselink.control.platform_client import PlatformClient  # noqa: PLC0415 - after the reactor
+        from roselink.controller.platform_client import PlatformClient  # noqa: PLC0415 - after the reactor
 
         platform = Platform(await stand_in.start(), 10_000.0, 0.0)
         client = PlatformClient(REACTOR, platform, lambda epoch, hosts: None)
--- a/tests/control/test_pulls.py
+++ b/tests/controller/test_pulls.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from roselink.control.contract import Confirmation
-from roselink.control.pull_service import FORWARD_TIMEOUT_S, PullService
-from roselink.control.pulls import (
+from roselink.controller.contract import Confirmation
+from roselink.controller.pull_service import FORWARD_TIMEOUT_S, PullService
+from roselink.controller.pulls import (
     EPOCH_SHIFT,
     Answer,
     AnswerChanges,
@@ -24,7 +24,7 @@
 from roselink.model.fleet import Host, HostState, Member, VersionVector
 from roselink.protocol.pull import ChangesPull, ChangesReply, Pull, PullReply
 from roselink.protocol.records import decode, encode, number_of
-from tests.control.fakes import FakeNode
+from tests.controller.fakes import FakeNode
 
 CORES = ("10.0.0.1:7500", "10.0.0.2:7500", "10.0.0.3:7500")
 TAIL = ("10.0.0.3", 7500)
--- a/tests/control/test_storage.py
+++ b/tests/controller/test_storage.py
@@ -6,21 +6,23 @@
 import errno
 import os
 import random
-from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 from pathlib import Path
 from types import SimpleNamespace
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
-from roselink.control import storage
-from roselink.control.storage import Storage, record_number
+from roselink.controller import storage
+from roselink.controller.storage import Storage, record_number
 from roselink.coordination.effects import Store
 from roselink.coordination.state import EMPTY
 from roselink.protocol.chain import ConfigurationState, StoredState, Voter, Votes
 from roselink.protocol.records import encode
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterator
+
 VOTES = Votes(Voter("10.0.0.1:7500", 7), None, None, None, None)
 STEPS = 40  # more than a save has
 
--- a/tests/control/test_updates.py
+++ b/tests/controller/test_updates.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from roselink.control.checking import Refused
-from roselink.control.updates import (
+from roselink.controller.checking import Refused
+from roselink.controller.updates import (
     Update,
     UpdateCall,
     carry_update,
@@ -35,7 +35,7 @@
     judge,
 )
 from roselink.protocol.chain import ConfigurationOrder, ConfigurationState
-from tests.control.test_checking import document, route, second, service, tenant
+from tests.controller.test_checking import document, route, second, service, tenant
 
 BASE = document()  # of generation 7
 OTHER = route(name="r-3", path_prefix="/three/")
--- a/tests/coordination/test_docs.py
+++ b/tests/coordination/test_docs.py
@@ -62,7 +62,16 @@
 
 @pytest.mark.parametrize(
     "package",
-    ["coordination", "control", "distribution", "membership", "dataplane", "routing", "router"],
+    [
+        "coordination",
+        "controller",
+        "distribution",
+        "budgets",
+        "gossip",
+        "dataplane",
+        "routing",
+        "router",
+    ],
 )
 def test_nothing_reads_the_time_of_day(package: str) -> None:
     """A step of a machine's clock can change nothing but the stamps of its log."""
--- a/tests/dataplane/fuzz.py
+++ b/tests/dataplane/fuzz.py
@@ -5,12 +5,15 @@
 from __future__ import annotations
 
 import asyncio
-import random
 from collections import defaultdict
 from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
 
 from tests.dataplane.stage import STAMP, Stage, StreamClient, chunk, event, request
-from tests.net import FakeHost, Message, read_message, reset
+from tests.support.net import FakeHost, Message, read_message, reset
+
+if TYPE_CHECKING:
+    import random
 
 EVENTS = 5
 PROMISES = (408, 421, 429, 503)
--- a/tests/dataplane/stage.py
+++ b/tests/dataplane/stage.py
@@ -6,12 +6,11 @@
 
 import asyncio
 import itertools
-from collections.abc import AsyncIterator, Callable
 from contextlib import asynccontextmanager
 from dataclasses import dataclass, field
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
-from roselink.dataplane.interfaces import Decisions
+from roselink.balancer.interface import NEVER_RAN, Outcome
 from roselink.dataplane.plane import DataPlane
 from roselink.model.configuration import Configuration, Tenant
 from roselink.model.fleet import Host, HostState, Snapshot, VersionVector
@@ -29,8 +28,12 @@
     SendAttempt,
     TopologyChanged,
 )
-from roselink.routing.interface import NEVER_RAN, Outcome
-from tests.net import Behaviour, FakeHost, Message, reset
+from tests.support.net import Behaviour, FakeHost, Message, reset
+
+if TYPE_CHECKING:
+    from collections.abc import AsyncIterator, Callable
+
+    from roselink.dataplane.interfaces import Decisions
 
 STAMP = "X-Response-Signature: 3e1b.07.5a2"
 KEY = "key-of-huka"
--- a/tests/dataplane/test_clients.py
+++ b/tests/dataplane/test_clients.py
@@ -23,7 +23,7 @@
     stage,
     stream,
 )
-from tests.net import Message, hang, on_loop, until
+from tests.support.net import Message, hang, on_loop, until
 
 
 @on_loop
--- a/tests/dataplane/test_fuzz.py
+++ b/tests/dataplane/test_fuzz.py
@@ -12,7 +12,7 @@
 from roselink.routing.fleet import FleetDecider
 from tests.dataplane.fuzz import FuzzClient, FuzzHost, Ledger
 from tests.dataplane.stage import host_line, plain, stage
-from tests.net import on_loop, until
+from tests.support.net import on_loop, until
 
 HOSTS, CLIENTS, TURNS = 4, 6, 20
 
--- a/tests/dataplane/test_guards.py
+++ b/tests/dataplane/test_guards.py
@@ -6,17 +6,16 @@
 
 import asyncio
 import time
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 import pytest
 
+from roselink.balancer.interface import NEVER_RAN, Outcome
 from roselink.dataplane import upstream
-from roselink.dataplane.exchange import ClientAnswer
 from roselink.dataplane.requests import Headers, read_request
 from roselink.dataplane.upstream import PROVEN_LIMIT
 from roselink.gateway import upstream as base
 from roselink.routing.decisions import Action, AttemptEnded, RequestArrived
-from roselink.routing.interface import NEVER_RAN, Outcome
 from tests.dataplane.stage import (
     KEY,
     FakeDecider,
@@ -32,7 +31,12 @@
     stream,
 )
 from tests.dataplane.stage import chunk as chunk_of
-from tests.net import Behaviour, FakeHost, Message, hang, on_loop, reset, until
+from tests.support.net import Behaviour, FakeHost, Message, hang, on_loop, reset, until
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from roselink.dataplane.exchange import ClientAnswer
 
 PAUSE_S = 0.2
 MARGIN_MS = 120  # for the machine that runs the test
--- a/tests/dataplane/test_plane.py
+++ b/tests/dataplane/test_plane.py
@@ -6,11 +6,11 @@
 
 import pytest
 
+from roselink.balancer.interface import Outcome
 from roselink.gateway import upstream
 from roselink.routing.decisions import FirstEvent, RequestClosed
-from roselink.routing.interface import Outcome
 from tests.dataplane.stage import KEY, event, plain, rejects, request, sse, stage, stream
-from tests.net import Behaviour, Message, hang, on_loop, say, until
+from tests.support.net import Behaviour, Message, hang, on_loop, say, until
 
 
 @on_loop
--- a/tests/dataplane/test_storm.py
+++ b/tests/dataplane/test_storm.py
@@ -7,10 +7,10 @@
 import asyncio
 import random
 from collections import Counter
+from typing import TYPE_CHECKING
 
 import pytest
 
-from roselink.dataplane.interfaces import Decisions
 from roselink.routing.decisions import (
     Action,
     AttemptEnded,
@@ -33,7 +33,10 @@
     sse,
     stage,
 )
-from tests.net import Message, on_loop, reset, until
+from tests.support.net import Message, on_loop, reset, until
+
+if TYPE_CHECKING:
+    from roselink.dataplane.interfaces import Decisions
 
 EVENTS = 6
 SERVED = {
--- a/tests/distribution/test_host_changes.py
+++ b/tests/distribution/test_host_changes.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from roselink.control.contract import Confirmation
-from roselink.control.pulls import AnswerChanges, Confirm, PullDesk
+from roselink.controller.contract import Confirmation
+from roselink.controller.pulls import AnswerChanges, Confirm, PullDesk
 from roselink.distribution.host_changes import completed
 from roselink.distribution.pull import Apply, Confirmed, Effect, PullMachine, SendPull
 from roselink.model.fleet import Host, HostState, Member, VersionVector
--- a/tests/test_closes.py
+++ b/tests/gateway/test_closes.py
@@ -7,7 +7,7 @@
 
 import asyncio
 import socket
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 import pytest
 
@@ -15,7 +15,20 @@
 from roselink.gateway.connections import HttpConnection
 from roselink.gateway.server import ClientConnection, Server
 from roselink.gateway.upstream import BODY_LIMIT
-from tests.net import SuddenClient, World, answer, on_loop, say, serve_ok, taken, until, world
+from tests.support.net import (
+    SuddenClient,
+    World,
+    answer,
+    on_loop,
+    say,
+    serve_ok,
+    taken,
+    until,
+    world,
+)
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
 
 
 async def resting(w: World) -> tuple[SuddenClient, HttpConnection]:
--- a/tests/test_departures.py
+++ b/tests/gateway/test_departures.py
@@ -5,16 +5,15 @@
 
 from __future__ import annotations
 
-import asyncio
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 import pytest
 
+from roselink.balancer.interface import Alarm, Event
 from roselink.gateway import upstream
 from roselink.gateway.server import ClientConnection
 from roselink.gateway.upstream import HostConnection
-from roselink.routing.interface import Alarm, Event
-from tests.net import (
+from tests.support.net import (
     Behaviour,
     Client,
     FakeHost,
@@ -31,6 +30,10 @@
     world,
 )
 
+if TYPE_CHECKING:
+    import asyncio
+    from collections.abc import Callable
+
 
 @pytest.fixture(autouse=True)
 def connections_settle_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_discovery.py
+++ b/tests/gateway/test_discovery.py
@@ -8,14 +8,13 @@
 import json
 import os
 import time
-from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
 from roselink.gateway import discovery
 from roselink.gateway.pacing import ANSWER_S, CALL_S, FAILED_TOLD_S, SILENCE_S, CallPacing, Cause
-from tests.net import (
+from tests.support.net import (
     Behaviour,
     Client,
     FakeDiscovery,
@@ -34,6 +33,9 @@
     world,
 )
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 
 def end(d: FakeDiscovery) -> None:
     d.watches[-1].close()
--- a/tests/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -7,18 +7,11 @@
 import asyncio
 import contextlib
 import time
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
-from roselink.gateway import connections, server
-from roselink.gateway.config import RESERVED
-from roselink.gateway.connections import HttpConnection
-from roselink.gateway.discovery import server_number
-from roselink.gateway.engine import ClientRequest
-from roselink.gateway.server import RECEIVE_S, UNREAD_S
-from roselink.gateway.upstream import HostConnection
-from roselink.routing.interface import (
+from roselink.balancer.interface import (
     Action,
     Alarm,
     Arrived,
@@ -28,7 +21,13 @@
     Outcome,
     ServerList,
 )
-from tests.net import (
+from roselink.gateway import connections, server
+from roselink.gateway.config import RESERVED
+from roselink.gateway.discovery import server_number
+from roselink.gateway.engine import ClientRequest
+from roselink.gateway.server import RECEIVE_S, UNREAD_S
+from roselink.gateway.upstream import HostConnection
+from tests.support.net import (
     Client,
     FakeHost,
     Message,
@@ -48,6 +47,9 @@
     world,
 )
 
+if TYPE_CHECKING:
+    from roselink.gateway.connections import HttpConnection
+
 
 async def at_end(client: Client) -> bytes:
     """All that comes until the gateway ends the connection."""
--- a/tests/test_process.py
+++ b/tests/gateway/test_process.py
@@ -12,15 +12,14 @@
 import socket
 import sys
 from asyncio.subprocess import PIPE, Process
-from collections.abc import AsyncIterator
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
 import roselink.gateway.__main__
 from roselink.gateway.config import ConfigError, load
-from tests.net import (
+from tests.support.net import (
     Client,
     FakeDiscovery,
     FakeHost,
@@ -35,7 +34,10 @@
     world,
 )
 
-ROOT = Path(__file__).parent.parent
+if TYPE_CHECKING:
+    from collections.abc import AsyncIterator
+
+ROOT = Path(__file__).parents[2]
 
 
 async def program(folder: Path, data: Any) -> Process:
--- a/tests/test_settings.py
+++ b/tests/gateway/test_settings.py
@@ -6,8 +6,7 @@
 
 import pytest
 
-from roselink.routing.benchlink import read_settings
-from roselink.routing.interface import (
+from roselink.balancer.interface import (
     Effect,
     Group,
     Outcome,
@@ -17,7 +16,8 @@
     Settings,
     StreamStarted,
 )
-from tests.helpers import Stage, route, settings
+from roselink.balancer.simulator_adapter import read_settings
+from tests.support.helpers import Stage, route, settings
 
 
 @pytest.mark.parametrize(
--- a/tests/test_upstream.py
+++ b/tests/gateway/test_upstream.py
@@ -8,15 +8,15 @@
 import os
 import socket
 import time
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 import pytest
 
+from roselink.balancer.interface import Outcome
 from roselink.gateway import upstream
 from roselink.gateway.config import RESERVED, Address, Descriptors
 from roselink.gateway.upstream import Answer, Attempt, Host, HostConnection, Upstream
-from roselink.routing.interface import Outcome
-from tests.net import (
+from tests.support.net import (
     Behaviour,
     FakeHost,
     Message,
@@ -32,6 +32,9 @@
     until,
 )
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 REQUEST = b"GET /status-check/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 1\r\n\r\n"
 LONG_S = 15.0
 
--- a/tests/membership/test_sampling.py
+++ b/tests/gossip/test_peer_sampling.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from roselink.membership import sampling as module
-from roselink.membership.sampling import CoresHeard, NewerHeard, Sampling, SendShuffle
+from roselink.gossip import peer_sampling as module
+from roselink.gossip.peer_sampling import CoresHeard, NewerHeard, Sampling, SendShuffle
 from roselink.model.fleet import Member, VersionVector
 from roselink.protocol.peers import frame
 from roselink.protocol.sampling import News, Seen, Shuffle, Shuffled
--- a/tests/lab/test_stand_ins.py
+++ b/tests/lab/test_stand_ins.py
@@ -6,11 +6,11 @@
 
 import asyncio
 from collections.abc import Callable
-from pathlib import Path
+from typing import TYPE_CHECKING
 
 import pytest
 
-from roselink.control.checking import Refused, check_document
+from roselink.controller.checking import Refused, check_document
 from roselink.lab import clients
 from roselink.lab.clients import Client, End, Tally
 from roselink.lab.fleet import Fleet, StartFailed, free_ports
@@ -19,6 +19,9 @@
 from roselink.lab.platform import Gateway, Ingress
 from roselink.lab.wire import Answer, Head, ask, chunk, message, read_body, read_head
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
 BOUND_S = 10.0
 Script = Callable[[Head], bytes]  # what a gateway says to a request, before it ends the connection
 
--- a/tests/model/test_settings_file.py
+++ b/tests/model/test_settings_file.py
@@ -3,8 +3,7 @@
 from __future__ import annotations
 
 import json
-from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
@@ -16,6 +15,9 @@
     read_settings,
 )
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
 
 def document() -> dict[str, Any]:
     return {
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -30,19 +30,19 @@
     "tests/simulation/test_search.py",
     "tests/simulation/test_days.py",
 )
-STORAGE = ("tests/simulation/test_disk.py", "tests/control/test_storage.py")
+STORAGE = ("tests/simulation/test_disk.py", "tests/controller/test_storage.py")
 PULLS = (
-    "tests/control/test_pulls.py",
-    "tests/control/test_host_versions.py",
+    "tests/controller/test_pulls.py",
+    "tests/controller/test_host_versions.py",
     "tests/simulation/test_days.py",
 )
 PULLER = ("tests/distribution", "tests/simulation/test_days.py")
-MEMBERSHIP = ("tests/membership",)
+MEMBERSHIP = ("tests/budgets",)
 DATAPLANE = ("tests/dataplane",)
-POOL = ("tests/test_upstream.py", "tests/test_closes.py", "tests/dataplane")
+POOL = ("tests/gateway/test_upstream.py", "tests/gateway/test_closes.py", "tests/dataplane")
 ROUTING = ("tests/routing",)
-ORDERS = ("tests/control/test_api.py",)
-UPDATES = ("tests/control/test_updates.py",)
+ORDERS = ("tests/controller/test_api.py",)
+UPDATES = ("tests/controller/test_updates.py",)
 PEERS = ("tests/protocol",)
 
 
@@ -311,7 +311,7 @@
         ),
     ),
     *_of(
-        "control/storage.py",
+        "controller/storage.py",
         STORAGE,
         (
             "files are not synced",
@@ -336,7 +336,7 @@
         ),
     ),
     *_of(
-        "control/api.py",
+        "controller/api.py",
         ORDERS,
         (
             "an order's base is not part of its name",
@@ -360,8 +360,8 @@
         ),
     ),
     *_of(
-        "control/app.py",
-        ("tests/control/test_imports.py",),
+        "controller/app.py",
+        ("tests/controller/test_imports.py",),
         ("imports go on while a view is agreed", "            await self._formed()\n", ""),
     ),
     *_of(
@@ -374,7 +374,7 @@
         ),
     ),
     *_of(
-        "control/updates.py",
+        "controller/updates.py",
         UPDATES,
         (
             "an update's base is not part of its name",
@@ -401,7 +401,7 @@
         ),
     ),
     *_of(
-        "control/pulls.py",
+        "controller/pulls.py",
         PULLS,
         ("a reply of another view is given", " or confirmation.epoch != self._epoch", ""),
         (
@@ -482,7 +482,7 @@
         ("changes from another version are taken", "if changes.base == held else None", ""),
     ),
     *_of(
-        "membership/roles.py",
+        "budgets/roles.py",
         MEMBERSHIP,
         (
             "an ask under an old token is served",
@@ -494,7 +494,7 @@
         ("an older roster is taken", "if token <= self.token:", "if token == self.token:"),
     ),
     *_of(
-        "membership/ledger.py",
+        "budgets/ledger.py",
         MEMBERSHIP,
         (
             "what is admitted is not counted",
@@ -516,7 +516,7 @@
         ),
     ),
     *_of(
-        "membership/repeats.py",
+        "budgets/repeats.py",
         MEMBERSHIP,
         (
             "a new term lends the whole slack",
--- a/tests/protocol/test_peers.py
+++ b/tests/protocol/test_peers.py
@@ -13,7 +13,7 @@
 from roselink.protocol import peers
 from roselink.protocol.peers import FrameError, FrameReader, PeerPool, PeerServer, frame
 from roselink.protocol.records import record
-from tests.net import on_loop
+from tests.support.net import on_loop
 
 
 @record(0xFF10)
--- a/tests/router/test_app.py
+++ b/tests/router/test_app.py
@@ -9,13 +9,11 @@
 import os
 import signal
 import socket
-from collections.abc import Awaitable, Callable
-from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
-from roselink.membership.repeats import FIRST_PART
+from roselink.budgets.repeats import FIRST_PART
 from roselink.model.configuration import Tenant
 from roselink.model.fleet import Member, Snapshot, VersionVector
 from roselink.model.settings import ProcessSettings, load_settings
@@ -23,6 +21,10 @@
 from roselink.protocol.pull import ChangesPull, Pull, PullReply
 from roselink.router.app import Control, serve
 
+if TYPE_CHECKING:
+    from collections.abc import Awaitable, Callable
+    from pathlib import Path
+
 HOST = "127.0.0.1"
 TENANT = Tenant("t", ("key",), 0, "requests", 1, 1000.0, 500.0)
 DOCUMENT = {
--- a/tests/router/test_status_log.py
+++ b/tests/router/test_status_log.py
@@ -2,15 +2,17 @@
 
 from __future__ import annotations
 
-import asyncio
 import logging
-from collections.abc import Callable
-from typing import Any, cast
+from typing import TYPE_CHECKING, Any, cast
 
 import pytest
 
 from roselink.router.status_log import EVERY_S, StatusLog
 
+if TYPE_CHECKING:
+    import asyncio
+    from collections.abc import Callable
+
 
 class Timer:
     def __init__(self, work: Callable[[], None]) -> None:
@@ -45,7 +47,7 @@
     caplog: pytest.LogCaptureFixture, states: list[str], written: list[str]
 ) -> None:
     loop, left = Loop(), iter(states)
-    status_log = StatusLog(cast(asyncio.AbstractEventLoop, loop), lambda: next(left))
+    status_log = StatusLog(cast("asyncio.AbstractEventLoop", loop), lambda: next(left))
     with caplog.at_level(logging.INFO, "roselink.router"):
         status_log.start()
         for number in range(len(states)):
@@ -60,7 +62,7 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     loop = Loop()
-    status_log = StatusLog(cast(asyncio.AbstractEventLoop, loop), lambda: "a")
+    status_log = StatusLog(cast("asyncio.AbstractEventLoop", loop), lambda: "a")
     with caplog.at_level(logging.INFO, "roselink.router"):
         status_log.stop()
         assert caplog.records == []  # it had not begun
--- a/tests/routing/test_host_choice.py
+++ b/tests/routing/test_host_choice.py
@@ -4,10 +4,10 @@
 
 import random
 from dataclasses import replace
+from typing import TYPE_CHECKING
 
 import pytest
 
-from roselink.routing import decisions as d
 from roselink.routing.affinity import PrefixMemory
 from roselink.routing.host_choice import HostChooser
 from roselink.routing.host_state import HostState, fresh_state
@@ -15,6 +15,9 @@
 from roselink.routing.ring import HashRing
 from tests.routing.builders import FACTS, host, prompt
 
+if TYPE_CHECKING:
+    from roselink.routing import decisions as d
+
 PLAIN = FACTS
 MODEL = replace(FACTS, affinity=True, prompt=prompt("group", "session", "own"), tokens_in=3000)
 
--- a/tests/routing/test_invariants.py
+++ b/tests/routing/test_invariants.py
@@ -7,15 +7,18 @@
 import random
 from collections import Counter
 from dataclasses import replace
+from typing import TYPE_CHECKING
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from roselink.model.fleet import Host
+from roselink.balancer.interface import NEVER_RAN, Outcome
 from roselink.routing import decisions as d
-from roselink.routing.interface import NEVER_RAN, Outcome
 from tests.routing.builders import FACTS, Bench, host, prompt
 
+if TYPE_CHECKING:
+    from roselink.model.fleet import Host
+
 UNSENT = {Outcome.CONNECT_FAILED, Outcome.MOOT}
 RATIO, WINDOW_S = 0.2, 10.0
 
--- a/tests/simulation/test_disk.py
+++ b/tests/simulation/test_disk.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from roselink.control.storage import Storage, record_number
+from roselink.controller.storage import Storage, record_number
 from roselink.coordination.effects import Store
 from roselink.protocol.chain import ConfigurationState, StoredState, View, Voter, Votes
 from roselink.protocol.records import encode
--- a/tests/simulation/test_search.py
+++ b/tests/simulation/test_search.py
@@ -5,16 +5,15 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Callable
 from dataclasses import replace
 from functools import partial
+from typing import TYPE_CHECKING
 
 import pytest
 
 from roselink.coordination.orders import HeadOrders
 from roselink.coordination.reads import ReadRounds
 from roselink.coordination.votes import Attempt
-from roselink.protocol.chain import Submit, View
 from roselink.simulation.search import Bounds, Found, search, walk
 from roselink.simulation.system import (
     System,
@@ -28,6 +27,11 @@
     view_decided,
 )
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from roselink.protocol.chain import Submit, View
+
 STATES = 1500  # of each search in CI
 STATES_ON_DEMAND = 60_000  # the same with `many_seeds`
 WALKS, STEPS = 8, 60
--- a/tests/helpers.py
+++ b/tests/support/helpers.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from roselink.routing.balance import Balancer
-from roselink.routing.interface import (
+from roselink.balancer.balance import Balancer
+from roselink.balancer.interface import (
     Action,
     Alarm,
     Arrived,
--- a/tests/net.py
+++ b/tests/support/net.py
@@ -15,13 +15,15 @@
 from contextlib import asynccontextmanager
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import uvloop
 
 from roselink.gateway.__main__ import Gateway
 from roselink.gateway.config import Config, load
-from roselink.gateway.engine import ClientRequest, OpenRequest, Reply
+
+if TYPE_CHECKING:
+    from roselink.gateway.engine import ClientRequest, OpenRequest, Reply
 
 BOUND_S = 20.0
 
--- a/tests/rulecheck.py
+++ b/tests/support/rulecheck.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from roselink.routing.interface import (
+from roselink.balancer.interface import (
     Action,
     Arrived,
     AttemptDone,
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -4,10 +4,13 @@
 
 import importlib.util
 from pathlib import Path
-from types import ModuleType
+from typing import TYPE_CHECKING
 
 import pytest
 
+if TYPE_CHECKING:
+    from types import ModuleType
+
 
 @pytest.fixture(scope="module")
 def known_red() -> ModuleType:
--- a/tests/test_mutations.py
+++ b/tests/test_mutations.py
@@ -4,13 +4,16 @@
 
 from __future__ import annotations
 
-from pathlib import Path
+from typing import TYPE_CHECKING
 
 import pytest
 
 from tests import mutations
 from tests.mutations import MUTATIONS, ROOT, Mutation, judge
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
 
 @pytest.mark.parametrize("mutation", MUTATIONS, ids=lambda each: each.name)
 def test_each_guard_stands_once(mutation: Mutation) -> None:
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -4,21 +4,25 @@
 
 import ast
 import re
-from collections.abc import Iterator
 from pathlib import Path
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from collections.abc import Iterator
 
 ROOT = Path(__file__).parent.parent
 PACKAGES = (
-    "control",
+    "controller",
     "dataplane",
     "distribution",
-    "membership",
+    "budgets",
+    "gossip",
     "model",
     "protocol",
     "router",
     "routing",
 )
-OTHER_PROGRAMS = {"balance.py", "benchlink.py"}  # the module in service, and its wire
+OTHER_PROGRAMS = {"balance.py", "simulator_adapter.py"}  # the module in service, and its wire
 LEVELS = {"debug", "info", "warning", "error", "exception", "critical"}
 NAME = re.compile(r"[a-z]+(_[a-z]+)*\Z")
 
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -4,8 +4,10 @@
 
 import re
 from pathlib import Path
+from typing import TYPE_CHECKING
 
-import pytest
+if TYPE_CHECKING:
+    import pytest
 
 README = Path(__file__).parent.parent / "README.md"
 
--- a/tests/experiments/test_losses.py
+++ b/tests/tools/test_losses.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from experiments.compare import interval, read_report
-from experiments.losses import read_days, table
+from tools.compare import interval, read_report
+from tools.losses import read_days, table
 
 REPORT = {
     "G": 0.5,
--- a/tests/experiments/test_smoke.py
+++ b/tests/tools/test_smoke.py
@@ -2,12 +2,15 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 import pytest
 
-from experiments import asks, configurations, core, decider, platform, pulls, streams
-from experiments.measure import fit
+from tools import asks, configurations, core, decider, platform, pulls, streams
+from tools.measure import fit
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
 
 TINY: dict[str, tuple[Callable[[], object], tuple[str, ...]]] = {
     "decider": (
--- a/experiments/asks.py
+++ b/tools/asks.py
@@ -10,17 +10,20 @@
 
 import itertools
 import random
-from collections.abc import Sequence
 from dataclasses import dataclass, replace
+from typing import TYPE_CHECKING
 
-from experiments.measure import machine, processor_us, show, show_line
-from experiments.shapes import make_member, make_roster
-from roselink.membership.ledger import QuotaLedger
-from roselink.membership.quota_client import KEY_PREFIX, QuotaClient, SendQuotaAsk
-from roselink.membership.roles import Roles
-from roselink.membership.usage import Limit, QuotaRule
+from roselink.budgets.ledger import QuotaLedger
+from roselink.budgets.quota_client import KEY_PREFIX, QuotaClient, SendQuotaAsk
+from roselink.budgets.roles import Roles
+from roselink.budgets.usage import Limit, QuotaRule
 from roselink.protocol.ledger import QuotaAnswer, QuotaAsk, Verdict
 from roselink.protocol.peers import FrameReader, frame
+from tools.measure import machine, processor_us, show, show_line
+from tools.shapes import make_member, make_roster
+
+if TYPE_CHECKING:
+    from collections.abc import Sequence
 
 RULE = QuotaRule(8.0, 0.1, 110_000.0)
 LIMIT = Limit(120_000.0, 120_000.0)
--- a/experiments/compare.py
+++ b/tools/compare.py
@@ -1,6 +1,6 @@
 """Compares two checkouts on the same days and seeds of the users' bench, play by play.
 
-    python -m experiments.compare BENCH BEFORE AFTER --days SITE:DAY ... --seeds 1 2 3
+    python -m tools.compare BENCH BEFORE AFTER --days SITE:DAY ... --seeds 1 2 3
 
 Plays are interleaved, so that both sides meet the same machine. Printed: each pair, and for each
 day and all days the mean difference of worth, of its parts and of each price, with a 95% interval
--- a/experiments/configurations.py
+++ b/tools/configurations.py
@@ -5,16 +5,19 @@
 from __future__ import annotations
 
 import json
-from collections.abc import Sequence
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
-from experiments.measure import heap_bytes, machine, processor_us, show, show_line
-from experiments.shapes import make_document
-from roselink.control.checking import Checked, Refused, check
-from roselink.control.contract import ConfigurationOrder, Confirmation
-from roselink.control.updates import order_of_update, read_call
+from roselink.controller.checking import Checked, Refused, check
+from roselink.controller.contract import ConfigurationOrder, Confirmation
+from roselink.controller.updates import order_of_update, read_call
 from roselink.dataplane.routes import RouteTable
 from roselink.model.configuration import Configuration
+from tools.measure import heap_bytes, machine, processor_us, show, show_line
+from tools.shapes import make_document
+
+if TYPE_CHECKING:
+    from collections.abc import Sequence
 
 ROUTES = (10, 50, 200, 400)
 TENANTS = 200
--- a/experiments/core.py
+++ b/tools/core.py
@@ -7,12 +7,10 @@
 from __future__ import annotations
 
 import tempfile
-from collections.abc import Sequence
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
-from experiments.measure import machine, processor_us, show, show_line
-from experiments.shapes import make_cores
-from roselink.control.storage import Storage, record_number
+from roselink.controller.storage import Storage, record_number
 from roselink.coordination.effects import Effect, Send, Store
 from roselink.coordination.reads import ReadRounds, Waiting
 from roselink.coordination.state import HISTORY_LIMIT, apply, digest_of
@@ -30,6 +28,11 @@
 )
 from roselink.protocol.peers import FrameReader, frame
 from roselink.protocol.records import encode
+from tools.measure import machine, processor_us, show, show_line
+from tools.shapes import make_cores
+
+if TYPE_CHECKING:
+    from collections.abc import Sequence
 
 VOTERS = (3, 5, MAX_VOTERS)
 CORES = (3, 9, 27, 54)
--- a/experiments/decider.py
+++ b/tools/decider.py
@@ -9,20 +9,10 @@
 from __future__ import annotations
 
 import itertools
-from collections.abc import Sequence
 from dataclasses import dataclass, replace
+from typing import TYPE_CHECKING
 
-from experiments.measure import heap_bytes, machine, processor_us, show, show_line
-from experiments.shapes import (
-    MODELS,
-    make_configuration,
-    make_host,
-    make_hosts,
-    replaced,
-    service_name,
-)
-from roselink.model.configuration import Service
-from roselink.model.fleet import Host
+from roselink.balancer.interface import Outcome
 from roselink.routing.affinity import KEPT_PARTS, PrefixMemory
 from roselink.routing.decisions import (
     AttemptEnded,
@@ -34,8 +24,22 @@
     TopologyChanged,
 )
 from roselink.routing.fleet import FleetDecider
-from roselink.routing.interface import Outcome
 from roselink.routing.ring import HashRing
+from tools.measure import heap_bytes, machine, processor_us, show, show_line
+from tools.shapes import (
+    MODELS,
+    make_configuration,
+    make_host,
+    make_hosts,
+    replaced,
+    service_name,
+)
+
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+    from roselink.model.configuration import Service
+    from roselink.model.fleet import Host
 
 HOSTS = (60, 600, 3_000, 12_000)
 REQUESTS = 3_000
--- a/experiments/losses.py
+++ b/tools/losses.py
@@ -1,6 +1,6 @@
 """Says where worth is lost, from reports of the users' bench or from entries of its journal.
 
-    python -m experiments.losses FILE...
+    python -m tools.losses FILE...
 
 Each day is a row: worth, what its parts cost (weight times what they lack of 1), and each price, as
 worth. The last row is the mean over the days with half of the width of its 95% interval; columns go
@@ -11,14 +11,16 @@
 
 import json
 import sys
-from collections.abc import Iterator
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import defopt  # type: ignore[import-untyped]
 
-from experiments.compare import interval
+from tools.compare import interval
+
+if TYPE_CHECKING:
+    from collections.abc import Iterator
 
 LEAST_SHOWN = 0.0005  # causes below this on average are left out
 
--- a/experiments/measure.py
+++ b/tools/measure.py
@@ -9,9 +9,12 @@
 import sys
 import time
 import tracemalloc
-from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass
 from pathlib import Path
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable, Sequence
 
 ROUNDS, MOST_ROUNDS = 3, 30
 CALM = 1.15  # of the fixed loop's least time
--- a/experiments/own_days.py
+++ b/tools/own_days.py
@@ -1,6 +1,6 @@
 """Write a deployment file whose days pair every kind of trouble with every other.
 
-`python -m experiments.own_days SITE OUT --days 60 --seed 1` keeps the deployment of SITE and
+`python -m tools.own_days SITE OUT --days 60 --seed 1` keeps the deployment of SITE and
 replaces its standard days. Each day has two kinds of trouble, each twice and close together, above
 a background of configuration changes. The first half of every fourteen follows `SCENARIOS`: what
 operators saw go wrong before.
--- a/experiments/platform.py
+++ b/tools/platform.py
@@ -8,12 +8,10 @@
 
 import json
 import random
-from collections.abc import Sequence
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
-from experiments.measure import machine, processor_us, show, show_line
-from experiments.shapes import make_host
-from roselink.control.platform import (
+from roselink.controller.platform import (
     Fetch,
     Listed,
     ListReader,
@@ -22,7 +20,13 @@
     WakeAt,
     read_page,
 )
-from roselink.model.fleet import Host
+from tools.measure import machine, processor_us, show, show_line
+from tools.shapes import make_host
+
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+    from roselink.model.fleet import Host
 
 HOSTS = (60, 600, 3_000, 12_000)
 PAGE = 50  # entries
--- a/experiments/pulls.py
+++ b/tools/pulls.py
@@ -10,20 +10,11 @@
 import asyncio
 import itertools
 import random
-from collections.abc import Sequence
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
-from experiments.measure import heap_bytes, machine, processor_us, show, show_line
-from experiments.shapes import (
-    make_configuration,
-    make_cores,
-    make_hosts,
-    make_member,
-    make_roster,
-    replaced,
-)
-from roselink.control.contract import Confirmation
-from roselink.control.pulls import Answer, AnswerChanges, PullDesk
+from roselink.controller.contract import Confirmation
+from roselink.controller.pulls import Answer, AnswerChanges, PullDesk
 from roselink.coordination.views import MAX_VOTERS
 from roselink.dataplane.topology import HostDirectory
 from roselink.dataplane.upstream import FleetUpstream
@@ -33,6 +24,18 @@
 from roselink.model.fleet import Host, Member, Snapshot, VersionVector
 from roselink.protocol.peers import FrameReader, frame
 from roselink.protocol.pull import ChangesReply, Pull, PullReply
+from tools.measure import heap_bytes, machine, processor_us, show, show_line
+from tools.shapes import (
+    make_configuration,
+    make_cores,
+    make_hosts,
+    make_member,
+    make_roster,
+    replaced,
+)
+
+if TYPE_CHECKING:
+    from collections.abc import Sequence
 
 HOSTS = (60, 600, 3_000, 12_000)
 GATEWAYS = (6, 60, 175, 350)
--- a/experiments/streams.py
+++ b/tools/streams.py
@@ -8,11 +8,14 @@
 from __future__ import annotations
 
 import itertools
-from collections.abc import Sequence
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
-from experiments.measure import machine, processor_us, show, show_line
 from roselink.dataplane.events import Progress, StreamFilter
+from tools.measure import machine, processor_us, show, show_line
+
+if TYPE_CHECKING:
+    from collections.abc import Sequence
 
 EVENTS_A_READ = (1, 4, 16, 64)
 READS = 2_000
