--- a/roselink/cli.py
+++ b/roselink/cli.py
@@ -8,7 +8,7 @@
 
 import json as codec
 import sys
-from typing import TYPE_CHECKING
+from pathlib import Path
 
 import defopt  # type: ignore[import-untyped]
 
@@ -16,9 +16,6 @@
 from roselink.model.settings import SettingsError, read_settings
 from roselink.status import NoAnswer, fetch_state, render
 
-if TYPE_CHECKING:
-    from pathlib import Path
-
 EXIT_UNAVAILABLE = 1
 EXIT_FAULTS = 2
 MOST_MACHINES = 9  # that vote
@@ -28,7 +25,7 @@
     """Check a settings file or a configuration, and name every fault by its path.
 
     :param file: JSON; one with `node_name` is taken for a process's settings, any other for a
-    configuration
+        configuration
     """
     try:
         document = codec.loads(file.read_bytes())
--- a/tests/balancer/test_balance.py
+++ b/tests/balancer/test_balance.py
@@ -8,6 +8,7 @@
 
 import pytest
 
+from roselink.balancer import balance
 from roselink.balancer.interface import (
     Arrived,
     AttemptDone,
@@ -27,7 +28,6 @@
     State,
     Watch,
 )
-from roselink.balancer import balance
 from tests.support.helpers import AIM_US, DEADLINE_US, Stage, route, settings
 
 MODULE = Path(balance.__file__)
--- a/tests/balancer/test_property.py
+++ b/tests/balancer/test_property.py
@@ -9,6 +9,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
+from roselink.balancer import balance
 from roselink.balancer.balance import Balancer
 from roselink.balancer.interface import (
     Alarm,
@@ -31,7 +32,6 @@
     Settings,
     State,
 )
-from roselink.balancer import balance
 from tests.support.rulecheck import Checker, RuleBroken
 
 if TYPE_CHECKING:
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -154,7 +154,7 @@
     "urllib",
     "zlib",
 }
-OWN_PACKAGES = {"roselink.gateway", "roselink.routing"}  # and of its own packages only these two
+OWN_PACKAGES = {"roselink.gateway", "roselink.balancer"}  # and of its own packages only these two
 
 
 def imports(text: str) -> set[str]:
