--- a/roselink/balancer/balance.py
+++ b/roselink/balancer/balance.py
@@ -1,6 +1,4 @@
-"""Every decision of the gateway. Its types, events and actions stand in
-roselink/balancer/interface.py.
-"""
+"""Every decision of the gateway (its types, events and actions: roselink/balancer/interface.py)."""
 
 from __future__ import annotations
 
--- a/tests/balancer/test_property.py
+++ b/tests/balancer/test_property.py
@@ -12,6 +12,7 @@
 from roselink.balancer import balance
 from roselink.balancer.balance import Balancer
 from roselink.balancer.interface import (
+    Action,
     Alarm,
     Arrived,
     AttemptDone,
@@ -167,6 +168,9 @@
         self.checker.before(self.now, events)
         actions = self.balancer.handle(self.now, events)
         self.checker.after(self.now, actions)
+        self.carry_out(actions)
+
+    def carry_out(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, SetAlarm):
                 self.later(action.delay_us, Alarm(action.tag))
--- /dev/null
+++ b/tests/balancer/test_recorded_histories.py
@@ -0,0 +1,127 @@
+"""The decider's actions over fixed random histories, compared with a recording.
+
+The recording (`data/recorded_actions.json`) was made by the decider while it was one module, before
+it was split by concern. Equal digests show that a change of shape changes no decision. A change
+that is meant to alter decisions records anew: `python -m tests.balancer.test_recorded_histories`.
+"""
+
+from __future__ import annotations
+
+import dataclasses
+import hashlib
+import json
+from pathlib import Path
+from typing import TYPE_CHECKING
+
+import pytest
+
+from roselink.balancer import Arrived, AttemptDone, Balancer, Outcome, Route, Server, StreamStarted
+from tests.balancer.test_property import TICK_US, World
+
+if TYPE_CHECKING:
+    from roselink.balancer import Event, Send
+
+RECORDING = Path(__file__).parent / "data" / "recorded_actions.json"
+TICKS = 1_500
+CROWDING_US = 15_000
+SEEDS = range(16)
+
+
+class RecordedHistory(World):
+    """A random legal history that keeps a digest of every action, field by field.
+
+    Beside the settings of `World` it varies those that only larger fleets use: many balancers, so
+    that the host window is in force, prices of zones, hints of work and of size, marked repeats,
+    late answers that have a worth, and streams.
+    """
+
+    def __init__(self, seed: int) -> None:
+        super().__init__(
+            seed,
+            parallel=seed % 2 == 0,
+            memory_us=[30_000, 100_000, 2_000_000][seed % 3],
+            bad=[0.02, 0.1, 0.3, 0.8][seed // 2 % 4],
+        )
+        self.digest = hashlib.sha256()
+        self.actions = 0
+        self.crowds = seed % 4 >= 2  # latency grows with what is in flight
+        balancers = self.rng.choice([1, 3, 40])
+        servers = self.rng.choice([4, 12, 40])
+        self.told = dataclasses.replace(
+            self.told,
+            routes=tuple(self.varied(route) for route in self.told.routes),
+            balancers=balancers,
+            number=self.rng.randrange(balancers),
+            zone=self.rng.randrange(2),
+            price_cross_zone=self.rng.choice([0.0, 0.1]),
+            hints_are_sizes=self.rng.random() < 0.5,
+            clients_mark_repeats=self.rng.random() < 0.5,
+            retry_after=self.rng.random() < 0.5,
+        )
+        self.balancer = Balancer(self.told, seed)
+        self.servers = [
+            Server(50 + i, zone=i % 2, cell=i % 4, kind=i % 3, hint=1.0 + i % 2)
+            for i in range(servers)
+        ]
+        for cold in range(servers // 4):
+            started_us = self.now - 500_000
+            self.servers[cold] = self.servers[cold]._replace(started_us=started_us)
+
+    def varied(self, route: Route) -> Route:
+        return dataclasses.replace(
+            route,
+            late_worth=self.rng.choice([0.0, 0.0, 0.3]),
+            aim_stretch=self.rng.choice([0.0, 0.5]),
+            aim_us=self.rng.choice([route.aim_us, None]),
+        )
+
+    def arrival(self) -> Event:
+        event = super().arrival()
+        assert isinstance(event, Arrived)
+        work_us = self.rng.choice([None, self.rng.randrange(1_000, 60_000)])
+        return event._replace(work_us=work_us, repeat=self.rng.random() < 0.1)
+
+    def later(self, delay_us: int, event: Event) -> None:
+        if isinstance(event, AttemptDone) and event.outcome is Outcome.SUCCESS and self.crowds:
+            crowded_us = delay_us + CROWDING_US * len(self.out)
+            if crowded_us < self.give_up[event.request] - self.now:
+                event = event._replace(elapsed_us=crowded_us)
+                delay_us = crowded_us
+        super().later(delay_us, event)
+
+    def sent(self, action: Send) -> None:
+        super().sent(action)
+        if self.rng.random() < 0.05:
+            attempt = self.tries[action.request] - 1
+            self.later(TICK_US, StreamStarted(action.request, attempt, TICK_US))
+
+    def deliver(self, event: Event) -> list[Event]:
+        if isinstance(event, StreamStarted):
+            if (event.request, event.attempt) not in self.out or event.request in self.ended:
+                return []
+            self.ended.add(event.request)
+        return super().deliver(event)
+
+    def step(self, events: list[Event]) -> None:
+        actions = self.balancer.handle(self.now, events)
+        for action in actions:
+            values = (self.now, type(action).__name__, tuple(action))
+            self.digest.update(repr(values).encode())
+        self.actions += len(actions)
+        self.carry_out(actions)
+
+
+def recorded(seed: int) -> list[str | int]:
+    history = RecordedHistory(seed)
+    history.play(TICKS)
+    return [history.digest.hexdigest(), history.actions]
+
+
+@pytest.mark.parametrize("seed", SEEDS)
+def test_the_actions_are_those_recorded(seed: int) -> None:
+    assert recorded(seed) == json.loads(RECORDING.read_text())[str(seed)]
+
+
+if __name__ == "__main__":
+    RECORDING.parent.mkdir(exist_ok=True)
+    RECORDING.write_text(json.dumps({str(seed): recorded(seed) for seed in SEEDS}, indent=1) + "\n")
