--- a/roselink/budgets/budget_service.py
+++ b/roselink/budgets/budget_service.py
@@ -14,17 +14,17 @@
 from functools import partial
 from typing import TYPE_CHECKING, Any
 
-from roselink.budgets import quota_client, repeats
-from roselink.budgets.ledger import QuotaLedger
+from roselink.budgets import quota_client, retry_budget
+from roselink.budgets.ownership import FRESH_S, Roles
 from roselink.budgets.quota_client import QuotaClient, QuotaDecided, SendQuotaAsk
-from roselink.budgets.repeats import (
+from roselink.budgets.quota_owner import QuotaLedger
+from roselink.budgets.retry_budget import (
     RefreshRoster,
     RepeatClient,
     RepeatDecided,
     RepeatLedger,
     SendRepeatAsk,
 )
-from roselink.budgets.roles import FRESH_S, Roles
 from roselink.budgets.usage import Limit, QuotaRule
 from roselink.protocol.ledger import QuotaAnswer, QuotaAsk, RepeatAnswer, RepeatAsk, Verdict
 
@@ -146,7 +146,7 @@
     def _own_roles(self, now: float) -> None:
         tenants = self._owned(quota_client.KEY_PREFIX, self._tenants)
         self._quotas.own(tenants, self._roles.roster, now)
-        self._repeats.own(self._owned(repeats.KEY_PREFIX, self._services), now)
+        self._repeats.own(self._owned(retry_budget.KEY_PREFIX, self._services), now)
 
     def _owned(self, prefix: str, names: Iterable[str]) -> list[str]:
         return [name for name in names if self._roles.owns(prefix + name)]
@@ -160,7 +160,7 @@
 
     def _own_repeat(self, ask: RepeatAsk) -> RepeatAnswer:
         now = self._clock()
-        verdict = self._judge(repeats.KEY_PREFIX + ask.service, ask.token, now)
+        verdict = self._judge(retry_budget.KEY_PREFIX + ask.service, ask.token, now)
         if verdict is Verdict.DECIDED:
             return self._repeats.ask(ask, now)
         return RepeatAnswer(verdict, self._roles.token, False)
--- a/roselink/budgets/quota_client.py
+++ b/roselink/budgets/quota_client.py
@@ -11,16 +11,16 @@
 from dataclasses import dataclass, field, replace
 from typing import TYPE_CHECKING
 
-from roselink.budgets.alone import Alone
-from roselink.budgets.due_times import NEVER, DueTimes
-from roselink.budgets.repeats import RefreshRoster
+from roselink.budgets.deadline_index import NEVER, DueTimes
+from roselink.budgets.local_admission import Alone
+from roselink.budgets.retry_budget import RefreshRoster
 from roselink.budgets.usage import LOCAL_PART, NEWCOMER_PART, Limit, QuotaRule, Usage
 from roselink.protocol.ledger import Level, QuotaAnswer, QuotaAsk, Verdict
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-    from roselink.budgets.roles import Roles
+    from roselink.budgets.ownership import Roles
 
 KEY_PREFIX = "quota/"
 ASK_TIMEOUT_S = 0.15
--- a/roselink/budgets/repeats.py
+++ b/roselink/budgets/retry_budget.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from roselink.budgets.roles import Roles
+    from roselink.budgets.ownership import Roles
 
 LENT_PART = 0.8
 FIRST_PART = 0.05
--- a/roselink/router/app.py
+++ b/roselink/router/app.py
@@ -22,7 +22,7 @@
 from roselink.model.settings import DEFAULT_PATH, ENVIRONMENT_VARIABLE, ProcessSettings
 from roselink.protocol.payoffs import HostOutcomes
 from roselink.protocol.peers import Address, PeerPool, PeerServer, Reply
-from roselink.router.parts import DataPlane
+from roselink.router.interfaces import DataPlane
 from roselink.router.status_log import StatusLog
 
 log = logging.getLogger("roselink.router")
--- a/roselink/status.py
+++ b/roselink/status.py
@@ -11,9 +11,9 @@
 import json
 from typing import TYPE_CHECKING, Any
 
+from roselink.budgets.ownership import owner_of
 from roselink.budgets.quota_client import KEY_PREFIX as QUOTA_PREFIX
-from roselink.budgets.repeats import KEY_PREFIX as REPEAT_PREFIX
-from roselink.budgets.roles import owner_of
+from roselink.budgets.retry_budget import KEY_PREFIX as REPEAT_PREFIX
 from roselink.model.fleet import Member
 
 if TYPE_CHECKING:
--- a/tests/budgets/fleet.py
+++ b/tests/budgets/fleet.py
@@ -14,17 +14,17 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any
 
-from roselink.budgets import quota_client, repeats
-from roselink.budgets.ledger import QuotaLedger
+from roselink.budgets import quota_client, retry_budget
+from roselink.budgets.ownership import FRESH_S, Roles
 from roselink.budgets.quota_client import QuotaClient, QuotaDecided, SendQuotaAsk
-from roselink.budgets.repeats import (
+from roselink.budgets.quota_owner import QuotaLedger
+from roselink.budgets.retry_budget import (
     RefreshRoster,
     RepeatClient,
     RepeatDecided,
     RepeatLedger,
     SendRepeatAsk,
 )
-from roselink.budgets.roles import FRESH_S, Roles
 from roselink.model.fleet import Member
 from roselink.protocol.ledger import QuotaAnswer, QuotaAsk, RepeatAnswer, RepeatAsk, Verdict
 
@@ -220,7 +220,7 @@
         ]
         self.ledger.own(tenants, roster, now)
         services = [
-            name for name in self.fleet.services if self.roles.owns(repeats.KEY_PREFIX + name)
+            name for name in self.fleet.services if self.roles.owns(retry_budget.KEY_PREFIX + name)
         ]
         self.repeat_ledger.own(services, now)
 
@@ -232,7 +232,7 @@
                 return self.ledger.ask(ask, now)
             return QuotaAnswer(verdict, self.roles.token)
         assert isinstance(ask, RepeatAsk)
-        verdict = self.roles.judge(repeats.KEY_PREFIX + ask.service, ask.token, now)
+        verdict = self.roles.judge(retry_budget.KEY_PREFIX + ask.service, ask.token, now)
         if verdict is Verdict.DECIDED:
             return self.repeat_ledger.ask(ask, now)
         return RepeatAnswer(verdict, self.roles.token, False)
--- a/tests/budgets/test_due_times.py
+++ b/tests/budgets/test_deadline_index.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from roselink.budgets.due_times import NEVER, DueTimes
+from roselink.budgets.deadline_index import NEVER, DueTimes
 
 Step = tuple[str, float]
 
--- a/tests/budgets/test_fleet.py
+++ b/tests/budgets/test_fleet.py
@@ -8,8 +8,8 @@
 
 from roselink.budgets.usage import Limit, QuotaRule
 from tests.budgets.checks import admitted, largest_window, within_limit
+from tests.budgets.faults import TROUBLES, make_trouble
 from tests.budgets.fleet import Fleet
-from tests.budgets.troubles import TROUBLES, make_trouble
 
 RATE = BURST = 120_000.0
 RULE = QuotaRule(window_s=8.0, over=0.1, slack=110_000.0)
--- a/tests/budgets/test_roles.py
+++ b/tests/budgets/test_ownership.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from roselink.budgets.roles import FRESH_S, Roles, owner_of
+from roselink.budgets.ownership import FRESH_S, Roles, owner_of
 from roselink.model.fleet import Member
 from roselink.protocol.ledger import Verdict
 
--- a/tests/budgets/test_quota_client.py
+++ b/tests/budgets/test_quota_client.py
@@ -5,10 +5,10 @@
 import pytest
 
 from roselink.budgets import quota_client as module
-from roselink.budgets.alone import ALONE_S, RATE_PART
+from roselink.budgets.local_admission import ALONE_S, RATE_PART
+from roselink.budgets.ownership import Roles
 from roselink.budgets.quota_client import Effect, QuotaClient, QuotaDecided, SendQuotaAsk
-from roselink.budgets.repeats import RefreshRoster, RepeatClient, RepeatDecided, SendRepeatAsk
-from roselink.budgets.roles import Roles
+from roselink.budgets.retry_budget import RefreshRoster, RepeatClient, RepeatDecided, SendRepeatAsk
 from roselink.budgets.usage import LOCAL_PART, NEWCOMER_PART, Limit, QuotaRule
 from roselink.model.fleet import Member
 from roselink.protocol.ledger import QuotaAnswer, QuotaAsk, RepeatAnswer, Verdict
--- a/tests/budgets/test_ledger.py
+++ b/tests/budgets/test_quota_owner.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from roselink.budgets import ledger as module
-from roselink.budgets.ledger import QuotaLedger
-from roselink.budgets.repeats import FIRST_PART, FIRST_S, LENT_PART, RepeatLedger
+from roselink.budgets import quota_owner as module
+from roselink.budgets.quota_owner import QuotaLedger
+from roselink.budgets.retry_budget import FIRST_PART, FIRST_S, LENT_PART, RepeatLedger
 from roselink.budgets.usage import GRACE_PART, START_PART, Limit, QuotaRule
 from roselink.model.fleet import Member
 from roselink.protocol.ledger import Level, QuotaAnswer, QuotaAsk, RepeatAsk, Used, Verdict
--- a/tests/budgets/test_due_quotas.py
+++ b/tests/budgets/test_quota_wake_times.py
@@ -6,8 +6,8 @@
 
 import pytest
 
+from roselink.budgets.ownership import Roles
 from roselink.budgets.quota_client import QuotaClient, SendQuotaAsk
-from roselink.budgets.roles import Roles
 from roselink.budgets.usage import Limit, QuotaRule
 from roselink.model.fleet import Member
 from roselink.protocol.ledger import QuotaAnswer, QuotaAsk, Verdict
--- a/tests/cli/test_status.py
+++ b/tests/cli/test_status.py
@@ -11,7 +11,7 @@
 import pytest
 
 from roselink.__main__ import main
-from roselink.budgets.roles import owner_of
+from roselink.budgets.ownership import owner_of
 from roselink.cli import EXIT_UNAVAILABLE
 from roselink.model.fleet import Member
 from roselink.status import owners, render
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -482,7 +482,7 @@
         ("changes from another version are taken", "if changes.base == held else None", ""),
     ),
     *_of(
-        "budgets/roles.py",
+        "budgets/ownership.py",
         MEMBERSHIP,
         (
             "an ask under an old token is served",
@@ -494,7 +494,7 @@
         ("an older roster is taken", "if token <= self.token:", "if token == self.token:"),
     ),
     *_of(
-        "budgets/ledger.py",
+        "budgets/quota_owner.py",
         MEMBERSHIP,
         (
             "what is admitted is not counted",
@@ -516,7 +516,7 @@
         ),
     ),
     *_of(
-        "budgets/repeats.py",
+        "budgets/retry_budget.py",
         MEMBERSHIP,
         (
             "a new term lends the whole slack",
--- a/tests/router/test_app.py
+++ b/tests/router/test_app.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from roselink.budgets.repeats import FIRST_PART
+from roselink.budgets.retry_budget import FIRST_PART
 from roselink.model.configuration import Tenant
 from roselink.model.fleet import Member, Snapshot, VersionVector
 from roselink.model.settings import ProcessSettings, load_settings
--- a/tools/asks.py
+++ b/tools/asks.py
@@ -13,9 +13,9 @@
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING
 
-from roselink.budgets.ledger import QuotaLedger
+from roselink.budgets.ownership import Roles
 from roselink.budgets.quota_client import KEY_PREFIX, QuotaClient, SendQuotaAsk
-from roselink.budgets.roles import Roles
+from roselink.budgets.quota_owner import QuotaLedger
 from roselink.budgets.usage import Limit, QuotaRule
 from roselink.protocol.ledger import QuotaAnswer, QuotaAsk, Verdict
 from roselink.protocol.peers import FrameReader, frame
