--- /dev/null
+++ b/tests/mutations/__main__.py
@@ -0,0 +1,46 @@
+"""`python -m tests.mutations`: removes guards one at a time and names those that no test missed.
+
+`--drawn N --seed S` takes N of them.
+"""
+
+from __future__ import annotations
+
+import random
+import sys
+import time
+from concurrent.futures import ThreadPoolExecutor
+
+import defopt  # type: ignore[import-untyped]
+
+from tests.mutations import MUTATIONS
+from tests.mutations.runner import run_tests
+
+
+def run(*, drawn: int | None = None, seed: int = 0, jobs: int = 4, only: str = "") -> int:
+    """Remove guards one at a time, and name those that no test missed.
+
+    :param drawn: take only so many, drawn by the seed
+    :param seed: of the draw
+    :param jobs: how many at a time
+    :param only: take those whose name or file has this text
+    """
+    chosen = [each for each in MUTATIONS if only in each.name or only in each.file]
+    if drawn is not None:
+        chosen = random.Random(seed).sample(chosen, min(drawn, len(chosen)))
+    began = time.monotonic()
+    survivors = []
+    with ThreadPoolExecutor(jobs) as pool:
+        for result in pool.map(run_tests, chosen):
+            if not result.caught:
+                survivors.append(result.mutation)
+                print(
+                    f"not caught ({result.seconds:.0f} s): "
+                    f"{result.mutation.file}: {result.mutation.name}",
+                    flush=True,
+                )
+    print(f"{len(chosen)} removed, {len(survivors)} not caught, {time.monotonic() - began:.0f} s")
+    return 1 if survivors else 0
+
+
+if __name__ == "__main__":
+    sys.exit(defopt.run(run))
--- /dev/null
+++ b/tests/mutations/controller.py
@@ -0,0 +1,138 @@
+"""Guards of `roselink/controller`, with the edit that removes each and the tests that miss it."""
+
+from __future__ import annotations
+
+from tests.mutations.mutation import Mutation, mutations_of
+
+STORAGE = ("tests/simulation/test_disk.py", "tests/controller/test_storage.py")
+PULLS = (
+    "tests/controller/test_pulls.py",
+    "tests/controller/test_host_versions.py",
+    "tests/simulation/test_days.py",
+)
+API = ("tests/controller/test_api.py",)
+UPDATES = ("tests/controller/test_updates.py",)
+
+MUTATIONS: tuple[Mutation, ...] = (
+    *mutations_of(
+        "controller/storage.py",
+        STORAGE,
+        (
+            "files are not synced",
+            "            self.files.sync(base + part)\n",
+            "            pass\n",
+        ),
+        ("the folder is not synced", "        self.files.sync(self.folder)\n", ""),
+        (
+            "a torn record is taken",
+            "if checksum != _checksum(number, record, payload):",
+            "if False:",
+        ),
+        (
+            "half of a disk is taken",
+            "isinstance(votes, Votes) and isinstance(state, StoredState)",
+            "isinstance(votes, Votes)",
+        ),
+        (
+            "a refused save leaves its files",
+            "            self._remove(base)\n            raise",
+            "            raise",
+        ),
+    ),
+    *mutations_of(
+        "controller/api.py",
+        API,
+        (
+            "an order's base is not part of its name",
+            "digest_of(base, body))",
+            "digest_of(0, body))",
+        ),
+        (
+            "unclear is told as refused",
+            'return _unavailable(request, "unsettled")',
+            "return _conflict(request, 0)",
+        ),
+        (
+            "unconfirmed is shown as none",
+            '            return _unavailable(request, "unconfirmed")',
+            '            return _json(request, 404, {"error": "none"})',
+        ),
+        (
+            "orders are taken while it ends",
+            '            return _unavailable(request, "stopping")',
+            "            pass",
+        ),
+    ),
+    *mutations_of(
+        "controller/app.py",
+        ("tests/controller/test_imports.py",),
+        ("imports go on while a view is agreed", "            await self._formed()\n", ""),
+    ),
+    *mutations_of(
+        "controller/updates.py",
+        UPDATES,
+        (
+            "an update's base is not part of its name",
+            'struct.pack("!q", base)',
+            'struct.pack("!q", 0)',
+        ),
+        ("an update has a whole document's name", "_DIGEST_PREFIX + ", ""),
+        ("an update is merged onto any base", "if base != confirmed.generation:", "if False:"),
+        (
+            "a merged document is not checked",
+            "    if isinstance(checked, Refused):\n",
+            "    if False:\n",
+        ),
+        ("an item stands twice in an update", "elif name in seen:", "elif False:"),
+        (
+            "an item is both added and removed",
+            "elif isinstance(removed, list) and name in removed:",
+            "elif False:",
+        ),
+        (
+            "an unconfirmed state is built on",
+            "        if confirmed is None:\n            done(Unsettled())",
+            "        if confirmed is None:\n            done(Conflict(0))",
+        ),
+    ),
+    *mutations_of(
+        "controller/pulls.py",
+        PULLS,
+        ("a reply of another view is given", " or confirmation.epoch != self._epoch", ""),
+        (
+            "an unconfirmed reply is given",
+            "if confirmation is None or not self._is_tail or",
+            "if not self._is_tail or",
+        ),
+        (
+            "a pull is sent on for ever",
+            "if forwarded or self._tail is None:",
+            "if self._tail is None:",
+        ),
+        (
+            "a late pull of a former start counts",
+            "            if member.incarnation in known.former:\n                return\n",
+            "",
+        ),
+        (
+            "a pause is the gateways' silence",
+            "        if pause > self._times.pause_s:",
+            "        if False:",
+        ),
+        (
+            "a roster before all were heard",
+            "        if now < self._collect_until:\n            return\n",
+            "",
+        ),
+        (
+            "hosts of an older view are published",
+            "if not self._is_tail or epoch != self._epoch:",
+            "if not self._is_tail:",
+        ),
+        (
+            "a version begins anew in a view",
+            "return max(version, self._epoch << EPOCH_SHIFT) + 1",
+            "return version + 1",
+        ),
+    ),
+)
--- /dev/null
+++ b/tests/mutations/dataplane.py
@@ -0,0 +1,275 @@
+"""Guards of `roselink/dataplane`, with the edit that removes each and the tests that miss it."""
+
+from __future__ import annotations
+
+from tests.mutations.mutation import Mutation, mutations_of
+
+DATAPLANE = ("tests/dataplane",)
+
+MUTATIONS: tuple[Mutation, ...] = (
+    *mutations_of(
+        "dataplane/attempts.py",
+        DATAPLANE,
+        (
+            "a second attempt of what runs once",
+            "return not (once and exchange.may_run) and self._owner.wanted(exchange)",
+            "return self._owner.wanted(exchange)",
+        ),
+        (
+            "a host of another service",
+            "exchange.closed or host.service != exchange.service or",
+            "exchange.closed or",
+        ),
+        (
+            "sent again after its time",
+            "in_time = self._loop.time() < exchange.give_up_at",
+            "in_time = True",
+        ),
+        (
+            "a host is handed the whole time",
+            "(exchange.give_up_at - self._loop.time())",
+            "(exchange.give_up_at - exchange.request.since)",
+        ),
+        (
+            "a resumed stream begins anew",
+            '            last = b"%d" % (exchange.progress.last_id or 0)\n',
+            "            pass\n",
+        ),
+        (
+            "an end that may have run is forgotten",
+            "            exchange.may_have_run = True\n",
+            "            pass\n",
+        ),
+        (
+            "a stream cut short is complete",
+            "        elif answer.finish_stream():",
+            "        elif answer.finish_stream() or True:",
+        ),
+        (
+            "a failure of a host is held for nobody",
+            "            exchange.held = failure\n",
+            "            pass\n",
+        ),
+    ),
+    *mutations_of(
+        "dataplane/exchange.py",
+        DATAPLANE,
+        (
+            "streams resume on any route",
+            "self.begun and self.route.resumable and self.streaming",
+            "self.begun and self.streaming",
+        ),
+        ("streams resume where ids tell nothing", " and self.progress.resumable", ""),
+        (
+            "two answers go on",
+            "return exchange.owner in (None, self) or (exchange.broken and self.resumed)",
+            "return True",
+        ),
+        (
+            "half an event at a close is complete",
+            "if (by_close and stream.half) or not self._claim(None):",
+            "if not self._claim(None):",
+        ),
+        (
+            "a gap is passed over",
+            "if stream.gap or stream.held > HOLD_LIMIT:",
+            "if stream.held > HOLD_LIMIT:",
+        ),
+        ("a host's promise is passed on", " or self.status in PROMISES\n            or", " or"),
+        (
+            "bytes that were sent count as unsent",
+            "return self.attempt is not None and self.attempt.sent",
+            "return False",
+        ),
+    ),
+    *mutations_of(
+        "dataplane/engine.py",
+        DATAPLANE,
+        (
+            "sent for a client that has left",
+            "        if exchange.client.gone():",
+            "        if False:",
+        ),
+        (
+            "sent with a key that is gone",
+            "return held and self._authority.may_use_keys()",
+            "return self._authority.may_use_keys()",
+        ),
+        (
+            "sent with a key that is not confirmed",
+            "return held and self._authority.may_use_keys()",
+            "return held",
+        ),
+        (
+            "a promise for what may have run",
+            "        elif not exchange.may_run:\n",
+            "        elif True:\n",
+        ),
+        (
+            "an answer that has begun is ended as whole",
+            "            exchange.client.cut()\n",
+            "            exchange.client.end()\n",
+        ),
+        (
+            "admitted twice",
+            "if exchange.closed or exchange.facts is not None:",
+            "if exchange.closed:",
+        ),
+        (
+            "taken when its time is over",
+            "        if exchange.give_up_at <= self._loop.time():\n            self._refuse(",
+            "        if False:\n            self._refuse(",
+        ),
+        (
+            "taken in a drain without its end",
+            "        if self._ends_at is not None:\n            exchange.expires_at =",
+            "        if False:\n            exchange.expires_at =",
+        ),
+        (
+            "a drain leaves guards where they were",
+            "                self._guard_at(exchange, exchange.give_up_at)\n",
+            "",
+        ),
+        (
+            "an unconfigured gateway is judged as any",
+            "unconfigured_retry_s(request, self._random.random())",
+            "0.25",
+        ),
+        ("a quota's no is passed over", "        if not allowed:\n", "        if False:\n"),
+        (
+            "what may have run is given back",
+            "exchange.tenant is not None and not exchange.may_run:",
+            "exchange.tenant is not None:",
+        ),
+        (
+            "attempts outlive their request",
+            "        for answer in list(exchange.attempts.values()):\n            answer.cancel()\n"
+            "        exchange.owner",
+            "        exchange.owner",
+        ),
+        (
+            "no last word at the end of the time",
+            "        self._give_up(exchange, GiveUp.OUT_OF_TIME, 0.0)\n\n    # The decider.",
+            "\n    # The decider.",
+        ),
+    ),
+    *mutations_of(
+        "dataplane/admission.py",
+        DATAPLANE,
+        (
+            "an unknown route is told without being sure",
+            "return Refusal(404) if keys_usable else NOT_CONFIRMED",
+            "return Refusal(404)",
+        ),
+        (
+            "keys are judged without being sure",
+            "    if not keys_usable:\n        return NOT_CONFIRMED\n",
+            "",
+        ),
+        (
+            "the client's time alone counts",
+            "return min(told, route.timeout_ms / 1000) if route.timeout_ms > 0 else told",
+            "return told",
+        ),
+    ),
+    *mutations_of(
+        "dataplane/upstream.py",
+        DATAPLANE,
+        (
+            "an answer to another request is taken",
+            "if answered != attempt.request_id and not rejected:",
+            "if not answered and not rejected:",
+        ),
+        ("a long request counts as never sent", "if self._sent_bytes > PROVEN_LIMIT:", "if False:"),
+        (
+            "a connection is kept behind a surplus answer",
+            "should_keep_alive() and not self._surplus",
+            "should_keep_alive()",
+        ),
+        (
+            "an old connection for what runs once",
+            "return not once or fresh or connection.stale()",
+            "return True",
+        ),
+        (
+            "a connection that its host may have ended",
+            "return self.upstream.now() - self.idle_since > self._keep_s",
+            "return False",
+        ),
+        (
+            "a refusal without its promise is taken for one",
+            '(status in NOT_RUN and b"x-not-executed" in headers)',
+            "status in NOT_RUN",
+        ),
+        (
+            "a success without its stamp is taken",
+            'Outcome.SUCCESS if b"x-response-signature" in headers else Outcome.ERROR',
+            "Outcome.SUCCESS",
+        ),
+        (
+            "bytes that nobody asked for are kept",
+            "            self.drop()  # bytes that no request asked for\n",
+            "",
+        ),
+        ("more connections than a host takes", "return host.open < host.most", "return True"),
+        (
+            "surplus answers without end",
+            "if not answered or self._surplus > SURPLUS_LIMIT:",
+            "if not answered:",
+        ),
+    ),
+    *mutations_of(
+        "dataplane/events.py",
+        DATAPLANE,
+        ("a gap in events is not seen", "            self.gap = True\n", "            pass\n"),
+        (
+            "events that the client has come again",
+            "        if self._repeating:\n            return False\n",
+            "",
+        ),
+        (
+            "half an event goes on",
+            'rest = b"" if self._repeating or self.gap else',
+            'rest = b"" if self.gap else',
+        ),
+        (
+            "an event without id is no matter",
+            "self._loose = self._loose or not event.comment",
+            "pass",
+        ),
+    ),
+    *mutations_of(
+        "dataplane/requests.py",
+        DATAPLANE,
+        ("a client names its tenant", "x-tenant-id x-target-instance", "x-target-instance"),
+        ("keys go on to hosts", '"authorization content-length', '"content-length'),
+        (
+            "two headers that must stand once",
+            "        if lower in _ONCE and lower in single:",
+            "        if False:",
+        ),
+    ),
+    *mutations_of(
+        "dataplane/topology.py",
+        DATAPLANE,
+        (
+            "an address that another host has",
+            "            self._upstream.retire(current)\n            current = None",
+            "            pass",
+        ),
+        (
+            "a draining host takes requests",
+            "        elif current.ready:\n            self._upstream.retire(current)\n",
+            "",
+        ),
+    ),
+    *mutations_of(
+        "dataplane/server.py",
+        DATAPLANE,
+        (
+            "a cut answer ends in order",
+            "        if self._transport is not None and not self._chunked:\n            sock",
+            "        if False and self._transport is not None:\n            sock",
+        ),
+    ),
+)
--- a/tests/test_mutations.py
+++ b/tests/test_mutations.py
@@ -8,8 +8,9 @@
 
 import pytest
 
-from tests import mutations
-from tests.mutations import MUTATIONS, ROOT, Mutation, judge
+from tests.mutations import MUTATIONS, ROOT, Mutation
+from tests.mutations.routing import ROUTING
+from tests.mutations.runner import run_tests
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -41,11 +42,13 @@
 ) -> None:
     guard = "return Verdict.RETRY if outcome in NEVER_RAN or repeatable"
     tests = ("tests/routing/test_fleet.py",)
-    assert judge(Mutation("any", "routing/classifier.py", guard, instead, tests)).caught is caught
+    assert (
+        run_tests(Mutation("any", "routing/classifier.py", guard, instead, tests)).caught is caught
+    )
 
 
 def test_a_guard_that_has_moved_is_named(tmp_path: Path) -> None:
     (tmp_path / "roselink" / "routing").mkdir(parents=True)
     (tmp_path / "roselink" / "routing" / "classifier.py").write_text("nothing\n")
     with pytest.raises(ValueError, match="stands 0 times"):
-        Mutation("any", "routing/classifier.py", "guard", "", mutations.ROUTING).apply(tmp_path)
+        Mutation("any", "routing/classifier.py", "guard", "", ROUTING).apply(tmp_path)
