--- a/roselink/budgets/budget_service.py
+++ b/roselink/budgets/budget_service.py
@@ -26,7 +26,13 @@
 )
 from roselink.budgets.roles import FRESH_S, Roles
 from roselink.budgets.usage import Limit, QuotaRule
-from roselink.protocol.ledger import QuotaAnswer, QuotaAsk, RepeatAnswer, RepeatAsk, Verdict
+from roselink.protocol.budgets import (
+    QuotaReply,
+    QuotaRequest,
+    ReplyStatus,
+    RetryBudgetReply,
+    RetryBudgetRequest,
+)
 
 if TYPE_CHECKING:
     from roselink.model.configuration import Tenant
@@ -126,9 +132,9 @@
 
     def handle(self, message: object, reply: Reply) -> bool:
         """Answer a peer's ask; False for records of other kinds."""
-        if isinstance(message, QuotaAsk):
+        if isinstance(message, QuotaRequest):
             reply(self._own_quota(message))
-        elif isinstance(message, RepeatAsk):
+        elif isinstance(message, RetryBudgetRequest):
             reply(self._own_repeat(message))
         else:
             return False
@@ -151,25 +157,25 @@
     def _owned(self, prefix: str, names: Iterable[str]) -> list[str]:
         return [name for name in names if self._roles.owns(prefix + name)]
 
-    def _own_quota(self, ask: QuotaAsk) -> QuotaAnswer:
+    def _own_quota(self, ask: QuotaRequest) -> QuotaReply:
         now = self._clock()
-        verdict = self._judge(quota_client.KEY_PREFIX + ask.tenant, ask.token, now)
-        if verdict is Verdict.DECIDED:
+        status = self._judge(quota_client.KEY_PREFIX + ask.tenant, ask.token, now)
+        if status is ReplyStatus.DECIDED:
             return self._quotas.ask(ask, now)
-        return QuotaAnswer(verdict, self._roles.token)
+        return QuotaReply(status, self._roles.token)
 
-    def _own_repeat(self, ask: RepeatAsk) -> RepeatAnswer:
+    def _own_repeat(self, ask: RetryBudgetRequest) -> RetryBudgetReply:
         now = self._clock()
-        verdict = self._judge(repeats.KEY_PREFIX + ask.service, ask.token, now)
-        if verdict is Verdict.DECIDED:
+        status = self._judge(repeats.KEY_PREFIX + ask.service, ask.token, now)
+        if status is ReplyStatus.DECIDED:
             return self._repeats.ask(ask, now)
-        return RepeatAnswer(verdict, self._roles.token, False)
+        return RetryBudgetReply(status, self._roles.token, False)
 
-    def _judge(self, key: str, token: int, now: float) -> Verdict:
-        verdict = self._roles.judge(key, token, now)
-        if verdict is Verdict.NOT_YET:
+    def _judge(self, key: str, token: int, now: float) -> ReplyStatus:
+        status = self._roles.judge(key, token, now)
+        if status is ReplyStatus.NOT_READY:
             self._refresh()
-        return verdict
+        return status
 
     def _perform(self, effects: Iterable[Effect]) -> None:
         self._effects.extend(effects)
@@ -211,11 +217,11 @@
                 self._refresh()
 
     def _quota_answered(self, call: int, answer: Any) -> None:
-        known = answer if isinstance(answer, QuotaAnswer) else None
+        known = answer if isinstance(answer, QuotaReply) else None
         self._perform(self._quota_client.answered(call, known, self._clock()))
 
     def _repeat_answered(self, number: int, answer: Any) -> None:
-        known = answer if isinstance(answer, RepeatAnswer) else None
+        known = answer if isinstance(answer, RetryBudgetReply) else None
         self._perform(self._repeat_client.answered(number, known, self._clock()))
 
     def _schedule(self) -> None:
--- a/roselink/budgets/ledger.py
+++ b/roselink/budgets/ledger.py
@@ -16,7 +16,13 @@
 from typing import TYPE_CHECKING
 
 from roselink.budgets.usage import GRACE_PART, START_PART, Limit, QuotaRule, Usage
-from roselink.protocol.ledger import Level, QuotaAnswer, QuotaAsk, Used, Verdict
+from roselink.protocol.budgets import (
+    BucketLevel,
+    QuotaReply,
+    QuotaRequest,
+    ReplyStatus,
+    UsageSample,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
@@ -81,7 +87,7 @@
     def take(self, amount: float) -> None:
         self.level = min(self.limit.burst, self.level - amount)
 
-    def count_from(self, known: Level, now: float) -> None:
+    def count_from(self, known: BucketLevel, now: float) -> None:
         """Count from where the owner before stood, as an asker heard it; the newest such level
         stays. What an old one seems to have gained since, others may have taken: it counts as the
         bonus at most.
@@ -167,14 +173,14 @@
         """
         self._buckets.clear()
 
-    def ask(self, ask: QuotaAsk, now: float) -> QuotaAnswer:
+    def ask(self, ask: QuotaRequest, now: float) -> QuotaReply:
         """Decide; the caller has judged the token."""
         bucket = self._buckets.get(ask.tenant)
         if bucket is None:
-            return QuotaAnswer(Verdict.NOT_YET, ask.token)
+            return QuotaReply(ReplyStatus.NOT_READY, ask.token)
         asker = (ask.asker, ask.incarnation)
         if asker not in bucket.askers and ask.report is None:
-            return QuotaAnswer(Verdict.REPORT_WANTED, ask.token)
+            return QuotaReply(ReplyStatus.REPORT_WANTED, ask.token)
         if ask.report is not None:
             usage = self._usage(ask.report, now)
             if asker not in bucket.askers:
@@ -193,8 +199,8 @@
         record.rate = 0.0 if ask.leaving else record.usage.total(now) / self._rule.window_s
         used = self._used(bucket, now)
         share = max(0.0, min(1.0, record.usage.total(now) / used)) if used > 0 else 0.0
-        return QuotaAnswer(
-            Verdict.DECIDED,
+        return QuotaReply(
+            ReplyStatus.DECIDED,
             ask.token,
             admitted,
             ahead,
@@ -205,7 +211,7 @@
             used,
         )
 
-    def _usage(self, report: tuple[Used, ...], now: float) -> Usage:
+    def _usage(self, report: tuple[UsageSample, ...], now: float) -> Usage:
         usage = Usage(self._rule.window_s)
         for used in report:
             usage.add(now - used.age_ms / 1000, used.amount)
--- a/roselink/budgets/quota_client.py
+++ b/roselink/budgets/quota_client.py
@@ -15,7 +15,7 @@
 from roselink.budgets.due_times import NEVER, DueTimes
 from roselink.budgets.repeats import RefreshRoster
 from roselink.budgets.usage import LOCAL_PART, NEWCOMER_PART, Limit, QuotaRule, Usage
-from roselink.protocol.ledger import Level, QuotaAnswer, QuotaAsk, Verdict
+from roselink.protocol.budgets import BucketLevel, QuotaReply, QuotaRequest, ReplyStatus
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -43,7 +43,7 @@
 
     call: int
     address: str
-    ask: QuotaAsk
+    ask: QuotaRequest
     timeout_s: float
 
 
@@ -88,7 +88,7 @@
     failures: int = 0
     told: int = 0  # the token under which the owner has our report
     unknown: float = 0.0  # admitted here since an owner last answered
-    known: tuple[Level, float] | None = None  # an owner's level, and when we heard it
+    known: tuple[BucketLevel, float] | None = None  # an owner's level, and when we heard it
     lease: float = 0.0
     lease_until: float = 0.0
     returned: float = 0.0
@@ -159,7 +159,7 @@
             state.returned += amount
             self._plan(tenant, state, now)
 
-    def answered(self, call: int, answer: QuotaAnswer | None, now: float) -> list[Effect]:
+    def answered(self, call: int, answer: QuotaReply | None, now: float) -> list[Effect]:
         """The outcome of an ask: the owner's answer, or None."""
         tenant = self._calls.pop(call, "")
         state = self._tenants.get(tenant)
@@ -170,10 +170,10 @@
         return effects
 
     def _answered(
-        self, tenant: str, state: _Tenant, ended: _Open, answer: QuotaAnswer | None, now: float
+        self, tenant: str, state: _Tenant, ended: _Open, answer: QuotaReply | None, now: float
     ) -> list[Effect]:
         state.open = None
-        if answer is not None and answer.verdict is Verdict.DECIDED:
+        if answer is not None and answer.status is ReplyStatus.DECIDED:
             return self._decided(state, ended, answer, now) + self._pump(tenant, state, now)
         state.waiting.extendleft(reversed(ended.asked))
         effects: list[Effect] = []
@@ -182,7 +182,7 @@
             if state.failures > 1 or now - ended.sent_at > QUICK_FAILURE_S:
                 state.not_before = now + PROBE_S
                 effects = self._go_alone(state, now)
-        elif answer.verdict is Verdict.REPORT_WANTED and state.told:
+        elif answer.status is ReplyStatus.REPORT_WANTED and state.told:
             state.told = 0
         else:
             state.not_before = now + AGAIN_S
@@ -251,7 +251,7 @@
         timeout_s = max(ASK_TIMEOUT_LEAST_S, min(ASK_TIMEOUT_S, soonest - now))
         return [SendQuotaAsk(self._last_call, found.owner.address, ask, timeout_s)]
 
-    def _ask(self, tenant: str, token: int, state: _Tenant, now: float) -> QuotaAsk:
+    def _ask(self, tenant: str, token: int, state: _Tenant, now: float) -> QuotaRequest:
         assert state.open is not None
         asked = state.open.asked
         report, known = None, None
@@ -261,7 +261,7 @@
                 heard, at = state.known
                 known = replace(heard, age_ms=int((now - at) * 1000))
         returned, state.returned = state.returned, 0.0
-        return QuotaAsk(
+        return QuotaRequest(
             tenant,
             token,
             self._roles.own.name,
@@ -280,12 +280,12 @@
         return wanted if wanted >= state.typical else 0.0
 
     def _decided(
-        self, state: _Tenant, ended: _Open, answer: QuotaAnswer, now: float
+        self, state: _Tenant, ended: _Open, answer: QuotaReply, now: float
     ) -> list[Effect]:
         state.alone.end()
         state.failures, state.told, state.share = 0, answer.token, answer.share
         state.unknown -= ended.unknown
-        state.known = Level(answer.term, answer.level, answer.used, 0), now
+        state.known = BucketLevel(answer.term, answer.level, answer.used, 0), now
         effects: list[Effect] = []
         for entry, admitted in zip(ended.asked, answer.admitted, strict=False):
             if admitted:
--- a/roselink/budgets/repeats.py
+++ b/roselink/budgets/repeats.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from roselink.protocol.ledger import RepeatAnswer, RepeatAsk, Verdict
+from roselink.protocol.budgets import ReplyStatus, RetryBudgetReply, RetryBudgetRequest
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -59,18 +59,18 @@
         if silent_s >= self._window_s:
             self._terms.clear()
 
-    def ask(self, ask: RepeatAsk, now: float) -> RepeatAnswer:
+    def ask(self, ask: RetryBudgetRequest, now: float) -> RetryBudgetReply:
         """Decide; the caller has judged the token."""
         term = self._terms.get(ask.service)
         if term is None:
-            return RepeatAnswer(Verdict.NOT_YET, ask.token, False)
+            return RetryBudgetReply(ReplyStatus.NOT_READY, ask.token, False)
         while term.lent and term.lent[0] <= now - self._window_s:
             term.lent.popleft()
         allowed = len(term.lent) + 1 <= self._may_lend(now - term.began_at)
         if allowed:
             term.lent.append(now)
-        return RepeatAnswer(
-            Verdict.DECIDED, ask.token, allowed, 0.0 if allowed else REFUSAL_STANDS_S
+        return RetryBudgetReply(
+            ReplyStatus.DECIDED, ask.token, allowed, 0.0 if allowed else REFUSAL_STANDS_S
         )
 
     def _may_lend(self, age_s: float) -> float:
@@ -88,7 +88,7 @@
 
     number: int
     address: str
-    ask: RepeatAsk
+    ask: RetryBudgetRequest
 
 
 @dataclass(frozen=True, slots=True)
@@ -121,9 +121,13 @@
         if self._slack < 1 or found is None or now < self._refused_until.get(service, 0.0):
             return [RepeatDecided(number, False)]
         self._open[number] = service
-        return [SendRepeatAsk(number, found.owner.address, RepeatAsk(service, found.token))]
+        return [
+            SendRepeatAsk(number, found.owner.address, RetryBudgetRequest(service, found.token))
+        ]
 
-    def answered(self, number: int, answer: RepeatAnswer | None, now: float) -> list[RepeatEffect]:
+    def answered(
+        self, number: int, answer: RetryBudgetReply | None, now: float
+    ) -> list[RepeatEffect]:
         """The outcome of an ask; without an answer, no."""
         service = self._open.pop(number, None)
         if service is None:
@@ -131,7 +135,7 @@
         if answer is None:
             self._refused_until[service] = now + REFUSAL_STANDS_S
             return [RepeatDecided(number, False)]
-        if answer.verdict is not Verdict.DECIDED:
+        if answer.status is not ReplyStatus.DECIDED:
             return [RefreshRoster(), RepeatDecided(number, False)]
         if not answer.allowed:
             self._refused_until[service] = now + answer.retry_after_s
--- a/roselink/budgets/roles.py
+++ b/roselink/budgets/roles.py
@@ -11,7 +11,7 @@
 from hashlib import blake2b
 from typing import TYPE_CHECKING
 
-from roselink.protocol.ledger import Verdict
+from roselink.protocol.budgets import ReplyStatus
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -86,12 +86,12 @@
         """Whether this gateway's view was confirmed lately."""
         return now - self._confirmed_at < FRESH_S
 
-    def judge(self, key: str, token: int, now: float) -> Verdict:
+    def judge(self, key: str, token: int, now: float) -> ReplyStatus:
         """Whether this gateway may decide, as owner, what is asked under a token
-        (`Verdict.DECIDED`).
+        (`ReplyStatus.DECIDED`).
         """
         if token < self.token:
-            return Verdict.STALE_TOKEN
+            return ReplyStatus.STALE_TOKEN
         if token > self.token or not self.fresh(now):
-            return Verdict.NOT_YET
-        return Verdict.DECIDED if self.owns(key) else Verdict.NOT_OWNER
+            return ReplyStatus.NOT_READY
+        return ReplyStatus.DECIDED if self.owns(key) else ReplyStatus.NOT_OWNER
--- a/roselink/budgets/usage.py
+++ b/roselink/budgets/usage.py
@@ -5,7 +5,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-from roselink.protocol.ledger import Used
+from roselink.protocol.budgets import UsageSample
 
 SLOT_S = 0.5
 
@@ -80,7 +80,9 @@
         """When the oldest amount leaves the window; infinity where there is none."""
         return self._slots[0][0] + self.window_s if self._slots else float("inf")
 
-    def report(self, now: float) -> tuple[Used, ...]:
+    def report(self, now: float) -> tuple[UsageSample, ...]:
         """The last window as it is told to an owner."""
         self.total(now)
-        return tuple(Used(int(max(0.0, now - end) * 1000), amount) for end, amount in self._slots)
+        return tuple(
+            UsageSample(int(max(0.0, now - end) * 1000), amount) for end, amount in self._slots
+        )
--- a/tests/budgets/fleet.py
+++ b/tests/budgets/fleet.py
@@ -26,7 +26,13 @@
 )
 from roselink.budgets.roles import FRESH_S, Roles
 from roselink.model.fleet import Member
-from roselink.protocol.ledger import QuotaAnswer, QuotaAsk, RepeatAnswer, RepeatAsk, Verdict
+from roselink.protocol.budgets import (
+    QuotaReply,
+    QuotaRequest,
+    ReplyStatus,
+    RetryBudgetReply,
+    RetryBudgetRequest,
+)
 
 if TYPE_CHECKING:
     from roselink.budgets.usage import Limit, QuotaRule
@@ -226,16 +232,16 @@
 
     def serve(self, ask: Any) -> Any:
         now = self.fleet.now
-        if isinstance(ask, QuotaAsk):
-            verdict = self.roles.judge(quota_client.KEY_PREFIX + ask.tenant, ask.token, now)
-            if verdict is Verdict.DECIDED:
+        if isinstance(ask, QuotaRequest):
+            status = self.roles.judge(quota_client.KEY_PREFIX + ask.tenant, ask.token, now)
+            if status is ReplyStatus.DECIDED:
                 return self.ledger.ask(ask, now)
-            return QuotaAnswer(verdict, self.roles.token)
-        assert isinstance(ask, RepeatAsk)
-        verdict = self.roles.judge(repeats.KEY_PREFIX + ask.service, ask.token, now)
-        if verdict is Verdict.DECIDED:
+            return QuotaReply(status, self.roles.token)
+        assert isinstance(ask, RetryBudgetRequest)
+        status = self.roles.judge(repeats.KEY_PREFIX + ask.service, ask.token, now)
+        if status is ReplyStatus.DECIDED:
             return self.repeat_ledger.ask(ask, now)
-        return RepeatAnswer(verdict, self.roles.token, False)
+        return RetryBudgetReply(status, self.roles.token, False)
 
     def request(self, tenant: str, amount: float) -> None:
         """A client's request; one that reaches a dead process is lost."""
--- a/tests/budgets/test_due_quotas.py
+++ b/tests/budgets/test_due_quotas.py
@@ -10,21 +10,23 @@
 from roselink.budgets.roles import Roles
 from roselink.budgets.usage import Limit, QuotaRule
 from roselink.model.fleet import Member
-from roselink.protocol.ledger import QuotaAnswer, QuotaAsk, Verdict
+from roselink.protocol.budgets import QuotaReply, QuotaRequest, ReplyStatus
 
 RULE = QuotaRule(8.0, 0.1, 1000.0)
 NAMES = [f"t{number}" for number in range(8)]
 ROSTER = tuple(Member(f"edge-{number}", f"10.1.0.{number}:7500", 1) for number in range(4))
 
 
-def answer(ask: QuotaAsk, chance: random.Random) -> QuotaAnswer | None:
+def answer(ask: QuotaRequest, chance: random.Random) -> QuotaReply | None:
     if chance.random() < 0.15:
         return None
     if chance.random() < 0.1:
-        return QuotaAnswer(chance.choice((Verdict.NOT_YET, Verdict.REPORT_WANTED)), ask.token)
+        return QuotaReply(
+            chance.choice((ReplyStatus.NOT_READY, ReplyStatus.REPORT_WANTED)), ask.token
+        )
     admitted = tuple(chance.random() < 0.8 for _ in ask.amounts)
     ahead = ask.ahead if all(admitted) else 0.0
-    return QuotaAnswer(Verdict.DECIDED, ask.token, admitted, ahead, 0.1, 0.3, 7, 100.0)
+    return QuotaReply(ReplyStatus.DECIDED, ask.token, admitted, ahead, 0.1, 0.3, 7, 100.0)
 
 
 @pytest.mark.parametrize("seed", range(40))
--- a/tests/budgets/test_ledger.py
+++ b/tests/budgets/test_ledger.py
@@ -9,7 +9,14 @@
 from roselink.budgets.repeats import FIRST_PART, FIRST_S, LENT_PART, RepeatLedger
 from roselink.budgets.usage import GRACE_PART, START_PART, Limit, QuotaRule
 from roselink.model.fleet import Member
-from roselink.protocol.ledger import Level, QuotaAnswer, QuotaAsk, RepeatAsk, Used, Verdict
+from roselink.protocol.budgets import (
+    BucketLevel,
+    QuotaReply,
+    QuotaRequest,
+    ReplyStatus,
+    RetryBudgetRequest,
+    UsageSample,
+)
 
 LIMIT = Limit(100.0, 100.0)
 EXACT = QuotaRule(window_s=8.0, over=0.0, slack=0.0)
@@ -19,8 +26,11 @@
 
 
 def ask(
-    *amounts: float, member: Member = A, report: tuple[Used, ...] | None = (), **values: object
-) -> QuotaAsk:
+    *amounts: float,
+    member: Member = A,
+    report: tuple[UsageSample, ...] | None = (),
+    **values: object,
+) -> QuotaRequest:
     parts: dict[str, object] = {
         "ahead": 0.0,
         "returned": 0.0,
@@ -28,7 +38,7 @@
         "leaving": False,
         "known": None,
     }
-    return QuotaAsk(
+    return QuotaRequest(
         "t",
         5,
         member.name,
@@ -54,16 +64,16 @@
 def test_a_tenant_that_is_not_owned_is_not_decided() -> None:
     ledger = QuotaLedger(EXACT, 1000)
     ledger.configure({"t": LIMIT}, 0.0)
-    assert ledger.ask(ask(1.0), 0.0).verdict is Verdict.NOT_YET
+    assert ledger.ask(ask(1.0), 0.0).status is ReplyStatus.NOT_READY
     ledger.own(["t"], (A,), 0.0)
-    assert ledger.ask(ask(), 0.0).verdict is Verdict.DECIDED
+    assert ledger.ask(ask(), 0.0).status is ReplyStatus.DECIDED
     ledger.own([], (A,), 1.0)
-    assert ledger.ask(ask(), 1.0).verdict is Verdict.NOT_YET
+    assert ledger.ask(ask(), 1.0).status is ReplyStatus.NOT_READY
 
 
 def test_an_unknown_asker_must_report_first() -> None:
     ledger = full()
-    assert ledger.ask(ask(1.0, report=None), 10.0).verdict is Verdict.REPORT_WANTED
+    assert ledger.ask(ask(1.0, report=None), 10.0).status is ReplyStatus.REPORT_WANTED
     assert ledger.ask(ask(1.0, report=()), 10.0).admitted == (True,)
     assert ledger.ask(ask(1.0, report=None), 10.0).admitted == (True,)
 
@@ -135,23 +145,25 @@
 def test_a_term_counts_from_the_level_that_an_asker_heard(
     level: float, age_ms: int, starts_at: float
 ) -> None:
-    answer = owner().ask(ask(known=Level(7, level, 0.0, age_ms)), 0.0)
+    answer = owner().ask(ask(known=BucketLevel(7, level, 0.0, age_ms)), 0.0)
     assert answer.level == pytest.approx(starts_at)
 
 
 def test_the_newest_level_counts_whoever_tells_it_and_own_decisions_count_on_top() -> None:
     ledger = owner()
-    assert ledger.ask(ask(30.0, known=Level(7, 40.0, 0.0, 200)), 0.0).level == pytest.approx(30.0)
-    newer = ledger.ask(ask(member=B, known=Level(7, 20.0, 0.0, 100)), 0.1)
+    assert ledger.ask(ask(30.0, known=BucketLevel(7, 40.0, 0.0, 200)), 0.0).level == pytest.approx(
+        30.0
+    )
+    newer = ledger.ask(ask(member=B, known=BucketLevel(7, 20.0, 0.0, 100)), 0.1)
     assert newer.level == pytest.approx(20 + 10 - 30)
-    older = ledger.ask(ask(member=B, known=Level(6, 100.0, 0.0, 5000)), 0.1)
+    older = ledger.ask(ask(member=B, known=BucketLevel(6, 100.0, 0.0, 5000)), 0.1)
     assert older.level == pytest.approx(newer.level)
 
 
 def test_a_level_of_this_very_term_changes_nothing() -> None:
     ledger = full()
     first = ledger.ask(ask(60.0), 10.0)
-    again = ledger.ask(ask(known=Level(first.term, 100.0, 0.0, 0)), 10.1)
+    again = ledger.ask(ask(known=BucketLevel(first.term, 100.0, 0.0, 0)), 10.1)
     assert again.level == pytest.approx(50.0)
 
 
@@ -191,10 +203,10 @@
     reach.
     """
     ledger = owner()
-    ledger.ask(ask(report=(Used(100, 40.0),), known=Level(7, 100.0, 120.0, 0)), 0.0)
+    ledger.ask(ask(report=(UsageSample(100, 40.0),), known=BucketLevel(7, 100.0, 120.0, 0)), 0.0)
     later = module.SILENT_S + 1.0
     assert ledger.ask(ask(91.0), later).admitted == (False,)
-    ledger.ask(ask(member=B, report=(Used(100, 80.0),)), later)
+    ledger.ask(ask(member=B, report=(UsageSample(100, 80.0),)), later)
     assert ledger.ask(ask(91.0), later).admitted == (True,)
 
 
@@ -228,7 +240,9 @@
     assert ledger.ask(ask(), 10.0).share == 0.0
     assert ledger.ask(ask(30.0), 10.0).share == 1.0
     assert ledger.ask(ask(10.0, member=B), 10.0).share == pytest.approx(0.25)
-    reported = ledger.ask(ask(member=B, report=(Used(2000, 30.0), Used(9000, 500.0))), 10.5)
+    reported = ledger.ask(
+        ask(member=B, report=(UsageSample(2000, 30.0), UsageSample(9000, 500.0))), 10.5
+    )
     assert reported.share == pytest.approx(0.5)
 
 
@@ -252,19 +266,19 @@
     ledger = full()
     ledger.configure({"t": Limit(0.0, 100.0)}, 10.0)
     ledger.own(["t"], (A,), 10.0)
-    assert ledger.ask(ask(1.0), 10.0) == QuotaAnswer(Verdict.NOT_YET, 5)
+    assert ledger.ask(ask(1.0), 10.0) == QuotaReply(ReplyStatus.NOT_READY, 5)
 
 
 # The shared slack of repeats
 
 
 def lend(ledger: RepeatLedger, at: float, times: int = 1) -> int:
-    return sum(ledger.ask(RepeatAsk("s", 5), at).allowed for _ in range(times))
+    return sum(ledger.ask(RetryBudgetRequest("s", 5), at).allowed for _ in range(times))
 
 
 def test_a_term_lends_nothing_then_little_then_most_of_the_slack() -> None:
     ledger = RepeatLedger(10.0, 100.0)
-    assert ledger.ask(RepeatAsk("s", 5), 0.0).verdict is Verdict.NOT_YET
+    assert ledger.ask(RetryBudgetRequest("s", 5), 0.0).status is ReplyStatus.NOT_READY
     ledger.own(["s"], 0.0)
     assert lend(ledger, FIRST_S - 0.01, 5) == 0
     assert lend(ledger, FIRST_S, 50) == 100 * FIRST_PART
--- a/tests/budgets/test_quota_client.py
+++ b/tests/budgets/test_quota_client.py
@@ -11,13 +11,13 @@
 from roselink.budgets.roles import Roles
 from roselink.budgets.usage import LOCAL_PART, NEWCOMER_PART, Limit, QuotaRule
 from roselink.model.fleet import Member
-from roselink.protocol.ledger import QuotaAnswer, QuotaAsk, RepeatAnswer, Verdict
+from roselink.protocol.budgets import QuotaReply, QuotaRequest, ReplyStatus, RetryBudgetReply
 
 OWN, OTHER = Member("a", "10.0.0.1:7500", 1), Member("b", "10.0.0.2:7500", 2)
 LIMIT = Limit(100.0, 100.0)
 RULE = QuotaRule(window_s=8.0, over=0.1, slack=30.0)
 ALLOWANCE = RULE.allowance(LIMIT)  # 120
-OK = Verdict.DECIDED
+OK = ReplyStatus.DECIDED
 
 
 def client(token: int = 5) -> tuple[QuotaClient, Roles]:
@@ -39,8 +39,8 @@
     return {each.number: each.allowed for each in effects if isinstance(each, QuotaDecided)}
 
 
-def answer(*admitted: bool, token: int = 5, ahead: float = 0.0, share: float = 0.5) -> QuotaAnswer:
-    return QuotaAnswer(OK, token, admitted, ahead, 0.7, share, 77, 42.0)
+def answer(*admitted: bool, token: int = 5, ahead: float = 0.0, share: float = 0.5) -> QuotaReply:
+    return QuotaReply(OK, token, admitted, ahead, 0.7, share, 77, 42.0)
 
 
 def settled(amount: float = 40.0) -> tuple[QuotaClient, Roles]:
@@ -61,7 +61,7 @@
     asker, _ = client()
     first = sent(asker.admit(1, "t", 40.0, 10.0))
     assert first.address == OTHER.address and first.timeout_s == module.ASK_TIMEOUT_S
-    assert first.ask == QuotaAsk("t", 5, "a", 1, (40.0,), 0.0, 0.0, 0.0, False, None, ())
+    assert first.ask == QuotaRequest("t", 5, "a", 1, (40.0,), 0.0, 0.0, 0.0, False, None, ())
     assert asker.admit(2, "t", 10.0, 10.001) == []
     assert asker.admit(3, "t", 20.0, 10.002) == []
     effects = asker.answered(first.call, answer(True), 10.003)
@@ -75,7 +75,7 @@
 def test_an_owner_that_wants_a_report_gets_one_at_once() -> None:
     asker, _ = settled()
     ask = sent(asker.admit(2, "t", 5.0, 10.1))
-    again = sent(asker.answered(ask.call, QuotaAnswer(Verdict.REPORT_WANTED, 5), 10.102))
+    again = sent(asker.answered(ask.call, QuotaReply(ReplyStatus.REPORT_WANTED, 5), 10.102))
     assert again.ask.amounts == (5.0,)
     assert again.ask.report is not None and sum(used.amount for used in again.ask.report) == 40.0
     assert again.ask.known is not None and (again.ask.known.term, again.ask.known.level) == (
@@ -92,11 +92,13 @@
     assert ask.known is not None and ask.known.age_ms in (96, 97)
 
 
-@pytest.mark.parametrize("verdict", [Verdict.STALE_TOKEN, Verdict.NOT_YET, Verdict.NOT_OWNER])
-def test_when_rosters_differ_it_pulls_and_asks_again_soon(verdict: Verdict) -> None:
+@pytest.mark.parametrize(
+    "status", [ReplyStatus.STALE_TOKEN, ReplyStatus.NOT_READY, ReplyStatus.NOT_OWNER]
+)
+def test_when_rosters_differ_it_pulls_and_asks_again_soon(status: ReplyStatus) -> None:
     asker, _ = settled()
     ask = sent(asker.admit(2, "t", 5.0, 10.1))
-    assert asker.answered(ask.call, QuotaAnswer(verdict, 6), 10.102) == [RefreshRoster()]
+    assert asker.answered(ask.call, QuotaReply(status, 6), 10.102) == [RefreshRoster()]
     assert asker.due_at(10.102) == pytest.approx(10.102 + module.AGAIN_S)
     again = sent(asker.wake(10.14))
     assert decided(asker.answered(again.call, answer(True), 10.142)) == {2: True}
@@ -110,7 +112,7 @@
     while not decisions:
         for effect in effects:
             if isinstance(effect, SendQuotaAsk):
-                effects = asker.answered(effect.call, QuotaAnswer(Verdict.NOT_YET, 6), now)
+                effects = asker.answered(effect.call, QuotaReply(ReplyStatus.NOT_READY, 6), now)
         now = asker.due_at(now)
         effects = asker.wake(now)
         decisions = decided(effects)
@@ -247,14 +249,20 @@
     ("outcome", "effects"),
     [
         (None, [RepeatDecided(1, False)]),
-        (RepeatAnswer(OK, 5, True), [RepeatDecided(1, True)]),
-        (RepeatAnswer(OK, 5, False, 0.1), [RepeatDecided(1, False)]),
-        (RepeatAnswer(Verdict.STALE_TOKEN, 6, False), [RefreshRoster(), RepeatDecided(1, False)]),
-        (RepeatAnswer(Verdict.NOT_YET, 4, False), [RefreshRoster(), RepeatDecided(1, False)]),
+        (RetryBudgetReply(OK, 5, True), [RepeatDecided(1, True)]),
+        (RetryBudgetReply(OK, 5, False, 0.1), [RepeatDecided(1, False)]),
+        (
+            RetryBudgetReply(ReplyStatus.STALE_TOKEN, 6, False),
+            [RefreshRoster(), RepeatDecided(1, False)],
+        ),
+        (
+            RetryBudgetReply(ReplyStatus.NOT_READY, 4, False),
+            [RefreshRoster(), RepeatDecided(1, False)],
+        ),
     ],
 )
 def test_a_repeat_is_allowed_only_by_its_owner(
-    outcome: RepeatAnswer | None, effects: list[object]
+    outcome: RetryBudgetReply | None, effects: list[object]
 ) -> None:
     asker = repeats()
     [ask] = asker.ask(1, "s", 10.0)
@@ -266,7 +274,7 @@
 def test_a_refusal_stands_for_a_moment() -> None:
     asker = repeats()
     asker.ask(1, "s", 10.0)
-    asker.answered(1, RepeatAnswer(OK, 5, False, 0.1), 10.0)
+    asker.answered(1, RetryBudgetReply(OK, 5, False, 0.1), 10.0)
     assert asker.ask(2, "s", 10.05) == [RepeatDecided(2, False)]
     assert isinstance(asker.ask(3, "other", 10.05)[0], SendRepeatAsk)
     assert isinstance(asker.ask(4, "s", 10.11)[0], SendRepeatAsk)
--- a/tests/budgets/test_roles.py
+++ b/tests/budgets/test_roles.py
@@ -6,7 +6,7 @@
 
 from roselink.budgets.roles import FRESH_S, Roles, owner_of
 from roselink.model.fleet import Member
-from roselink.protocol.ledger import Verdict
+from roselink.protocol.budgets import ReplyStatus
 
 ROSTER = tuple(
     Member(f"edge-{name}", f"10.0.0.{number}:7500", number)
@@ -62,35 +62,35 @@
 
 
 @pytest.mark.parametrize(
-    ("owner", "token", "at", "verdict"),
+    ("owner", "token", "at", "status"),
     [
-        (0, 5, 10.1, Verdict.DECIDED),
-        (0, 4, 10.1, Verdict.STALE_TOKEN),
-        (0, 6, 10.1, Verdict.NOT_YET),
-        (1, 5, 10.1, Verdict.NOT_OWNER),
-        (0, 5, 10.0 + FRESH_S - 0.001, Verdict.DECIDED),
-        (0, 5, 10.0 + FRESH_S + 0.001, Verdict.NOT_YET),
-        (0, 4, 10.0 + FRESH_S + 0.001, Verdict.STALE_TOKEN),
+        (0, 5, 10.1, ReplyStatus.DECIDED),
+        (0, 4, 10.1, ReplyStatus.STALE_TOKEN),
+        (0, 6, 10.1, ReplyStatus.NOT_READY),
+        (1, 5, 10.1, ReplyStatus.NOT_OWNER),
+        (0, 5, 10.0 + FRESH_S - 0.001, ReplyStatus.DECIDED),
+        (0, 5, 10.0 + FRESH_S + 0.001, ReplyStatus.NOT_READY),
+        (0, 4, 10.0 + FRESH_S + 0.001, ReplyStatus.STALE_TOKEN),
     ],
 )
-def test_an_owner_judges_tokens(owner: int, token: int, at: float, verdict: Verdict) -> None:
+def test_an_owner_judges_tokens(owner: int, token: int, at: float, status: ReplyStatus) -> None:
     roles = Roles(ROSTER[0])
     roles.update(5, ROSTER)
     roles.confirm(10.0, 10.05)
-    assert roles.judge(key_of(ROSTER[owner]), token, at) is verdict
+    assert roles.judge(key_of(ROSTER[owner]), token, at) is status
 
 
 def test_a_member_that_never_pulled_owns_nothing_yet() -> None:
     roles = Roles(ROSTER[0])
     roles.update(5, ROSTER)
-    assert roles.judge(key_of(ROSTER[0]), 5, 0.0) is Verdict.NOT_YET
+    assert roles.judge(key_of(ROSTER[0]), 5, 0.0) is ReplyStatus.NOT_READY
 
 
 def test_an_earlier_incarnation_of_this_member_in_the_roster_owns_no_key_here() -> None:
     roles = Roles(Member(ROSTER[0].name, ROSTER[0].address, 99))
     roles.update(5, ROSTER)
     roles.confirm(10.0, 10.0)
-    assert roles.judge(key_of(ROSTER[0]), 5, 10.1) is Verdict.NOT_OWNER
+    assert roles.judge(key_of(ROSTER[0]), 5, 10.1) is ReplyStatus.NOT_OWNER
 
 
 def test_confirm_tells_how_long_the_view_was_not_confirmed() -> None:
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -486,11 +486,11 @@
         MEMBERSHIP,
         (
             "an ask under an old token is served",
-            "        if token < self.token:\n            return Verdict.STALE_TOKEN\n",
+            "        if token < self.token:\n            return ReplyStatus.STALE_TOKEN\n",
             "",
         ),
         ("an owner that was not confirmed serves", " or not self.fresh(now)", ""),
-        ("whoever is asked is the owner", "if self.owns(key) else Verdict.NOT_OWNER", ""),
+        ("whoever is asked is the owner", "if self.owns(key) else ReplyStatus.NOT_OWNER", ""),
         ("an older roster is taken", "if token <= self.token:", "if token == self.token:"),
     ),
     *_of(
--- a/tools/asks.py
+++ b/tools/asks.py
@@ -17,7 +17,7 @@
 from roselink.budgets.quota_client import KEY_PREFIX, QuotaClient, SendQuotaAsk
 from roselink.budgets.roles import Roles
 from roselink.budgets.usage import Limit, QuotaRule
-from roselink.protocol.ledger import QuotaAnswer, QuotaAsk, Verdict
+from roselink.protocol.budgets import QuotaReply, QuotaRequest, ReplyStatus
 from roselink.protocol.peers import FrameReader, frame
 from tools.measure import machine, processor_us, show, show_line
 from tools.shapes import make_member, make_roster
@@ -68,13 +68,13 @@
     names = itertools.cycle([make_member(number).name for number in range(askers)])
     now = 1.0
 
-    def make() -> QuotaAsk:
-        return QuotaAsk("t", 1, next(names), 1, (AMOUNT,), 0.0, 0.0, 0.0, False, None, None)
+    def make() -> QuotaRequest:
+        return QuotaRequest("t", 1, next(names), 1, (AMOUNT,), 0.0, 0.0, 0.0, False, None, None)
 
     for number in range(askers):
         ledger.ask(replace(make(), asker=make_member(number).name, amounts=(), report=()), now)
 
-    def ask() -> QuotaAnswer:
+    def ask() -> QuotaReply:
         nonlocal now
         now += 0.4 / askers
         return ledger.ask(make(), now)
@@ -82,7 +82,7 @@
     make_us = processor_us(make, asks)
     decide_us = processor_us(ask, asks) - make_us
     ask_frame, answer_frame = frame(0, 1, make()), frame(1, 1, ask())
-    answer = QuotaAnswer(Verdict.DECIDED, 1, (True,), 0.0, 0.0, 0.5, 7, 1000.0)
+    answer = QuotaReply(ReplyStatus.DECIDED, 1, (True,), 0.0, 0.0, 0.5, 7, 1000.0)
     codec_us = processor_us(lambda: (FrameReader().feed(ask_frame), frame(1, 1, answer)), asks)
     return OwnerCost(askers, decide_us, codec_us, len(ask_frame), len(answer_frame))
 
@@ -98,7 +98,7 @@
         self.client.configure(dict.fromkeys(self.names, LIMIT), 0.0)
         self.now, self.asks, self._number = 0.0, 0, 0
         self._chance = random.Random(1)
-        self._answers: list[tuple[float, int, QuotaAnswer]] = []
+        self._answers: list[tuple[float, int, QuotaReply]] = []
 
     def run(self, until: float, rate_per_s: float) -> None:
         """Requests of all tenants, answers and wake-ups, in order of time."""
@@ -126,7 +126,7 @@
             if isinstance(effect, SendQuotaAsk):
                 self.asks += 1
                 decided = tuple(True for _ in effect.ask.amounts)
-                answer = QuotaAnswer(Verdict.DECIDED, 1, decided, 0.0, 0.0, 0.5, 7, 1000.0)
+                answer = QuotaReply(ReplyStatus.DECIDED, 1, decided, 0.0, 0.0, 0.5, 7, 1000.0)
                 self._answers.append((self.now + TRIP_S, effect.call, answer))
 
 
