--- a/roselink/dataplane/plane.py
+++ b/roselink/dataplane/plane.py
@@ -10,12 +10,12 @@
 from roselink.dataplane.engine import Engine
 from roselink.dataplane.server import DataServer, ReadinessServer
 from roselink.dataplane.upstream import FleetUpstream
-from roselink.gateway.config import Descriptors
+from roselink.http.descriptors import Descriptors
 from roselink.routing.decisions import PooledPayoffs
 
 if TYPE_CHECKING:
     from roselink.dataplane.interfaces import Authority, Decisions, Quotas, SharedBudget
-    from roselink.gateway.connections import HttpServer
+    from roselink.http.server import HttpServer
     from roselink.model.fleet import Snapshot
     from roselink.model.settings import ProcessSettings
 
--- a/roselink/dataplane/requests.py
+++ b/roselink/dataplane/requests.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from roselink.gateway.connections import Bad
+from roselink.http.framing_checks import Bad
 from roselink.model.configuration import Route, RouteKind, Tenant
 from roselink.routing.decisions import PromptPart
 
--- a/roselink/dataplane/server.py
+++ b/roselink/dataplane/server.py
@@ -9,15 +9,11 @@
 
 from roselink.dataplane.admission import NOT_CONFIRMED_RETRY_S
 from roselink.dataplane.requests import Headers, ProxyRequest, read_request
-from roselink.gateway.connections import (
-    REASONS,
-    Bad,
-    HttpConnection,
-    HttpServer,
-    Pending,
-    Sizes,
-    Times,
-)
+from roselink.http.framing_checks import Bad
+from roselink.http.limits import Sizes, Times
+from roselink.http.reason_phrases import REASONS
+from roselink.http.server import HttpServer
+from roselink.http.server_connection import HttpConnection, Pending
 from roselink.model.configuration import Limits
 
 if TYPE_CHECKING:
@@ -26,7 +22,7 @@
 
     from roselink.dataplane.engine import Engine
     from roselink.dataplane.exchange import Exchange
-    from roselink.gateway.config import Descriptors
+    from roselink.http.descriptors import Descriptors
 
 log = logging.getLogger("roselink.dataplane")
 
--- a/roselink/dataplane/upstream.py
+++ b/roselink/dataplane/upstream.py
@@ -13,22 +13,23 @@
 import httptools
 
 from roselink.balancer.interface import Outcome
-from roselink.gateway.upstream import (
+from roselink.http.host_connection import (
     HEAD_LIMIT,
     INTERIM_LIMIT,
     Attempt,
     Host,
     HostConnection,
-    Upstream,
     Wanted,
 )
+from roselink.http.host_pool import Upstream
 
 if TYPE_CHECKING:
     import asyncio
     from collections.abc import Callable
 
     from roselink.dataplane.requests import Headers
-    from roselink.gateway.config import Address, Descriptors
+    from roselink.http.address import Address
+    from roselink.http.descriptors import Descriptors
 
 CONNECT_TIMEOUT_S = 0.25
 USER_TIMEOUT_MS = 2500  # unacknowledged bytes for so long: the machine is gone
--- a/roselink/gateway/__main__.py
+++ b/roselink/gateway/__main__.py
@@ -16,7 +16,6 @@
 from roselink.gateway.config import (
     Config,
     ConfigError,
-    Descriptors,
     HeldDescriptor,
     changed_fields,
     load,
@@ -24,9 +23,10 @@
 )
 from roselink.gateway.discovery import Discovery
 from roselink.gateway.engine import Engine
-from roselink.gateway.logs import start_log
 from roselink.gateway.server import Server
-from roselink.gateway.upstream import Upstream
+from roselink.http.descriptors import Descriptors
+from roselink.http.host_pool import Upstream
+from roselink.http.logs import start_log
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
--- a/roselink/gateway/config.py
+++ b/roselink/gateway/config.py
@@ -19,32 +19,13 @@
     from collections.abc import Iterator, Mapping
 
     from roselink.balancer.interface import Settings
-
-Address = tuple[str, int]
-
-# descriptors for what is no connection: listener, event loop, standard streams, watch, reload
-OWN = 24
-LENT = 12  # descriptors on which those are told that find none left
-RESERVED = OWN + LENT
+    from roselink.http.address import Address
 
 
 class ConfigError(Exception):
     """The configuration cannot work; the text is one plain line that names the field."""
 
 
-class Descriptors:
-    """Counts the open sockets of both sides. Guards against running into the process's limit, where
-    an accept or a connect fails at a place that can no longer answer anyone.
-    """
-
-    def __init__(self, limit: int) -> None:
-        self.limit = max(1, limit - RESERVED)
-        self.used = 0
-
-    def spare(self) -> int:
-        return self.limit - self.used
-
-
 class HeldDescriptor:
     """One that no client can take: free only within a block that does not wait, to open a file in
     it.
--- a/roselink/gateway/discovery.py
+++ b/roselink/gateway/discovery.py
@@ -24,9 +24,10 @@
 import httptools
 
 from roselink.balancer.interface import ListKind, Server, ServerList, State
-from roselink.gateway.config import Address, Config, ConfigError, read_address
+from roselink.gateway.config import Config, ConfigError, read_address
 from roselink.gateway.framing import Framer, Malformed
 from roselink.gateway.pacing import ANSWER_S, SILENCE_S, CallPacing, Cause
+from roselink.http.address import Address
 
 log = logging.getLogger("roselink.gateway.discovery")
 
--- a/roselink/gateway/engine.py
+++ b/roselink/gateway/engine.py
@@ -34,14 +34,15 @@
     State,
     StreamStarted,
 )
-from roselink.gateway.upstream import Answer, Attempt, Host, Upstream
+from roselink.http.host_connection import Answer, Attempt, Host
 
 if TYPE_CHECKING:
     import asyncio
     from collections.abc import Callable
 
     from roselink.balancer.balance import Balancer
-    from roselink.gateway.config import Address
+    from roselink.http.address import Address
+    from roselink.http.host_pool import Upstream
 
 log = logging.getLogger("roselink.gateway.engine")
 
--- a/roselink/gateway/server.py
+++ b/roselink/gateway/server.py
@@ -10,23 +10,20 @@
 from urllib.parse import unquote
 
 from roselink.balancer.interface import Effect
-from roselink.gateway.connections import (
-    REASONS,
-    Bad,
-    HttpConnection,
-    HttpServer,
-    Pending,
-    Sizes,
-    Times,
-)
 from roselink.gateway.engine import ClientRequest, Engine, OpenRequest, Reply
-from roselink.gateway.upstream import BODY_LIMIT, HEAD_LIMIT
+from roselink.http.framing_checks import Bad
+from roselink.http.host_connection import BODY_LIMIT, HEAD_LIMIT
+from roselink.http.limits import Sizes, Times
+from roselink.http.reason_phrases import REASONS
+from roselink.http.server import HttpServer
+from roselink.http.server_connection import HttpConnection, Pending
 
 if TYPE_CHECKING:
     import asyncio
     from collections.abc import Callable
 
-    from roselink.gateway.config import Config, Descriptors
+    from roselink.gateway.config import Config
+    from roselink.http.descriptors import Descriptors
 
 log = logging.getLogger("roselink.gateway.server")
 
--- a/roselink/gateway/connections.py
+++ b/roselink/http/server_connection.py
@@ -1,5 +1,4 @@
-"""Client connections of any HTTP server here: parsing, limits, one request at a time, idle ends,
-draining.
+"""One client connection of any HTTP server here: parsing, limits, one request at a time, idle ends.
 
 Clients are not trusted: heads, bodies, half requests, idle and unread connections are all bounded,
 and what cannot be read costs the connection that sent it and nothing else. What a request means and
@@ -9,110 +8,24 @@
 from __future__ import annotations
 
 import asyncio
-import itertools
 import math
-import select
-import socket
 from collections import deque
-from typing import TYPE_CHECKING, Any, NamedTuple, cast
+from typing import TYPE_CHECKING, Any, cast
 
 import httptools
 
-from roselink.gateway.config import LENT, Descriptors
-from roselink.gateway.look import SocketLook
+from roselink.http.framing_checks import Bad, check_framing
+from roselink.http.socket_probe import SocketLook
 
 if TYPE_CHECKING:
-    from collections.abc import Callable
-
-REASONS = {
-    200: b"OK",
-    201: b"Created",
-    202: b"Accepted",
-    204: b"No Content",
-    400: b"Bad Request",
-    401: b"Unauthorized",
-    403: b"Forbidden",
-    404: b"Not Found",
-    408: b"Request Timeout",
-    409: b"Conflict",
-    413: b"Content Too Large",
-    421: b"Misdirected Request",
-    429: b"Too Many Requests",
-    431: b"Request Header Fields Too Large",
-    500: b"Internal Server Error",
-    502: b"Bad Gateway",
-    503: b"Service Unavailable",
-    504: b"Gateway Timeout",
-}
-BACKLOG = 1024  # connections that may wait in the kernel to be accepted
+    from roselink.http.limits import Times
+    from roselink.http.server import HttpServer
+
 AHEAD = 2  # requests parsed ahead on one connection: clients send one at a time
 SLICE = 2048  # bytes parsed at a time, a few requests: one read can hold hundreds
-UNHEARD_S = (
-    0.2  # after which a first request would have been read here, or a last answer by the client
-)
-# for connections that wait to be accepted when the listener closes, however many still come
-TAKE_S = 0.2
-# of the descriptors: past it the longest idle client connection ends, for new ones to come
-HEARD_PART = 0.25
-END_TRIES = 8  # connections looked at to make room for one: each look costs a system call
-LINGER_S, LINGER_BYTES = (
-    1.0,
-    1024 * 1024,
-)  # after an error, so that a client still sending can read why
-
-
-class Sizes(NamedTuple):
-    """What a request may hold, in bytes. `message`: all of it, a chunked body's framing
-    included.
-    """
-
-    head: int
-    body: int
-    message: int
-
-
-class Times(NamedTuple):
-    """How long a client may take, in seconds. `head` and `body`: from a request's first byte until
-    they are whole; `unread`: to take an answer; `idle`: by the requests that its connection has
-    brought, the last one for all higher numbers.
-    """
-
-    head: float
-    body: float
-    unread: float
-    idle: tuple[float, ...]
-
-
-def check_framing(version: str, headers: list[tuple[bytes, bytes]], body_limit: int) -> None:
-    """Raise `Bad` unless it is beyond doubt where the request ends. Guards against one hidden in
-    the body of another: a host that goes by the other of two headers would run it. The parser has
-    checks of its own, but what it is lenient about changes with its version.
-    """
-    framing = [
-        (n.lower().replace(b"_", b"-").strip(), n, v) for n, v in headers if n[:1] in b"cCtT"
-    ]
-    lengths = [(n, v) for plain, n, v in framing if plain == b"content-length"]
-    codings = [(n, v) for plain, n, v in framing if plain == b"transfer-encoding"]
-    if any(b"_" in name or name != name.strip() for name, _ in lengths + codings):
-        raise Bad(400, "a framing header spelt oddly")
-    if len(lengths) + len(codings) > 1:
-        raise Bad(400, "two framing headers")
-    if lengths and not (lengths[0][1].isdigit() and len(lengths[0][1]) < 20):
-        raise Bad(400, "bad Content-Length")
-    if codings and (codings[0][1].lower() != b"chunked" or version != "1.1"):
-        raise Bad(400, "unknown Transfer-Encoding")
-    if version not in ("1.0", "1.1"):
-        raise Bad(400, "unknown version of HTTP")
-    if lengths and int(lengths[0][1]) > body_limit:
-        raise Bad(413, "body too long")
-
-
-class Bad(Exception):
-    """What came is no request; `status` says why."""
-
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
-        self.status = status
+# after an error, so that a client still sending can read why
+LINGER_S = 1.0
+LINGER_BYTES = 1024 * 1024
 
 
 class Pending:
@@ -447,154 +360,3 @@
                 self._advance()
         elif self.idle() and waited > times.idle[min(self._complete, len(times.idle) - 1)]:
             self.close_idle()
-
-
-def _end_one(
-    connections: dict[HttpConnection, None],
-    end: Callable[[HttpConnection], bool],
-    changed_before: float = math.inf,
-) -> bool:
-    """End one of the first few, the oldest that can be ended; whether there was one."""
-    for connection in list(itertools.islice(connections, END_TRIES)):
-        if connection.last_change >= changed_before:
-            return False
-        if end(connection):
-            return True
-    return False
-
-
-class HttpServer:
-    """All client connections of one listener."""
-
-    def __init__(
-        self,
-        loop: asyncio.AbstractEventLoop,
-        descriptors: Descriptors,
-        make_room: Callable[[], bool],
-        sizes: Sizes,
-    ) -> None:
-        self.loop, self.sizes = loop, sizes
-        self._descriptors, self._make_room = descriptors, make_room
-        self._heard_most = int(descriptors.limit * HEARD_PART)
-        self._most = (
-            descriptors.limit // 2
-        )  # the other half is the hosts': each request needs one there
-        self.connections: dict[HttpConnection, None] = {}
-        self._unheard: dict[HttpConnection, None] = {}  # no byte of a request yet, the oldest first
-        self._resting: dict[HttpConnection, None] = {}  # between requests, the longest idle first
-        self._leaving: dict[HttpConnection, None] = {}  # have their last answer, the longest first
-        self.draining = False
-        self._listener: asyncio.Server | None = None
-
-    # What a subclass says.
-
-    def times(self) -> Times:
-        raise NotImplementedError
-
-    def connection(self) -> HttpConnection:
-        """A new client connection."""
-        raise NotImplementedError
-
-    # The crowd of connections.
-
-    async def listen(self, host: str, port: int) -> int:
-        # Bound here: for a host's name the loop starts threads that resolve it, and imports what
-        # encodes it.
-        bound = socket.create_server((host, port), backlog=BACKLOG)
-        self._listener = await self.loop.create_server(self.connection, sock=bound, backlog=BACKLOG)
-        port_used: int = self._listener.sockets[0].getsockname()[1]
-        return port_used
-
-    def joined(self, connection: HttpConnection) -> None:
-        """Past the clients' part of the descriptors each new connection ends another. Guards
-        against floods: first go those that have their last answer and those that never said
-        anything, then those between two requests, never one with a request.
-        """
-        self._descriptors.used += 1
-        self.connections[connection] = self._unheard[connection] = None
-        if len(self.connections) > self._most:
-            self._end_another(connection)
-        if self._descriptors.spare() <= -LENT and not self._make_room():
-            connection.abort()
-
-    def _end_another(self, newest: HttpConnection) -> None:
-        settled = self.loop.time() - UNHEARD_S
-        if (
-            _end_one(self._leaving, HttpConnection.close_left, settled)
-            or _end_one(self._unheard, HttpConnection.close_idle, settled)
-            or _end_one(self._resting, HttpConnection.close_idle)
-        ):
-            return
-        flooded = len(self.connections) > self._most + self._most // 4
-        if flooded and next(iter(self._unheard)) is not newest:
-            _end_one(self._unheard, HttpConnection.close_idle)
-
-    def awake(self, connection: HttpConnection) -> None:
-        """A request has begun: the connection is not ended to make room."""
-        self._unheard.pop(connection, None)
-        self._resting.pop(connection, None)
-
-    def rests(self, connection: HttpConnection) -> None:
-        """It is between two requests. Clients may hold so many connections here and no more: guards
-        against those that ask once and stay, which would take the places of all others for as long
-        as they may.
-        """
-        self._resting[connection] = None
-        heard = len(self.connections) - len(self._unheard) - len(self._leaving)
-        if heard > self._heard_most and len(self._resting) > 1:
-            _end_one(self._resting, HttpConnection.close_idle)
-
-    def leaves(self, connection: HttpConnection) -> None:
-        """It has its last answer, and needs no more than time to read it."""
-        self._leaving[connection] = None
-
-    def closes(self, connection: HttpConnection) -> None:
-        """Ended, though its descriptor is in use until the loop comes round to it."""
-        self.connections.pop(connection, None)
-        self._leaving.pop(connection, None)
-        self.awake(connection)
-
-    def left(self, connection: HttpConnection) -> None:
-        self._descriptors.used -= 1
-        self.closes(connection)
-
-    def crowded(self) -> bool:
-        """Whether there are no descriptors left to serve one more: then it is turned away, not
-        started. Part of the reserved ones serves to tell those clients.
-        """
-        quiet = len(self._unheard) + len(self._resting) + len(self._leaving)
-        return len(self.connections) - quiet > self._most
-
-    def sweep(self) -> None:
-        now, times = self.loop.time(), self.times()
-        for connection in list(self.connections):
-            connection.sweep(now, times)
-
-    async def stop_taking(self) -> None:
-        """The front has stopped sending connections: no more are taken. Those that wait in the
-        kernel have been accepted by this machine, and are taken first: the close would reset them.
-        """
-        if self._listener is None:
-            return
-        poll = select.poll()
-        poll.register(self._listener.sockets[0].fileno(), select.POLLIN)
-        end = self.loop.time() + TAKE_S
-        while poll.poll(0) and self.loop.time() < end:
-            await asyncio.sleep(0)
-        self.stop_listening()
-
-    def stop_listening(self) -> None:
-        if self._listener is not None:
-            self._listener.close()
-            self._listener = None
-
-    def close_idle(self) -> None:
-        """While draining: end those between two requests, and those of which none came in the time
-        that a first one takes.
-        """
-        settled = self.loop.time() - UNHEARD_S
-        for connection in list(self.connections):
-            if connection.idle() and (
-                connection not in self._unheard or connection.last_change < settled
-            ):
-                connection.close_idle()
--- a/roselink/router/app.py
+++ b/roselink/router/app.py
@@ -16,8 +16,8 @@
 
 from roselink.budgets.budget_service import BudgetService
 from roselink.distribution.puller import Puller
-from roselink.gateway.logs import start_log
 from roselink.gossip.driver import Sampler
+from roselink.http.logs import start_log
 from roselink.model.fleet import Member
 from roselink.model.settings import DEFAULT_PATH, ENVIRONMENT_VARIABLE, ProcessSettings
 from roselink.protocol.payoffs import HostOutcomes
--- a/tests/dataplane/test_checks.py
+++ b/tests/dataplane/test_checks.py
@@ -25,7 +25,7 @@
     relayed_headers,
 )
 from roselink.dataplane.routes import RouteTable
-from roselink.gateway.connections import Bad
+from roselink.http.framing_checks import Bad
 from roselink.model.configuration import Configuration, Route, Tenant
 from tests.dataplane.stage import KEY, document
 
--- a/tests/dataplane/test_plane.py
+++ b/tests/dataplane/test_plane.py
@@ -7,7 +7,7 @@
 import pytest
 
 from roselink.balancer.interface import Outcome
-from roselink.gateway import upstream
+from roselink.http import host_pool
 from roselink.routing.decisions import FirstEvent, RequestClosed
 from tests.dataplane.stage import KEY, event, plain, rejects, request, sse, stage, stream
 from tests.support.net import Behaviour, Message, hang, on_loop, say, until
@@ -300,7 +300,7 @@
 
 @on_loop
 async def test_a_surplus_answer_reaches_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream, "SETTLE_S", -1.0)
+    monkeypatch.setattr(host_pool, "SETTLE_S", -1.0)
 
     async def late(message: Message, writer: asyncio.StreamWriter) -> None:
         if len(s.hosts[0].seen) > 1:
--- a/tests/dataplane/test_pool.py
+++ b/tests/dataplane/test_pool.py
@@ -11,7 +11,7 @@
 from roselink.balancer.interface import Outcome
 from roselink.dataplane import upstream
 from roselink.dataplane.topology import CONNECTIONS_LEAST
-from roselink.gateway import upstream as base
+from roselink.http import host_pool
 from roselink.model.fleet import HostState
 from roselink.routing.decisions import FirstEvent
 from tests.dataplane.stage import (
@@ -36,7 +36,7 @@
 @pytest.fixture(autouse=True)
 def settled(monkeypatch: pytest.MonkeyPatch) -> None:
     """Connections are taken for settled at once."""
-    monkeypatch.setattr(base, "SETTLE_S", -1.0)
+    monkeypatch.setattr(host_pool, "SETTLE_S", -1.0)
 
 
 async def ask_in_turn(s: Stage, count: int, path: str = "/once/x") -> None:
--- a/tests/gateway/test_closes.py
+++ b/tests/gateway/test_closes.py
@@ -11,10 +11,11 @@
 
 import pytest
 
-from roselink.gateway import connections
-from roselink.gateway.connections import HttpConnection
 from roselink.gateway.server import ClientConnection, Server
-from roselink.gateway.upstream import BODY_LIMIT
+from roselink.http import server as http_server
+from roselink.http import server_connection
+from roselink.http.host_connection import BODY_LIMIT
+from roselink.http.server_connection import HttpConnection
 from tests.support.net import (
     SuddenClient,
     World,
@@ -101,7 +102,7 @@
 async def test_a_drain_leaves_a_new_connection_the_time_for_its_first_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(connections, "UNHEARD_S", 1000.0)
+    monkeypatch.setattr(http_server, "UNHEARD_S", 1000.0)
     async with world(serve_ok) as w:
         client = SuddenClient(w.gateway.port)
         await until(lambda: bool(w.gateway.server.connections))
@@ -149,7 +150,7 @@
         looks.append(connection)
         lingered(connection)
 
-    monkeypatch.setattr(connections, "LINGER_S", 0.001)
+    monkeypatch.setattr(server_connection, "LINGER_S", 0.001)
     monkeypatch.setattr(HttpConnection, "_lingered", look)
     async with world(say(answer(b"x" * BODY_LIMIT))) as w:
         client, connection = await unread(w)
@@ -170,7 +171,7 @@
     """A slow client: its answer is with this kernel, most of it not with its own yet, and it sends
     on.
     """
-    monkeypatch.setattr(connections, "LINGER_S", 1000.0)
+    monkeypatch.setattr(server_connection, "LINGER_S", 1000.0)
     async with world(say(answer(b"x" * BODY_LIMIT))) as w:
         client = SuddenClient(w.gateway.port, receive_buffer=4096)
         w.gateway.server.draining = True
@@ -214,7 +215,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Its client is told by the end, and sends it once more on a new connection."""
-    monkeypatch.setattr(connections, "LINGER_S", 1000.0)
+    monkeypatch.setattr(server_connection, "LINGER_S", 1000.0)
     async with world(serve_ok) as w:
         asked, client = taken(w), SuddenClient(w.gateway.port)
         w.gateway.server.draining = True
--- a/tests/gateway/test_departures.py
+++ b/tests/gateway/test_departures.py
@@ -10,9 +10,9 @@
 import pytest
 
 from roselink.balancer.interface import Alarm, Event
-from roselink.gateway import upstream
 from roselink.gateway.server import ClientConnection
-from roselink.gateway.upstream import HostConnection
+from roselink.http import host_pool
+from roselink.http.host_connection import HostConnection
 from tests.support.net import (
     Behaviour,
     Client,
@@ -38,7 +38,7 @@
 @pytest.fixture(autouse=True)
 def connections_settle_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """With a connection at hand a send is written in the turn in which it comes due."""
-    monkeypatch.setattr(upstream, "SETTLE_S", -1.0)
+    monkeypatch.setattr(host_pool, "SETTLE_S", -1.0)
 
 
 @pytest.fixture(
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -21,12 +21,14 @@
     Outcome,
     ServerList,
 )
-from roselink.gateway import connections, server
-from roselink.gateway.config import RESERVED
+from roselink.gateway import server
 from roselink.gateway.discovery import server_number
 from roselink.gateway.engine import ClientRequest
 from roselink.gateway.server import RECEIVE_S, UNREAD_S
-from roselink.gateway.upstream import HostConnection
+from roselink.http import server as http_server
+from roselink.http import server_connection
+from roselink.http.descriptors import RESERVED
+from roselink.http.host_connection import HostConnection
 from tests.support.net import (
     Client,
     FakeHost,
@@ -48,7 +50,7 @@
 )
 
 if TYPE_CHECKING:
-    from roselink.gateway.connections import HttpConnection
+    from roselink.http.server_connection import HttpConnection
 
 
 async def at_end(client: Client) -> bytes:
@@ -699,7 +701,7 @@
     """Connections between two requests belong to usual clients: the never-heard go before them."""
     async with world(serve_ok, limits={"sockets": RESERVED + 16}) as w, w.client() as usual:
         assert (await usual.ask()).status == 200
-        monkeypatch.setattr(connections, "UNHEARD_S", -1.0)
+        monkeypatch.setattr(http_server, "UNHEARD_S", -1.0)
         silent = [await w.client().__aenter__() for _ in range(30)]
         assert await at_end(silent[0]) == b""
         assert (await usual.ask()).status == 200
@@ -813,8 +815,8 @@
     """Bad clients hold their connection for a while after their last answer: usual ones come before
     them.
     """
-    monkeypatch.setattr(connections, "LINGER_S", 1000.0)
-    monkeypatch.setattr(connections, "UNHEARD_S", -1.0)
+    monkeypatch.setattr(server_connection, "LINGER_S", 1000.0)
+    monkeypatch.setattr(http_server, "UNHEARD_S", -1.0)
     async with world(serve_ok, limits={"sockets": RESERVED + 16}) as w:
         bad = [await w.client().__aenter__() for _ in range(8)]
         for client in bad:
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -154,7 +154,11 @@
     "urllib",
     "zlib",
 }
-OWN_PACKAGES = {"roselink.gateway", "roselink.balancer"}  # and of its own packages only these two
+OWN_PACKAGES = {
+    "roselink.gateway",
+    "roselink.http",
+    "roselink.balancer",
+}  # and of its own only these
 
 
 def imports(text: str) -> set[str]:
--- a/tests/gateway/test_upstream.py
+++ b/tests/gateway/test_upstream.py
@@ -13,9 +13,10 @@
 import pytest
 
 from roselink.balancer.interface import Outcome
-from roselink.gateway import upstream
-from roselink.gateway.config import RESERVED, Address, Descriptors
-from roselink.gateway.upstream import Answer, Attempt, Host, HostConnection, Upstream
+from roselink.http import host_pool
+from roselink.http.descriptors import RESERVED, Descriptors
+from roselink.http.host_connection import Answer, Attempt, Host, HostConnection
+from roselink.http.host_pool import Upstream
 from tests.support.net import (
     Behaviour,
     FakeHost,
@@ -35,6 +36,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+    from roselink.http.address import Address
+
 REQUEST = b"GET /status-check/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 1\r\n\r\n"
 LONG_S = 15.0
 
@@ -275,7 +278,7 @@
 @on_loop
 async def test_the_most_recent_connection_is_used_again(monkeypatch: pytest.MonkeyPatch) -> None:
     """New connections cost the host work; the least used ones are let go idle."""
-    monkeypatch.setattr(upstream, "SETTLE_S", -1.0)
+    monkeypatch.setattr(host_pool, "SETTLE_S", -1.0)
     host = await FakeHost(behave=hang).start()
     bench = Bench(host.address)
     for number in range(2):
@@ -335,7 +338,7 @@
     give it to another client. With no time to settle, only the look at the socket guards against
     that.
     """
-    monkeypatch.setattr(upstream, "SETTLE_S", -1.0)
+    monkeypatch.setattr(host_pool, "SETTLE_S", -1.0)
     host = await FakeHost(behave=say(answer(b"first"))).start()
     bench = Bench(host.address)
     await bench.run()
@@ -356,7 +359,7 @@
     """What comes a moment behind an answer must find the connection idle, not in use by another
     request.
     """
-    monkeypatch.setattr(upstream, "SETTLE_S", 1000.0)
+    monkeypatch.setattr(host_pool, "SETTLE_S", 1000.0)
     host = await FakeHost().start()
     bench = Bench(host.address)
     for number in (1, 2):
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -806,7 +806,7 @@
         ),
     ),
     *_of(
-        "gateway/upstream.py",
+        "http/host_pool.py",
         POOL,
         (
             "a connection that is closing is used",
@@ -818,6 +818,10 @@
             "        settled = attempt.began - SETTLE_S\n",
             "        settled = attempt.began\n",
         ),
+    ),
+    *_of(
+        "http/host_connection.py",
+        POOL,
         (
             "a connection is kept where a body is still due",
             "if self._keep and not self._excess and not self._unsent:",
--- a/tools/pulls.py
+++ b/tools/pulls.py
@@ -20,7 +20,7 @@
 from roselink.dataplane.upstream import FleetUpstream
 from roselink.distribution.host_changes import completed
 from roselink.distribution.pull import PULL_EVERY_S, PullMachine, SendPull
-from roselink.gateway.config import Descriptors
+from roselink.http.descriptors import Descriptors
 from roselink.model.fleet import Host, Member, Snapshot, VersionVector
 from roselink.protocol.peers import FrameReader, frame
 from roselink.protocol.pull import ChangesReply, Pull, PullReply
