--- a/roselink/balancer/__init__.py
+++ b/roselink/balancer/__init__.py
@@ -2,7 +2,7 @@
 `interface`.
 """
 
-from roselink.balancer.balance import Balancer
+from roselink.balancer.decider import Balancer
 from roselink.balancer.interface import (
     Action,
     Alarm,
--- /dev/null
+++ b/roselink/balancer/host_choice.py
@@ -0,0 +1,147 @@
+"""Host choice: the better of two random servers, among those that may have the request."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from roselink.balancer.host_window import LOCAL_FRACTION, window
+from roselink.balancer.interface import Effect, State
+from roselink.balancer.outcome_classifier import may_repeat_at
+
+if TYPE_CHECKING:
+    from roselink.balancer.concurrency_limit import ConcurrencyLimit
+    from roselink.balancer.host_window import BlockingLanes
+    from roselink.balancer.interface import Route, Settings
+    from roselink.balancer.kind_speeds import KindSpeeds
+    from roselink.balancer.payoff import PayoffEstimator
+    from roselink.balancer.request_state import Request
+    from roselink.balancer.server_state import ServerState
+    from roselink.balancer.slow_start import SlowStart
+    from roselink.balancer.state import BalancerState
+
+# Fraction of choices that take the lower-scored of the two drawn.
+EXPLORATION_FRACTION = 0.05
+
+
+def may_run_parallel(settings: Settings, route: Route) -> bool:
+    """Whether a request of a route may have two attempts in flight."""
+    return settings.parallel_tries and route.effect is not Effect.UNSAFE
+
+
+class HostChooser:
+    """Chooses the server of an attempt."""
+
+    def __init__(
+        self,
+        state: BalancerState,
+        payoffs: PayoffEstimator,
+        speeds: KindSpeeds,
+        slow_start: SlowStart,
+        limit: ConcurrencyLimit,
+        lanes: BlockingLanes,
+    ) -> None:
+        """Reads the balancer's state and what each concern has learned; keeps none of its own."""
+        self._state = state
+        self._payoffs = payoffs
+        self._speeds = speeds
+        self._slow_start = slow_start
+        self._limit = limit
+        self._lanes = lanes
+
+    def choose(self, request: Request) -> ServerState | None:
+        """The server for the next attempt; None while none may have it.
+
+        Of two drawn the one with the higher payoff / (1 + in flight) wins, and now and then the
+        lower, so that its record stays fresh ("The Power of Two Choices in Randomized Load
+        Balancing", Mitzenmacher 2001).
+        """
+        state = self._state
+        # A turn unused is lost to all: guards against a fleet left cold by a deploy.
+        for server in state.cold:
+            if (
+                self._slow_start.is_cold(server)
+                and server.is_available(state.now_us)
+                and self._is_open(request, server)
+            ):
+                return server
+        near = window(state)
+        # In a window there are no lanes: only a full view shows the blocking fraction of the work.
+        lane = state.candidates if near else self._lanes.lane(request.route)
+        fraction = 1.0 if near else LOCAL_FRACTION
+        local = [server for server in near or lane if server.spec.zone == state.settings.zone]
+        pool = near or local
+        first = self._draw(request, local, fraction) or self._draw(request, pool, fraction)
+        if not first:
+            pool = lane
+            fraction = 1.0
+            # Guards against ejecting a whole fleet.
+            panic = not any(server.is_available(state.now_us) for server in lane)
+            first = self._draw(request, lane, panic=panic)
+            if not first:
+                return None
+        second = self._draw(request, pool, fraction, other=first) or first
+        if self.score(first) >= self.score(second):
+            better = first
+            worse = second
+        else:
+            better = second
+            worse = first
+        return worse if state.random.random() < EXPLORATION_FRACTION else better
+
+    def score(self, server: ServerState) -> float:
+        """Payoff less the price of crossing zones, discounted by what is in flight."""
+        settings = self._state.settings
+        crossing = settings.price_cross_zone * (server.spec.zone != settings.zone)
+        load = 1.0 + server.in_flight / max(1.0, self._limit.share)
+        return (self._payoffs.payoff(server) - crossing) / load
+
+    def may_send(self, request: Request, server: ServerState) -> bool:
+        """The one gate before every send: rule 2, then 3, then 4."""
+        settings = self._state.settings
+        if request.closed or len(request.attempts) >= settings.max_attempts:
+            return False
+        if request.in_flight and not may_run_parallel(settings, request.route.spec):
+            return False
+        spec = server.spec
+        if not may_repeat_at(request, spec.zone, spec.cell, self._state.now_us):
+            return False
+        return spec.state is State.READY and self._slow_start.allows(request, server)
+
+    def _draw(
+        self,
+        request: Request,
+        pool: list[ServerState],
+        fraction: float = 1.0,
+        *,
+        other: ServerState | None = None,
+        panic: bool = False,
+    ) -> ServerState | None:
+        """The first open server from a random position on.
+
+        One that had an attempt of the request counts only where there is no other server. `panic`
+        draws ejected ones as well.
+        """
+        state = self._state
+        count = len(pool)
+        tried = [attempt.server for attempt in request.attempts]
+        start = int(state.random.random() * count)
+        if len(self._speeds.log2_slowness) > 1 and 0 < count < len(state.candidates):
+            # Drawn by the speed of its kind: in a window too few are in flight for the discount in
+            # the score to show it.
+            weights = [self._speeds.speed(server.spec.kind) for server in pool]
+            start = state.random.choices(range(count), weights)[0]
+        for index in range(start, start + count):
+            server = pool[index % count]
+            untried = server not in tried or (len(state.candidates) == 1 and not request.in_flight)
+            if (
+                server is not other
+                and untried
+                and (panic or server.is_available(state.now_us))
+                and self._is_open(request, server, fraction)
+            ):
+                return server
+        return None
+
+    def _is_open(self, request: Request, server: ServerState, fraction: float = 1.0) -> bool:
+        """Whether limit and gate allow a send now."""
+        return self._limit.allows(server, fraction) and self.may_send(request, server)
--- /dev/null
+++ b/roselink/balancer/request_state.py
@@ -0,0 +1,100 @@
+"""What a balancer keeps of routes, of open requests and of their attempts."""
+
+from __future__ import annotations
+
+from collections import deque
+from typing import TYPE_CHECKING
+
+from roselink.balancer.interface import NEVER_RAN, Arrived, Outcome, Route
+from roselink.balancer.latency_tracker import LatencyTracker
+from roselink.balancer.token_bucket import TokenBucket
+
+if TYPE_CHECKING:
+    from roselink.balancer.server_state import ServerState
+
+TRACKED_LATENCIES = 128
+# Answers from which on only those of an idle server change a route's cost: slower and slower, lest
+# a jam become the yardstick.
+COST_SAMPLES_MIN = 64
+# Answers over which a route's cost is the mean, at most.
+COST_SAMPLES_MAX = 1024
+
+
+class RouteState:
+    """A route with its retry budget, its latencies and its queues."""
+
+    def __init__(self, spec: Route) -> None:
+        """A route of which no answer has been seen."""
+        self.spec = spec
+        self.retry_budget = TokenBucket(1.0)
+        self.latency = LatencyTracker(maxlen=TRACKED_LATENCIES)
+        self.patience_us = spec.aim_us or spec.deadline_us
+        # Latency of an idle server; a cautious guess until learned.
+        self.cost_us = self.patience_us / 4
+        # Answers learned from.
+        self.samples = 0
+        # How long its clients wait for an answer, smoothed.
+        self.client_timeout_us = 0.0
+        # Attempts by the time at which they are overdue.
+        self.due: deque[tuple[int, Attempt]] = deque()
+        # Requests within their tenant's quota, and those over it.
+        self.queues: tuple[deque[Request], deque[Request]] = (deque(), deque())
+
+    def learn_cost(self, latency_us: int, *, idle_server: bool) -> None:
+        """Moves the cost towards the latency of one success."""
+        self.samples += 1
+        if idle_server or self.samples < COST_SAMPLES_MIN:
+            step_us = (latency_us - self.cost_us) / min(self.samples, COST_SAMPLES_MAX)
+            # What it divides is never 0.
+            self.cost_us = max(1.0, self.cost_us + step_us)
+
+
+class Attempt:
+    """One send of a request to a server."""
+
+    def __init__(self, server: ServerState, sent_us: int, request: Request, *, warm: bool) -> None:
+        """An attempt of `request` that starts now; `warm`: its server is not in slow start."""
+        self.server = server
+        self.sent_us = sent_us
+        self.cost_us = request.cost_us
+        # Whether the client gave the work that its request brings.
+        self.hinted = request.hinted
+        self.warm = warm
+        self.outcome: Outcome | None = None
+        # Whether the server had no other attempt of ours at the start of this one.
+        self.idle_server = not server.in_flight
+        # Whether it has been counted as overdue.
+        self.overdue = False
+        # Whether the limit of concurrency leaves no room beside this attempt.
+        self.at_limit = False
+
+
+class Request:
+    """A client's request, kept until its final answer and the last outcome of its attempts."""
+
+    def __init__(
+        self, event: Arrived, route: RouteState, now_us: int, *, low_priority: bool
+    ) -> None:
+        """An arrived request; `low_priority`: over its quota, or marked as a repeat."""
+        self.id = event.request
+        self.route = route
+        self.cost_us = float(event.work_us or route.cost_us)
+        self.hinted = bool(event.work_us)
+        self.low_priority = low_priority
+        self.give_up_us = event.give_up_us
+        # An answer after this time is worth less.
+        self.aimed_us = event.give_up_us
+        if route.spec.aim_us is not None:
+            aim_us = route.spec.aim_us + int(route.spec.aim_stretch * self.cost_us)
+            self.aimed_us = min(self.give_up_us, now_us + aim_us)
+        # An answer after this time is worth nothing.
+        self.useful_us = self.give_up_us if route.spec.late_worth else self.aimed_us
+        self.attempts: list[Attempt] = []
+        self.in_flight = 0
+        # Retry groups that have ended without an answer.
+        self.retry_groups = 0
+        self.closed = False
+
+    def may_have_run(self) -> list[Attempt]:
+        """Its attempts that a server may have run, those in flight among them."""
+        return [attempt for attempt in self.attempts if attempt.outcome not in NEVER_RAN]
--- /dev/null
+++ b/roselink/balancer/server_table.py
@@ -0,0 +1,52 @@
+"""Takes lists of servers over into the balancer's state."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from roselink.balancer.interface import ListKind, Server, ServerList, State
+from roselink.balancer.server_state import ServerState
+
+if TYPE_CHECKING:
+    from roselink.balancer.kind_speeds import KindSpeeds
+    from roselink.balancer.slow_start import SlowStart
+    from roselink.balancer.state import BalancerState
+
+
+class ServerTable:
+    """The servers by id, and the ready and the cold among them."""
+
+    def __init__(self, state: BalancerState, speeds: KindSpeeds, slow_start: SlowStart) -> None:
+        """No server is known."""
+        self._state = state
+        self._speeds = speeds
+        self._slow_start = slow_start
+
+    def update(self, event: ServerList) -> None:
+        """Takes over a full list or a list of changes."""
+        state = self._state
+        if event.kind is not ListKind.CHANGES:
+            state.servers = {
+                server.id: state.servers[server.id]
+                for server in event.servers
+                if server.id in state.servers
+            }
+        for server in event.servers:
+            self._update_server(server)
+        # Rule 3: a draining or departed server leaves the candidates with the event that says so.
+        ready = [server for server in state.servers.values() if server.spec.state is State.READY]
+        state.candidates = sorted(ready, key=lambda server: server.ring_position)
+        state.cold = [server for server in state.candidates if self._slow_start.is_cold(server)]
+
+    def _update_server(self, spec: Server) -> None:
+        """A server that has started anew begins without a record."""
+        servers = self._state.servers
+        known = servers.get(spec.id)
+        self._speeds.add(spec.kind)
+        if spec.state is State.GONE:
+            servers.pop(spec.id, None)
+        elif known is None or (spec.started_us or 0) > (known.spec.started_us or 0):
+            servers[spec.id] = ServerState(spec)
+            self._slow_start.start(servers[spec.id])
+        else:
+            known.spec = spec
--- a/roselink/balancer/simulator_adapter.py
+++ b/roselink/balancer/simulator_adapter.py
@@ -14,7 +14,7 @@
 from enum import Enum
 from typing import IO, TYPE_CHECKING, Any, TypeVar
 
-from roselink.balancer.balance import Balancer
+from roselink.balancer.decider import Balancer
 from roselink.balancer.interface import (
     Action,
     Alarm,
--- /dev/null
+++ b/roselink/balancer/state.py
@@ -0,0 +1,59 @@
+"""The state that all concerns of one balancer read."""
+
+from __future__ import annotations
+
+import math
+import random
+from typing import TYPE_CHECKING
+
+from roselink.balancer.interface import Route, Settings
+from roselink.balancer.request_state import RouteState
+
+if TYPE_CHECKING:
+    from roselink.balancer.server_state import ServerState
+
+# Fraction of the ask-within time that an outcome is remembered: fresh records against wide windows.
+MEMORY_FRACTION = 0.25
+# Requests over which the mean work is smoothed.
+COST_SAMPLES_MAX = 64
+
+
+class BalancerState:
+    """Settings, clock, random source, servers and recent load of one balancer."""
+
+    def __init__(self, settings: Settings, seed: int) -> None:
+        """The state before the first event."""
+        self.settings = settings
+        self.random = random.Random(seed)
+        self.now_us = 0
+        self.routes = [RouteState(spec) for spec in settings.routes or (Route(),)]
+        self.servers: dict[int, ServerState] = {}
+        # The ready servers, in the same order at every balancer.
+        self.candidates: list[ServerState] = []
+        # Those of them that are in slow start.
+        self.cold: list[ServerState] = []
+        # Requests in the queues, the closed ones among them.
+        self.queued = 0
+        # Own attempts in flight at warm servers.
+        self.in_flight = 0
+        # Time constant of what is remembered of outcomes and arrivals.
+        self.memory_us = MEMORY_FRACTION * settings.ask_within_us
+        # Requests that arrived within that time, older ones counting less and less.
+        self.recent = 0.0
+        self.recent_at_us = 0
+        # Mean work of a request. A guess until learned, weighted by work: guards against first
+        # pauses too short for heavy classes.
+        costs = [route.cost_us for route in self.routes]
+        self.mean_cost_us = sum(cost * cost for cost in costs) / sum(costs)
+        self.cost_samples = 1
+
+    def count_arrival(self) -> None:
+        """Adds one arrival to the recent ones."""
+        elapsed_us = self.now_us - self.recent_at_us
+        self.recent = 1.0 + self.recent * math.exp(-elapsed_us / self.memory_us)
+        self.recent_at_us = self.now_us
+
+    def learn_cost(self, cost_us: float) -> None:
+        """Moves the mean work towards that of one request."""
+        self.cost_samples = min(COST_SAMPLES_MAX, self.cost_samples + 1)
+        self.mean_cost_us += (cost_us - self.mean_cost_us) / self.cost_samples
--- a/roselink/gateway/__main__.py
+++ b/roselink/gateway/__main__.py
@@ -12,7 +12,7 @@
 
 import uvloop
 
-from roselink.balancer.balance import Balancer
+from roselink.balancer.decider import Balancer
 from roselink.gateway.config import (
     Config,
     ConfigError,
--- a/roselink/gateway/engine.py
+++ b/roselink/gateway/engine.py
@@ -40,7 +40,7 @@
     import asyncio
     from collections.abc import Callable
 
-    from roselink.balancer.balance import Balancer
+    from roselink.balancer.decider import Balancer
     from roselink.http.address import Address
     from roselink.http.host_pool import Upstream
 
--- a/tests/balancer/test_balance.py
+++ b/tests/balancer/test_balance.py
@@ -2,13 +2,20 @@
 
 from __future__ import annotations
 
+import tomllib
 from collections import Counter
 from pathlib import Path
 from typing import Any
 
 import pytest
 
-from roselink.balancer import balance
+from roselink.balancer.decider import (
+    FIRST_BACKOFF_FRACTION,
+    MAX_TOKENS,
+    TOKENS_PER_REQUEST,
+    Balancer,
+)
+from roselink.balancer.host_window import OUTCOMES_PER_SERVER, window
 from roselink.balancer.interface import (
     Arrived,
     AttemptDone,
@@ -28,30 +35,42 @@
     State,
     Watch,
 )
+from roselink.balancer.load_shedding import MIN_ADMITTED
+from roselink.balancer.server_state import UNKNOWN_PAYOFF
 from tests.support.helpers import AIM_US, DEADLINE_US, Stage, route, settings
 
-MODULE = Path(balance.__file__)
+ROOT = Path(__file__).parents[2]
+DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
+NO_DECISIONS = {"__init__.py", "interface.py", "simulator_adapter.py"}
+
+
+def test_the_deploy_file_names_the_modules_that_decide() -> None:
+    modules = {path.name for path in (ROOT / "roselink" / "balancer").glob("*.py")}
+    named = {Path(name).name for name in DEPLOY["policy"] if name.startswith("roselink/balancer/")}
+    assert named == modules - NO_DECISIONS
+    assert all((ROOT / name).is_file() for name in DEPLOY["policy"])
 
 
-def test_module_fits_the_on_call_folder() -> None:
-    lines = [line for line in MODULE.read_text().splitlines() if line.strip()]
+def test_the_modules_fit_the_on_call_folder() -> None:
+    texts = {name: (ROOT / name).read_text() for name in DEPLOY["policy"]}
+    lines = [line for text in texts.values() for line in text.splitlines() if line.strip()]
     assert len(lines) <= 1200
     assert max(map(len, lines)) <= 110
-    assert "roselink/balancer/interface.py" in lines[0]
+    assert "roselink/balancer/interface.py" in texts["roselink/balancer/decider.py"].partition("\n")[0]
 
 
 def test_bucket_is_capped_and_spends_whole_tokens() -> None:
-    bucket = balance.TokenBucket(5.0)
+    bucket = TokenBucket(5.0)
     while bucket.spend():
         pass
     assert bucket.tokens < 1
     for _ in range(10_000):
-        bucket.earn(balance.EARN, balance.TOKENS)
-    assert bucket.tokens == balance.TOKENS
+        bucket.earn(TOKENS_PER_REQUEST, MAX_TOKENS)
+    assert bucket.tokens == MAX_TOKENS
 
 
 def test_tracker_is_bounded_and_orders() -> None:
-    tracker = balance.LatencyTracker(maxlen=128)
+    tracker = LatencyTracker(maxlen=128)
     assert tracker.percentile(0.5) is None
     for value in range(1000):
         tracker.append(value)
@@ -70,7 +89,7 @@
 def test_a_better_payoff_wins_and_passed_over_servers_are_still_tried() -> None:
     stage = Stage(settings(), 2)
     stage.warm_up(50)
-    good, bad = stage.balancer.candidates
+    good, bad = stage.balancer.state.candidates
     good.payoff, bad.payoff = 1.0, 0.4
     for _ in range(300):
         request = stage.arrive()
@@ -83,7 +102,7 @@
 def test_waits_grow_between_retry_groups() -> None:
     stage = Stage(settings(route(aim_us=900_000), max_attempts=4), 6)
     request = stage.arrive()
-    stage.balancer.routes[0].budget.tokens = 9.0
+    stage.balancer.state.routes[0].retry_budget.tokens = 9.0
     waits = []
     for _ in range(3):
         actions = stage.done(request, Outcome.ERROR, 1000)
@@ -105,9 +124,9 @@
     stage.pass_time(2_000_000)
     assert not stage.balancer.requests
     assert (
-        len(stage.sends) >= 400 * balance.LEAST_ADMITTED / 2
+        len(stage.sends) >= 400 * MIN_ADMITTED / 2
     )  # the pick falls back to the whole fleet
-    assert attempts <= len(stage.sends) * (1 + balance.EARN) + 2
+    assert attempts <= len(stage.sends) * (1 + TOKENS_PER_REQUEST) + 2
 
 
 def test_hedge_goes_out_once_and_the_loser_is_called_off() -> None:
@@ -175,7 +194,7 @@
     keyed = route(Effect.KEYED, group=Group.CELL, aim_us=900_000, memory_span_us=300_000)
     stage = Stage(settings(keyed), servers)
     request = stage.arrive()
-    stage.balancer.routes[0].budget.tokens = 9.0
+    stage.balancer.state.routes[0].retry_budget.tokens = 9.0
     stage.done(request, Outcome.ERROR, 1000)
     stage.pass_time(60_000)
     first, second = stage.sends[request]
@@ -215,7 +234,7 @@
     stage = Stage(settings(), [Server(1, kind=0)])
     stage.feed(ServerList(ListKind.CHANGES, (Server(1, kind=4),)))
     stage.done(stage.arrive(), Outcome.SUCCESS)
-    assert stage.balancer.servers[1].payoff > balance.UNKNOWN
+    assert stage.balancer.state.servers[1].payoff > UNKNOWN_PAYOFF
 
 
 def test_a_silent_server_is_left_alone_before_its_attempts_time_out() -> None:
@@ -288,7 +307,7 @@
     """
     stage = Stage(settings(), 3)
     stage.warm_up(300, 10_000)
-    route_state = stage.balancer.routes[0]
+    route_state = stage.balancer.state.routes[0]
     before = route_state.cost_us
     stage.warm_up(60, 100_000)
     assert route_state.cost_us < 3 * before
@@ -300,18 +319,18 @@
     quick as an idle one.
     """
     balancer = Stage(settings(), 3).balancer
-    start = balancer.share
+    start = balancer.limit.share
     for _ in range(500):
-        balancer.resize(1.0)
-    assert balancer.share == start
-    balancer.queued = 1
+        balancer.limit.learn(1.0)
+    assert balancer.limit.share == start
+    balancer.state.queued = 1
     for _ in range(500):
-        balancer.resize(1.0)
-    grown = balancer.share
+        balancer.limit.learn(1.0)
+    grown = balancer.limit.share
     assert grown > 1.5 * start
     for _ in range(5000):
-        balancer.resize(3.0)
-    assert 1.0 <= balancer.share < start
+        balancer.limit.learn(3.0)
+    assert 1.0 <= balancer.limit.share < start
 
 
 def test_many_balancers_with_thin_shares_do_not_jam_the_servers_that_are_left() -> None:
@@ -365,7 +384,7 @@
     stage = Stage(settings(), 9)
     stage.warm_up(200)
     for number in range(1000):
-        stage.balancer.admitted = 1.0  # load shedding is not what is tested
+        stage.balancer.shedder.admitted = 1.0  # load shedding is not what is tested
         request = stage.arrive()
         if number % 4 == 0:
             assert not any(
@@ -420,22 +439,22 @@
     servers left keyed requests, which only a cell may repeat, with nowhere to go.
     """
     balancer = Stage(settings(balancers=3), 10).balancer
-    balancer.recent = 30.0
-    assert len(balancer.window() or balancer.candidates) >= 8
+    balancer.state.recent = 30.0
+    assert len(window(balancer.state) or balancer.state.candidates) >= 8
 
 
 def test_windows_cover_the_fleet_evenly() -> None:
     counts: Counter[int] = Counter()
     for number in range(120):
         balancer = Stage(many(balancers=120, number=number), fleet()).balancer
-        counts.update(s.spec.id for s in balancer.window() or [])
+        counts.update(s.spec.id for s in window(balancer.state) or [])
     assert len(counts) == 60 and max(counts.values()) == min(counts.values())
 
 
 def test_a_balancer_with_all_the_traffic_draws_from_the_whole_fleet() -> None:
     stage = Stage(many(), fleet())
     stage.warm_up(600, 1_000)
-    assert stage.balancer.window() is None
+    assert window(stage.balancer.state) is None
 
 
 def test_in_a_window_no_lane_is_kept_for_long_requests() -> None:
@@ -445,8 +464,8 @@
     short, long = route(aim_us=100_000), route(aim_us=2_000_000, deadline_us=4_000_000)
     one_zone = [s._replace(zone=0) for s in fleet()]
     stage = Stage(Settings(routes=(short, long), balancers=400, number=100), one_zone)
-    stage.balancer.blocking_share = 0.01
-    stage.balancer.routes[1].cost_us, stage.balancer.routes[1].samples = 300_000.0, 9
+    stage.balancer.lanes.blocking_fraction = 0.01
+    stage.balancer.state.routes[1].cost_us, stage.balancer.state.routes[1].samples = 300_000.0, 9
     for _ in range(40):
         request = stage.arrive(1)
         stage.pass_time(200_000)
@@ -475,13 +494,13 @@
 
 def test_one_outcome_of_a_server_seldom_seen_says_much_and_fades() -> None:
     balancer = Stage(many(), fleet()).balancer
-    server = balancer.candidates[0]
-    balancer.mean_payoff = 0.9
-    balancer.now += 10_000_000
+    server = balancer.state.candidates[0]
+    balancer.payoffs.mean = 0.9
+    balancer.state.now_us += 10_000_000
     balancer.credit(server, 0.0)
-    assert balancer.payoff(server) < 0.1
-    balancer.now += 10_000_000
-    assert balancer.payoff(server) > 0.7
+    assert balancer.payoffs.payoff(server) < 0.1
+    balancer.state.now_us += 10_000_000
+    assert balancer.payoffs.payoff(server) > 0.7
 
 
 def test_a_gateway_whose_attempts_fail_sheds_load_and_recovers() -> None:
@@ -489,18 +508,18 @@
     time.
     """
     balancer = Stage(settings(), 3).balancer
-    server = balancer.candidates[0]
+    server = balancer.state.candidates[0]
     for _ in range(20):
         balancer.credit(server, 0.0)
-    assert balancer.admitted == balance.LEAST_ADMITTED
+    assert balancer.shedder.admitted == MIN_ADMITTED
     for _ in range(20):
         balancer.credit(server, 1.0)
-    assert balancer.admitted == 1.0
+    assert balancer.shedder.admitted == 1.0
 
 
 def test_shed_requests_are_refused_before_they_cost_work() -> None:
     stage = Stage(settings(), 3)
-    stage.balancer.admitted = 0.0
+    stage.balancer.shedder.admitted = 0.0
     request = stage.arrive()
     assert request not in stage.sends and stage.log[-1] == Refuse(request)
 
@@ -514,25 +533,25 @@
         request = stage.arrive()
         stage.pass_time(150_000)
         stage.done(request, Outcome.SUCCESS)
-    assert stage.balancer.routes[0].budget.tokens < 4
+    assert stage.balancer.state.routes[0].retry_budget.tokens < 4
 
 
 def test_the_first_ejection_lasts_for_the_trials_of_all_that_share_the_server() -> None:
     alone, shared = Stage(settings(), 4).balancer, Stage(many(), fleet()).balancer
     for balancer in (alone, shared):
-        balancer.recent = 30.0
+        balancer.state.recent = 30.0
         for _ in range(12):
-            balancer.blame(balancer.candidates[0])
-    lasts = [b.candidates[0].ejected_until_us - b.now for b in (alone, shared)]
+            balancer.blame(balancer.state.candidates[0])
+    lasts = [b.state.candidates[0].ejected_until_us - b.state.now_us for b in (alone, shared)]
     assert lasts[0] == DEADLINE_US and lasts[1] > 3 * DEADLINE_US
 
 
 def test_crossing_zones_is_worth_its_price_only() -> None:
     stage = Stage(many(price_cross_zone=0.1), fleet())
-    here, there = (next(s for s in stage.balancer.candidates if s.spec.zone == z) for z in (0, 1))
-    assert stage.balancer.score(here) > stage.balancer.score(there)
-    here.payoff, here.heard_us = 0.3, stage.now
-    assert stage.balancer.score(here) < stage.balancer.score(there)
+    here, there = (next(s for s in stage.balancer.state.candidates if s.spec.zone == z) for z in (0, 1))
+    assert stage.balancer.chooser.score(here) > stage.balancer.chooser.score(there)
+    here.payoff, here.observed_us = 0.3, stage.now
+    assert stage.balancer.chooser.score(here) < stage.balancer.chooser.score(there)
 
 
 @pytest.mark.parametrize("balancers", [1, 7, 400])
@@ -545,11 +564,11 @@
     start = 50_000_000
     cold = [Server(7, started_us=start)]
     group = [
-        balance.Balancer(settings(route(), number=n, fall_window_us=window_us, **told), n)
+        Balancer(settings(route(), number=n, fall_window_us=window_us, **told), n)
         for n in range(balancers)
     ]
     for balancer in group:
-        balancer.routes[0].cost_us = balancer.mean_cost_us = float(work_us)
+        balancer.state.routes[0].cost_us = balancer.state.mean_cost_us = float(work_us)
         balancer.handle(start, [ServerList(ListKind.CACHED, tuple(cold))])
     sent: list[int] = []
     number = 0
@@ -585,8 +604,8 @@
     start, work_us, count = 50_000_000, 100_000, 30
     cold = tuple(Server(7 + i, started_us=start, hint=2.0) for i in range(count))
     safe = route(aim_us=1_000_000, deadline_us=2_000_000)
-    balancer = balance.Balancer(settings(safe, number=3, **told), 3)
-    balancer.routes[0].cost_us = balancer.mean_cost_us = float(work_us)
+    balancer = Balancer(settings(safe, number=3, **told), 3)
+    balancer.state.routes[0].cost_us = balancer.state.mean_cost_us = float(work_us)
     balancer.handle(start, [ServerList(ListKind.CACHED, cold)])
     sent = 0
     for now in range(start, start + 10_000_000, 50_000):
@@ -607,8 +626,8 @@
     told: dict[str, Any] = {"cold_us": 400_000_000, "cold_from": 0.5, "fall_multiple": 3.0}
     start, work_us = 50_000_000, 20_000
     safe = route(aim_us=1_000_000, deadline_us=2_000_000)
-    balancer = balance.Balancer(settings(safe, balancers=4, **told), 3)
-    balancer.routes[0].cost_us = balancer.mean_cost_us = float(work_us)
+    balancer = Balancer(settings(safe, balancers=4, **told), 3)
+    balancer.state.routes[0].cost_us = balancer.state.mean_cost_us = float(work_us)
     cold = tuple(Server(i, started_us=start) for i in range(6))
     balancer.handle(start, [ServerList(ListKind.CACHED, cold)])
     parts = [0, 0]
@@ -621,7 +640,7 @@
                 now, [AttemptDone(now, 0, outcome, work_us, outcome is Outcome.SUCCESS)]
             )
         balancer.handle(now, [Departed(now)])
-        for s in balancer.candidates:
+        for s in balancer.state.candidates:
             s.ejected_until_us = 0
     return parts[0], parts[1]
 
@@ -636,7 +655,7 @@
 def test_a_refusal_leaves_the_client_half_of_its_time() -> None:
     """A client in a hurry was told to come back when hardly any of its time was left."""
     stage = Stage(settings(clients_mark_repeats=True), 1)
-    while not stage.balancer.queued:
+    while not stage.balancer.state.queued:
         stage.arrive()
     give_up_us = AIM_US
     request = stage.arrive(give_up_us=give_up_us)
@@ -649,7 +668,7 @@
     balancers with no room, and others had some.
     """
     stage = Stage(settings(route(late_worth=late_worth), clients_mark_repeats=True), 1)
-    while not stage.balancer.queued:
+    while not stage.balancer.state.queued:
         stage.arrive()
     request = stage.arrive(give_up_us=5 * AIM_US)
     assert Refuse(request) not in stage.pass_time(AIM_US // 10)
@@ -657,7 +676,7 @@
 
 
 @pytest.mark.parametrize(
-    ("admitted", "away_us"), [(1.0, AIM_US * balance.BACKOFF), (0.9, 1_500_000)]
+    ("admitted", "away_us"), [(1.0, AIM_US * FIRST_BACKOFF_FRACTION), (0.9, 1_500_000)]
 )
 def test_a_client_stays_away_for_long_only_where_load_has_to_fall(
     admitted: float, away_us: float
@@ -666,9 +685,9 @@
     once.
     """
     stage = Stage(settings(retry_after=True, max_retry_after_us=1_500_000), 1)
-    while not stage.balancer.queued:
+    while not stage.balancer.state.queued:
         request = stage.arrive()
-    stage.balancer.admitted = admitted
+    stage.balancer.shedder.admitted = admitted
     assert Refuse(request, int(away_us)) in stage.pass_time(AIM_US)
 
 
@@ -677,7 +696,7 @@
     left.
     """
     stage = Stage(settings(), 1)
-    while not stage.balancer.queued:
+    while not stage.balancer.state.queued:
         old = stage.arrive()
     new = stage.arrive()
     left = stage.arrive()
@@ -686,7 +705,7 @@
         stage.done(min(stage.sends), Outcome.SUCCESS)
         del stage.sends[min(stage.sends)]
     assert list(stage.sends)[-2:] == [new, old]
-    assert not stage.balancer.queued
+    assert not stage.balancer.state.queued
 
 
 def test_a_dead_zone_is_not_panicked_into() -> None:
@@ -694,7 +713,7 @@
     there = [Server(i, zone=1) for i in range(11, 14)]
     stage = Stage(settings(route(Effect.UNSAFE)), here + there)
     stage.warm_up(60)
-    for s in stage.balancer.servers.values():
+    for s in stage.balancer.state.servers.values():
         if s.spec.zone == 0:
             s.ejected_until_us = stage.now + 60_000_000
     for _ in range(40):
@@ -708,7 +727,7 @@
     tries.
     """
     stage = Stage(settings(), 1)
-    while not stage.balancer.queued:
+    while not stage.balancer.state.queued:
         blocking = stage.arrive()
     repeats = [stage.arrive(repeat=True) for _ in range(3)]
     first = stage.arrive()
@@ -757,8 +776,8 @@
     dear, cheap = (Stage(many(price_cross_zone=p), fleet()).balancer for p in (0.3, 0.01))
     shares = []
     for balancer in (dear, cheap):
-        balancer.recent = 12.0 * balance.RECORD
-        window = balancer.window() or []
+        balancer.state.recent = 12.0 * OUTCOMES_PER_SERVER
+        window = window(balancer.state) or []
         assert len(window) == len({s.spec.id for s in window}) == 12
         shares.append(sum(s.spec.zone == 0 for s in window))
     assert shares[0] >= 6 and shares[0] > shares[1]
--- a/tests/balancer/test_cold_fleet.py
+++ b/tests/balancer/test_cold_fleet.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from roselink.balancer.balance import Balancer
+from roselink.balancer.decider import Balancer
 from roselink.balancer.interface import (
     Alarm,
     Arrived,
@@ -170,7 +170,8 @@
             self.teach(b, [m.spec for m in warm], learnt)
         self.group = [copy.deepcopy(taught[n % len(taught)]) for n in range(balancers)]
         for n, b in enumerate(self.group):
-            b.settings, b.random = Settings(number=n, **told), random.Random(seed * 1000 + n)
+            b.state.settings = Settings(number=n, **told)
+            b.state.random = random.Random(seed * 1000 + n)
             self.feed(n, [ServerList(ListKind.FULL, tuple(m.spec for m in self.machines.values()))])
 
     def machine(self, number: int, kind: int, started_us: int | None) -> Machine:
@@ -206,7 +207,7 @@
                     b.handle(now, [AttemptDone(send.request, 0, Outcome.SUCCESS, took, True)])
         b.alarms.clear()
         if answers > 64:
-            b.cold_load = 0.5 * b.settings.fall_multiple
+            b.slow_start.load = 0.5 * b.settings.fall_multiple
 
     def warmth(self, now: float) -> float:
         part = min(1.0, (now - self.start_us) / self.site.cold_us)
@@ -258,8 +259,8 @@
             for n, b in enumerate(self.group if tick >= START_US + idle_us else ()):
                 for _ in range(20):
                     if not any(
-                        s.rest_until_us <= tick and s.in_flight + 1 <= max(1.0, b.share)
-                        for s in b.cold
+                        s.next_send_us <= tick and s.in_flight + 1 <= max(1.0, b.limit.share)
+                        for s in b.state.cold
                     ):
                         break
                     event = self.arrived(tick)
@@ -318,7 +319,7 @@
     """
     alike = SITES["bratislava-desks"]._replace(io_us=0, speeds=(1.0,), speed_cv=0.0)
     group = [b for seed in range(1, 6) for b in Fleet(alike, 5, seed, 150).group]
-    assert 0.8 < sum(2.0 ** -b.pace[0] for b in group) / len(group) < 1.25
+    assert 0.8 < sum(2.0 ** -b.speeds.log2_slowness[0] for b in group) / len(group) < 1.25
 
 
 @pytest.mark.parametrize("hints", [False, True])
--- a/tests/balancer/test_property.py
+++ b/tests/balancer/test_property.py
@@ -9,8 +9,8 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from roselink.balancer import balance
-from roselink.balancer.balance import Balancer
+from roselink.balancer import decider
+from roselink.balancer.decider import Balancer
 from roselink.balancer.interface import (
     Action,
     Alarm,
@@ -33,6 +33,8 @@
     Settings,
     State,
 )
+from roselink.balancer.request_state import Request
+from roselink.balancer.slow_start import SlowStart
 from tests.support.rulecheck import Checker, RuleBroken
 
 if TYPE_CHECKING:
@@ -117,8 +119,8 @@
             else:
                 self.checker.after(self.now, [])
         assert self.give_up.keys() == self.ended
-        assert not self.balancer.requests and self.balancer.queued == 0
-        assert all(s.in_flight == s.overdue == 0 for s in self.balancer.servers.values())
+        assert not self.balancer.requests and self.balancer.state.queued == 0
+        assert all(s.in_flight == s.overdue == 0 for s in self.balancer.state.servers.values())
 
     def trouble(self) -> list[Event]:
         roll = self.rng.random()
@@ -212,13 +214,13 @@
 
 
 def break_final_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Balancer, "shed", lambda self, request: None)
+    monkeypatch.setattr(Balancer, "end_queued", lambda self, request: None)
 
 
 def break_send_after_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    def finish(self: Balancer, request: balance.Request) -> None:
+    def finish(self: Balancer, request: Request) -> None:
         self.actions.append(Fail(request.id))
-        if server := self.pick(request):
+        if server := self.chooser.choose(request):
             self.send(request, server)
         self.close(request)
 
@@ -226,11 +228,11 @@
 
 
 def break_effect(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(balance.Request, "may_have_run", lambda self: [])
+    monkeypatch.setattr(Request, "may_have_run", lambda self: [])
 
 
 def break_refusal(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(balance, "may_refuse", lambda request: True)
+    monkeypatch.setattr(decider, "may_refuse", lambda request: True)
 
 
 def break_drain(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -240,11 +242,11 @@
         lines = tuple(line._replace(state=State.READY) for line in event.servers)
         on_list(self, event._replace(servers=lines))
 
-    monkeypatch.setitem(balance.HANDLERS, ServerList, keep_all)
+    monkeypatch.setitem(decider.HANDLERS, ServerList, keep_all)
 
 
 def break_slow_start(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Balancer, "may_warm", lambda self, request, server: True)
+    monkeypatch.setattr(SlowStart, "allows", lambda self, request, server: True)
 
 
 @pytest.mark.parametrize(
--- a/tests/gateway/test_discovery.py
+++ b/tests/gateway/test_discovery.py
@@ -316,7 +316,7 @@
         hosts = [await FakeHost(f"s-{name}").start() for name in ("attic", "cellar", "loft")]
         zones = ("attic", "cellar", "attic")
         w.discovery.tell(*(host.entry(zone=zone) for host, zone in zip(hosts, zones, strict=True)))
-        known = w.gateway.engine._balancer.servers
+        known = w.gateway.engine._balancer.state.servers
         await until(lambda: len(known) == 4)
         attic, cellar, loft = (
             known[discovery.server_number(host.name)].spec.zone for host in hosts
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -154,7 +154,7 @@
     }
     async with world(hang, settings=told_settings(lanes=[lane])) as w:
         balancer, clients = w.gateway.engine._balancer, []
-        while not balancer.queued:
+        while not balancer.state.queued:
             clients.append(SuddenClient(w.gateway.port))
             clients[-1].send()
             await until(lambda: len(balancer.requests) == len(clients))
@@ -470,7 +470,7 @@
         )
         await until(lambda: len(w.gateway.engine.hosts) == 3)
         balancer = w.gateway.engine._balancer
-        assert [s.spec.id for s in balancer.cold] == [server_number("s-young")]
+        assert [s.spec.id for s in balancer.state.cold] == [server_number("s-young")]
 
 
 @on_loop
@@ -643,7 +643,7 @@
 async def test_an_unknown_tenant_is_served_as_over_its_share(tenant: str | None) -> None:
     async with world(serve_ok) as w, w.client() as client:
         assert (await client.ask(Tenant=tenant)).status == 200
-        assert w.gateway.engine._balancer.over_quota(-1)
+        assert not w.gateway.engine._balancer.quotas.take(-1)
 
 
 # Limits.
@@ -859,10 +859,10 @@
             lambda: not w.gateway.server.connections and not engine._open and not engine._ids
         )
         await until(
-            lambda: not balancer.requests and not w.gateway.upstream._tasks and not balancer.queued
+            lambda: not balancer.requests and not w.gateway.upstream._tasks and not balancer.state.queued
         )
-        assert all(s.in_flight == s.overdue == 0 for s in balancer.servers.values())
-        assert set(balancer.servers) == set(engine.hosts)
+        assert all(s.in_flight == s.overdue == 0 for s in balancer.state.servers.values())
+        assert set(balancer.state.servers) == set(engine.hosts)
         idle = [c for host in engine.hosts.values() for c in host.idle]
         assert set(w.gateway.upstream._idle) == set(idle)
         await until(lambda: w.gateway.server._descriptors.used == len(w.gateway.upstream._idle))
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from roselink.balancer.balance import Balancer
+from roselink.balancer.decider import Balancer
 from roselink.balancer.interface import (
     Action,
     Alarm,
