--- a/roselink/controller/pull_service.py
+++ b/roselink/controller/pull_service.py
@@ -19,7 +19,7 @@
     PullEffect,
     PullTimes,
 )
-from roselink.protocol.pull import ChangesPull, ChangesReply, Pull, PullReply
+from roselink.protocol.pull import DeltaPullReply, DeltaPullRequest, PullReply, PullRequest
 
 if TYPE_CHECKING:
     from roselink.controller.contract import Address, Confirmation, ControlNode
@@ -70,11 +70,11 @@
 
     def handle(self, peer: Address, message: object, reply: Reply) -> bool:
         """Take a record of the pull service; False for any other."""
-        if isinstance(message, Pull):
+        if isinstance(message, PullRequest):
             self._take(message, reply, forwarded=False)
         elif isinstance(message, ForwardedPull):
             self._take(message.pull, reply, forwarded=True)
-        elif isinstance(message, ChangesPull):
+        elif isinstance(message, DeltaPullRequest):
             self._take(message.pull, reply, forwarded=False, changes=True)
         elif isinstance(message, ForwardedChangesPull):
             self._take(message.pull, reply, forwarded=True, changes=True)
@@ -95,7 +95,9 @@
         """The gateways heard by the tail, for people."""
         return self._desk.lags(self._clock())
 
-    def _take(self, pull: Pull, reply: Reply, forwarded: bool, changes: bool = False) -> None:
+    def _take(
+        self, pull: PullRequest, reply: Reply, forwarded: bool, changes: bool = False
+    ) -> None:
         number = next(self._numbers)
         self._replies[number] = reply
         self._desk.cores_changed(self._node.core_addresses())
@@ -121,7 +123,7 @@
 
     def _when_forwarded(self, number: int) -> Callable[[Any], None]:
         def done(answer: Any) -> None:
-            reply = answer if isinstance(answer, PullReply | ChangesReply) else None
+            reply = answer if isinstance(answer, PullReply | DeltaPullReply) else None
             self._apply(self._desk.forwarded(self._clock(), number, reply))
 
         return done
--- a/roselink/controller/pulls.py
+++ b/roselink/controller/pulls.py
@@ -18,7 +18,7 @@
 from roselink.controller.host_versions import HostVersions
 from roselink.controller.payoffs import PayoffPool
 from roselink.model.fleet import Host, Member, VersionVector
-from roselink.protocol.pull import ChangesReply, Pull, PullReply
+from roselink.protocol.pull import DeltaPullReply, PullReply, PullRequest
 from roselink.protocol.records import record
 
 if TYPE_CHECKING:
@@ -38,15 +38,15 @@
     again.
     """
 
-    pull: Pull
+    pull: PullRequest
 
 
 @record(65)
 @dataclass(frozen=True, slots=True)
 class ForwardedChangesPull:
-    """The same for a `ChangesPull`."""
+    """The same for a `DeltaPullRequest`."""
 
-    pull: Pull
+    pull: PullRequest
 
 
 @dataclass(frozen=True, slots=True)
@@ -89,21 +89,21 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerChanges:
-    """The reply to the `ChangesPull` that came with this number."""
+    """The reply to the `DeltaPullRequest` that came with this number."""
 
     number: int
-    reply: ChangesReply
+    reply: DeltaPullReply
 
 
-AnyReply = PullReply | ChangesReply
+AnyReply = PullReply | DeltaPullReply
 PullEffect = Confirm | Forward | Answer | AnswerChanges
 
 
 @dataclass(frozen=True, slots=True)
 class _Waiting:
-    """A pull without its answer. `changes`: it came as a `ChangesPull`."""
+    """A pull without its answer. `changes`: it came as a `DeltaPullRequest`."""
 
-    pull: Pull
+    pull: PullRequest
     changes: bool
 
 
@@ -185,10 +185,15 @@
         self._cores = cores
 
     def pull(
-        self, now: float, number: int, pull: Pull, forwarded: bool = False, changes: bool = False
+        self,
+        now: float,
+        number: int,
+        pull: PullRequest,
+        forwarded: bool = False,
+        changes: bool = False,
     ) -> list[PullEffect]:
         """A pull came, from a gateway or `forwarded` by another member; `changes`: as a
-        `ChangesPull`.
+        `DeltaPullRequest`.
         """
         self._note(now)
         if self._is_tail:
@@ -203,14 +208,14 @@
         return [Forward(number, self._tail, message)]
 
     def forwarded(
-        self, now: float, number: int, reply: PullReply | ChangesReply | None
+        self, now: float, number: int, reply: PullReply | DeltaPullReply | None
     ) -> list[PullEffect]:
         """The tail's reply to a pull that was sent on, or None."""
         self._note(now)
         waiting = self._waiting.pop(number, None)
         if waiting is None:
             return []
-        if waiting.changes and isinstance(reply, ChangesReply):
+        if waiting.changes and isinstance(reply, DeltaPullReply):
             return [AnswerChanges(number, reply)]
         if not waiting.changes and isinstance(reply, PullReply):
             return [Answer(number, reply)]
@@ -264,7 +269,7 @@
             for gateway in self._gateways.values():
                 gateway.heard_at += pause
 
-    def _heard(self, now: float, pull: Pull) -> None:
+    def _heard(self, now: float, pull: PullRequest) -> None:
         member = pull.member
         known = self._gateways.get(member.name)
         if known is None:
@@ -313,10 +318,10 @@
 
     def _changes_reply(
         self, now: float, held: VersionVector, confirmation: Confirmation
-    ) -> ChangesReply:
+    ) -> DeltaPullReply:
         newer = self._hosts.version > held.hosts
         changes = self._hosts.since(held.hosts) if newer else None
-        return ChangesReply(
+        return DeltaPullReply(
             confirmed=True,
             vector=self._vector(confirmation),
             configuration=self._compressed(held, confirmation),
@@ -340,7 +345,7 @@
 
     def _unconfirmed(self, number: int, changes: bool) -> PullEffect:
         if changes:
-            nothing = ChangesReply(False, VersionVector(), None, None, None, None, self._cores)
+            nothing = DeltaPullReply(False, VersionVector(), None, None, None, None, self._cores)
             return AnswerChanges(number, nothing)
         return Answer(number, PullReply(False, VersionVector(), None, None, None, self._cores))
 
--- a/roselink/distribution/host_changes.py
+++ b/roselink/distribution/host_changes.py
@@ -1,21 +1,21 @@
-"""A gateway's configuration and list of hosts out of what a `ChangesReply` brings."""
+"""A gateway's configuration and list of hosts out of what a `DeltaPullReply` brings."""
 
 from __future__ import annotations
 
 import zlib
 from typing import TYPE_CHECKING
 
-from roselink.protocol.pull import ChangesReply, HostChanges, HostList, PullReply
-from roselink.protocol.records import RecordError, decode, number_of
+from roselink.protocol.pull import DeltaPullReply, HostChanges, HostList, PullReply
+from roselink.protocol.records import RecordError, decode, record_number_of
 
 if TYPE_CHECKING:
     from roselink.model.fleet import Host
 
-_LIST = number_of(HostList(()))
-_CHANGES = number_of(HostChanges(0, (), ()))
+_LIST = record_number_of(HostList(()))
+_CHANGES = record_number_of(HostChanges(0, (), ()))
 
 
-def completed(reply: ChangesReply, held: int, hosts: tuple[Host, ...]) -> PullReply | None:
+def expand_reply(reply: DeltaPullReply, held: int, hosts: tuple[Host, ...]) -> PullReply | None:
     """The reply with its whole document, and its whole list from the list held under a version;
     None if it can't be read, or its changes are from another version.
     """
@@ -32,7 +32,7 @@
     return PullReply(reply.confirmed, reply.vector, *known)
 
 
-def _listed(reply: ChangesReply, held: int, hosts: tuple[Host, ...]) -> tuple[Host, ...] | None:
+def _listed(reply: DeltaPullReply, held: int, hosts: tuple[Host, ...]) -> tuple[Host, ...] | None:
     if reply.host_list is not None:
         whole: HostList = decode(_LIST, reply.host_list)
         return whole.hosts
@@ -45,7 +45,7 @@
 def changed(hosts: tuple[Host, ...], changes: HostChanges) -> tuple[Host, ...]:
     """The list after the changes, by id."""
     by_id = {host.id: host for host in hosts}
-    for name in changes.gone:
+    for name in changes.removed:
         by_id.pop(name, None)
-    by_id.update((host.id, host) for host in changes.put)
+    by_id.update((host.id, host) for host in changes.updated)
     return tuple(sorted(by_id.values(), key=lambda host: host.id))
--- a/roselink/distribution/puller.py
+++ b/roselink/distribution/pull_client.py
@@ -1,6 +1,4 @@
-"""Drives a `PullMachine`: its calls over a `PeerPool`, its timer, and the seeds in the settings
-file.
-"""
+"""Drives a `PullStateMachine`: calls over a `PeerPool`, a timer, and seeds from the settings."""
 
 from __future__ import annotations
 
@@ -13,17 +11,17 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from roselink.distribution.pull import (
-    Apply,
-    Confirmed,
+from roselink.distribution.pull_state_machine import (
+    ApplySnapshot,
+    ConfigurationUnreadable,
     Effect,
-    Payoffs,
-    PullMachine,
+    PayoffsReceived,
+    PullStateMachine,
     SendPull,
-    Unreadable,
+    SnapshotConfirmed,
 )
 from roselink.model.settings import ProcessSettings, SettingsError, load_settings
-from roselink.protocol.pull import ChangesPull, ChangesReply, PullReply
+from roselink.protocol.pull import DeltaPullReply, DeltaPullRequest, PullReply
 
 if TYPE_CHECKING:
     from roselink.model.fleet import Member, Snapshot
@@ -38,7 +36,7 @@
 Stamp = tuple[int, int, int]
 
 
-class Puller:
+class PullClient:
     """What is in force at this gateway, kept new. Times are of `time.monotonic`: an event loop's
     cached clock is behind after a freeze, and a lease judged by it would last too long.
     """
@@ -55,10 +53,10 @@
         self._revoke_s = settings.thresholds.revoke_ms / 1000
         self._strict = settings.thresholds.revocation_strict
         chance = random.Random(os.urandom(8))
-        self._machine = PullMachine(member, settings.seed_peers(), chance)
+        self._machine = PullStateMachine(member, settings.seed_peers(), chance)
         self._on_snapshot: list[Callable[[Snapshot], None]] = []
         self._on_confirmed: list[Callable[[float], None]] = []
-        self._on_payoffs: Callable[[Payoffs], None] | None = None
+        self._on_payoffs: Callable[[PayoffsReceived], None] | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._settings_timer: asyncio.TimerHandle | None = None
         self._stamp = self._read_stamp()
@@ -94,8 +92,10 @@
         """Call with the time after which what is in force was the newest."""
         self._on_confirmed.append(callback)
 
-    def share_payoffs(
-        self, outcomes: Callable[[], tuple[HostOutcomes, ...]], told: Callable[[Payoffs], None]
+    def exchange_payoffs(
+        self,
+        outcomes: Callable[[], tuple[HostOutcomes, ...]],
+        told: Callable[[PayoffsReceived], None],
     ) -> None:
         """Report `outcomes()` with each pull, and call `told` with what all gateways' reports come
         to.
@@ -106,19 +106,19 @@
         """The core's members ("ip:port"), as a confirmed reply named them last."""
         return tuple(f"{host}:{port}" for host, port in self._machine.cores)
 
-    def hear_cores(self, cores: Iterable[str]) -> None:
+    def add_core_hints(self, cores: Iterable[str]) -> None:
         """Addresses of core members that a peer knows of."""
-        self._machine.use_hints(cores)
+        self._machine.add_core_hints(cores)
 
     def set_serving(self, serving: bool) -> None:
         """Whether this gateway may hold roles, from the next pull on, which comes soon."""
         if serving != self._machine.serving:
             self._machine.serving = serving
-            self.hurry()
+            self.pull_soon()
 
-    def hurry(self) -> None:
+    def pull_soon(self) -> None:
         """Something newer exists: pull soon."""
-        self._machine.hurry(self._clock())
+        self._machine.pull_soon(self._clock())
         self._schedule()
 
     def reload(self) -> None:
@@ -129,8 +129,8 @@
         except SettingsError as error:
             log.warning("settings_unusable faults=%s", error)
             return
-        self._machine.use_seeds(settings.seed_peers())
-        self.hurry()
+        self._machine.set_seeds(settings.seed_peers())
+        self.pull_soon()
 
     def _watch_settings(self) -> None:
         if self._read_stamp() != self._stamp:
@@ -154,24 +154,24 @@
         if self._timer is not None:
             self._timer.cancel()
         self._timer = None
-        if self._stopped or self._machine.under_way:
+        if self._stopped or self._machine.in_flight:
             return
         wait_s = max(0.0, self._machine.due_at - self._clock())
         self._timer = asyncio.get_running_loop().call_later(wait_s, self._wake)
 
     def _answered(self, call: int, answer: object) -> None:
         if not self._stopped:
-            reply = answer if isinstance(answer, PullReply | ChangesReply) else None
-            self._perform(self._machine.answered(call, reply, self._clock()))
+            reply = answer if isinstance(answer, PullReply | DeltaPullReply) else None
+            self._perform(self._machine.reply_received(call, reply, self._clock()))
 
     def _perform(self, effects: list[Effect]) -> None:
         for effect in effects:
             match effect:
                 case SendPull(call, address, pull, timeout_s):
                     self._pool.call(
-                        address, ChangesPull(pull), timeout_s, partial(self._answered, call)
+                        address, DeltaPullRequest(pull), timeout_s, partial(self._answered, call)
                     )
-                case Apply(snapshot):
+                case ApplySnapshot(snapshot):
                     held = snapshot.vector
                     log.info(
                         "in_force configuration=%d hosts=%d:%d roster=%d:%d",
@@ -180,13 +180,13 @@
                         *divmod(held.roster, EPOCH_SPAN),
                     )
                     self._tell(snapshot)
-                case Confirmed(at):
+                case SnapshotConfirmed(at):
                     for confirmed in self._on_confirmed:
                         confirmed(at)
-                case Payoffs():
+                case PayoffsReceived():
                     if self._on_payoffs is not None:
                         self._on_payoffs(effect)
-                case Unreadable(version, why):
+                case ConfigurationUnreadable(version, why):
                     log.error("configuration_unreadable version=%d why=%s", version, why)
         self._schedule()
 
--- a/roselink/distribution/pull.py
+++ b/roselink/distribution/pull_state_machine.py
@@ -14,12 +14,12 @@
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING
 
-from roselink.distribution.host_changes import completed
+from roselink.distribution.host_changes import expand_reply
 from roselink.model.configuration import Configuration, Limits
 from roselink.model.fleet import Member, Snapshot, VersionVector
 from roselink.protocol.payoffs import HostOutcomes, PooledPayoffs
-from roselink.protocol.pull import ChangesReply, Pull, PullReply
-from roselink.protocol.records import RecordError, decode, number_of_type
+from roselink.protocol.pull import DeltaPullReply, PullReply, PullRequest
+from roselink.protocol.records import RecordError, decode, record_number_of_class
 
 if TYPE_CHECKING:
     import random
@@ -43,30 +43,30 @@
 
 @dataclass(frozen=True, slots=True)
 class SendPull:
-    """Effect: call a core member; `PullMachine.answered` wants the outcome under this number."""
+    """Effect: call a core member; the outcome goes to `PullStateMachine.reply_received`."""
 
     call: int
     address: Address
-    pull: Pull
+    pull: PullRequest
     timeout_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class Apply:
+class ApplySnapshot:
     """Effect: this snapshot is in force now."""
 
     snapshot: Snapshot
 
 
 @dataclass(frozen=True, slots=True)
-class Confirmed:
+class SnapshotConfirmed:
     """Effect: what is in force was the newest at a moment after `at`, when the pull was sent."""
 
     at: float
 
 
 @dataclass(frozen=True, slots=True)
-class Unreadable:
+class ConfigurationUnreadable:
     """Effect: a configuration came that can't be read; the old one stays."""
 
     version: int
@@ -74,16 +74,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Payoffs:
+class PayoffsReceived:
     """Effect: the hosts' pooled payoffs, 0 to 1, those not named are 1."""
 
     hosts: tuple[tuple[str, float], ...]
 
 
-Effect = SendPull | Apply | Confirmed | Unreadable | Payoffs
+Effect = SendPull | ApplySnapshot | SnapshotConfirmed | ConfigurationUnreadable | PayoffsReceived
 
 
-class PullMachine:
+class PullStateMachine:
     """Pulls for ever from one core member that answers. One pull is under way at a time."""
 
     def __init__(self, member: Member, seeds: Iterable[Address], chance: random.Random) -> None:
@@ -108,19 +108,19 @@
         self._backoff_s = BACKOFF_FIRST_S
         self._payoffs: tuple[bytes, tuple[tuple[str, float], ...]] = b"", ()
         self._bare_s = BARE_FIRST_S
-        self.use_seeds(seeds)
+        self.set_seeds(seeds)
 
     @property
-    def under_way(self) -> bool:
+    def in_flight(self) -> bool:
         """Whether a call's outcome is awaited; `wake` does nothing until then."""
         return self._open is not None
 
-    def use_seeds(self, seeds: Iterable[Address]) -> None:
+    def set_seeds(self, seeds: Iterable[Address]) -> None:
         """The settings' seeds, now."""
         self._seeds = tuple(dict.fromkeys(seeds))
         self._arrange()
 
-    def use_hints(self, cores: Iterable[str]) -> None:
+    def add_core_hints(self, cores: Iterable[str]) -> None:
         """Addresses ("ip:port") that someone has heard of; tried after the core's own list."""
         hints = tuple(dict.fromkeys((*_addresses(cores), *self._hints)))[:HINTS_MOST]
         if set(hints) != set(self._hints):
@@ -138,15 +138,15 @@
             return []
         self._calls += 1
         self._open = self._calls, now
-        pull = Pull(self._member, self._vector, self.serving, self.outcomes())
+        pull = PullRequest(self._member, self._vector, self.serving, self.outcomes())
         return [SendPull(self._calls, self._order[0], pull, self._timeout_s)]
 
-    def hurry(self, now: float) -> None:
+    def pull_soon(self, now: float) -> None:
         """Something newer exists: pull soon."""
         self.due_at = min(self.due_at, now + SOONEST_AGAIN_S)
 
-    def answered(
-        self, call: int, reply: PullReply | ChangesReply | None, now: float
+    def reply_received(
+        self, call: int, reply: PullReply | DeltaPullReply | None, now: float
     ) -> list[Effect]:
         """The outcome of a call: the reply, or None. A reply whose hosts can't be read counts as
         none.
@@ -155,15 +155,15 @@
             return []
         sent_at = self._open[1]
         self._open = None
-        if isinstance(reply, ChangesReply):
-            reply = completed(reply, self._vector.hosts, self._parts.hosts)
+        if isinstance(reply, DeltaPullReply):
+            reply = expand_reply(reply, self._vector.hosts, self._parts.hosts)
         if reply is None or not reply.confirmed:
             self._failed(now)
             if reply is not None:
-                self.use_hints(reply.cores)
+                self.add_core_hints(reply.cores)
             return []
         effects = self._take(reply, sent_at)
-        if not any(isinstance(effect, Confirmed) for effect in effects):
+        if not any(isinstance(effect, SnapshotConfirmed) for effect in effects):
             self._failed(now)
             return effects
         self._failures, self._timeout_s, self._backoff_s = 0, TIMEOUT_S, BACKOFF_FIRST_S
@@ -228,7 +228,7 @@
             try:
                 configuration = Configuration.from_document(json.loads(reply.configuration))
             except (ValueError, KeyError, TypeError, AttributeError) as error:
-                effects.append(Unreadable(told.configuration, repr(error)))
+                effects.append(ConfigurationUnreadable(told.configuration, repr(error)))
             else:
                 held = replace(held, configuration=told.configuration)
                 changed = replace(changed, configuration=configuration)
@@ -240,10 +240,10 @@
             self._vector, self._parts = held, replace(changed, vector=held)
             if held.configuration:
                 self.snapshot = self._parts
-                effects.append(Apply(self._parts))
+                effects.append(ApplySnapshot(self._parts))
         if told.configuration == held.configuration:
             self.confirmed_at = max(sent_at, self.confirmed_at or sent_at)
-            effects.append(Confirmed(self.confirmed_at))
+            effects.append(SnapshotConfirmed(self.confirmed_at))
         return effects
 
     def _take_payoffs(self, told: bytes) -> list[Effect]:
@@ -252,13 +252,13 @@
         if told != before:
             hosts = _read_payoffs(told)
             self._payoffs = told, hosts
-        return [Payoffs(hosts)] if told or before else []
+        return [PayoffsReceived(hosts)] if told or before else []
 
 
 def _read_payoffs(told: bytes) -> tuple[tuple[str, float], ...]:
     """Advice only: what can't be read speaks against no host."""
     try:
-        pooled = decode(number_of_type(PooledPayoffs), told) if told else PooledPayoffs(())
+        pooled = decode(record_number_of_class(PooledPayoffs), told) if told else PooledPayoffs(())
     except RecordError:
         return ()
     return tuple((entry.host, min(1.0, max(0.0, entry.percent / 100))) for entry in pooled.hosts)
--- a/roselink/gossip/peer_sampling.py
+++ b/roselink/gossip/peer_sampling.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from roselink.model.fleet import Member, VersionVector
-from roselink.protocol.sampling import News, Seen, Shuffle, Shuffled
+from roselink.protocol.gossip import GossipDigest, ShuffleReply, ShuffleRequest, ViewEntry
 
 if TYPE_CHECKING:
     import random
@@ -27,53 +27,53 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SendShuffle:
-    """Effect: call a peer; `Sampling.answered` wants the outcome."""
+class SendShuffleRequest:
+    """Effect: call a peer; `PeerSampling.reply_received` wants the outcome."""
 
     address: str
-    shuffle: Shuffle
+    shuffle: ShuffleRequest
 
 
 @dataclass(frozen=True, slots=True)
-class CoresHeard:
+class CoreAddressesLearned:
     """Effect: a peer learned more lately than this gateway where the core is."""
 
     cores: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class NewerHeard:
+class NewerVersionLearned:
     """Effect: a peer has something newer in force."""
 
 
-Effect = SendShuffle | CoresHeard | NewerHeard
+Effect = SendShuffleRequest | CoreAddressesLearned | NewerVersionLearned
 
 
-class Sampling:
+class PeerSampling:
     """One gateway's view. One exchange of its own is under way at a time."""
 
     def __init__(self, own: Member, chance: random.Random) -> None:
         self.due_at = 0.0
         self._own, self._chance = own, chance
-        self._view: dict[str, Seen] = {}
+        self._view: dict[str, ViewEntry] = {}
         self._vector = VersionVector()
         self._cores: tuple[str, ...] = ()
         self._cores_at = float("-inf")
         self._open: tuple[str, list[str]] | None = None  # whom it asked, and what names it sent
 
     @property
-    def view(self) -> tuple[Seen, ...]:
+    def view(self) -> tuple[ViewEntry, ...]:
         """Who is known here."""
         return tuple(self._view.values())
 
-    def know(self, members: Iterable[Member]) -> None:
+    def add_members(self, members: Iterable[Member]) -> None:
         """Members that another source names; they fill free places only."""
         others = [member for member in members if member.name not in (self._own.name, *self._view)]
         self._chance.shuffle(others)
         for member in others[: VIEW_SIZE - len(self._view)]:
-            self._view[member.name] = Seen(member, 0)
+            self._view[member.name] = ViewEntry(member, 0)
 
-    def confirmed(self, vector: VersionVector, cores: tuple[str, ...], at: float) -> None:
+    def pull_confirmed(self, vector: VersionVector, cores: tuple[str, ...], at: float) -> None:
         """A pull that was sent at `at` confirmed what is in force here, and where the core is."""
         self._vector, self._cores, self._cores_at = (
             vector,
@@ -97,16 +97,18 @@
         del self._view[partner.member.name]  # comes back with its answer
         part = self._part(SHUFFLE_SIZE - 1)
         self._open = partner.member.name, [seen.member.name for seen in part]
-        shuffle = Shuffle((Seen(self._own, 0), *part), self._news(now))
-        return [SendShuffle(partner.member.address, shuffle)]
+        shuffle = ShuffleRequest((ViewEntry(self._own, 0), *part), self._news(now))
+        return [SendShuffleRequest(partner.member.address, shuffle)]
 
-    def asked(self, shuffle: Shuffle, now: float) -> tuple[Shuffled, list[Effect]]:
+    def request_received(
+        self, shuffle: ShuffleRequest, now: float
+    ) -> tuple[ShuffleReply, list[Effect]]:
         """A peer's exchange: the answer, and what this gateway learns."""
         part = self._part(SHUFFLE_SIZE)
         self._merge(shuffle.entries, [seen.member.name for seen in part])
-        return Shuffled(part, self._news(now)), self._learn(shuffle.news, now)
+        return ShuffleReply(part, self._news(now)), self._learn(shuffle.digest, now)
 
-    def answered(self, answer: Shuffled | None, now: float) -> list[Effect]:
+    def reply_received(self, answer: ShuffleReply | None, now: float) -> list[Effect]:
         """The outcome of the own exchange; a partner that doesn't answer stays out of the view."""
         if self._open is None:
             return []
@@ -114,16 +116,16 @@
         if answer is None:
             return []
         self._merge(answer.entries, sent)
-        return self._learn(answer.news, now)
+        return self._learn(answer.digest, now)
 
-    def _part(self, size: int) -> tuple[Seen, ...]:
+    def _part(self, size: int) -> tuple[ViewEntry, ...]:
         return tuple(self._chance.sample(list(self._view.values()), min(size, len(self._view))))
 
-    def _news(self, now: float) -> News:
+    def _news(self, now: float) -> GossipDigest:
         age_ms = int(min(1e9, (now - self._cores_at) * 1000)) if self._cores else int(1e9)
-        return News(self._vector, self._cores, age_ms)
+        return GossipDigest(self._vector, self._cores, age_ms)
 
-    def _merge(self, entries: tuple[Seen, ...], sent: list[str]) -> None:
+    def _merge(self, entries: tuple[ViewEntry, ...], sent: list[str]) -> None:
         """Newer words replace older ones; new names take free places, then those of what was sent
         away.
         """
@@ -141,16 +143,16 @@
             if len(self._view) < VIEW_SIZE:
                 self._view[name] = seen
 
-    def _learn(self, news: News, now: float) -> list[Effect]:
+    def _learn(self, news: GossipDigest, now: float) -> list[Effect]:
         effects: list[Effect] = []
         at = now - news.age_ms / 1000
         if news.cores and at > self._cores_at + TROUBLED_S:
-            effects.append(CoresHeard(news.cores))
+            effects.append(CoreAddressesLearned(news.cores))
         told, held = news.vector, self._vector
         if (
             told.configuration > held.configuration
             or told.hosts > held.hosts
             or told.roster > held.roster
         ):
-            effects.append(NewerHeard())
+            effects.append(NewerVersionLearned())
         return effects
--- a/roselink/gossip/driver.py
+++ b/roselink/gossip/peer_sampling_service.py
@@ -1,4 +1,4 @@
-"""Drives `Sampling` over the peers' protocol, and passes on what it learns."""
+"""Drives `PeerSampling` over the peers' protocol, and passes on what it learns."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 from roselink.gossip.peer_sampling import (
     TIMEOUT_S,
-    CoresHeard,
+    CoreAddressesLearned,
     Effect,
-    NewerHeard,
-    Sampling,
-    SendShuffle,
+    NewerVersionLearned,
+    PeerSampling,
+    SendShuffleRequest,
 )
 from roselink.model.fleet import Member, Snapshot, VersionVector
-from roselink.protocol.sampling import Shuffle, Shuffled
+from roselink.protocol.gossip import ShuffleReply, ShuffleRequest
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -27,8 +27,8 @@
 LOOK_S = 0.5  # between looks at whether an exchange is due
 
 
-class Sampler:
-    """One gateway's part. `hear_cores` gets peer addresses of core members, `refresh` is called
+class PeerSamplingService:
+    """One gateway's part. `add_core_hints` gets peer addresses of core members, `refresh` is called
     when something newer is known to exist.
     """
 
@@ -36,12 +36,17 @@
         self,
         own: Member,
         pool: PeerPool,
-        hear_cores: Callable[[Iterable[str]], None],
+        add_core_hints: Callable[[Iterable[str]], None],
         refresh: Callable[[], None],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        self._pool, self._hear_cores, self._refresh, self._clock = pool, hear_cores, refresh, clock
-        self._machine = Sampling(own, random.Random(os.urandom(8)))
+        self._pool, self._hear_cores, self._refresh, self._clock = (
+            pool,
+            add_core_hints,
+            refresh,
+            clock,
+        )
+        self._machine = PeerSampling(own, random.Random(os.urandom(8)))
         self._vector = VersionVector()
         self._timer: asyncio.TimerHandle | None = None
 
@@ -58,32 +63,32 @@
     def apply(self, snapshot: Snapshot) -> None:
         """A new snapshot is in force."""
         self._vector = snapshot.vector
-        self._machine.know(snapshot.roster)
+        self._machine.add_members(snapshot.roster)
 
     def confirm(self, at: float, cores: Iterable[str]) -> None:
         """A pull that was sent at `at` confirmed what is in force, and named the core's members."""
-        self._machine.confirmed(self._vector, tuple(cores), at)
+        self._machine.pull_confirmed(self._vector, tuple(cores), at)
 
     def handle(self, message: object, reply: Reply) -> bool:
         """Answer a peer's exchange; False for records of other kinds."""
-        if not isinstance(message, Shuffle):
+        if not isinstance(message, ShuffleRequest):
             return False
-        answer, effects = self._machine.asked(message, self._clock())
+        answer, effects = self._machine.request_received(message, self._clock())
         reply(answer)
         self._perform(effects)
         return True
 
     def _answered(self, answer: object) -> None:
-        known = answer if isinstance(answer, Shuffled) else None
-        self._perform(self._machine.answered(known, self._clock()))
+        known = answer if isinstance(answer, ShuffleReply) else None
+        self._perform(self._machine.reply_received(known, self._clock()))
 
     def _perform(self, effects: list[Effect]) -> None:
         for effect in effects:
             match effect:
-                case SendShuffle(address, shuffle):
+                case SendShuffleRequest(address, shuffle):
                     host, _, port = address.rpartition(":")
                     self._pool.call((host, int(port)), shuffle, TIMEOUT_S, self._answered)
-                case CoresHeard(cores):
+                case CoreAddressesLearned(cores):
                     self._hear_cores(cores)
-                case NewerHeard():
+                case NewerVersionLearned():
                     self._refresh()
--- /dev/null
+++ b/roselink/protocol/gossip.py
@@ -0,0 +1,56 @@
+"""Records between gateways that shuffle their partial views of the fleet (peer sampling).
+
+The exchange is the enhanced shuffling of CYCLON (Voulgaris, Gavidia and van Steen: "CYCLON:
+Inexpensive Membership Management for Unstructured P2P Overlays", 2005): entries carry an age, and
+each side sends a random subset of its view.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from roselink.model.fleet import Member, VersionVector
+from roselink.protocol.records import record
+
+
+@record(128)
+@dataclass(frozen=True, slots=True)
+class ViewEntry:
+    """A gateway in a partial view; `age` counts the exchanges since it sent this entry itself."""
+
+    member: Member
+    age: int
+
+
+@record(129)
+@dataclass(frozen=True, slots=True)
+class GossipDigest:
+    """The versions in force at the sender, and the core's peer addresses ("ip:port").
+
+    A confirmed pull named these addresses `age_ms` milliseconds ago.
+    """
+
+    vector: VersionVector
+    cores: tuple[str, ...]
+    age_ms: int
+
+
+@record(130)
+@dataclass(frozen=True, slots=True)
+class ShuffleRequest:
+    """A subset of the sender's view, the sender included.
+
+    The `ShuffleReply` to it has as many entries at most.
+    """
+
+    entries: tuple[ViewEntry, ...]
+    digest: GossipDigest
+
+
+@record(131)
+@dataclass(frozen=True, slots=True)
+class ShuffleReply:
+    """A subset of the receiver's view."""
+
+    entries: tuple[ViewEntry, ...]
+    digest: GossipDigest
--- a/roselink/protocol/payoffs.py
+++ b/roselink/protocol/payoffs.py
@@ -1,8 +1,8 @@
-"""What gateways tell the core of their hosts, and what it tells all of them: payoffs pooled over
-the fleet.
+"""Records of hosts' payoffs: outcomes that gateways report, and payoffs pooled over the fleet.
 
-Beside many others a gateway sends a host a request now and then, and learns from these alone too
-slowly. The payoff stays the design's: one if served within the aim, else zero.
+Among many gateways each one sends a host a request only now and then, and learns from these alone
+too slowly. The payoff stays the design's: one for an attempt served within the objective, else
+zero.
 """
 
 from __future__ import annotations
@@ -15,8 +15,9 @@
 @record(24)
 @dataclass(frozen=True, slots=True)
 class HostOutcomes:
-    """What one gateway saw of a host since it last told: attempts served within the aim, and the
-    others.
+    """One gateway's attempts at a host since its report before.
+
+    `served` counts the attempts served within the objective, `missed` all others.
     """
 
     host: str
@@ -36,6 +37,6 @@
 @record(26)
 @dataclass(frozen=True, slots=True)
 class PooledPayoffs:
-    """The hosts whose payoff has fallen; of all others nothing speaks against them."""
+    """The hosts whose payoff is below one; every other host has a payoff of one."""
 
     hosts: tuple[HostPayoff, ...]
--- a/roselink/protocol/peers.py
+++ b/roselink/protocol/peers.py
@@ -18,7 +18,7 @@
 from functools import partial
 from typing import Any, cast
 
-from roselink.protocol.records import RecordError, decode, encode, number_of
+from roselink.protocol.records import RecordError, decode, encode, record_number_of
 
 log = logging.getLogger("roselink.protocol")
 
@@ -45,7 +45,10 @@
 def frame(kind: int, call: int, message: object) -> bytes:
     """One message as it goes on the wire."""
     payload = encode(message)
-    return _HEAD.pack(len(payload), zlib.crc32(payload), kind, number_of(message), call) + payload
+    return (
+        _HEAD.pack(len(payload), zlib.crc32(payload), kind, record_number_of(message), call)
+        + payload
+    )
 
 
 class FrameReader:
--- a/roselink/protocol/pull.py
+++ b/roselink/protocol/pull.py
@@ -1,9 +1,10 @@
 """Records between gateways and the core: pulls by version vector.
 
-`Pull` goes to any core member, which answers through the chain's tail. A reply is `confirmed` when,
-after the pull arrived, a majority of the core's voters said that the tail's view is still the
-newest: then all that was acknowledged before the pull was sent is in it, and the gateway may count
-the confirmation from the moment at which it sent the pull, on its own clock.
+`PullRequest` goes to any core member, which replies through the chain's tail. A reply is
+`confirmed` when, after the request arrived, a majority of the core's voters replied that the tail's
+view is still the newest: then all that was acknowledged before the request was sent is in it, and
+the gateway may count the confirmation from the moment at which it sent the request, on its own
+clock.
 """
 
 from __future__ import annotations
@@ -17,9 +18,11 @@
 
 @record(16)
 @dataclass(frozen=True, slots=True)
-class Pull:
-    """A gateway's question for what it misses; also the sign that it lives. `serving`: it may hold
-    roles. `outcomes`: what it saw of hosts since the pull before; lost with a pull that fails.
+class PullRequest:
+    """A gateway's request for what is newer than its `vector`; also its heartbeat.
+
+    `serving`: it may hold roles. `outcomes`: its attempts at hosts since the pull before; they are
+    lost with a pull that fails.
     """
 
     member: Member
@@ -31,13 +34,12 @@
 @record(17)
 @dataclass(frozen=True, slots=True)
 class PullReply:
-    """What the gateway misses: each part is None when its version is the newest, or none exists
-    yet.
+    """What the gateway lacks; each part is None when its version is the newest, or none exists.
 
     `configuration` is the operator's document as sent (JSON). `cores` are the peer addresses
-    ("ip:port") of the core's members, for the next pulls. With `confirmed` false nothing else
-    counts, and the gateway asks another member. `payoffs` is an encoded `PooledPayoffs`, or empty:
-    made once for all gateways.
+    ("ip:port") of the core's members, for the next pulls. With `confirmed` false only `cores`
+    counts, and the gateway pulls from another member. `payoffs` is an encoded `PooledPayoffs`, or
+    empty: encoded once for all gateways.
     """
 
     confirmed: bool
@@ -52,9 +54,7 @@
 @record(18)
 @dataclass(frozen=True, slots=True)
 class HostList:
-    """A whole list of hosts, by id. A `ChangesReply` holds it encoded, so that this is done once
-    for all.
-    """
+    """A full list of hosts, by id; encoded once for all gateways and sent in `DeltaPullReply`."""
 
     hosts: tuple[Host, ...]
 
@@ -62,29 +62,33 @@
 @record(19)
 @dataclass(frozen=True, slots=True)
 class HostChanges:
-    """What leads from the list of version `base` to another: hosts that are gone, and then those
-    that are new or otherwise different. How much of a warm-up is left is no difference.
+    """The difference between the list of version `base` and a newer one.
+
+    `removed` are the ids of hosts to take out first; `updated` are hosts that are new or differ.
+    The time left of a warm-up makes no difference.
     """
 
     base: int
-    gone: tuple[str, ...]
-    put: tuple[Host, ...]
+    removed: tuple[str, ...]
+    updated: tuple[Host, ...]
 
 
 @record(20)
 @dataclass(frozen=True, slots=True)
-class ChangesPull:
-    """A `Pull` that is answered by a `ChangesReply`."""
+class DeltaPullRequest:
+    """A `PullRequest` whose reply is a `DeltaPullReply`."""
 
-    pull: Pull
+    pull: PullRequest
 
 
 @record(21)
 @dataclass(frozen=True, slots=True)
-class ChangesReply:
-    """As `PullReply`, but the configuration is compressed (zlib), and hosts come as an encoded
-    `HostList`, or as encoded `HostChanges` from the version that the pull named; both are None when
-    it is the newest. All three are made once for all gateways.
+class DeltaPullReply:
+    """A `PullReply` with a compressed configuration and, where possible, changes of hosts only.
+
+    `configuration` is compressed (zlib). Hosts come as an encoded `HostList`, or as encoded
+    `HostChanges` from the version in the request; both are None when that is the newest. All three
+    are encoded once for all gateways.
     """
 
     confirmed: bool
--- a/roselink/protocol/records.py
+++ b/roselink/protocol/records.py
@@ -58,14 +58,14 @@
     return register
 
 
-def number_of(message: object) -> int:
+def record_number_of(message: object) -> int:
     """The number under which the message's class is registered; raises KeyError for any other
     class.
     """
     return _numbers[type(message)]
 
 
-def number_of_type(message: type[Any]) -> int:
+def record_number_of_class(message: type[Any]) -> int:
     """The same for a class."""
     return _numbers[message]
 
--- a/roselink/router/app.py
+++ b/roselink/router/app.py
@@ -15,9 +15,9 @@
 import uvloop
 
 from roselink.budgets.budget_service import BudgetService
-from roselink.distribution.puller import Puller
+from roselink.distribution.pull_client import PullClient
 from roselink.gateway.logs import start_log
-from roselink.gossip.driver import Sampler
+from roselink.gossip.peer_sampling_service import PeerSamplingService
 from roselink.model.fleet import Member
 from roselink.model.settings import DEFAULT_PATH, ENVIRONMENT_VARIABLE, ProcessSettings
 from roselink.protocol.payoffs import HostOutcomes
@@ -70,17 +70,17 @@
         settings.zone, seed, thresholds.retry_budget_ratio, thresholds.retry_window_s
     )
     data_plane = make_data_plane(
-        settings, loop, decider, control.puller, control.budgets, control.budgets
+        settings, loop, decider, control.pull_client, control.budgets, control.budgets
     )
-    control.puller.share_payoffs(
+    control.pull_client.exchange_payoffs(
         lambda: tuple(HostOutcomes(*outcome) for outcome in decider.untold_outcomes()),
         lambda told: data_plane.pool_payoffs(told.hosts),
     )
     await data_plane.start()
     status_log = StatusLog(loop, data_plane.status_line)
     status_log.start()
-    control.puller.set_serving(True)
-    loop.add_signal_handler(signal.SIGHUP, control.puller.reload)
+    control.pull_client.set_serving(True)
+    loop.add_signal_handler(signal.SIGHUP, control.pull_client.reload)
     gc.collect()
     gc.freeze()  # what is here at the start stays; collections need not walk it each time
     log.info("gateway_started node=%s", settings.node_name)
@@ -88,7 +88,7 @@
     log.info("gateway_draining")
     data_plane.begin_drain()
     control.budgets.begin_drain()
-    control.puller.set_serving(False)
+    control.pull_client.set_serving(False)
     await data_plane.drained()
     status_log.stop()
     data_plane.stop()
@@ -104,32 +104,36 @@
         incarnation = int.from_bytes(os.urandom(7), "big")
         self.member = Member(settings.node_name, "{}:{}".format(*self._listen), incarnation)
         self.pool = PeerPool(self._handle)
-        self.puller = Puller(settings, settings_path, self.pool, self.member)
-        self.budgets = BudgetService(self.member, settings.thresholds, self.pool, self.puller.hurry)
-        self.sampler = Sampler(self.member, self.pool, self.puller.hear_cores, self.puller.hurry)
-        self.puller.subscribe(self.budgets.apply)
-        self.puller.subscribe(self.sampler.apply)
-        self.puller.subscribe_confirmed(self._confirmed)
+        self.pull_client = PullClient(settings, settings_path, self.pool, self.member)
+        self.budgets = BudgetService(
+            self.member, settings.thresholds, self.pool, self.pull_client.pull_soon
+        )
+        self.peer_sampling = PeerSamplingService(
+            self.member, self.pool, self.pull_client.add_core_hints, self.pull_client.pull_soon
+        )
+        self.pull_client.subscribe(self.budgets.apply)
+        self.pull_client.subscribe(self.peer_sampling.apply)
+        self.pull_client.subscribe_confirmed(self._confirmed)
         self._server = PeerServer(self._handle)
 
     async def start(self) -> None:
         """Listen for peers, and begin to pull. Raises OSError."""
         await self._server.listen(*self._listen)
-        self.puller.start()
-        self.sampler.start()
+        self.pull_client.start()
+        self.peer_sampling.start()
 
     def stop(self) -> None:
         """End all connections and timers."""
-        self.puller.stop()
-        self.sampler.stop()
+        self.pull_client.stop()
+        self.peer_sampling.stop()
         self.budgets.stop()
         self._server.close()
         self.pool.close()
 
     def _confirmed(self, at: float) -> None:
         self.budgets.confirm(at)
-        self.sampler.confirm(at, self.puller.cores())
+        self.peer_sampling.confirm(at, self.pull_client.cores())
 
     def _handle(self, peer: Address, message: Any, reply: Reply) -> None:
-        if not (self.budgets.handle(message, reply) or self.sampler.handle(message, reply)):
+        if not (self.budgets.handle(message, reply) or self.peer_sampling.handle(message, reply)):
             log.warning("record_unknown peer=%s record=%s", peer[0], type(message).__name__)
--- a/roselink/simulation/gateways.py
+++ b/roselink/simulation/gateways.py
@@ -8,10 +8,15 @@
 from functools import partial
 from typing import TYPE_CHECKING, Any
 
-from roselink.distribution.pull import Apply, Confirmed, PullMachine, SendPull
-from roselink.distribution.pull import Effect as PullerEffect
+from roselink.distribution.pull_state_machine import (
+    ApplySnapshot,
+    PullStateMachine,
+    SendPull,
+    SnapshotConfirmed,
+)
+from roselink.distribution.pull_state_machine import Effect as PullEffect
 from roselink.model.fleet import Member, Snapshot
-from roselink.protocol.pull import ChangesPull
+from roselink.protocol.pull import DeltaPullRequest
 from roselink.simulation.history import Change, InForce, KeyUse, Reading
 
 if TYPE_CHECKING:
@@ -41,7 +46,7 @@
         draw = self.world.random
         seeds = [_address(seed) for seed in self.world.seeds]
         member = Member(self.name, f"{self.name}:7500", draw.getrandbits(50))
-        self.puller = PullMachine(member, seeds, random.Random(draw.getrandbits(50)))
+        self.puller = PullStateMachine(member, seeds, random.Random(draw.getrandbits(50)))
         self.puller.serving = True
         self.in_force, self.newest_list = None, ""
         self._wake(self.life)
@@ -64,21 +69,23 @@
         self._run(life, lambda: self._perform(self.puller.wake(self.world.now)))
 
     def _answered(self, life: int, call: int, reply: Any) -> None:
-        self._run(life, lambda: self._perform(self.puller.answered(call, reply, self.world.now)))
+        self._run(
+            life, lambda: self._perform(self.puller.reply_received(call, reply, self.world.now))
+        )
 
-    def _perform(self, effects: list[PullerEffect]) -> None:
+    def _perform(self, effects: list[PullEffect]) -> None:
         for effect in effects:
             match effect:
                 case SendPull(call, (host, port), pull, timeout_s):
                     answered = partial(self._answered, self.life, call)
                     self.world.call(
-                        self.name, f"{host}:{port}", ChangesPull(pull), timeout_s, answered
+                        self.name, f"{host}:{port}", DeltaPullRequest(pull), timeout_s, answered
                     )
-                case Apply(snapshot):
+                case ApplySnapshot(snapshot):
                     self._apply(snapshot)
-                case Confirmed(at):
+                case SnapshotConfirmed(at):
                     self.world.history.readings.append(Reading(at, self.world.now, self.in_force))
-        if not self.puller.under_way:
+        if not self.puller.in_flight:
             wait_s = max(0.001, self.puller.due_at - self.world.now)
             self.world.after(wait_s, partial(self._wake, self.life))
 
--- a/roselink/simulation/search.py
+++ b/roselink/simulation/search.py
@@ -14,14 +14,14 @@
 
 from roselink.coordination.state import find
 from roselink.protocol.chain import ConfigurationState, Decided, StoredState, Sync, View, Voter
-from roselink.protocol.records import decode, number_of_type
+from roselink.protocol.records import decode, record_number_of_class
 from roselink.simulation.system import PackedMachine, System, Trouble, stored_state, stored_votes
 
 if TYPE_CHECKING:
     import random
     from collections.abc import Iterator
 
-_TELL_VIEWS = frozenset((number_of_type(Decided), number_of_type(Sync)))
+_TELL_VIEWS = frozenset((record_number_of_class(Decided), record_number_of_class(Sync)))
 
 
 class StepKind(Enum):
--- a/roselink/simulation/system.py
+++ b/roselink/simulation/system.py
@@ -39,7 +39,7 @@
     View,
     Votes,
 )
-from roselink.protocol.records import decode, encode, number_of, number_of_type
+from roselink.protocol.records import decode, encode, record_number_of, record_number_of_class
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -216,7 +216,7 @@
             if isinstance(effect, Send):
                 if effect.to in ADDRESSES and not isinstance(effect.message, Heartbeat):
                     sent.append(
-                        Message(effect.to, number_of(effect.message), encode(effect.message))
+                        Message(effect.to, record_number_of(effect.message), encode(effect.message))
                     )
             elif isinstance(effect, Persist):
                 machine.saves.append(effect)
@@ -392,7 +392,7 @@
 
 def settle_only(system: System, *records: type[object]) -> None:
     """The same, but all messages of other records stay under way."""
-    numbers = {number_of_type(record) for record in records}
+    numbers = {record_number_of_class(record) for record in records}
     while True:
         saving = [address for address, machine in system.machines.items() if machine.saving]
         due = [place for place, message in enumerate(system.messages) if message.number in numbers]
--- a/roselink/simulation/world.py
+++ b/roselink/simulation/world.py
@@ -33,14 +33,14 @@
 )
 from roselink.coordination.member import TICK_S, Member, Start
 from roselink.model.fleet import Host, HostState
-from roselink.protocol.records import decode, encode, number_of
+from roselink.protocol.records import decode, encode, record_number_of
 from roselink.simulation.disk import FOLDER, Broken, MemoryFiles
 from roselink.simulation.history import Change, History
 from roselink.simulation.timeline import Timeline
 
 if TYPE_CHECKING:
     from roselink.protocol.chain import ConfigurationOrder
-    from roselink.protocol.pull import ChangesPull
+    from roselink.protocol.pull import DeltaPullRequest
 
 SEEDS = 3  # that settings name
 SAVE_S = 0.015
@@ -185,7 +185,7 @@
         self.perform(effects)
 
     def take_pull(
-        self, message: ChangesPull | ForwardedChangesPull, reply: Replied, _: Member
+        self, message: DeltaPullRequest | ForwardedChangesPull, reply: Replied, _: Member
     ) -> list[Effect]:
         """Answer a gateway's pull, or one that another member sent on."""
         number = self.world.number()
@@ -339,7 +339,7 @@
         for _ in range(copies):
             delay = self.delay()
             if delay is not None:
-                number, payload = number_of(send.message), encode(send.message)
+                number, payload = record_number_of(send.message), encode(send.message)
                 self.after(delay, partial(self._arrive, sender, send.to, number, payload))
 
     def delay(self) -> float | None:
@@ -368,7 +368,7 @@
         nobody.
         """
         payload = encode(message)
-        number = number_of(message)
+        number = record_number_of(message)
         open_call = [True]
 
         def finish(reply: Any) -> None:
--- a/tests/compatibility/test_records.py
+++ b/tests/compatibility/test_records.py
@@ -37,5 +37,5 @@
 def test_a_recorded_message_is_read_and_written_as_it_was(sample: dict[str, Any]) -> None:
     message = records.decode(sample["number"], bytes.fromhex(sample["bytes"]))
     assert plain_values(message) == sample["values"]
-    assert records.number_of(message) == sample["number"]
+    assert records.record_number_of(message) == sample["number"]
     assert records.encode(message).hex() == sample["bytes"]
--- a/tests/controller/test_host_versions.py
+++ b/tests/controller/test_host_versions.py
@@ -11,7 +11,7 @@
 from roselink.controller.host_versions import MOST_STEPS, HostVersions
 from roselink.model.fleet import Host, HostState
 from roselink.protocol.pull import HostChanges, HostList
-from roselink.protocol.records import decode, number_of
+from roselink.protocol.records import decode, record_number_of
 
 MANY = tuple(f"m{number}" for number in range(20))
 
@@ -38,7 +38,7 @@
     data = made.since(held)
     if data is None:
         return None
-    found = decode(number_of(HostChanges(0, (), ())), data)
+    found = decode(record_number_of(HostChanges(0, (), ())), data)
     assert isinstance(found, HostChanges)
     return found
 
@@ -112,5 +112,5 @@
     data = made.whole()
     assert data is not None
     assert data != first
-    assert decode(number_of(HostList(())), data) == HostList(made.hosts or ())
+    assert decode(record_number_of(HostList(())), data) == HostList(made.hosts or ())
     assert changes(made, 1) == HostChanges(1, ("a", "b"), (host("c"),))
--- a/tests/controller/test_payoffs.py
+++ b/tests/controller/test_payoffs.py
@@ -6,17 +6,17 @@
 
 from roselink.controller.payoffs import MOST_HOSTS, PUBLISH_S, PayoffPool
 from roselink.controller.pulls import AnswerChanges, PullDesk
-from roselink.distribution.host_changes import completed
+from roselink.distribution.host_changes import expand_reply
 from roselink.protocol.payoffs import HostOutcomes, PooledPayoffs
-from roselink.protocol.pull import Pull
-from roselink.protocol.records import decode, encode, number_of, number_of_type
+from roselink.protocol.pull import PullRequest
+from roselink.protocol.records import decode, encode, record_number_of, record_number_of_class
 from tests.controller.test_pulls import CORES, EPOCH, TAIL, TIMES, Tail, confirmation, member, pull
 
 
 def told(data: bytes) -> dict[str, int]:
     if not data:
         return {}
-    pooled = decode(number_of_type(PooledPayoffs), data)
+    pooled = decode(record_number_of_class(PooledPayoffs), data)
     return {entry.host: entry.percent for entry in pooled.hosts}
 
 
@@ -70,7 +70,7 @@
 
 def test_the_tail_pools_what_pulls_bring_and_a_new_view_begins_anew() -> None:
     tail = Tail()
-    tail.ask(Pull(member("a"), pull().vector, True, (HostOutcomes("h", 0, 3),)))
+    tail.ask(PullRequest(member("a"), pull().vector, True, (HostOutcomes("h", 0, 3),)))
     tail.now += PUBLISH_S
     assert told(tail.ask(pull("b")).payoffs) == {"h": 25}
     tail.desk.view_changed(tail.now, EPOCH + 1, True, TAIL, CORES)
@@ -79,12 +79,12 @@
 
 def test_an_answer_of_changes_brings_payoffs_too_as_far_as_the_gateway() -> None:
     tail = Tail()
-    tail.ask(Pull(member("a"), pull().vector, True, (HostOutcomes("h", 0, 3),)))
+    tail.ask(PullRequest(member("a"), pull().vector, True, (HostOutcomes("h", 0, 3),)))
     tail.now += PUBLISH_S
     tail.desk.pull(tail.now, 99, pull("b"), changes=True)
     (answer,) = tail.desk.confirmed(tail.now, 99, confirmation(EPOCH))
     assert isinstance(answer, AnswerChanges)
-    whole = completed(answer.reply, 0, ())
+    whole = expand_reply(answer.reply, 0, ())
     assert whole is not None
     assert told(whole.payoffs) == {"h": 25}
 
@@ -92,10 +92,10 @@
 def test_only_the_tail_counts_outcomes() -> None:
     desk = PullDesk(TIMES)
     desk.view_changed(0.0, EPOCH, False, TAIL, CORES)
-    desk.pull(0.1, 1, Pull(member("a"), pull().vector, True, (HostOutcomes("h", 0, 3),)))
+    desk.pull(0.1, 1, PullRequest(member("a"), pull().vector, True, (HostOutcomes("h", 0, 3),)))
     assert desk._payoffs.told(1.0) == b""
 
 
 def test_outcomes_survive_the_wire() -> None:
-    sent = Pull(member("a"), pull().vector, True, (HostOutcomes("h", 4, 3),))
-    assert decode(number_of(sent), encode(sent)) == sent
+    sent = PullRequest(member("a"), pull().vector, True, (HostOutcomes("h", 4, 3),))
+    assert decode(record_number_of(sent), encode(sent)) == sent
--- a/tests/controller/test_pulls.py
+++ b/tests/controller/test_pulls.py
@@ -22,8 +22,8 @@
     PullTimes,
 )
 from roselink.model.fleet import Host, HostState, Member, VersionVector
-from roselink.protocol.pull import ChangesPull, ChangesReply, Pull, PullReply
-from roselink.protocol.records import decode, encode, number_of
+from roselink.protocol.pull import DeltaPullReply, DeltaPullRequest, PullReply, PullRequest
+from roselink.protocol.records import decode, encode, record_number_of
 from tests.controller.fakes import FakeNode
 
 CORES = ("10.0.0.1:7500", "10.0.0.2:7500", "10.0.0.3:7500")
@@ -40,8 +40,8 @@
 
 def pull(
     name: str = "a", held: VersionVector | None = None, incarnation: int = 1, serving: bool = True
-) -> Pull:
-    return Pull(member(name, incarnation), held or VersionVector(), serving)
+) -> PullRequest:
+    return PullRequest(member(name, incarnation), held or VersionVector(), serving)
 
 
 def host(name: str, **changes: Any) -> Host:
@@ -76,7 +76,7 @@
         self.numbers = 0
         self.desk.view_changed(self.now, EPOCH, True, TAIL, CORES)
 
-    def ask(self, asked: Pull, end: Confirmation | None = None) -> PullReply:
+    def ask(self, asked: PullRequest, end: Confirmation | None = None) -> PullReply:
         self.numbers += 1
         assert self.desk.pull(self.now, self.numbers, asked) == [Confirm(self.numbers)]
         effects = self.desk.confirmed(self.now, self.numbers, end or confirmation(self.desk._epoch))
@@ -86,7 +86,7 @@
         assert answer.number == self.numbers
         return answer.reply
 
-    def pass_time(self, seconds: float, *pulling: Pull) -> PullReply | None:
+    def pass_time(self, seconds: float, *pulling: PullRequest) -> PullReply | None:
         """Let time go by in steps; these gateways pull at each."""
         end, reply = self.now + seconds, None
         while self.now < end - 1e-9:
@@ -118,7 +118,7 @@
     assert desk.pull(0.1, 1, pull(), forwarded) == [effect]
 
 
-NOTHING = ChangesReply(False, VersionVector(), None, None, None, None, CORES)
+NOTHING = DeltaPullReply(False, VersionVector(), None, None, None, None, CORES)
 
 
 @pytest.mark.parametrize(
@@ -148,7 +148,7 @@
     assert desk.confirmed(0.3, 1, None) == [AnswerChanges(1, NOTHING)]
 
 
-TOLD = ChangesReply(True, VersionVector(5, 6, 7), b"{}", b"list", None, (), CORES)
+TOLD = DeltaPullReply(True, VersionVector(5, 6, 7), b"{}", b"list", None, (), CORES)
 
 
 @pytest.mark.parametrize(
@@ -378,7 +378,7 @@
 
 def test_a_forwarded_pull_survives_the_wire() -> None:
     sent = ForwardedPull(pull("a", VersionVector(1, 2, 3)))
-    assert decode(number_of(sent), encode(sent)) == sent
+    assert decode(record_number_of(sent), encode(sent)) == sent
 
 
 class FakePool:
@@ -442,13 +442,13 @@
     node = FakeNode()
     made, pool = service(node)
     replies: list[Any] = []
-    assert made.handle(("10.1.0.1", 4000), ChangesPull(pull()), replies.append)
+    assert made.handle(("10.1.0.1", 4000), DeltaPullRequest(pull()), replies.append)
     node.reads.get_nowait()(confirmation())
     assert made.handle(("10.0.0.1", 4000), ForwardedChangesPull(pull()), replies.append)
     node.reads.get_nowait()(confirmation())
-    assert [(type(reply), reply.confirmed) for reply in replies] == [(ChangesReply, True)] * 2
+    assert [(type(reply), reply.confirmed) for reply in replies] == [(DeltaPullReply, True)] * 2
     node.change_view(4, False, ("10.0.0.2", 7500))
-    made.handle(("10.1.0.1", 4000), ChangesPull(pull()), replies.append)
+    made.handle(("10.1.0.1", 4000), DeltaPullRequest(pull()), replies.append)
     ((address, message, _, done),) = pool.calls
     assert (address, message) == (("10.0.0.2", 7500), ForwardedChangesPull(pull()))
     done(TOLD)
--- a/tests/distribution/test_host_changes.py
+++ b/tests/distribution/test_host_changes.py
@@ -12,11 +12,23 @@
 
 from roselink.controller.contract import Confirmation
 from roselink.controller.pulls import AnswerChanges, Confirm, PullDesk
-from roselink.distribution.host_changes import completed
-from roselink.distribution.pull import Apply, Confirmed, Effect, PullMachine, SendPull
+from roselink.distribution.host_changes import expand_reply
+from roselink.distribution.pull_state_machine import (
+    ApplySnapshot,
+    Effect,
+    PullStateMachine,
+    SendPull,
+    SnapshotConfirmed,
+)
 from roselink.model.fleet import Host, HostState, Member, VersionVector
 from roselink.protocol.peers import FrameReader, frame
-from roselink.protocol.pull import ChangesPull, ChangesReply, HostChanges, HostList, PullReply
+from roselink.protocol.pull import (
+    DeltaPullReply,
+    DeltaPullRequest,
+    HostChanges,
+    HostList,
+    PullReply,
+)
 from roselink.protocol.records import encode
 
 VECTOR = VersionVector(1, 9, 1)
@@ -34,8 +46,8 @@
 DRAINING = host("b", HostState.DRAINING)
 
 
-def reply(host_list: bytes | None = None, host_changes: bytes | None = None) -> ChangesReply:
-    return ChangesReply(True, VECTOR, None, host_list, host_changes, None, CORES)
+def reply(host_list: bytes | None = None, host_changes: bytes | None = None) -> DeltaPullReply:
+    return DeltaPullReply(True, VECTOR, None, host_list, host_changes, None, CORES)
 
 
 def change(base: int, gone: tuple[str, ...] = (), put: tuple[Host, ...] = ()) -> bytes:
@@ -56,8 +68,8 @@
         (reply(encode(HostList((C,))), change(5, ("a",))), (C,)),
     ],
 )
-def test_the_list_after_a_reply(told: ChangesReply, hosts: tuple[Host, ...] | None) -> None:
-    assert completed(told, 5, (B, A)) == PullReply(True, VECTOR, None, hosts, None, CORES)
+def test_the_list_after_a_reply(told: DeltaPullReply, hosts: tuple[Host, ...] | None) -> None:
+    assert expand_reply(told, 5, (B, A)) == PullReply(True, VECTOR, None, hosts, None, CORES)
 
 
 @pytest.mark.parametrize(
@@ -71,25 +83,25 @@
         reply(b"\xff" * 9),
     ],
 )
-def test_a_reply_whose_hosts_are_of_no_use_is_none(told: ChangesReply) -> None:
-    assert completed(told, 5, (A, B)) is None
+def test_a_reply_whose_hosts_are_of_no_use_is_none(told: DeltaPullReply) -> None:
+    assert expand_reply(told, 5, (A, B)) is None
 
 
 def test_a_configuration_comes_compressed() -> None:
     told = replace(reply(), configuration=zlib.compress(DOCUMENT))
-    assert completed(told, 5, ()) == PullReply(True, VECTOR, DOCUMENT, None, None, CORES)
+    assert expand_reply(told, 5, ()) == PullReply(True, VECTOR, DOCUMENT, None, None, CORES)
 
 
 @pytest.mark.parametrize("spoilt", [b"", DOCUMENT, zlib.compress(DOCUMENT)[:-1]])
 def test_a_configuration_that_cannot_be_read_makes_the_reply_none(spoilt: bytes) -> None:
-    assert completed(replace(reply(), configuration=spoilt), 5, ()) is None
+    assert expand_reply(replace(reply(), configuration=spoilt), 5, ()) is None
 
 
 class Pair:
     """A gateway's machine and the desk of a tail; messages go through their frames."""
 
     def __init__(self) -> None:
-        self.machine = PullMachine(MEMBER, [("10.2.0.1", 7500)], random.Random(1))
+        self.machine = PullStateMachine(MEMBER, [("10.2.0.1", 7500)], random.Random(1))
         self.desk = PullDesk()
         self.now, self.epoch = 10.0, EPOCH
         self.lists = self.changes = 0
@@ -107,10 +119,10 @@
         self.now = max(self.now + 0.1, self.machine.due_at)
         (send,) = self.machine.wake(self.now)
         assert isinstance(send, SendPull)
-        answer = self.answer(ChangesPull(send.pull))
-        return self.machine.answered(send.call, None if lost else answer, self.now)
+        answer = self.answer(DeltaPullRequest(send.pull))
+        return self.machine.reply_received(send.call, None if lost else answer, self.now)
 
-    def answer(self, asked: ChangesPull) -> ChangesReply:
+    def answer(self, asked: DeltaPullRequest) -> DeltaPullReply:
         ((_, number, received),) = FrameReader().feed(frame(0, 1, asked))
         assert self.desk.pull(self.now, number, received.pull, changes=True) == [Confirm(1)]
         (effect,) = self.desk.confirmed(self.now, number, Confirmation(self.epoch, 1, DOCUMENT, 1))
@@ -118,7 +130,7 @@
         self.lists += effect.reply.host_list is not None
         self.changes += effect.reply.host_changes is not None
         ((_, _, answer),) = FrameReader().feed(frame(1, 1, effect.reply))
-        assert isinstance(answer, ChangesReply)
+        assert isinstance(answer, DeltaPullReply)
         return answer
 
     @property
@@ -132,9 +144,9 @@
     pair.listed(A, B, C, host("d"))
     pair.pull()
     assert (pair.held, pair.lists, pair.changes) == ((A, B, C, host("d")), 1, 0)
-    assert [type(effect) for effect in pair.pull()] == [Confirmed]
+    assert [type(effect) for effect in pair.pull()] == [SnapshotConfirmed]
     pair.listed(A, DRAINING, host("d"), host("e"))
-    assert [type(effect) for effect in pair.pull()] == [Apply, Confirmed]
+    assert [type(effect) for effect in pair.pull()] == [ApplySnapshot, SnapshotConfirmed]
     assert (pair.held, pair.lists) == ((A, DRAINING, host("d"), host("e")), 2)  # most of it was new
     pair.listed(A, host("d"), host("e"))
     pair.pull()
@@ -164,8 +176,8 @@
     pair.now = max(pair.now + 0.1, pair.machine.due_at)
     (send,) = pair.machine.wake(pair.now)
     assert isinstance(send, SendPull)
-    torn = replace(pair.answer(ChangesPull(send.pull)), host_changes=b"?")
-    assert pair.machine.answered(send.call, torn, pair.now) == []
+    torn = replace(pair.answer(DeltaPullRequest(send.pull)), host_changes=b"?")
+    assert pair.machine.reply_received(send.call, torn, pair.now) == []
     assert pair.held is before
     pair.pull()
     assert pair.held == (A, B)
--- a/tests/distribution/test_payoffs.py
+++ b/tests/distribution/test_payoffs.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from roselink.distribution.pull import Payoffs, PullMachine, SendPull
+from roselink.distribution.pull_state_machine import PayoffsReceived, PullStateMachine, SendPull
 from roselink.model.fleet import Member, VersionVector
 from roselink.protocol.payoffs import HostOutcomes, HostPayoff, PooledPayoffs
 from roselink.protocol.pull import PullReply
@@ -15,16 +15,18 @@
 FALLEN = encode(PooledPayoffs((HostPayoff("h", 25), HostPayoff("odd", 900))))
 
 
-def machine() -> PullMachine:
-    return PullMachine(Member("a", "10.0.0.9:7500", 1), [("10.0.0.1", 7500)], random.Random(1))
+def machine() -> PullStateMachine:
+    return PullStateMachine(Member("a", "10.0.0.9:7500", 1), [("10.0.0.1", 7500)], random.Random(1))
 
 
-def exchange(made: PullMachine, now: float, payoffs: bytes) -> tuple[SendPull, list[Payoffs]]:
+def exchange(
+    made: PullStateMachine, now: float, payoffs: bytes
+) -> tuple[SendPull, list[PayoffsReceived]]:
     (sent,) = made.wake(now)
     assert isinstance(sent, SendPull)
     reply = PullReply(True, VersionVector(), None, None, None, (), payoffs)
-    effects = made.answered(sent.call, reply, now + 0.01)
-    return sent, [effect for effect in effects if isinstance(effect, Payoffs)]
+    effects = made.reply_received(sent.call, reply, now + 0.01)
+    return sent, [effect for effect in effects if isinstance(effect, PayoffsReceived)]
 
 
 def test_each_pull_brings_what_is_new() -> None:
@@ -38,7 +40,7 @@
 @pytest.mark.parametrize("unreadable", [b"x", FALLEN + b"x", FALLEN[:-1]])
 def test_payoffs_are_told_while_some_have_fallen_and_once_when_none_has(unreadable: bytes) -> None:
     made = machine()
-    fallen = Payoffs((("h", 0.25), ("odd", 1.0)))
+    fallen = PayoffsReceived((("h", 0.25), ("odd", 1.0)))
     replies = [b"", FALLEN, FALLEN, unreadable, b"", b""]
     told = [exchange(made, float(at), reply)[1] for at, reply in enumerate(replies)]
-    assert told == [[], [fallen], [fallen], [Payoffs(())], [Payoffs(())], []]
+    assert told == [[], [fallen], [fallen], [PayoffsReceived(())], [PayoffsReceived(())], []]
--- a/tests/distribution/test_pull.py
+++ b/tests/distribution/test_pull_state_machine.py
@@ -8,19 +8,26 @@
 
 import pytest
 
-from roselink.distribution import pull as module
-from roselink.distribution.pull import Apply, Confirmed, Effect, PullMachine, SendPull, Unreadable
+from roselink.distribution import pull_state_machine as module
+from roselink.distribution.pull_state_machine import (
+    ApplySnapshot,
+    ConfigurationUnreadable,
+    Effect,
+    PullStateMachine,
+    SendPull,
+    SnapshotConfirmed,
+)
 from roselink.model.fleet import Host, HostState, Member, VersionVector
 from roselink.protocol.peers import frame
-from roselink.protocol.pull import Pull, PullReply
+from roselink.protocol.pull import PullReply, PullRequest
 
 MEMBER = Member("edge-a-1", "10.1.0.16:7500", 7)
 SEEDS = (("10.1.0.1", 7500), ("10.2.0.1", 7500), ("10.3.0.1", 7500))
 CORES = ("10.1.0.1:7500", "10.9.0.9:7500")
 
 
-def machine(seed: int = 1) -> PullMachine:
-    return PullMachine(MEMBER, SEEDS, random.Random(seed))
+def machine(seed: int = 1) -> PullStateMachine:
+    return PullStateMachine(MEMBER, SEEDS, random.Random(seed))
 
 
 def document(generation: int) -> bytes:
@@ -42,22 +49,22 @@
     return Host(name, "llm", "10.0.0.1:80", "z", "v1", 4, HostState.READY, 0.0, ())
 
 
-def send(pulls: PullMachine, now: float) -> SendPull:
+def send(pulls: PullStateMachine, now: float) -> SendPull:
     [effect] = pulls.wake(now)
     assert isinstance(effect, SendPull)
     return effect
 
 
-def exchange(pulls: PullMachine, now: float, answer: PullReply | None) -> list[Effect]:
+def exchange(pulls: PullStateMachine, now: float, answer: PullReply | None) -> list[Effect]:
     """One pull, sent at `now`, and its outcome 2 ms later."""
-    return pulls.answered(send(pulls, now).call, answer, now + 0.002)
+    return pulls.reply_received(send(pulls, now).call, answer, now + 0.002)
 
 
 def test_nothing_is_sent_while_a_call_is_under_way_or_none_is_due() -> None:
     pulls = machine()
     first = send(pulls, 1.0)
     assert pulls.wake(1.1) == []
-    pulls.answered(first.call, reply(1, 1), 1.002)
+    pulls.reply_received(first.call, reply(1, 1), 1.002)
     assert pulls.wake(1.01) == []
     low, high = module.PULL_EVERY_S * (1 - module.JITTER), module.PULL_EVERY_S * (1 + module.JITTER)
     assert low <= pulls.due_at - 1.002 <= high
@@ -77,7 +84,7 @@
         call = send(pulls, now)
         asked.append(call.address)
         now += 0.01
-        pulls.answered(call.call, failure, now)
+        pulls.reply_received(call.call, failure, now)
         if len(asked) < len(SEEDS):
             assert pulls.due_at == now
     assert set(asked) == set(SEEDS)
@@ -92,7 +99,7 @@
         assert pulls.due_at - now <= 0.002 + module.BACKOFF_MOST_S * (1 + module.JITTER)
         now = max(now + 0.002, pulls.due_at)
     assert send(pulls, now).timeout_s == module.TIMEOUT_MOST_S
-    pulls.answered(send_number(pulls), reply(1), now)
+    pulls.reply_received(send_number(pulls), reply(1), now)
     assert send(pulls, pulls.due_at).timeout_s == module.TIMEOUT_S
 
 
@@ -102,17 +109,17 @@
     """
     pulls = machine()
     first = send(pulls, 1.0)
-    pulls.answered(first.call, None, 1.3)
+    pulls.reply_received(first.call, None, 1.3)
     second = send(pulls, pulls.due_at)
-    assert pulls.answered(first.call, reply(3, 4), 1.4) == []
+    assert pulls.reply_received(first.call, reply(3, 4), 1.4) == []
     assert pulls.snapshot is None
     assert pulls.confirmed_at is None
-    assert pulls.under_way
-    assert pulls.answered(second.call, reply(3, 4), 1.5) != []
-    assert pulls.answered(second.call, reply(5, 6), 1.6) == []
+    assert pulls.in_flight
+    assert pulls.reply_received(second.call, reply(3, 4), 1.5) != []
+    assert pulls.reply_received(second.call, reply(5, 6), 1.6) == []
 
 
-def send_number(pulls: PullMachine) -> int:
+def send_number(pulls: PullStateMachine) -> int:
     assert pulls._open is not None
     return pulls._open[0]
 
@@ -124,19 +131,19 @@
     now = pulls.due_at
     for _ in range(5):
         asked.append(send(pulls, now).address)
-        pulls.answered(send_number(pulls), None, now)
+        pulls.reply_received(send_number(pulls), None, now)
     assert set(asked[:2]) == {("10.9.0.9", 7500), ("10.9.0.8", 7500)}
     assert set(asked[2:]) == set(SEEDS)
 
 
 def test_new_seeds_and_hints_are_tried_too() -> None:
     pulls = machine()
-    pulls.use_seeds([("10.5.0.5", 7500)])
-    pulls.use_hints(["10.6.0.6:7500", "broken"])
+    pulls.set_seeds([("10.5.0.5", 7500)])
+    pulls.add_core_hints(["10.6.0.6:7500", "broken"])
     asked = set()
     for step in range(2):
         asked.add(send(pulls, 1.0 + step).address)
-        pulls.answered(send_number(pulls), None, 1.0 + step)
+        pulls.reply_received(send_number(pulls), None, 1.0 + step)
     assert asked == {("10.5.0.5", 7500), ("10.6.0.6", 7500)}
 
 
@@ -148,21 +155,21 @@
     asked = set()
     for step in range(4):
         asked.add(send(pulls, 2.0 + step).address)
-        pulls.answered(send_number(pulls), None, 2.0 + step)
+        pulls.reply_received(send_number(pulls), None, 2.0 + step)
     assert ("10.7.0.7", 7500) in asked
 
 
 def test_a_snapshot_needs_a_configuration_and_each_part_moves_by_itself() -> None:
     pulls = machine()
-    assert exchange(pulls, 1.0, reply(0, 4, 5)) == [Confirmed(1.0)]
+    assert exchange(pulls, 1.0, reply(0, 4, 5)) == [SnapshotConfirmed(1.0)]
     assert pulls.snapshot is None
     [applied, confirmed] = exchange(pulls, 2.0, reply(3, 4, 5, hosts=None, roster=None))
-    assert isinstance(applied, Apply) and confirmed == Confirmed(2.0)
+    assert isinstance(applied, ApplySnapshot) and confirmed == SnapshotConfirmed(2.0)
     assert applied.snapshot.configuration.generation == 3
     assert applied.snapshot.hosts == (host("h-1"),)
     assert applied.snapshot.roster == (MEMBER,)
     [applied, _] = exchange(pulls, 3.0, reply(3, 6, 5, configuration=None, hosts=(), roster=None))
-    assert isinstance(applied, Apply)
+    assert isinstance(applied, ApplySnapshot)
     assert applied.snapshot.vector == VersionVector(3, 6, 5)
     assert applied.snapshot.hosts == ()
 
@@ -189,7 +196,7 @@
     before = pulls.snapshot
     effects = exchange(pulls, 2.0, later)
     assert pulls.snapshot is before
-    assert effects == ([Confirmed(2.0)] if confirmed else [])
+    assert effects == ([SnapshotConfirmed(2.0)] if confirmed else [])
     assert pulls.confirmed_at == (2.0 if confirmed else 1.0)
     assert send(pulls, 9.0).pull.vector == VersionVector(3, 4, 5)
 
@@ -201,7 +208,7 @@
     pulls = machine()
     exchange(pulls, 1.0, reply(3))
     [effect] = exchange(pulls, 2.0, reply(4, configuration=bad))
-    assert isinstance(effect, Unreadable) and effect.version == 4
+    assert isinstance(effect, ConfigurationUnreadable) and effect.version == 4
     assert pulls.snapshot is not None and pulls.snapshot.configuration.generation == 3
     assert pulls.confirmed_at == 1.0
     exchange(pulls, 3.0, reply(4))
@@ -223,7 +230,7 @@
 ) -> None:
     pulls = machine()
     call = send(pulls, 1.0)
-    pulls.answered(call.call, reply(3), 1.25)
+    pulls.reply_received(call.call, reply(3), 1.25)
     assert pulls.may_use_keys(now, 5.0, strict) is allowed
 
 
@@ -238,18 +245,18 @@
 def test_late_and_foreign_answers_are_passed_over() -> None:
     pulls = machine()
     call = send(pulls, 1.0)
-    pulls.answered(call.call, None, 1.3)
-    assert pulls.answered(call.call, reply(9), 1.4) == []
-    assert pulls.answered(77, reply(9), 1.4) == []
+    pulls.reply_received(call.call, None, 1.3)
+    assert pulls.reply_received(call.call, reply(9), 1.4) == []
+    assert pulls.reply_received(77, reply(9), 1.4) == []
     assert pulls.snapshot is None
 
 
 def test_hurry_brings_the_next_pull_forward() -> None:
     pulls = machine()
     exchange(pulls, 1.0, reply(3, 1))
-    pulls.hurry(1.01)
+    pulls.pull_soon(1.01)
     assert pulls.due_at == 1.01 + module.SOONEST_AGAIN_S
-    pulls.hurry(1.05)
+    pulls.pull_soon(1.05)
     assert pulls.due_at == 1.01 + module.SOONEST_AGAIN_S
 
 
@@ -270,7 +277,7 @@
 
 def test_a_pull_with_nothing_new_is_small() -> None:
     vector = VersionVector(7, 1 << 33, 1 << 33)
-    question = frame(0, 1, Pull(MEMBER, vector, True))
+    question = frame(0, 1, PullRequest(MEMBER, vector, True))
     answer = frame(
         1,
         1,
@@ -300,7 +307,7 @@
                 old = chance.randint(1, known)
                 confirmed = chance.random() < 0.5
                 answer = reply(known if confirmed else old, confirmed=confirmed)
-                pulls.answered(call.call, None if chance.random() < 0.2 else answer, now)
+                pulls.reply_received(call.call, None if chance.random() < 0.2 else answer, now)
             for effect in pulls.wake(now):
                 assert isinstance(effect, SendPull)
                 open_call = effect, now
--- a/tests/gossip/test_peer_sampling.py
+++ b/tests/gossip/test_peer_sampling.py
@@ -7,52 +7,63 @@
 import pytest
 
 from roselink.gossip import peer_sampling as module
-from roselink.gossip.peer_sampling import CoresHeard, NewerHeard, Sampling, SendShuffle
+from roselink.gossip.peer_sampling import (
+    CoreAddressesLearned,
+    NewerVersionLearned,
+    PeerSampling,
+    SendShuffleRequest,
+)
 from roselink.model.fleet import Member, VersionVector
+from roselink.protocol.gossip import GossipDigest, ShuffleReply, ShuffleRequest, ViewEntry
 from roselink.protocol.peers import frame
-from roselink.protocol.sampling import News, Seen, Shuffle, Shuffled
 
 OWN = Member("own", "10.0.0.1:7500", 1)
 OTHERS = [Member(f"edge-{number}", f"10.0.1.{number}:7500", number) for number in range(30)]
 CORES = ("10.1.0.1:7500",)
-OLD = News(VersionVector(), (), 10**9)
+OLD = GossipDigest(VersionVector(), (), 10**9)
 
 
-def sampling(known: int = 3) -> Sampling:
-    view = Sampling(OWN, random.Random(1))
-    view.know(OTHERS[:known])
-    view.confirmed(VersionVector(2, 2, 2), CORES, 10.0)
+def sampling(known: int = 3) -> PeerSampling:
+    view = PeerSampling(OWN, random.Random(1))
+    view.add_members(OTHERS[:known])
+    view.pull_confirmed(VersionVector(2, 2, 2), CORES, 10.0)
     return view
 
 
-def names(view: Sampling) -> set[str]:
+def names(view: PeerSampling) -> set[str]:
     return {seen.member.name for seen in view.view}
 
 
 def test_a_view_is_bounded_and_leaves_out_its_owner() -> None:
-    view = Sampling(OWN, random.Random(1))
-    view.know([OWN, *OTHERS])
+    view = PeerSampling(OWN, random.Random(1))
+    view.add_members([OWN, *OTHERS])
     assert len(view.view) == module.VIEW_SIZE and "own" not in names(view)
-    view.asked(Shuffle(tuple(Seen(member, 0) for member in [OWN, *OTHERS]), OLD), 10.0)
+    view.request_received(
+        ShuffleRequest(tuple(ViewEntry(member, 0) for member in [OWN, *OTHERS]), OLD), 10.0
+    )
     assert len(view.view) == module.VIEW_SIZE and "own" not in names(view)
 
 
 def test_the_oldest_entry_is_asked_and_stays_out_until_it_answers() -> None:
     view = sampling(1)
-    view.asked(Shuffle((Seen(OTHERS[1], 7), Seen(OTHERS[2], 3)), OLD), 10.0)
+    view.request_received(
+        ShuffleRequest((ViewEntry(OTHERS[1], 7), ViewEntry(OTHERS[2], 3)), OLD), 10.0
+    )
     [effect] = view.wake(10.0)
-    assert isinstance(effect, SendShuffle) and effect.address == OTHERS[1].address
-    assert effect.shuffle.entries[0] == Seen(OWN, 0)
+    assert isinstance(effect, SendShuffleRequest) and effect.address == OTHERS[1].address
+    assert effect.shuffle.entries[0] == ViewEntry(OWN, 0)
     assert names(view) == {"edge-0", "edge-2"}
-    assert view.answered(None, 10.5) == []
+    assert view.reply_received(None, 10.5) == []
     assert names(view) == {"edge-0", "edge-2"}
 
 
 def test_an_answer_brings_new_entries_in_place_of_those_that_were_sent() -> None:
     view = sampling(8)
     [effect] = view.wake(10.0)
-    assert isinstance(effect, SendShuffle)
-    view.answered(Shuffled(tuple(Seen(member, 1) for member in OTHERS[20:24]), OLD), 10.01)
+    assert isinstance(effect, SendShuffleRequest)
+    view.reply_received(
+        ShuffleReply(tuple(ViewEntry(member, 1) for member in OTHERS[20:24]), OLD), 10.01
+    )
     assert len(view.view) == module.VIEW_SIZE
     assert {"edge-20", "edge-21", "edge-22", "edge-23"} <= names(view)
 
@@ -61,10 +72,10 @@
     view = sampling(1)
     again = Member(OTHERS[0].name, OTHERS[0].address, 99)
     view.wake(10.0)
-    view.asked(Shuffle((Seen(OTHERS[0], 5),), OLD), 10.0)
-    view.asked(Shuffle((Seen(again, 0),), OLD), 10.0)
-    view.asked(Shuffle((Seen(OTHERS[0], 3),), OLD), 10.0)
-    assert view.view == (Seen(again, 0),)
+    view.request_received(ShuffleRequest((ViewEntry(OTHERS[0], 5),), OLD), 10.0)
+    view.request_received(ShuffleRequest((ViewEntry(again, 0),), OLD), 10.0)
+    view.request_received(ShuffleRequest((ViewEntry(OTHERS[0], 3),), OLD), 10.0)
+    assert view.view == (ViewEntry(again, 0),)
 
 
 def test_exchanges_are_rare_in_calm_times_and_frequent_without_the_core() -> None:
@@ -73,10 +84,12 @@
     now = 10.0
     while now < 130.0:
         if now < 70.0:
-            view.confirmed(VersionVector(2, 2, 2), CORES, now)
+            view.pull_confirmed(VersionVector(2, 2, 2), CORES, now)
         if view.wake(now):
             times.append(now)
-            view.answered(Shuffled(tuple(Seen(member, 0) for member in OTHERS[:3]), OLD), now)
+            view.reply_received(
+                ShuffleReply(tuple(ViewEntry(member, 0) for member in OTHERS[:3]), OLD), now
+            )
         now += 0.5
     assert len([at for at in times if at < 70]) == pytest.approx(6, abs=2)
     assert len([at for at in times if at >= 72]) == pytest.approx(50, abs=12)
@@ -86,32 +99,33 @@
     ("news", "learned"),
     [
         (OLD, []),
-        (News(VersionVector(2, 2, 2), CORES, 0), []),
-        (News(VersionVector(3, 2, 2), CORES, 0), [NewerHeard()]),
-        (News(VersionVector(2, 3, 2), (), 0), [NewerHeard()]),
-        (News(VersionVector(1, 2, 3), (), 0), [NewerHeard()]),
-        (News(VersionVector(1, 1, 1), CORES, 0), []),
+        (GossipDigest(VersionVector(2, 2, 2), CORES, 0), []),
+        (GossipDigest(VersionVector(3, 2, 2), CORES, 0), [NewerVersionLearned()]),
+        (GossipDigest(VersionVector(2, 3, 2), (), 0), [NewerVersionLearned()]),
+        (GossipDigest(VersionVector(1, 2, 3), (), 0), [NewerVersionLearned()]),
+        (GossipDigest(VersionVector(1, 1, 1), CORES, 0), []),
     ],
 )
-def test_something_newer_is_heard_of(news: News, learned: list[object]) -> None:
-    assert sampling().asked(Shuffle((), news), 10.5)[1] == learned
+def test_something_newer_is_heard_of(news: GossipDigest, learned: list[object]) -> None:
+    assert sampling().request_received(ShuffleRequest((), news), 10.5)[1] == learned
 
 
 @pytest.mark.parametrize(("age_ms", "learned"), [(100, True), (3000, True), (6000, False)])
 def test_cores_are_taken_from_a_peer_that_heard_of_them_later(age_ms: int, learned: bool) -> None:
-    news = News(VersionVector(), ("10.9.9.9:7500",), age_ms)
-    effects = sampling().asked(Shuffle((), news), 15.0)[1]
-    assert effects == ([CoresHeard(("10.9.9.9:7500",))] if learned else [])
+    news = GossipDigest(VersionVector(), ("10.9.9.9:7500",), age_ms)
+    effects = sampling().request_received(ShuffleRequest((), news), 15.0)[1]
+    assert effects == ([CoreAddressesLearned(("10.9.9.9:7500",))] if learned else [])
 
 
 def test_views_stay_connected_and_forget_the_dead() -> None:
     chance = random.Random(3)
     members = OTHERS[:20]
     views = {
-        member.address: Sampling(member, random.Random(member.incarnation)) for member in members
+        member.address: PeerSampling(member, random.Random(member.incarnation))
+        for member in members
     }
     for index, member in enumerate(members):  # a ring
-        views[member.address].know([members[(index + 1) % len(members)]])
+        views[member.address].add_members([members[(index + 1) % len(members)]])
     now = 0.0
     dead: set[str] = set()
     for step in range(6000):
@@ -122,12 +136,12 @@
             [member.address for member in members if member.address not in dead]
         )
         for effect in views[address].wake(now):
-            assert isinstance(effect, SendShuffle)
+            assert isinstance(effect, SendShuffleRequest)
             if effect.address in dead:
-                views[address].answered(None, now)
+                views[address].reply_received(None, now)
             else:
-                answer, _ = views[effect.address].asked(effect.shuffle, now)
-                views[address].answered(answer, now)
+                answer, _ = views[effect.address].request_received(effect.shuffle, now)
+                views[address].reply_received(answer, now)
     alive = [member for member in members if member.address not in dead]
     reached, frontier = {alive[0].address}, [alive[0].address]
     while frontier:
@@ -144,10 +158,12 @@
 
 def test_calm_traffic_is_tiny() -> None:
     entries = tuple(
-        Seen(Member("edge-zg-maksimir-1", "10.1.0.16:7500", 2**55), 3) for _ in range(4)
+        ViewEntry(Member("edge-zg-maksimir-1", "10.1.0.16:7500", 2**55), 3) for _ in range(4)
+    )
+    news = GossipDigest(VersionVector(9, 9, 9), tuple(f"10.{n}.0.26:7500" for n in (1, 2, 3)), 100)
+    size = len(frame(0, 1, ShuffleRequest(entries, news))) + len(
+        frame(1, 1, ShuffleReply(entries, news))
     )
-    news = News(VersionVector(9, 9, 9), tuple(f"10.{n}.0.26:7500" for n in (1, 2, 3)), 100)
-    size = len(frame(0, 1, Shuffle(entries, news))) + len(frame(1, 1, Shuffled(entries, news)))
     assert (
         2 * size / module.CALM_EVERY_S < 200
     )  # both ends of own and others' exchanges, bytes a second
--- a/tests/mutations/distribution.py
+++ b/tests/mutations/distribution.py
@@ -8,7 +8,7 @@
 
 MUTATIONS: tuple[Mutation, ...] = (
     *mutations_of(
-        "distribution/pull.py",
+        "distribution/pull_state_machine.py",
         PULLER,
         ("a late reply of an earlier call is taken", " or self._open[0] != call", ""),
         (
--- a/tests/protocol/test_records.py
+++ b/tests/protocol/test_records.py
@@ -11,7 +11,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from roselink.protocol.records import RecordError, decode, encode, number_of, record
+from roselink.protocol.records import RecordError, decode, encode, record, record_number_of
 
 
 class Colour(IntEnum):
@@ -60,7 +60,7 @@
 
 @given(everything)
 def test_a_record_comes_back_as_it_was(message: Everything) -> None:
-    assert decode(number_of(message), encode(message)) == message
+    assert decode(record_number_of(message), encode(message)) == message
 
 
 @given(everything, st.data())
--- a/tests/router/test_app.py
+++ b/tests/router/test_app.py
@@ -18,7 +18,7 @@
 from roselink.model.fleet import Member, Snapshot, VersionVector
 from roselink.model.settings import ProcessSettings, load_settings
 from roselink.protocol.peers import Address, PeerServer, Reply
-from roselink.protocol.pull import ChangesPull, Pull, PullReply
+from roselink.protocol.pull import DeltaPullRequest, PullReply, PullRequest
 from roselink.router.app import Control, serve
 
 if TYPE_CHECKING:
@@ -45,16 +45,16 @@
         self.members: dict[str, Member] = {}
         self.roster_version = 0
         self.confirmed = True
-        self.pulls: list[Pull] = []
+        self.pulls: list[PullRequest] = []
 
     async def start(self) -> Core:
         self.port = await self.server.listen(HOST, 0)
         return self
 
     def handle(self, peer: Address, message: Any, reply: Reply) -> None:
-        if isinstance(message, ChangesPull):
+        if isinstance(message, DeltaPullRequest):
             message = message.pull
-        assert isinstance(message, Pull)
+        assert isinstance(message, PullRequest)
         self.pulls.append(message)
         before = dict(self.members)
         if message.serving:
@@ -107,13 +107,13 @@
         for index in range(count):
             path = folder / f"{index}.json"
             control = Control(write_settings(path, f"edge-{index}", free_port()), str(path))
-            control.puller.hear_cores([f"{HOST}:{core.port}"])
+            control.pull_client.add_core_hints([f"{HOST}:{core.port}"])
             self.controls.append(control)
 
     async def start(self) -> None:
         for control in self.controls:
             await control.start()
-            control.puller.set_serving(True)
+            control.pull_client.set_serving(True)
 
     async def until(self, reached: Callable[[Snapshot], bool]) -> None:
         """Until each has a snapshot in force that satisfies `reached`."""
@@ -125,7 +125,7 @@
                 if reached(snapshot) and not seen.done():
                     seen.set_result(None)
 
-            control.puller.subscribe(look)
+            control.pull_client.subscribe(look)
             waits.append(seen)
         await asyncio.wait_for(asyncio.gather(*waits), 10)
 
@@ -156,7 +156,7 @@
         gateways = Gateways(core, tmp_path, 3)
         await gateways.start()
         await gateways.until(lambda snapshot: len(snapshot.roster) == 3)
-        assert all(control.puller.may_use_keys() for control in gateways.controls)
+        assert all(control.pull_client.may_use_keys() for control in gateways.controls)
         first = gateways.controls[0]
         free = Tenant("free", (), 0, "requests", 1, 0.0, 0.0)
         undecided: list[bool] = []
@@ -197,7 +197,7 @@
             connection._handler = count
         await enough
         for control in gateways.controls:
-            snapshot = control.puller.snapshot()
+            snapshot = control.pull_client.snapshot()
             assert snapshot is not None and snapshot.configuration.generation == 7
         gateways.stop()
         core.server.close()
@@ -213,14 +213,14 @@
         control = Control(write_settings(path, "edge", dead), str(path))
         await control.start()
         path.write_text("{ half a file")
-        control.puller.reload()
-        assert control.puller.snapshot() is None
+        control.pull_client.reload()
+        assert control.pull_client.snapshot() is None
         moved = json.dumps(
             {**json.loads(settings_text(dead)), "port_range": [core.port, core.port]}
         )
         path.write_text(moved)
         reached = asyncio.get_running_loop().create_future()
-        control.puller.subscribe(
+        control.pull_client.subscribe(
             lambda snapshot: None if reached.done() else reached.set_result(None)
         )
         await asyncio.wait_for(reached, 10)
--- a/tools/pulls.py
+++ b/tools/pulls.py
@@ -18,12 +18,12 @@
 from roselink.coordination.views import MAX_VOTERS
 from roselink.dataplane.topology import HostDirectory
 from roselink.dataplane.upstream import FleetUpstream
-from roselink.distribution.host_changes import completed
-from roselink.distribution.pull import PULL_EVERY_S, PullMachine, SendPull
+from roselink.distribution.host_changes import expand_reply
+from roselink.distribution.pull_state_machine import PULL_EVERY_S, PullStateMachine, SendPull
 from roselink.gateway.config import Descriptors
 from roselink.model.fleet import Host, Member, Snapshot, VersionVector
 from roselink.protocol.peers import FrameReader, frame
-from roselink.protocol.pull import ChangesReply, Pull, PullReply
+from roselink.protocol.pull import DeltaPullReply, PullReply, PullRequest
 from tools.measure import heap_bytes, machine, processor_us, show, show_line
 from tools.shapes import (
     make_configuration,
@@ -102,10 +102,10 @@
 
 def quiet_pull(cores: int, pulls: int) -> QuietPull:
     """One gateway against a core that has nothing new."""
-    machine_ = PullMachine(make_member(1), [("10.2.0.1", 7500)], random.Random(1))
+    machine_ = PullStateMachine(make_member(1), [("10.2.0.1", 7500)], random.Random(1))
     vector = VersionVector(1, EPOCH << 32 | 1, EPOCH << 32 | 1)
     reply = frame(ANSWER, 1, PullReply(True, vector, None, None, None, make_cores(cores)))
-    pull_bytes = len(frame(CALL, 1, Pull(make_member(1), vector, True)))
+    pull_bytes = len(frame(CALL, 1, PullRequest(make_member(1), vector, True)))
     reader = FrameReader()
     now = 0.0
 
@@ -116,7 +116,7 @@
             if isinstance(effect, SendPull):
                 frame(CALL, effect.call, effect.pull)
                 for _, _, answer in reader.feed(reply):
-                    machine_.answered(effect.call, answer, now + 0.003)
+                    machine_.reply_received(effect.call, answer, now + 0.003)
 
     return QuietPull(cores, processor_us(pull, pulls), pull_bytes, len(reply))
 
@@ -133,7 +133,7 @@
         nonlocal number
         number += 1
         held = VersionVector(1, desk.versions.hosts, desk.versions.roster)
-        data = frame(CALL, number, Pull(member, held, True))
+        data = frame(CALL, number, PullRequest(member, held, True))
         for _, _, message in FrameReader().feed(data):
             desk.pull(now, number, message)
         for effect in desk.confirmed(now, number, confirmation):
@@ -193,20 +193,20 @@
     confirmation = Confirmation(EPOCH, 1, b"", 1)
 
     def answer(vector: VersionVector) -> bytes:
-        desk.pull(0.0, 1, Pull(members[0], vector, True), changes=True)
+        desk.pull(0.0, 1, PullRequest(members[0], vector, True), changes=True)
         for effect in desk.confirmed(0.0, 1, confirmation):
             if isinstance(effect, AnswerChanges):
                 return frame(ANSWER, 1, effect.reply)
         raise RuntimeError("no answer")
 
     data = answer(held)
-    reply: ChangesReply = FrameReader().feed(data)[0][2]
+    reply: DeltaPullReply = FrameReader().feed(data)[0][2]
     if reply.host_changes is None:
         raise RuntimeError("the whole list came")
 
     def take() -> None:
         FrameReader().feed(data)
-        completed(reply, held.hosts, hosts)
+        expand_reply(reply, held.hosts, hosts)
 
     return HostDifference(
         count,
