--- a/roselink/cli.py
+++ b/roselink/cli.py
@@ -12,7 +12,7 @@
 
 import defopt  # type: ignore[import-untyped]
 
-from roselink.controller.checking import Refused, check_document
+from roselink.controller.validation import ValidationFailure, validate_document
 from roselink.model.settings import SettingsError, read_settings
 from roselink.status import NoAnswer, fetch_state, render
 
@@ -39,8 +39,8 @@
         except SettingsError as error:
             return _report(error.faults)
         return 0
-    checked = check_document(document)
-    if isinstance(checked, Refused):
+    checked = validate_document(document)
+    if isinstance(checked, ValidationFailure):
         return _report([str(fault) for fault in checked.faults])
     return 0
 
--- a/roselink/controller/api.py
+++ b/roselink/controller/api.py
@@ -19,25 +19,25 @@
 from twisted.internet.defer import Deferred
 from twisted.web.server import Request, Site
 
-from roselink.controller.checking import Fault, Refused, check
-from roselink.controller.contract import (
+from roselink.controller.chain_interface import (
     ConfigurationOrder,
     Confirmation,
     Conflict,
-    ControlNode,
     NotNewer,
+    ReplicatedChain,
     SubmitOutcome,
     TakenOrder,
     Unsettled,
 )
-from roselink.controller.updates import carry_update, read_call
-from roselink.controller.values import MOST_NUMBER
+from roselink.controller.field_validators import MOST_NUMBER
+from roselink.controller.updates import parse_update_request, submit_update
+from roselink.controller.validation import ValidationFailure, ValidationFault, validate
 from roselink.coordination.state import digest_of
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from roselink.controller.pulls import GatewayLag
+    from roselink.controller.pull_server import GatewayLag
     from roselink.model.fleet import VersionVector
 
 MAX_BODY_BYTES = 16 * 1024 * 1024
@@ -97,7 +97,7 @@
 class AdminApi:
     """The routes of the interface."""
 
-    def __init__(self, node: ControlNode, published: Published, reactor: Any) -> None:
+    def __init__(self, node: ReplicatedChain, published: Published, reactor: Any) -> None:
         self._node, self._published, self._reactor = node, published, reactor
         self._stopping = False
         self._open = 0
@@ -131,8 +131,8 @@
         if not isinstance(base, int):
             return base
         body = request.content.read()
-        checked = check(body)
-        if isinstance(checked, Refused):
+        checked = validate(body)
+        if isinstance(checked, ValidationFailure):
             return _refused(request, base, checked)
         order = ConfigurationOrder(base, checked.generation, body, digest_of(base, body))
         return self._carried(
@@ -143,14 +143,14 @@
         base = self._base(request)
         if not isinstance(base, int):
             return base
-        call = read_call(base, request.content.read())
-        if isinstance(call, Refused):
+        call = parse_update_request(base, request.content.read())
+        if isinstance(call, ValidationFailure):
             return _refused(request, base, call)
         return self._carried(
             request,
             base,
             call.update.generation,
-            lambda done: carry_update(call, self._node.confirm, self._node.submit, done),
+            lambda done: submit_update(call, self._node.confirm, self._node.submit, done),
         )
 
     def _base(self, request: ApiRequest) -> int | bytes:
@@ -161,7 +161,9 @@
             [str(value) for value in request.requestHeaders.getRawHeaders("X-Base-Version", [])]
         )
         if base is None:
-            return _invalid(request, (Fault("X-Base-Version", "must be one whole number"),))
+            return _invalid(
+                request, (ValidationFault("X-Base-Version", "must be one whole number"),)
+            )
         if self._stopping:
             return _unavailable(request, "stopping")
         return base
@@ -185,11 +187,15 @@
         return outcome
 
     def _answer_order(
-        self, outcome: SubmitOutcome | Refused, request: ApiRequest, base: int, generation: int
+        self,
+        outcome: SubmitOutcome | ValidationFailure,
+        request: ApiRequest,
+        base: int,
+        generation: int,
     ) -> bytes:
-        if isinstance(outcome, Refused):
+        if isinstance(outcome, ValidationFailure):
             return _refused(request, base, outcome)
-        log.info("order", base=base, generation=generation, outcome=type(outcome).__name__)
+        log.info("change_decided", base=base, generation=generation, outcome=type(outcome).__name__)
         match outcome:
             case TakenOrder(sequence):
                 return _json(request, 200, {"generation": generation, "sequence": sequence})
@@ -198,7 +204,9 @@
             case NotNewer(current) if current != base:
                 return _conflict(request, current)
             case NotNewer(current):
-                return _invalid(request, (Fault("generation", f"must be above {current}"),))
+                return _invalid(
+                    request, (ValidationFault("generation", f"must be above {current}"),)
+                )
             case Unsettled():
                 return _unavailable(request, "unsettled")
 
@@ -277,12 +285,12 @@
     return _body(request, status, json.dumps(value).encode())
 
 
-def _refused(request: ApiRequest, base: int, refused: Refused) -> bytes:
-    log.info("order_invalid", base=base, faults=[str(fault) for fault in refused.faults[:5]])
+def _refused(request: ApiRequest, base: int, refused: ValidationFailure) -> bytes:
+    log.info("change_rejected", base=base, faults=[str(fault) for fault in refused.faults[:5]])
     return _invalid(request, refused.faults)
 
 
-def _invalid(request: ApiRequest, faults: tuple[Fault, ...]) -> bytes:
+def _invalid(request: ApiRequest, faults: tuple[ValidationFault, ...]) -> bytes:
     return _json(request, 400, {"error": "invalid", "faults": [asdict(fault) for fault in faults]})
 
 
--- a/roselink/controller/app.py
+++ b/roselink/controller/app.py
@@ -21,8 +21,8 @@
 from collections.abc import Callable, Coroutine
 from typing import TYPE_CHECKING, Any, Protocol
 
-from roselink.controller.contract import Address, ControlNode
-from roselink.controller.event_log import log
+from roselink.controller.chain_interface import Address, ReplicatedChain
+from roselink.controller.startup_log import log
 from roselink.model.settings import (
     DEFAULT_PATH,
     ENVIRONMENT_VARIABLE,
@@ -34,8 +34,8 @@
 
 if TYPE_CHECKING:
     from roselink.controller.api import AdminApi
-    from roselink.controller.platform_client import PlatformClient
-    from roselink.controller.pull_service import PullService
+    from roselink.controller.host_list_client import HostListClient
+    from roselink.controller.pull_driver import PullDriver
 
 STOP_SHARE = 0.25  # of `grace_s`: how long orders under way may take to end after SIGTERM
 MOST_STOP_S = 1.5
@@ -58,10 +58,10 @@
     "twisted.web.client",
     "structlog.processors",
     "structlog",
-    "roselink.controller.logs",
+    "roselink.controller.logging_setup",
     "treq.api",
     "treq.client",
-    "roselink.controller.platform_client",
+    "roselink.controller.host_list_client",
 )
 SERVER_MODULES = (  # and the operator's interface
     "twisted.cred.checkers",
@@ -74,7 +74,7 @@
     "klein._form",
     "klein",
     "voluptuous",
-    "roselink.controller.checking",
+    "roselink.controller.validation",
     "roselink.controller.updates",
     "roselink.controller.api",
 )
@@ -86,7 +86,7 @@
 Reply = Callable[[Any], None]
 
 
-class CoreNode(ControlNode, Protocol):
+class RunnableChain(ReplicatedChain, Protocol):
     """The chain's driver, with what only the assembly needs."""
 
     def start(self) -> None:
@@ -134,7 +134,7 @@
     return reactor
 
 
-class ImportsInSteps:
+class StepwiseImporter:
     """Imports modules in order; between two of them the loop serves what came, and a view may be
     agreed.
     """
@@ -158,9 +158,9 @@
             self._patience_s -= self._clock() - began
 
 
-def _make_node(settings: ProcessSettings, pool: PeerPool) -> CoreNode:
-    node = importlib.import_module("roselink.controller.node")
-    made: CoreNode = node.ControlNode(settings, pool, asyncio.get_running_loop())
+def _make_node(settings: ProcessSettings, pool: PeerPool) -> RunnableChain:
+    node = importlib.import_module("roselink.controller.chain_driver")
+    made: RunnableChain = node.ChainDriver(settings, pool, asyncio.get_running_loop())
     return made
 
 
@@ -171,7 +171,7 @@
         self,
         settings: ProcessSettings,
         loop: asyncio.AbstractEventLoop,
-        make_node: Callable[[ProcessSettings, PeerPool], CoreNode],
+        make_node: Callable[[ProcessSettings, PeerPool], RunnableChain],
     ) -> None:
         self._settings, self._loop, self._make_node = settings, loop, make_node
         self._stopping = False
@@ -179,10 +179,10 @@
         self._starting: asyncio.Task[None] | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self.failure: BaseException | None = None
-        self._node: CoreNode | None = None
-        self._pulls: PullService | None = None
+        self._node: RunnableChain | None = None
+        self._pulls: PullDriver | None = None
         self._api: AdminApi | None = None
-        self._client: PlatformClient | None = None
+        self._client: HostListClient | None = None
         self._listening: Any = None
         self._pool = PeerPool(self._handle)
         self._server = PeerServer(self._handle)
@@ -223,7 +223,7 @@
         settings = self._settings
         log.name(settings.node_name)
         self._node = node = self._make_node(settings, self._pool)
-        self._pulls = importlib.import_module("roselink.controller.pull_service").PullService(
+        self._pulls = importlib.import_module("roselink.controller.pull_driver").PullDriver(
             node, self._pool
         )
         await self._listen(settings.ip, settings.peer_port)
@@ -234,11 +234,11 @@
         gc.freeze()
         log.info("core_started", peer_port=settings.peer_port, epoch=node.epoch)
 
-    async def _start_http(self, node: CoreNode, pulls: PullService) -> None:
+    async def _start_http(self, node: RunnableChain, pulls: PullDriver) -> None:
         """Load the HTTP libraries beside the chain; read the platform, then listen to the
         operator.
         """
-        imports = ImportsInSteps(lambda: node.forming, self._loop.time)
+        imports = StepwiseImporter(lambda: node.forming, self._loop.time)
         await imports.load(REACTOR_MODULES)
         reactor = install_reactor(self._loop)
         await imports.load(CLIENT_MODULES)
@@ -246,22 +246,22 @@
         await imports.load(SERVER_MODULES)
         self._start_api(node, pulls, reactor)
 
-    def _start_client(self, node: CoreNode, pulls: PullService, reactor: Any) -> None:
+    def _start_client(self, node: RunnableChain, pulls: PullDriver, reactor: Any) -> None:
         """Log as the libraries do, and read the platform's list when this member is the tail."""
         import structlog
 
-        from roselink.controller.logs import start_logs
-        from roselink.controller.platform_client import PlatformClient
+        from roselink.controller.host_list_client import HostListClient
+        from roselink.controller.logging_setup import configure_logging
 
-        start_logs(self._settings.node_name)
+        configure_logging(self._settings.node_name)
         log.begin(structlog.get_logger("roselink.core"))
         reactor.startRunning(installSignalHandlers=False)
         if self._settings.platform is not None:
-            self._client = PlatformClient(reactor, self._settings.platform, pulls.hosts_listed)
+            self._client = HostListClient(reactor, self._settings.platform, pulls.hosts_listed)
             node.on_view(self._role_changed)
             self._role_changed()
 
-    def _start_api(self, node: CoreNode, pulls: PullService, reactor: Any) -> None:
+    def _start_api(self, node: RunnableChain, pulls: PullDriver, reactor: Any) -> None:
         """Listen to the operator."""
         from roselink.controller.api import AdminApi
 
@@ -302,7 +302,7 @@
         try:
             settings = load_settings(path)
         except SettingsError as error:
-            log.error("settings_unusable", faults=error.faults)
+            log.error("settings_rejected", faults=error.faults)
             return
         if self._node is not None and settings.seeds != self._settings.seeds:
             self._node.seeds_changed(settings)
@@ -328,7 +328,7 @@
                 async with asyncio.timeout(bound):
                     await self._node.stop()
             except TimeoutError:
-                log.warning("node_stop_overdue")
+                log.warning("chain_leave_timed_out")
         self._server.close()
         self._pool.close()
         log.info("core_stopped")
--- a/roselink/controller/node.py
+++ b/roselink/controller/chain_driver.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from roselink.controller.event_log import log
+from roselink.controller.startup_log import log
 from roselink.controller.storage import Storage, record_number
 from roselink.coordination.effects import (
     Confirmation,
@@ -42,7 +42,7 @@
 Job = Callable[[], None] | None
 
 
-class ControlNode:
+class ChainDriver:
     """One core member on real sockets and a real disk. All methods are for the loop's own
     thread.
     """
@@ -206,7 +206,7 @@
             chain = [link.voter.address for link in view.chain]
             log.info("view_changed", epoch=view.epoch, chain=chain, voters=len(view.voters))
         if self.is_tail:
-            log.info("chain_active", epoch=view.epoch)
+            log.info("chain_activated", epoch=view.epoch)
 
     def _tick(self) -> None:
         if self._member is None or not self._running:
@@ -231,7 +231,7 @@
         try:
             self._loop.call_soon_threadsafe(step, *values)
         except RuntimeError:
-            log.info("disk_outlived_loop")
+            log.info("disk_result_dropped")
 
     def _load(self) -> None:
         """Read the disk; it is asked again until it answers."""
--- a/roselink/controller/contract.py
+++ b/roselink/controller/chain_interface.py
@@ -27,15 +27,15 @@
     "ConfigurationOrder",
     "Confirmation",
     "Conflict",
-    "ControlNode",
     "NotNewer",
+    "ReplicatedChain",
     "SubmitOutcome",
     "TakenOrder",
     "Unsettled",
 ]
 
 
-class ControlNode(Protocol):
+class ReplicatedChain(Protocol):
     """The replicated chain as the rest of a core process sees it."""
 
     @property
--- a/roselink/controller/platform_client.py
+++ b/roselink/controller/host_list_client.py
@@ -18,15 +18,15 @@
 from twisted.web.iweb import IAgentEndpointFactory, IResponse
 from zope.interface import implementer  # type: ignore[import-untyped]
 
-from roselink.controller.platform import (
+from roselink.controller.host_list_reader import (
     Fetch,
-    Listed,
-    ListReader,
+    HostListReader,
+    HostsListed,
+    LogWarning,
     ReaderEffect,
     ReaderTimes,
-    Trouble,
     WakeAt,
-    read_page,
+    parse_page,
 )
 
 if TYPE_CHECKING:
@@ -56,7 +56,7 @@
         )
 
 
-class PlatformClient:
+class HostListClient:
     """Reads the list while it holds the role; `listed(epoch, hosts)` gets each whole list."""
 
     def __init__(
@@ -71,7 +71,7 @@
         self._clock, self._listed = clock, listed
         times = times or ReaderTimes()
         self._call_s = times.call_s
-        self._reader = ListReader(platform.rate_per_s, random.Random(), times)
+        self._reader = HostListReader(platform.rate_per_s, random.Random(), times)
         self._url = f"http://{platform.address[0]}:{platform.address[1]}/instances"
         self._pool = HTTPConnectionPool(reactor, persistent=True)  # type: ignore[no-untyped-call]
         self._pool.maxPersistentPerHost = 1
@@ -112,9 +112,9 @@
                     self._fetch(number, page_token)
                 case WakeAt(at):
                     self._wake_at(at)
-                case Listed(epoch, hosts):
+                case HostsListed(epoch, hosts):
                     self._listed(epoch, hosts)
-                case Trouble(event, detail):
+                case LogWarning(event, detail):
                     log.warning(event, detail=detail)
 
     def _wake_at(self, at: float) -> None:
@@ -146,5 +146,5 @@
         if isinstance(outcome, Failure):
             page: Any = f"{type(outcome.value).__name__}: {outcome.getErrorMessage()}"
         else:
-            page = read_page(*outcome)
+            page = parse_page(*outcome)
         self._apply(self._reader.answered(self._clock(), number, page))
--- a/roselink/controller/platform.py
+++ b/roselink/controller/host_list_reader.py
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class HostsListed:
     """The whole list, from a pass that began in this view."""
 
     epoch: int
@@ -71,17 +71,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
+class LogWarning:
     """Something to be logged."""
 
     event: str
     detail: str
 
 
-ReaderEffect = Fetch | WakeAt | Listed | Trouble
+ReaderEffect = Fetch | WakeAt | HostsListed | LogWarning
 
 
-def read_page(status: int, body: bytes) -> Page | str:
+def parse_page(status: int, body: bytes) -> Page | str:
     """The page in an answer, or why there is none."""
     if status != 200:
         return f"status {status}"
@@ -97,7 +97,7 @@
         token = json.dumps(token)
     hosts, unreadable = [], []
     for entry in entries:
-        host = read_host(entry)
+        host = parse_host(entry)
         if isinstance(host, Host):
             hosts.append(host)
         else:
@@ -105,7 +105,7 @@
     return Page(tuple(hosts), tuple(unreadable), token or None)
 
 
-def read_host(entry: object) -> Host | str:
+def parse_host(entry: object) -> Host | str:
     """The host in an entry, or why it can't be read."""
     if not isinstance(entry, Mapping):
         return "no object"
@@ -149,7 +149,7 @@
     return tuple(name for name in names if isinstance(name, str))
 
 
-class ListReader:
+class HostListReader:
     """The schedule of one reader. It runs between `start` and `stop`; at most one call is under
     way.
     """
@@ -214,7 +214,7 @@
         self._failures, self._page_tries = 0, 0
         self._pages += 1
         effects: list[ReaderEffect] = [
-            Trouble("host_unreadable", reason) for reason in page.unreadable
+            LogWarning("host_entry_rejected", reason) for reason in page.unreadable
         ]
         for host in page.hosts:
             self._hosts[host.id] = host
@@ -235,7 +235,7 @@
         )
         wait = bound * self._chance.uniform(0.5, 1.0)
         self._next_at = max(now + wait, self._called_at + self._gap_s)
-        return [Trouble("platform_call_failed", reason), *self._go(now)]
+        return [LogWarning("platform_call_failed", reason), *self._go(now)]
 
     def _begin_pass(self) -> None:
         self._token, self._pages, self._page_tries, self._hosts = None, 0, 0, {}
@@ -249,7 +249,7 @@
             hosts = hosts | {name: self._last[name] for name in fresh}
             self._missed_once, again = fresh, bool(fresh)
         self._last = hosts
-        listed = Listed(self._pass_epoch, tuple(hosts.values()))
+        listed = HostsListed(self._pass_epoch, tuple(hosts.values()))
         soonest = self._called_at + self._gap_s
         self._next_at = (
             soonest if again else max(soonest, self._pass_began + self._times.interval_s)
--- a/roselink/controller/logs.py
+++ b/roselink/controller/logging_setup.py
@@ -20,7 +20,7 @@
 MOST_EVENTS = 512  # kept apart; more begin anew
 
 
-class LineBudget:
+class EventRateLimiter:
     """How many lines of each event may still go out: a token bucket each."""
 
     def __init__(self, burst: float = BURST_LINES, per_s: float = LINES_PER_S) -> None:
@@ -44,7 +44,7 @@
     """A step of structlog's chain that drops lines beyond the budget."""
 
     def __init__(self) -> None:
-        self._budget = LineBudget()
+        self._budget = EventRateLimiter()
 
     def __call__(self, logger: Any, method: str, event: Any) -> Any:
         held = self._budget.spend(time.monotonic(), str(event.get("event")))
@@ -91,7 +91,7 @@
     )
 
 
-def start_logs(node_name: str, stream: TextIO | None = None) -> None:
+def configure_logging(node_name: str, stream: TextIO | None = None) -> None:
     """Set the loggers of this process up, once."""
     structlog.configure(
         processors=[
--- a/roselink/controller/pull_service.py
+++ b/roselink/controller/pull_driver.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any, Protocol
 
-from roselink.controller.pulls import (
+from roselink.controller.pull_server import (
     Answer,
     AnswerChanges,
     Confirm,
@@ -15,14 +15,14 @@
     ForwardedChangesPull,
     ForwardedPull,
     GatewayLag,
-    PullDesk,
     PullEffect,
+    PullServer,
     PullTimes,
 )
 from roselink.protocol.pull import ChangesPull, ChangesReply, Pull, PullReply
 
 if TYPE_CHECKING:
-    from roselink.controller.contract import Address, Confirmation, ControlNode
+    from roselink.controller.chain_interface import Address, Confirmation, ReplicatedChain
     from roselink.model.fleet import Host, VersionVector
 
 FORWARD_TIMEOUT_S = 0.4
@@ -39,18 +39,18 @@
         """Send a call; `done` gets the answer, or None."""
 
 
-class PullService:
+class PullDriver:
     """Answers the pulls that come to one member."""
 
     def __init__(
         self,
-        node: ControlNode,
+        node: ReplicatedChain,
         pool: Caller,
         times: PullTimes | None = None,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self._node, self._pool, self._clock = node, pool, clock
-        self._desk = PullDesk(times)
+        self._desk = PullServer(times)
         self._replies: dict[int, Reply] = {}
         self._numbers = itertools.count(1)
 
--- a/roselink/controller/pulls.py
+++ b/roselink/controller/pull_server.py
@@ -22,7 +22,7 @@
 from roselink.protocol.records import record
 
 if TYPE_CHECKING:
-    from roselink.controller.contract import Address, Confirmation
+    from roselink.controller.chain_interface import Address, Confirmation
 
 EPOCH_SHIFT = 32
 COMPRESSION = 1  # zlib's fastest: documents repeat themselves so much that more effort gains little
@@ -133,7 +133,7 @@
     roster: int
 
 
-class PullDesk:
+class PullServer:
     """The state of the pull service in one member."""
 
     def __init__(self, times: PullTimes | None = None) -> None:
--- a/roselink/controller/event_log.py
+++ b/roselink/controller/startup_log.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 
-class EventLog:
+class StartupLog:
     """One line an event: plainly until the logging library is loaded, then through it."""
 
     def __init__(self) -> None:
@@ -48,4 +48,4 @@
         sys.stderr.write(json.dumps({**fields, **told, "timestamp": now}, default=str) + "\n")
 
 
-log = EventLog()
+log = StartupLog()
--- a/roselink/controller/updates.py
+++ b/roselink/controller/updates.py
@@ -23,9 +23,20 @@
 
 from voluptuous import Invalid
 
-from roselink.controller.checking import Checked, Fault, Refused, check_document, read_json
-from roselink.controller.contract import ConfigurationOrder, Confirmation, SubmitOutcome, Unsettled
-from roselink.controller.values import positive_whole
+from roselink.controller.chain_interface import (
+    ConfigurationOrder,
+    Confirmation,
+    SubmitOutcome,
+    Unsettled,
+)
+from roselink.controller.field_validators import positive_whole
+from roselink.controller.validation import (
+    ValidationFailure,
+    ValidationFault,
+    ValidDocument,
+    parse_json,
+    validate_document,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Mapping
@@ -46,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class UpdateCall:
+class UpdateRequest:
     """An update that an operator has sent: the version it builds on, and its name when it comes
     again.
     """
@@ -56,13 +67,13 @@
     digest: bytes
 
 
-def read_call(base: int, body: bytes) -> UpdateCall | Refused:
+def parse_update_request(base: int, body: bytes) -> UpdateRequest | ValidationFailure:
     """The update with this base and these bytes, or why it can't be read."""
     update = read_update(body)
     return (
         update
-        if isinstance(update, Refused)
-        else UpdateCall(base, update, digest_of_update(base, body))
+        if isinstance(update, ValidationFailure)
+        else UpdateRequest(base, update, digest_of_update(base, body))
     )
 
 
@@ -71,16 +82,16 @@
     return hashlib.sha256(_DIGEST_PREFIX + struct.pack("!q", base) + body).digest()
 
 
-def read_update(body: bytes) -> Update | Refused:
+def read_update(body: bytes) -> Update | ValidationFailure:
     """Check an update by itself."""
-    value = read_json(body)
-    if isinstance(value, Refused):
+    value = parse_json(body)
+    if isinstance(value, ValidationFailure):
         return value
     if not isinstance(value, dict):
-        return Refused((Fault("", "must be an object"),))
+        return ValidationFailure((ValidationFault("", "must be an object"),))
     faults = tuple(_shape_faults(value))
     if faults:
-        return Refused(faults)
+        return ValidationFailure(faults)
     removed = {section: frozenset(names) for section, names in (value.get(REMOVE) or {}).items()}
     return Update(int(value[GENERATION]), value.get(UPSERT) or {}, removed)
 
@@ -104,9 +115,9 @@
     return merged
 
 
-def order_of_update(
+def proposal_from_update(
     base: int, update: Update, digest: bytes, confirmed: Confirmation
-) -> ConfigurationOrder | Refused:
+) -> ConfigurationOrder | ValidationFailure:
     """The order that brings an update about, on a state confirmed after the update was read.
 
     Where the base is not in place the order has no document: the head then only looks for its
@@ -119,19 +130,19 @@
     document = json.loads(confirmed.document) if confirmed.document is not None else _nothing()
     faults = tuple(_section_faults(document, update))
     if faults:
-        return Refused(faults)
+        return ValidationFailure(faults)
     merged = merge(document, update)
-    checked = check_document(merged)
-    if isinstance(checked, Refused):
+    checked = validate_document(merged)
+    if isinstance(checked, ValidationFailure):
         return checked
     return _order(base, checked, digest)
 
 
-def carry_update(
-    call: UpdateCall,
+def submit_update(
+    call: UpdateRequest,
     confirm: Callable[[Callable[[Confirmation | None], None]], None],
     submit: Callable[[ConfigurationOrder, Callable[[SubmitOutcome], None]], None],
-    done: Callable[[SubmitOutcome | Refused], None],
+    done: Callable[[SubmitOutcome | ValidationFailure], None],
 ) -> None:
     """Confirm the state, merge the update onto it, and have the order decided. `done` gets one
     outcome.
@@ -141,8 +152,8 @@
         if confirmed is None:
             done(Unsettled())
             return
-        order = order_of_update(call.base, call.update, call.digest, confirmed)
-        if isinstance(order, Refused):
+        order = proposal_from_update(call.base, call.update, call.digest, confirmed)
+        if isinstance(order, ValidationFailure):
             done(order)
         else:
             submit(order, done)
@@ -150,7 +161,7 @@
     confirm(on_state)
 
 
-def _order(base: int, checked: Checked, digest: bytes) -> ConfigurationOrder:
+def _order(base: int, checked: ValidDocument, digest: bytes) -> ConfigurationOrder:
     # In ASCII: half a character, which JSON allows in fields that are passed over, has no bytes of
     # its own.
     document = json.dumps(checked.document, separators=(",", ":")).encode()
@@ -175,64 +186,66 @@
     return items + list(newest.values())
 
 
-def _shape_faults(value: Mapping[str, Any]) -> Iterable[Fault]:
+def _shape_faults(value: Mapping[str, Any]) -> Iterable[ValidationFault]:
     try:
         positive_whole(value.get(GENERATION))
     except Invalid as invalid:
-        yield Fault(GENERATION, invalid.msg)
+        yield ValidationFault(GENERATION, invalid.msg)
     sections = {}
     for part in (UPSERT, REMOVE):
         sections[part] = value.get(part) or {}
         if not isinstance(sections[part], dict):
-            yield Fault(part, "must be an object")
+            yield ValidationFault(part, "must be an object")
             return
         if GENERATION in sections[part]:
-            yield Fault(f"{part}.{GENERATION}", "is no section")
+            yield ValidationFault(f"{part}.{GENERATION}", "is no section")
     for section, items in sections[UPSERT].items():
         yield from _upsert_faults(section, items, sections[REMOVE].get(section))
     for section, names in sections[REMOVE].items():
         yield from _remove_faults(section, names)
 
 
-def _upsert_faults(section: str, items: Any, removed: Any) -> Iterable[Fault]:
+def _upsert_faults(section: str, items: Any, removed: Any) -> Iterable[ValidationFault]:
     path = f"{UPSERT}.{section}"
     if isinstance(items, dict):
         if removed:
-            yield Fault(f"{REMOVE}.{section}", "is an object, which has no items to remove")
+            yield ValidationFault(
+                f"{REMOVE}.{section}", "is an object, which has no items to remove"
+            )
         return
     if not isinstance(items, list):
-        yield Fault(path, "must be a list of items, or an object")
+        yield ValidationFault(path, "must be a list of items, or an object")
         return
     seen: set[str] = set()
     for index, item in enumerate(items):
         name = item.get("name") if isinstance(item, dict) else None
         if not isinstance(name, str) or not name:
-            yield Fault(f"{path}[{index}]", "must be an object with a name")
+            yield ValidationFault(f"{path}[{index}]", "must be an object with a name")
         elif name in seen:
-            yield Fault(f"{path}[{index}].name", "stands twice")
+            yield ValidationFault(f"{path}[{index}].name", "stands twice")
         elif isinstance(removed, list) and name in removed:
-            yield Fault(f"{path}[{index}].name", "is also removed")
+            yield ValidationFault(f"{path}[{index}].name", "is also removed")
         else:
             seen.add(name)
 
 
-def _remove_faults(section: str, names: Any) -> Iterable[Fault]:
+def _remove_faults(section: str, names: Any) -> Iterable[ValidationFault]:
     if not isinstance(names, list):
-        yield Fault(f"{REMOVE}.{section}", "must be a list of names")
+        yield ValidationFault(f"{REMOVE}.{section}", "must be a list of names")
         return
     for index, name in enumerate(names):
         if not isinstance(name, str) or not name:
-            yield Fault(f"{REMOVE}.{section}[{index}]", "must be a name")
+            yield ValidationFault(f"{REMOVE}.{section}[{index}]", "must be a name")
 
 
-def _section_faults(document: Mapping[str, Any], update: Update) -> Iterable[Fault]:
+def _section_faults(document: Mapping[str, Any], update: Update) -> Iterable[ValidationFault]:
     """Sections that the update takes for lists, and that are something else in its base."""
     for section in {*update.remove, *update.upsert}:
         if isinstance(update.upsert.get(section), dict):
             continue
         present = document.get(section)
         if present is not None and not _is_items(present):
-            yield Fault(section, "is no list of items")
+            yield ValidationFault(section, "is no list of items")
 
 
 def _is_items(value: object) -> bool:
--- a/roselink/controller/checking.py
+++ b/roselink/controller/validation.py
@@ -13,7 +13,7 @@
 
 from voluptuous import In, Invalid, MultipleInvalid, Required, Schema
 
-from roselink.controller.values import (
+from roselink.controller.field_validators import (
     amount,
     any_text,
     count,
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
+class ValidationFault:
     """One thing that is wrong: where (as in `routes[2].timeout_ms`; empty: the whole document), and
     why.
     """
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Checked:
+class ValidDocument:
     """A document without faults, and its number."""
 
     generation: int
@@ -57,51 +57,51 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
+class ValidationFailure:
     """Why a document is invalid: at least one fault."""
 
-    faults: tuple[Fault, ...]
+    faults: tuple[ValidationFault, ...]
 
 
-def check(body: bytes) -> Checked | Refused:
+def validate(body: bytes) -> ValidDocument | ValidationFailure:
     """Check the bytes of a document."""
-    document = read_json(body)
-    return document if isinstance(document, Refused) else check_document(document)
+    document = parse_json(body)
+    return document if isinstance(document, ValidationFailure) else validate_document(document)
 
 
-def read_json(body: bytes) -> Any | Refused:
+def parse_json(body: bytes) -> Any | ValidationFailure:
     """Read bytes as JSON."""
     try:
         return json.loads(body.decode("utf-8"), parse_constant=_no_constant)
     except (ValueError, RecursionError) as error:
-        return Refused((Fault("", f"is not JSON: {error}"),))
+        return ValidationFailure((ValidationFault("", f"is not JSON: {error}"),))
 
 
-def check_document(document: object) -> Checked | Refused:
+def validate_document(document: object) -> ValidDocument | ValidationFailure:
     """Check a document that has been read from JSON."""
     try:
         _SCHEMA(document)
     except MultipleInvalid as invalid:
-        return Refused(tuple(_fault(error) for error in invalid.errors[:MOST_FAULTS]))
+        return ValidationFailure(tuple(_fault(error) for error in invalid.errors[:MOST_FAULTS]))
     except RecursionError:
-        return Refused((Fault("", "is nested too deeply"),))
+        return ValidationFailure((ValidationFault("", "is nested too deeply"),))
     assert isinstance(document, dict)
     faults = list(_relations(document))
     if faults:
-        return Refused(tuple(faults[:MOST_FAULTS]))
-    return Checked(int(document["generation"]), document)
+        return ValidationFailure(tuple(faults[:MOST_FAULTS]))
+    return ValidDocument(int(document["generation"]), document)
 
 
 def _no_constant(name: str) -> NoReturn:
     raise ValueError(f"{name} is no number")
 
 
-def _fault(error: Invalid) -> Fault:
+def _fault(error: Invalid) -> ValidationFault:
     path = ""
     for step in error.path:
         path += f"[{step}]" if isinstance(step, int) else f".{step}" if path else str(step)
     reason = error.msg or "is invalid"
-    return Fault(path, {"required key not provided": "is missing"}.get(reason, reason))
+    return ValidationFault(path, {"required key not provided": "is missing"}.get(reason, reason))
 
 
 _KINDS = In(
@@ -171,7 +171,7 @@
 # What ties the parts together; the shapes are right here.
 
 
-def _relations(document: Mapping[str, Any]) -> Iterable[Fault]:
+def _relations(document: Mapping[str, Any]) -> Iterable[ValidationFault]:
     services = {service["name"] for service in document["services"]}
     for index, route in enumerate(document["routes"]):
         yield from _route_relations(f"routes[{index}]", route, services)
@@ -188,37 +188,41 @@
     yield from _shared_keys(tenants)
 
 
-def _route_relations(path: str, route: Mapping[str, Any], services: set[str]) -> Iterable[Fault]:
+def _route_relations(
+    path: str, route: Mapping[str, Any], services: set[str]
+) -> Iterable[ValidationFault]:
     single, split = route.get("service"), route.get("traffic_split") or []
     if single is None and not split:
-        yield Fault(f"{path}.service", "is missing")
+        yield ValidationFault(f"{path}.service", "is missing")
     if single is not None and single not in services:
-        yield Fault(f"{path}.service", f"no service is named {single!r}")
+        yield ValidationFault(f"{path}.service", f"no service is named {single!r}")
     for index, part in enumerate(split):
         if part["service"] not in services:
-            yield Fault(
+            yield ValidationFault(
                 f"{path}.traffic_split[{index}].service", f"no service is named {part['service']!r}"
             )
     if split and sum(part["weight"] for part in split) <= 0:
-        yield Fault(f"{path}.traffic_split", "the weights add up to 0")
+        yield ValidationFault(f"{path}.traffic_split", "the weights add up to 0")
 
 
 def _repeated(
     path: str, entries: list[Any], field: str, identity: Callable[[Any], object]
-) -> Iterable[Fault]:
+) -> Iterable[ValidationFault]:
     seen: dict[object, int] = {}
     for index, entry in enumerate(entries):
         first = seen.setdefault(identity(entry), index)
         if first != index:
-            yield Fault(f"{path}[{index}].{field}", f"is the same as that of {path}[{first}]")
+            yield ValidationFault(
+                f"{path}[{index}].{field}", f"is the same as that of {path}[{first}]"
+            )
 
 
-def _shared_keys(tenants: list[Any]) -> Iterable[Fault]:
+def _shared_keys(tenants: list[Any]) -> Iterable[ValidationFault]:
     holders: dict[str, int] = {}
     for index, tenant in enumerate(tenants):
         for place, key in enumerate(tenant.get("api_keys") or []):
             holder = holders.setdefault(key, index)
             if holder != index:
-                yield Fault(
+                yield ValidationFault(
                     f"tenants[{index}].api_keys[{place}]", f"is also a key of tenants[{holder}]"
                 )
--- a/roselink/coordination/__init__.py
+++ b/roselink/coordination/__init__.py
@@ -3,7 +3,7 @@
 
 State machines without I/O and without a clock; they import nothing of roselink but
 `roselink.protocol`. The embedding program owns sockets, disk and time: `docs/coordination.md` shows
-how, `roselink.controller.node` is the driver that the controller uses, and `roselink.simulation` runs
+how, `roselink.controller.chain_driver` is the driver that the controller uses, and `roselink.simulation` runs
 them in memory.
 
 `member` is the whole of one machine; its parts are `chain`, `views`, `votes`, `ballots`,
--- a/roselink/distribution/puller.py
+++ b/roselink/distribution/puller.py
@@ -127,7 +127,7 @@
         try:
             settings = load_settings(self._path)
         except SettingsError as error:
-            log.warning("settings_unusable faults=%s", error)
+            log.warning("settings_rejected faults=%s", error)
             return
         self._machine.use_seeds(settings.seed_peers())
         self.hurry()
--- a/roselink/model/configuration.py
+++ b/roselink/model/configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration as typed values. `roselink.controller.checking` decides whether one is
+"""The operator's configuration as typed values. `roselink.controller.validation` decides whether one is
 valid.
 """
 
--- a/roselink/simulation/clients.py
+++ b/roselink/simulation/clients.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from roselink.controller.checking import Refused
-from roselink.controller.updates import UpdateCall, carry_update, read_call
+from roselink.controller.updates import UpdateRequest, parse_update_request, submit_update
+from roselink.controller.validation import ValidationFailure
 from roselink.coordination.effects import (
     Confirmation,
     Conflict,
@@ -65,9 +65,11 @@
     """A change as its operator sends it, whole or as an update, each time with the same bytes."""
 
     change: Change
-    order: ConfigurationOrder | UpdateCall
+    order: ConfigurationOrder | UpdateRequest
 
-    def to(self, machine: Machine, done: Callable[[SubmitOutcome | Refused], None]) -> None:
+    def to(
+        self, machine: Machine, done: Callable[[SubmitOutcome | ValidationFailure], None]
+    ) -> None:
         """Have a member carry it."""
         if isinstance(self.order, ConfigurationOrder):
             machine.submit(self.order, done)
@@ -78,7 +80,7 @@
             if machine.life == life:
                 machine.submit(order, then)
 
-        carry_update(self.order, machine.read, submit, done)
+        submit_update(self.order, machine.read, submit, done)
 
 
 def order_of(change: Change, padding: int = 0) -> ConfigurationOrder:
@@ -89,10 +91,10 @@
     )
 
 
-def update_call_of(change: Change, gone: int) -> UpdateCall:
+def update_call_of(change: Change, gone: int) -> UpdateRequest:
     """A change as members take an update."""
-    call = read_call(change.base, update_of(change, gone))
-    if isinstance(call, Refused):
+    call = parse_update_request(change.base, update_of(change, gone))
+    if isinstance(call, ValidationFailure):
         raise AssertionError(str(call))
     return call
 
@@ -104,11 +106,15 @@
     return world.changes[json.loads(document)["routes"][0]["hostname"]]
 
 
-def said(outcome: SubmitOutcome | Refused) -> Said:
+def said(outcome: SubmitOutcome | ValidationFailure) -> Said:
     """What an outcome tells an operator."""
     if isinstance(outcome, TakenOrder):
         return Said.CONFIRMED
-    return Said.REFUSED if isinstance(outcome, Conflict | NotNewer | Refused) else Said.UNCLEAR
+    return (
+        Said.REFUSED
+        if isinstance(outcome, Conflict | NotNewer | ValidationFailure)
+        else Said.UNCLEAR
+    )
 
 
 class Operator:
@@ -179,7 +185,7 @@
         world, change = self.world, sending.change
         call = world.history.order(change, world.now)
 
-        def done(outcome: SubmitOutcome | Refused) -> None:
+        def done(outcome: SubmitOutcome | ValidationFailure) -> None:
             call.ended, call.said = world.now, said(outcome)
             if isinstance(outcome, TakenOrder):
                 world.note_taken(change.text, outcome.sequence)
@@ -192,7 +198,7 @@
         sending.to(machine, done)
 
     def _answered(
-        self, sending: Sending, began: float, tries: int, outcome: SubmitOutcome | Refused
+        self, sending: Sending, began: float, tries: int, outcome: SubmitOutcome | ValidationFailure
     ) -> None:
         world, change = self.world, sending.change
         if isinstance(outcome, TakenOrder):
--- a/roselink/simulation/world.py
+++ b/roselink/simulation/world.py
@@ -11,14 +11,14 @@
 from functools import partial
 from typing import TYPE_CHECKING, Any
 
-from roselink.controller.pulls import (
+from roselink.controller.pull_server import (
     Answer,
     AnswerChanges,
     Confirm,
     Forward,
     ForwardedChangesPull,
-    PullDesk,
     PullEffect,
+    PullServer,
 )
 from roselink.controller.storage import Storage, record_number
 from roselink.coordination.effects import (
@@ -85,7 +85,7 @@
         self.submits: dict[int, Callable[[SubmitOutcome], None]] = {}
         self.reads: dict[int, Callable[[Confirmation | None], None]] = {}
         self.storage = Storage(FOLDER, self.disk.files)
-        self.desk = PullDesk()
+        self.desk = PullServer()
         self.pulls: dict[int, Replied] = {}
 
     @property
@@ -110,7 +110,7 @@
             state=state,
         )
         self.member = Member(start, self.world.now)
-        self.desk = PullDesk()
+        self.desk = PullServer()
         self.frozen = False
         self.perform(self.member.begin(self.world.now))
         self._tick(self.life)
--- a/tests/cli/test_check.py
+++ b/tests/cli/test_check.py
@@ -9,8 +9,8 @@
 
 from roselink.__main__ import main
 from roselink.cli import EXIT_FAULTS
-from tests.controller.test_checking import document as configuration
-from tests.controller.test_checking import route
+from tests.controller.test_validation import document as configuration
+from tests.controller.test_validation import route
 from tests.model.test_settings_file import document as settings
 
 if TYPE_CHECKING:
--- a/tests/controller/fakes.py
+++ b/tests/controller/fakes.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from roselink.controller.contract import (
+    from roselink.controller.chain_interface import (
         Address,
         ConfigurationOrder,
         Confirmation,
--- a/tests/controller/core_alone.py
+++ b/tests/controller/single_member_core.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 from roselink.controller.app import run
-from roselink.controller.contract import (
+from roselink.controller.chain_interface import (
     Address,
     ConfigurationOrder,
     Confirmation,
@@ -75,9 +75,9 @@
 
 
 def main() -> None:
-    stand_in = types.ModuleType("roselink.controller.node")
-    stand_in.ControlNode = LoneNode  # type: ignore[attr-defined]
-    sys.modules["roselink.controller.node"] = stand_in
+    stand_in = types.ModuleType("roselink.controller.chain_driver")
+    stand_in.ChainDriver = LoneNode  # type: ignore[attr-defined]
+    sys.modules["roselink.controller.chain_driver"] = stand_in
     run(load_settings(sys.argv[1]))
 
 
--- a/tests/controller/test_api.py
+++ b/tests/controller/test_api.py
@@ -11,7 +11,7 @@
 import pytest
 from twisted.internet.task import Clock
 
-from roselink.controller.contract import (
+from roselink.controller.chain_interface import (
     Confirmation,
     Conflict,
     NotNewer,
@@ -19,13 +19,13 @@
     TakenOrder,
     Unsettled,
 )
-from roselink.controller.pulls import GatewayLag
+from roselink.controller.pull_server import GatewayLag
 from roselink.controller.updates import digest_of_update
 from roselink.coordination.state import digest_of
 from roselink.model.fleet import VersionVector
 from tests.controller.fakes import FakeNode
 from tests.controller.reactor import REACTOR, play
-from tests.controller.test_checking import document
+from tests.controller.test_validation import document
 
 from roselink.controller.api import (  # isort: skip - after the reactor
     CONFIRM_TIMEOUT_S,
--- a/tests/controller/test_app.py
+++ b/tests/controller/test_app.py
@@ -17,8 +17,8 @@
 from roselink.protocol.pull import Pull, PullReply
 from tests.controller.reactor import play
 from tests.controller.test_api import Answered, Caller
-from tests.controller.test_checking import document
-from tests.controller.test_platform import StandIn, body, entry
+from tests.controller.test_host_list import StandIn, body, entry
+from tests.controller.test_validation import document
 
 ROOT = Path(__file__).resolve().parents[2]
 GATEWAY = Member("g-1", "10.1.0.1:7500", 1)
@@ -65,7 +65,7 @@
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "tests.controller.core_alone",
+            "tests.controller.single_member_core",
             str(self.path),
             how,
             cwd=ROOT,
@@ -137,7 +137,7 @@
         assert (await core.pull(held)).cores == (f"127.0.0.1:{core.peer}",)
         core.path.write_text("{")
         core.process.send_signal(signal.SIGHUP)
-        await core.logged("settings_unusable")
+        await core.logged("settings_rejected")
         assert (await core.ask("GET", "/config/get")).status == 200
         assert await core.end() == 0
     finally:
--- a/tests/controller/test_node.py
+++ b/tests/controller/test_chain_driver.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from roselink.controller.node import ControlNode
+from roselink.controller.chain_driver import ChainDriver
 from roselink.coordination.effects import Confirmation, Conflict, SubmitOutcome, TakenOrder
 from roselink.coordination.state import digest_of
 from roselink.model.settings import ProcessSettings, read_settings
@@ -51,7 +51,7 @@
         self.pool = PeerPool(self._handle)
         self.server = PeerServer(self._handle)
         settings = settings_of(host, port, folder, bootstrap)
-        self.node = ControlNode(settings, self.pool, asyncio.get_running_loop())
+        self.node = ChainDriver(settings, self.pool, asyncio.get_running_loop())
 
     def _handle(self, peer: Address, message: object, reply: Reply) -> None:
         assert self.node.handle(peer, message, reply)
--- a/tests/controller/test_platform.py
+++ b/tests/controller/test_host_list.py
@@ -13,18 +13,18 @@
 
 import pytest
 
-from roselink.controller.platform import (
+from roselink.controller.host_list_reader import (
     PAGE_TRIES,
     Fetch,
-    Listed,
-    ListReader,
+    HostListReader,
+    HostsListed,
+    LogWarning,
     Page,
     ReaderEffect,
     ReaderTimes,
-    Trouble,
     WakeAt,
-    read_host,
-    read_page,
+    parse_host,
+    parse_page,
 )
 from roselink.model.fleet import Host, HostState
 from roselink.model.settings import Platform
@@ -75,13 +75,13 @@
     ],
 )
 def test_entries_that_can_be_read(given: dict[str, Any], field: str, value: Any) -> None:
-    read = read_host(given)
+    read = parse_host(given)
     assert isinstance(read, Host)
     assert getattr(read, field) == value
 
 
 def test_the_entry_of_the_page() -> None:
-    assert read_host(ENTRY) == HOST
+    assert parse_host(ENTRY) == HOST
 
 
 @pytest.mark.parametrize(
@@ -102,7 +102,7 @@
     ],
 )
 def test_entries_that_cannot_be_read_say_why(given: object) -> None:
-    assert isinstance(read_host(given), str)
+    assert isinstance(parse_host(given), str)
 
 
 def body(*entries: Any, token: Any = None) -> bytes:
@@ -127,7 +127,7 @@
     ],
 )
 def test_answers(status: int, answer: bytes, page: Page | str) -> None:
-    assert read_page(status, answer) == page
+    assert parse_page(status, answer) == page
 
 
 TIMES = ReaderTimes(interval_s=0.6, backoff_s=0.1, most_backoff_s=1.0)
@@ -139,11 +139,11 @@
     """A reader and the calls it makes, in a time that the test sets."""
 
     def __init__(self, rate: float = RATE) -> None:
-        self.reader = ListReader(rate, random.Random(1), TIMES)
+        self.reader = HostListReader(rate, random.Random(1), TIMES)
         self.now = 0.0
         self.calls: list[tuple[float, str | None]] = []
         self.lists: list[tuple[int, list[str]]] = []
-        self.troubles: list[Trouble] = []
+        self.warnings: list[LogWarning] = []
         self.open: int | None = None
         self.wake: float | None = None
 
@@ -156,10 +156,10 @@
                     self.calls.append((round(self.now, 6), page_token))
                 case WakeAt(at):
                     self.wake = at
-                case Listed(epoch, hosts):
+                case HostsListed(epoch, hosts):
                     self.lists.append((epoch, sorted(each.id for each in hosts)))
-                case Trouble():
-                    self.troubles.append(effect)
+                case LogWarning():
+                    self.warnings.append(effect)
 
     def start(self, epoch: int = 3) -> None:
         self.open = None
@@ -230,7 +230,7 @@
     assert len(set(waits)) == len(waits)
     driven.answer(page("a"))
     assert driven.calls[-1][0] - driven.calls[-2][0] == pytest.approx(0.6)
-    assert [trouble.event for trouble in driven.troubles] == ["platform_call_failed"] * 12
+    assert [warning.event for warning in driven.warnings] == ["platform_call_failed"] * 12
 
 
 def test_a_failed_page_is_asked_again_and_then_the_pass() -> None:
@@ -248,7 +248,7 @@
     driven = Driven()
     driven.start()
     driven.answer(Page((host("a"),), ("'i-2': no address",), None))
-    assert driven.troubles == [Trouble("host_unreadable", "'i-2': no address")]
+    assert driven.warnings == [LogWarning("host_entry_rejected", "'i-2': no address")]
     assert driven.lists == [(3, ["a"])]
 
 
@@ -365,11 +365,11 @@
     call_s: float = 5.0,
 ) -> list[tuple[int, list[str]]]:
     """Let a client read until it has brought so many whole lists."""
-    from roselink.controller.platform_client import PlatformClient  # noqa: PLC0415 - after the reactor
+    from roselink.controller.host_list_client import HostListClient  # noqa: PLC0415 - after the reactor
 
     lists: asyncio.Queue[tuple[int, tuple[Host, ...]]] = asyncio.Queue()
     platform = Platform(await stand_in.start(), 10_000.0, 0.0)
-    client = PlatformClient(
+    client = HostListClient(
         REACTOR,
         platform,
         lambda epoch, hosts: lists.put_nowait((epoch, hosts)),
@@ -418,10 +418,10 @@
 
 def test_driver_makes_no_call_without_the_role() -> None:
     async def hold_and_drop() -> None:
-        from roselink.controller.platform_client import PlatformClient  # noqa: PLC0415 - after the reactor
+        from roselink.controller.host_list_client import HostListClient  # noqa: PLC0415 - after the reactor
 
         platform = Platform(await stand_in.start(), 10_000.0, 0.0)
-        client = PlatformClient(REACTOR, platform, lambda epoch, hosts: None)
+        client = HostListClient(REACTOR, platform, lambda epoch, hosts: None)
         client.hold(3)
         client.hold(None)
         await client.close().asFuture(asyncio.get_running_loop())
--- a/tests/controller/test_imports.py
+++ b/tests/controller/test_imports.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from roselink.controller.app import FORMING_MOST_S, ImportsInSteps
+from roselink.controller.app import FORMING_MOST_S, StepwiseImporter
 
 MODULE = "this"  # of the standard library, and imported by nothing else
 
@@ -49,6 +49,6 @@
     monkeypatch.setattr(asyncio, "sleep", member.sleep)
     sys.modules.pop(MODULE, None)
     with pytest.raises(StopIteration):
-        ImportsInSteps(member.forming, lambda: member.now).load((MODULE,)).send(None)
+        StepwiseImporter(member.forming, lambda: member.now).load((MODULE,)).send(None)
     assert MODULE in sys.modules
     assert member.asked == asked
--- a/tests/controller/test_logs.py
+++ b/tests/controller/test_logging_setup.py
@@ -6,7 +6,7 @@
 
 from tests.controller.reactor import REACTOR  # isort: skip - first: it installs the reactor
 
-from roselink.controller.logs import MOST_EVENTS, LineBudget
+from roselink.controller.logging_setup import MOST_EVENTS, EventRateLimiter
 
 assert REACTOR.running
 
@@ -23,12 +23,12 @@
 def test_lines_beyond_the_budget_are_counted(
     lines: list[tuple[float, str]], expected: list[int | None]
 ) -> None:
-    budget = LineBudget(burst=2, per_s=1.0)
+    budget = EventRateLimiter(burst=2, per_s=1.0)
     assert [budget.spend(now, event) for now, event in lines] == expected
 
 
 def test_the_number_of_events_kept_apart_is_bounded() -> None:
-    budget = LineBudget(burst=1, per_s=0.0)
+    budget = EventRateLimiter(burst=1, per_s=0.0)
     for number in range(3 * MOST_EVENTS):
         assert budget.spend(0.0, f"event {number}") == 0
     assert len(budget._left) <= MOST_EVENTS
--- a/tests/controller/test_payoffs.py
+++ b/tests/controller/test_payoffs.py
@@ -5,12 +5,21 @@
 import pytest
 
 from roselink.controller.payoffs import MOST_HOSTS, PUBLISH_S, PayoffPool
-from roselink.controller.pulls import AnswerChanges, PullDesk
+from roselink.controller.pull_server import AnswerChanges, PullServer
 from roselink.distribution.host_changes import completed
 from roselink.protocol.payoffs import HostOutcomes, PooledPayoffs
 from roselink.protocol.pull import Pull
 from roselink.protocol.records import decode, encode, number_of, number_of_type
-from tests.controller.test_pulls import CORES, EPOCH, TAIL, TIMES, Tail, confirmation, member, pull
+from tests.controller.test_pull_server import (
+    CORES,
+    EPOCH,
+    TAIL,
+    TIMES,
+    Tail,
+    confirmation,
+    member,
+    pull,
+)
 
 
 def told(data: bytes) -> dict[str, int]:
@@ -90,7 +99,7 @@
 
 
 def test_only_the_tail_counts_outcomes() -> None:
-    desk = PullDesk(TIMES)
+    desk = PullServer(TIMES)
     desk.view_changed(0.0, EPOCH, False, TAIL, CORES)
     desk.pull(0.1, 1, Pull(member("a"), pull().vector, True, (HostOutcomes("h", 0, 3),)))
     assert desk._payoffs.told(1.0) == b""
--- a/tests/controller/test_pulls.py
+++ b/tests/controller/test_pull_server.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from roselink.controller.contract import Confirmation
-from roselink.controller.pull_service import FORWARD_TIMEOUT_S, PullService
-from roselink.controller.pulls import (
+from roselink.controller.chain_interface import Confirmation
+from roselink.controller.pull_driver import FORWARD_TIMEOUT_S, PullDriver
+from roselink.controller.pull_server import (
     EPOCH_SHIFT,
     Answer,
     AnswerChanges,
@@ -17,8 +17,8 @@
     Forward,
     ForwardedChangesPull,
     ForwardedPull,
-    PullDesk,
     PullEffect,
+    PullServer,
     PullTimes,
 )
 from roselink.model.fleet import Host, HostState, Member, VersionVector
@@ -71,7 +71,7 @@
     """
 
     def __init__(self) -> None:
-        self.desk = PullDesk(TIMES)
+        self.desk = PullServer(TIMES)
         self.now = 100.0
         self.numbers = 0
         self.desk.view_changed(self.now, EPOCH, True, TAIL, CORES)
@@ -113,7 +113,7 @@
     ],
 )
 def test_who_answers(is_tail: bool, tail: Any, forwarded: bool, effect: PullEffect) -> None:
-    desk = PullDesk(TIMES)
+    desk = PullServer(TIMES)
     desk.view_changed(0.0, EPOCH, is_tail, tail, CORES)
     assert desk.pull(0.1, 1, pull(), forwarded) == [effect]
 
@@ -135,13 +135,13 @@
 def test_who_answers_a_pull_of_changes(
     is_tail: bool, tail: Any, forwarded: bool, effect: PullEffect
 ) -> None:
-    desk = PullDesk(TIMES)
+    desk = PullServer(TIMES)
     desk.view_changed(0.0, EPOCH, is_tail, tail, CORES)
     assert desk.pull(0.1, 1, pull(), forwarded, changes=True) == [effect]
 
 
 def test_without_a_confirmation_a_pull_of_changes_brings_nothing() -> None:
-    desk = PullDesk(TIMES)
+    desk = PullServer(TIMES)
     desk.view_changed(0.0, EPOCH, True, TAIL, CORES)
     desk.hosts_listed(0.1, EPOCH, (host("h"),))
     desk.pull(0.2, 1, pull(), changes=True)
@@ -161,14 +161,14 @@
     ],
 )
 def test_the_tail_answers_in_kind(changes: bool, answer: Any, effect: PullEffect) -> None:
-    desk = PullDesk(TIMES)
+    desk = PullServer(TIMES)
     desk.view_changed(0.0, EPOCH, False, TAIL, CORES)
     desk.pull(0.1, 1, pull(), changes=changes)
     assert desk.forwarded(0.2, 1, answer) == [effect]
 
 
 def test_a_member_without_a_view_confirms_nothing() -> None:
-    assert PullDesk(TIMES).pull(0.1, 1, pull()) == [
+    assert PullServer(TIMES).pull(0.1, 1, pull()) == [
         Answer(1, PullReply(False, VersionVector(), None, None, None, ()))
     ]
 
@@ -178,7 +178,7 @@
 
 @pytest.mark.parametrize(("answer", "reply"), [(RELAYED, RELAYED), (None, UNCONFIRMED)])
 def test_the_reply_of_the_tail_is_handed_on(answer: PullReply | None, reply: PullReply) -> None:
-    desk = PullDesk(TIMES)
+    desk = PullServer(TIMES)
     desk.view_changed(0.0, EPOCH, False, TAIL, CORES)
     desk.pull(0.1, 1, pull())
     assert desk.forwarded(0.2, 1, answer) == [Answer(1, reply)]
@@ -191,7 +191,7 @@
     ids=["none", "former view", "later view"],
 )
 def test_without_a_confirmation_in_this_view_nothing_is_said(end: Confirmation | None) -> None:
-    desk = PullDesk(TIMES)
+    desk = PullServer(TIMES)
     desk.view_changed(0.0, EPOCH, True, TAIL, CORES)
     desk.pull(0.1, 1, pull())
     assert desk.confirmed(0.2, 1, end) == [Answer(1, UNCONFIRMED)]
@@ -199,7 +199,7 @@
 
 
 def test_a_read_confirmed_for_a_former_tail_counts_no_more() -> None:
-    desk = PullDesk(TIMES)
+    desk = PullServer(TIMES)
     desk.view_changed(0.0, EPOCH, True, TAIL, CORES)
     desk.pull(0.1, 1, pull())
     desk.view_changed(0.2, EPOCH + 1, False, ("10.0.0.2", 7500), CORES)
@@ -389,9 +389,9 @@
         self.calls.append((address, message, timeout_s, done))
 
 
-def service(node: FakeNode) -> tuple[PullService, FakePool]:
+def service(node: FakeNode) -> tuple[PullDriver, FakePool]:
     pool = FakePool()
-    made = PullService(node, pool, TIMES, clock=lambda: 100.0)
+    made = PullDriver(node, pool, TIMES, clock=lambda: 100.0)
     made.start()
     return made, pool
 
--- a/tests/controller/test_updates.py
+++ b/tests/controller/test_updates.py
@@ -8,17 +8,17 @@
 
 import pytest
 
-from roselink.controller.checking import Refused
 from roselink.controller.updates import (
     Update,
-    UpdateCall,
-    carry_update,
+    UpdateRequest,
     digest_of_update,
     merge,
-    order_of_update,
-    read_call,
+    parse_update_request,
+    proposal_from_update,
     read_update,
+    submit_update,
 )
+from roselink.controller.validation import ValidationFailure
 from roselink.coordination.effects import (
     Confirmation,
     Conflict,
@@ -35,7 +35,7 @@
     judge,
 )
 from roselink.protocol.chain import ConfigurationOrder, ConfigurationState
-from tests.controller.test_checking import document, route, second, service, tenant
+from tests.controller.test_validation import document, route, second, service, tenant
 
 BASE = document()  # of generation 7
 OTHER = route(name="r-3", path_prefix="/three/")
@@ -149,9 +149,9 @@
 def test_an_update_that_cannot_be_read(case: str) -> None:
     body, path = UNREADABLE[case]
     got = read_update(body)
-    assert isinstance(got, Refused)
+    assert isinstance(got, ValidationFailure)
     assert got.faults[0].path == path
-    assert isinstance(read_call(7, body), Refused)
+    assert isinstance(parse_update_request(7, body), ValidationFailure)
 
 
 INVALID: dict[str, tuple[dict[str, Any], str]] = {
@@ -181,8 +181,8 @@
 @pytest.mark.parametrize("case", INVALID)
 def test_an_update_whose_result_is_invalid(case: str) -> None:
     parts, path = INVALID[case]
-    got = order_of_update(7, update(bytes_of(**parts)), b"digest", confirmed(BASE))
-    assert isinstance(got, Refused)
+    got = proposal_from_update(7, update(bytes_of(**parts)), b"digest", confirmed(BASE))
+    assert isinstance(got, ValidationFailure)
     assert got.faults[0].path == path
 
 
@@ -194,7 +194,7 @@
             ]
         }
     }
-    got = order_of_update(7, update(bytes_of(**by_itself)), b"digest", confirmed(BASE))
+    got = proposal_from_update(7, update(bytes_of(**by_itself)), b"digest", confirmed(BASE))
     assert isinstance(got, ConfigurationOrder)
     assert [each["name"] for each in json.loads(got.document)["routes"]] == ["r-1", "r-2", "r-4"]
     assert (got.base, got.generation, got.digest) == (7, 9, b"digest")
@@ -202,7 +202,7 @@
 
 def test_half_a_character_in_an_unknown_field_goes_on_as_it_came() -> None:
     odd = update(b'{"generation":9,"upsert":{"notes":[{"name":"n","text":"\\ud800"}]}}')
-    got = order_of_update(7, odd, b"digest", confirmed(BASE))
+    got = proposal_from_update(7, odd, b"digest", confirmed(BASE))
     assert isinstance(got, ConfigurationOrder)
     assert json.loads(got.document)["notes"] == [{"name": "n", "text": "\ud800"}]
 
@@ -212,19 +212,19 @@
         body = b'{"generation":9,"upsert":{"note":{"deep":%s%s}}}' % (b"[" * depth, b"]" * depth)
         read = read_update(body)
         if isinstance(read, Update):
-            order_of_update(7, read, b"digest", confirmed(BASE))
+            proposal_from_update(7, read, b"digest", confirmed(BASE))
 
 
 def test_an_update_on_nothing() -> None:
     first = update(bytes_of(upsert={"routes": [second()], "services": [service(name="records")]}))
-    got = order_of_update(0, first, b"digest", confirmed(None))
+    got = proposal_from_update(0, first, b"digest", confirmed(None))
     assert isinstance(got, ConfigurationOrder)
     assert json.loads(got.document)["routes"] == [second()]
 
 
 @pytest.mark.parametrize("base", [3, 8])
 def test_where_the_base_is_not_in_place_there_is_no_document(base: int) -> None:
-    got = order_of_update(base, update(bytes_of()), b"digest", confirmed(BASE))
+    got = proposal_from_update(base, update(bytes_of()), b"digest", confirmed(BASE))
     assert got == ConfigurationOrder(base, 9, b"", b"digest")
 
 
@@ -250,7 +250,7 @@
             EMPTY, ConfigurationOrder(0, 7, whole, digest_of(0, whole)), refused=False
         )
         self.confirmable = True
-        self.meanwhile: list[UpdateCall | ConfigurationOrder] = []
+        self.meanwhile: list[UpdateRequest | ConfigurationOrder] = []
 
     def confirm(self, done: Any) -> None:
         shown = self.state
@@ -270,12 +270,12 @@
             self.state = apply(self.state, order, refused=verdict.kind is Judgement.REFUSE_FOR_GOOD)
         done(outcome)
 
-    def take(self, call: UpdateCall | ConfigurationOrder) -> SubmitOutcome | Refused:
-        outcomes: list[SubmitOutcome | Refused] = []
+    def take(self, call: UpdateRequest | ConfigurationOrder) -> SubmitOutcome | ValidationFailure:
+        outcomes: list[SubmitOutcome | ValidationFailure] = []
         if isinstance(call, ConfigurationOrder):
             self.submit(call, outcomes.append)
         else:
-            carry_update(call, self.confirm, self.submit, outcomes.append)
+            submit_update(call, self.confirm, self.submit, outcomes.append)
         (outcome,) = outcomes
         return outcome
 
@@ -287,13 +287,13 @@
     return Confirmation(1, state.sequence, state.document or None, state.generation)
 
 
-def call(base: int, generation: int, **parts: Any) -> UpdateCall:
-    got = read_call(base, bytes_of(generation, **parts))
-    assert isinstance(got, UpdateCall)
+def call(base: int, generation: int, **parts: Any) -> UpdateRequest:
+    got = parse_update_request(base, bytes_of(generation, **parts))
+    assert isinstance(got, UpdateRequest)
     return got
 
 
-def adding(base: int, generation: int, name: str) -> UpdateCall:
+def adding(base: int, generation: int, name: str) -> UpdateRequest:
     return call(base, generation, upsert={"routes": [route(name=name, path_prefix=f"/{name}/")]})
 
 
@@ -374,5 +374,5 @@
 
 def test_an_invalid_result_reaches_nobody() -> None:
     core = Core()
-    assert isinstance(core.take(call(7, 9, remove={"services": ["records"]})), Refused)
+    assert isinstance(core.take(call(7, 9, remove={"services": ["records"]})), ValidationFailure)
     assert core.state.sequence == 1
--- a/tests/controller/test_checking.py
+++ b/tests/controller/test_validation.py
@@ -9,7 +9,13 @@
 
 import pytest
 
-from roselink.controller.checking import MOST_FAULTS, Checked, Refused, check, check_document
+from roselink.controller.validation import (
+    MOST_FAULTS,
+    ValidationFailure,
+    ValidDocument,
+    validate,
+    validate_document,
+)
 from roselink.model.configuration import Configuration
 
 ABSENT = object()
@@ -356,8 +362,8 @@
 
 @pytest.mark.parametrize("case", VALID)
 def test_what_is_valid_passes_and_can_be_read(case: str) -> None:
-    checked = check(json.dumps(VALID[case]).encode())
-    assert isinstance(checked, Checked), checked
+    checked = validate(json.dumps(VALID[case]).encode())
+    assert isinstance(checked, ValidDocument), checked
     assert checked.generation == VALID[case]["generation"]
     assert Configuration.from_document(checked.document).generation == checked.generation
 
@@ -365,8 +371,8 @@
 @pytest.mark.parametrize("case", INVALID)
 def test_what_is_invalid_is_refused_with_its_path(case: str) -> None:
     faulty, path, reason = INVALID[case]
-    refused = check_document(faulty)
-    assert isinstance(refused, Refused)
+    refused = validate_document(faulty)
+    assert isinstance(refused, ValidationFailure)
     assert [(fault.path, fault.reason) for fault in refused.faults] == [(path, reason)]
 
 
@@ -389,23 +395,23 @@
 
 @pytest.mark.parametrize("case", UNREADABLE)
 def test_what_cannot_be_read_whole_is_refused(case: str) -> None:
-    refused = check(UNREADABLE[case])
-    assert isinstance(refused, Refused)
+    refused = validate(UNREADABLE[case])
+    assert isinstance(refused, ValidationFailure)
     assert len(refused.faults) == 1
     assert refused.faults[0].path == ""
 
 
 @pytest.mark.parametrize("end", range(0, len(WHOLE), 7))
 def test_no_document_that_was_cut_passes(end: int) -> None:
-    assert isinstance(check(WHOLE[:end]), Refused)
+    assert isinstance(validate(WHOLE[:end]), ValidationFailure)
 
 
 def test_all_faults_are_named_at_once() -> None:
     faulty = document(
         routes=[route(timeout_ms=0, kind="x"), second(path_prefix="two")], services=[5], tenants=[]
     )
-    refused = check_document(faulty)
-    assert isinstance(refused, Refused)
+    refused = validate_document(faulty)
+    assert isinstance(refused, ValidationFailure)
     assert sorted(fault.path for fault in refused.faults) == [
         "routes[0].kind",
         "routes[0].timeout_ms",
@@ -416,8 +422,8 @@
 
 
 def test_the_faults_named_are_bounded() -> None:
-    refused = check_document(document(routes=[5] * (2 * MOST_FAULTS)))
-    assert isinstance(refused, Refused)
+    refused = validate_document(document(routes=[5] * (2 * MOST_FAULTS)))
+    assert isinstance(refused, ValidationFailure)
     assert len(refused.faults) == MOST_FAULTS
 
 
@@ -465,8 +471,8 @@
     chance = random.Random(seed)
     passed = 0
     for _ in range(200):
-        checked = check_document(mutated(chance))
-        if isinstance(checked, Checked):
+        checked = validate_document(mutated(chance))
+        if isinstance(checked, ValidDocument):
             passed += 1
             read = Configuration.from_document(checked.document)
             assert all(part.service for route in read.routes for part in route.split)
@@ -476,6 +482,6 @@
 
 def test_values_are_not_changed() -> None:
     given = document()
-    checked = check_document(given)
-    assert isinstance(checked, Checked)
+    checked = validate_document(given)
+    assert isinstance(checked, ValidDocument)
     assert checked.document == document()
--- a/tests/distribution/test_host_changes.py
+++ b/tests/distribution/test_host_changes.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from roselink.controller.contract import Confirmation
-from roselink.controller.pulls import AnswerChanges, Confirm, PullDesk
+from roselink.controller.chain_interface import Confirmation
+from roselink.controller.pull_server import AnswerChanges, Confirm, PullServer
 from roselink.distribution.host_changes import completed
 from roselink.distribution.pull import Apply, Confirmed, Effect, PullMachine, SendPull
 from roselink.model.fleet import Host, HostState, Member, VersionVector
@@ -90,7 +90,7 @@
 
     def __init__(self) -> None:
         self.machine = PullMachine(MEMBER, [("10.2.0.1", 7500)], random.Random(1))
-        self.desk = PullDesk()
+        self.desk = PullServer()
         self.now, self.epoch = 10.0, EPOCH
         self.lists = self.changes = 0
         self.view(EPOCH)
--- a/tests/lab/test_stand_ins.py
+++ b/tests/lab/test_stand_ins.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from roselink.controller.checking import Refused, check_document
+from roselink.controller.validation import ValidationFailure, validate_document
 from roselink.lab import clients
 from roselink.lab.clients import Client, End, Tally
 from roselink.lab.fleet import Fleet, StartFailed, free_ports
@@ -192,7 +192,7 @@
 
 @pytest.mark.parametrize("generation", [1, 2])
 def test_the_operator_sends_what_is_valid(generation: int) -> None:
-    assert not isinstance(check_document(configuration(generation)), Refused)
+    assert not isinstance(validate_document(configuration(generation)), ValidationFailure)
 
 
 def test_ports_are_free_at_all_addresses_and_differ() -> None:
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -32,7 +32,7 @@
 )
 STORAGE = ("tests/simulation/test_disk.py", "tests/controller/test_storage.py")
 PULLS = (
-    "tests/controller/test_pulls.py",
+    "tests/controller/test_pull_server.py",
     "tests/controller/test_host_versions.py",
     "tests/simulation/test_days.py",
 )
@@ -385,7 +385,7 @@
         ("an update is merged onto any base", "if base != confirmed.generation:", "if False:"),
         (
             "a merged document is not checked",
-            "    if isinstance(checked, Refused):\n",
+            "    if isinstance(checked, ValidationFailure):\n",
             "    if False:\n",
         ),
         ("an item stands twice in an update", "elif name in seen:", "elif False:"),
@@ -401,7 +401,7 @@
         ),
     ),
     *_of(
-        "controller/pulls.py",
+        "controller/pull_server.py",
         PULLS,
         ("a reply of another view is given", " or confirmation.epoch != self._epoch", ""),
         (
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -39,7 +39,7 @@
 
 
 def _event(call: ast.Call) -> str | None:
-    """The text of a call that logs: of a logger named `log`, or a `Trouble` that its driver
+    """The text of a call that logs: of a logger named `log`, or a `LogWarning` that its driver
     logs.
     """
     function = call.func
@@ -48,12 +48,12 @@
         and function.attr in LEVELS
         and ast.unparse(function.value).split(".")[-1].strip("_") == "log"
     )
-    if not logs and not (isinstance(function, ast.Name) and function.id == "Trouble"):
+    if not logs and not (isinstance(function, ast.Name) and function.id == "LogWarning"):
         return None
     first = call.args[0]
     if isinstance(first, ast.Constant) and isinstance(first.value, str):
         return first.value
-    return None  # handed on by name from a `Trouble`
+    return None  # handed on by name from a `LogWarning`
 
 
 def test_events_have_names() -> None:
--- a/tools/configurations.py
+++ b/tools/configurations.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from roselink.controller.checking import Checked, Refused, check
-from roselink.controller.contract import ConfigurationOrder, Confirmation
-from roselink.controller.updates import order_of_update, read_call
+from roselink.controller.chain_interface import ConfigurationOrder, Confirmation
+from roselink.controller.updates import parse_update_request, proposal_from_update
+from roselink.controller.validation import ValidationFailure, ValidDocument, validate
 from roselink.dataplane.routes import RouteTable
 from roselink.model.configuration import Configuration
 from tools.measure import heap_bytes, machine, processor_us, show, show_line
@@ -41,13 +41,13 @@
 def measure(routes: int, tenants: int, times: int) -> Cost:
     """The costs of a document with so many routes and tenants."""
     body = json.dumps(make_document(routes, tenants), separators=(",", ":")).encode()
-    if not isinstance(check(body), Checked):
+    if not isinstance(validate(body), ValidDocument):
         raise RuntimeError("the document is not valid")
     configuration = Configuration.from_document(json.loads(body))
     return Cost(
         routes,
         len(body),
-        processor_us(lambda: check(body), times),
+        processor_us(lambda: validate(body), times),
         processor_us(lambda: _updated(body), times),
         heap_bytes(lambda: _updated(body)),
         processor_us(lambda: Configuration.from_document(json.loads(body)), times),
@@ -62,13 +62,13 @@
     generation = document["generation"]
     route = document["routes"][0] | {"timeout_ms": 1234}
     asked = {"generation": generation + 1, "upsert": {"routes": [route]}}
-    call = read_call(generation, json.dumps(asked).encode())
-    if isinstance(call, Refused):
+    call = parse_update_request(generation, json.dumps(asked).encode())
+    if isinstance(call, ValidationFailure):
         raise RuntimeError(str(call))
-    order = order_of_update(
+    order = proposal_from_update(
         call.base, call.update, call.digest, Confirmation(1, 1, body, generation)
     )
-    if isinstance(order, Refused):
+    if isinstance(order, ValidationFailure):
         raise RuntimeError(str(order))
     return order
 
--- a/tools/platform.py
+++ b/tools/platform.py
@@ -11,14 +11,14 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from roselink.controller.platform import (
+from roselink.controller.host_list_reader import (
     Fetch,
-    Listed,
-    ListReader,
+    HostListReader,
+    HostsListed,
     Page,
     ReaderEffect,
     WakeAt,
-    read_page,
+    parse_page,
 )
 from tools.measure import machine, processor_us, show, show_line
 from tools.shapes import make_host
@@ -70,14 +70,14 @@
     def __init__(self, count: int) -> None:
         self.hosts: list[Host] = [make_host(number) for number in range(count)]
         self.now, self.calls = 0.0, 0
-        self._reader = ListReader(RATE_PER_S, random.Random(1))
+        self._reader = HostListReader(RATE_PER_S, random.Random(1))
         self._effects: list[ReaderEffect] = self._reader.start(0.0, 1)
 
     def next_list(self) -> tuple[Host, ...]:
         """Run until the reader publishes its next list."""
         while True:
             effects, self._effects = self._effects, []
-            listed = [effect for effect in effects if isinstance(effect, Listed)]
+            listed = [effect for effect in effects if isinstance(effect, HostsListed)]
             for effect in effects:
                 if isinstance(effect, Fetch):
                     self.calls += 1
@@ -121,7 +121,7 @@
         calls,
         pass_s,
         platform.now - began,
-        pages * processor_us(lambda: read_page(200, body), times),
+        pages * processor_us(lambda: parse_page(200, body), times),
     )
 
 
--- a/tools/pulls.py
+++ b/tools/pulls.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from roselink.controller.contract import Confirmation
-from roselink.controller.pulls import Answer, AnswerChanges, PullDesk
+from roselink.controller.chain_interface import Confirmation
+from roselink.controller.pull_server import Answer, AnswerChanges, PullServer
 from roselink.coordination.views import MAX_VOTERS
 from roselink.dataplane.topology import HostDirectory
 from roselink.dataplane.upstream import FleetUpstream
@@ -123,7 +123,7 @@
 
 def desk_pull(gateways: int, cores: int, pulls: int) -> DeskPull:
     """The tail's side with so many gateways, each of which pulled a moment ago."""
-    desk = PullDesk()
+    desk = PullServer()
     desk.view_changed(0.0, EPOCH, True, None, make_cores(cores))
     members = make_roster(gateways)
     confirmation = Confirmation(EPOCH, 1, b"", 1)
@@ -159,7 +159,7 @@
 def host_list(count: int, cores: int, times: int) -> HostList:
     """A changed list of so many hosts."""
     hosts = make_hosts(count)
-    desk = PullDesk()
+    desk = PullServer()
     desk.view_changed(0.0, EPOCH, True, None, make_cores(cores))
     reply = PullReply(True, VersionVector(1, 1, 1), None, hosts, None, make_cores(cores))
     data = frame(ANSWER, 1, reply)
@@ -185,7 +185,7 @@
 def host_difference(count: int, times: int) -> HostDifference:
     """A list of so many hosts, of which one is replaced."""
     hosts, members = make_hosts(count), make_roster(1)
-    desk = PullDesk()
+    desk = PullServer()
     desk.view_changed(0.0, EPOCH, True, None, make_cores(MAX_VOTERS))
     desk.hosts_listed(0.0, EPOCH, hosts)
     held = VersionVector(1, desk.versions.hosts, 0)
