--- a/tests/mutations/__init__.py
+++ b/tests/mutations/__init__.py
@@ -13,7 +13,7 @@
     coordination,
     dataplane,
     distribution,
-    gateway,
+    http,
     protocol,
     routing,
 )
@@ -28,6 +28,6 @@
     *budgets.MUTATIONS,
     *protocol.MUTATIONS,
     *dataplane.MUTATIONS,
-    *gateway.MUTATIONS,
+    *http.MUTATIONS,
     *routing.MUTATIONS,
 )
