--- a/roselink/balancer/__init__.py
+++ b/roselink/balancer/__init__.py
@@ -16,7 +16,6 @@
     Group,
     ListKind,
     Log,
-    Outcome,
     Probe,
     ProbeDone,
     Refuse,
@@ -30,6 +29,7 @@
     StreamStarted,
     Watch,
 )
+from roselink.routing.outcome import Outcome
 
 __version__ = "0.2.0"
 
--- a/roselink/balancer/balance.py
+++ b/roselink/balancer/balance.py
@@ -1,6 +1,4 @@
-"""Every decision of the gateway. Its types, events and actions stand in
-roselink/balancer/interface.py.
-"""
+"""Every decision of the gateway; types, events and actions: roselink/balancer/interface.py."""
 
 from __future__ import annotations
 
@@ -11,7 +9,6 @@
 from typing import TYPE_CHECKING, Any
 
 from roselink.balancer.interface import (
-    NEVER_RAN,
     Action,
     Alarm,
     Arrived,
@@ -24,7 +21,6 @@
     Group,
     ListKind,
     Log,
-    Outcome,
     Refuse,
     Route,
     Send,
@@ -36,6 +32,9 @@
     StreamStarted,
     Watch,
 )
+from roselink.routing.latency_tracker import LatencyTracker
+from roselink.routing.outcome import NEVER_RAN, Outcome
+from roselink.routing.token_bucket import TokenBucket
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -92,25 +91,6 @@
 BROKEN = frozenset({Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.RESET})
 
 
-class TokenBucket:
-    """A capped budget. On retries: without one they multiply the load of an outage."""
-
-    def __init__(self, tokens: float) -> None:
-        self.tokens, self.filled_us = tokens, 0
-
-    def earn(self, amount: float, cap: float) -> None:
-        self.tokens = min(cap, self.tokens + amount)
-
-    def spend(self) -> bool:
-        self.tokens -= (allowed := self.tokens >= 1.0)
-        return allowed
-
-
-class LatencyTracker(deque[int]):
-    def percentile(self, q: float) -> int | None:
-        return sorted(self)[int(q * len(self))] if self else None
-
-
 class RouteState:
     def __init__(self, spec: Route) -> None:
         self.spec, self.budget, self.latency = spec, TokenBucket(1.0), LatencyTracker(maxlen=128)
--- a/roselink/balancer/interface.py
+++ b/roselink/balancer/interface.py
@@ -13,21 +13,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-
-class Outcome(Enum):
-    """How an attempt or a probe ended."""
-
-    SUCCESS = "success"
-    ERROR = "error"  # the server answered with an error; it may have run
-    FULL = "full"  # turned away unseen
-    TIMEOUT = "timeout"  # no answer in time; it may have run or still run
-    CONNECT_FAILED = "connect_failed"  # never reached the server
-    RESET = "reset"  # the connection broke while the attempt was out
-    CANCELLED = "cancelled"  # called off by us; it may have run
-    MOOT = "moot"  # not sent at all
-
-
-NEVER_RAN = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT})
+    from roselink.routing.outcome import Outcome
 
 
 class Effect(Enum):
--- a/roselink/balancer/simulator_adapter.py
+++ b/roselink/balancer/simulator_adapter.py
@@ -28,7 +28,6 @@
     Group,
     ListKind,
     Log,
-    Outcome,
     Probe,
     ProbeDone,
     Refuse,
@@ -42,6 +41,7 @@
     StreamStarted,
     Watch,
 )
+from roselink.routing.outcome import Outcome
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/roselink/dataplane/attempts.py
+++ b/roselink/dataplane/attempts.py
@@ -5,11 +5,11 @@
 from functools import partial
 from typing import TYPE_CHECKING, Protocol
 
-from roselink.balancer.interface import NEVER_RAN, Outcome
 from roselink.dataplane.exchange import AnswerMode, AttemptAnswer, Exchange
 from roselink.dataplane.requests import attempt_head
 from roselink.dataplane.upstream import FleetAttempt, FleetHost, FleetUpstream
 from roselink.routing.decisions import AttemptEnded, Event, FirstEvent, SendAttempt
+from roselink.routing.outcome import NEVER_RAN, Outcome
 
 if TYPE_CHECKING:
     import asyncio
--- a/roselink/dataplane/engine.py
+++ b/roselink/dataplane/engine.py
@@ -14,7 +14,6 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from roselink.balancer.interface import Outcome
 from roselink.dataplane.admission import (
     NOT_CONFIRMED_RETRY_S,
     Admitted,
@@ -47,6 +46,7 @@
     TimerFired,
     TopologyChanged,
 )
+from roselink.routing.outcome import Outcome
 
 if TYPE_CHECKING:
     import asyncio
--- a/roselink/dataplane/exchange.py
+++ b/roselink/dataplane/exchange.py
@@ -10,11 +10,11 @@
 from enum import Enum
 from typing import TYPE_CHECKING, NamedTuple, Protocol
 
-from roselink.balancer.interface import NEVER_RAN, Outcome
 from roselink.dataplane.events import Progress, StreamFilter
 from roselink.dataplane.requests import Headers, ProxyRequest, relayed_headers
 from roselink.dataplane.upstream import PROMISES, FleetAttempt, outcome_of
 from roselink.model.configuration import Route, RouteKind, Tenant
+from roselink.routing.outcome import NEVER_RAN, Outcome
 
 if TYPE_CHECKING:
     import asyncio
--- a/roselink/dataplane/upstream.py
+++ b/roselink/dataplane/upstream.py
@@ -12,7 +12,6 @@
 
 import httptools
 
-from roselink.balancer.interface import Outcome
 from roselink.gateway.upstream import (
     HEAD_LIMIT,
     INTERIM_LIMIT,
@@ -22,6 +21,7 @@
     Upstream,
     Wanted,
 )
+from roselink.routing.outcome import Outcome
 
 if TYPE_CHECKING:
     import asyncio
--- a/roselink/gateway/engine.py
+++ b/roselink/gateway/engine.py
@@ -26,7 +26,6 @@
     Fail,
     ListKind,
     Log,
-    Outcome,
     Refuse,
     Send,
     ServerList,
@@ -35,6 +34,7 @@
     StreamStarted,
 )
 from roselink.gateway.upstream import Answer, Attempt, Host, Upstream
+from roselink.routing.outcome import Outcome
 
 if TYPE_CHECKING:
     import asyncio
--- a/roselink/gateway/upstream.py
+++ b/roselink/gateway/upstream.py
@@ -17,8 +17,8 @@
 
 import httptools
 
-from roselink.balancer.interface import Outcome
 from roselink.gateway.look import SocketLook
+from roselink.routing.outcome import Outcome
 
 if TYPE_CHECKING:
     from roselink.gateway.config import Address, Descriptors
--- a/roselink/routing/budget.py
+++ b/roselink/routing/budget.py
@@ -11,7 +11,7 @@
 
 from collections import deque
 
-from roselink.balancer.balance import TokenBucket
+from roselink.routing.token_bucket import TokenBucket
 
 EARNED_PART = 0.9  # of the told ratio: first sends that fail before they arrive earn as well
 SLICES = 20  # parts of the window that are counted together
--- a/roselink/routing/classifier.py
+++ b/roselink/routing/classifier.py
@@ -4,7 +4,7 @@
 
 from enum import Enum
 
-from roselink.balancer.interface import NEVER_RAN, Outcome
+from roselink.routing.outcome import NEVER_RAN, Outcome
 
 NEVER_SENT = frozenset({Outcome.CONNECT_FAILED, Outcome.MOOT})
 
--- a/roselink/routing/decisions.py
+++ b/roselink/routing/decisions.py
@@ -11,9 +11,9 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from roselink.balancer.interface import Outcome
     from roselink.model.configuration import Service
     from roselink.model.fleet import Host
+    from roselink.routing.outcome import Outcome
 
 
 @dataclass(frozen=True, slots=True)
--- a/roselink/routing/fleet.py
+++ b/roselink/routing/fleet.py
@@ -11,7 +11,6 @@
 import random
 from typing import TYPE_CHECKING, Any
 
-from roselink.balancer.interface import Outcome
 from roselink.routing import decisions as d
 from roselink.routing.affinity import PrefixMemory
 from roselink.routing.backoff import NO_HOST_S, backoff_s, retry_after_s
@@ -19,6 +18,7 @@
 from roselink.routing.classifier import Verdict, classify
 from roselink.routing.host_choice import HostChooser
 from roselink.routing.learning import Learner
+from roselink.routing.outcome import Outcome
 from roselink.routing.policy import EffectivePolicy, RouteTable
 from roselink.routing.request_state import Attempt, Request, Stage
 from roselink.routing.timers import Due, Entry, Timers, is_over
--- a/roselink/routing/learning.py
+++ b/roselink/routing/learning.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from roselink.balancer.interface import Outcome
+from roselink.routing.outcome import Outcome
 
 if TYPE_CHECKING:
     from roselink.routing.affinity import PrefixMemory
--- a/roselink/routing/policy.py
+++ b/roselink/routing/policy.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from roselink.balancer.balance import LatencyTracker
+from roselink.routing.latency_tracker import LatencyTracker
 
 if TYPE_CHECKING:
     from roselink.routing.decisions import RequestFacts
--- a/roselink/routing/request_state.py
+++ b/roselink/routing/request_state.py
@@ -6,8 +6,8 @@
 from enum import Enum, auto
 from typing import TYPE_CHECKING
 
-from roselink.balancer.interface import NEVER_RAN, Outcome
 from roselink.routing.classifier import NEVER_SENT
+from roselink.routing.outcome import NEVER_RAN, Outcome
 
 if TYPE_CHECKING:
     from roselink.routing.decisions import RequestFacts
--- a/tests/balancer/test_balance.py
+++ b/tests/balancer/test_balance.py
@@ -18,7 +18,6 @@
     Fail,
     Group,
     ListKind,
-    Outcome,
     Refuse,
     Send,
     Server,
@@ -28,6 +27,9 @@
     State,
     Watch,
 )
+from roselink.routing.latency_tracker import LatencyTracker
+from roselink.routing.outcome import Outcome
+from roselink.routing.token_bucket import TokenBucket
 from tests.support.helpers import AIM_US, DEADLINE_US, Stage, route, settings
 
 MODULE = Path(balance.__file__)
@@ -41,7 +43,7 @@
 
 
 def test_bucket_is_capped_and_spends_whole_tokens() -> None:
-    bucket = balance.TokenBucket(5.0)
+    bucket = TokenBucket(5.0)
     while bucket.spend():
         pass
     assert bucket.tokens < 1
@@ -51,7 +53,7 @@
 
 
 def test_tracker_is_bounded_and_orders() -> None:
-    tracker = balance.LatencyTracker(maxlen=128)
+    tracker = LatencyTracker(maxlen=128)
     assert tracker.percentile(0.5) is None
     for value in range(1000):
         tracker.append(value)
--- a/tests/balancer/test_cold_fleet.py
+++ b/tests/balancer/test_cold_fleet.py
@@ -24,7 +24,6 @@
     Effect,
     Event,
     ListKind,
-    Outcome,
     Route,
     Send,
     Server,
@@ -32,6 +31,7 @@
     SetAlarm,
     Settings,
 )
+from roselink.routing.outcome import Outcome
 
 TICK_US = 5_000
 START_US = 100_000_000
--- a/tests/balancer/test_property.py
+++ b/tests/balancer/test_property.py
@@ -22,7 +22,6 @@
     Fail,
     Group,
     ListKind,
-    Outcome,
     Refuse,
     Route,
     Send,
@@ -32,6 +31,7 @@
     Settings,
     State,
 )
+from roselink.routing.outcome import Outcome
 from tests.support.rulecheck import Checker, RuleBroken
 
 if TYPE_CHECKING:
--- a/tests/dataplane/stage.py
+++ b/tests/dataplane/stage.py
@@ -10,7 +10,6 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any
 
-from roselink.balancer.interface import NEVER_RAN, Outcome
 from roselink.dataplane.plane import DataPlane
 from roselink.model.configuration import Configuration, Tenant
 from roselink.model.fleet import Host, HostState, Snapshot, VersionVector
@@ -28,6 +27,7 @@
     SendAttempt,
     TopologyChanged,
 )
+from roselink.routing.outcome import NEVER_RAN, Outcome
 from tests.support.net import Behaviour, FakeHost, Message, reset
 
 if TYPE_CHECKING:
--- a/tests/dataplane/test_guards.py
+++ b/tests/dataplane/test_guards.py
@@ -10,12 +10,12 @@
 
 import pytest
 
-from roselink.balancer.interface import NEVER_RAN, Outcome
 from roselink.dataplane import upstream
 from roselink.dataplane.requests import Headers, read_request
 from roselink.dataplane.upstream import PROVEN_LIMIT
 from roselink.gateway import upstream as base
 from roselink.routing.decisions import Action, AttemptEnded, RequestArrived
+from roselink.routing.outcome import NEVER_RAN, Outcome
 from tests.dataplane.stage import (
     KEY,
     FakeDecider,
--- a/tests/dataplane/test_plane.py
+++ b/tests/dataplane/test_plane.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from roselink.balancer.interface import Outcome
 from roselink.gateway import upstream
 from roselink.routing.decisions import FirstEvent, RequestClosed
+from roselink.routing.outcome import Outcome
 from tests.dataplane.stage import KEY, event, plain, rejects, request, sse, stage, stream
 from tests.support.net import Behaviour, Message, hang, on_loop, say, until
 
--- a/tests/dataplane/test_pool.py
+++ b/tests/dataplane/test_pool.py
@@ -8,12 +8,12 @@
 
 import pytest
 
-from roselink.balancer.interface import Outcome
 from roselink.dataplane import upstream
 from roselink.dataplane.topology import CONNECTIONS_LEAST
 from roselink.gateway import upstream as base
 from roselink.model.fleet import HostState
 from roselink.routing.decisions import FirstEvent
+from roselink.routing.outcome import Outcome
 from tests.dataplane.stage import (
     Stage,
     StreamClient,
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -18,7 +18,6 @@
     AttemptDone,
     Departed,
     Event,
-    Outcome,
     ServerList,
 )
 from roselink.gateway import connections, server
@@ -27,6 +26,7 @@
 from roselink.gateway.engine import ClientRequest
 from roselink.gateway.server import RECEIVE_S, UNREAD_S
 from roselink.gateway.upstream import HostConnection
+from roselink.routing.outcome import Outcome
 from tests.support.net import (
     Client,
     FakeHost,
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -154,7 +154,9 @@
     "urllib",
     "zlib",
 }
-OWN_PACKAGES = {"roselink.gateway", "roselink.balancer"}  # and of its own packages only these two
+# Of its own packages only these two, and three small modules that the fleet's routing uses too.
+OWN_PACKAGES = {"roselink.gateway", "roselink.balancer", "roselink.routing"}
+OF_ROUTING = {"latency_tracker", "outcome", "token_bucket"}
 
 
 def imports(text: str) -> set[str]:
@@ -189,6 +191,8 @@
     assert {name for name in public if importlib.util.find_spec(name)} | loaded_by_site == IMPORTED
     own = {".".join(name.split(".")[:2]) for name in added if name.startswith("roselink.")}
     assert own == OWN_PACKAGES
+    of_routing = {name for name in added if name.startswith("roselink.routing.")}
+    assert of_routing == {f"roselink.routing.{name}" for name in OF_ROUTING}
 
 
 @on_loop
--- a/tests/gateway/test_settings.py
+++ b/tests/gateway/test_settings.py
@@ -9,7 +9,6 @@
 from roselink.balancer.interface import (
     Effect,
     Group,
-    Outcome,
     Route,
     Send,
     Server,
@@ -17,6 +16,7 @@
     StreamStarted,
 )
 from roselink.balancer.simulator_adapter import read_settings
+from roselink.routing.outcome import Outcome
 from tests.support.helpers import Stage, route, settings
 
 
--- a/tests/gateway/test_upstream.py
+++ b/tests/gateway/test_upstream.py
@@ -12,10 +12,10 @@
 
 import pytest
 
-from roselink.balancer.interface import Outcome
 from roselink.gateway import upstream
 from roselink.gateway.config import RESERVED, Address, Descriptors
 from roselink.gateway.upstream import Answer, Attempt, Host, HostConnection, Upstream
+from roselink.routing.outcome import Outcome
 from tests.support.net import (
     Behaviour,
     FakeHost,
--- a/tests/routing/builders.py
+++ b/tests/routing/builders.py
@@ -5,10 +5,10 @@
 from dataclasses import dataclass, field, replace
 from typing import TypeVar
 
-from roselink.balancer.interface import Outcome
 from roselink.model.fleet import Host, HostState
 from roselink.routing import decisions as d
 from roselink.routing.fleet import FleetDecider
+from roselink.routing.outcome import Outcome
 
 FACTS = d.RequestFacts(
     number=1,
--- a/tests/routing/test_affinity_simulation.py
+++ b/tests/routing/test_affinity_simulation.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass, field
 from itertools import count
 
-from roselink.balancer.interface import Outcome
 from roselink.routing import decisions as d
 from roselink.routing.fleet import FleetDecider
+from roselink.routing.outcome import Outcome
 from tests.routing.builders import hosts, only
 
 GATEWAYS, HOSTS, SECONDS, PER_SECOND = 4, 6, 20.0, 60.0
--- a/tests/routing/test_fleet.py
+++ b/tests/routing/test_fleet.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from roselink.balancer.interface import Outcome
 from roselink.routing import decisions as d
 from roselink.routing.fleet import FleetDecider
 from roselink.routing.host_state import fresh_state
+from roselink.routing.outcome import Outcome
 from roselink.routing.pool import Pool
 from tests.routing.builders import FACTS, Bench, host, hosts, only
 
--- a/tests/routing/test_invariants.py
+++ b/tests/routing/test_invariants.py
@@ -12,8 +12,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from roselink.balancer.interface import NEVER_RAN, Outcome
 from roselink.routing import decisions as d
+from roselink.routing.outcome import NEVER_RAN, Outcome
 from tests.routing.builders import FACTS, Bench, host, prompt
 
 if TYPE_CHECKING:
--- a/tests/routing/test_pooled.py
+++ b/tests/routing/test_pooled.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from roselink.balancer.interface import Outcome
 from roselink.routing import decisions as d
+from roselink.routing.outcome import Outcome
 from roselink.routing.topology import POOLED_S
 from tests.routing.builders import Bench, hosts, only, prompt
 
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -13,7 +13,6 @@
     Effect,
     Event,
     ListKind,
-    Outcome,
     Route,
     Send,
     Server,
@@ -21,6 +20,7 @@
     SetAlarm,
     Settings,
 )
+from roselink.routing.outcome import Outcome
 
 AIM_US = 200_000
 DEADLINE_US = 1_000_000
--- a/tests/support/rulecheck.py
+++ b/tests/support/rulecheck.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
 
 from roselink.balancer.interface import (
     Action,
@@ -15,7 +16,6 @@
     Fail,
     Group,
     ListKind,
-    Outcome,
     Refuse,
     Route,
     Send,
@@ -25,6 +25,9 @@
     State,
 )
 
+if TYPE_CHECKING:
+    from roselink.routing.outcome import Outcome
+
 PROVES_NOTHING_RAN = {"full", "connect_failed", "moot"}
 
 
--- a/tools/decider.py
+++ b/tools/decider.py
@@ -12,7 +12,6 @@
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING
 
-from roselink.balancer.interface import Outcome
 from roselink.routing.affinity import KEPT_PARTS, PrefixMemory
 from roselink.routing.decisions import (
     AttemptEnded,
@@ -24,6 +23,7 @@
     TopologyChanged,
 )
 from roselink.routing.fleet import FleetDecider
+from roselink.routing.outcome import Outcome
 from roselink.routing.ring import HashRing
 from tools.measure import heap_bytes, machine, processor_us, show, show_line
 from tools.shapes import (
