--- a/roselink/gateway/engine.py
+++ b/roselink/gateway/engine.py
@@ -33,7 +33,7 @@
     State,
     StreamStarted,
 )
-from roselink.gateway.upstream import Answer, Attempt, Host, Upstream
+from roselink.http.host_connection import Answer, Attempt, Host
 from roselink.routing.outcome import Outcome
 
 if TYPE_CHECKING:
@@ -41,7 +41,8 @@
     from collections.abc import Callable
 
     from roselink.balancer.balance import Balancer
-    from roselink.gateway.config import Address
+    from roselink.http.address import Address
+    from roselink.http.host_pool import Upstream
 
 log = logging.getLogger("roselink.gateway.engine")
 
--- a/tests/dataplane/test_plane.py
+++ b/tests/dataplane/test_plane.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from roselink.gateway import upstream
+from roselink.http import host_pool
 from roselink.routing.decisions import FirstEvent, RequestClosed
 from roselink.routing.outcome import Outcome
 from tests.dataplane.stage import KEY, event, plain, rejects, request, sse, stage, stream
@@ -300,7 +300,7 @@
 
 @on_loop
 async def test_a_surplus_answer_reaches_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream, "SETTLE_S", -1.0)
+    monkeypatch.setattr(host_pool, "SETTLE_S", -1.0)
 
     async def late(message: Message, writer: asyncio.StreamWriter) -> None:
         if len(s.hosts[0].seen) > 1:
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -154,8 +154,8 @@
     "urllib",
     "zlib",
 }
-# Of its own packages only these two, and three small modules that the fleet's routing uses too.
-OWN_PACKAGES = {"roselink.gateway", "roselink.balancer", "roselink.routing"}
+# Of its own packages only these, and of `routing` the modules that both deciders use.
+OWN_PACKAGES = {"roselink.gateway", "roselink.http", "roselink.balancer", "roselink.routing"}
 OF_ROUTING = {"latency_tracker", "outcome", "token_bucket"}
 
 
--- a/tests/mutations/budgets.py
+++ b/tests/mutations/budgets.py
@@ -8,19 +8,19 @@
 
 MUTATIONS: tuple[Mutation, ...] = (
     *mutations_of(
-        "budgets/roles.py",
+        "budgets/ownership.py",
         BUDGETS,
         (
             "an ask under an old token is served",
-            "        if token < self.token:\n            return Verdict.STALE_TOKEN\n",
+            "        if token < self.token:\n            return ReplyStatus.STALE_TOKEN\n",
             "",
         ),
         ("an owner that was not confirmed serves", " or not self.fresh(now)", ""),
-        ("whoever is asked is the owner", "if self.owns(key) else Verdict.NOT_OWNER", ""),
+        ("whoever is asked is the owner", "if self.owns(key) else ReplyStatus.NOT_OWNER", ""),
         ("an older roster is taken", "if token <= self.token:", "if token == self.token:"),
     ),
     *mutations_of(
-        "budgets/ledger.py",
+        "budgets/quota_owner.py",
         BUDGETS,
         (
             "what is admitted is not counted",
@@ -42,7 +42,7 @@
         ),
     ),
     *mutations_of(
-        "budgets/repeats.py",
+        "budgets/retry_budget.py",
         BUDGETS,
         (
             "a new term lends the whole slack",
