--- a/roselink/http/host_connection.py
+++ b/roselink/http/host_connection.py
@@ -16,8 +16,8 @@
 
 import httptools
 
-from roselink.balancer.interface import Outcome
 from roselink.http.socket_probe import SocketLook
+from roselink.routing.outcome import Outcome
 
 if TYPE_CHECKING:
     from roselink.http.address import Address
