--- a/roselink/balancer/decider.py
+++ b/roselink/balancer/decider.py
@@ -31,7 +31,6 @@
     Event,
     Fail,
     ListKind,
-    Outcome,
     Refuse,
     Send,
     ServerList,
@@ -50,6 +49,7 @@
 from roselink.balancer.slow_start import SlowStart
 from roselink.balancer.state import BalancerState
 from roselink.balancer.tenant_quotas import TenantQuotas
+from roselink.routing.outcome import Outcome
 
 if TYPE_CHECKING:
     from collections import deque
@@ -88,7 +88,7 @@
         self.limit = ConcurrencyLimit(self.state, self.slow_start)
         self.lanes = BlockingLanes(self.state)
         self.chooser = HostChooser(
-            self.state, self.payoffs, self.speeds, self.slow_start, self.limit, self.lanes
+            self.state, self.payoffs, self.slow_start, self.limit, self.lanes
         )
         self.quotas = TenantQuotas(self.state)
         self.requests: dict[int, Request] = {}
--- a/roselink/balancer/host_choice.py
+++ b/roselink/balancer/host_choice.py
@@ -12,7 +12,6 @@
     from roselink.balancer.concurrency_limit import ConcurrencyLimit
     from roselink.balancer.host_window import BlockingLanes
     from roselink.balancer.interface import Route, Settings
-    from roselink.balancer.kind_speeds import KindSpeeds
     from roselink.balancer.payoff import PayoffEstimator
     from roselink.balancer.request_state import Request
     from roselink.balancer.server_state import ServerState
@@ -35,7 +34,6 @@
         self,
         state: BalancerState,
         payoffs: PayoffEstimator,
-        speeds: KindSpeeds,
         slow_start: SlowStart,
         limit: ConcurrencyLimit,
         lanes: BlockingLanes,
@@ -43,7 +41,7 @@
         """Reads the balancer's state and what each concern has learned; keeps none of its own."""
         self._state = state
         self._payoffs = payoffs
-        self._speeds = speeds
+        self._speeds = slow_start.speeds
         self._slow_start = slow_start
         self._limit = limit
         self._lanes = lanes
--- a/roselink/balancer/outcome_classifier.py
+++ b/roselink/balancer/outcome_classifier.py
@@ -4,7 +4,8 @@
 
 from typing import TYPE_CHECKING
 
-from roselink.balancer.interface import NEVER_RAN, Effect, Group, Outcome
+from roselink.balancer.interface import Effect, Group
+from roselink.routing.outcome import NEVER_RAN, Outcome
 
 if TYPE_CHECKING:
     from roselink.balancer.request_state import Request
--- a/roselink/balancer/request_state.py
+++ b/roselink/balancer/request_state.py
@@ -5,11 +5,12 @@
 from collections import deque
 from typing import TYPE_CHECKING
 
-from roselink.balancer.interface import NEVER_RAN, Arrived, Outcome, Route
-from roselink.balancer.latency_tracker import LatencyTracker
-from roselink.balancer.token_bucket import TokenBucket
+from roselink.routing.latency_tracker import LatencyTracker
+from roselink.routing.outcome import NEVER_RAN, Outcome
+from roselink.routing.token_bucket import TokenBucket
 
 if TYPE_CHECKING:
+    from roselink.balancer.interface import Arrived, Route
     from roselink.balancer.server_state import ServerState
 
 TRACKED_LATENCIES = 128
--- a/roselink/balancer/slow_start.py
+++ b/roselink/balancer/slow_start.py
@@ -30,7 +30,7 @@
     def __init__(self, state: BalancerState, speeds: KindSpeeds) -> None:
         """Starts with as much work as the cold servers surely can do."""
         self._state = state
-        self._speeds = speeds
+        self.speeds = speeds
         # Work offered to cold servers by all balancers, over what they surely can do.
         self.load = 1.0
 
@@ -49,7 +49,7 @@
 
     def core_speed(self, server: ServerState) -> float:
         """Work in a unit of time that a core surely does: as warm ones of its kind, less by age."""
-        return self.warmth(server) * self._speeds.speed(server.spec.kind)
+        return self.warmth(server) * self.speeds.speed(server.spec.kind)
 
     def start(self, server: ServerState) -> None:
         """Begins a cold server with a random pause.
--- a/roselink/balancer/tenant_quotas.py
+++ b/roselink/balancer/tenant_quotas.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from roselink.balancer.token_bucket import TokenBucket
+from roselink.routing.token_bucket import TokenBucket
 
 if TYPE_CHECKING:
     from roselink.balancer.state import BalancerState
--- a/roselink/http/host_pool.py
+++ b/roselink/http/host_pool.py
@@ -6,8 +6,8 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from roselink.balancer.interface import Outcome
 from roselink.http.host_connection import Attempt, Done, Host, HostConnection, Wanted
+from roselink.routing.outcome import Outcome
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/tests/balancer/test_balance.py
+++ b/tests/balancer/test_balance.py
@@ -25,7 +25,6 @@
     Fail,
     Group,
     ListKind,
-    Outcome,
     Refuse,
     Send,
     Server,
@@ -37,6 +36,9 @@
 )
 from roselink.balancer.load_shedding import MIN_ADMITTED
 from roselink.balancer.server_state import UNKNOWN_PAYOFF
+from roselink.routing.latency_tracker import LatencyTracker
+from roselink.routing.outcome import Outcome
+from roselink.routing.token_bucket import TokenBucket
 from tests.support.helpers import AIM_US, DEADLINE_US, Stage, route, settings
 
 ROOT = Path(__file__).parents[2]
@@ -56,7 +58,8 @@
     lines = [line for text in texts.values() for line in text.splitlines() if line.strip()]
     assert len(lines) <= 1200
     assert max(map(len, lines)) <= 110
-    assert "roselink/balancer/interface.py" in texts["roselink/balancer/decider.py"].partition("\n")[0]
+    first_line = texts["roselink/balancer/decider.py"].partition("\n")[0]
+    assert "roselink/balancer/interface.py" in first_line
 
 
 def test_bucket_is_capped_and_spends_whole_tokens() -> None:
@@ -123,9 +126,7 @@
     attempts = sum(map(len, stage.sends.values()))
     stage.pass_time(2_000_000)
     assert not stage.balancer.requests
-    assert (
-        len(stage.sends) >= 400 * MIN_ADMITTED / 2
-    )  # the pick falls back to the whole fleet
+    assert len(stage.sends) >= 400 * MIN_ADMITTED / 2  # the pick falls back to the whole fleet
     assert attempts <= len(stage.sends) * (1 + TOKENS_PER_REQUEST) + 2
 
 
@@ -548,7 +549,8 @@
 
 def test_crossing_zones_is_worth_its_price_only() -> None:
     stage = Stage(many(price_cross_zone=0.1), fleet())
-    here, there = (next(s for s in stage.balancer.state.candidates if s.spec.zone == z) for z in (0, 1))
+    candidates = stage.balancer.state.candidates
+    here, there = (next(s for s in candidates if s.spec.zone == zone) for zone in (0, 1))
     assert stage.balancer.chooser.score(here) > stage.balancer.chooser.score(there)
     here.payoff, here.observed_us = 0.3, stage.now
     assert stage.balancer.chooser.score(here) < stage.balancer.chooser.score(there)
@@ -777,7 +779,7 @@
     shares = []
     for balancer in (dear, cheap):
         balancer.state.recent = 12.0 * OUTCOMES_PER_SERVER
-        window = window(balancer.state) or []
-        assert len(window) == len({s.spec.id for s in window}) == 12
-        shares.append(sum(s.spec.zone == 0 for s in window))
+        hosts = window(balancer.state) or []
+        assert len(hosts) == len({s.spec.id for s in hosts}) == 12
+        shares.append(sum(s.spec.zone == 0 for s in hosts))
     assert shares[0] >= 6 and shares[0] > shares[1]
--- a/tests/balancer/test_property.py
+++ b/tests/balancer/test_property.py
@@ -23,7 +23,6 @@
     Fail,
     Group,
     ListKind,
-    Outcome,
     Refuse,
     Route,
     Send,
@@ -35,6 +34,7 @@
 )
 from roselink.balancer.request_state import Request
 from roselink.balancer.slow_start import SlowStart
+from roselink.routing.outcome import Outcome
 from tests.support.rulecheck import Checker, RuleBroken
 
 if TYPE_CHECKING:
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -18,7 +18,6 @@
     AttemptDone,
     Departed,
     Event,
-    Outcome,
     ServerList,
 )
 from roselink.gateway import server
@@ -29,6 +28,7 @@
 from roselink.http import server_connection
 from roselink.http.descriptors import RESERVED
 from roselink.http.host_connection import HostConnection
+from roselink.routing.outcome import Outcome
 from tests.support.net import (
     Client,
     FakeHost,
@@ -859,7 +859,11 @@
             lambda: not w.gateway.server.connections and not engine._open and not engine._ids
         )
         await until(
-            lambda: not balancer.requests and not w.gateway.upstream._tasks and not balancer.state.queued
+            lambda: (
+                not balancer.requests
+                and not w.gateway.upstream._tasks
+                and not balancer.state.queued
+            )
         )
         assert all(s.in_flight == s.overdue == 0 for s in balancer.state.servers.values())
         assert set(balancer.state.servers) == set(engine.hosts)
