--- a/roselink/controller/api.py
+++ b/roselink/controller/api.py
@@ -21,14 +21,14 @@
 
 from roselink.controller.checking import Fault, Refused, check
 from roselink.controller.contract import (
-    ConfigurationOrder,
+    ChangeCommitted,
+    ConfigurationChange,
     Confirmation,
     Conflict,
     ControlNode,
-    NotNewer,
+    OutcomeUnknown,
+    StaleGeneration,
     SubmitOutcome,
-    TakenOrder,
-    Unsettled,
 )
 from roselink.controller.updates import carry_update, read_call
 from roselink.controller.values import MOST_NUMBER
@@ -47,6 +47,14 @@
 RETRY_AFTER_S = "0.2"
 IDLE_TIMEOUT_S = 60
 
+# The outcomes' names in the log are older than the classes' names, and stay for searches of logs.
+_LOGGED_OUTCOMES: dict[type[SubmitOutcome], str] = {
+    ChangeCommitted: "TakenOrder",
+    Conflict: "Conflict",
+    StaleGeneration: "NotNewer",
+    OutcomeUnknown: "Unsettled",
+}
+
 log = structlog.get_logger("roselink.api")
 
 
@@ -134,7 +142,7 @@
         checked = check(body)
         if isinstance(checked, Refused):
             return _refused(request, base, checked)
-        order = ConfigurationOrder(base, checked.generation, body, digest_of(base, body))
+        order = ConfigurationChange(base, checked.generation, body, digest_of(base, body))
         return self._carried(
             request, base, checked.generation, lambda done: self._node.submit(order, done)
         )
@@ -175,7 +183,7 @@
     ) -> Deferred[Any]:
         """The answer to an order once `begin` has brought its outcome, or late in time."""
         self._open += 1
-        settled = self._in_time(SUBMIT_TIMEOUT_S, begin, Unsettled())
+        settled = self._in_time(SUBMIT_TIMEOUT_S, begin, OutcomeUnknown())
         return settled.addBoth(self._closed).addCallback(
             self._answer_order, request, base, generation
         )
@@ -189,17 +197,17 @@
     ) -> bytes:
         if isinstance(outcome, Refused):
             return _refused(request, base, outcome)
-        log.info("order", base=base, generation=generation, outcome=type(outcome).__name__)
+        log.info("order", base=base, generation=generation, outcome=_LOGGED_OUTCOMES[type(outcome)])
         match outcome:
-            case TakenOrder(sequence):
+            case ChangeCommitted(sequence):
                 return _json(request, 200, {"generation": generation, "sequence": sequence})
             case Conflict(current):
                 return _conflict(request, current)
-            case NotNewer(current) if current != base:
+            case StaleGeneration(current) if current != base:
                 return _conflict(request, current)
-            case NotNewer(current):
+            case StaleGeneration(current):
                 return _invalid(request, (Fault("generation", f"must be above {current}"),))
-            case Unsettled():
+            case OutcomeUnknown():
                 return _unavailable(request, "unsettled")
 
     def _get(self, request: ApiRequest) -> Any:
--- a/roselink/controller/contract.py
+++ b/roselink/controller/contract.py
@@ -1,7 +1,7 @@
 """What the operator's interface and the replicated chain say to each other.
 
-An order ends with exactly one outcome. `Unsettled` says nothing about whether the order was or will
-be taken: the caller may send it again unchanged, to any member.
+An order ends with exactly one outcome. `OutcomeUnknown` says nothing about whether the order was
+or will be taken: the caller may send it again unchanged, to any member.
 """
 
 from __future__ import annotations
@@ -9,14 +9,14 @@
 from typing import TYPE_CHECKING, Protocol
 
 from roselink.coordination.effects import (
+    ChangeCommitted,
     Confirmation,
     Conflict,
-    NotNewer,
+    OutcomeUnknown,
+    StaleGeneration,
     SubmitOutcome,
-    TakenOrder,
-    Unsettled,
 )
-from roselink.protocol.chain import ConfigurationOrder
+from roselink.protocol.chain import ConfigurationChange
 from roselink.protocol.peers import Address
 
 if TYPE_CHECKING:
@@ -24,14 +24,14 @@
 
 __all__ = [
     "Address",
-    "ConfigurationOrder",
+    "ChangeCommitted",
+    "ConfigurationChange",
     "Confirmation",
     "Conflict",
     "ControlNode",
-    "NotNewer",
+    "OutcomeUnknown",
+    "StaleGeneration",
     "SubmitOutcome",
-    "TakenOrder",
-    "Unsettled",
 ]
 
 
@@ -56,7 +56,7 @@
     def chain_addresses(self) -> tuple[str, ...]:
         """The peer addresses of the newest known view's chain, from head to tail."""
 
-    def submit(self, order: ConfigurationOrder, done: Callable[[SubmitOutcome], None]) -> None:
+    def submit(self, order: ConfigurationChange, done: Callable[[SubmitOutcome], None]) -> None:
         """Have an order decided; `done` is called once."""
 
     def confirm(self, done: Callable[[Confirmation | None], None]) -> None:
--- a/roselink/controller/node.py
+++ b/roselink/controller/node.py
@@ -16,18 +16,18 @@
 from roselink.coordination.effects import (
     Confirmation,
     Effect,
+    OutcomeUnknown,
     Persist,
     ReadDone,
     Send,
     Store,
     SubmitDone,
     SubmitOutcome,
-    Unsettled,
     ViewChanged,
 )
 from roselink.coordination.member import TICK_S, Member, Start
 from roselink.coordination.messages import HANDLED
-from roselink.protocol.chain import ConfigurationOrder, StoredState, View, Votes
+from roselink.protocol.chain import AcceptorState, ConfigurationChange, StoredState, View
 
 if TYPE_CHECKING:
     from roselink.model.settings import ProcessSettings
@@ -38,7 +38,7 @@
 _LEAVE_STEP_S = 0.02
 _SESSION_BITS = 61
 
-Loaded = tuple[Votes | None, StoredState | None]
+Loaded = tuple[AcceptorState | None, StoredState | None]
 Job = Callable[[], None] | None
 
 
@@ -91,7 +91,7 @@
         submits, self._submits = self._submits, {}
         reads, self._reads = self._reads, {}
         for submitted in submits.values():
-            submitted(Unsettled())
+            submitted(OutcomeUnknown())
         for asked in reads.values():
             asked(None)
 
@@ -105,10 +105,10 @@
             self._perform(self._member.receive(message, self._loop.time()))
         return True
 
-    def submit(self, order: ConfigurationOrder, done: Callable[[SubmitOutcome], None]) -> None:
+    def submit(self, order: ConfigurationChange, done: Callable[[SubmitOutcome], None]) -> None:
         """Carry an order to the chain's head; `done` gets one outcome within 2.5 s or so."""
         if self._member is None or not self._running:
-            done(Unsettled())
+            done(OutcomeUnknown())
             return
         number, effects = self._member.submit(order, self._loop.time())
         self._submits[number] = done
--- a/roselink/controller/storage.py
+++ b/roselink/controller/storage.py
@@ -19,7 +19,7 @@
 from typing import Protocol
 
 from roselink.coordination.effects import Store
-from roselink.protocol.chain import StoredState, Votes
+from roselink.protocol.chain import AcceptorState, StoredState
 from roselink.protocol.records import RecordError, decode
 
 _KEY = b"record"
@@ -95,11 +95,11 @@
     files: FileSystem = field(default_factory=LocalFiles)
     _newest: dict[Store, int] = field(default_factory=dict)
 
-    def load(self) -> tuple[Votes | None, StoredState | None]:
+    def load(self) -> tuple[AcceptorState | None, StoredState | None]:
         """What the disk holds; both are None unless both are whole."""
         self.files.make_folder(self.folder)
-        votes, state = self._load(Store.VOTES), self._load(Store.STATE)
-        if isinstance(votes, Votes) and isinstance(state, StoredState):
+        votes, state = self._load(Store.ACCEPTOR), self._load(Store.STATE)
+        if isinstance(votes, AcceptorState) and isinstance(state, StoredState):
             return votes, state
         return None, None
 
@@ -188,7 +188,7 @@
 
 def record_number(store: Store) -> int:
     """The number of the record that a store holds."""
-    return {Store.VOTES: 33, Store.STATE: 36}[store]
+    return {Store.ACCEPTOR: 33, Store.STATE: 36}[store]
 
 
 def _checksum(number: int, record: int, payload: bytes) -> bytes:
--- a/roselink/controller/updates.py
+++ b/roselink/controller/updates.py
@@ -24,7 +24,12 @@
 from voluptuous import Invalid
 
 from roselink.controller.checking import Checked, Fault, Refused, check_document, read_json
-from roselink.controller.contract import ConfigurationOrder, Confirmation, SubmitOutcome, Unsettled
+from roselink.controller.contract import (
+    ConfigurationChange,
+    Confirmation,
+    OutcomeUnknown,
+    SubmitOutcome,
+)
 from roselink.controller.values import positive_whole
 
 if TYPE_CHECKING:
@@ -106,7 +111,7 @@
 
 def order_of_update(
     base: int, update: Update, digest: bytes, confirmed: Confirmation
-) -> ConfigurationOrder | Refused:
+) -> ConfigurationChange | Refused:
     """The order that brings an update about, on a state confirmed after the update was read.
 
     Where the base is not in place the order has no document: the head then only looks for its
@@ -115,7 +120,7 @@
     result.
     """
     if base != confirmed.generation:
-        return ConfigurationOrder(base, update.generation, b"", digest)
+        return ConfigurationChange(base, update.generation, b"", digest)
     document = json.loads(confirmed.document) if confirmed.document is not None else _nothing()
     faults = tuple(_section_faults(document, update))
     if faults:
@@ -130,7 +135,7 @@
 def carry_update(
     call: UpdateCall,
     confirm: Callable[[Callable[[Confirmation | None], None]], None],
-    submit: Callable[[ConfigurationOrder, Callable[[SubmitOutcome], None]], None],
+    submit: Callable[[ConfigurationChange, Callable[[SubmitOutcome], None]], None],
     done: Callable[[SubmitOutcome | Refused], None],
 ) -> None:
     """Confirm the state, merge the update onto it, and have the order decided. `done` gets one
@@ -139,7 +144,7 @@
 
     def on_state(confirmed: Confirmation | None) -> None:
         if confirmed is None:
-            done(Unsettled())
+            done(OutcomeUnknown())
             return
         order = order_of_update(call.base, call.update, call.digest, confirmed)
         if isinstance(order, Refused):
@@ -150,11 +155,11 @@
     confirm(on_state)
 
 
-def _order(base: int, checked: Checked, digest: bytes) -> ConfigurationOrder:
+def _order(base: int, checked: Checked, digest: bytes) -> ConfigurationChange:
     # In ASCII: half a character, which JSON allows in fields that are passed over, has no bytes of
     # its own.
     document = json.dumps(checked.document, separators=(",", ":")).encode()
-    return ConfigurationOrder(base, checked.generation, document, digest)
+    return ConfigurationChange(base, checked.generation, document, digest)
 
 
 def _nothing() -> dict[str, Any]:
--- a/roselink/coordination/ballots.py
+++ b/roselink/coordination/ballots.py
@@ -11,14 +11,14 @@
 from roselink.protocol.records import encode
 
 if TYPE_CHECKING:
-    from roselink.coordination.votes import Voting
+    from roselink.coordination.votes import Acceptor
 
 
 @dataclass(slots=True)
-class BallotBox:
+class ReplyGate:
     """Holds each answer until the votes of its version are durable; one save at a time."""
 
-    voting: Voting
+    voting: Acceptor
     emit: Emit
     _held: list[tuple[int, Send]] = field(default_factory=list)
     _saving: int | None = None
@@ -45,7 +45,7 @@
         """Save the votes if they changed and no save is under way."""
         if self._saving is None and self._durable < self.voting.version:
             self._saving = self.voting.version
-            self.emit(Persist(Store.VOTES, encode(self.voting.record())))
+            self.emit(Persist(Store.ACCEPTOR, encode(self.voting.record())))
 
     def saved(self) -> None:
         """The save that was under way is durable."""
--- a/roselink/coordination/chain.py
+++ b/roselink/coordination/chain.py
@@ -15,13 +15,13 @@
 from dataclasses import dataclass, field
 
 from roselink.coordination.effects import Emit, Persist, Send, Store
-from roselink.coordination.state import EMPTY, apply
-from roselink.coordination.views import link_of
+from roselink.coordination.state import EMPTY, apply_change
+from roselink.coordination.views import replica_of
 from roselink.protocol.chain import (
     Ack,
-    ConfigurationOrder,
+    ChainReplica,
+    ConfigurationChange,
     ConfigurationState,
-    Link,
     StoredState,
     Sync,
     View,
@@ -47,13 +47,13 @@
     durable: ConfigurationState = EMPTY
     durable_epoch: int = 0
     view: View | None = None
-    taking_part: bool = False
+    participating: bool = False
     synced: bool = False
     active: bool = False
     committed: int = -1
     _saving: StoredState | None = None
-    _predecessor: Link | None = None
-    _successor: Link | None = None
+    _predecessor: ChainReplica | None = None
+    _successor: ChainReplica | None = None
     _unacknowledged: list[Write] = field(default_factory=list)
     _begun: bool = False
     _first: ConfigurationState = EMPTY
@@ -68,32 +68,32 @@
     @property
     def is_head(self) -> bool:
         """Whether this process is the head of the newest view that it knows."""
-        return self.taking_part and self._predecessor is None
+        return self.participating and self._predecessor is None
 
     @property
     def at_end(self) -> bool:
         """Whether this process is the last of its view's chain, active or not."""
-        return self.taking_part and self._successor is None
+        return self.participating and self._successor is None
 
     @property
     def is_tail(self) -> bool:
         """Whether this process is the tail, and its view is active."""
-        return self.taking_part and self.active and self._successor is None
+        return self.participating and self.active and self._successor is None
 
     def enter(self, view: View, fresh: bool, now: float) -> None:
         """Leave the present epoch and take this process's part in the new view, if it has one."""
-        link = link_of(view, self.voter)
+        link = replica_of(view, self.voter)
         self.view = view
         # No process has the session 0: it stands in the first view, in which any process takes part
         # that made it.
-        self.taking_part = link is not None and (
+        self.participating = link is not None and (
             fresh if link.session == 0 else link.session == self.session
         )
         self.synced = self.active = self._begun = False
         self.committed = -1
         self._unacknowledged = []
         self._predecessor = self._successor = None
-        if link is None or not self.taking_part:
+        if link is None or not self.participating:
             return
         place = view.chain.index(link)
         self._predecessor = view.chain[place - 1] if place else None
@@ -129,7 +129,7 @@
         else:
             self._acknowledge()
 
-    def append(self, order: ConfigurationOrder, refused: bool) -> int:
+    def append(self, order: ConfigurationChange, refused: bool) -> int:
         """As the head: take a change; its sequence."""
         if self.view is None or not self.is_head or not self.active:
             raise AssertionError("only the head of an active view appends")
@@ -162,7 +162,7 @@
 
     def resend(self, now: float) -> None:
         """Send again what has no acknowledgement after a time."""
-        if self._successor is None or not self.taking_part or not self._begun:
+        if self._successor is None or not self.participating or not self._begun:
             return
         if not self.active:
             size = len(self._first.document) + len(self._first.history)
@@ -175,7 +175,7 @@
                     self._send_write(write)
 
     def _append(self, write: Write) -> None:
-        self.applied = apply(self.applied, write.order, write.refused)
+        self.applied = apply_change(self.applied, write.order, write.refused)
         self.applied_epoch = write.epoch
         if self._successor is not None:
             self._unacknowledged.append(write)
@@ -202,7 +202,7 @@
 
     def _advance(self, now: float) -> bool:
         """Pass on, or commit at the tail, what has become durable."""
-        if not self.taking_part or not self._on_disk():
+        if not self.participating or not self._on_disk():
             return False
         if not self._begun:
             self._begun = True
@@ -241,9 +241,9 @@
             own = Write(self.voter, write.epoch, write.sequence, write.refused, write.order)
             self.emit(Send(self._successor.voter.address, own))
 
-    def _from(self, link: Link | None, sender: Voter, epoch: int) -> bool:
+    def _from(self, link: ChainReplica | None, sender: Voter, epoch: int) -> bool:
         return (
-            self.taking_part
+            self.participating
             and self.view is not None
             and epoch == self.view.epoch
             and link is not None
--- a/roselink/coordination/effects.py
+++ b/roselink/coordination/effects.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TakenOrder:
+class ChangeCommitted:
     """The order is in force or was: every disk of the chain has it. `sequence`: its place in the
     history.
     """
@@ -30,18 +30,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NotNewer:
+class StaleGeneration:
     """The order's generation isn't above the current one. It will never come into force."""
 
     current: int
 
 
 @dataclass(frozen=True, slots=True)
-class Unsettled:
+class OutcomeUnknown:
     """Nothing is promised: the order may come into force or not."""
 
 
-SubmitOutcome = TakenOrder | Conflict | NotNewer | Unsettled
+SubmitOutcome = ChangeCommitted | Conflict | StaleGeneration | OutcomeUnknown
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,7 +60,7 @@
 class Store(Enum):
     """The two things on a member's disk."""
 
-    VOTES = "votes"
+    ACCEPTOR = "votes"
     STATE = "state"
 
 
--- a/roselink/coordination/member.py
+++ b/roselink/coordination/member.py
@@ -6,7 +6,7 @@
 decided view an epoch), `reads` (a confirmed read misses nothing), `orders` (a refusal lasts). What
 is left to this module:
 
-- A vote leaves only after the disk has it: `ballots` keeps each answer until its version of `Votes`
+- A vote leaves only after the disk has it: `ballots` keeps each answer until its version of `AcceptorState`
   is durable.
 - A decided view is followed at once, before it is on this disk. A member that restarts with an
   older view is as one that hasn't heard of the newer one; it does not take part in any chain of its
@@ -26,24 +26,24 @@
 
 from dataclasses import dataclass, field
 
-from roselink.coordination.ballots import BallotBox
+from roselink.coordination.ballots import ReplyGate
 from roselink.coordination.chain import ChainMember
 from roselink.coordination.effects import Effect, Persist, Send, Store, ViewChanged
 from roselink.coordination.messages import MessageHandler
-from roselink.coordination.orders import HeadOrders, OwnCalls
-from roselink.coordination.peering import DiskHealth, Peers
-from roselink.coordination.presence import Presence
+from roselink.coordination.orders import ChangeSequencer, PendingCalls
+from roselink.coordination.peering import DiskHealth, PeerTable
+from roselink.coordination.presence import HeartbeatSender
 from roselink.coordination.proposing import Proposer
 from roselink.coordination.reads import ReadRounds
 from roselink.coordination.state import EMPTY
-from roselink.coordination.views import Rules, first_view, link_of, majority, reunited
-from roselink.coordination.votes import Voting
+from roselink.coordination.views import ViewPolicy, first_view, majority, replica_of, reunited
+from roselink.coordination.votes import Acceptor
 from roselink.protocol.chain import (
-    ConfigurationOrder,
+    AcceptorState,
+    ConfigurationChange,
     StoredState,
     View,
     Voter,
-    Votes,
 )
 from roselink.protocol.records import encode
 
@@ -68,7 +68,7 @@
     tolerated: int
     session: int
     fresh_incarnation: int
-    votes: Votes | None
+    votes: AcceptorState | None
     state: StoredState | None
 
 
@@ -91,19 +91,19 @@
         self._saved_first = not whole_new
         voter = self._identity(whole_new)
         self.voting = (
-            Voting(voter) if start.votes is None or whole_new else Voting.restored(start.votes)
+            Acceptor(voter) if start.votes is None or whole_new else Acceptor.restored(start.votes)
         )
-        self.ballots = BallotBox(self.voting, self.emit)
+        self.ballots = ReplyGate(self.voting, self.emit)
         self.chain = ChainMember(voter, start.session, self.emit)
-        self.peers = Peers(voter)
+        self.peers = PeerTable(voter)
         self.disk = DiskHealth()
-        self.presence = Presence(
+        self.presence = HeartbeatSender(
             voter, start.session, start.seeds, self.chain, self.peers, self.disk, self.emit
         )
-        self.proposer = Proposer(voter, start.session, Rules(start.tolerated), self.emit)
+        self.proposer = Proposer(voter, start.session, ViewPolicy(start.tolerated), self.emit)
         self.reads = ReadRounds(voter, self.emit)
-        self.orders = HeadOrders(self.chain, self.emit)
-        self.calls = OwnCalls(voter, self.emit)
+        self.orders = ChangeSequencer(self.chain, self.emit)
+        self.calls = PendingCalls(voter, self.emit)
         self._messages = MessageHandler(
             voting=self.voting,
             ballots=self.ballots,
@@ -193,7 +193,7 @@
             self._propose(now)
         return self._flush(now)
 
-    def submit(self, order: ConfigurationOrder, now: float) -> tuple[int, list[Effect]]:
+    def submit(self, order: ConfigurationChange, now: float) -> tuple[int, list[Effect]]:
         """Carry an order; a `SubmitDone` of this number follows."""
         self._numbers += 1
         self.calls.submit(self._numbers, order, self._known_view(), now)
@@ -215,7 +215,7 @@
     @property
     def left(self) -> bool:
         """Whether the newest view's chain goes without this member."""
-        return link_of(self.view, self.voter) is None
+        return replica_of(self.view, self.voter) is None
 
     def seeds_changed(self, seeds: tuple[str, ...]) -> None:
         """The settings name other machines to ask."""
@@ -242,7 +242,7 @@
     def persist_failed(self, store: Store, now: float) -> list[Effect]:
         """The disk has refused the oldest `Persist` of that store; nothing of it counts."""
         self.disk.ended(now, False)
-        if store is Store.VOTES:
+        if store is Store.ACCEPTOR:
             self.ballots.save_failed()
         elif self._saved_first:
             self.chain.on_persist_failed()
@@ -316,7 +316,7 @@
     def _propose(self, now: float) -> None:
         if self.view is None or not self.voting.entitled:
             return
-        outside = not self.chain.taking_part and self.peers.settled(now, self.view.epoch)
+        outside = not self.chain.participating and self.peers.settled(now, self.view.epoch)
         picture = self.presence.picture(self.view, now)
         if now - self._began_at < START_PATIENCE_S and not reunited(self.view, picture):
             return  # the others may be starting too, after a loss of the whole core
--- a/roselink/coordination/messages.py
+++ b/roselink/coordination/messages.py
@@ -6,22 +6,22 @@
 from typing import TYPE_CHECKING, Any
 
 from roselink.coordination.effects import Emit, Send
-from roselink.coordination.reads import ReadRounds, Waiting
+from roselink.coordination.reads import ReadRounds, WaitingRead
 from roselink.protocol.chain import (
     Accept,
     Accepted,
     Ack,
-    ConfirmAnswer,
-    ConfirmAsk,
+    ConfirmReply,
+    ConfirmRequest,
     Decided,
     Heartbeat,
     Prepare,
     Promise,
-    ReadAsk,
     ReadReply,
+    ReadRequest,
     Refusal,
-    Submit,
     SubmitReply,
+    SubmitRequest,
     Sync,
     View,
     Write,
@@ -30,13 +30,13 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from roselink.coordination.ballots import BallotBox
+    from roselink.coordination.ballots import ReplyGate
     from roselink.coordination.chain import ChainMember
-    from roselink.coordination.orders import HeadOrders, OwnCalls
-    from roselink.coordination.peering import Peers
-    from roselink.coordination.presence import Presence
+    from roselink.coordination.orders import ChangeSequencer, PendingCalls
+    from roselink.coordination.peering import PeerTable
+    from roselink.coordination.presence import HeartbeatSender
     from roselink.coordination.proposing import Proposer
-    from roselink.coordination.votes import Voting
+    from roselink.coordination.votes import Acceptor
 
 
 @dataclass(slots=True)
@@ -47,15 +47,15 @@
     committed.
     """
 
-    voting: Voting
-    ballots: BallotBox
+    voting: Acceptor
+    ballots: ReplyGate
     chain: ChainMember
-    peers: Peers
-    presence: Presence
+    peers: PeerTable
+    presence: HeartbeatSender
     proposer: Proposer
     reads: ReadRounds
-    orders: HeadOrders
-    calls: OwnCalls
+    orders: ChangeSequencer
+    calls: PendingCalls
     emit: Emit
     follow: Callable[[View, float], None]
     committed: Callable[[float], None]
@@ -109,7 +109,7 @@
         if self.chain.on_ack(message):
             self.committed(now)
 
-    def _on_submit(self, message: Submit, now: float) -> None:
+    def _on_submit(self, message: SubmitRequest, now: float) -> None:
         if (
             self.voting.view is not None
             and message.epoch == self.voting.view.epoch
@@ -120,12 +120,12 @@
     def _on_submit_reply(self, message: SubmitReply, now: float) -> None:
         self.calls.settled(message)
 
-    def _on_confirm_ask(self, message: ConfirmAsk, now: float) -> None:
+    def _on_confirm_ask(self, message: ConfirmRequest, now: float) -> None:
         newest = self.voting.newest(message.epoch)
-        answer = ConfirmAnswer(self.voting.voter, message.epoch, message.round, newest)
+        answer = ConfirmReply(self.voting.voter, message.epoch, message.round, newest)
         self.emit(Send(message.sender.address, answer))
 
-    def _on_confirm_answer(self, message: ConfirmAnswer, now: float) -> None:
+    def _on_confirm_answer(self, message: ConfirmReply, now: float) -> None:
         if self.voting.view is None:
             # and no round is under way: only an active tail begins one, and a new view drops it
             return
@@ -138,9 +138,9 @@
             self.emit(Send(read.asker, reply))
         self.reads.proceed(self.voting.view, now)
 
-    def _on_read_ask(self, message: ReadAsk, now: float) -> None:
+    def _on_read_ask(self, message: ReadRequest, now: float) -> None:
         if self.voting.view is not None and self.chain.at_end:
-            waiting = Waiting(message.sender.address, message.number, message.known)
+            waiting = WaitingRead(message.sender.address, message.number, message.known)
             self.reads.ask(waiting, self.voting.view, self.chain.active, now)
 
     def _on_read_reply(self, message: ReadReply, now: float) -> None:
@@ -158,11 +158,11 @@
     Sync: MessageHandler._on_sync,
     Write: MessageHandler._on_write,
     Ack: MessageHandler._on_ack,
-    ConfirmAsk: MessageHandler._on_confirm_ask,
-    ConfirmAnswer: MessageHandler._on_confirm_answer,
-    Submit: MessageHandler._on_submit,
+    ConfirmRequest: MessageHandler._on_confirm_ask,
+    ConfirmReply: MessageHandler._on_confirm_answer,
+    SubmitRequest: MessageHandler._on_submit,
     SubmitReply: MessageHandler._on_submit_reply,
-    ReadAsk: MessageHandler._on_read_ask,
+    ReadRequest: MessageHandler._on_read_ask,
     ReadReply: MessageHandler._on_read_reply,
 }
 HANDLED = frozenset(_HANDLERS)
--- a/roselink/coordination/orders.py
+++ b/roselink/coordination/orders.py
@@ -15,25 +15,25 @@
 from typing import TYPE_CHECKING
 
 from roselink.coordination.effects import (
+    ChangeCommitted,
     Confirmation,
     Conflict,
     Emit,
-    NotNewer,
+    OutcomeUnknown,
     ReadDone,
     Send,
+    StaleGeneration,
     SubmitDone,
     SubmitOutcome,
-    TakenOrder,
-    Unsettled,
 )
-from roselink.coordination.state import Judgement, judge
+from roselink.coordination.state import ValidationKind, validate
 from roselink.protocol.chain import (
-    ConfigurationOrder,
+    ConfigurationChange,
     OutcomeKind,
-    ReadAsk,
     ReadReply,
-    Submit,
+    ReadRequest,
     SubmitReply,
+    SubmitRequest,
     View,
     Voter,
 )
@@ -47,12 +47,12 @@
 READ_AGAIN_S = 0.25
 
 _KINDS = {
-    Judgement.TAKEN: OutcomeKind.ACCEPTED,
-    Judgement.APPEND: OutcomeKind.ACCEPTED,
-    Judgement.NOT_NEWER: OutcomeKind.NOT_NEWER,
-    Judgement.CONFLICT: OutcomeKind.CONFLICT,
-    Judgement.REFUSE_FOR_GOOD: OutcomeKind.CONFLICT,
-    Judgement.WITHOUT_DOCUMENT: OutcomeKind.UNSETTLED,
+    ValidationKind.TAKEN: OutcomeKind.ACCEPTED,
+    ValidationKind.APPEND: OutcomeKind.ACCEPTED,
+    ValidationKind.NOT_NEWER: OutcomeKind.NOT_NEWER,
+    ValidationKind.CONFLICT: OutcomeKind.CONFLICT,
+    ValidationKind.REFUSE_FOR_GOOD: OutcomeKind.CONFLICT,
+    ValidationKind.WITHOUT_DOCUMENT: OutcomeKind.UNSETTLED,
 }
 
 
@@ -66,19 +66,19 @@
 
 
 @dataclass(slots=True)
-class HeadOrders:
+class ChangeSequencer:
     """Orders in the hands of the head."""
 
     chain: ChainMember
     emit: Emit
-    _before: list[Submit] = field(default_factory=list)
+    _before: list[SubmitRequest] = field(default_factory=list)
     _answers: list[_Verdict] = field(default_factory=list)
 
     def drop(self) -> None:
         """Forget all: the view has changed."""
         self._before, self._answers = [], []
 
-    def take(self, order: Submit) -> None:
+    def take(self, order: SubmitRequest) -> None:
         """Judge an order now, or once the chain is active."""
         if not self.chain.active:
             if all((o.sender, o.number) != (order.sender, order.number) for o in self._before):
@@ -100,15 +100,15 @@
         for answer in due:
             self.emit(Send(answer.asker, answer.reply))
 
-    def _judge(self, asked: Submit) -> None:
-        verdict = judge(self.chain.applied, asked.order)
+    def _judge(self, asked: SubmitRequest) -> None:
+        verdict = validate(self.chain.applied, asked.order)
         value = verdict.value
         sequence = self.chain.applied.sequence
-        if verdict.kind is Judgement.TAKEN:
+        if verdict.kind is ValidationKind.TAKEN:
             sequence = value
-        elif verdict.kind is Judgement.APPEND:
+        elif verdict.kind is ValidationKind.APPEND:
             sequence = self.chain.append(asked.order, refused=False)
-        elif verdict.kind is Judgement.REFUSE_FOR_GOOD:
+        elif verdict.kind is ValidationKind.REFUSE_FOR_GOOD:
             sequence = self.chain.append(asked.order, refused=True)
         reply = SubmitReply(asked.number, _KINDS[verdict.kind], value)
         if sequence <= self.chain.committed:
@@ -127,11 +127,11 @@
 
 @dataclass(slots=True)
 class _OrderCall(_Call):
-    order: ConfigurationOrder = field(kw_only=True)
+    order: ConfigurationChange = field(kw_only=True)
 
 
 @dataclass(slots=True)
-class OwnCalls:
+class PendingCalls:
     """Orders and reads of this member's callers, sent to head and tail again and again until they
     end.
     """
@@ -142,7 +142,9 @@
     _reads: dict[int, _Call] = field(default_factory=dict)
     _seen: Confirmation | None = None
 
-    def submit(self, number: int, order: ConfigurationOrder, view: View | None, now: float) -> None:
+    def submit(
+        self, number: int, order: ConfigurationChange, view: View | None, now: float
+    ) -> None:
         """Carry an order; ends with one `SubmitDone`."""
         self._orders[number] = _OrderCall(now + SUBMIT_ENDS_S, order=order)
         self.proceed(view, now)
@@ -162,7 +164,7 @@
         """End what is overdue, and send again what has had no answer for a time."""
         for number in [n for n, call in self._orders.items() if now >= call.ends_at]:
             del self._orders[number]
-            self.emit(SubmitDone(number, Unsettled()))
+            self.emit(SubmitDone(number, OutcomeUnknown()))
         for number in [n for n, call in self._reads.items() if now >= call.ends_at]:
             del self._reads[number]
             self.emit(ReadDone(number, None))
@@ -174,14 +176,16 @@
                 self.emit(
                     Send(
                         view.chain[0].voter.address,
-                        Submit(self.voter, view.epoch, number, call.order),
+                        SubmitRequest(self.voter, view.epoch, number, call.order),
                     )
                 )
         known = self._seen.sequence if self._seen is not None else -1
         for number, read in list(self._reads.items()):
             if now - read.sent_at >= READ_AGAIN_S:
                 read.sent_at = now
-                self.emit(Send(view.chain[-1].voter.address, ReadAsk(self.voter, number, known)))
+                self.emit(
+                    Send(view.chain[-1].voter.address, ReadRequest(self.voter, number, known))
+                )
 
     def settled(self, reply: SubmitReply) -> None:
         """The head's answer."""
@@ -206,9 +210,9 @@
 
 def _outcome(reply: SubmitReply) -> SubmitOutcome:
     if reply.kind is OutcomeKind.ACCEPTED:
-        return TakenOrder(reply.value)
+        return ChangeCommitted(reply.value)
     if reply.kind is OutcomeKind.CONFLICT:
         return Conflict(reply.value)
     if reply.kind is OutcomeKind.NOT_NEWER:
-        return NotNewer(reply.value)
-    return Unsettled()
+        return StaleGeneration(reply.value)
+    return OutcomeUnknown()
--- a/roselink/coordination/peering.py
+++ b/roselink/coordination/peering.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from roselink.coordination.views import Peer
+from roselink.coordination.views import PeerStatus
 from roselink.protocol.chain import Heartbeat, Voter
 
 if TYPE_CHECKING:
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True)
-class Peers:
+class PeerTable:
     """The other machines by address."""
 
     own: Voter
@@ -81,7 +81,9 @@
             for known in self._known.values()
         )
 
-    def picture(self, now: float, own: Peer, expected: Iterable[str]) -> dict[str, Peer]:
+    def picture(
+        self, now: float, own: PeerStatus, expected: Iterable[str]
+    ) -> dict[str, PeerStatus]:
         """Every known machine as a plan needs it. `expected`: those that get the grace of a new
         system.
         """
@@ -91,27 +93,27 @@
         elsewhere = {address for known in live for address in known.heartbeat.heard}
         pictured = {own.voter.address: own}
         for address, known in self._known.items():
-            silent_s = 0.0 if address in elsewhere else now - known.heard_at
-            pictured[address] = self._picture(known, now, silent_s)
+            since_heartbeat_s = 0.0 if address in elsewhere else now - known.heard_at
+            pictured[address] = self._picture(known, now, since_heartbeat_s)
         if now < self._grace_until:
             for address in expected:
                 if address not in pictured:
                     pictured[address] = _awaited(address, own)
         return pictured
 
-    def _picture(self, known: _Known, now: float, silent_s: float) -> Peer:
+    def _picture(self, known: _Known, now: float, since_heartbeat_s: float) -> PeerStatus:
         said = known.heartbeat
-        return Peer(
+        return PeerStatus(
             voter=said.sender,
             session=said.session,
             epoch=said.epoch,
             state_epoch=said.state_epoch,
-            taking_part=said.taking_part,
+            participating=said.participating,
             disk_ok=said.disk_ok,
             leaving=said.leaving,
             live=self._live(known, now),
             steady=known.well_since is not None and now - known.well_since >= STEADY_S,
-            silent_s=silent_s,
+            since_heartbeat_s=since_heartbeat_s,
             heard=frozenset(said.heard),
         )
 
@@ -119,9 +121,9 @@
         return now - known.heard_at < SILENT_S and self.own.address in known.heartbeat.heard
 
 
-def _awaited(address: str, own: Peer) -> Peer:
+def _awaited(address: str, own: PeerStatus) -> PeerStatus:
     """A machine that may be starting: taken as well, and as hearing everybody."""
-    return Peer(
+    return PeerStatus(
         Voter(address, 0),
         0,
         0,
--- a/roselink/coordination/presence.py
+++ b/roselink/coordination/presence.py
@@ -8,12 +8,12 @@
 from typing import TYPE_CHECKING
 
 from roselink.coordination.effects import Emit, Send
-from roselink.coordination.views import Peer, whole
+from roselink.coordination.views import PeerStatus, whole
 from roselink.protocol.chain import Heartbeat, View, Voter
 
 if TYPE_CHECKING:
     from roselink.coordination.chain import ChainMember
-    from roselink.coordination.peering import DiskHealth, Peers
+    from roselink.coordination.peering import DiskHealth, PeerTable
 
 HEARTBEAT_S = 0.1
 GREETING_S = (
@@ -23,14 +23,14 @@
 
 
 @dataclass(slots=True)
-class Presence:
+class HeartbeatSender:
     """This member among the others. `seeds`: addresses to speak to whatever the view says."""
 
     voter: Voter
     session: int
     seeds: tuple[str, ...]
     chain: ChainMember
-    peers: Peers
+    peers: PeerTable
     disk: DiskHealth
     emit: Emit
     leaving: bool = False
@@ -50,23 +50,23 @@
             self._beat_at = float("-inf")
             self.beat(view, now)
 
-    def own(self, view: View | None, now: float) -> Peer:
+    def own(self, view: View | None, now: float) -> PeerStatus:
         """This member as the others see it."""
-        return Peer(
+        return PeerStatus(
             voter=self.voter,
             session=self.session,
             epoch=view.epoch if view is not None else 0,
             state_epoch=self.chain.durable_epoch,
-            taking_part=self.chain.taking_part,
+            participating=self.chain.participating,
             disk_ok=self.disk.fit,
             leaving=self.leaving,
             live=True,
             steady=True,
-            silent_s=0.0,
+            since_heartbeat_s=0.0,
             heard=frozenset(self.peers.heard(now)),
         )
 
-    def picture(self, view: View | None, now: float) -> dict[str, Peer]:
+    def picture(self, view: View | None, now: float) -> dict[str, PeerStatus]:
         """Every known machine. In the first view, those that may still be starting count as
         well.
         """
@@ -94,7 +94,7 @@
             epoch=own.epoch,
             state_epoch=own.state_epoch,
             sequence=self.chain.durable.sequence,
-            taking_part=own.taking_part,
+            participating=own.participating,
             disk_ok=own.disk_ok,
             leaving=own.leaving,
             settled=self._settled(view, now),
@@ -107,7 +107,7 @@
 
     def _settled(self, view: View | None, now: float) -> bool:
         """Whether this member takes part in a chain that is whole and well."""
-        if view is None or not self.chain.taking_part:
+        if view is None or not self.chain.participating:
             return False
         picture = self.picture(view, now)
         known = [picture.get(link.voter.address) for link in view.chain]
--- a/roselink/coordination/proposing.py
+++ b/roselink/coordination/proposing.py
@@ -11,8 +11,8 @@
 from typing import TYPE_CHECKING
 
 from roselink.coordination.effects import Emit, Send
-from roselink.coordination.views import Peer, Rules, majority, plan, waits_for_joiners
-from roselink.coordination.votes import Attempt, Voting
+from roselink.coordination.views import PeerStatus, ViewPolicy, majority, plan, waits_for_joiners
+from roselink.coordination.votes import Acceptor, ProposalRound
 from roselink.protocol.chain import Accept, Accepted, Ballot, Prepare, Promise, Refusal, View, Voter
 
 if TYPE_CHECKING:
@@ -36,9 +36,9 @@
 
     voter: Voter
     session: int
-    rules: Rules
+    rules: ViewPolicy
     emit: Emit
-    _attempt: Attempt | None = None
+    _attempt: ProposalRound | None = None
     _asked_at: float = 0.0
     _round: int = 0
     _tries: int = 0
@@ -56,7 +56,7 @@
         self._not_before = float("-inf")
 
     def consider(
-        self, voting: Voting, peers: Mapping[str, Peer], outside: bool, now: float
+        self, voting: Acceptor, peers: Mapping[str, PeerStatus], outside: bool, now: float
     ) -> None:
         """Begin an attempt if one is due, or give up one that has taken too long."""
         view = voting.view
@@ -73,7 +73,12 @@
             self.propose(voting, view, wanted, now)
 
     def _due(
-        self, voting: Voting, view: View, peers: Mapping[str, Peer], outside: bool, now: float
+        self,
+        voting: Acceptor,
+        view: View,
+        peers: Mapping[str, PeerStatus],
+        outside: bool,
+        now: float,
     ) -> View | None:
         """The view to propose now."""
         wanted = plan(view, peers, self.rules, now - self._view_since < SETTLING_S)
@@ -89,7 +94,7 @@
             return None
         return None if wanted_s < delay + (OUTSIDE_S if outside else 0.0) else wanted
 
-    def _rank(self, view: View, peers: Mapping[str, Peer]) -> int:
+    def _rank(self, view: View, peers: Mapping[str, PeerStatus]) -> int:
         """How many live voters come before this one: the chain from its head, then the rest."""
         chain = [link.voter for link in view.chain]
         order = [*chain, *(voter for voter in view.voters if voter not in chain)]
@@ -100,16 +105,16 @@
         """A delay that differs between proposers."""
         return ((self.session >> (tries % 8)) % 97) / 97 * 0.1 * min(tries + 1, 4)
 
-    def propose(self, voting: Voting, view: View, wanted: View, now: float) -> None:
+    def propose(self, voting: Acceptor, view: View, wanted: View, now: float) -> None:
         """Begin an attempt to have a view follow the present one."""
         promised = voting.promised.round if voting.promised is not None else 0
         self._round = max(self._round, promised) + 1
         self._tries += 1
         ballot = Ballot(self._round, self.voter.address, self.session)
-        self._attempt = Attempt(view, ballot, wanted, now)
+        self._attempt = ProposalRound(view, ballot, wanted, now)
         self._ask(self._attempt, now)
 
-    def _ask(self, attempt: Attempt, now: float) -> None:
+    def _ask(self, attempt: ProposalRound, now: float) -> None:
         """Send the attempt's question to those who have not answered it."""
         self._asked_at = now
         question: Prepare | Accept = Prepare(self.voter, attempt.view.epoch + 1, attempt.ballot)
@@ -118,7 +123,7 @@
         for voter in attempt.unanswered():
             self.emit(Send(voter.address, question))
 
-    def _ask_again(self, attempt: Attempt, now: float) -> None:
+    def _ask_again(self, attempt: ProposalRound, now: float) -> None:
         if now - self._asked_at >= ASK_AGAIN_S:
             self._ask(attempt, now)
 
@@ -141,7 +146,7 @@
         return None if self._attempt is None else self._attempt.accepted(answer)
 
 
-def _alive(voter: Voter, peers: Mapping[str, Peer]) -> bool:
+def _alive(voter: Voter, peers: Mapping[str, PeerStatus]) -> bool:
     peer = peers.get(voter.address)
     return peer is not None and peer.live and peer.voter == voter and peer.disk_ok
 
@@ -153,5 +158,5 @@
     return now if before is None else before
 
 
-def _reaches_majority(view: View, peers: Mapping[str, Peer]) -> bool:
+def _reaches_majority(view: View, peers: Mapping[str, PeerStatus]) -> bool:
     return sum(_alive(voter, peers) for voter in view.voters) >= majority(view)
--- a/roselink/coordination/reads.py
+++ b/roselink/coordination/reads.py
@@ -22,13 +22,13 @@
 
 from roselink.coordination.effects import Emit, Send
 from roselink.coordination.views import majority
-from roselink.protocol.chain import ConfirmAnswer, ConfirmAsk, View, Voter
+from roselink.protocol.chain import ConfirmReply, ConfirmRequest, View, Voter
 
 ROUND_AGAIN_S = 0.15
 
 
 @dataclass(frozen=True, slots=True)
-class Waiting:
+class WaitingRead:
     """A read that waits: who asked, under which number, and which sequence's document it holds."""
 
     asker: str
@@ -44,8 +44,8 @@
     emit: Emit
     _round: int = 0
     _view: View | None = None
-    _asking: list[Waiting] = field(default_factory=list)
-    _next: list[Waiting] = field(default_factory=list)
+    _asking: list[WaitingRead] = field(default_factory=list)
+    _next: list[WaitingRead] = field(default_factory=list)
     _confirmed_by: set[Voter] = field(default_factory=set)
     _began: float = 0.0
 
@@ -54,7 +54,7 @@
         self._asking, self._next = [], []
         self._view = None
 
-    def ask(self, read: Waiting, view: View, active: bool, now: float) -> None:
+    def ask(self, read: WaitingRead, view: View, active: bool, now: float) -> None:
         """Take a read; it needs a round that begins now or later, once the chain is active."""
         if read in self._next or read in self._asking:
             return
@@ -62,7 +62,7 @@
         if active:
             self.proceed(view, now)
 
-    def answer(self, answer: ConfirmAnswer) -> list[Waiting]:
+    def answer(self, answer: ConfirmReply) -> list[WaitingRead]:
         """Count a voter's answer; the reads that are confirmed by it."""
         view = self._view
         if (
@@ -95,4 +95,4 @@
         self._round += 1
         self._confirmed_by = set()
         for voter in view.voters:
-            self.emit(Send(voter.address, ConfirmAsk(self.voter, view.epoch, self._round)))
+            self.emit(Send(voter.address, ConfirmRequest(self.voter, view.epoch, self._round)))
--- a/roselink/coordination/state.py
+++ b/roselink/coordination/state.py
@@ -5,14 +5,14 @@
 of generation 0 is an order that was refused although a later state might have let it in; it stays
 refused.
 
->>> first = ConfigurationOrder(0, 5, b"{}", digest_of(0, b"{}"))
->>> judge(EMPTY, first)
-Verdict(kind=<Judgement.APPEND: 1>, value=1)
->>> state = apply(EMPTY, first, refused=False)
->>> judge(state, first)
-Verdict(kind=<Judgement.TAKEN: 2>, value=1)
->>> judge(state, ConfigurationOrder(0, 6, b"[]", digest_of(0, b"[]")))
-Verdict(kind=<Judgement.CONFLICT: 4>, value=5)
+>>> first = ConfigurationChange(0, 5, b"{}", digest_of(0, b"{}"))
+>>> validate(EMPTY, first)
+Validation(kind=<ValidationKind.APPEND: 1>, value=1)
+>>> state = apply_change(EMPTY, first, refused=False)
+>>> validate(state, first)
+Validation(kind=<ValidationKind.TAKEN: 2>, value=1)
+>>> validate(state, ConfigurationChange(0, 6, b"[]", digest_of(0, b"[]")))
+Validation(kind=<ValidationKind.CONFLICT: 4>, value=5)
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from roselink.protocol.chain import ConfigurationOrder, ConfigurationState
+from roselink.protocol.chain import ConfigurationChange, ConfigurationState
 
 HISTORY_LIMIT = 10_000  # orders whose digests are kept
 DIGEST_BYTES = 32
@@ -31,7 +31,7 @@
 _ENTRY = struct.Struct(f"!{DIGEST_BYTES}sqq")
 
 
-class Judgement(Enum):
+class ValidationKind(Enum):
     """What the head does with an order."""
 
     APPEND = 1
@@ -45,10 +45,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
+class Validation:
     """A judgement; `value` is the sequence of the write, or the generation that is current."""
 
-    kind: Judgement
+    kind: ValidationKind
     value: int
 
 
@@ -57,7 +57,7 @@
     return hashlib.sha256(struct.pack("!q", base) + document).digest()
 
 
-def judge(state: ConfigurationState, order: ConfigurationOrder) -> Verdict:
+def validate(state: ConfigurationState, order: ConfigurationChange) -> Validation:
     """What becomes of an order on top of `state`.
 
     Each refusal stays true in every state that follows: generations only rise. An order without a
@@ -67,17 +67,17 @@
     if entry is not None:
         generation, sequence = entry
         if generation:
-            return Verdict(Judgement.TAKEN, sequence)
-        return Verdict(Judgement.CONFLICT, state.generation)
+            return Validation(ValidationKind.TAKEN, sequence)
+        return Validation(ValidationKind.CONFLICT, state.generation)
     if order.generation <= state.generation:
-        return Verdict(Judgement.NOT_NEWER, state.generation)
+        return Validation(ValidationKind.NOT_NEWER, state.generation)
     if order.base < state.generation:
-        return Verdict(Judgement.CONFLICT, state.generation)
+        return Validation(ValidationKind.CONFLICT, state.generation)
     if order.base > state.generation:
-        return Verdict(Judgement.REFUSE_FOR_GOOD, state.generation)
+        return Validation(ValidationKind.REFUSE_FOR_GOOD, state.generation)
     if not order.document:
-        return Verdict(Judgement.WITHOUT_DOCUMENT, state.generation)
-    return Verdict(Judgement.APPEND, state.sequence + 1)
+        return Validation(ValidationKind.WITHOUT_DOCUMENT, state.generation)
+    return Validation(ValidationKind.APPEND, state.sequence + 1)
 
 
 def find(state: ConfigurationState, digest: bytes) -> tuple[int, int] | None:
@@ -92,8 +92,8 @@
     return None
 
 
-def apply(
-    state: ConfigurationState, order: ConfigurationOrder, refused: bool
+def apply_change(
+    state: ConfigurationState, order: ConfigurationChange, refused: bool
 ) -> ConfigurationState:
     """The state after the order, or after the note that it is refused."""
     sequence = state.sequence + 1
--- a/roselink/coordination/views.py
+++ b/roselink/coordination/views.py
@@ -1,7 +1,7 @@
 """Membership views: what a member knows of its peers, and the view that it would propose next. No
 I/O, no clock.
 
-A view lists the voters who decide its successor, and the chain. `Link.since` of a chain member is
+A view lists the voters who decide its successor, and the chain. `ChainReplica.since` of a chain member is
 the epoch from which it has been in every chain. A member whose disk holds a state written in epoch
 `since` or later is *intact*:
 
@@ -43,7 +43,7 @@
 from itertools import combinations
 from typing import TYPE_CHECKING
 
-from roselink.protocol.chain import Link, View, Voter
+from roselink.protocol.chain import ChainReplica, View, Voter
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
@@ -52,24 +52,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Peer:
+class PeerStatus:
     """What is known of one core machine at the moment of a plan.
 
     `live`: it hears the planner and the planner hears it. `heard`: the addresses that it says it
-    hears. `silent_s`: how long nothing came from it. `steady`: it has been live and well for long
-    enough to join. `taking_part`: in the chain of `epoch`.
+    hears. `since_heartbeat_s`: how long nothing came from it. `steady`: it has been live and well for long
+    enough to join. `participating`: in the chain of `epoch`.
     """
 
     voter: Voter
     session: int
     epoch: int
     state_epoch: int
-    taking_part: bool
+    participating: bool
     disk_ok: bool
     leaving: bool
     live: bool
     steady: bool
-    silent_s: float
+    since_heartbeat_s: float
     heard: frozenset[str]
 
     @property
@@ -79,7 +79,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
+class ViewPolicy:
     """Figures for plans. `tolerated`: machines that may be lost at once. Times are seconds.
 
     A voter that has been silent for `gone_after_s` gives its place to a joiner, and goes without
@@ -94,7 +94,7 @@
 def first_view(seeds: Iterable[str]) -> View:
     """The view with which a whole new system starts: the seeds, in order."""
     voters = tuple(Voter(address, 0) for address in dict.fromkeys(seeds))
-    return View(1, voters, tuple(Link(voter, 1, 0) for voter in voters))
+    return View(1, voters, tuple(ChainReplica(voter, 1, 0) for voter in voters))
 
 
 def majority(view: View) -> int:
@@ -102,21 +102,21 @@
     return len(view.voters) // 2 + 1
 
 
-def link_of(view: View | None, voter: Voter) -> Link | None:
+def replica_of(view: View | None, voter: Voter) -> ChainReplica | None:
     """The voter's place in the chain."""
     if view is None:
         return None
     return next((link for link in view.chain if link.voter == voter), None)
 
 
-def intact(view: View, peer: Peer) -> bool:
+def intact(view: View, peer: PeerStatus) -> bool:
     """Whether the peer may be the head of the next view (see the module's proof)."""
-    link = link_of(view, peer.voter)
+    link = replica_of(view, peer.voter)
     return link is not None and peer.state_epoch >= link.since
 
 
 def plan(
-    view: View, peers: Mapping[str, Peer], rules: Rules, settling: bool = False
+    view: View, peers: Mapping[str, PeerStatus], rules: ViewPolicy, settling: bool = False
 ) -> View | None:
     """The view that should follow, or None while the present one is the best that can be had.
 
@@ -135,7 +135,7 @@
     return proposal
 
 
-def reunited(view: View, peers: Mapping[str, Peer]) -> bool:
+def reunited(view: View, peers: Mapping[str, PeerStatus]) -> bool:
     """Whether all machines of the view's chain are there and hear each other, in whatever
     process.
     """
@@ -144,12 +144,12 @@
     return len(group) == len(view.chain) and _all_hear(group)
 
 
-def whole(view: View, peers: Mapping[str, Peer]) -> bool:
+def whole(view: View, peers: Mapping[str, PeerStatus]) -> bool:
     """Whether every process that the view has in its chain takes part, as far as is known."""
     return all(_takes_part(view, link, peers.get(link.voter.address)) for link in view.chain)
 
 
-def waits_for_joiners(view: View, proposal: View, peers: Mapping[str, Peer]) -> bool:
+def waits_for_joiners(view: View, proposal: View, peers: Mapping[str, PeerStatus]) -> bool:
     """Whether a proposal only lets machines join a whole chain, while others are about to be able
     to join.
     """
@@ -161,7 +161,7 @@
     )
 
 
-def _complete(view: View, peers: Mapping[str, Peer]) -> bool:
+def _complete(view: View, peers: Mapping[str, PeerStatus]) -> bool:
     """Whether every known machine is in the chain and well: the ordinary state, told without a
     search.
     """
@@ -174,13 +174,15 @@
     )
 
 
-def _takes_part(view: View, link: Link, peer: Peer | None) -> bool:
+def _takes_part(view: View, link: ChainReplica, peer: PeerStatus | None) -> bool:
     if peer is None or peer.voter != link.voter or link.session not in (0, peer.session):
         return False
-    return peer.taking_part or peer.epoch < view.epoch
+    return peer.participating or peer.epoch < view.epoch
 
 
-def _plan_voters(view: View, peers: Mapping[str, Peer], rules: Rules) -> tuple[Voter, ...]:
+def _plan_voters(
+    view: View, peers: Mapping[str, PeerStatus], rules: ViewPolicy
+) -> tuple[Voter, ...]:
     """Voters of the next view: joiners come in, each in the place of one that is gone."""
     voters = list(view.voters)
     joiners = [
@@ -208,10 +210,12 @@
     return tuple(voters)
 
 
-def _longest_silent(voters: list[Voter], peers: Mapping[str, Peer], after_s: float) -> int | None:
+def _longest_silent(
+    voters: list[Voter], peers: Mapping[str, PeerStatus], after_s: float
+) -> int | None:
     """The place of the voter that has been silent longest, and for `after_s` at least."""
     silent = [
-        (peers[voter.address].silent_s if voter.address in peers else float("inf"), index)
+        (peers[voter.address].since_heartbeat_s if voter.address in peers else float("inf"), index)
         for index, voter in enumerate(voters)
     ]
     longest, index = max(silent)
@@ -219,13 +223,13 @@
 
 
 def _plan_chain(
-    view: View, voters: tuple[Voter, ...], peers: Mapping[str, Peer], rules: Rules
-) -> tuple[Link, ...] | None:
+    view: View, voters: tuple[Voter, ...], peers: Mapping[str, PeerStatus], rules: ViewPolicy
+) -> tuple[ChainReplica, ...] | None:
     """The longest chain of fit machines that all hear each other and of which one is intact."""
     fit = [peer for peer in peers.values() if peer.fit and peer.voter in voters]
-    fit = [peer for peer in fit if link_of(view, peer.voter) is not None or peer.steady]
+    fit = [peer for peer in fit if replica_of(view, peer.voter) is not None or peer.steady]
     least = min(rules.tolerated + 1, len(voters) // 2 + 1)
-    best: tuple[tuple[int, int, tuple[int, ...]], tuple[Peer, ...]] | None = None
+    best: tuple[tuple[int, int, tuple[int, ...]], tuple[PeerStatus, ...]] | None = None
     place = {link.voter: index for index, link in enumerate(view.chain)}
     fit.sort(key=lambda peer: (place.get(peer.voter, len(place)), peer.voter.address))
     for size in range(len(fit), least - 1, -1):
@@ -243,7 +247,7 @@
 
 
 def _takes_state_over(
-    view: View, chain: tuple[Link, ...], peers: Mapping[str, Peer], rules: Rules
+    view: View, chain: tuple[ChainReplica, ...], peers: Mapping[str, PeerStatus], rules: ViewPolicy
 ) -> bool:
     """Whether a chain should wait for a member of it that the present view's head is bringing up to
     date.
@@ -251,33 +255,34 @@
     members = [peers[link.voter.address] for link in chain]
     intact_members = sum(intact(view, peer) for peer in members)
     behind = any(
-        peer.taking_part and peer.epoch == view.epoch and not intact(view, peer) for peer in members
+        peer.participating and peer.epoch == view.epoch and not intact(view, peer)
+        for peer in members
     )
     return behind and intact_members <= rules.tolerated
 
 
-def _all_hear(group: tuple[Peer, ...]) -> bool:
+def _all_hear(group: tuple[PeerStatus, ...]) -> bool:
     return all(
         left.voter.address in right.heard and right.voter.address in left.heard
         for left, right in combinations(group, 2)
     )
 
 
-def _order(view: View, group: tuple[Peer, ...]) -> tuple[Link, ...]:
+def _order(view: View, group: tuple[PeerStatus, ...]) -> tuple[ChainReplica, ...]:
     """Head first. Those who were in the chain keep their order, behind an intact head.
 
     Whoever is new goes before the tail if that isn't the head: the tail, which answers, stays the
     same one.
     """
-    stayed = [peer for peer in group if link_of(view, peer.voter) is not None]
-    new = [peer for peer in group if link_of(view, peer.voter) is None]
+    stayed = [peer for peer in group if replica_of(view, peer.voter) is not None]
+    new = [peer for peer in group if replica_of(view, peer.voter) is None]
     able = [peer for peer in stayed if intact(view, peer)]
     behind = [peer for peer in stayed if not intact(view, peer)]
     head, rest = able[0], able[1:]
     ordered = [head, *rest[:-1], *behind, *new, *rest[-1:]]
     links = []
     for peer in ordered:
-        link = link_of(view, peer.voter)
+        link = replica_of(view, peer.voter)
         since = view.epoch + 1 if link is None else link.since
-        links.append(Link(peer.voter, since, peer.session))
+        links.append(ChainReplica(peer.voter, since, peer.session))
     return tuple(links)
--- a/roselink/coordination/votes.py
+++ b/roselink/coordination/votes.py
@@ -2,7 +2,7 @@
 I/O, no clock.
 
 Each epoch is an instance of its own among the voters of the view before. A voter's answers may
-leave only once `Votes` is on its disk: `Voting.version` counts changes, and the member holds each
+leave only once `AcceptorState` is on its disk: `Acceptor.version` counts changes, and the member holds each
 answer until its version is durable. A voter that has learned the decided view answers nothing about
 that instance any more.
 """
@@ -15,18 +15,18 @@
 from roselink.protocol.chain import (
     Accept,
     Accepted,
+    AcceptorState,
     Ballot,
     Prepare,
     Promise,
     Refusal,
     View,
     Voter,
-    Votes,
 )
 
 
 @dataclass(slots=True)
-class Voting:
+class Acceptor:
     """A voter's own part. `view` is the newest decided view it knows; the votes are on its
     successor.
     """
@@ -39,13 +39,13 @@
     version: int = 0
 
     @staticmethod
-    def restored(votes: Votes) -> Voting:
+    def restored(votes: AcceptorState) -> Acceptor:
         """The part as it was on the disk."""
-        return Voting(votes.voter, votes.view, votes.promised, votes.accepted, votes.proposal)
+        return Acceptor(votes.voter, votes.view, votes.promised, votes.accepted, votes.proposal)
 
-    def record(self) -> Votes:
+    def record(self) -> AcceptorState:
         """What has to be on the disk before an answer leaves."""
-        return Votes(self.voter, self.view, self.promised, self.accepted, self.proposal)
+        return AcceptorState(self.voter, self.view, self.promised, self.accepted, self.proposal)
 
     @property
     def entitled(self) -> bool:
@@ -95,7 +95,7 @@
 
 
 @dataclass(slots=True)
-class Attempt:
+class ProposalRound:
     """One ballot of a proposer: promises, then acceptances, each from a majority of the voters."""
 
     view: View
--- a/roselink/protocol/chain.py
+++ b/roselink/protocol/chain.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Link:
+class ChainReplica:
     """One place of the chain.
 
     `since` is the epoch from which the voter has been in every view's chain. `session` is the
@@ -44,7 +44,7 @@
 
     epoch: int
     voters: tuple[Voter, ...]
-    chain: tuple[Link, ...]
+    chain: tuple[ChainReplica, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,7 +65,7 @@
 
 @record(33)
 @dataclass(frozen=True, slots=True)
-class Votes:
+class AcceptorState:
     """What a voter keeps on its disk: its identity, its newest view, its vote on the view that
     follows.
     """
@@ -79,12 +79,12 @@
 
 @record(34)
 @dataclass(frozen=True, slots=True)
-class ConfigurationOrder:
+class ConfigurationChange:
     """One change of the operator's: a whole document on top of the generation `base`.
 
     `digest` is taken over base and bytes as the operator sent them; it names the order when it
     comes again. `document` is empty where it could not be made, as the base was not in place
-    (`coordination.state.judge`).
+    (`coordination.state.validate`).
     """
 
     base: int
@@ -129,7 +129,7 @@
     epoch: int
     state_epoch: int
     sequence: int
-    taking_part: bool
+    participating: bool
     disk_ok: bool
     leaving: bool
     settled: bool
@@ -228,7 +228,7 @@
     epoch: int
     sequence: int
     refused: bool
-    order: ConfigurationOrder
+    order: ConfigurationChange
 
 
 @record(46)
@@ -243,7 +243,7 @@
 
 @record(47)
 @dataclass(frozen=True, slots=True)
-class ConfirmAsk:
+class ConfirmRequest:
     """The tail's question: has the voter accepted, or heard of, a view after `epoch`?"""
 
     sender: Voter
@@ -253,7 +253,7 @@
 
 @record(48)
 @dataclass(frozen=True, slots=True)
-class ConfirmAnswer:
+class ConfirmReply:
     """`newest`: the voter has accepted nothing and heard of nothing after `epoch`."""
 
     sender: Voter
@@ -273,13 +273,13 @@
 
 @record(49)
 @dataclass(frozen=True, slots=True)
-class Submit:
+class SubmitRequest:
     """An order for the head of the epoch's chain, from the member that the operator called."""
 
     sender: Voter
     epoch: int
     number: int
-    order: ConfigurationOrder
+    order: ConfigurationChange
 
 
 @record(50)
@@ -296,7 +296,7 @@
 
 @record(51)
 @dataclass(frozen=True, slots=True)
-class ReadAsk:
+class ReadRequest:
     """A question for the tail's confirmed state. `known`: the sequence whose document the asker
     holds.
     """
--- a/roselink/simulation/clients.py
+++ b/roselink/simulation/clients.py
@@ -9,15 +9,15 @@
 from roselink.controller.checking import Refused
 from roselink.controller.updates import UpdateCall, carry_update, read_call
 from roselink.coordination.effects import (
+    ChangeCommitted,
     Confirmation,
     Conflict,
-    NotNewer,
+    OutcomeUnknown,
+    StaleGeneration,
     SubmitOutcome,
-    TakenOrder,
-    Unsettled,
 )
 from roselink.coordination.state import digest_of
-from roselink.protocol.chain import ConfigurationOrder
+from roselink.protocol.chain import ConfigurationChange
 from roselink.simulation.history import Change, Reading, Said
 
 if TYPE_CHECKING:
@@ -65,26 +65,26 @@
     """A change as its operator sends it, whole or as an update, each time with the same bytes."""
 
     change: Change
-    order: ConfigurationOrder | UpdateCall
+    order: ConfigurationChange | UpdateCall
 
     def to(self, machine: Machine, done: Callable[[SubmitOutcome | Refused], None]) -> None:
         """Have a member carry it."""
-        if isinstance(self.order, ConfigurationOrder):
+        if isinstance(self.order, ConfigurationChange):
             machine.submit(self.order, done)
             return
         life = machine.life
 
-        def submit(order: ConfigurationOrder, then: Callable[[SubmitOutcome], None]) -> None:
+        def submit(order: ConfigurationChange, then: Callable[[SubmitOutcome], None]) -> None:
             if machine.life == life:
                 machine.submit(order, then)
 
         carry_update(self.order, machine.read, submit, done)
 
 
-def order_of(change: Change, padding: int = 0) -> ConfigurationOrder:
+def order_of(change: Change, padding: int = 0) -> ConfigurationChange:
     """A change as members take it."""
     document = document_of(change, padding)
-    return ConfigurationOrder(
+    return ConfigurationChange(
         change.base, change.version, document, digest_of(change.base, document)
     )
 
@@ -106,9 +106,11 @@
 
 def said(outcome: SubmitOutcome | Refused) -> Said:
     """What an outcome tells an operator."""
-    if isinstance(outcome, TakenOrder):
+    if isinstance(outcome, ChangeCommitted):
         return Said.CONFIRMED
-    return Said.REFUSED if isinstance(outcome, Conflict | NotNewer | Refused) else Said.UNCLEAR
+    return (
+        Said.REFUSED if isinstance(outcome, Conflict | StaleGeneration | Refused) else Said.UNCLEAR
+    )
 
 
 class Operator:
@@ -181,7 +183,7 @@
 
         def done(outcome: SubmitOutcome | Refused) -> None:
             call.ended, call.said = world.now, said(outcome)
-            if isinstance(outcome, TakenOrder):
+            if isinstance(outcome, ChangeCommitted):
                 world.note_taken(change.text, outcome.sequence)
             lost = world.random.random() < 0.05
             if ended or lost:
@@ -195,15 +197,15 @@
         self, sending: Sending, began: float, tries: int, outcome: SubmitOutcome | Refused
     ) -> None:
         world, change = self.world, sending.change
-        if isinstance(outcome, TakenOrder):
+        if isinstance(outcome, ChangeCommitted):
             self.base = max(self.base, change.version)
             self.slowest_s = max(self.slowest_s, world.now - began)
             if world.random.random() < 0.1:
                 self._send(sending, world.now, tries + 1)
                 return
-        elif isinstance(outcome, Conflict | NotNewer):
+        elif isinstance(outcome, Conflict | StaleGeneration):
             self.base = max(self.base, outcome.current)
-        elif isinstance(outcome, Unsettled):
+        elif isinstance(outcome, OutcomeUnknown):
             self._send(sending, began, tries + 1)
             return
         world.after(world.random.uniform(0, self.pause_s), self._next)
--- a/roselink/simulation/days.py
+++ b/roselink/simulation/days.py
@@ -162,7 +162,7 @@
     if tail is None or member is None or tail.member is None:
         return False
     same = member.view is not None and member.view == tail.member.view
-    return same and member.chain.taking_part and member.chain.active
+    return same and member.chain.participating and member.chain.active
 
 
 def trouble_day(seed: int, machines: int, tolerated: int, lossy: bool, episodes: int = 6) -> Played:
--- a/roselink/simulation/system.py
+++ b/roselink/simulation/system.py
@@ -15,36 +15,36 @@
 from typing import TYPE_CHECKING, Any
 
 from roselink.coordination.effects import (
+    ChangeCommitted,
     Conflict,
     Effect,
-    NotNewer,
     Persist,
     ReadDone,
     Send,
+    StaleGeneration,
     Store,
     SubmitDone,
-    TakenOrder,
 )
 from roselink.coordination.member import Member, Start
 from roselink.coordination.state import digest_of
-from roselink.coordination.views import Peer, plan
+from roselink.coordination.views import PeerStatus, plan
 from roselink.protocol.chain import (
     Accept,
     Accepted,
-    ConfigurationOrder,
+    AcceptorState,
+    ConfigurationChange,
     Heartbeat,
     Prepare,
     Promise,
     StoredState,
     View,
-    Votes,
 )
 from roselink.protocol.records import decode, encode, number_of, number_of_type
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-RECORDS = {Store.VOTES: 33, Store.STATE: 36}
+RECORDS = {Store.ACCEPTOR: 33, Store.STATE: 36}
 NOW = 100.0
 LATER = NOW + 10.0  # when whatever had no answer is sent again
 ADDRESSES = ("a:1", "b:1", "c:1")
@@ -103,7 +103,7 @@
     began.
     """
 
-    orders: tuple[tuple[int, ConfigurationOrder], ...] = ()
+    orders: tuple[tuple[int, ConfigurationChange], ...] = ()
     taken: tuple[tuple[bytes, int], ...] = ()
     refused: frozenset[bytes] = frozenset()
     floors: tuple[tuple[int, int], ...] = ()
@@ -180,7 +180,7 @@
             member.calls.view_changed(member.view, NOW)
         self._perform(address, machine, member.take_effects(NOW))
 
-    def submit(self, address: str, order: ConfigurationOrder) -> None:
+    def submit(self, address: str, order: ConfigurationChange) -> None:
         """A caller sends an order to a member."""
         machine = _opened(self.machines[address])
         number, effects = machine.member.submit(order, NOW)
@@ -204,7 +204,7 @@
     def _begin(self, address: str, disk: dict[Store, bytes], lives: int, bootstrap: bool) -> None:
         number = CALLS_A_LIFE * (len(ADDRESSES) * lives + ADDRESSES.index(address))
         whole = len(disk) == len(Store)
-        votes = decode(RECORDS[Store.VOTES], disk[Store.VOTES]) if whole else None
+        votes = decode(RECORDS[Store.ACCEPTOR], disk[Store.ACCEPTOR]) if whole else None
         stored = decode(RECORDS[Store.STATE], disk[Store.STATE]) if whole else None
         start = Start(address, ADDRESSES, bootstrap, 1, number, number, votes, stored)
         machine = Machine(Member(start, NOW), disk, lives=lives)
@@ -230,13 +230,13 @@
     def _order_ended(self, done: SubmitDone) -> None:
         order = dict(self.told.orders)[done.number]
         taken = dict(self.told.taken)
-        if isinstance(done.outcome, TakenOrder):
+        if isinstance(done.outcome, ChangeCommitted):
             sequence = done.outcome.sequence
             assert order.digest not in self.told.refused, "a refused order was confirmed"
             assert taken.setdefault(order.digest, sequence) == sequence, "one order in two places"
             newest = max(self.told.newest, sequence)
             self.told = _with(self.told, taken=tuple(sorted(taken.items())), newest=newest)
-        elif isinstance(done.outcome, Conflict | NotNewer):
+        elif isinstance(done.outcome, Conflict | StaleGeneration):
             assert order.digest not in taken, "a confirmed order was refused"
             self.told = _with(self.told, refused=self.told.refused | {order.digest})
 
@@ -269,31 +269,31 @@
         view=member.view,
         heads=member.chain.is_head,
         saving=bool(machine.saves),
-        votes=machine.disk.get(Store.VOTES, b""),
+        votes=machine.disk.get(Store.ACCEPTOR, b""),
         state=machine.disk.get(Store.STATE, b""),
         durable=member.chain.durable.history,
     )
 
 
-def _picture(members: Mapping[str, Member]) -> dict[str, Peer]:
+def _picture(members: Mapping[str, Member]) -> dict[str, PeerStatus]:
     """These members, all well, hearing each other and nobody else."""
     heard = frozenset(members)
     return {address: _seen(member, heard - {address}) for address, member in members.items()}
 
 
-def _seen(member: Member, heard: frozenset[str]) -> Peer:
+def _seen(member: Member, heard: frozenset[str]) -> PeerStatus:
     view = member.view
-    return Peer(
+    return PeerStatus(
         voter=member.voter,
         session=member.chain.session,
         epoch=view.epoch if view is not None else 0,
         state_epoch=member.chain.durable_epoch,
-        taking_part=member.chain.taking_part,
+        participating=member.chain.participating,
         disk_ok=True,
         leaving=False,
         live=True,
         steady=True,
-        silent_s=0.0,
+        since_heartbeat_s=0.0,
         heard=heard,
     )
 
@@ -306,9 +306,9 @@
 
 
 @lru_cache(maxsize=4096)
-def stored_votes(data: bytes) -> Votes:
+def stored_votes(data: bytes) -> AcceptorState:
     """The votes on a disk."""
-    votes: Votes = decode(RECORDS[Store.VOTES], data)
+    votes: AcceptorState = decode(RECORDS[Store.ACCEPTOR], data)
     return votes
 
 
@@ -361,10 +361,10 @@
 # --- where a search begins
 
 
-def order_on(base: int, generation: int, text: str = "") -> ConfigurationOrder:
+def order_on(base: int, generation: int, text: str = "") -> ConfigurationChange:
     """A small order."""
     document = f"{base}-{generation}-{text}".encode()
-    return ConfigurationOrder(base, generation, document, digest_of(base, document))
+    return ConfigurationChange(base, generation, document, digest_of(base, document))
 
 
 def settle(system: System, held_up: str = "") -> None:
--- a/roselink/simulation/world.py
+++ b/roselink/simulation/world.py
@@ -39,7 +39,7 @@
 from roselink.simulation.timeline import Timeline
 
 if TYPE_CHECKING:
-    from roselink.protocol.chain import ConfigurationOrder
+    from roselink.protocol.chain import ConfigurationChange
     from roselink.protocol.pull import ChangesPull
 
 SEEDS = 3  # that settings name
@@ -168,7 +168,7 @@
 
     # --- what callers ask
 
-    def submit(self, order: ConfigurationOrder, done: Callable[[SubmitOutcome], None]) -> None:
+    def submit(self, order: ConfigurationChange, done: Callable[[SubmitOutcome], None]) -> None:
         """Carry an order."""
         if self.member is None:
             raise AssertionError("no process")
--- a/tests/controller/core_alone.py
+++ b/tests/controller/core_alone.py
@@ -9,11 +9,11 @@
 from roselink.controller.app import run
 from roselink.controller.contract import (
     Address,
-    ConfigurationOrder,
+    ChangeCommitted,
+    ConfigurationChange,
     Confirmation,
     Conflict,
     SubmitOutcome,
-    TakenOrder,
 )
 from roselink.model.settings import ProcessSettings, load_settings
 
@@ -57,15 +57,15 @@
     def chain_addresses(self) -> tuple[str, ...]:
         return self.core_addresses()
 
-    def submit(self, order: ConfigurationOrder, done: Callable[[SubmitOutcome], None]) -> None:
+    def submit(self, order: ConfigurationChange, done: Callable[[SubmitOutcome], None]) -> None:
         if order.digest in self.taken:
-            done(TakenOrder(self.taken[order.digest]))
+            done(ChangeCommitted(self.taken[order.digest]))
         elif order.base != self.newest.generation:
             done(Conflict(self.newest.generation))
         else:
             sequence = self.taken[order.digest] = self.newest.sequence + 1
             self.newest = Confirmation(1, sequence, order.document, order.generation)
-            done(TakenOrder(sequence))
+            done(ChangeCommitted(sequence))
 
     def confirm(self, done: Callable[[Confirmation | None], None]) -> None:
         done(self.newest)
--- a/tests/controller/fakes.py
+++ b/tests/controller/fakes.py
@@ -12,7 +12,7 @@
 
     from roselink.controller.contract import (
         Address,
-        ConfigurationOrder,
+        ConfigurationChange,
         Confirmation,
         SubmitOutcome,
     )
@@ -26,7 +26,7 @@
         self.is_tail = True
         self.tail: Address | None = ("10.0.0.3", 7500)
         self.cores: tuple[str, ...] = ("10.0.0.1:7500", "10.0.0.2:7500", "10.0.0.3:7500")
-        self.orders: asyncio.Queue[tuple[ConfigurationOrder, Callable[[SubmitOutcome], None]]] = (
+        self.orders: asyncio.Queue[tuple[ConfigurationChange, Callable[[SubmitOutcome], None]]] = (
             asyncio.Queue()
         )
         self.reads: asyncio.Queue[Callable[[Confirmation | None], None]] = asyncio.Queue()
@@ -38,7 +38,7 @@
     def chain_addresses(self) -> tuple[str, ...]:
         return self.core_addresses()
 
-    def submit(self, order: ConfigurationOrder, done: Callable[[SubmitOutcome], None]) -> None:
+    def submit(self, order: ConfigurationChange, done: Callable[[SubmitOutcome], None]) -> None:
         self.orders.put_nowait((order, done))
 
     def confirm(self, done: Callable[[Confirmation | None], None]) -> None:
--- a/tests/controller/test_api.py
+++ b/tests/controller/test_api.py
@@ -12,12 +12,12 @@
 from twisted.internet.task import Clock
 
 from roselink.controller.contract import (
+    ChangeCommitted,
     Confirmation,
     Conflict,
-    NotNewer,
+    OutcomeUnknown,
+    StaleGeneration,
     SubmitOutcome,
-    TakenOrder,
-    Unsettled,
 )
 from roselink.controller.pulls import GatewayLag
 from roselink.controller.updates import digest_of_update
@@ -125,16 +125,16 @@
 @pytest.mark.parametrize(
     ("base", "outcome", "status", "said"),
     [
-        (5, TakenOrder(9), 200, {"generation": 7, "sequence": 9}),
+        (5, ChangeCommitted(9), 200, {"generation": 7, "sequence": 9}),
         (5, Conflict(6), 412, {"error": "conflict", "current": 6}),
-        (5, NotNewer(8), 412, {"error": "conflict", "current": 8}),
+        (5, StaleGeneration(8), 412, {"error": "conflict", "current": 8}),
         (
             8,
-            NotNewer(8),
+            StaleGeneration(8),
             400,
             {"error": "invalid", "faults": [{"path": "generation", "reason": "must be above 8"}]},
         ),
-        (5, Unsettled(), 503, {"error": "unsettled"}),
+        (5, OutcomeUnknown(), 503, {"error": "unsettled"}),
     ],
 )
 def test_each_outcome_has_its_answer(
@@ -168,7 +168,7 @@
         assert (order.base, order.generation, order.digest) == (7, 9, digest_of_update(7, UPDATE))
         assert [route["name"] for route in json.loads(order.document)["routes"]] == ["r-1"]
         assert serving.api.under_way == 1
-        done(TakenOrder(6))
+        done(ChangeCommitted(6))
         answer = await caller.receive()
         assert (answer.status, answer.json()) == (200, {"generation": 9, "sequence": 6})
         assert serving.api.under_way == 0
@@ -207,7 +207,7 @@
             (await serving.node.reads.get())(confirmation)
         if status in (200, 412):
             _, done = await serving.node.orders.get()
-            done(Conflict(7) if status == 412 else TakenOrder(6))
+            done(Conflict(7) if status == 412 else ChangeCommitted(6))
         answer = await caller.receive()
         assert answer.status == status
         assert serving.node.orders.empty()
@@ -231,10 +231,10 @@
         answer = await caller.receive()
         assert answer.status == 503
         assert 0 < float(answer.headers["retry-after"]) < 1
-        done(TakenOrder(1))
+        done(ChangeCommitted(1))
         caller.send("POST", "/config/replace", ORDER, X_Base_Version="0")
         order, done = await serving.node.orders.get()
-        done(TakenOrder(1))
+        done(ChangeCommitted(1))
         assert (await caller.receive()).status == 200
         assert order.digest == digest_of(0, ORDER)
 
@@ -249,11 +249,11 @@
         leaving.writer.transport.abort()
         while serving.api.under_way:
             await asyncio.sleep(0)
-        done(TakenOrder(1))
+        done(ChangeCommitted(1))
         serving.clock.advance(SUBMIT_TIMEOUT_S)
         caller = await serving.caller()
         caller.send("POST", "/config/replace", ORDER, X_Base_Version="0")
-        (await serving.node.orders.get())[1](TakenOrder(1))
+        (await serving.node.orders.get())[1](ChangeCommitted(1))
         assert (await caller.receive()).status == 200
 
     with_interface(work)
@@ -266,7 +266,7 @@
             caller.send("POST", "/config/replace", ORDER, X_Base_Version=str(base))
         waiting = [await serving.node.orders.get() for _ in callers]
         for order, done in reversed(waiting):
-            done(TakenOrder(100 + order.base))
+            done(ChangeCommitted(100 + order.base))
         answers = [await caller.receive() for caller in callers]
         assert [answer.json()["sequence"] for answer in answers] == [
             100 + base for base in range(8)
@@ -333,7 +333,7 @@
         caller.send("POST", "/config/replace", large, X_Base_Version="0")
         order, done = await serving.node.orders.get()
         assert order.document == large
-        done(TakenOrder(1))
+        done(ChangeCommitted(1))
         assert (await caller.receive()).status == 200
         caller.send("GET", "/config/get")
         (await serving.node.reads.get())(Confirmation(3, 1, large, 7))
@@ -352,7 +352,7 @@
         caller.writer.write(b"0\r\n\r\n")
         order, done = await serving.node.orders.get()
         assert order.document == ORDER
-        done(TakenOrder(1))
+        done(ChangeCommitted(1))
         assert (await caller.receive()).status == 200
 
     with_interface(work)
--- a/tests/controller/test_node.py
+++ b/tests/controller/test_node.py
@@ -10,10 +10,10 @@
 import pytest
 
 from roselink.controller.node import ControlNode
-from roselink.coordination.effects import Confirmation, Conflict, SubmitOutcome, TakenOrder
+from roselink.coordination.effects import ChangeCommitted, Confirmation, Conflict, SubmitOutcome
 from roselink.coordination.state import digest_of
 from roselink.model.settings import ProcessSettings, read_settings
-from roselink.protocol.chain import ConfigurationOrder
+from roselink.protocol.chain import ConfigurationChange
 from roselink.protocol.peers import Address, PeerPool, PeerServer, Reply
 
 if TYPE_CHECKING:
@@ -65,7 +65,7 @@
         self.server.close()
         self.pool.close()
 
-    async def submit(self, order: ConfigurationOrder) -> SubmitOutcome:
+    async def submit(self, order: ConfigurationChange) -> SubmitOutcome:
         ended: asyncio.Future[SubmitOutcome] = asyncio.get_running_loop().create_future()
         self.node.submit(order, ended.set_result)
         return await ended
@@ -76,17 +76,17 @@
         return await ended
 
 
-def order_on(base: int, generation: int) -> ConfigurationOrder:
+def order_on(base: int, generation: int) -> ConfigurationChange:
     document = f"{base}-{generation}".encode()
-    return ConfigurationOrder(base, generation, document, digest_of(base, document))
+    return ConfigurationChange(base, generation, document, digest_of(base, document))
 
 
-async def settled(process: Process, order: ConfigurationOrder) -> SubmitOutcome:
+async def settled(process: Process, order: ConfigurationChange) -> SubmitOutcome:
     """As the operator does: again until there is a clear answer."""
     async with asyncio.timeout(10):
         while True:
             outcome = await process.submit(order)
-            if isinstance(outcome, TakenOrder | Conflict):
+            if isinstance(outcome, ChangeCommitted | Conflict):
                 return outcome
             await asyncio.sleep(0.01)
 
@@ -99,7 +99,7 @@
     processes[1].node.on_view(lambda: views.append(processes[1].node.epoch))
     for process in processes:
         await process.begin()
-    assert await settled(processes[1], order_on(0, 1)) == TakenOrder(1)
+    assert await settled(processes[1], order_on(0, 1)) == ChangeCommitted(1)
     assert await settled(processes[2], order_on(0, 2)) == Conflict(1)
     for process in processes:
         shown = await process.confirm()
@@ -107,7 +107,7 @@
     if planned:
         await processes[0].node.stop()
     processes[0].kill()
-    assert await settled(processes[2], order_on(1, 5)) == TakenOrder(2)
+    assert await settled(processes[2], order_on(1, 5)) == ChangeCommitted(2)
     assert processes[1].node.epoch > 1 and views
     again = Process(HOSTS[0], port, folders[HOSTS[0]], bootstrap=False)
     await again.begin()
--- a/tests/controller/test_storage.py
+++ b/tests/controller/test_storage.py
@@ -17,13 +17,13 @@
 from roselink.controller.storage import Storage, record_number
 from roselink.coordination.effects import Store
 from roselink.coordination.state import EMPTY
-from roselink.protocol.chain import ConfigurationState, StoredState, Voter, Votes
+from roselink.protocol.chain import AcceptorState, ConfigurationState, StoredState, Voter
 from roselink.protocol.records import encode
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator
 
-VOTES = Votes(Voter("10.0.0.1:7500", 7), None, None, None, None)
+VOTES = AcceptorState(Voter("10.0.0.1:7500", 7), None, None, None, None)
 STEPS = 40  # more than a save has
 
 
@@ -151,7 +151,7 @@
 def prepared(folder: Path) -> Storage:
     disk = Storage(str(folder))
     disk.load()
-    disk.save(Store.VOTES, record_number(Store.VOTES), encode(VOTES))
+    disk.save(Store.ACCEPTOR, record_number(Store.ACCEPTOR), encode(VOTES))
     save(disk, 1)
     save(disk, 2)
     return disk
--- a/tests/controller/test_updates.py
+++ b/tests/controller/test_updates.py
@@ -20,21 +20,21 @@
     read_update,
 )
 from roselink.coordination.effects import (
+    ChangeCommitted,
     Confirmation,
     Conflict,
+    OutcomeUnknown,
     SubmitOutcome,
-    TakenOrder,
-    Unsettled,
 )
 from roselink.coordination.state import (
     EMPTY,
     HISTORY_LIMIT,
-    Judgement,
-    apply,
+    ValidationKind,
+    apply_change,
     digest_of,
-    judge,
+    validate,
 )
-from roselink.protocol.chain import ConfigurationOrder, ConfigurationState
+from roselink.protocol.chain import ConfigurationChange, ConfigurationState
 from tests.controller.test_checking import document, route, second, service, tenant
 
 BASE = document()  # of generation 7
@@ -195,7 +195,7 @@
         }
     }
     got = order_of_update(7, update(bytes_of(**by_itself)), b"digest", confirmed(BASE))
-    assert isinstance(got, ConfigurationOrder)
+    assert isinstance(got, ConfigurationChange)
     assert [each["name"] for each in json.loads(got.document)["routes"]] == ["r-1", "r-2", "r-4"]
     assert (got.base, got.generation, got.digest) == (7, 9, b"digest")
 
@@ -203,7 +203,7 @@
 def test_half_a_character_in_an_unknown_field_goes_on_as_it_came() -> None:
     odd = update(b'{"generation":9,"upsert":{"notes":[{"name":"n","text":"\\ud800"}]}}')
     got = order_of_update(7, odd, b"digest", confirmed(BASE))
-    assert isinstance(got, ConfigurationOrder)
+    assert isinstance(got, ConfigurationChange)
     assert json.loads(got.document)["notes"] == [{"name": "n", "text": "\ud800"}]
 
 
@@ -218,14 +218,14 @@
 def test_an_update_on_nothing() -> None:
     first = update(bytes_of(upsert={"routes": [second()], "services": [service(name="records")]}))
     got = order_of_update(0, first, b"digest", confirmed(None))
-    assert isinstance(got, ConfigurationOrder)
+    assert isinstance(got, ConfigurationChange)
     assert json.loads(got.document)["routes"] == [second()]
 
 
 @pytest.mark.parametrize("base", [3, 8])
 def test_where_the_base_is_not_in_place_there_is_no_document(base: int) -> None:
     got = order_of_update(base, update(bytes_of()), b"digest", confirmed(BASE))
-    assert got == ConfigurationOrder(base, 9, b"", b"digest")
+    assert got == ConfigurationChange(base, 9, b"", b"digest")
 
 
 def test_names_of_updates() -> None:
@@ -246,11 +246,11 @@
 
     def __init__(self) -> None:
         whole = json.dumps(BASE).encode()
-        self.state = apply(
-            EMPTY, ConfigurationOrder(0, 7, whole, digest_of(0, whole)), refused=False
+        self.state = apply_change(
+            EMPTY, ConfigurationChange(0, 7, whole, digest_of(0, whole)), refused=False
         )
         self.confirmable = True
-        self.meanwhile: list[UpdateCall | ConfigurationOrder] = []
+        self.meanwhile: list[UpdateCall | ConfigurationChange] = []
 
     def confirm(self, done: Any) -> None:
         shown = self.state
@@ -259,20 +259,22 @@
             self.take(each)
         done(_shown(shown) if self.confirmable else None)
 
-    def submit(self, order: ConfigurationOrder, done: Any) -> None:
-        verdict = judge(self.state, order)
+    def submit(self, order: ConfigurationChange, done: Any) -> None:
+        verdict = validate(self.state, order)
         outcome: SubmitOutcome = Conflict(verdict.value)
-        if verdict.kind in (Judgement.APPEND, Judgement.TAKEN):
-            outcome = TakenOrder(verdict.value)
-        if verdict.kind is Judgement.WITHOUT_DOCUMENT:
-            outcome = Unsettled()
-        if verdict.kind in (Judgement.APPEND, Judgement.REFUSE_FOR_GOOD):
-            self.state = apply(self.state, order, refused=verdict.kind is Judgement.REFUSE_FOR_GOOD)
+        if verdict.kind in (ValidationKind.APPEND, ValidationKind.TAKEN):
+            outcome = ChangeCommitted(verdict.value)
+        if verdict.kind is ValidationKind.WITHOUT_DOCUMENT:
+            outcome = OutcomeUnknown()
+        if verdict.kind in (ValidationKind.APPEND, ValidationKind.REFUSE_FOR_GOOD):
+            self.state = apply_change(
+                self.state, order, refused=verdict.kind is ValidationKind.REFUSE_FOR_GOOD
+            )
         done(outcome)
 
-    def take(self, call: UpdateCall | ConfigurationOrder) -> SubmitOutcome | Refused:
+    def take(self, call: UpdateCall | ConfigurationChange) -> SubmitOutcome | Refused:
         outcomes: list[SubmitOutcome | Refused] = []
-        if isinstance(call, ConfigurationOrder):
+        if isinstance(call, ConfigurationChange):
             self.submit(call, outcomes.append)
         else:
             carry_update(call, self.confirm, self.submit, outcomes.append)
@@ -297,29 +299,29 @@
     return call(base, generation, upsert={"routes": [route(name=name, path_prefix=f"/{name}/")]})
 
 
-def replacing(base: int, generation: int) -> ConfigurationOrder:
+def replacing(base: int, generation: int) -> ConfigurationChange:
     whole = json.dumps(document(generation=generation)).encode()
-    return ConfigurationOrder(base, generation, whole, digest_of(base, whole))
+    return ConfigurationChange(base, generation, whole, digest_of(base, whole))
 
 
 def test_an_update_comes_into_force_once() -> None:
     core = Core()
     first = adding(7, 9, "new")
-    assert core.take(first) == TakenOrder(2)
-    assert core.take(first) == TakenOrder(2)
+    assert core.take(first) == ChangeCommitted(2)
+    assert core.take(first) == ChangeCommitted(2)
     assert core.names() == ["r-1", "r-2", "new"]
-    assert core.take(adding(9, 12, "newer")) == TakenOrder(3)
-    assert core.take(first) == TakenOrder(2)
+    assert core.take(adding(9, 12, "newer")) == ChangeCommitted(3)
+    assert core.take(first) == ChangeCommitted(2)
     assert core.names() == ["r-1", "r-2", "new", "newer"]
 
 
 def test_two_changes_on_one_base() -> None:
     core = Core()
-    assert core.take(adding(7, 9, "new")) == TakenOrder(2)
+    assert core.take(adding(7, 9, "new")) == ChangeCommitted(2)
     assert core.take(adding(7, 10, "other")) == Conflict(9)
     assert core.take(replacing(7, 11)) == Conflict(9)
     core = Core()
-    assert core.take(replacing(7, 9)) == TakenOrder(2)
+    assert core.take(replacing(7, 9)) == ChangeCommitted(2)
     assert core.take(adding(7, 10, "other")) == Conflict(9)
     assert core.names() == ["r-1", "r-2"]
 
@@ -334,7 +336,7 @@
 def test_an_update_is_taken_at_two_members_at_once() -> None:
     core = Core()
     core.meanwhile = [adding(7, 9, "new")]
-    assert core.take(adding(7, 9, "new")) == TakenOrder(2)
+    assert core.take(adding(7, 9, "new")) == ChangeCommitted(2)
     assert core.names() == ["r-1", "r-2", "new"]
 
 
@@ -342,34 +344,34 @@
     core = Core()
     core.meanwhile = [replacing(7, 9)]
     early = adding(9, 12, "early")
-    assert core.take(early) == Unsettled()
-    assert core.take(early) == TakenOrder(3)
+    assert core.take(early) == OutcomeUnknown()
+    assert core.take(early) == ChangeCommitted(3)
 
 
 def test_an_update_on_a_base_to_come_stays_refused() -> None:
     core = Core()
     early = adding(9, 12, "early")
     assert core.take(early) == Conflict(7)
-    assert core.take(replacing(7, 9)) == TakenOrder(3)
+    assert core.take(replacing(7, 9)) == ChangeCommitted(3)
     assert core.take(early) == Conflict(9)
 
 
 def test_an_update_that_comes_again_after_many_others() -> None:
     core = Core()
     first = adding(7, 8, "new")
-    assert core.take(first) == TakenOrder(2)
+    assert core.take(first) == ChangeCommitted(2)
     for number in range(8, 8 + HISTORY_LIMIT - 1):
-        order = ConfigurationOrder(number, number + 1, core.state.document, digest_of(number, b""))
-        core.state = apply(core.state, order, refused=False)
-    assert core.take(first) == TakenOrder(2)
-    core.state = apply(core.state, replacing(core.state.generation, 99_999), refused=False)
+        order = ConfigurationChange(number, number + 1, core.state.document, digest_of(number, b""))
+        core.state = apply_change(core.state, order, refused=False)
+    assert core.take(first) == ChangeCommitted(2)
+    core.state = apply_change(core.state, replacing(core.state.generation, 99_999), refused=False)
     assert core.take(first) == Conflict(99_999)  # forgotten, and refused as any on an older version
 
 
 def test_what_cannot_be_confirmed_is_not_settled() -> None:
     core = Core()
     core.confirmable = False
-    assert core.take(adding(7, 9, "new")) == Unsettled()
+    assert core.take(adding(7, 9, "new")) == OutcomeUnknown()
 
 
 def test_an_invalid_result_reaches_nobody() -> None:
--- a/tests/coordination/test_chain.py
+++ b/tests/coordination/test_chain.py
@@ -8,12 +8,12 @@
 
 from roselink.coordination.chain import ChainMember
 from roselink.coordination.effects import Effect, Persist, Send, Store
-from roselink.coordination.state import EMPTY, apply, digest_of
+from roselink.coordination.state import EMPTY, apply_change, digest_of
 from roselink.protocol.chain import (
     Ack,
-    ConfigurationOrder,
+    ChainReplica,
+    ConfigurationChange,
     ConfigurationState,
-    Link,
     StoredState,
     Sync,
     View,
@@ -23,10 +23,10 @@
 from roselink.protocol.records import encode
 
 A, B, C = (Voter(name, 0) for name in "abc")
-VIEW = View(3, (A, B, C), tuple(Link(voter, 1, 7) for voter in (A, B, C)))
-FIRST = ConfigurationOrder(0, 1, b"one", digest_of(0, b"one"))
-SECOND = ConfigurationOrder(1, 2, b"two", digest_of(1, b"two"))
-STATE = apply(EMPTY, FIRST, refused=False)
+VIEW = View(3, (A, B, C), tuple(ChainReplica(voter, 1, 7) for voter in (A, B, C)))
+FIRST = ConfigurationChange(0, 1, b"one", digest_of(0, b"one"))
+SECOND = ConfigurationChange(1, 2, b"two", digest_of(1, b"two"))
+STATE = apply_change(EMPTY, FIRST, refused=False)
 
 
 def sync(sender: Voter, epoch: int, state: ConfigurationState) -> Sync:
@@ -83,7 +83,7 @@
     stage.out()
     stage.member.enter(replace(VIEW, epoch=4), False, 0.0)
     assert stage.sent() == []
-    newest = apply(STATE, SECOND, refused=False)
+    newest = apply_change(STATE, SECOND, refused=False)
     stage.member.on_persisted(0.0)
     assert ("b", sync(A, 4, newest)) in stage.sent()
 
@@ -124,7 +124,7 @@
 
 def test_writes_that_come_during_a_save_share_the_next() -> None:
     stage = middle()
-    third = ConfigurationOrder(2, 3, b"three", digest_of(2, b"three"))
+    third = ConfigurationChange(2, 3, b"three", digest_of(2, b"three"))
     stage.member.on_write(WRITE)
     stage.member.on_write(Write(A, 3, 3, False, third))
     assert stage.saved() == [("c", Write(B, 3, 2, False, SECOND))]
@@ -174,7 +174,7 @@
 @pytest.mark.parametrize("voter", [A, B, C])
 def test_a_process_that_started_later_takes_no_part(voter: Voter) -> None:
     stage = Stage(voter, session=8)
-    assert not stage.member.taking_part
+    assert not stage.member.participating
     for message in (SYNC, sync(B, 3, STATE), WRITE, Ack(B, 3, 1), Ack(C, 3, 1)):
         give(stage, message)
     assert stage.out() == [] and not stage.member.is_head and not stage.member.is_tail
--- a/tests/coordination/test_member.py
+++ b/tests/coordination/test_member.py
@@ -10,47 +10,49 @@
 
 from roselink.coordination.effects import (
     Effect,
+    OutcomeUnknown,
     Persist,
     ReadDone,
     Send,
     Store,
     SubmitDone,
-    Unsettled,
 )
 from roselink.coordination.member import Member, Start
-from roselink.coordination.peering import DiskHealth, Peers
-from roselink.coordination.state import EMPTY, apply, digest_of
+from roselink.coordination.peering import DiskHealth, PeerTable
+from roselink.coordination.state import EMPTY, apply_change, digest_of
 from roselink.coordination.views import first_view
 from roselink.protocol.chain import (
     Accept,
     Accepted,
+    AcceptorState,
     Ack,
     Ballot,
-    ConfigurationOrder,
-    ConfirmAnswer,
-    ConfirmAsk,
+    ChainReplica,
+    ConfigurationChange,
+    ConfirmReply,
+    ConfirmRequest,
     Decided,
     Heartbeat,
-    Link,
     Prepare,
     Promise,
     StoredState,
-    Submit,
+    SubmitRequest,
     View,
     Voter,
-    Votes,
 )
 from roselink.protocol.records import decode
 
 SEEDS = ("a:1", "b:1", "c:1")
 VIEW = first_view(SEEDS)
 A, B, C = VIEW.voters
-ORDER = ConfigurationOrder(0, 1, b"one", digest_of(0, b"one"))
-STATE = StoredState(1, apply(EMPTY, ORDER, refused=False))
+ORDER = ConfigurationChange(0, 1, b"one", digest_of(0, b"one"))
+STATE = StoredState(1, apply_change(EMPTY, ORDER, refused=False))
 FRESH = Start("b:1", SEEDS, True, 1, 40, 50, None, None)
-STORED = replace(FRESH, bootstrap=False, votes=Votes(B, VIEW, None, None, None), state=STATE)
+STORED = replace(
+    FRESH, bootstrap=False, votes=AcceptorState(B, VIEW, None, None, None), state=STATE
+)
 BALLOT = Ballot(1, "a:1", 9)
-NEXT = View(2, VIEW.voters, tuple(Link(voter, 1, 40) for voter in (B, C)))
+NEXT = View(2, VIEW.voters, tuple(ChainReplica(voter, 1, 40) for voter in (B, C)))
 
 
 class Stage:
@@ -123,38 +125,38 @@
     stage.out += stage.member.tick(0.1)
     assert all(isinstance(effect, Persist) for effect in stage.out)
     assert decode(36, stage.save().payload) == StoredState(1, EMPTY)
-    assert decode(33, stage.save().payload) == Votes(B, VIEW, None, None, None)
-    assert stage.member.chain.taking_part
+    assert decode(33, stage.save().payload) == AcceptorState(B, VIEW, None, None, None)
+    assert stage.member.chain.participating
 
 
 def test_a_restarted_member_takes_no_part_but_votes() -> None:
     stage = Stage(STORED)
-    assert not stage.member.chain.taking_part
-    assert stage.give(ConfirmAsk(C, 1, 3)) == [ConfirmAnswer(B, 1, 3, True)]
+    assert not stage.member.chain.participating
+    assert stage.give(ConfirmRequest(C, 1, 3)) == [ConfirmReply(B, 1, 3, True)]
     assert stage.give(Prepare(A, 2, BALLOT)) == []
     saved = stage.save()
-    assert saved.store is Store.VOTES and decode(33, saved.payload).promised == BALLOT
+    assert saved.store is Store.ACCEPTOR and decode(33, saved.payload).promised == BALLOT
     assert stage.sent() == [Promise(B, 2, BALLOT, None, None)]
 
 
 def test_an_acceptance_leaves_after_its_save_and_ends_confirmations_at_once() -> None:
     stage = Stage(STORED)
     assert stage.give(Accept(A, BALLOT, NEXT)) == []
-    assert stage.give(ConfirmAsk(C, 1, 3)) == [ConfirmAnswer(B, 1, 3, False)]
+    assert stage.give(ConfirmRequest(C, 1, 3)) == [ConfirmReply(B, 1, 3, False)]
     saved = decode(33, stage.save().payload)
     assert (saved.accepted, saved.proposal) == (BALLOT, NEXT)
     assert stage.sent() == [Accepted(B, 2, BALLOT)]
     again = Stage(replace(STORED, votes=saved))
-    assert again.give(ConfirmAsk(C, 1, 4)) == [ConfirmAnswer(B, 1, 4, False)]
+    assert again.give(ConfirmRequest(C, 1, 4)) == [ConfirmReply(B, 1, 4, False)]
 
 
 def test_a_refusing_disk_lets_no_vote_out_and_is_tried_again() -> None:
     stage = Stage(STORED)
     stage.give(Prepare(A, 2, BALLOT))
-    stage.out = stage.member.persist_failed(Store.VOTES, 0.0)
+    stage.out = stage.member.persist_failed(Store.ACCEPTOR, 0.0)
     assert stage.out == [] and not stage.member.disk_fit
     stage.out = stage.member.tick(0.25)
-    assert stage.save(0.26).store is Store.VOTES
+    assert stage.save(0.26).store is Store.ACCEPTOR
     assert stage.member.disk_fit
     assert stage.sent() == [Promise(B, 2, BALLOT, None, None)]
 
@@ -179,8 +181,8 @@
     assert stage.member.chain.is_head
     stage.member.chain.on_ack(Ack(C, 2, 1))
     stage.sent()
-    newer = ConfigurationOrder(1, 2, b"two", digest_of(1, b"two"))
-    stage.give(Submit(C, epoch, 9, newer))
+    newer = ConfigurationChange(1, 2, b"two", digest_of(1, b"two"))
+    stage.give(SubmitRequest(C, epoch, 9, newer))
     assert (stage.member.chain.applied.sequence == 2) is taken
 
 
@@ -193,7 +195,10 @@
         now = step * 0.05
         done = [e for e in stage.member.tick(now) if isinstance(e, SubmitDone | ReadDone)]
         ends += [(now, effect) for effect in done]
-    assert [effect for _, effect in ends] == [ReadDone(read, None), SubmitDone(order, Unsettled())]
+    assert [effect for _, effect in ends] == [
+        ReadDone(read, None),
+        SubmitDone(order, OutcomeUnknown()),
+    ]
     assert [at for at, _ in ends] == pytest.approx([1.5, 2.5])
 
 
@@ -215,7 +220,7 @@
     ],
 )
 def test_peers(beats: list[tuple[float, Heartbeat]], now: float, live: bool, steady: bool) -> None:
-    peers = Peers(B)
+    peers = PeerTable(B)
     for at, heartbeat in beats:
         peers.hear(heartbeat, at)
     own = Stage(STORED).member.presence.own(None, now)
@@ -224,7 +229,7 @@
 
 
 def test_own_sleep_is_no_silence_of_others() -> None:
-    peers = Peers(B)
+    peers = PeerTable(B)
     peers.hear(beat(A), 0.0)
     assert peers.heard(5.0) == ()
     peers.skip(4.9, 5.0)
--- a/tests/coordination/test_orders.py
+++ b/tests/coordination/test_orders.py
@@ -10,91 +10,91 @@
 from roselink.coordination import state as state_module
 from roselink.coordination.chain import ChainMember
 from roselink.coordination.effects import Confirmation, Effect, ReadDone, Send
-from roselink.coordination.orders import HeadOrders, OwnCalls
-from roselink.coordination.reads import ReadRounds, Waiting
+from roselink.coordination.orders import ChangeSequencer, PendingCalls
+from roselink.coordination.reads import ReadRounds, WaitingRead
 from roselink.coordination.state import (
     EMPTY,
     HISTORY_LIMIT,
-    Judgement,
-    Verdict,
-    apply,
+    Validation,
+    ValidationKind,
+    apply_change,
     digest_of,
     find,
-    judge,
+    validate,
 )
 from roselink.coordination.views import first_view
 from roselink.protocol.chain import (
     Ack,
-    ConfigurationOrder,
+    ChainReplica,
+    ConfigurationChange,
     ConfigurationState,
-    ConfirmAnswer,
-    ConfirmAsk,
-    Link,
+    ConfirmReply,
+    ConfirmRequest,
     OutcomeKind,
-    ReadAsk,
     ReadReply,
+    ReadRequest,
     StoredState,
-    Submit,
     SubmitReply,
+    SubmitRequest,
     View,
     Voter,
 )
 
 A, B, C = (Voter(name, 0) for name in "abc")
-VIEW = View(3, (A, B, C), tuple(Link(voter, 1, 7) for voter in (A, B)))
+VIEW = View(3, (A, B, C), tuple(ChainReplica(voter, 1, 7) for voter in (A, B)))
 
 
-def order(base: int, generation: int, text: str = "x") -> ConfigurationOrder:
+def order(base: int, generation: int, text: str = "x") -> ConfigurationChange:
     document = f"{base} {generation} {text}".encode()
-    return ConfigurationOrder(base, generation, document, digest_of(base, document))
+    return ConfigurationChange(base, generation, document, digest_of(base, document))
 
 
-def without_document(base: int, generation: int) -> ConfigurationOrder:
-    return ConfigurationOrder(base, generation, b"", digest_of(base, b"no document"))
+def without_document(base: int, generation: int) -> ConfigurationChange:
+    return ConfigurationChange(base, generation, b"", digest_of(base, b"no document"))
 
 
 FIRST, EARLY = order(0, 5), order(9, 12)
-HELD = apply(apply(EMPTY, FIRST, refused=False), EARLY, refused=True)
-LATER = apply(HELD, order(5, 9), refused=False)
+HELD = apply_change(apply_change(EMPTY, FIRST, refused=False), EARLY, refused=True)
+LATER = apply_change(HELD, order(5, 9), refused=False)
 
 
 @pytest.mark.parametrize(
     ("state", "asked", "expected"),
     [
-        (EMPTY, FIRST, Verdict(Judgement.APPEND, 1)),
-        (EMPTY, order(0, 0), Verdict(Judgement.NOT_NEWER, 0)),
-        (HELD, FIRST, Verdict(Judgement.TAKEN, 1)),
-        (LATER, FIRST, Verdict(Judgement.TAKEN, 1)),
-        (HELD, order(5, 9), Verdict(Judgement.APPEND, 3)),
-        (HELD, order(0, 9), Verdict(Judgement.CONFLICT, 5)),
-        (HELD, order(5, 5), Verdict(Judgement.NOT_NEWER, 5)),
-        (HELD, order(9, 3), Verdict(Judgement.NOT_NEWER, 5)),
-        (HELD, order(9, 13), Verdict(Judgement.REFUSE_FOR_GOOD, 5)),
-        (HELD, EARLY, Verdict(Judgement.CONFLICT, 5)),
-        (LATER, EARLY, Verdict(Judgement.CONFLICT, 9)),
-        (HELD, without_document(5, 9), Verdict(Judgement.WITHOUT_DOCUMENT, 5)),
-        (HELD, without_document(0, 9), Verdict(Judgement.CONFLICT, 5)),
-        (HELD, without_document(9, 13), Verdict(Judgement.REFUSE_FOR_GOOD, 5)),
-        (HELD, replace(FIRST, document=b""), Verdict(Judgement.TAKEN, 1)),
+        (EMPTY, FIRST, Validation(ValidationKind.APPEND, 1)),
+        (EMPTY, order(0, 0), Validation(ValidationKind.NOT_NEWER, 0)),
+        (HELD, FIRST, Validation(ValidationKind.TAKEN, 1)),
+        (LATER, FIRST, Validation(ValidationKind.TAKEN, 1)),
+        (HELD, order(5, 9), Validation(ValidationKind.APPEND, 3)),
+        (HELD, order(0, 9), Validation(ValidationKind.CONFLICT, 5)),
+        (HELD, order(5, 5), Validation(ValidationKind.NOT_NEWER, 5)),
+        (HELD, order(9, 3), Validation(ValidationKind.NOT_NEWER, 5)),
+        (HELD, order(9, 13), Validation(ValidationKind.REFUSE_FOR_GOOD, 5)),
+        (HELD, EARLY, Validation(ValidationKind.CONFLICT, 5)),
+        (LATER, EARLY, Validation(ValidationKind.CONFLICT, 9)),
+        (HELD, without_document(5, 9), Validation(ValidationKind.WITHOUT_DOCUMENT, 5)),
+        (HELD, without_document(0, 9), Validation(ValidationKind.CONFLICT, 5)),
+        (HELD, without_document(9, 13), Validation(ValidationKind.REFUSE_FOR_GOOD, 5)),
+        (HELD, replace(FIRST, document=b""), Validation(ValidationKind.TAKEN, 1)),
     ],
 )
-def test_judge(state: ConfigurationState, asked: ConfigurationOrder, expected: Verdict) -> None:
-    assert judge(state, asked) == expected
+def test_judge(state: ConfigurationState, asked: ConfigurationChange, expected: Validation) -> None:
+    assert validate(state, asked) == expected
 
 
 def test_the_history_is_bounded_and_keeps_the_newest() -> None:
     state = EMPTY
     orders = [order(n, n + 1) for n in range(HISTORY_LIMIT + 2)]
-    entry = len(apply(EMPTY, FIRST, refused=False).history)
+    entry = len(apply_change(EMPTY, FIRST, refused=False).history)
     full = replace(state, sequence=1, history=b"\1" * (entry * HISTORY_LIMIT))
-    after = apply(full, orders[0], refused=False)
+    after = apply_change(full, orders[0], refused=False)
     assert len(after.history) == entry * HISTORY_LIMIT
     assert find(after, orders[0].digest) == (1, 2)
 
 
 def test_a_digest_is_found_at_the_begin_of_an_entry_only() -> None:
     """The bytes of an order's name may stand anywhere in others' entries by chance."""
-    entry = apply(EMPTY, order(0, 5), refused=False).history
+    entry = apply_change(EMPTY, order(0, 5), refused=False).history
     inside = entry[16:48]
     assert find(replace(EMPTY, history=entry), inside) is None
     assert find(replace(EMPTY, history=entry + inside + entry[32:]), inside) is not None
@@ -111,15 +111,15 @@
         self.effects: list[Effect] = []
         self.chain = ChainMember(A, 7, self.effects.append)
         self.chain.restore(StoredState(2, HELD))
-        self.orders = HeadOrders(self.chain, self.effects.append)
+        self.orders = ChangeSequencer(self.chain, self.effects.append)
         self.chain.enter(VIEW, False, 0.0)
 
     def activate(self) -> None:
         self.chain.on_ack(Ack(B, 3, self.chain.applied.sequence))
         self.orders.settle()
 
-    def ask(self, asked: ConfigurationOrder, number: int = 1) -> list[SubmitReply]:
-        self.orders.take(Submit(C, 3, number, asked))
+    def ask(self, asked: ConfigurationChange, number: int = 1) -> list[SubmitReply]:
+        self.orders.take(SubmitRequest(C, 3, number, asked))
         return self.replies()
 
     def replies(self) -> list[SubmitReply]:
@@ -181,7 +181,7 @@
         self.view = first_view("abc")
 
     def ask(self, number: int) -> None:
-        self.reads.ask(Waiting("c", number, -1), self.view, True, 0.0)
+        self.reads.ask(WaitingRead("c", number, -1), self.view, True, 0.0)
 
     def asked(self) -> list[int]:
         effects = list(self.effects)
@@ -189,12 +189,12 @@
         return [
             e.message.round
             for e in effects
-            if isinstance(e, Send) and isinstance(e.message, ConfirmAsk)
+            if isinstance(e, Send) and isinstance(e.message, ConfirmRequest)
         ]
 
     def answer(self, voter: Voter, number: int, newest: bool = True, epoch: int = 1) -> list[int]:
         return [
-            read.number for read in self.reads.answer(ConfirmAnswer(voter, epoch, number, newest))
+            read.number for read in self.reads.answer(ConfirmReply(voter, epoch, number, newest))
         ]
 
 
@@ -231,7 +231,7 @@
 def test_a_reply_that_leaves_the_document_out_shows_the_one_of_its_own_sequence() -> None:
     """A read that knew an older version is not shown the newer document under the older number."""
     effects: list[Effect] = []
-    calls = OwnCalls(B, effects.append)
+    calls = PendingCalls(B, effects.append)
     view = first_view("abc")
     calls.read(1, view, 0.0)
     calls.confirmed(ReadReply(1, 1, 4, 5, b"four"))
@@ -242,7 +242,7 @@
     calls.confirmed(ReadReply(2, 1, 4, 5, None))
     assert effects == []
     calls.proceed(view, 0.5)
-    assert [e.message for e in effects if isinstance(e, Send)] == [ReadAsk(B, 2, 6)]
+    assert [e.message for e in effects if isinstance(e, Send)] == [ReadRequest(B, 2, 6)]
     effects.clear()
     calls.confirmed(ReadReply(2, 1, 6, 7, None))
     assert effects == [ReadDone(2, Confirmation(1, 6, b"six", 7))]
--- a/tests/coordination/test_views.py
+++ b/tests/coordination/test_views.py
@@ -7,52 +7,52 @@
 import pytest
 
 from roselink.coordination.views import (
-    Peer,
-    Rules,
+    PeerStatus,
+    ViewPolicy,
     first_view,
     intact,
     majority,
     plan,
     waits_for_joiners,
 )
-from roselink.protocol.chain import Link, View, Voter
+from roselink.protocol.chain import ChainReplica, View, Voter
 
 NAMES = ("a", "b", "c", "d", "e")
 ALL = frozenset(NAMES)
 
 
-def peer(name: str, **changes: object) -> Peer:
-    well = Peer(
+def peer(name: str, **changes: object) -> PeerStatus:
+    well = PeerStatus(
         voter=Voter(name, 0),
         session=1,
         epoch=1,
         state_epoch=1,
-        taking_part=True,
+        participating=True,
         disk_ok=True,
         leaving=False,
         live=True,
         steady=True,
-        silent_s=0.0,
+        since_heartbeat_s=0.0,
         heard=ALL - {name},
     )
     return replace(well, **changes)  # type: ignore[arg-type]
 
 
-def gone(name: str, silent_s: float = 0.5) -> Peer:
-    return peer(name, live=False, steady=False, silent_s=silent_s)
+def gone(name: str, since_heartbeat_s: float = 0.5) -> PeerStatus:
+    return peer(name, live=False, steady=False, since_heartbeat_s=since_heartbeat_s)
 
 
-def joiner(name: str, **changes: object) -> Peer:
-    return peer(name, voter=Voter(name, 77), epoch=0, state_epoch=0, taking_part=False, **changes)
+def joiner(name: str, **changes: object) -> PeerStatus:
+    return peer(name, voter=Voter(name, 77), epoch=0, state_epoch=0, participating=False, **changes)
 
 
-def picture(*peers: Peer) -> dict[str, Peer]:
+def picture(*peers: PeerStatus) -> dict[str, PeerStatus]:
     return {each.voter.address: each for each in peers}
 
 
-def planned(view: View, tolerated: int, *peers: Peer) -> tuple[str, str] | None:
+def planned(view: View, tolerated: int, *peers: PeerStatus) -> tuple[str, str] | None:
     """Voters and chain of the plan, as names."""
-    proposal = plan(view, picture(*peers), Rules(tolerated))
+    proposal = plan(view, picture(*peers), ViewPolicy(tolerated))
     if proposal is None:
         return None
     assert proposal.epoch == view.epoch + 1
@@ -61,7 +61,7 @@
     return voters, "".join(link.voter.address for link in proposal.chain)
 
 
-def unsteady(name: str) -> Peer:
+def unsteady(name: str) -> PeerStatus:
     return joiner(name, steady=False)
 
 
@@ -89,18 +89,20 @@
         pytest.param((peer("a"), peer("b"), unsteady("c")), False, id="nothing is proposed"),
     ],
 )
-def test_joiners_wait_for_each_other(peers: tuple[Peer, ...], waits: bool) -> None:
+def test_joiners_wait_for_each_other(peers: tuple[PeerStatus, ...], waits: bool) -> None:
     pair = View(
-        1, (Voter("a", 0), Voter("b", 0)), tuple(Link(Voter(name, 0), 1, 1) for name in "ab")
+        1,
+        (Voter("a", 0), Voter("b", 0)),
+        tuple(ChainReplica(Voter(name, 0), 1, 1) for name in "ab"),
     )
-    proposal = plan(pair, picture(*peers), Rules(0))
+    proposal = plan(pair, picture(*peers), ViewPolicy(0))
     assert waits is (proposal is not None and waits_for_joiners(pair, proposal, picture(*peers)))
 
 
 THREE = first_view("abc")
 FOUR = first_view("abcd")
 FIVE = first_view("abcde")
-SHORT = View(4, THREE.voters, tuple(Link(Voter(name, 0), 1, 1) for name in "ab"))
+SHORT = View(4, THREE.voters, tuple(ChainReplica(Voter(name, 0), 1, 1) for name in "ab"))
 AB = (peer("a", epoch=4), peer("b", epoch=4))
 
 
@@ -124,7 +126,7 @@
         pytest.param(
             THREE,
             1,
-            (peer("a", taking_part=False), peer("b"), peer("c")),
+            (peer("a", participating=False), peer("b"), peer("c")),
             ("abc", "abc"),
             id="restarted",
         ),
@@ -200,7 +202,11 @@
             id="5, three gone",
         ),
         pytest.param(
-            SHORT, 1, (*AB, peer("c", epoch=4, taking_part=False)), ("abc", "acb"), id="back again"
+            SHORT,
+            1,
+            (*AB, peer("c", epoch=4, participating=False)),
+            ("abc", "acb"),
+            id="back again",
         ),
         pytest.param(
             SHORT, 1, (*AB, peer("c", epoch=4, steady=False)), None, id="back, not steady"
@@ -229,12 +235,14 @@
     ],
 )
 def test_plan(
-    view: View, tolerated: int, peers: tuple[Peer, ...], expected: tuple[str, str] | None
+    view: View, tolerated: int, peers: tuple[PeerStatus, ...], expected: tuple[str, str] | None
 ) -> None:
     assert planned(view, tolerated, *peers) == expected
 
 
-GROWN = View(5, THREE.voters, (*SHORT.chain[:1], Link(Voter("c", 0), 5, 1), *SHORT.chain[1:]))
+GROWN = View(
+    5, THREE.voters, (*SHORT.chain[:1], ChainReplica(Voter("c", 0), 5, 1), *SHORT.chain[1:])
+)
 NEW_C = peer("c", epoch=5, state_epoch=4)
 
 
@@ -270,18 +278,18 @@
         ),
         pytest.param(
             1,
-            (peer("a", epoch=5), gone("b"), replace(NEW_C, session=9, taking_part=False)),
+            (peer("a", epoch=5), gone("b"), replace(NEW_C, session=9, participating=False)),
             ("abc", "ac"),
             id="a new process of it waits for the next view",
         ),
     ],
 )
 def test_a_young_view_waits_for_who_takes_the_state_over(
-    tolerated: int, peers: tuple[Peer, ...], expected: tuple[str, str] | None
+    tolerated: int, peers: tuple[PeerStatus, ...], expected: tuple[str, str] | None
 ) -> None:
     """Else the loss of the one intact member would leave a chain that nobody can head."""
-    proposal = plan(GROWN, picture(*peers), Rules(tolerated), settling=True)
-    later = plan(GROWN, picture(*peers), Rules(tolerated), settling=False)
+    proposal = plan(GROWN, picture(*peers), ViewPolicy(tolerated), settling=True)
+    later = plan(GROWN, picture(*peers), ViewPolicy(tolerated), settling=False)
     assert later is not None
     if expected is None:
         assert proposal is None
@@ -292,7 +300,9 @@
 
 
 def test_since_is_kept_by_those_who_stay_and_new_for_the_others() -> None:
-    proposal = plan(SHORT, picture(*AB, peer("c", epoch=4, taking_part=False, session=9)), Rules(1))
+    proposal = plan(
+        SHORT, picture(*AB, peer("c", epoch=4, participating=False, session=9)), ViewPolicy(1)
+    )
     assert proposal is not None
     assert {link.voter.address: (link.since, link.session) for link in proposal.chain} == {
         "a": (1, 1),
@@ -307,16 +317,16 @@
 )
 def test_intact(since: int, state_epoch: int, expected: bool) -> None:
     voter = Voter("a", 0)
-    view = View(5, (voter,), (Link(voter, since, 1),))
+    view = View(5, (voter,), (ChainReplica(voter, since, 1),))
     assert intact(view, peer("a", state_epoch=state_epoch)) is expected
     assert not intact(view, joiner("a", heard=ALL))
     assert not intact(view, peer("b"))
 
 
 def test_a_view_that_never_became_active_leaves_the_old_members_able_to_lead() -> None:
-    second = plan(THREE, picture(peer("a"), peer("b"), gone("c")), Rules(1))
+    second = plan(THREE, picture(peer("a"), peer("b"), gone("c")), ViewPolicy(1))
     assert second is not None
-    third = plan(second, picture(gone("a"), peer("b", epoch=2), peer("c", epoch=2)), Rules(1))
+    third = plan(second, picture(gone("a"), peer("b", epoch=2), peer("c", epoch=2)), ViewPolicy(1))
     assert third is not None
     assert third.chain[0].voter.address == "b"
 
--- a/tests/coordination/test_votes.py
+++ b/tests/coordination/test_votes.py
@@ -7,17 +7,17 @@
 import pytest
 
 from roselink.coordination.views import first_view
-from roselink.coordination.votes import Attempt, Voting
+from roselink.coordination.votes import Acceptor, ProposalRound
 from roselink.protocol.chain import (
     Accept,
     Accepted,
+    AcceptorState,
     Ballot,
     Prepare,
     Promise,
     Refusal,
     View,
     Voter,
-    Votes,
 )
 
 VIEW = first_view("abc")
@@ -27,8 +27,8 @@
 ONE, TWO = View(2, VIEW.voters, VIEW.chain[:2]), View(2, VIEW.voters, VIEW.chain[1:])
 
 
-def voting(**changes: object) -> Voting:
-    own = Voting(C, VIEW)
+def voting(**changes: object) -> Acceptor:
+    own = Acceptor(C, VIEW)
     for name, value in changes.items():
         setattr(own, name, value)
     return own
@@ -52,7 +52,7 @@
         (voting(view=None), Prepare(A, 1, LOW), None),
     ],
 )
-def test_phase_one(own: Voting, asked: Prepare, expected: object) -> None:
+def test_phase_one(own: Acceptor, asked: Prepare, expected: object) -> None:
     assert own.prepare(asked) == expected
 
 
@@ -67,7 +67,7 @@
         (voting(view=ONE), Accept(A, LOW, ONE), None),
     ],
 )
-def test_phase_two(own: Voting, asked: Accept, expected: object) -> None:
+def test_phase_two(own: Acceptor, asked: Accept, expected: object) -> None:
     assert own.accept(asked) == expected
 
 
@@ -83,7 +83,7 @@
         (voting(voter=OUTSIDER), 1, False),
     ],
 )
-def test_newest(own: Voting, epoch: int, expected: bool) -> None:
+def test_newest(own: Acceptor, epoch: int, expected: bool) -> None:
     assert own.newest(epoch) is expected
 
 
@@ -99,13 +99,13 @@
 def test_a_new_view_clears_the_votes_and_an_old_one_is_passed_over() -> None:
     own = voting(promised=HIGH, accepted=LOW, proposal=ONE)
     assert own.adopt(ONE)
-    assert own.record() == Votes(C, ONE, None, None, None)
+    assert own.record() == AcceptorState(C, ONE, None, None, None)
     assert not own.adopt(TWO)
     assert own.view == ONE
 
 
 def test_an_attempt_takes_up_what_may_be_decided() -> None:
-    attempt = Attempt(VIEW, Ballot(9, "a", 5), ONE, 0.0)
+    attempt = ProposalRound(VIEW, Ballot(9, "a", 5), ONE, 0.0)
     assert attempt.unanswered() == [A, B, C]
     assert not attempt.promise(Promise(A, 2, attempt.ballot, None, None))
     assert attempt.unanswered() == [B, C]
@@ -126,7 +126,7 @@
     ],
 )
 def test_promises_that_do_not_count(answer: Promise) -> None:
-    attempt = Attempt(VIEW, Ballot(9, "a", 5), ONE, 0.0)
+    attempt = ProposalRound(VIEW, Ballot(9, "a", 5), ONE, 0.0)
     assert not attempt.promise(Promise(A, 2, attempt.ballot, None, None))
     assert not attempt.promise(answer)
     assert attempt.value is None
@@ -136,15 +136,17 @@
 def test_one_value_is_decided_in_any_order_of_messages(seed: int) -> None:
     draw = random.Random(seed)
     view = first_view("abcde"[: draw.choice([3, 4, 5])])
-    voters = {voter: Voting(voter, view) for voter in view.voters}
-    attempts: list[Attempt] = []
-    flying: list[tuple[Voter, Attempt, Prepare | Accept]] = []
+    voters = {voter: Acceptor(voter, view) for voter in view.voters}
+    attempts: list[ProposalRound] = []
+    flying: list[tuple[Voter, ProposalRound, Prepare | Accept]] = []
     decided: set[View] = set()
     for step in range(400):
         if step % 40 == 0:
             voter = draw.choice(view.voters)
             wanted = View(2, view.voters, tuple(draw.sample(view.chain, 2)))
-            attempt = Attempt(view, Ballot(step // 80 + 1, voter.address, step + 1), wanted, 0.0)
+            attempt = ProposalRound(
+                view, Ballot(step // 80 + 1, voter.address, step + 1), wanted, 0.0
+            )
             attempts.append(attempt)
             flying += [(to, attempt, Prepare(voter, 2, attempt.ballot)) for to in view.voters]
         if not flying:
@@ -154,7 +156,7 @@
         if draw.random() < 0.1:
             continue
         if draw.random() < 0.1:
-            voters[to] = Voting.restored(voters[to].record())
+            voters[to] = Acceptor.restored(voters[to].record())
         own = voters[to]
         answer = own.prepare(message) if isinstance(message, Prepare) else own.accept(message)
         if isinstance(answer, Promise):
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -176,8 +176,8 @@
         ("records of another epoch", "            and epoch == self.view.epoch\n", ""),
         (
             "the epoch begins before it is on disk",
-            "not self.taking_part or not self._on_disk()",
-            "not self.taking_part",
+            "not self.participating or not self._on_disk()",
+            "not self.participating",
         ),
         (
             "writes go on before they are on disk",
@@ -256,8 +256,8 @@
         ("an order on an older version is taken", "order.base < state.generation", "False"),
         (
             "a refusal is not noted",
-            "return Verdict(Judgement.REFUSE_FOR_GOOD, state.generation)",
-            "return Verdict(Judgement.CONFLICT, state.generation)",
+            "return Validation(ValidationKind.REFUSE_FOR_GOOD, state.generation)",
+            "return Validation(ValidationKind.CONFLICT, state.generation)",
         ),
         ("a noted refusal is taken", "        if generation:\n", "        if True:\n"),
         ("an order without a document is taken", "    if not order.document:", "    if False:"),
@@ -326,8 +326,8 @@
         ),
         (
             "half of a disk is taken",
-            "isinstance(votes, Votes) and isinstance(state, StoredState)",
-            "isinstance(votes, Votes)",
+            "isinstance(votes, AcceptorState) and isinstance(state, StoredState)",
+            "isinstance(votes, AcceptorState)",
         ),
         (
             "a refused save leaves its files",
@@ -396,7 +396,7 @@
         ),
         (
             "an unconfirmed state is built on",
-            "        if confirmed is None:\n            done(Unsettled())",
+            "        if confirmed is None:\n            done(OutcomeUnknown())",
             "        if confirmed is None:\n            done(Conflict(0))",
         ),
     ),
--- a/tests/simulation/test_days.py
+++ b/tests/simulation/test_days.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from roselink.coordination.effects import SubmitOutcome, TakenOrder
+from roselink.coordination.effects import ChangeCommitted, SubmitOutcome
 from roselink.coordination.state import digest_of
-from roselink.protocol.chain import ConfigurationOrder
+from roselink.protocol.chain import ConfigurationChange
 from roselink.simulation.days import (
     day_of_seed,
     halves_day,
@@ -24,13 +24,13 @@
 from roselink.simulation.world import Machine, World
 
 
-def order_on(base: int, generation: int) -> ConfigurationOrder:
+def order_on(base: int, generation: int) -> ConfigurationChange:
     document = f"{base}-{generation}".encode()
-    return ConfigurationOrder(base, generation, document, digest_of(base, document))
+    return ConfigurationChange(base, generation, document, digest_of(base, document))
 
 
 def submit(
-    world: World, machine: Machine, order: ConfigurationOrder, most_s: float = 4.0
+    world: World, machine: Machine, order: ConfigurationChange, most_s: float = 4.0
 ) -> SubmitOutcome:
     got: list[SubmitOutcome] = []
     machine.submit(order, got.append)
@@ -50,14 +50,14 @@
     world = calm(machines, 0 if machines == 1 else 1)
     first = order_on(0, 5)
     began = world.now
-    assert submit(world, world.up()[0], first) == TakenOrder(1)
+    assert submit(world, world.up()[0], first) == ChangeCommitted(1)
     assert world.now - began < 0.2
     for machine in world.up():
         began = world.now
         shown = read(world, machine)
         assert shown is not None and (shown.generation, shown.document) == (5, first.document)
         assert world.now - began < 0.03
-        assert submit(world, machine, first) == TakenOrder(1)
+        assert submit(world, machine, first) == ChangeCommitted(1)
 
 
 @pytest.mark.parametrize("seed", [0, 1, 3])
@@ -83,7 +83,7 @@
         return
     harm(world, hurt, trouble)
     began = world.now
-    assert submit(world, machines[by], order_on(0, 5)) == TakenOrder(1)
+    assert submit(world, machines[by], order_on(0, 5)) == ChangeCommitted(1)
     assert world.now - began < 1.5
     mend(world, hurt)
     assert world.run_until(lambda: in_chain(world, hurt), 2.5)
@@ -94,7 +94,7 @@
 def test_a_machine_that_lost_its_disk_is_back_in_time(machines: int, victim: int) -> None:
     world = calm(machines)
     hurt = list(world.machines.values())[victim]
-    assert submit(world, hurt, order_on(0, 5)) == TakenOrder(1)
+    assert submit(world, hurt, order_on(0, 5)) == ChangeCommitted(1)
     hurt.kill()
     hurt.wipe()
     world.run(0.2)
@@ -112,7 +112,7 @@
 ) -> None:
     world = calm(machines)
     hurt = list(world.machines.values())[victim]
-    assert submit(world, hurt, order_on(0, 5)) == TakenOrder(1)
+    assert submit(world, hurt, order_on(0, 5)) == ChangeCommitted(1)
     hurt.kill()
     del world.machines[hurt.address]
     world.run(after_s)
@@ -128,15 +128,15 @@
 @pytest.mark.parametrize("machines", [3, 5])
 def test_a_core_that_was_killed_whole_serves_again_with_two_thirds_of_it(machines: int) -> None:
     world = calm(machines)
-    assert submit(world, world.up()[0], order_on(0, 5)) == TakenOrder(1)
+    assert submit(world, world.up()[0], order_on(0, 5)) == ChangeCommitted(1)
     for machine in world.machines.values():
         machine.kill()
     world.run(1.0)
     back = list(world.machines.values())[: machines // 2 + 1]
     for machine in back:
         machine.start()
-    assert submit(world, back[0], order_on(5, 6)) == TakenOrder(2)
-    assert submit(world, back[-1], order_on(0, 5)) == TakenOrder(1)
+    assert submit(world, back[0], order_on(5, 6)) == ChangeCommitted(2)
+    assert submit(world, back[-1], order_on(0, 5)) == ChangeCommitted(1)
 
 
 @pytest.mark.parametrize("machines", [3, 5])
@@ -145,7 +145,7 @@
     machines: int, spread_s: float
 ) -> None:
     world = calm(machines)
-    assert submit(world, world.up()[0], order_on(0, 5)) == TakenOrder(1)
+    assert submit(world, world.up()[0], order_on(0, 5)) == ChangeCommitted(1)
     newest = world.up()[0].member
     assert newest is not None and newest.view is not None
     epoch = newest.view.epoch
@@ -165,11 +165,11 @@
 
 def test_a_frozen_tail_confirms_nothing_old_when_it_wakes() -> None:
     world = calm()
-    assert submit(world, world.up()[0], order_on(0, 5)) == TakenOrder(1)
+    assert submit(world, world.up()[0], order_on(0, 5)) == ChangeCommitted(1)
     tail = world.active_tail()
     assert tail is not None
     tail.freeze()
-    assert submit(world, world.up()[0], order_on(5, 6)) == TakenOrder(2)
+    assert submit(world, world.up()[0], order_on(5, 6)) == ChangeCommitted(2)
     world.run(2.0)
     tail.held_up.clear()
     tail.thaw()
@@ -186,7 +186,7 @@
     assert world.run_until(lambda: head.member is not None and head.member.left, 0.5)
     head.kill()
     began = world.now
-    assert submit(world, world.up()[0], order_on(0, 5)) == TakenOrder(1)
+    assert submit(world, world.up()[0], order_on(0, 5)) == ChangeCommitted(1)
     assert world.now - began < 0.25
 
 
--- a/tests/simulation/test_disk.py
+++ b/tests/simulation/test_disk.py
@@ -10,7 +10,7 @@
 
 from roselink.controller.storage import Storage, record_number
 from roselink.coordination.effects import Store
-from roselink.protocol.chain import ConfigurationState, StoredState, View, Voter, Votes
+from roselink.protocol.chain import AcceptorState, ConfigurationState, StoredState, View, Voter
 from roselink.protocol.records import encode
 from roselink.simulation.disk import FOLDER, Broken, Kept, MemoryFiles, Write, disk_full
 
@@ -22,8 +22,8 @@
 BOUNDS = [DRAWN, pytest.param(DRAWN_ON_DEMAND, marks=pytest.mark.many_seeds)]
 
 
-def votes(round_number: int) -> Votes:
-    return Votes(VOTER, View(round_number, (VOTER,), ()), None, None, None)
+def votes(round_number: int) -> AcceptorState:
+    return AcceptorState(VOTER, View(round_number, (VOTER,), ()), None, None, None)
 
 
 def state(sequence: int) -> StoredState:
@@ -38,17 +38,17 @@
     storage = Storage(FOLDER, files)
     assert storage.load() == (None, None)
     for number in (1, 2):
-        save(storage, Store.VOTES, number)
+        save(storage, Store.ACCEPTOR, number)
         save(storage, Store.STATE, number)
     return storage
 
 
 def save(storage: Storage, store: Store, number: int) -> None:
-    record = votes(number) if store is Store.VOTES else state(number)
+    record = votes(number) if store is Store.ACCEPTOR else state(number)
     storage.save(store, record_number(store), encode(record))
 
 
-def load(contents: dict[str, bytes]) -> tuple[Votes | None, StoredState | None]:
+def load(contents: dict[str, bytes]) -> tuple[AcceptorState | None, StoredState | None]:
     files = MemoryFiles()
     files.hold(contents)
     return Storage(FOLDER, files).load()
@@ -113,8 +113,8 @@
         kept_votes, kept_state = load(contents)
         assert kept_votes is not None and kept_votes.view is not None
         assert kept_state is not None
-        newest = kept_votes.view.epoch if store is Store.VOTES else kept_state.state.sequence
-        other = kept_state.state.sequence if store is Store.VOTES else kept_votes.view.epoch
+        newest = kept_votes.view.epoch if store is Store.ACCEPTOR else kept_state.state.sequence
+        other = kept_state.state.sequence if store is Store.ACCEPTOR else kept_votes.view.epoch
         assert newest in allowed
         assert other == 2
         assert kept_votes == votes(kept_votes.view.epoch)
@@ -144,14 +144,16 @@
         kept_votes, kept_state = load(contents)
         assert kept_votes is not None and kept_votes.view is not None
         assert kept_state is not None
-        newest = kept_votes.view.epoch if store is Store.VOTES else kept_state.state.sequence
+        newest = kept_votes.view.epoch if store is Store.ACCEPTOR else kept_state.state.sequence
         assert newest in ({3} if ended else {2, 3})
     save(storage, store, 4)
     for contents in remains(files, random.Random(at), most):
         kept_votes, kept_state = load(contents)
         assert kept_votes is not None and kept_votes.view is not None
         assert kept_state is not None
-        assert (kept_votes.view.epoch if store is Store.VOTES else kept_state.state.sequence) == 4
+        assert (
+            kept_votes.view.epoch if store is Store.ACCEPTOR else kept_state.state.sequence
+        ) == 4
 
 
 def test_the_steps_cover_a_whole_save() -> None:
@@ -172,7 +174,7 @@
     files.fail(cut_at, Broken, on=True)
     ended = True
     try:
-        save(storage, Store.VOTES, 1)
+        save(storage, Store.ACCEPTOR, 1)
     except Broken:
         ended = False
     files.heal()
--- a/tests/simulation/test_search.py
+++ b/tests/simulation/test_search.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from roselink.coordination.orders import HeadOrders
+from roselink.coordination.orders import ChangeSequencer
 from roselink.coordination.reads import ReadRounds
-from roselink.coordination.votes import Attempt
+from roselink.coordination.votes import ProposalRound
 from roselink.simulation.search import Bounds, Found, search, walk
 from roselink.simulation.system import (
     System,
@@ -30,7 +30,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from roselink.protocol.chain import Submit, View
+    from roselink.protocol.chain import SubmitRequest, View
 
 STATES = 1500  # of each search in CI
 STATES_ON_DEMAND = 60_000  # the same with `many_seeds`
@@ -118,7 +118,7 @@
     return found
 
 
-def answers_at_once(self: HeadOrders, order: Submit) -> None:
+def answers_at_once(self: ChangeSequencer, order: SubmitRequest) -> None:
     """An order's answer does not wait until it is committed."""
     before = self.chain.committed
     self.chain.committed = 1 << 60
@@ -134,7 +134,7 @@
     return list(confirmed)
 
 
-def forgets_what_was_accepted(self: Attempt) -> View:
+def forgets_what_was_accepted(self: ProposalRound) -> View:
     """A proposer puts its own view forward, whatever was accepted before."""
     return self.wanted
 
@@ -142,9 +142,9 @@
 @pytest.mark.parametrize(
     ("start", "owner", "name", "broken"),
     [
-        ("calm", HeadOrders, "take", answers_at_once),
+        ("calm", ChangeSequencer, "take", answers_at_once),
         ("the tail is left behind", ReadRounds, "answer", shows_unconfirmed),
-        ("a view is accepted", Attempt, "_choose", forgets_what_was_accepted),
+        ("a view is accepted", ProposalRound, "_choose", forgets_what_was_accepted),
     ],
 )
 def test_a_guard_that_is_gone_is_found(
--- a/tools/configurations.py
+++ b/tools/configurations.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from roselink.controller.checking import Checked, Refused, check
-from roselink.controller.contract import ConfigurationOrder, Confirmation
+from roselink.controller.contract import ConfigurationChange, Confirmation
 from roselink.controller.updates import order_of_update, read_call
 from roselink.dataplane.routes import RouteTable
 from roselink.model.configuration import Configuration
@@ -56,7 +56,7 @@
     )
 
 
-def _updated(body: bytes) -> ConfigurationOrder:
+def _updated(body: bytes) -> ConfigurationChange:
     """One route changed by an update of items, merged onto the document."""
     document = json.loads(body)
     generation = document["generation"]
--- a/tools/core.py
+++ b/tools/core.py
@@ -12,15 +12,15 @@
 
 from roselink.controller.storage import Storage, record_number
 from roselink.coordination.effects import Effect, Send, Store
-from roselink.coordination.reads import ReadRounds, Waiting
-from roselink.coordination.state import HISTORY_LIMIT, apply, digest_of
+from roselink.coordination.reads import ReadRounds, WaitingRead
+from roselink.coordination.state import HISTORY_LIMIT, apply_change, digest_of
 from roselink.coordination.views import MAX_VOTERS
 from roselink.protocol.chain import (
-    ConfigurationOrder,
+    ChainReplica,
+    ConfigurationChange,
     ConfigurationState,
-    ConfirmAnswer,
+    ConfirmReply,
     Heartbeat,
-    Link,
     StoredState,
     View,
     Voter,
@@ -68,7 +68,7 @@
 def round_cost(count: int, times: int) -> MessageCost:
     """One confirm round at a tail with so many voters, their answers included."""
     voters = tuple(Voter(address, 1) for address in make_cores(count))
-    view = View(1, voters, tuple(Link(voter, 1, 1) for voter in voters))
+    view = View(1, voters, tuple(ChainReplica(voter, 1, 1) for voter in voters))
     sent: list[Effect] = []
     rounds = ReadRounds(voters[-1], sent.append)
     number, size = 0, 0
@@ -77,13 +77,13 @@
         nonlocal number, size
         number += 1
         sent.clear()
-        rounds.ask(Waiting(voters[-1].address, number, 0), view, True, float(number))
+        rounds.ask(WaitingRead(voters[-1].address, number, 0), view, True, float(number))
         size = 0
         for voter, effect in zip(voters, sent, strict=True):
             if not isinstance(effect, Send):
                 raise RuntimeError("a round only sends")
             size += len(frame(NOTICE, 0, effect.message))
-            answer = frame(NOTICE, 0, ConfirmAnswer(voter, 1, number, True))
+            answer = frame(NOTICE, 0, ConfirmReply(voter, 1, number, True))
             size += len(answer)
             for _, _, message in FrameReader().feed(answer):
                 rounds.answer(message)
@@ -112,15 +112,15 @@
 def write_cost(document: int, saves: int) -> WriteCost:
     """A document of so many bytes goes on from one member to the next, and to a disk."""
     body = b"x" * document
-    order = ConfigurationOrder(0, 5, body, digest_of(0, body))
+    order = ConfigurationChange(0, 5, body, digest_of(0, body))
     write = Write(Voter(make_cores(1)[0], 1), 1, 2, False, order)
     data = frame(NOTICE, 0, write)
     full = ConfigurationState(1, 1, b"", bytes(HISTORY_ENTRY * HISTORY_LIMIT))
-    payload = encode(StoredState(1, apply(full, order, False)))
+    payload = encode(StoredState(1, apply_change(full, order, False)))
 
     def carry() -> None:
         FrameReader().feed(data)
-        encode(StoredState(1, apply(full, order, False)))
+        encode(StoredState(1, apply_change(full, order, False)))
         frame(NOTICE, 0, write)
 
     with tempfile.TemporaryDirectory() as folder:
