--- a/roselink/controller/contract.py
+++ b/roselink/controller/chain_interface.py
@@ -1,7 +1,7 @@
 """What the operator's interface and the replicated chain say to each other.
 
-An order ends with exactly one outcome. `OutcomeUnknown` says nothing about whether the order was
-or will be taken: the caller may send it again unchanged, to any member.
+An order ends with exactly one outcome. `OutcomeUnknown` says nothing about whether the order
+was or will be taken: the caller may send it again unchanged, to any member.
 """
 
 from __future__ import annotations
@@ -28,14 +28,14 @@
     "ConfigurationChange",
     "Confirmation",
     "Conflict",
-    "ControlNode",
     "OutcomeUnknown",
+    "ReplicatedChain",
     "StaleGeneration",
     "SubmitOutcome",
 ]
 
 
-class ControlNode(Protocol):
+class ReplicatedChain(Protocol):
     """The replicated chain as the rest of a core process sees it."""
 
     @property
