--- /dev/null
+++ b/tests/routing/test_recorded_decisions.py
@@ -0,0 +1,97 @@
+"""Random event sequences replayed: every action is the one recorded from version 0.3.0's decider.
+
+A digest stands for all actions of one sequence, in order, with every field. A change of shape must
+leave the digests as they are; a change of what the decider does records them anew, and says why.
+"""
+
+from __future__ import annotations
+
+from dataclasses import fields, replace
+from enum import Enum
+from hashlib import sha256
+from typing import TYPE_CHECKING
+
+import pytest
+
+from roselink.routing import decisions as d
+from roselink.routing.outcome import Outcome
+from tests.routing.test_invariants import Play
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
+STEPS = 1500
+ENDINGS = [outcome for outcome in Outcome if outcome is not Outcome.CANCELLED]
+MOSTLY_GOOD = [Outcome.SUCCESS] * 12 + ENDINGS
+
+# Names of the actions in the record, whatever their classes are called.
+KINDS: dict[type, str] = {
+    d.SendAttempt: "send",
+    d.CancelAttempt: "cancel",
+    d.AskSharedBudget: "ask",
+    d.FinalAnswer: "final",
+    d.StartTimer: "timer",
+}
+
+RECORDED = {
+    (1, "good"): "3c60b8dcd0696828e618a9eb35c3508dbeaa2218e66a67ba72905dec3c866fde",
+    (2, "good"): "fdf7076577a93cb97d3fb478aa891f522516dc10af3c65215f97df8a10e338a2",
+    (3, "good"): "81461351305cfa88ce8f997e11c7bf3454b10471fc8b7107038364d8040023fb",
+    (4, "bad"): "ff2c0abe8055c16c4f47e701e860f2e191c9771edee8fd4c42514a5a93b489d7",
+    (5, "bad"): "e199567992e417730e464ce1a4222bb6102a1a998769f9d995e3b5e91c4086fc",
+    (6, "bad"): "c0bc8425c9839d1b1fc5fe3cfc38a6ca85018ee9f860e503564cd9e413298049",
+}
+
+
+class Recording(Play):
+    """A play that takes down every action, and tells payoffs over all gateways now and then."""
+
+    def __init__(self, seed: int, outcomes: list[Outcome]) -> None:
+        super().__init__(seed, outcomes, share_granted=0.5)
+        self.record = sha256()
+        self.count = 0
+        decide = self.made.decider.handle
+
+        def handle(now: float, event: d.Event) -> list[d.Action]:
+            actions = decide(now, event)
+            self.take_down(actions)
+            return actions
+
+        self.made.decider.handle = handle  # type: ignore[method-assign]
+
+    def take_down(self, actions: Iterable[d.Action]) -> None:
+        for action in actions:
+            self.count += 1
+            values = [getattr(action, field.name) for field in fields(action)]
+            plain = [value.value if isinstance(value, Enum) else value for value in values]
+            self.record.update(f"{KINDS[type(action)]} {plain!r}\n".encode())
+
+    def tell(self, event: d.Event) -> None:
+        """Besides the outcomes of a play: hosts at the wrong address, failures passed on."""
+        if isinstance(event, d.AttemptEnded) and self.draw.random() < 0.2:
+            if event.outcome is Outcome.FULL:
+                event = replace(event, wrong_host=True)
+            elif event.outcome is Outcome.ERROR and event.number in self.owed:
+                event = replace(event, relayed=True)
+                self.owed.discard(event.number)
+        super().tell(event)
+
+    def step(self) -> None:
+        super().step()
+        chance = self.draw.random()
+        if chance < 0.02:
+            hosts = tuple((f"h{n}", self.draw.random()) for n in range(5) if n % 2)
+            self.tell(d.PooledPayoffs(hosts))
+        elif chance < 0.04:
+            self.record.update(f"untold {self.made.decider.untold_outcomes()!r}\n".encode())
+
+
+@pytest.mark.parametrize(("seed", "kind"), RECORDED, ids=str)
+def test_actions_are_those_recorded(seed: int, kind: str) -> None:
+    play = Recording(seed, MOSTLY_GOOD if kind == "good" else ENDINGS)
+    play.topology()
+    for _ in range(STEPS):
+        play.step()
+    play.finish()
+    assert play.count > STEPS
+    assert play.record.hexdigest() == RECORDED[seed, kind]
