--- a/tests/coordination/test_docs.py
+++ b/tests/coordination/test_docs.py
@@ -20,7 +20,7 @@
     "protocol": {"protocol", "model"},
 }
 WALL_CLOCKS = {"time", "time_ns", "now", "utcnow", "today"}
-OF_LOGS = {"event_log.py", "logs.py"}
+OF_LOGS = {"startup_log.py", "logging_setup.py"}
 
 
 def modules(package: str) -> list[Path]:
