--- a/roselink/controller/updates.py
+++ b/roselink/controller/updates.py
@@ -24,10 +24,10 @@
 from voluptuous import Invalid
 
 from roselink.controller.chain_interface import (
-    ConfigurationOrder,
+    ConfigurationChange,
     Confirmation,
+    OutcomeUnknown,
     SubmitOutcome,
-    Unsettled,
 )
 from roselink.controller.field_validators import positive_whole
 from roselink.controller.validation import (
@@ -117,7 +117,7 @@
 
 def proposal_from_update(
     base: int, update: Update, digest: bytes, confirmed: Confirmation
-) -> ConfigurationOrder | ValidationFailure:
+) -> ConfigurationChange | ValidationFailure:
     """The order that brings an update about, on a state confirmed after the update was read.
 
     Where the base is not in place the order has no document: the head then only looks for its
@@ -126,7 +126,7 @@
     result.
     """
     if base != confirmed.generation:
-        return ConfigurationOrder(base, update.generation, b"", digest)
+        return ConfigurationChange(base, update.generation, b"", digest)
     document = json.loads(confirmed.document) if confirmed.document is not None else _nothing()
     faults = tuple(_section_faults(document, update))
     if faults:
@@ -141,7 +141,7 @@
 def submit_update(
     call: UpdateRequest,
     confirm: Callable[[Callable[[Confirmation | None], None]], None],
-    submit: Callable[[ConfigurationOrder, Callable[[SubmitOutcome], None]], None],
+    submit: Callable[[ConfigurationChange, Callable[[SubmitOutcome], None]], None],
     done: Callable[[SubmitOutcome | ValidationFailure], None],
 ) -> None:
     """Confirm the state, merge the update onto it, and have the order decided. `done` gets one
@@ -150,7 +150,7 @@
 
     def on_state(confirmed: Confirmation | None) -> None:
         if confirmed is None:
-            done(Unsettled())
+            done(OutcomeUnknown())
             return
         order = proposal_from_update(call.base, call.update, call.digest, confirmed)
         if isinstance(order, ValidationFailure):
@@ -161,11 +161,11 @@
     confirm(on_state)
 
 
-def _order(base: int, checked: ValidDocument, digest: bytes) -> ConfigurationOrder:
+def _order(base: int, checked: ValidDocument, digest: bytes) -> ConfigurationChange:
     # In ASCII: half a character, which JSON allows in fields that are passed over, has no bytes of
     # its own.
     document = json.dumps(checked.document, separators=(",", ":")).encode()
-    return ConfigurationOrder(base, checked.generation, document, digest)
+    return ConfigurationChange(base, checked.generation, document, digest)
 
 
 def _nothing() -> dict[str, Any]:
