--- a/roselink/dataplane/admission.py
+++ b/roselink/dataplane/admission.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from roselink.dataplane.requests import ProxyRequest, priority_of
-from roselink.routing.decisions import RequestFacts
+from roselink.routing.events_and_actions import RequestFacts
 
 if TYPE_CHECKING:
     from roselink.dataplane.exchange import Exchange
--- a/roselink/dataplane/attempts.py
+++ b/roselink/dataplane/attempts.py
@@ -8,7 +8,7 @@
 from roselink.dataplane.exchange import AnswerMode, AttemptAnswer, Exchange
 from roselink.dataplane.requests import attempt_head
 from roselink.dataplane.upstream import FleetAttempt, FleetHost, FleetUpstream
-from roselink.routing.decisions import AttemptEnded, Event, FirstEvent, SendAttempt
+from roselink.routing.events_and_actions import AttemptEnded, Event, FirstEvent, SendAttempt
 from roselink.routing.outcome import NEVER_RAN, Outcome
 
 if TYPE_CHECKING:
--- a/roselink/dataplane/engine.py
+++ b/roselink/dataplane/engine.py
@@ -31,14 +31,14 @@
 from roselink.dataplane.requests import ProxyRequest, host_head
 from roselink.dataplane.routes import RouteTable
 from roselink.dataplane.topology import HostDirectory
-from roselink.routing.decisions import (
+from roselink.routing.events_and_actions import (
+    AcquireSharedBudget,
     Action,
-    AskSharedBudget,
     BudgetDecided,
     CancelAttempt,
     Event,
-    FinalAnswer,
-    GiveUp,
+    FailureReason,
+    FinalResponse,
     RequestArrived,
     RequestClosed,
     SendAttempt,
@@ -158,7 +158,7 @@
             )
         except Exception:  # it must not be answered twice: here, and when its time is up
             log.exception("quota_failed tenant=%s", tenant.name)
-            self._give_up(exchange, GiveUp.NOT_RUN, NOT_CONFIRMED_RETRY_S)
+            self._give_up(exchange, FailureReason.NOT_RUN, NOT_CONFIRMED_RETRY_S)
 
     def _admitted(self, exchange: Exchange, allowed: bool, retry_after_s: float) -> None:
         if exchange.closed or exchange.facts is not None:
@@ -205,7 +205,7 @@
         for answer in list(exchange.attempts.values()):
             if answer.attempt is not None:
                 answer.attempt.end(Outcome.TIMEOUT)
-        self._give_up(exchange, GiveUp.OUT_OF_TIME, 0.0)
+        self._give_up(exchange, FailureReason.OUT_OF_TIME, 0.0)
 
     # The decider.
 
@@ -216,7 +216,7 @@
     def _fail(self, number: int) -> None:
         exchange = self.open.get(number)
         if exchange is not None:
-            self._give_up(exchange, GiveUp.MAY_HAVE_RUN, 0.0)
+            self._give_up(exchange, FailureReason.MAY_HAVE_RUN, 0.0)
 
     def _perform(self, action: Action) -> None:
         if isinstance(action, StartTimer):
@@ -231,9 +231,9 @@
             answer = exchange.attempts.get(action.attempt)
             if answer is not None:
                 answer.cancel()
-        elif isinstance(action, AskSharedBudget):
+        elif isinstance(action, AcquireSharedBudget):
             self._budget.ask(action.service, partial(self._budget_decided, action.number))
-        elif isinstance(action, FinalAnswer):
+        elif isinstance(action, FinalResponse):
             self._give_up(exchange, action.reason, action.retry_after_s)
 
     def _budget_decided(self, number: int, allowed: bool) -> None:
@@ -264,16 +264,16 @@
         if exchange.closed:
             self._close(exchange)
         elif exchange.begun and exchange.stopped and not exchange.broken:
-            self._give_up(exchange, GiveUp.MAY_HAVE_RUN, 0.0)
+            self._give_up(exchange, FailureReason.MAY_HAVE_RUN, 0.0)
         elif exchange.exhausted and not exchange.attempts:
             log.error("request_sent_without_end number=%d", exchange.number)
-            self._give_up(exchange, GiveUp.OUT_OF_TIME, 0.0)
+            self._give_up(exchange, FailureReason.OUT_OF_TIME, 0.0)
         elif exchange.distrusted and not exchange.attempts:
-            self._give_up(exchange, GiveUp.NOT_RUN, NOT_CONFIRMED_RETRY_S)
+            self._give_up(exchange, FailureReason.NOT_RUN, NOT_CONFIRMED_RETRY_S)
 
     # The end of a request.
 
-    def _give_up(self, exchange: Exchange, reason: GiveUp, retry_after_s: float) -> None:
+    def _give_up(self, exchange: Exchange, reason: FailureReason, retry_after_s: float) -> None:
         """The final answer of ours. What it promises is true, whatever the reason given."""
         if exchange.closed:
             return
@@ -288,7 +288,7 @@
             self.counts["relayed"] += 1
             self._close(exchange)
         else:
-            self._answer_own(exchange, 504 if reason is GiveUp.OUT_OF_TIME else 502)
+            self._answer_own(exchange, 504 if reason is FailureReason.OUT_OF_TIME else 502)
 
     def _answer_own(
         self, exchange: Exchange, status: int, retry_after_s: float | None = None
--- a/roselink/dataplane/exchange.py
+++ b/roselink/dataplane/exchange.py
@@ -20,7 +20,7 @@
     import asyncio
     from collections.abc import Callable
 
-    from roselink.routing.decisions import RequestFacts
+    from roselink.routing.events_and_actions import RequestFacts
 
 SENDS_MOST = 64  # attempts of one request: a decider that never stops must not stop the loop
 HOLD_LIMIT = 256 * 1024  # bytes of an answer that wait here for the rest of it
--- a/roselink/dataplane/interfaces.py
+++ b/roselink/dataplane/interfaces.py
@@ -11,7 +11,7 @@
 
     from roselink.model.configuration import Tenant
     from roselink.model.fleet import Snapshot
-    from roselink.routing.decisions import Action, Event
+    from roselink.routing.events_and_actions import Action, Event
 
 
 class Decisions(Protocol):
--- a/roselink/dataplane/plane.py
+++ b/roselink/dataplane/plane.py
@@ -11,7 +11,7 @@
 from roselink.dataplane.server import DataServer, ReadinessServer
 from roselink.dataplane.upstream import FleetUpstream
 from roselink.http.descriptors import Descriptors
-from roselink.routing.decisions import PooledPayoffs
+from roselink.routing.events_and_actions import PooledPayoffs
 
 if TYPE_CHECKING:
     from roselink.dataplane.interfaces import Authority, Decisions, Quotas, SharedBudget
--- a/roselink/dataplane/queue.py
+++ b/roselink/dataplane/queue.py
@@ -7,7 +7,7 @@
 from contextlib import contextmanager
 from typing import TYPE_CHECKING
 
-from roselink.routing.decisions import (
+from roselink.routing.events_and_actions import (
     Action,
     AttemptEnded,
     BudgetDecided,
--- a/roselink/dataplane/requests.py
+++ b/roselink/dataplane/requests.py
@@ -6,7 +6,7 @@
 
 from roselink.http.framing_checks import Bad
 from roselink.model.configuration import Route, RouteKind, Tenant
-from roselink.routing.decisions import PromptPart
+from roselink.routing.events_and_actions import PromptPart
 
 Headers = list[tuple[bytes, bytes]]
 
--- a/roselink/router/app.py
+++ b/roselink/router/app.py
@@ -40,7 +40,7 @@
         signal.SIGHUP, signal.SIG_IGN
     )  # until there is a gateway that can reload, it would kill
     path = os.environ.get(ENVIRONMENT_VARIABLE, DEFAULT_PATH)
-    make_decider = importlib.import_module("roselink.routing.fleet").FleetDecider
+    make_decider = importlib.import_module("roselink.routing.fleet_decider").FleetDecider
     make_data_plane = importlib.import_module("roselink.dataplane.plane").DataPlane
     try:
         uvloop.run(serve(settings, path, make_decider, make_data_plane))
@@ -73,7 +73,7 @@
         settings, loop, decider, control.pull_client, control.budgets, control.budgets
     )
     control.pull_client.exchange_payoffs(
-        lambda: tuple(HostOutcomes(*outcome) for outcome in decider.untold_outcomes()),
+        lambda: tuple(HostOutcomes(*outcome) for outcome in decider.take_unreported_outcomes()),
         lambda told: data_plane.pool_payoffs(told.hosts),
     )
     await data_plane.start()
--- a/roselink/routing/affinity.py
+++ b/roselink/routing/affinity.py
@@ -19,7 +19,7 @@
 from typing import TYPE_CHECKING, TypeVar
 
 if TYPE_CHECKING:
-    from roselink.routing.decisions import PromptPart, RequestFacts
+    from roselink.routing.events_and_actions import PromptPart, RequestFacts
 
 KEPT_PARTS = 8192  # parts whose hosts are remembered
 KEPT_LASTS = 2048  # last parts remembered, to see which come again
--- a/roselink/routing/classifier.py
+++ b/roselink/routing/classifier.py
@@ -9,7 +9,7 @@
 NEVER_SENT = frozenset({Outcome.CONNECT_FAILED, Outcome.MOOT})
 
 
-class Verdict(Enum):
+class RetryDecision(Enum):
     """What an outcome means for its request."""
 
     DONE = "done"
@@ -17,11 +17,11 @@
     STOP = "stop"
 
 
-def classify(outcome: Outcome, repeatable: bool, relayed: bool = False) -> Verdict:
+def classify(outcome: Outcome, repeatable: bool, relayed: bool = False) -> RetryDecision:
     """Work that never ran may always be repeated; any failure may where repeats do no harm.
 
     `relayed`: the client has this very answer already, whatever it was.
     """
     if outcome is Outcome.SUCCESS or relayed:
-        return Verdict.DONE
-    return Verdict.RETRY if outcome in NEVER_RAN or repeatable else Verdict.STOP
+        return RetryDecision.DONE
+    return RetryDecision.RETRY if outcome in NEVER_RAN or repeatable else RetryDecision.STOP
--- a/roselink/routing/decisions.py
+++ b/roselink/routing/events_and_actions.py
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BudgetDecided:
-    """Event: the answer to `AskSharedBudget`."""
+    """Event: the answer to `AcquireSharedBudget`."""
 
     number: int
     allowed: bool
@@ -160,7 +160,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskSharedBudget:
+class AcquireSharedBudget:
     """Action: ask the owner of the service's shared slack for one repeat; `BudgetDecided` answers,
     once.
     """
@@ -169,7 +169,7 @@
     service: str
 
 
-class GiveUp(Enum):
+class FailureReason(Enum):
     """Why a request gets a final answer of ours."""
 
     NOT_RUN = "not_run"  # 503: it has not run and never will
@@ -178,14 +178,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FinalAnswer:
+class FinalResponse:
     """Action: the final answer. A host's own failure that was held back for a retry is passed on
     instead of a 502 where the data plane still has it. `retry_after_s`: when to come back, for
     NOT_RUN; 0: at once.
     """
 
     number: int
-    reason: GiveUp
+    reason: FailureReason
     retry_after_s: float = 0.0
 
 
@@ -197,4 +197,4 @@
     at: float
 
 
-Action = SendAttempt | CancelAttempt | AskSharedBudget | FinalAnswer | StartTimer
+Action = SendAttempt | CancelAttempt | AcquireSharedBudget | FinalResponse | StartTimer
--- a/roselink/routing/fleet.py
+++ b/roselink/routing/fleet_decider.py
@@ -11,23 +11,39 @@
 import random
 from typing import TYPE_CHECKING, Any
 
-from roselink.routing import decisions as d
 from roselink.routing.affinity import PrefixMemory
 from roselink.routing.backoff import NO_HOST_S, backoff_s, retry_after_s
-from roselink.routing.budget import RepeatBudget
-from roselink.routing.classifier import Verdict, classify
+from roselink.routing.classifier import RetryDecision, classify
+from roselink.routing.events_and_actions import (
+    AcquireSharedBudget,
+    Action,
+    AttemptEnded,
+    BudgetDecided,
+    CancelAttempt,
+    Event,
+    FailureReason,
+    FinalResponse,
+    FirstEvent,
+    PooledPayoffs,
+    RequestArrived,
+    RequestClosed,
+    SendAttempt,
+    TimerFired,
+    TopologyChanged,
+)
 from roselink.routing.host_choice import HostChooser
 from roselink.routing.learning import Learner
 from roselink.routing.outcome import Outcome
 from roselink.routing.policy import EffectivePolicy, RouteTable
 from roselink.routing.request_state import Attempt, Request, Stage
+from roselink.routing.retry_budget import LocalRetryBudget
 from roselink.routing.timers import Due, Entry, Timers, is_over
 from roselink.routing.topology import Topology
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from roselink.routing.host_state import HostState
+    from roselink.routing.host_record import HostRecord
 
 HELD_PART = 0.2  # part of its aim that a request may wait for a host
 HELD_S = 0.1  # the same where no aim is told
@@ -49,13 +65,13 @@
         self._learner = Learner(self._topology, self._memory)
         self._chooser = HostChooser(zone, self._random, self._memory)
         self._routes, self._timers = RouteTable(), Timers()
-        self._budgets: dict[str, RepeatBudget] = {}
+        self._budgets: dict[str, LocalRetryBudget] = {}
         self._requests: dict[int, Request] = {}
         self._held: dict[int, Request] = {}
-        self._actions: list[d.Action] = []
+        self._actions: list[Action] = []
         self._now = 0.0
 
-    def handle(self, now: float, event: d.Event) -> list[d.Action]:
+    def handle(self, now: float, event: Event) -> list[Action]:
         """Take one event; `now` in seconds, never falling. What comes for a finished request is
         ignored.
         """
@@ -73,12 +89,12 @@
 
     # --- events
 
-    def _topology_changed(self, event: d.TopologyChanged) -> None:
+    def _topology_changed(self, event: TopologyChanged) -> None:
         self._topology.replace(event)
         for request in list(self._held.values()):
             self._place(request)
 
-    def _arrived(self, event: d.RequestArrived) -> None:
+    def _arrived(self, event: RequestArrived) -> None:
         facts = event.facts
         request = Request(facts, EffectivePolicy.of(facts), self._routes.find(facts.route))
         self._requests[facts.number] = request
@@ -90,7 +106,7 @@
             hold_s = HELD_PART * facts.aim_s if facts.aim_s > 0 else HELD_S
             self._timers.push(self._now + hold_s, Due.HOLD, request)
 
-    def _budget_decided(self, event: d.BudgetDecided) -> None:
+    def _budget_decided(self, event: BudgetDecided) -> None:
         request = self._requests.get(event.number)
         if request is None or request.stage is not Stage.ASKING:
             return
@@ -99,7 +115,7 @@
         else:
             self._finish(request)
 
-    def _first_event(self, event: d.FirstEvent) -> None:
+    def _first_event(self, event: FirstEvent) -> None:
         found = self._find(event.number, event.attempt)
         if found is None:
             return
@@ -114,7 +130,7 @@
             request.winner, request.progressed = attempt, True
         self._cancel_others(request, request.winner)
 
-    def _attempt_ended(self, event: d.AttemptEnded) -> None:
+    def _attempt_ended(self, event: AttemptEnded) -> None:
         found = self._find(event.number, event.attempt)
         if found is None:
             return
@@ -128,18 +144,18 @@
         if request.closed and not request.out:
             self._requests.pop(event.number, None)
 
-    def _request_closed(self, event: d.RequestClosed) -> None:
+    def _request_closed(self, event: RequestClosed) -> None:
         request = self._requests.get(event.number)
         if request is not None:
             self._close(request)
 
-    def _timer_fired(self, event: d.TimerFired) -> None:
+    def _timer_fired(self, event: TimerFired) -> None:
         self._timers.fired(event.tag)
 
-    def _pool_payoffs(self, event: d.PooledPayoffs) -> None:
+    def _pool_payoffs(self, event: PooledPayoffs) -> None:
         self._topology.pool_payoffs(event, self._now)
 
-    def untold_outcomes(self) -> list[tuple[str, int, int]]:
+    def take_unreported_outcomes(self) -> list[tuple[str, int, int]]:
         """For the other gateways: hosts with outcomes since the last call, how many in time, how
         many not.
         """
@@ -182,13 +198,13 @@
             self._send(request, host)
         return True
 
-    def _decide(self, request: Request, attempt: Attempt, event: d.AttemptEnded) -> None:
+    def _decide(self, request: Request, attempt: Attempt, event: AttemptEnded) -> None:
         verdict = classify(event.outcome, request.may_repeat(), event.relayed)
-        if verdict is Verdict.DONE:
+        if verdict is RetryDecision.DONE:
             self._close(request)
         elif event.outcome is Outcome.CANCELLED and (request.out or request.stage is not Stage.OUT):
             return
-        elif verdict is Verdict.STOP:
+        elif verdict is RetryDecision.STOP:
             self._finish(request)
         elif not request.out:  # a retry group has failed
             self._back_off(request)
@@ -208,7 +224,7 @@
             self._send_again(request)
         else:
             request.stage = Stage.ASKING
-            self._actions.append(d.AskSharedBudget(request.facts.number, request.facts.service))
+            self._actions.append(AcquireSharedBudget(request.facts.number, request.facts.service))
 
     def _send_again(self, request: Request) -> None:
         if self._now >= request.facts.give_up_at:
@@ -240,7 +256,7 @@
         if host is not None and host.has_room() and budget.spend(self._now):
             self._send(request, host)
 
-    def _send(self, request: Request, host: HostState) -> None:
+    def _send(self, request: Request, host: HostRecord) -> None:
         pool = self._topology.pool(request.facts.service)
         reading = self._chooser.tokens_to_read(pool, request.facts, host, self._now)
         attempt = Attempt(host, self._now, reading, resumed=request.progressed)
@@ -250,7 +266,7 @@
         request.out += 1
         request.stage = Stage.OUT
         self._actions.append(
-            d.SendAttempt(request.facts.number, number, host.spec.id, request.progressed)
+            SendAttempt(request.facts.number, number, host.spec.id, request.progressed)
         )
         if request.progressed:
             return
@@ -268,11 +284,11 @@
             wait_s = (
                 NO_HOST_S if not pool.hosts else retry_after_s(pool.refused_share, self._random)
             )
-            self._actions.append(d.FinalAnswer(number, d.GiveUp.NOT_RUN, wait_s))
+            self._actions.append(FinalResponse(number, FailureReason.NOT_RUN, wait_s))
         else:
             late = out_of_time or self._now >= request.facts.give_up_at
-            reason = d.GiveUp.OUT_OF_TIME if late else d.GiveUp.MAY_HAVE_RUN
-            self._actions.append(d.FinalAnswer(number, reason))
+            reason = FailureReason.OUT_OF_TIME if late else FailureReason.MAY_HAVE_RUN
+            self._actions.append(FinalResponse(number, reason))
         self._close(request)
 
     def _close(self, request: Request) -> None:
@@ -287,7 +303,7 @@
     def _cancel_others(self, request: Request, kept: Attempt | None) -> None:
         for number, attempt in enumerate(request.attempts):
             if attempt.outcome is None and attempt is not kept:
-                self._actions.append(d.CancelAttempt(request.facts.number, number))
+                self._actions.append(CancelAttempt(request.facts.number, number))
 
     # --- tables
 
@@ -299,20 +315,20 @@
         found = request.attempts[attempt]
         return None if found.outcome is not None else (request, found)
 
-    def _budget(self, service: str) -> RepeatBudget:
+    def _budget(self, service: str) -> LocalRetryBudget:
         known = self._budgets.get(service)
         if known is None:
-            known = self._budgets[service] = RepeatBudget(self._ratio, self._window_s)
+            known = self._budgets[service] = LocalRetryBudget(self._ratio, self._window_s)
         return known
 
 
 _HANDLERS: dict[type, Callable[[FleetDecider, Any], None]] = {
-    d.TopologyChanged: FleetDecider._topology_changed,
-    d.RequestArrived: FleetDecider._arrived,
-    d.BudgetDecided: FleetDecider._budget_decided,
-    d.FirstEvent: FleetDecider._first_event,
-    d.AttemptEnded: FleetDecider._attempt_ended,
-    d.RequestClosed: FleetDecider._request_closed,
-    d.TimerFired: FleetDecider._timer_fired,
-    d.PooledPayoffs: FleetDecider._pool_payoffs,
+    TopologyChanged: FleetDecider._topology_changed,
+    RequestArrived: FleetDecider._arrived,
+    BudgetDecided: FleetDecider._budget_decided,
+    FirstEvent: FleetDecider._first_event,
+    AttemptEnded: FleetDecider._attempt_ended,
+    RequestClosed: FleetDecider._request_closed,
+    TimerFired: FleetDecider._timer_fired,
+    PooledPayoffs: FleetDecider._pool_payoffs,
 }
--- a/roselink/routing/host_choice.py
+++ b/roselink/routing/host_choice.py
@@ -15,9 +15,9 @@
     from collections.abc import Collection
 
     from roselink.routing.affinity import PrefixMemory
-    from roselink.routing.decisions import PromptPart, RequestFacts
-    from roselink.routing.host_state import HostState
-    from roselink.routing.pool import Pool
+    from roselink.routing.events_and_actions import PromptPart, RequestFacts
+    from roselink.routing.host_record import HostRecord
+    from roselink.routing.ready_hosts import ReadyHosts
 
 EXPLORE = 0.05  # share of picks that go to the lower-scored of the two
 CHEAP_TOKENS = 1000.0  # shared tokens read again up to which a pick is a cheap one to explore with
@@ -41,8 +41,8 @@
         self._owed = 0.0  # explorations that picks so far have earned and not had
 
     def pick(
-        self, pool: Pool, facts: RequestFacts, tried: Collection[HostState], now: float
-    ) -> HostState | None:
+        self, pool: ReadyHosts, facts: RequestFacts, tried: Collection[HostRecord], now: float
+    ) -> HostRecord | None:
         """A host not tried before, or None when there is no other."""
         if facts.affinity and facts.prompt:
             shared = self._memory.shared(facts)
@@ -56,7 +56,9 @@
         hosts = self._random_pair(pool, tried, now)
         return self._compare(hosts, [self.score(host) for host in hosts]) if hosts else None
 
-    def tokens_to_read(self, pool: Pool, facts: RequestFacts, host: HostState, now: float) -> int:
+    def tokens_to_read(
+        self, pool: ReadyHosts, facts: RequestFacts, host: HostRecord, now: float
+    ) -> int:
         """Prompt tokens that a host is expected to read for a request."""
         if not facts.prompt:
             return facts.tokens_in
@@ -67,13 +69,13 @@
         )
         return max(0, int(facts.tokens_in - kept))
 
-    def score(self, host: HostState) -> float:
+    def score(self, host: HostRecord) -> float:
         """The design's discounted payoff."""
         near = 1.0 if host.spec.zone == self._zone else FOREIGN
         return near * host.expected() / (1.0 + host.in_flight)
 
     def _affine_score(
-        self, host: HostState, home: bool, shared: tuple[PromptPart, ...], now: float
+        self, host: HostRecord, home: bool, shared: tuple[PromptPart, ...], now: float
     ) -> float:
         to_read = self._memory.to_read(host.spec.id, shared, home, now)
         tokens = host.reading + AGAIN_WEIGHT * to_read
@@ -81,8 +83,12 @@
         return host.expected() / (1.0 + load)
 
     def _ranked_pair(
-        self, pool: Pool, shared: tuple[PromptPart, ...], tried: Collection[HostState], now: float
-    ) -> list[tuple[HostState, bool]]:
+        self,
+        pool: ReadyHosts,
+        shared: tuple[PromptPart, ...],
+        tried: Collection[HostRecord],
+        now: float,
+    ) -> list[tuple[HostRecord, bool]]:
         """The key's first two hosts that have room, each with whether it is the key's home."""
         pair = []
         for place, host in enumerate(pool.ranked(shared[-1].id, RANKED)):
@@ -92,7 +98,9 @@
                     break
         return pair
 
-    def _random_pair(self, pool: Pool, tried: Collection[HostState], now: float) -> list[HostState]:
+    def _random_pair(
+        self, pool: ReadyHosts, tried: Collection[HostRecord], now: float
+    ) -> list[HostRecord]:
         for fits in (
             lambda host: host not in tried and host.available(now) and host.has_room(),
             lambda host: host not in tried and host.available(now),
@@ -105,8 +113,8 @@
         return []
 
     def _compare(
-        self, pair: list[HostState], scores: list[float], to_read: list[float] | None = None
-    ) -> HostState:
+        self, pair: list[HostRecord], scores: list[float], to_read: list[float] | None = None
+    ) -> HostRecord:
         """The better of the two, or the other in its turn. `to_read`: shared tokens that each would
         read.
         """
--- a/roselink/routing/host_state.py
+++ b/roselink/routing/host_record.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class HostState:
+class HostRecord:
     """One host. `reading`: own prompt tokens sent there that no first event has answered yet."""
 
     spec: Host
@@ -91,6 +91,6 @@
         self.probation, self.trial_out = True, False
 
 
-def fresh_state(spec: Host) -> HostState:
+def new_host_record(spec: Host) -> HostRecord:
     """A host that nothing is known of."""
-    return HostState(spec, limit=float(max(1, spec.capacity)))
+    return HostRecord(spec, limit=float(max(1, spec.capacity)))
--- a/roselink/routing/learning.py
+++ b/roselink/routing/learning.py
@@ -8,8 +8,8 @@
 
 if TYPE_CHECKING:
     from roselink.routing.affinity import PrefixMemory
-    from roselink.routing.decisions import AttemptEnded
-    from roselink.routing.host_state import HostState
+    from roselink.routing.events_and_actions import AttemptEnded
+    from roselink.routing.host_record import HostRecord
     from roselink.routing.request_state import Attempt, Request
     from roselink.routing.topology import Topology
 
@@ -79,7 +79,7 @@
             host.alive(now)
 
     def _failed(
-        self, request: Request, host: HostState, now: float, sure: bool, at_once: bool = False
+        self, request: Request, host: HostRecord, now: float, sure: bool, at_once: bool = False
     ) -> None:
         if host.failed() or at_once:
             self._topology.pool(request.facts.service).rest(host, now, sure)
--- a/roselink/routing/policy.py
+++ b/roselink/routing/policy.py
@@ -9,7 +9,7 @@
 from roselink.routing.latency_tracker import LatencyTracker
 
 if TYPE_CHECKING:
-    from roselink.routing.decisions import RequestFacts
+    from roselink.routing.events_and_actions import RequestFacts
 
 PolicyKey = str  # the route's name
 
--- a/roselink/routing/pool.py
+++ b/roselink/routing/ready_hosts.py
@@ -6,7 +6,7 @@
 from itertools import islice
 from typing import TYPE_CHECKING
 
-from roselink.routing.host_state import HostState
+from roselink.routing.host_record import HostRecord
 from roselink.routing.ring import HashRing
 
 if TYPE_CHECKING:
@@ -16,22 +16,22 @@
 SCAN = 64  # hosts looked at in a row after that
 REFUSED_SMOOTH = 0.1
 
-Condition = Callable[[HostState], bool]
+Condition = Callable[[HostRecord], bool]
 
 
-class Pool:
+class ReadyHosts:
     """Hosts of one service. `refused_share`: of late outcomes, those that said the host was
     full.
     """
 
     def __init__(self) -> None:
-        self.hosts: list[HostState] = []
+        self.hosts: list[HostRecord] = []
         self.refused_share = 0.0
-        self._by_id: dict[str, HostState] = {}
+        self._by_id: dict[str, HostRecord] = {}
         self._ring: HashRing | None = None
-        self._resting: list[HostState] = []
+        self._resting: list[HostRecord] = []
 
-    def replace(self, hosts: list[HostState]) -> None:
+    def replace(self, hosts: list[HostRecord]) -> None:
         """Take a new list; the ring is built again only when other ids are in it."""
         by_id = {host.spec.id: host for host in hosts}
         if by_id.keys() != self._by_id.keys():
@@ -43,13 +43,13 @@
         """Learn how crowded the service is."""
         self.refused_share += (refused - self.refused_share) * REFUSED_SMOOTH
 
-    def ranked(self, key: str, most: int) -> Iterator[HostState]:
+    def ranked(self, key: str, most: int) -> Iterator[HostRecord]:
         """The first hosts in a key's order, the same at every gateway that has the same list."""
         if self._ring is None:
             self._ring = HashRing(self._by_id)
         return (self._by_id[name] for name in islice(self._ring.walk(key), most))
 
-    def draw(self, fits: Condition, randomness: random.Random) -> HostState | None:
+    def draw(self, fits: Condition, randomness: random.Random) -> HostRecord | None:
         """A host drawn at random among those that fit, with a bounded number of looks."""
         count = len(self.hosts)
         for _ in range(min(DRAWS, count * 2)):
@@ -63,7 +63,7 @@
                 return host
         return None
 
-    def rest(self, host: HostState, now: float, sure: bool) -> bool:
+    def rest(self, host: HostRecord, now: float, sure: bool) -> bool:
         """Rest a host, unless no other of the service would be left.
 
         Of one that only fell silent (not `sure`), half are left: a crowd of slow hosts looks the
--- a/roselink/routing/request_state.py
+++ b/roselink/routing/request_state.py
@@ -10,8 +10,8 @@
 from roselink.routing.outcome import NEVER_RAN, Outcome
 
 if TYPE_CHECKING:
-    from roselink.routing.decisions import RequestFacts
-    from roselink.routing.host_state import HostState
+    from roselink.routing.events_and_actions import RequestFacts
+    from roselink.routing.host_record import HostRecord
     from roselink.routing.policy import EffectivePolicy, RouteRecord
 
 UNSENT = 3  # attempts that may end unsent beyond the bound on attempts
@@ -31,7 +31,7 @@
 class Attempt:
     """One attempt. `reading`: prompt tokens still counted at its host."""
 
-    host: HostState
+    host: HostRecord
     sent_at: float
     reading: int
     resumed: bool  # it goes on behind what the client has; no first event tells of it
@@ -82,6 +82,6 @@
         """Whether a host may have begun to work on it."""
         return any(attempt.outcome not in NEVER_RAN for attempt in self.attempts)
 
-    def tried(self) -> set[HostState]:
+    def tried(self) -> set[HostRecord]:
         """Hosts it went to."""
         return {attempt.host for attempt in self.attempts}
--- a/roselink/routing/budget.py
+++ b/roselink/routing/retry_budget.py
@@ -17,7 +17,7 @@
 SLICES = 20  # parts of the window that are counted together
 
 
-class RepeatBudget:
+class LocalRetryBudget:
     """Asked before every attempt beyond the first. Times in seconds; `ratio`: repeats for each
     first send.
     """
--- a/roselink/routing/timers.py
+++ b/roselink/routing/timers.py
@@ -6,7 +6,7 @@
 from heapq import heappop, heappush
 from typing import TYPE_CHECKING
 
-from roselink.routing.decisions import StartTimer
+from roselink.routing.events_and_actions import StartTimer
 from roselink.routing.request_state import Request
 
 if TYPE_CHECKING:
--- a/roselink/routing/topology.py
+++ b/roselink/routing/topology.py
@@ -2,11 +2,10 @@
 
 from __future__ import annotations
 
-from roselink.model.fleet import Host
-from roselink.model.fleet import HostState as ListedState
-from roselink.routing.decisions import PooledPayoffs, TopologyChanged
-from roselink.routing.host_state import HostState, fresh_state
-from roselink.routing.pool import Pool
+from roselink.model.fleet import Host, HostState
+from roselink.routing.events_and_actions import PooledPayoffs, TopologyChanged
+from roselink.routing.host_record import HostRecord, new_host_record
+from roselink.routing.ready_hosts import ReadyHosts
 
 POOLED_S = 2.0  # payoffs over all gateways hold for so long
 
@@ -15,21 +14,21 @@
     """One pool of ready hosts for each service. Draining hosts are remembered, and in no pool."""
 
     def __init__(self) -> None:
-        self._hosts: dict[str, HostState] = {}
-        self._pools: dict[str, Pool] = {}
+        self._hosts: dict[str, HostRecord] = {}
+        self._pools: dict[str, ReadyHosts] = {}
         self._pooled_until = float("inf")
 
-    def pool(self, service: str) -> Pool:
+    def pool(self, service: str) -> ReadyHosts:
         """The hosts of a service; an empty pool for one that nobody told of."""
-        return self._pools.setdefault(service, Pool())
+        return self._pools.setdefault(service, ReadyHosts())
 
     def replace(self, event: TopologyChanged) -> None:
         """Take the new list, whole."""
-        ready: dict[str, list[HostState]] = {service.name: [] for service in event.services}
-        hosts: dict[str, HostState] = {}
+        ready: dict[str, list[HostRecord]] = {service.name: [] for service in event.services}
+        hosts: dict[str, HostRecord] = {}
         for spec in event.hosts:
             known = hosts[spec.id] = self._known(spec)
-            if spec.state is ListedState.READY:
+            if spec.state is HostState.READY:
                 ready.setdefault(spec.service, []).append(known)
         self._hosts = hosts
         for service in self._pools.keys() - ready.keys():
@@ -58,9 +57,9 @@
                 host.served_untold = host.missed_untold = 0
         return told
 
-    def _known(self, spec: Host) -> HostState:
+    def _known(self, spec: Host) -> HostRecord:
         known = self._hosts.get(spec.id)
         if known is None or known.spec.service != spec.service:
-            return fresh_state(spec)
+            return new_host_record(spec)
         known.spec = spec
         return known
--- a/tests/dataplane/stage.py
+++ b/tests/dataplane/stage.py
@@ -14,13 +14,13 @@
 from roselink.model.configuration import Configuration, Tenant
 from roselink.model.fleet import Host, HostState, Snapshot, VersionVector
 from roselink.model.settings import read_settings
-from roselink.routing.decisions import (
+from roselink.routing.events_and_actions import (
     Action,
     AttemptEnded,
     Event,
-    FinalAnswer,
+    FailureReason,
+    FinalResponse,
     FirstEvent,
-    GiveUp,
     RequestArrived,
     RequestClosed,
     RequestFacts,
@@ -123,13 +123,17 @@
         if not proven:
             self.may_have_run.add(event.number)
         if event.outcome is Outcome.TIMEOUT:
-            return [FinalAnswer(event.number, GiveUp.OUT_OF_TIME)]
+            return [FinalResponse(event.number, FailureReason.OUT_OF_TIME)]
         if self.sent[event.number] < facts.max_attempts and (proven or facts.repeatable):
             return [self.send(event.number, event.progressed)]
         if self.out[event.number]:
             return []
         ran = event.number in self.may_have_run
-        return [FinalAnswer(event.number, GiveUp.MAY_HAVE_RUN if ran else GiveUp.NOT_RUN, 0.4)]
+        return [
+            FinalResponse(
+                event.number, FailureReason.MAY_HAVE_RUN if ran else FailureReason.NOT_RUN, 0.4
+            )
+        ]
 
     def ends(self) -> list[AttemptEnded]:
         return [event for event in self.events if isinstance(event, AttemptEnded)]
--- a/tests/dataplane/test_fuzz.py
+++ b/tests/dataplane/test_fuzz.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from roselink.routing.fleet import FleetDecider
+from roselink.routing.fleet_decider import FleetDecider
 from tests.dataplane.fuzz import FuzzClient, FuzzHost, Ledger
 from tests.dataplane.stage import host_line, plain, stage
 from tests.support.net import on_loop, until
--- a/tests/dataplane/test_guards.py
+++ b/tests/dataplane/test_guards.py
@@ -14,7 +14,7 @@
 from roselink.dataplane.requests import Headers, read_request
 from roselink.dataplane.upstream import PROVEN_LIMIT
 from roselink.http import host_pool
-from roselink.routing.decisions import Action, AttemptEnded, RequestArrived
+from roselink.routing.events_and_actions import Action, AttemptEnded, RequestArrived
 from roselink.routing.outcome import NEVER_RAN, Outcome
 from tests.dataplane.stage import (
     KEY,
--- a/tests/dataplane/test_plane.py
+++ b/tests/dataplane/test_plane.py
@@ -7,7 +7,7 @@
 import pytest
 
 from roselink.http import host_pool
-from roselink.routing.decisions import FirstEvent, RequestClosed
+from roselink.routing.events_and_actions import FirstEvent, RequestClosed
 from roselink.routing.outcome import Outcome
 from tests.dataplane.stage import KEY, event, plain, rejects, request, sse, stage, stream
 from tests.support.net import Behaviour, Message, hang, on_loop, say, until
--- a/tests/dataplane/test_pool.py
+++ b/tests/dataplane/test_pool.py
@@ -12,7 +12,7 @@
 from roselink.dataplane.topology import CONNECTIONS_LEAST
 from roselink.http import host_pool
 from roselink.model.fleet import HostState
-from roselink.routing.decisions import FirstEvent
+from roselink.routing.events_and_actions import FirstEvent
 from roselink.routing.outcome import Outcome
 from tests.dataplane.stage import (
     Stage,
--- a/tests/dataplane/test_storm.py
+++ b/tests/dataplane/test_storm.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from roselink.routing.decisions import (
+from roselink.routing.events_and_actions import (
     Action,
     AttemptEnded,
     Event,
@@ -19,7 +19,7 @@
     RequestClosed,
     SendAttempt,
 )
-from roselink.routing.fleet import FleetDecider
+from roselink.routing.fleet_decider import FleetDecider
 from tests.dataplane.stage import (
     Answer,
     FakeDecider,
--- a/tests/mutations/dataplane.py
+++ b/tests/mutations/dataplane.py
@@ -149,7 +149,7 @@
         ),
         (
             "no last word at the end of the time",
-            "        self._give_up(exchange, GiveUp.OUT_OF_TIME, 0.0)\n\n    # The decider.",
+            "        self._give_up(exchange, FailureReason.OUT_OF_TIME, 0.0)\n\n    # The decider.",
             "\n    # The decider.",
         ),
     ),
--- a/tests/mutations/routing.py
+++ b/tests/mutations/routing.py
@@ -28,7 +28,7 @@
         ),
     ),
     *mutations_of(
-        "routing/fleet.py",
+        "routing/fleet_decider.py",
         ROUTING,
         (
             "repeats draw on no budget",
--- a/tests/routing/builders.py
+++ b/tests/routing/builders.py
@@ -6,11 +6,21 @@
 from typing import TypeVar
 
 from roselink.model.fleet import Host, HostState
-from roselink.routing import decisions as d
-from roselink.routing.fleet import FleetDecider
+from roselink.routing.events_and_actions import (
+    Action,
+    AttemptEnded,
+    Event,
+    PromptPart,
+    RequestArrived,
+    RequestFacts,
+    StartTimer,
+    TimerFired,
+    TopologyChanged,
+)
+from roselink.routing.fleet_decider import FleetDecider
 from roselink.routing.outcome import Outcome
 
-FACTS = d.RequestFacts(
+FACTS = RequestFacts(
     number=1,
     route="r",
     service="s",
@@ -40,8 +50,8 @@
     return tuple(host(f"h{number}", service) for number in range(count))
 
 
-def prompt(*parts: str, tokens: int = 1000) -> tuple[d.PromptPart, ...]:
-    return tuple(d.PromptPart(part, tokens) for part in parts)
+def prompt(*parts: str, tokens: int = 1000) -> tuple[PromptPart, ...]:
+    return tuple(PromptPart(part, tokens) for part in parts)
 
 
 @dataclass
@@ -52,33 +62,33 @@
     now: float = 0.0
     timers: list[tuple[float, int]] = field(default_factory=list)
 
-    def tell(self, event: d.Event) -> list[d.Action]:
+    def tell(self, event: Event) -> list[Action]:
         actions = self.decider.handle(self.now, event)
         self.timers += [
-            (action.at, action.tag) for action in actions if isinstance(action, d.StartTimer)
+            (action.at, action.tag) for action in actions if isinstance(action, StartTimer)
         ]
-        return [action for action in actions if not isinstance(action, d.StartTimer)]
+        return [action for action in actions if not isinstance(action, StartTimer)]
 
-    def list_hosts(self, *listed: Host) -> list[d.Action]:
-        return self.tell(d.TopologyChanged(tuple(listed), ()))
+    def list_hosts(self, *listed: Host) -> list[Action]:
+        return self.tell(TopologyChanged(tuple(listed), ()))
 
-    def arrive(self, facts: d.RequestFacts = FACTS, /, **changes: object) -> list[d.Action]:
+    def arrive(self, facts: RequestFacts = FACTS, /, **changes: object) -> list[Action]:
         facts = replace(facts, **changes)  # type: ignore[arg-type]
         shifted = replace(facts, arrived_at=self.now, give_up_at=self.now + facts.give_up_at)
-        return self.tell(d.RequestArrived(shifted))
+        return self.tell(RequestArrived(shifted))
 
     def end(
         self, outcome: Outcome, attempt: int = 0, number: int = 1, **more: bool
-    ) -> list[d.Action]:
-        return self.tell(d.AttemptEnded(number, attempt, outcome, 0.01, **more))
+    ) -> list[Action]:
+        return self.tell(AttemptEnded(number, attempt, outcome, 0.01, **more))
 
-    def wait(self, until: float) -> list[d.Action]:
+    def wait(self, until: float) -> list[Action]:
         """Fire the timers that are due by a time, each at its own."""
-        actions: list[d.Action] = []
+        actions: list[Action] = []
         while (due := min(self.timers, default=None)) is not None and due[0] <= until:
             self.timers.remove(due)
             self.now = max(self.now, due[0])
-            actions += self.tell(d.TimerFired(due[1]))
+            actions += self.tell(TimerFired(due[1]))
         self.now = max(self.now, until)
         return actions
 
@@ -89,5 +99,5 @@
             self.end(Outcome.SUCCESS, number=number)
 
 
-def only(kind: type[Kind], actions: list[d.Action]) -> list[Kind]:
+def only(kind: type[Kind], actions: list[Action]) -> list[Kind]:
     return [action for action in actions if isinstance(action, kind)]
--- a/tests/routing/test_affinity_simulation.py
+++ b/tests/routing/test_affinity_simulation.py
@@ -10,8 +10,19 @@
 from dataclasses import dataclass, field
 from itertools import count
 
-from roselink.routing import decisions as d
-from roselink.routing.fleet import FleetDecider
+from roselink.routing.events_and_actions import (
+    AttemptEnded,
+    Event,
+    FirstEvent,
+    PromptPart,
+    RequestArrived,
+    RequestFacts,
+    SendAttempt,
+    StartTimer,
+    TimerFired,
+    TopologyChanged,
+)
+from roselink.routing.fleet_decider import FleetDecider
 from roselink.routing.outcome import Outcome
 from tests.routing.builders import hosts, only
 
@@ -28,7 +39,7 @@
     kept: OrderedDict[str, int] = field(default_factory=OrderedDict)
     free_at: float = 0.0
 
-    def read(self, parts: tuple[d.PromptPart, ...], now: float) -> tuple[int, float]:
+    def read(self, parts: tuple[PromptPart, ...], now: float) -> tuple[int, float]:
         """Tokens that had to be read, and when that is done."""
         missing, leading = 0, True
         for part in parts:
@@ -55,16 +66,16 @@
     engines = {spec.id: Engine() for spec in hosts(HOSTS)}
     gateways = [FleetDecider("z", number, 0.2, 10.0) for number in range(GATEWAYS)]
     order = count()
-    queue: list[tuple[float, int, FleetDecider, d.Event]] = []
-    prompts: dict[int, tuple[float, tuple[d.PromptPart, ...]]] = {}
+    queue: list[tuple[float, int, FleetDecider, Event]] = []
+    prompts: dict[int, tuple[float, tuple[PromptPart, ...]]] = {}
     for gateway in gateways:
-        gateway.handle(0.0, d.TopologyChanged(hosts(HOSTS), ()))
+        gateway.handle(0.0, TopologyChanged(hosts(HOSTS), ()))
     now = 0.0
     while (now := now + draw.expovariate(PER_SECOND)) < SECONDS:
         number, session = len(prompts), draw.randrange(120)
         sizes = ((f"g{session % 4}", GROUP), (f"s{session}", SESSION), (f"o{number}", OWN))
-        prompts[number] = now, tuple(d.PromptPart(*size) for size in sizes)
-        facts = d.RequestFacts(
+        prompts[number] = now, tuple(PromptPart(*size) for size in sizes)
+        facts = RequestFacts(
             number,
             "r",
             "s",
@@ -80,24 +91,22 @@
             GROUP + SESSION + OWN,
             60,
         )
-        heapq.heappush(queue, (now, next(order), draw.choice(gateways), d.RequestArrived(facts)))
+        heapq.heappush(queue, (now, next(order), draw.choice(gateways), RequestArrived(facts)))
     while queue:
         now, _, gateway, event = heapq.heappop(queue)
-        if isinstance(event, d.FirstEvent):
+        if isinstance(event, FirstEvent):
             result.in_time += now - prompts[event.number][0] <= AIM_S
-            done = d.AttemptEnded(event.number, 0, Outcome.SUCCESS, 0.0)
+            done = AttemptEnded(event.number, 0, Outcome.SUCCESS, 0.0)
             heapq.heappush(queue, (now + 0.3, next(order), gateway, done))
         actions = gateway.handle(now, event)
-        for timer in only(d.StartTimer, actions):
-            heapq.heappush(
-                queue, (max(now, timer.at), next(order), gateway, d.TimerFired(timer.tag))
-            )
-        for sent in only(d.SendAttempt, actions):
+        for timer in only(StartTimer, actions):
+            heapq.heappush(queue, (max(now, timer.at), next(order), gateway, TimerFired(timer.tag)))
+        for sent in only(SendAttempt, actions):
             read, done_at = engines[sent.host].read(prompts[sent.number][1], now)
             result.requests += 1
             result.shared += GROUP + SESSION
             result.read_again += max(0, read - OWN)
-            first = d.FirstEvent(sent.number, sent.attempt)
+            first = FirstEvent(sent.number, sent.attempt)
             heapq.heappush(queue, (done_at, next(order), gateway, first))
     return result
 
--- a/tests/routing/test_host_choice.py
+++ b/tests/routing/test_host_choice.py
@@ -10,33 +10,37 @@
 
 from roselink.routing.affinity import PrefixMemory
 from roselink.routing.host_choice import HostChooser
-from roselink.routing.host_state import HostState, fresh_state
-from roselink.routing.pool import Pool
+from roselink.routing.host_record import HostRecord, new_host_record
+from roselink.routing.ready_hosts import ReadyHosts
 from roselink.routing.ring import HashRing
 from tests.routing.builders import FACTS, host, prompt
 
 if TYPE_CHECKING:
-    from roselink.routing import decisions as d
+    from roselink.routing.events_and_actions import (
+        RequestFacts,
+    )
 
 PLAIN = FACTS
 MODEL = replace(FACTS, affinity=True, prompt=prompt("group", "session", "own"), tokens_in=3000)
 
 
-def pool_of(*states: HostState) -> Pool:
-    pool = Pool()
+def pool_of(*states: HostRecord) -> ReadyHosts:
+    pool = ReadyHosts()
     pool.replace(list(states))
     return pool
 
 
-def pool(count: int, zone: str = "z") -> Pool:
-    return pool_of(*(fresh_state(host(f"h{n}", zone=zone)) for n in range(count)))
+def pool(count: int, zone: str = "z") -> ReadyHosts:
+    return pool_of(*(new_host_record(host(f"h{n}", zone=zone)) for n in range(count)))
 
 
 def chooser(seed: int = 1, zone: str = "z", memory: PrefixMemory | None = None) -> HostChooser:
     return HostChooser(zone, random.Random(seed), memory or PrefixMemory())
 
 
-def picked(made: Pool, facts: d.RequestFacts, seed: int = 1, times: int = 2000) -> dict[str, int]:
+def picked(
+    made: ReadyHosts, facts: RequestFacts, seed: int = 1, times: int = 2000
+) -> dict[str, int]:
     choose, counts = chooser(seed), dict.fromkeys((h.spec.id for h in made.hosts), 0)
     for _ in range(times):
         found = choose.pick(made, facts, (), 0.0)
@@ -46,7 +50,7 @@
 
 
 def test_an_unknown_host_scores_one_half() -> None:
-    assert chooser().score(fresh_state(host("a"))) == 0.5
+    assert chooser().score(new_host_record(host("a"))) == 0.5
 
 
 @pytest.mark.parametrize(
@@ -62,12 +66,12 @@
 def test_payoff_over_one_plus_in_flight(
     payoff: float, in_flight: int, zone: str, expected: float
 ) -> None:
-    state = replace(fresh_state(host("a", zone=zone)), payoff=payoff, in_flight=in_flight)
+    state = replace(new_host_record(host("a", zone=zone)), payoff=payoff, in_flight=in_flight)
     assert chooser().score(state) == pytest.approx(expected)
 
 
 def test_one_in_twenty_goes_to_the_lower() -> None:
-    better, worse = fresh_state(host("a")), fresh_state(host("b"))
+    better, worse = new_host_record(host("a")), new_host_record(host("b"))
     better.payoff, worse.payoff = 1.0, 0.2
     counts = picked(pool_of(better, worse), PLAIN, times=20_000)
     assert 0.04 < counts["b"] / 20_000 < 0.06
@@ -77,7 +81,7 @@
 SHORT = replace(FACTS, affinity=True, prompt=prompt("other", "chat", "own"), tokens_in=300)
 
 
-def lower_picks(kinds: list[d.RequestFacts], times: int) -> list[int]:
+def lower_picks(kinds: list[RequestFacts], times: int) -> list[int]:
     """How many picks of each kind of request went to a host that is not the key's home."""
     made, choose = pool(6), chooser()
     homes = [next(iter(made.ranked(facts.prompt[-2].id, 1))) for facts in kinds]
@@ -88,7 +92,7 @@
     return elsewhere
 
 
-def parts(facts: d.RequestFacts, *tokens: int) -> d.RequestFacts:
+def parts(facts: RequestFacts, *tokens: int) -> RequestFacts:
     sized = tuple(
         replace(part, tokens=size) for part, size in zip(facts.prompt, tokens, strict=True)
     )
@@ -108,7 +112,7 @@
 
 
 def test_of_two_hosts_the_busier_loses() -> None:
-    idle, busy = fresh_state(host("a")), fresh_state(host("b"))
+    idle, busy = new_host_record(host("a")), new_host_record(host("b"))
     busy.in_flight = 3
     counts = picked(pool_of(idle, busy), PLAIN)
     assert counts["a"] > 0.9 * 2000
@@ -188,7 +192,7 @@
 # --- affinity
 
 
-def homes(made: Pool, key: str) -> list[str]:
+def homes(made: ReadyHosts, key: str) -> list[str]:
     return [state.spec.id for state in made.ranked(key, 4)]
 
 
--- a/tests/routing/test_invariants.py
+++ b/tests/routing/test_invariants.py
@@ -12,7 +12,23 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from roselink.routing import decisions as d
+from roselink.routing.events_and_actions import (
+    AcquireSharedBudget,
+    Action,
+    AttemptEnded,
+    BudgetDecided,
+    CancelAttempt,
+    Event,
+    FailureReason,
+    FinalResponse,
+    FirstEvent,
+    RequestArrived,
+    RequestClosed,
+    RequestFacts,
+    SendAttempt,
+    TimerFired,
+    TopologyChanged,
+)
 from roselink.routing.outcome import NEVER_RAN, Outcome
 from tests.routing.builders import FACTS, Bench, host, prompt
 
@@ -30,7 +46,7 @@
         self.draw, self.outcomes, self.share_granted = random.Random(seed), outcomes, share_granted
         self.made = Bench()
         self.listed: set[str] = set()
-        self.facts: dict[int, d.RequestFacts] = {}
+        self.facts: dict[int, RequestFacts] = {}
         self.out: dict[tuple[int, int], str] = {}
         self.ended: dict[int, list[Outcome]] = {}
         self.owed: set[int] = set()  # requests that want a final answer
@@ -41,30 +57,30 @@
         self.granted: set[int] = set()
         self.asked: Counter[int] = Counter()
 
-    def tell(self, event: d.Event) -> None:
+    def tell(self, event: Event) -> None:
         self.check(self.made.tell(event))
 
-    def check(self, actions: list[d.Action]) -> None:
+    def check(self, actions: list[Action]) -> None:
         asked = []
         for action in actions:
-            if isinstance(action, d.SendAttempt):
+            if isinstance(action, SendAttempt):
                 self.sent(action)
-            elif isinstance(action, d.CancelAttempt):
+            elif isinstance(action, CancelAttempt):
                 assert (action.number, action.attempt) in self.out
                 self.cancelled.add((action.number, action.attempt))
-            elif isinstance(action, d.AskSharedBudget):
+            elif isinstance(action, AcquireSharedBudget):
                 self.asked[action.number] += 1
                 assert self.asked[action.number] <= self.facts[action.number].max_attempts + 3
                 asked.append(action.number)
-            elif isinstance(action, d.FinalAnswer):
+            elif isinstance(action, FinalResponse):
                 self.final(action)
         for number in asked:
             if number in self.owed:
                 allowed = self.draw.random() < self.share_granted
                 self.granted |= {number} if allowed else set()
-                self.tell(d.BudgetDecided(number, allowed))
+                self.tell(BudgetDecided(number, allowed))
 
-    def sent(self, action: d.SendAttempt) -> None:
+    def sent(self, action: SendAttempt) -> None:
         number, facts = action.number, self.facts[action.number]
         ended = self.ended.setdefault(number, [])
         assert number in self.owed
@@ -88,12 +104,12 @@
             assert sum(at > self.made.now - WINDOW_S for at in self.repeats) <= RATIO * recent
         self.out[(number, action.attempt)] = action.host
 
-    def final(self, action: d.FinalAnswer) -> None:
+    def final(self, action: FinalResponse) -> None:
         assert action.number in self.owed
         self.owed.discard(action.number)
         ran = any(number == action.number for number, _ in self.out)
         ran = ran or any(outcome not in NEVER_RAN for outcome in self.ended.get(action.number, []))
-        assert (action.reason is d.GiveUp.NOT_RUN) == (not ran)
+        assert (action.reason is FailureReason.NOT_RUN) == (not ran)
         assert 0 <= action.retry_after_s <= 0.3
 
     def step(self) -> None:
@@ -109,7 +125,7 @@
         while (due := min(self.made.timers, default=None)) is not None and due[0] <= until:
             self.made.timers.remove(due)
             self.made.now = max(self.made.now, due[0])
-            self.tell(d.TimerFired(due[1]))
+            self.tell(TimerFired(due[1]))
         self.made.now = max(self.made.now, until)
 
     def topology(self) -> None:
@@ -119,7 +135,7 @@
             if self.draw.random() < 0.8
         ]
         self.listed = {h.id for h in hosts if h.state == 1}
-        self.tell(d.TopologyChanged(tuple(hosts), ()))
+        self.tell(TopologyChanged(tuple(hosts), ()))
 
     def arrive(self) -> None:
         number, now = len(self.facts) + 1, self.made.now
@@ -140,22 +156,22 @@
         )
         self.facts[number] = facts
         self.owed.add(number)
-        self.tell(d.RequestArrived(facts))
+        self.tell(RequestArrived(facts))
 
     def end(self, key: tuple[int, int]) -> None:
         number, attempt = key
         if self.facts[number].streaming and self.draw.random() < 0.3:
             self.started.add(number)
-            return self.tell(d.FirstEvent(number, attempt))
+            return self.tell(FirstEvent(number, attempt))
         if self.draw.random() < 0.05:
             self.owed.discard(number)
-            return self.tell(d.RequestClosed(number))
+            return self.tell(RequestClosed(number))
         outcome = Outcome.CANCELLED if key in self.cancelled else self.draw.choice(self.outcomes)
         del self.out[key]
         self.ended.setdefault(number, []).append(outcome)
         if outcome is Outcome.SUCCESS:
             self.owed.discard(number)
-        self.tell(d.AttemptEnded(number, attempt, outcome, 0.1))
+        self.tell(AttemptEnded(number, attempt, outcome, 0.1))
 
     def finish(self) -> None:
         """Let every time run out, then answer for what is still out."""
@@ -165,7 +181,7 @@
             del self.out[key]
             outcome = Outcome.CANCELLED if key in self.cancelled else Outcome.TIMEOUT
             self.ended.setdefault(key[0], []).append(outcome)
-            self.tell(d.AttemptEnded(*key, outcome, 0.1, progressed=key[0] in self.started))
+            self.tell(AttemptEnded(*key, outcome, 0.1, progressed=key[0] in self.started))
         assert not self.owed
         decider = self.made.decider
         assert decider._requests == decider._held == {}
--- a/tests/routing/test_pooled.py
+++ b/tests/routing/test_pooled_payoffs.py
@@ -4,7 +4,10 @@
 
 import pytest
 
-from roselink.routing import decisions as d
+from roselink.routing.events_and_actions import (
+    PooledPayoffs,
+    SendAttempt,
+)
 from roselink.routing.outcome import Outcome
 from roselink.routing.topology import POOLED_S
 from tests.routing.builders import Bench, hosts, only, prompt
@@ -17,7 +20,7 @@
     counts: dict[str, int] = {}
     for number in range(first, first + requests):
         changes: dict[str, object] = {"affinity": True, "prompt": SESSION} if affinity else {}
-        (sent,) = only(d.SendAttempt, made.arrive(number=number, **changes))
+        (sent,) = only(SendAttempt, made.arrive(number=number, **changes))
         counts[sent.host] = counts.get(sent.host, 0) + 1
         made.end(Outcome.SUCCESS, number=number)
     return counts
@@ -34,7 +37,7 @@
     made = bench()
     before = homes(made, 1, affinity)
     home = max(before, key=before.__getitem__)
-    made.tell(d.PooledPayoffs(((home, 0.1),)))
+    made.tell(PooledPayoffs(((home, 0.1),)))
     assert homes(made, 100, affinity).get(home, 0) <= 0.15 * 60
 
 
@@ -43,9 +46,9 @@
     made = bench()
     before = homes(made, 1, True)
     home = max(before, key=before.__getitem__)
-    made.tell(d.PooledPayoffs(((home, 0.0),)))
+    made.tell(PooledPayoffs(((home, 0.0),)))
     if ended_by == "news":
-        made.tell(d.PooledPayoffs(()))
+        made.tell(PooledPayoffs(()))
     else:
         made.now += POOLED_S + 0.1
     assert homes(made, 100, True)[home] > 0.8 * 60
@@ -53,7 +56,7 @@
 
 def test_hosts_that_are_not_listed_are_passed_over() -> None:
     made = bench()
-    made.tell(d.PooledPayoffs((("gone", 0.0),)))
+    made.tell(PooledPayoffs((("gone", 0.0),)))
     assert homes(made, 1, False)
 
 
@@ -70,8 +73,10 @@
 )
 def test_outcomes_are_told_once(outcome: Outcome, told: tuple[int, int] | None) -> None:
     made = bench()
-    (sent,) = only(d.SendAttempt, made.arrive(repeatable=False, max_attempts=1))
+    (sent,) = only(SendAttempt, made.arrive(repeatable=False, max_attempts=1))
     made.end(outcome)
-    untold = {host: (served, missed) for host, served, missed in made.decider.untold_outcomes()}
+    untold = {
+        host: (served, missed) for host, served, missed in made.decider.take_unreported_outcomes()
+    }
     assert untold.get(sent.host) == told
-    assert made.decider.untold_outcomes() == []
+    assert made.decider.take_unreported_outcomes() == []
--- a/tests/routing/test_recorded_decisions.py
+++ b/tests/routing/test_recorded_decisions.py
@@ -13,7 +13,17 @@
 
 import pytest
 
-from roselink.routing import decisions as d
+from roselink.routing.events_and_actions import (
+    AcquireSharedBudget,
+    Action,
+    AttemptEnded,
+    CancelAttempt,
+    Event,
+    FinalResponse,
+    PooledPayoffs,
+    SendAttempt,
+    StartTimer,
+)
 from roselink.routing.outcome import Outcome
 from tests.routing.test_invariants import Play
 
@@ -21,16 +31,16 @@
     from collections.abc import Iterable
 
 STEPS = 1500
-ENDINGS = [outcome for outcome in Outcome if outcome is not Outcome.CANCELLED]
-MOSTLY_GOOD = [Outcome.SUCCESS] * 12 + ENDINGS
+ENDINGS: list[Outcome] = [outcome for outcome in Outcome if outcome is not Outcome.CANCELLED]
+MOSTLY_GOOD: list[Outcome] = [Outcome.SUCCESS] * 12 + ENDINGS
 
 # Names of the actions in the record, whatever their classes are called.
 KINDS: dict[type, str] = {
-    d.SendAttempt: "send",
-    d.CancelAttempt: "cancel",
-    d.AskSharedBudget: "ask",
-    d.FinalAnswer: "final",
-    d.StartTimer: "timer",
+    SendAttempt: "send",
+    CancelAttempt: "cancel",
+    AcquireSharedBudget: "ask",
+    FinalResponse: "final",
+    StartTimer: "timer",
 }
 
 RECORDED = {
@@ -52,23 +62,23 @@
         self.count = 0
         decide = self.made.decider.handle
 
-        def handle(now: float, event: d.Event) -> list[d.Action]:
+        def handle(now: float, event: Event) -> list[Action]:
             actions = decide(now, event)
             self.take_down(actions)
             return actions
 
         self.made.decider.handle = handle  # type: ignore[method-assign]
 
-    def take_down(self, actions: Iterable[d.Action]) -> None:
+    def take_down(self, actions: Iterable[Action]) -> None:
         for action in actions:
             self.count += 1
             values = [getattr(action, field.name) for field in fields(action)]
             plain = [value.value if isinstance(value, Enum) else value for value in values]
             self.record.update(f"{KINDS[type(action)]} {plain!r}\n".encode())
 
-    def tell(self, event: d.Event) -> None:
+    def tell(self, event: Event) -> None:
         """Besides the outcomes of a play: hosts at the wrong address, failures passed on."""
-        if isinstance(event, d.AttemptEnded) and self.draw.random() < 0.2:
+        if isinstance(event, AttemptEnded) and self.draw.random() < 0.2:
             if event.outcome is Outcome.FULL:
                 event = replace(event, wrong_host=True)
             elif event.outcome is Outcome.ERROR and event.number in self.owed:
@@ -81,9 +91,11 @@
         chance = self.draw.random()
         if chance < 0.02:
             hosts = tuple((f"h{n}", self.draw.random()) for n in range(5) if n % 2)
-            self.tell(d.PooledPayoffs(hosts))
+            self.tell(PooledPayoffs(hosts))
         elif chance < 0.04:
-            self.record.update(f"untold {self.made.decider.untold_outcomes()!r}\n".encode())
+            self.record.update(
+                f"untold {self.made.decider.take_unreported_outcomes()!r}\n".encode()
+            )
 
 
 @pytest.mark.parametrize(("seed", "kind"), RECORDED, ids=str)
--- a/tests/routing/test_budget.py
+++ b/tests/routing/test_retry_budget.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from roselink.routing.budget import RepeatBudget
+from roselink.routing.retry_budget import LocalRetryBudget
 
 WINDOW_S, RATIO = 10.0, 0.2
 STEPS = st.lists(
@@ -19,7 +19,7 @@
 def test_repeats_of_a_window_stay_within_the_ratio_of_its_first_sends(
     steps: list[tuple[str, float, int]], start: float, ratio: float
 ) -> None:
-    budget, now = RepeatBudget(ratio, WINDOW_S), start
+    budget, now = LocalRetryBudget(ratio, WINDOW_S), start
     firsts: list[float] = []
     repeats: list[float] = []
     for kind, gap, count in steps:
@@ -47,14 +47,14 @@
     ],
 )
 def test_tokens_expire_with_the_window(firsts: int, pause_s: float, granted: int) -> None:
-    budget = RepeatBudget(RATIO, WINDOW_S)
+    budget = LocalRetryBudget(RATIO, WINDOW_S)
     for _ in range(firsts):
         budget.first_send(100.0)
     assert sum(budget.spend(100.0 + pause_s) for _ in range(1000)) == granted
 
 
 def test_a_long_calm_stretch_saves_up_no_more_than_one_window() -> None:
-    budget = RepeatBudget(RATIO, WINDOW_S)
+    budget = LocalRetryBudget(RATIO, WINDOW_S)
     for step in range(10_000):  # 10 a second
         budget.first_send(step * 0.1)
     granted = sum(budget.spend(999.9) for _ in range(1000))
@@ -62,7 +62,7 @@
 
 
 def test_rich_needs_most_of_the_window_unspent() -> None:
-    budget = RepeatBudget(RATIO, WINDOW_S)
+    budget = LocalRetryBudget(RATIO, WINDOW_S)
     assert not budget.rich(0.0)
     for _ in range(100):
         budget.first_send(0.0)
--- a/tests/test_mutations.py
+++ b/tests/test_mutations.py
@@ -33,15 +33,15 @@
 @pytest.mark.parametrize(
     ("instead", "caught"),
     [
-        ("return Verdict.STOP", True),
-        ("return Verdict.RETRY if outcome in NEVER_RAN or repeatable", False),
+        ("return RetryDecision.STOP", True),
+        ("return RetryDecision.RETRY if outcome in NEVER_RAN or repeatable", False),
     ],
 )
 def test_a_guard_that_is_gone_is_told(
     monkeypatch: pytest.MonkeyPatch, instead: str, caught: bool
 ) -> None:
-    guard = "return Verdict.RETRY if outcome in NEVER_RAN or repeatable"
-    tests = ("tests/routing/test_fleet.py",)
+    guard = "return RetryDecision.RETRY if outcome in NEVER_RAN or repeatable"
+    tests = ("tests/routing/test_fleet_decider.py",)
     assert (
         run_tests(Mutation("any", "routing/classifier.py", guard, instead, tests)).caught is caught
     )
--- a/tools/decider.py
+++ b/tools/decider.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 from roselink.routing.affinity import KEPT_PARTS, PrefixMemory
-from roselink.routing.decisions import (
+from roselink.routing.events_and_actions import (
     AttemptEnded,
     FirstEvent,
     PromptPart,
@@ -22,7 +22,7 @@
     SendAttempt,
     TopologyChanged,
 )
-from roselink.routing.fleet import FleetDecider
+from roselink.routing.fleet_decider import FleetDecider
 from roselink.routing.outcome import Outcome
 from roselink.routing.ring import HashRing
 from tools.measure import heap_bytes, machine, processor_us, show, show_line
