--- a/roselink/dataplane/admission.py
+++ b/roselink/dataplane/admission.py
@@ -6,12 +6,12 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from roselink.dataplane.requests import ProxyRequest, priority_of
+from roselink.dataplane.proxy_request import ProxyRequest, priority_of
 from roselink.routing.decisions import RequestFacts
 
 if TYPE_CHECKING:
     from roselink.dataplane.exchange import Exchange
-    from roselink.dataplane.routes import RouteEntry, RouteTable
+    from roselink.dataplane.route_table import RouteEntry, RouteTable
     from roselink.model.configuration import Route, Tenant
 
 DEFAULT_DEADLINE_S = 30.0
--- a/roselink/dataplane/attempts.py
+++ b/roselink/dataplane/attempt_runner.py
@@ -7,8 +7,8 @@
 
 from roselink.balancer.interface import NEVER_RAN, Outcome
 from roselink.dataplane.exchange import AnswerMode, AttemptAnswer, Exchange
-from roselink.dataplane.requests import attempt_head
-from roselink.dataplane.upstream import FleetAttempt, FleetHost, FleetUpstream
+from roselink.dataplane.fleet_host_connection import FleetAttempt
+from roselink.dataplane.proxy_request import attempt_head
 from roselink.routing.decisions import AttemptEnded, Event, FirstEvent, SendAttempt
 
 if TYPE_CHECKING:
@@ -16,6 +16,8 @@
     from collections import Counter
     from collections.abc import Mapping
 
+    from roselink.dataplane.fleet_host_pool import FleetHost, FleetUpstream
+
 HOST_MARGIN_MS = (
     5  # hosts are told so much less: what they say at their deadline is still passed on
 )
--- a/roselink/dataplane/server.py
+++ b/roselink/dataplane/client_connection.py
@@ -1,4 +1,4 @@
-"""The client side: requests in, one answer each out, whole or in parts."""
+"""One client connection: requests in, one response each out, complete or in pieces."""
 
 from __future__ import annotations
 
@@ -8,28 +8,17 @@
 from typing import TYPE_CHECKING
 
 from roselink.dataplane.admission import NOT_CONFIRMED_RETRY_S
-from roselink.dataplane.requests import Headers, ProxyRequest, read_request
-from roselink.http.framing_checks import Bad
-from roselink.http.limits import Sizes, Times
+from roselink.dataplane.proxy_request import Headers, ProxyRequest, read_request
 from roselink.http.reason_phrases import REASONS
-from roselink.http.server import HttpServer
 from roselink.http.server_connection import HttpConnection, Pending
-from roselink.model.configuration import Limits
 
 if TYPE_CHECKING:
-    import asyncio
-    from collections.abc import Callable
-
-    from roselink.dataplane.engine import Engine
+    from roselink.dataplane.client_server import DataServer
     from roselink.dataplane.exchange import Exchange
-    from roselink.http.descriptors import Descriptors
 
 log = logging.getLogger("roselink.dataplane")
 
-BODY_S = 10.0  # for a body to come in whole, behind the head's own time
-UNREAD_S = 10.0  # for a client to take what waits for it
-IDLE_OVER_S = 1.0  # connections rest here for so much longer than clients are told
-BODIES_LIMIT = 64 * 1024 * 1024  # bytes of the bodies of all open requests
+# Statuses whose responses have no body (RFC 9110, sections 15.3.5 and 15.4.5).
 BODILESS = (204, 304)
 
 
@@ -155,97 +144,3 @@
     def _end(self) -> None:
         self._exchange = None
         self._finish(self._kept)
-
-
-class DataServer(HttpServer):
-    """All client connections of the data plane."""
-
-    def __init__(
-        self,
-        loop: asyncio.AbstractEventLoop,
-        engine: Engine,
-        descriptors: Descriptors,
-        make_room: Callable[[], bool],
-    ) -> None:
-        self.engine = engine
-        self._limits: tuple[Limits, ...] = (Limits(),)  # the latest last
-        self._told = False  # whether they are a configuration's
-        super().__init__(loop, descriptors, make_room, _sizes(0, 0))
-        self._apply()
-
-    def limit(self, limits: Limits) -> None:
-        """Go by a configuration's limits from now on, and by those before where they allow more:
-        clients that have not heard of the new ones, or sent before them, keep within the old.
-        """
-        if limits != self._limits[-1]:
-            self._limits = (self._limits[-1], limits) if self._told else (limits,)
-            self._apply()
-        self._told = True
-
-    def _apply(self) -> None:
-        self.sizes = _sizes(
-            max(limits.max_header_bytes for limits in self._limits),
-            max(limits.max_body_bytes for limits in self._limits),
-        )
-        head_s = max(limits.header_timeout_ms for limits in self._limits) / 1000
-        idle_s = max(limits.idle_timeout_ms for limits in self._limits) / 1000
-        self._times = Times(head_s, head_s + BODY_S, UNREAD_S, (idle_s + IDLE_OVER_S,))
-
-    def times(self) -> Times:
-        return self._times
-
-    def connection(self) -> HttpConnection:
-        return DataConnection(self)
-
-    def crowded(self) -> bool:
-        return super().crowded() or self.engine.body_bytes > BODIES_LIMIT
-
-
-def _sizes(head: int, body: int) -> Sizes:
-    return Sizes(head, body, head + 4 * body)
-
-
-class ReadinessConnection(HttpConnection):
-    """A caller that asks whether this gateway is ready."""
-
-    def __init__(self, server: ReadinessServer) -> None:
-        super().__init__(server)
-        self._owner = server
-
-    def _read(self, method: bytes, keep: bool) -> Pending:
-        known = method in (b"GET", b"HEAD") and self._url.partition(b"?")[0] == b"/readyz"
-        if not known:
-            raise Bad(404, "no such page")
-        return Pending(None, 200, keep)
-
-    def _serve(self, pending: Pending) -> None:
-        self._serving, self._keep = True, pending.keep
-        status = pending.status
-        if status == 200 and not self._owner.ready():
-            status = 503
-        keep = self._may_keep()
-        self._write(
-            b"HTTP/1.1 %d %b\r\nContent-Length: 0\r\nConnection: %b\r\n\r\n"
-            % (status, REASONS[status], b"keep-alive" if keep else b"close")
-        )
-        self._finish(keep)
-
-
-class ReadinessServer(HttpServer):
-    """`GET /readyz`: 200 while `ready`."""
-
-    def __init__(
-        self,
-        loop: asyncio.AbstractEventLoop,
-        ready: Callable[[], bool],
-        descriptors: Descriptors,
-        make_room: Callable[[], bool],
-    ) -> None:
-        super().__init__(loop, descriptors, make_room, Sizes(8192, 8192, 65536))
-        self.ready = ready
-
-    def times(self) -> Times:
-        return Times(3.0, 3.0, 3.0, (30.0,))
-
-    def connection(self) -> HttpConnection:
-        return ReadinessConnection(self)
--- /dev/null
+++ b/roselink/dataplane/client_server.py
@@ -0,0 +1,75 @@
+"""The listener for clients, under the configuration's limits."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from roselink.dataplane.client_connection import DataConnection
+from roselink.http.limits import Sizes, Times
+from roselink.http.server import HttpServer
+from roselink.model.configuration import Limits
+
+if TYPE_CHECKING:
+    import asyncio
+    from collections.abc import Callable
+
+    from roselink.dataplane.decision_driver import Engine
+    from roselink.http.descriptors import Descriptors
+    from roselink.http.server_connection import HttpConnection
+
+# For a body to be complete, behind the head's own time.
+BODY_S = 10.0
+# For a client to take what waits for it.
+UNREAD_S = 10.0
+# Connections stay idle here for so much longer than clients are told.
+IDLE_OVER_S = 1.0
+# Bytes of the bodies of all open requests.
+BODIES_LIMIT = 64 * 1024 * 1024
+
+
+class DataServer(HttpServer):
+    """All client connections of the data plane."""
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        engine: Engine,
+        descriptors: Descriptors,
+        make_room: Callable[[], bool],
+    ) -> None:
+        self.engine = engine
+        self._limits: tuple[Limits, ...] = (Limits(),)  # the latest last
+        self._told = False  # whether they are a configuration's
+        super().__init__(loop, descriptors, make_room, _sizes(0, 0))
+        self._apply()
+
+    def limit(self, limits: Limits) -> None:
+        """Go by a configuration's limits from now on, and by those before where they allow more:
+        clients that have not heard of the new ones, or sent before them, keep within the old.
+        """
+        if limits != self._limits[-1]:
+            self._limits = (self._limits[-1], limits) if self._told else (limits,)
+            self._apply()
+        self._told = True
+
+    def _apply(self) -> None:
+        self.sizes = _sizes(
+            max(limits.max_header_bytes for limits in self._limits),
+            max(limits.max_body_bytes for limits in self._limits),
+        )
+        head_s = max(limits.header_timeout_ms for limits in self._limits) / 1000
+        idle_s = max(limits.idle_timeout_ms for limits in self._limits) / 1000
+        self._times = Times(head_s, head_s + BODY_S, UNREAD_S, (idle_s + IDLE_OVER_S,))
+
+    def times(self) -> Times:
+        return self._times
+
+    def connection(self) -> HttpConnection:
+        return DataConnection(self)
+
+    def crowded(self) -> bool:
+        return super().crowded() or self.engine.body_bytes > BODIES_LIMIT
+
+
+def _sizes(head: int, body: int) -> Sizes:
+    return Sizes(head, body, head + 4 * body)
--- a/roselink/dataplane/engine.py
+++ b/roselink/dataplane/decision_driver.py
@@ -26,12 +26,12 @@
     judge,
     unconfigured_retry_s,
 )
-from roselink.dataplane.attempts import Attempts
+from roselink.dataplane.attempt_runner import Attempts
+from roselink.dataplane.event_queue import EventQueue
 from roselink.dataplane.exchange import ClientAnswer, Exchange
-from roselink.dataplane.queue import EventQueue
-from roselink.dataplane.requests import ProxyRequest, host_head
-from roselink.dataplane.routes import RouteTable
-from roselink.dataplane.topology import HostDirectory
+from roselink.dataplane.host_directory import HostDirectory
+from roselink.dataplane.proxy_request import ProxyRequest, host_head
+from roselink.dataplane.route_table import RouteTable
 from roselink.routing.decisions import (
     Action,
     AskSharedBudget,
@@ -51,8 +51,8 @@
 if TYPE_CHECKING:
     import asyncio
 
+    from roselink.dataplane.fleet_host_pool import FleetUpstream
     from roselink.dataplane.interfaces import Authority, Decisions, Quotas, SharedBudget
-    from roselink.dataplane.upstream import FleetUpstream
     from roselink.model.configuration import Tenant
 
 log = logging.getLogger("roselink.dataplane")
--- a/roselink/dataplane/exchange.py
+++ b/roselink/dataplane/exchange.py
@@ -11,9 +11,9 @@
 from typing import TYPE_CHECKING, NamedTuple, Protocol
 
 from roselink.balancer.interface import NEVER_RAN, Outcome
-from roselink.dataplane.events import Progress, StreamFilter
-from roselink.dataplane.requests import Headers, ProxyRequest, relayed_headers
-from roselink.dataplane.upstream import PROMISES, FleetAttempt, outcome_of
+from roselink.dataplane.event_streams import Progress, StreamFilter
+from roselink.dataplane.fleet_host_connection import PROMISES, FleetAttempt, outcome_of
+from roselink.dataplane.proxy_request import Headers, ProxyRequest, relayed_headers
 from roselink.model.configuration import Route, RouteKind, Tenant
 
 if TYPE_CHECKING:
--- a/roselink/dataplane/upstream.py
+++ b/roselink/dataplane/fleet_host_connection.py
@@ -1,7 +1,7 @@
-"""The host side: pooled connections that pass an answer on as it comes.
+"""One connection to a host of the fleet: it passes a response on as it comes.
 
-What parts it from the gateway's `Upstream`: bodies go on piece by piece, silence is no failure, a
-surplus answer is told by its id, and each host takes so many connections from here and no more.
+What parts it from `HostConnection`: bodies go on piece by piece, silence is no failure, and a
+surplus response is recognised by its id.
 """
 
 from __future__ import annotations
@@ -21,27 +21,29 @@
     HostConnection,
     Wanted,
 )
-from roselink.http.host_pool import Upstream
 
 if TYPE_CHECKING:
     import asyncio
-    from collections.abc import Callable
-
-    from roselink.dataplane.requests import Headers
-    from roselink.http.address import Address
-    from roselink.http.descriptors import Descriptors
-
-CONNECT_TIMEOUT_S = 0.25
-USER_TIMEOUT_MS = 2500  # unacknowledged bytes for so long: the machine is gone
-PROBE_IDLE_S, PROBE_EVERY_S, PROBES = 1, 1, 2  # the same where nothing is on its way
-SURPLUS_LIMIT = 2  # answers to other requests that may lie ahead of the one that counts
-UNTOLD_IDLE_S = 0.4  # hosts that tell no idle time have one below a second
-ONCE_IDLE_S = (
-    0.15  # a host may have forgotten what rested longer: a request sent there counts as run
-)
-PROVEN_LIMIT = 64 * 1024  # a longer request may have reached the host in part when its write fails
-PROMISES = frozenset((408, 421, 429, 503))  # statuses that promise that a request has not run
-NOT_RUN = frozenset((400, 421, 429, 503))  # with `X-Not-Executed` the host has kept that promise
+
+    from roselink.dataplane.proxy_request import Headers
+    from roselink.http.host_pool import Upstream
+
+# Unacknowledged bytes for so long: the machine is gone.
+USER_TIMEOUT_MS = 2500
+# TCP keep-alive probes find the same where nothing is on its way.
+PROBE_IDLE_S = 1
+PROBE_INTERVAL_S = 1
+PROBES = 2
+# Responses to other requests that may lie ahead of the one that counts.
+SURPLUS_LIMIT = 2
+# Hosts that state no idle time have one below a second.
+DEFAULT_IDLE_S = 0.4
+# A longer request may have reached the host in part when its write fails.
+PROVEN_LIMIT = 64 * 1024
+# Statuses that promise that a request has not run.
+PROMISES = frozenset((408, 421, 429, 503))
+# With `X-Not-Executed` the host has kept that promise.
+NOT_RUN = frozenset((400, 421, 429, 503))
 
 
 class Receiver(Protocol):
@@ -54,14 +56,6 @@
     def done(self, outcome: Outcome) -> None: ...
 
 
-class FleetHost(Host):
-    """One host of the snapshot. `most`: connections that this gateway may hold to it."""
-
-    def __init__(self, name: str, service: str, address: Address, most: int) -> None:
-        super().__init__(name, address)
-        self.service, self.most = service, most
-
-
 class FleetAttempt(Attempt):
     """One attempt. `sent`: bytes of it may have reached the host. `once`: it can't be repeated."""
 
@@ -105,7 +99,7 @@
         self._parts: list[bytes] = []
         self._silent = self._surplus = self._sent_bytes = 0
         self._skipping = self._headed = self._waits = False
-        self._keep_s = UNTOLD_IDLE_S
+        self._keep_s = DEFAULT_IDLE_S
         super().__init__(upstream, host)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -114,7 +108,7 @@
         for level, option, value in (
             (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS),
             (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_IDLE_S),
-            (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_EVERY_S),
+            (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_INTERVAL_S),
             (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES),
             (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
         ):
@@ -259,36 +253,4 @@
         if name.strip().lower() == b"timeout" and value.strip().isdigit() and len(value) < 8:
             told = int(value)
             return max(0.1, min(told - 0.5, 0.75 * told))
-    return UNTOLD_IDLE_S
-
-
-class FleetUpstream(Upstream):
-    """The pool of all hosts."""
-
-    def __init__(self, loop: asyncio.AbstractEventLoop, descriptors: Descriptors) -> None:
-        super().__init__(loop, descriptors, CONNECT_TIMEOUT_S, 0.0)
-
-    def _new_connection(self, host: Host) -> HostConnection:
-        return FleetConnection(self, host)
-
-    def _suits(self, attempt: Attempt, connection: HostConnection) -> bool:
-        once = isinstance(attempt, FleetAttempt) and attempt.once
-        fresh = self.now() - connection.idle_since <= ONCE_IDLE_S
-        return not once or fresh or connection.stale()  # a stale one is taken out and dropped
-
-    def _may_connect(self, host: Host) -> bool:
-        assert isinstance(host, FleetHost)
-        if host.open >= host.most and host.idle:
-            connection = host.idle[0]  # not settled yet, or it would have been used
-            connection.drop()
-            self.forget(connection)
-        return host.open < host.most
-
-    def begin(self, attempt: FleetAttempt, request: Callable[[], bytes]) -> None:
-        """Start an attempt; `request` is asked right before the write."""
-        self.launch(attempt, request)
-
-    def sweep(self) -> None:
-        for connection in list(self._idle):
-            if connection.stale():
-                connection.drop()
+    return DEFAULT_IDLE_S
--- a/roselink/dataplane/plane.py
+++ b/roselink/dataplane/gateway_data_plane.py
@@ -7,9 +7,10 @@
 import zlib
 from typing import TYPE_CHECKING
 
-from roselink.dataplane.engine import Engine
-from roselink.dataplane.server import DataServer, ReadinessServer
-from roselink.dataplane.upstream import FleetUpstream
+from roselink.dataplane.client_server import DataServer
+from roselink.dataplane.decision_driver import Engine
+from roselink.dataplane.fleet_host_pool import FleetUpstream
+from roselink.dataplane.readiness_server import ReadinessServer
 from roselink.http.descriptors import Descriptors
 from roselink.routing.decisions import PooledPayoffs
 
--- a/roselink/dataplane/topology.py
+++ b/roselink/dataplane/host_directory.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from roselink.dataplane.upstream import FleetHost, FleetUpstream
+from roselink.dataplane.fleet_host_pool import FleetHost, FleetUpstream
 from roselink.model.fleet import Host, HostState, Snapshot
 
 CONNECTIONS_LEAST = 4  # to each host
--- a/roselink/lab/clients.py
+++ b/roselink/lab/clients.py
@@ -12,7 +12,7 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-from roselink.dataplane.events import EventSplitter
+from roselink.dataplane.event_streams import EventSplitter
 from roselink.lab.hosts import event, record, signature
 from roselink.lab.operator import HOSTNAME, KEY
 from roselink.lab.wire import BrokenMessage, Head, message, read_body, read_head, read_parts
--- a/tests/dataplane/fuzz.py
+++ b/tests/dataplane/fuzz.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from tests.dataplane.stage import STAMP, Stage, StreamClient, chunk, event, request
+from tests.dataplane.harness import STAMP, Stage, StreamClient, chunk, event, request
 from tests.support.net import FakeHost, Message, read_message, reset
 
 if TYPE_CHECKING:
--- a/tests/dataplane/stage.py
+++ b/tests/dataplane/harness.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING, Any
 
 from roselink.balancer.interface import NEVER_RAN, Outcome
-from roselink.dataplane.plane import DataPlane
+from roselink.dataplane.gateway_data_plane import DataPlane
 from roselink.model.configuration import Configuration, Tenant
 from roselink.model.fleet import Host, HostState, Snapshot, VersionVector
 from roselink.model.settings import read_settings
--- a/tests/dataplane/test_checks.py
+++ b/tests/dataplane/test_checks.py
@@ -16,7 +16,7 @@
     judge,
     unconfigured_retry_s,
 )
-from roselink.dataplane.requests import (
+from roselink.dataplane.proxy_request import (
     ProxyRequest,
     attempt_head,
     host_head,
@@ -24,10 +24,10 @@
     read_request,
     relayed_headers,
 )
-from roselink.dataplane.routes import RouteTable
+from roselink.dataplane.route_table import RouteTable
 from roselink.http.framing_checks import Bad
 from roselink.model.configuration import Configuration, Route, Tenant
-from tests.dataplane.stage import KEY, document
+from tests.dataplane.harness import KEY, document
 
 
 def table(**changes: Any) -> RouteTable:
--- a/tests/dataplane/test_clients.py
+++ b/tests/dataplane/test_clients.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from roselink.dataplane import plane as plane_module
-from roselink.dataplane.server import IDLE_OVER_S
-from tests.dataplane.stage import (
+from roselink.dataplane import gateway_data_plane
+from roselink.dataplane.client_server import IDLE_OVER_S
+from tests.dataplane.harness import (
     KEY,
     Stage,
     chunk,
@@ -196,7 +196,7 @@
 async def drains(
     s: Stage, monkeypatch: pytest.MonkeyPatch, accept_s: float = 0.1
 ) -> asyncio.Task[None]:
-    monkeypatch.setattr(plane_module, "ACCEPT_S", accept_s)
+    monkeypatch.setattr(gateway_data_plane, "ACCEPT_S", accept_s)
     s.plane.begin_drain()
     return asyncio.get_running_loop().create_task(s.plane.drained())
 
@@ -250,7 +250,7 @@
             writer.write(sse(message) + chunk(event(1)))
         await hang(message, writer)
 
-    monkeypatch.setattr(plane_module, "RESERVE_S", 7.6)  # of a grace of 8 s
+    monkeypatch.setattr(gateway_data_plane, "RESERVE_S", 7.6)  # of a grace of 8 s
     async with stage(stuck) as s, s.client() as one, s.client() as two:
         one.writer.write(request("/once/x"))
         two.writer.write(request("/chat/x"))
--- a/tests/dataplane/test_plane.py
+++ b/tests/dataplane/test_data_plane.py
@@ -9,7 +9,7 @@
 from roselink.balancer.interface import Outcome
 from roselink.http import host_pool
 from roselink.routing.decisions import FirstEvent, RequestClosed
-from tests.dataplane.stage import KEY, event, plain, rejects, request, sse, stage, stream
+from tests.dataplane.harness import KEY, event, plain, rejects, request, sse, stage, stream
 from tests.support.net import Behaviour, Message, hang, on_loop, say, until
 
 
--- a/tests/dataplane/test_events.py
+++ b/tests/dataplane/test_event_streams.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from roselink.dataplane.events import EventSplitter, Progress, StreamFilter, read_event
+from roselink.dataplane.event_streams import EventSplitter, Progress, StreamFilter, read_event
 
 
 @pytest.mark.parametrize(
--- a/tests/dataplane/test_fuzz.py
+++ b/tests/dataplane/test_fuzz.py
@@ -11,7 +11,7 @@
 
 from roselink.routing.fleet import FleetDecider
 from tests.dataplane.fuzz import FuzzClient, FuzzHost, Ledger
-from tests.dataplane.stage import host_line, plain, stage
+from tests.dataplane.harness import host_line, plain, stage
 from tests.support.net import on_loop, until
 
 HOSTS, CLIENTS, TURNS = 4, 6, 20
--- a/tests/dataplane/test_guards.py
+++ b/tests/dataplane/test_guards.py
@@ -11,12 +11,12 @@
 import pytest
 
 from roselink.balancer.interface import NEVER_RAN, Outcome
-from roselink.dataplane import upstream
-from roselink.dataplane.requests import Headers, read_request
-from roselink.dataplane.upstream import PROVEN_LIMIT
+from roselink.dataplane import fleet_host_pool
+from roselink.dataplane.fleet_host_connection import PROVEN_LIMIT
+from roselink.dataplane.proxy_request import Headers, read_request
 from roselink.http import host_pool
 from roselink.routing.decisions import Action, AttemptEnded, RequestArrived
-from tests.dataplane.stage import (
+from tests.dataplane.harness import (
     KEY,
     FakeDecider,
     Stage,
@@ -30,7 +30,7 @@
     stage,
     stream,
 )
-from tests.dataplane.stage import chunk as chunk_of
+from tests.dataplane.harness import chunk as chunk_of
 from tests.support.net import Behaviour, FakeHost, Message, hang, on_loop, reset, until
 
 if TYPE_CHECKING:
@@ -263,7 +263,7 @@
     settle: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(host_pool, "SETTLE_S", settle)
-    monkeypatch.setattr(upstream, "ONCE_IDLE_S", 1.0)
+    monkeypatch.setattr(fleet_host_pool, "ONCE_IDLE_S", 1.0)
 
     async def doubled(message: Message, writer: asyncio.StreamWriter) -> None:
         answered = head(message, "200 OK", "Keep-Alive: timeout=9") + b"Content-Length: 4\r\n\r\n"
@@ -317,7 +317,7 @@
     size: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(host_pool, "SETTLE_S", -1.0)
-    monkeypatch.setattr(upstream, "ONCE_IDLE_S", 1.0)
+    monkeypatch.setattr(fleet_host_pool, "ONCE_IDLE_S", 1.0)
     early = await EarlyHost("i-early").start()
     assert isinstance(early, EarlyHost)
     limits = {"max_body_bytes": 200 * PROVEN_LIMIT}
--- a/tests/dataplane/test_directory.py
+++ b/tests/dataplane/test_host_directory.py
@@ -8,13 +8,13 @@
 
 import pytest
 
-from roselink.dataplane.topology import HostDirectory
+from roselink.dataplane.host_directory import HostDirectory
 from roselink.model.configuration import Configuration
 from roselink.model.fleet import Host, HostState, Member, Snapshot, VersionVector
-from tests.dataplane.stage import document
+from tests.dataplane.harness import document
 
 if TYPE_CHECKING:
-    from roselink.dataplane.upstream import FleetHost
+    from roselink.dataplane.fleet_host_pool import FleetHost
 
 HOST = Host("h", "model", "10.0.0.1:8000", "z", "v1", 64, HostState.READY, 0.0, ())
 
--- a/tests/dataplane/test_pool.py
+++ b/tests/dataplane/test_host_pool.py
@@ -9,12 +9,12 @@
 import pytest
 
 from roselink.balancer.interface import Outcome
-from roselink.dataplane import upstream
-from roselink.dataplane.topology import CONNECTIONS_LEAST
+from roselink.dataplane import fleet_host_connection
+from roselink.dataplane.host_directory import CONNECTIONS_LEAST
 from roselink.http import host_pool
 from roselink.model.fleet import HostState
 from roselink.routing.decisions import FirstEvent
-from tests.dataplane.stage import (
+from tests.dataplane.harness import (
     Stage,
     StreamClient,
     chunk,
@@ -66,7 +66,7 @@
     ],
 )
 def test_no_connection_rests_as_long_as_its_host_keeps_it(header: bytes, seconds: float) -> None:
-    assert upstream._idle_s(header) == seconds
+    assert fleet_host_connection._idle_s(header) == seconds
 
 
 @on_loop
--- a/tests/dataplane/test_storm.py
+++ b/tests/dataplane/test_storm.py
@@ -20,7 +20,7 @@
     SendAttempt,
 )
 from roselink.routing.fleet import FleetDecider
-from tests.dataplane.stage import (
+from tests.dataplane.harness import (
     Answer,
     FakeDecider,
     Stage,
--- a/tests/mutations/dataplane.py
+++ b/tests/mutations/dataplane.py
@@ -8,7 +8,7 @@
 
 MUTATIONS: tuple[Mutation, ...] = (
     *mutations_of(
-        "dataplane/attempts.py",
+        "dataplane/attempt_runner.py",
         DATAPLANE,
         (
             "a second attempt of what runs once",
@@ -83,7 +83,7 @@
         ),
     ),
     *mutations_of(
-        "dataplane/engine.py",
+        "dataplane/decision_driver.py",
         DATAPLANE,
         (
             "sent for a client that has left",
@@ -173,7 +173,7 @@
         ),
     ),
     *mutations_of(
-        "dataplane/upstream.py",
+        "dataplane/fleet_host_connection.py",
         DATAPLANE,
         (
             "an answer to another request is taken",
@@ -186,11 +186,6 @@
             "should_keep_alive() and not self._surplus",
             "should_keep_alive()",
         ),
-        (
-            "an old connection for what runs once",
-            "return not once or fresh or connection.stale()",
-            "return True",
-        ),
         (
             "a connection that its host may have ended",
             "return self.upstream.now() - self.idle_since > self._keep_s",
@@ -211,7 +206,6 @@
             "            self.drop()  # bytes that no request asked for\n",
             "",
         ),
-        ("more connections than a host takes", "return host.open < host.most", "return True"),
         (
             "surplus answers without end",
             "if not answered or self._surplus > SURPLUS_LIMIT:",
@@ -219,7 +213,17 @@
         ),
     ),
     *mutations_of(
-        "dataplane/events.py",
+        "dataplane/fleet_host_pool.py",
+        DATAPLANE,
+        (
+            "an old connection for what runs once",
+            "return not once or fresh or connection.stale()",
+            "return True",
+        ),
+        ("more connections than a host takes", "return host.open < host.most", "return True"),
+    ),
+    *mutations_of(
+        "dataplane/event_streams.py",
         DATAPLANE,
         ("a gap in events is not seen", "            self.gap = True\n", "            pass\n"),
         (
@@ -239,7 +243,7 @@
         ),
     ),
     *mutations_of(
-        "dataplane/requests.py",
+        "dataplane/proxy_request.py",
         DATAPLANE,
         ("a client names its tenant", "x-tenant-id x-target-instance", "x-target-instance"),
         ("keys go on to hosts", '"authorization content-length', '"content-length'),
@@ -250,7 +254,7 @@
         ),
     ),
     *mutations_of(
-        "dataplane/topology.py",
+        "dataplane/host_directory.py",
         DATAPLANE,
         (
             "an address that another host has",
@@ -264,7 +268,7 @@
         ),
     ),
     *mutations_of(
-        "dataplane/server.py",
+        "dataplane/client_connection.py",
         DATAPLANE,
         (
             "a cut answer ends in order",
--- a/tools/configurations.py
+++ b/tools/configurations.py
@@ -11,7 +11,7 @@
 from roselink.controller.checking import Checked, Refused, check
 from roselink.controller.contract import ConfigurationOrder, Confirmation
 from roselink.controller.updates import order_of_update, read_call
-from roselink.dataplane.routes import RouteTable
+from roselink.dataplane.route_table import RouteTable
 from roselink.model.configuration import Configuration
 from tools.measure import heap_bytes, machine, processor_us, show, show_line
 from tools.shapes import make_document
--- a/tools/pulls.py
+++ b/tools/pulls.py
@@ -16,8 +16,8 @@
 from roselink.controller.contract import Confirmation
 from roselink.controller.pulls import Answer, AnswerChanges, PullDesk
 from roselink.coordination.views import MAX_VOTERS
-from roselink.dataplane.topology import HostDirectory
-from roselink.dataplane.upstream import FleetUpstream
+from roselink.dataplane.fleet_host_pool import FleetUpstream
+from roselink.dataplane.host_directory import HostDirectory
 from roselink.distribution.host_changes import completed
 from roselink.distribution.pull import PULL_EVERY_S, PullMachine, SendPull
 from roselink.http.descriptors import Descriptors
--- a/tools/streams.py
+++ b/tools/streams.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from roselink.dataplane.events import Progress, StreamFilter
+from roselink.dataplane.event_streams import Progress, StreamFilter
 from tools.measure import machine, processor_us, show, show_line
 
 if TYPE_CHECKING:
