--- a/tests/balancer/test_property.py
+++ b/tests/balancer/test_property.py
@@ -12,6 +12,7 @@
 from roselink.balancer import balance
 from roselink.balancer.balance import Balancer
 from roselink.balancer.interface import (
+    Action,
     Alarm,
     Arrived,
     AttemptDone,
@@ -22,7 +23,6 @@
     Fail,
     Group,
     ListKind,
-    Outcome,
     Refuse,
     Route,
     Send,
@@ -32,6 +32,7 @@
     Settings,
     State,
 )
+from roselink.routing.outcome import Outcome
 from tests.support.rulecheck import Checker, RuleBroken
 
 if TYPE_CHECKING:
@@ -167,6 +168,9 @@
         self.checker.before(self.now, events)
         actions = self.balancer.handle(self.now, events)
         self.checker.after(self.now, actions)
+        self.carry_out(actions)
+
+    def carry_out(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, SetAlarm):
                 self.later(action.delay_us, Alarm(action.tag))
--- a/tests/dataplane/test_guards.py
+++ b/tests/dataplane/test_guards.py
@@ -10,12 +10,12 @@
 
 import pytest
 
-from roselink.balancer.interface import NEVER_RAN, Outcome
 from roselink.dataplane import fleet_host_pool
 from roselink.dataplane.fleet_host_connection import PROVEN_LIMIT
 from roselink.dataplane.proxy_request import Headers, read_request
 from roselink.http import host_pool
 from roselink.routing.decisions import Action, AttemptEnded, RequestArrived
+from roselink.routing.outcome import NEVER_RAN, Outcome
 from tests.dataplane.harness import (
     KEY,
     FakeDecider,
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -18,7 +18,6 @@
     AttemptDone,
     Departed,
     Event,
-    Outcome,
     ServerList,
 )
 from roselink.gateway import server
@@ -29,6 +28,7 @@
 from roselink.http import server_connection
 from roselink.http.descriptors import RESERVED
 from roselink.http.host_connection import HostConnection
+from roselink.routing.outcome import Outcome
 from tests.support.net import (
     Client,
     FakeHost,
--- a/tests/gateway/test_host_pool.py
+++ b/tests/gateway/test_host_pool.py
@@ -12,11 +12,11 @@
 
 import pytest
 
-from roselink.balancer.interface import Outcome
 from roselink.http import host_pool
 from roselink.http.descriptors import RESERVED, Descriptors
 from roselink.http.host_connection import Answer, Attempt, Host, HostConnection
 from roselink.http.host_pool import Upstream
+from roselink.routing.outcome import Outcome
 from tests.support.net import (
     Behaviour,
     FakeHost,
--- a/tests/mutations/budgets.py
+++ b/tests/mutations/budgets.py
@@ -8,7 +8,7 @@
 
 MUTATIONS: tuple[Mutation, ...] = (
     *mutations_of(
-        "budgets/roles.py",
+        "budgets/ownership.py",
         BUDGETS,
         (
             "an ask under an old token is served",
@@ -20,7 +20,7 @@
         ("an older roster is taken", "if token <= self.token:", "if token == self.token:"),
     ),
     *mutations_of(
-        "budgets/ledger.py",
+        "budgets/quota_owner.py",
         BUDGETS,
         (
             "what is admitted is not counted",
@@ -42,7 +42,7 @@
         ),
     ),
     *mutations_of(
-        "budgets/repeats.py",
+        "budgets/retry_budget.py",
         BUDGETS,
         (
             "a new term lends the whole slack",
