--- a/roselink/budgets/budget_service.py
+++ b/roselink/budgets/budget_service.py
@@ -15,17 +15,17 @@
 from typing import TYPE_CHECKING, Any
 
 from roselink.budgets import quota_client, retry_budget
-from roselink.budgets.ownership import FRESH_S, Roles
-from roselink.budgets.quota_client import QuotaClient, QuotaDecided, SendQuotaAsk
-from roselink.budgets.quota_owner import QuotaLedger
+from roselink.budgets.ownership import CONFIRMATION_VALID_S, OwnershipView
+from roselink.budgets.quota_client import QuotaClient, QuotaDecided, SendQuotaRequest
+from roselink.budgets.quota_owner import QuotaOwner
 from roselink.budgets.retry_budget import (
     RefreshRoster,
-    RepeatClient,
-    RepeatDecided,
-    RepeatLedger,
-    SendRepeatAsk,
+    RetryBudgetClient,
+    RetryBudgetDecided,
+    RetryBudgetOwner,
+    SendRetryBudgetRequest,
 )
-from roselink.budgets.usage import Limit, QuotaRule
+from roselink.budgets.usage import QuotaLimit, QuotaRule
 from roselink.protocol.budgets import (
     QuotaReply,
     QuotaRequest,
@@ -42,12 +42,14 @@
 
 log = logging.getLogger("roselink.budgets")
 
-REPEAT_TIMEOUT_S = 0.1
-SOONEST_WAKE_S = 0.002
+RETRY_BUDGET_TIMEOUT_S = 0.1
+MIN_WAKE_DELAY_S = 0.002
 
 DecideQuota = Callable[[bool, float], None]
-DecideRepeat = Callable[[bool], None]
-Effect = SendQuotaAsk | QuotaDecided | SendRepeatAsk | RepeatDecided | RefreshRoster
+DecideRetry = Callable[[bool], None]
+Effect = (
+    SendQuotaRequest | QuotaDecided | SendRetryBudgetRequest | RetryBudgetDecided | RefreshRoster
+)
 
 
 class BudgetService:
@@ -64,20 +66,20 @@
         rule = QuotaRule(thresholds.quota_window_s, thresholds.quota_over, thresholds.quota_slack)
         window_s, slack = thresholds.retry_window_s, thresholds.retry_slack
         self._own, self._pool, self._refresh, self._clock = own, pool, refresh, clock
-        self._roles = Roles(own)
+        self._roles = OwnershipView(own)
         self._quotas, self._quota_client = (
-            QuotaLedger(rule, own.incarnation),
+            QuotaOwner(rule, own.incarnation),
             QuotaClient(self._roles, rule),
         )
         self._repeats, self._repeat_client = (
-            RepeatLedger(window_s, slack),
-            RepeatClient(self._roles, slack),
+            RetryBudgetOwner(window_s, slack),
+            RetryBudgetClient(self._roles, slack),
         )
         self._tenants: list[str] = []
         self._services: list[str] = []
         self._numbers = itertools.count(1)
         self._quota_waits: dict[int, DecideQuota] = {}
-        self._repeat_waits: dict[int, DecideRepeat] = {}
+        self._repeat_waits: dict[int, DecideRetry] = {}
         self._effects: deque[Effect] = deque()
         self._performing = False
         self._timer: asyncio.TimerHandle | None = None
@@ -87,7 +89,7 @@
         """A new snapshot is in force."""
         now = self._clock()
         limits = {
-            tenant.name: Limit(tenant.rate_per_s, tenant.burst)
+            tenant.name: QuotaLimit(tenant.rate_per_s, tenant.burst)
             for tenant in snapshot.configuration.tenants
         }
         self._roles.update(snapshot.vector.roster, snapshot.roster)
@@ -101,7 +103,7 @@
         """What is in force was the newest after `at`."""
         now = self._clock()
         silent_s = self._roles.confirm(at, now)
-        if silent_s >= FRESH_S:
+        if silent_s >= CONFIRMATION_VALID_S:
             self._quotas.end_terms()
             self._repeats.end_terms(silent_s)
             self._own_roles(now)
@@ -122,7 +124,7 @@
         self._quota_client.give_back(tenant.name, amount, self._clock())
         self._perform(())
 
-    def ask(self, service: str, decide: DecideRepeat) -> None:
+    def ask(self, service: str, decide: DecideRetry) -> None:
         """Decide whether one repeat may draw on the service's shared slack: `decide(allowed)`,
         once.
         """
@@ -199,20 +201,20 @@
         match effect:
             case QuotaDecided(number, allowed, retry_after_s):
                 self._quota_waits.pop(number)(allowed, retry_after_s)
-            case RepeatDecided(number, allowed):
+            case RetryBudgetDecided(number, allowed):
                 self._repeat_waits.pop(number)(allowed)
-            case SendQuotaAsk(call, address, ask, timeout_s):
+            case SendQuotaRequest(call, address, ask, timeout_s):
                 answered = partial(self._quota_answered, call)
                 if address == self._own.address:
                     answered(self._own_quota(ask))
                 else:
                     self._pool.call(_address(address), ask, timeout_s, answered)
-            case SendRepeatAsk(number, address, repeat_ask):
+            case SendRetryBudgetRequest(number, address, repeat_ask):
                 decided = partial(self._repeat_answered, number)
                 if address == self._own.address:
                     decided(self._own_repeat(repeat_ask))
                 else:
-                    self._pool.call(_address(address), repeat_ask, REPEAT_TIMEOUT_S, decided)
+                    self._pool.call(_address(address), repeat_ask, RETRY_BUDGET_TIMEOUT_S, decided)
             case RefreshRoster():
                 self._refresh()
 
@@ -234,7 +236,7 @@
             self._timer = None
         if due < float("inf"):
             self._timer_at = due
-            wait_s = max(SOONEST_WAKE_S, due - now)
+            wait_s = max(MIN_WAKE_DELAY_S, due - now)
             self._timer = asyncio.get_running_loop().call_later(wait_s, self._wake)
 
     def _wake(self) -> None:
--- a/roselink/budgets/deadline_index.py
+++ b/roselink/budgets/deadline_index.py
@@ -5,13 +5,13 @@
 from heapq import heapify, heappop, heappush
 
 NEVER = float("inf")
-_SPARE = 64  # outdated entries that may stay beside the names' own
+_MAX_OUTDATED = 64  # outdated entries that may stay beside the names' own
 
 
-class DueTimes:
+class DeadlineIndex:
     """One time for each name, in seconds; the newest one told counts.
 
-    >>> times = DueTimes()
+    >>> times = DeadlineIndex()
     >>> times.put("a", 2.0), times.put("b", 1.0), times.put("a", 0.5)
     (None, None, None)
     >>> times.first(), times.due(0.5), times.first()
@@ -31,7 +31,7 @@
             return
         self._times[name] = at
         heappush(self._heap, (at, name))
-        if len(self._heap) > 2 * len(self._times) + _SPARE:
+        if len(self._heap) > 2 * len(self._times) + _MAX_OUTDATED:
             self._heap = [(time, each) for each, time in self._times.items()]
             heapify(self._heap)
 
--- a/roselink/budgets/local_admission.py
+++ b/roselink/budgets/local_admission.py
@@ -8,20 +8,20 @@
 
 from __future__ import annotations
 
-from roselink.budgets.usage import Usage
+from roselink.budgets.usage import UsageWindow
 
-RATE_PART = 0.8  # of the recent rate
-ALONE_S = 3.0  # at that rate; in any window no more than this in all
+RECENT_RATE_FRACTION = 0.8  # of the recent rate
+RECENT_RATE_S = 3.0  # at that rate; in any window no more than this in all
 BURST_S = 0.6  # of that rate may come at once
 
 
-class Alone:
+class LocalAdmission:
     """One tenant at one gateway. A stretch of time without an owner begins and ends."""
 
     def __init__(self, window_s: float) -> None:
         self.under_way = False
-        self._backed = Usage(window_s)
-        self._unbacked = Usage(window_s)
+        self._backed = UsageWindow(window_s)
+        self._unbacked = UsageWindow(window_s)
         self._since = self._at = 0.0
         self._rate = self._level = 0.0
         self._is_backed = False
@@ -32,7 +32,7 @@
         """
         self.under_way = True
         self._since = self._at = now
-        self._rate = rate * RATE_PART
+        self._rate = rate * RECENT_RATE_FRACTION
         self._level = self._rate * BURST_S
         self._is_backed = backed
 
@@ -56,6 +56,6 @@
         return True
 
     def _at_recent_rate(self, now: float) -> bool:
-        if not self._is_backed or self._level <= 0 or now - self._since >= ALONE_S:
+        if not self._is_backed or self._level <= 0 or now - self._since >= RECENT_RATE_S:
             return False
-        return self._backed.total(now) < self._rate * ALONE_S
+        return self._backed.total(now) < self._rate * RECENT_RATE_S
--- a/roselink/budgets/ownership.py
+++ b/roselink/budgets/ownership.py
@@ -18,18 +18,18 @@
 
     from roselink.model.fleet import Member
 
-FRESH_S = 1.0  # an owner acts for so long after its newest confirmed pull was sent
+CONFIRMATION_VALID_S = 1.0  # an owner acts for so long after its newest confirmed pull was sent
 
 
 @dataclass(frozen=True, slots=True)
-class Ownership:
+class FencedOwner:
     """Who owns a key, under which token."""
 
     owner: Member
     token: int
 
 
-def owner_of(key: str, roster: Iterable[Member]) -> Member | None:
+def rendezvous_owner(key: str, roster: Iterable[Member]) -> Member | None:
     """The owner by rendezvous hashing; None of an empty roster."""
     return max(roster, key=lambda member: (_weight(key, member.name), member.name), default=None)
 
@@ -38,7 +38,7 @@
     return blake2b(f"{key}\0{name}".encode(), digest_size=8).digest()
 
 
-class Roles:
+class OwnershipView:
     """One gateway's view of all roles."""
 
     def __init__(self, own: Member) -> None:
@@ -63,19 +63,19 @@
 
     def confirm(self, at: float, now: float) -> float:
         """The view in force was the newest after `at`. Returns for how long it had not been
-        confirmed, in seconds; from `FRESH_S` on another may have owned this gateway's roles
+        confirmed, in seconds; from `CONFIRMATION_VALID_S` on another may have owned this gateway's roles
         meanwhile.
         """
         silent_s = now - self._confirmed_at
         self._confirmed_at = max(self._confirmed_at, at)
         return silent_s
 
-    def find(self, key: str) -> Ownership | None:
+    def find(self, key: str) -> FencedOwner | None:
         """The owner of a key as far as known here."""
         if key not in self._owners:
-            self._owners[key] = owner_of(key, self.roster)
+            self._owners[key] = rendezvous_owner(key, self.roster)
         owner = self._owners[key]
-        return None if owner is None else Ownership(owner, self.token)
+        return None if owner is None else FencedOwner(owner, self.token)
 
     def owns(self, key: str) -> bool:
         """Whether this process owns the key under its token (fresh or not)."""
@@ -84,7 +84,7 @@
 
     def fresh(self, now: float) -> bool:
         """Whether this gateway's view was confirmed lately."""
-        return now - self._confirmed_at < FRESH_S
+        return now - self._confirmed_at < CONFIRMATION_VALID_S
 
     def judge(self, key: str, token: int, now: float) -> ReplyStatus:
         """Whether this gateway may decide, as owner, what is asked under a token
--- a/roselink/budgets/quota_client.py
+++ b/roselink/budgets/quota_client.py
@@ -1,7 +1,7 @@
 """The asker's side of quotas: requests wait for the owner's decision, together, for a bounded time.
 
 One ask a tenant is under way; what arrives meanwhile goes with the next. A gateway that had use
-lately is heard by the owner every `SIGN_OF_LIFE_S`. Without an owner in reach requests are decided
+lately is heard by the owner every `KEEP_ALIVE_INTERVAL_S`. Without an owner in reach requests are decided
 here (`alone`).
 """
 
@@ -11,32 +11,38 @@
 from dataclasses import dataclass, field, replace
 from typing import TYPE_CHECKING
 
-from roselink.budgets.deadline_index import NEVER, DueTimes
-from roselink.budgets.local_admission import Alone
+from roselink.budgets.deadline_index import NEVER, DeadlineIndex
+from roselink.budgets.local_admission import LocalAdmission
 from roselink.budgets.retry_budget import RefreshRoster
-from roselink.budgets.usage import LOCAL_PART, NEWCOMER_PART, Limit, QuotaRule, Usage
+from roselink.budgets.usage import (
+    LOCAL_FRACTION,
+    NEWCOMER_FRACTION,
+    QuotaLimit,
+    QuotaRule,
+    UsageWindow,
+)
 from roselink.protocol.budgets import BucketLevel, QuotaReply, QuotaRequest, ReplyStatus
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-    from roselink.budgets.ownership import Roles
+    from roselink.budgets.ownership import OwnershipView
 
 KEY_PREFIX = "quota/"
-ASK_TIMEOUT_S = 0.15
-ASK_TIMEOUT_LEAST_S = 0.03  # for requests that waited behind an ask that failed
-WAIT_MOST_S = 0.2  # a request waits no longer for a decision
-QUICK_FAILURE_S = 0.05  # a connection that broke; asked again at once, one time
-AGAIN_S = 0.03  # after an answer that decided nothing
-PROBE_S = 0.1  # between asks of an owner that doesn't answer
-SIGN_OF_LIFE_S = 0.4
-LEASE_S = 0.3
-AHEAD_S = 0.25  # of recent use is asked for ahead, where that is a request's worth
-RETRY_ALONE_S = 0.3
+REQUEST_TIMEOUT_S = 0.15
+MIN_REQUEST_TIMEOUT_S = 0.03  # for requests that waited behind an ask that failed
+MAX_WAIT_S = 0.2  # a request waits no longer for a decision
+FAST_FAILURE_S = 0.05  # a connection that broke; asked again at once, one time
+RETRY_INTERVAL_S = 0.03  # after an answer that decided nothing
+PROBE_INTERVAL_S = 0.1  # between asks of an owner that doesn't answer
+KEEP_ALIVE_INTERVAL_S = 0.4
+LEASE_DURATION_S = 0.3
+LEASE_AHEAD_S = 0.25  # of recent use is asked for ahead, where that is a request's worth
+LOCAL_RETRY_AFTER_S = 0.3
 
 
 @dataclass(frozen=True, slots=True)
-class SendQuotaAsk:
+class SendQuotaRequest:
     """Effect: put the ask to the owner; `QuotaClient.answered` wants the outcome under this
     number.
     """
@@ -56,33 +62,33 @@
     retry_after_s: float
 
 
-Effect = SendQuotaAsk | QuotaDecided | RefreshRoster
+Effect = SendQuotaRequest | QuotaDecided | RefreshRoster
 
 
 @dataclass(slots=True)
-class _Waiting:
+class _PendingAmount:
     number: int
     amount: float
     until: float
 
 
 @dataclass(slots=True)
-class _Open:
+class _InFlightRequest:
     """The ask under way."""
 
     call: int
     sent_at: float
-    asked: list[_Waiting]
+    asked: list[_PendingAmount]
     unknown: float
 
 
 @dataclass(slots=True)
-class _Tenant:
-    limit: Limit
-    used: Usage
-    alone: Alone
-    waiting: deque[_Waiting] = field(default_factory=deque)
-    open: _Open | None = None
+class _TenantState:
+    limit: QuotaLimit
+    used: UsageWindow
+    alone: LocalAdmission
+    waiting: deque[_PendingAmount] = field(default_factory=deque)
+    open: _InFlightRequest | None = None
     asked_at: float = float("-inf")
     not_before: float = 0.0
     failures: int = 0
@@ -99,15 +105,15 @@
 class QuotaClient:
     """Decisions on requests of all tenants, at one gateway."""
 
-    def __init__(self, roles: Roles, rule: QuotaRule) -> None:
+    def __init__(self, roles: OwnershipView, rule: QuotaRule) -> None:
         self.leaving = False
         self._roles, self._rule = roles, rule
-        self._tenants: dict[str, _Tenant] = {}
-        self._due_times = DueTimes()
+        self._tenants: dict[str, _TenantState] = {}
+        self._due_times = DeadlineIndex()
         self._calls: dict[int, str] = {}
         self._last_call = 0
 
-    def configure(self, limits: Mapping[str, Limit], now: float) -> list[Effect]:
+    def configure(self, limits: Mapping[str, QuotaLimit], now: float) -> list[Effect]:
         """Take over the limits of a configuration."""
         effects: list[Effect] = []
         for name in list(self._tenants):
@@ -122,7 +128,9 @@
         for name, limit in limits.items():
             if limit.rate_per_s > 0 and name not in self._tenants:
                 window_s = self._rule.window_s
-                self._tenants[name] = _Tenant(limit, Usage(window_s), Alone(window_s))
+                self._tenants[name] = _TenantState(
+                    limit, UsageWindow(window_s), LocalAdmission(window_s)
+                )
         return effects
 
     def admit(self, number: int, tenant: str, amount: float, now: float) -> list[Effect]:
@@ -137,7 +145,7 @@
         return effects
 
     def _admit(
-        self, number: int, tenant: str, state: _Tenant, amount: float, now: float
+        self, number: int, tenant: str, state: _TenantState, amount: float, now: float
     ) -> list[Effect]:
         state.typical += 0.1 * (amount - state.typical) if state.typical else amount
         self._end_lease(state, now)
@@ -145,7 +153,7 @@
             state.lease -= amount
             state.used.add(now, amount)
             return [QuotaDecided(number, True, 0.0)]
-        entry = _Waiting(number, amount, now + WAIT_MOST_S)
+        entry = _PendingAmount(number, amount, now + MAX_WAIT_S)
         if state.alone.under_way:
             return [self._decide_alone(state, entry, now), *self._pump(tenant, state, now)]
         state.waiting.append(entry)
@@ -170,7 +178,12 @@
         return effects
 
     def _answered(
-        self, tenant: str, state: _Tenant, ended: _Open, answer: QuotaReply | None, now: float
+        self,
+        tenant: str,
+        state: _TenantState,
+        ended: _InFlightRequest,
+        answer: QuotaReply | None,
+        now: float,
     ) -> list[Effect]:
         state.open = None
         if answer is not None and answer.status is ReplyStatus.DECIDED:
@@ -179,13 +192,13 @@
         effects: list[Effect] = []
         if answer is None:
             state.failures += 1
-            if state.failures > 1 or now - ended.sent_at > QUICK_FAILURE_S:
-                state.not_before = now + PROBE_S
+            if state.failures > 1 or now - ended.sent_at > FAST_FAILURE_S:
+                state.not_before = now + PROBE_INTERVAL_S
                 effects = self._go_alone(state, now)
         elif answer.status is ReplyStatus.REPORT_WANTED and state.told:
             state.told = 0
         else:
-            state.not_before = now + AGAIN_S
+            state.not_before = now + RETRY_INTERVAL_S
             effects.append(RefreshRoster())
         return effects + self._pump(tenant, state, now)
 
@@ -206,13 +219,13 @@
         due = self._due_times.first()
         return max(now, due)
 
-    def _plan(self, tenant: str, state: _Tenant, now: float) -> None:
+    def _plan(self, tenant: str, state: _TenantState, now: float) -> None:
         """Note when a tenant is due, after any change to its state; what is noted is never too
         late.
         """
         self._due_times.put(tenant, self._due(state, now))
 
-    def _due(self, state: _Tenant, now: float) -> float:
+    def _due(self, state: _TenantState, now: float) -> float:
         due = state.waiting[0].until if state.waiting else NEVER
         if state.open is None:
             if state.waiting:
@@ -226,10 +239,12 @@
                 )
         return due
 
-    def _next_sign(self, state: _Tenant) -> float:
-        return state.asked_at + (PROBE_S if state.alone.under_way else SIGN_OF_LIFE_S)
+    def _next_sign(self, state: _TenantState) -> float:
+        return state.asked_at + (
+            PROBE_INTERVAL_S if state.alone.under_way else KEEP_ALIVE_INTERVAL_S
+        )
 
-    def _pump(self, tenant: str, state: _Tenant, now: float) -> list[Effect]:
+    def _pump(self, tenant: str, state: _TenantState, now: float) -> list[Effect]:
         """The next ask, if one is due and none is under way."""
         if state.open is not None or now < state.not_before:
             return []
@@ -239,19 +254,19 @@
                 return []
         found = self._roles.find(KEY_PREFIX + tenant)
         if found is None:
-            state.not_before = now + PROBE_S
+            state.not_before = now + PROBE_INTERVAL_S
             return self._go_alone(state, now)
         asked, state.waiting = list(state.waiting), deque()
         self._last_call += 1
         self._calls[self._last_call] = tenant
-        state.open = _Open(self._last_call, now, asked, state.unknown)
+        state.open = _InFlightRequest(self._last_call, now, asked, state.unknown)
         state.asked_at = now
         ask = self._ask(tenant, found.token, state, now)
         soonest = min((entry.until for entry in asked), default=float("inf"))
-        timeout_s = max(ASK_TIMEOUT_LEAST_S, min(ASK_TIMEOUT_S, soonest - now))
-        return [SendQuotaAsk(self._last_call, found.owner.address, ask, timeout_s)]
+        timeout_s = max(MIN_REQUEST_TIMEOUT_S, min(REQUEST_TIMEOUT_S, soonest - now))
+        return [SendQuotaRequest(self._last_call, found.owner.address, ask, timeout_s)]
 
-    def _ask(self, tenant: str, token: int, state: _Tenant, now: float) -> QuotaRequest:
+    def _ask(self, tenant: str, token: int, state: _TenantState, now: float) -> QuotaRequest:
         assert state.open is not None
         asked = state.open.asked
         report, known = None, None
@@ -275,12 +290,12 @@
             report,
         )
 
-    def _ahead(self, state: _Tenant, now: float) -> float:
-        wanted = AHEAD_S * state.used.total(now) / self._rule.window_s - state.lease
+    def _ahead(self, state: _TenantState, now: float) -> float:
+        wanted = LEASE_AHEAD_S * state.used.total(now) / self._rule.window_s - state.lease
         return wanted if wanted >= state.typical else 0.0
 
     def _decided(
-        self, state: _Tenant, ended: _Open, answer: QuotaReply, now: float
+        self, state: _TenantState, ended: _InFlightRequest, answer: QuotaReply, now: float
     ) -> list[Effect]:
         state.alone.end()
         state.failures, state.told, state.share = 0, answer.token, answer.share
@@ -295,27 +310,27 @@
             )
         if answer.ahead > 0:
             state.lease += answer.ahead
-            state.lease_until = ended.sent_at + LEASE_S
+            state.lease_until = ended.sent_at + LEASE_DURATION_S
         return effects
 
-    def _end_lease(self, state: _Tenant, now: float) -> None:
+    def _end_lease(self, state: _TenantState, now: float) -> None:
         """What is left of a lease goes back."""
         if state.lease and now >= state.lease_until:
             state.returned += state.lease
             state.lease = 0.0
 
-    def _go_alone(self, state: _Tenant, now: float) -> list[Effect]:
+    def _go_alone(self, state: _TenantState, now: float) -> list[Effect]:
         if not state.alone.under_way:
             rate = max(0.0, state.used.total(now)) / self._rule.window_s
             state.alone.begin(rate, state.told != 0 and not self.leaving, now)
         waiting, state.waiting = state.waiting, deque()
         return [self._decide_alone(state, entry, now) for entry in waiting]
 
-    def _decide_alone(self, state: _Tenant, entry: _Waiting, now: float) -> QuotaDecided:
-        part = max(state.share * LOCAL_PART, NEWCOMER_PART / self._roles.size)
+    def _decide_alone(self, state: _TenantState, entry: _PendingAmount, now: float) -> QuotaDecided:
+        part = max(state.share * LOCAL_FRACTION, NEWCOMER_FRACTION / self._roles.size)
         most = part * self._rule.allowance(state.limit)
         if not state.alone.admit(entry.amount, most, now):
-            return QuotaDecided(entry.number, False, RETRY_ALONE_S)
+            return QuotaDecided(entry.number, False, LOCAL_RETRY_AFTER_S)
         state.used.add(now, entry.amount)
         state.unknown += entry.amount
         return QuotaDecided(entry.number, True, 0.0)
--- a/roselink/budgets/quota_owner.py
+++ b/roselink/budgets/quota_owner.py
@@ -15,7 +15,13 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from roselink.budgets.usage import GRACE_PART, START_PART, Limit, QuotaRule, Usage
+from roselink.budgets.usage import (
+    GRACE_FRACTION,
+    START_FRACTION,
+    QuotaLimit,
+    QuotaRule,
+    UsageWindow,
+)
 from roselink.protocol.budgets import (
     BucketLevel,
     QuotaReply,
@@ -29,36 +35,34 @@
 
     from roselink.model.fleet import Member
 
-SILENT_S = (
-    0.65  # askers with recent use are heard about twice as often (quota_client.SIGN_OF_LIFE_S)
-)
-HELD_BACK_S = 3.0  # an asker admits by itself for no longer (alone.ALONE_S)
-SURE_S = 1.0  # a level that was heard so long ago may have been taken up by others since
-START_S = 1.0  # the bonus comes within this time
-AHEAD_ABOVE = 0.5  # of the burst: tokens are lent ahead only from a bucket that is fuller
-RETRY_AFTER_MOST_S = 2.0
+UNREACHABLE_AFTER_S = 0.65  # askers with recent use are heard about twice as often (quota_client.KEEP_ALIVE_INTERVAL_S)
+MAX_RESERVE_S = 3.0  # an asker admits by itself for no longer (alone.RECENT_RATE_S)
+LEVEL_TRUSTED_S = 1.0  # a level that was heard so long ago may have been taken up by others since
+START_CREDIT_S = 1.0  # the bonus comes within this time
+LEASE_ABOVE_FRACTION = 0.5  # of the burst: tokens are lent ahead only from a bucket that is fuller
+MAX_RETRY_AFTER_S = 2.0
 
-Asker = tuple[str, int]
+Requester = tuple[str, int]
 
 
 @dataclass(slots=True)
-class _Record:
+class _RequesterUsage:
     """What the owner knows of one asker. `rate`: its use a second when it was heard last."""
 
-    usage: Usage
+    usage: UsageWindow
     heard_at: float
     rate: float = 0.0
 
     def held_back(self, now: float) -> float:
         """What the asker may have admitted by itself since it fell silent."""
         silent = now - self.heard_at
-        if silent <= SILENT_S or silent > self.usage.window_s:
+        if silent <= UNREACHABLE_AFTER_S or silent > self.usage.window_s:
             return 0.0
-        return self.rate * min(silent - SILENT_S, HELD_BACK_S)
+        return self.rate * min(silent - UNREACHABLE_AFTER_S, MAX_RESERVE_S)
 
 
 @dataclass(slots=True)
-class _Bucket:
+class _TenantBucket:
     """One tenant in this owner's term. `assumed` is where the owner before stood at a moment, and
     this term counts from it; `told_at` is when an asker heard the newest level of that owner.
     `bonus` is what a term that starts with nothing is still to gain, and `gained` what it has.
@@ -66,7 +70,7 @@
     term.
     """
 
-    limit: Limit
+    limit: QuotaLimit
     term: int
     at: float
     level: float
@@ -76,10 +80,10 @@
     used: float = 0.0
     heard_used: float = 0.0
     told_at: float = float("-inf")
-    askers: dict[Asker, _Record] = field(default_factory=dict)
+    askers: dict[Requester, _RequesterUsage] = field(default_factory=dict)
 
     def refill(self, now: float) -> None:
-        gain = min(self.bonus - self.gained, self.bonus * max(0.0, now - self.at) / START_S)
+        gain = min(self.bonus - self.gained, self.bonus * max(0.0, now - self.at) / START_CREDIT_S)
         self.gained += gain
         self.level = self._refilled(self.level + gain, max(0.0, now - self.at))
         self.at = max(self.at, now)
@@ -96,7 +100,7 @@
         if known.term == self.term or at <= self.told_at:
             return
         level = self._refilled(known.level, now - at)
-        if now - at > SURE_S:
+        if now - at > LEVEL_TRUSTED_S:
             self.bonus = min(self.bonus, max(level, self.gained))
             level = min(level, 0.0)
         else:
@@ -106,27 +110,27 @@
         self.level = min(self.limit.burst, self.level)
         self.assumed, self.told_at, self.used = (level, now), at, known.used
 
-    def held_back(self, asker: _Record, now: float) -> float:
+    def held_back(self, asker: _RequesterUsage, now: float) -> float:
         """What may have been admitted by gateways out of reach."""
         held = sum(record.held_back(now) for record in self.askers.values() if record is not asker)
         silent = now - self.told_at
         window_s = asker.usage.window_s
-        if SILENT_S < silent < window_s:
+        if UNREACHABLE_AFTER_S < silent < window_s:
             unheard = max(0.0, self.used - self.heard_used) / window_s
-            held += unheard * min(silent - SILENT_S, HELD_BACK_S)
+            held += unheard * min(silent - UNREACHABLE_AFTER_S, MAX_RESERVE_S)
         return held
 
     def _refilled(self, level: float, after_s: float) -> float:
         return min(self.limit.burst, level + self.limit.rate_per_s * after_s)
 
-    def adopt(self, limit: Limit, now: float) -> None:
+    def adopt(self, limit: QuotaLimit, now: float) -> None:
         """A new limit: a higher burst is there at once, a lower one caps."""
         self.refill(now)
         self.level = min(limit.burst, self.level + max(0.0, limit.burst - self.limit.burst))
         self.limit = limit
 
 
-class QuotaLedger:
+class QuotaOwner:
     """The buckets of all tenants that this gateway owns. `incarnation` tells its terms from
     others'.
     """
@@ -134,10 +138,10 @@
     def __init__(self, rule: QuotaRule, incarnation: int) -> None:
         self._rule = rule
         self._next_term = incarnation
-        self._limits: dict[str, Limit] = {}
-        self._buckets: dict[str, _Bucket] = {}
+        self._limits: dict[str, QuotaLimit] = {}
+        self._buckets: dict[str, _TenantBucket] = {}
 
-    def configure(self, limits: Mapping[str, Limit], now: float) -> None:
+    def configure(self, limits: Mapping[str, QuotaLimit], now: float) -> None:
         """Take over the limits of a configuration."""
         self._limits = dict(limits)
         for tenant in list(self._buckets):
@@ -159,8 +163,10 @@
         for tenant in sorted(owned - self._buckets.keys()):
             limit = self._limits[tenant]
             self._next_term += 1
-            bonus = min(limit.burst, START_PART * self._rule.allowance(limit))
-            self._buckets[tenant] = _Bucket(limit, self._next_term, now, 0.0, (0.0, now), bonus)
+            bonus = min(limit.burst, START_FRACTION * self._rule.allowance(limit))
+            self._buckets[tenant] = _TenantBucket(
+                limit, self._next_term, now, 0.0, (0.0, now), bonus
+            )
         incarnations = {member.name: member.incarnation for member in roster}
         for bucket in self._buckets.values():
             for (name, incarnation), record in bucket.askers.items():
@@ -185,7 +191,7 @@
             usage = self._usage(ask.report, now)
             if asker not in bucket.askers:
                 bucket.heard_used += usage.total(now)
-            bucket.askers[asker] = _Record(usage, now)
+            bucket.askers[asker] = _RequesterUsage(usage, now)
         record = bucket.askers[asker]
         bucket.refill(now)
         if ask.known is not None and ask.known.age_ms < self._rule.window_s * 1000:
@@ -211,19 +217,19 @@
             used,
         )
 
-    def _usage(self, report: tuple[UsageSample, ...], now: float) -> Usage:
-        usage = Usage(self._rule.window_s)
+    def _usage(self, report: tuple[UsageSample, ...], now: float) -> UsageWindow:
+        usage = UsageWindow(self._rule.window_s)
         for used in report:
             usage.add(now - used.age_ms / 1000, used.amount)
         return usage
 
     def _decide(
-        self, bucket: _Bucket, record: _Record, amounts: tuple[float, ...], now: float
+        self, bucket: _TenantBucket, record: _RequesterUsage, amounts: tuple[float, ...], now: float
     ) -> tuple[tuple[bool, ...], float]:
         """Each amount that the bucket holds is admitted; one above the whole burst wants a full
         bucket.
         """
-        grace = GRACE_PART * self._rule.allowance(bucket.limit)
+        grace = GRACE_FRACTION * self._rule.allowance(bucket.limit)
         held_back = bucket.held_back(record, now)
         decisions = []
         retry_after_s = 0.0
@@ -234,17 +240,19 @@
                 bucket.take(amount)
                 record.usage.add(now, amount)
             elif not retry_after_s:
-                retry_after_s = min(RETRY_AFTER_MOST_S, missing / bucket.limit.rate_per_s)
+                retry_after_s = min(MAX_RETRY_AFTER_S, missing / bucket.limit.rate_per_s)
         return tuple(decisions), retry_after_s
 
-    def _lend(self, bucket: _Bucket, record: _Record, wanted: float, now: float) -> float:
-        ahead = max(0.0, min(wanted, bucket.level - AHEAD_ABOVE * bucket.limit.burst))
+    def _lend(
+        self, bucket: _TenantBucket, record: _RequesterUsage, wanted: float, now: float
+    ) -> float:
+        ahead = max(0.0, min(wanted, bucket.level - LEASE_ABOVE_FRACTION * bucket.limit.burst))
         if ahead > 0:
             bucket.take(ahead)
             record.usage.add(now, ahead)
         return ahead
 
-    def _used(self, bucket: _Bucket, now: float) -> float:
+    def _used(self, bucket: _TenantBucket, now: float) -> float:
         """What the askers used in the last window, but for those that left; forgets who used
         nothing.
         """
--- a/roselink/budgets/usage.py
+++ b/roselink/budgets/usage.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limit:
+class QuotaLimit:
     """One tenant's quota; a rate of 0 sets no limit."""
 
     rate_per_s: float
@@ -26,21 +26,21 @@
     over: float
     slack: float
 
-    def allowance(self, limit: Limit) -> float:
+    def allowance(self, limit: QuotaLimit) -> float:
         """What may run in one window beyond rate x window + burst."""
         return self.over * (limit.rate_per_s * self.window_s + limit.burst) + self.slack
 
 
 # How the allowance is shared out; the parts sum up to 1.
-START_PART = 0.35  # what a term starts with, where nobody knows how the owner before stood
-GRACE_PART = 0.15  # on top of the exact bucket: requests cross each other on their way
-LOCAL_PART = (
+START_FRACTION = 0.35  # what a term starts with, where nobody knows how the owner before stood
+GRACE_FRACTION = 0.15  # on top of the exact bucket: requests cross each other on their way
+LOCAL_FRACTION = (
     0.4  # what gateways together admit without an owner and without its holding back for them
 )
-NEWCOMER_PART = 0.1  # the same, for gateways that had no use of the tenant lately
+NEWCOMER_FRACTION = 0.1  # the same, for gateways that had no use of the tenant lately
 
 
-class Usage:
+class UsageWindow:
     """Amounts of the last window, summed by slot. A slot counts until its newest moment leaves the
     window.
     """
--- a/roselink/status.py
+++ b/roselink/status.py
@@ -11,7 +11,7 @@
 import json
 from typing import TYPE_CHECKING, Any
 
-from roselink.budgets.ownership import owner_of
+from roselink.budgets.ownership import rendezvous_owner
 from roselink.budgets.quota_client import KEY_PREFIX as QUOTA_PREFIX
 from roselink.budgets.retry_budget import KEY_PREFIX as REPEAT_PREFIX
 from roselink.model.fleet import Member
@@ -63,7 +63,7 @@
     ]
     names = [QUOTA_PREFIX + tenant["name"] for tenant in document.get("tenants") or ()]
     names += [REPEAT_PREFIX + service["name"] for service in document.get("services") or ()]
-    found = {name: owner_of(name, live) for name in names}
+    found = {name: rendezvous_owner(name, live) for name in names}
     return {name: owner.name for name, owner in found.items() if owner is not None}
 
 
--- a/tests/budgets/fleet.py
+++ b/tests/budgets/fleet.py
@@ -15,15 +15,15 @@
 from typing import TYPE_CHECKING, Any
 
 from roselink.budgets import quota_client, retry_budget
-from roselink.budgets.ownership import FRESH_S, Roles
-from roselink.budgets.quota_client import QuotaClient, QuotaDecided, SendQuotaAsk
-from roselink.budgets.quota_owner import QuotaLedger
+from roselink.budgets.ownership import CONFIRMATION_VALID_S, OwnershipView
+from roselink.budgets.quota_client import QuotaClient, QuotaDecided, SendQuotaRequest
+from roselink.budgets.quota_owner import QuotaOwner
 from roselink.budgets.retry_budget import (
     RefreshRoster,
-    RepeatClient,
-    RepeatDecided,
-    RepeatLedger,
-    SendRepeatAsk,
+    RetryBudgetClient,
+    RetryBudgetDecided,
+    RetryBudgetOwner,
+    SendRetryBudgetRequest,
 )
 from roselink.model.fleet import Member
 from roselink.protocol.budgets import (
@@ -35,7 +35,7 @@
 )
 
 if TYPE_CHECKING:
-    from roselink.budgets.usage import Limit, QuotaRule
+    from roselink.budgets.usage import QuotaLimit, QuotaRule
 
 PULL_S = 0.2
 CORE_MISSES_S = 1.2
@@ -63,7 +63,7 @@
 
     size: int
     seed: int
-    limits: dict[str, Limit]
+    limits: dict[str, QuotaLimit]
     rule: QuotaRule
     services: tuple[str, ...] = ()
     slack: float = 0.0
@@ -159,13 +159,13 @@
         self.member = Member(
             f"edge-{self.index}", str(self.index), 1_000_000 * (100 * self.life + self.index)
         )
-        self.roles = Roles(self.member)
+        self.roles = OwnershipView(self.member)
         self.ledger, self.client = (
-            QuotaLedger(fleet.rule, self.member.incarnation),
+            QuotaOwner(fleet.rule, self.member.incarnation),
             QuotaClient(self.roles, fleet.rule),
         )
-        self.repeat_ledger = RepeatLedger(fleet.retry_window_s, fleet.slack)
-        self.repeat_client = RepeatClient(self.roles, fleet.slack)
+        self.repeat_ledger = RetryBudgetOwner(fleet.retry_window_s, fleet.slack)
+        self.repeat_client = RetryBudgetClient(self.roles, fleet.slack)
         self._asked: dict[int, tuple[str, float, float]] = {}
         self._repeats: dict[int, str] = {}
         self._numbers = 0
@@ -201,7 +201,7 @@
 
         self.when_awake(self.fleet.now + delay_s, attempt)
 
-    def configure(self, limits: dict[str, Limit]) -> None:
+    def configure(self, limits: dict[str, QuotaLimit]) -> None:
         self.ledger.configure(limits, self.fleet.now)
         self.perform(self.client.configure(limits, self.fleet.now))
 
@@ -218,7 +218,7 @@
         now = self.fleet.now
         self.roles.update(version, roster)
         silent_s = self.roles.confirm(sent_at, now)
-        if silent_s >= FRESH_S:
+        if silent_s >= CONFIRMATION_VALID_S:
             self.ledger.end_terms()
             self.repeat_ledger.end_terms(silent_s)
         tenants = [
@@ -272,13 +272,13 @@
                             tenant, self.index, amount, asked_at, fleet.now, allowed, retry_after_s
                         )
                     )
-                case RepeatDecided(number, allowed):
+                case RetryBudgetDecided(number, allowed):
                     service = self._repeats.pop(number)
                     if allowed:
                         fleet.repeats.append((fleet.now, service))
-                case SendQuotaAsk(call, address, ask, timeout_s):
+                case SendQuotaRequest(call, address, ask, timeout_s):
                     fleet.call(self, address, ask, timeout_s, self._quota_done(call))
-                case SendRepeatAsk(number, address, repeat_ask):
+                case SendRetryBudgetRequest(number, address, repeat_ask):
                     fleet.call(self, address, repeat_ask, 0.1, self._repeat_done(number))
                 case RefreshRoster():
                     self.later(0.05, lambda: self.pull(again=False))
--- a/tests/budgets/test_deadline_index.py
+++ b/tests/budgets/test_deadline_index.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from roselink.budgets.deadline_index import NEVER, DueTimes
+from roselink.budgets.deadline_index import NEVER, DeadlineIndex
 
 Step = tuple[str, float]
 
@@ -27,7 +27,7 @@
     ],
 )
 def test_what_is_due(steps: list[Step], now: float, due: list[str], first: float) -> None:
-    times = DueTimes()
+    times = DeadlineIndex()
     for name, at in steps:
         times.put(name, at)
     assert times.due(now) == due
@@ -37,7 +37,7 @@
 @pytest.mark.parametrize("seed", range(10))
 def test_as_a_plain_table(seed: int) -> None:
     chance = random.Random(seed)
-    times, table = DueTimes(), dict[str, float]()
+    times, table = DeadlineIndex(), dict[str, float]()
     for step in range(3000):
         name = f"n{chance.randrange(30)}"
         at = chance.choice((step + chance.randrange(50), NEVER, step))
--- a/tests/budgets/test_fleet.py
+++ b/tests/budgets/test_fleet.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from roselink.budgets.usage import Limit, QuotaRule
+from roselink.budgets.usage import QuotaLimit, QuotaRule
 from tests.budgets.checks import admitted, largest_window, within_limit
 from tests.budgets.faults import TROUBLES, make_trouble
 from tests.budgets.fleet import Fleet
@@ -32,7 +32,7 @@
 
 
 def fleet_of(seed: int, *tenants: str) -> Fleet:
-    return Fleet(6, seed, {name: Limit(RATE, BURST) for name in tenants}, RULE)
+    return Fleet(6, seed, {name: QuotaLimit(RATE, BURST) for name in tenants}, RULE)
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -61,7 +61,7 @@
     # the exact bucket, and the grace for requests that cross each other
     assert largest_window(
         got, RULE.window_s
-    ) <= RATE * RULE.window_s + BURST + 0.16 * RULE.allowance(Limit(RATE, BURST))
+    ) <= RATE * RULE.window_s + BURST + 0.16 * RULE.allowance(QuotaLimit(RATE, BURST))
 
 
 @pytest.mark.parametrize("trouble", [*TROUBLES, "any"])
@@ -123,7 +123,7 @@
     send(fleet, "hot", 6 * RATE, until)
     change_at = fleet.now + 10
     for gateway in fleet.gateways:
-        limits = {"hot": Limit(RATE / 2, BURST / 2)}
+        limits = {"hot": QuotaLimit(RATE / 2, BURST / 2)}
         fleet.at(change_at, lambda gateway=gateway, limits=limits: gateway.configure(limits))  # type: ignore[misc]
     fleet.run(until + 1)
     later = [
--- a/tests/budgets/test_ownership.py
+++ b/tests/budgets/test_ownership.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from roselink.budgets.ownership import FRESH_S, Roles, owner_of
+from roselink.budgets.ownership import CONFIRMATION_VALID_S, OwnershipView, rendezvous_owner
 from roselink.model.fleet import Member
 from roselink.protocol.budgets import ReplyStatus
 
@@ -16,19 +16,19 @@
 
 
 def test_an_empty_roster_has_no_owner() -> None:
-    assert owner_of("quota/x", ()) is None
-    assert Roles(ROSTER[0]).find("quota/x") is None
+    assert rendezvous_owner("quota/x", ()) is None
+    assert OwnershipView(ROSTER[0]).find("quota/x") is None
 
 
 def test_the_order_of_the_roster_does_not_matter() -> None:
     for key in KEYS[:50]:
-        assert owner_of(key, ROSTER) == owner_of(key, tuple(reversed(ROSTER)))
+        assert rendezvous_owner(key, ROSTER) == rendezvous_owner(key, tuple(reversed(ROSTER)))
 
 
 def test_keys_spread_over_the_members() -> None:
     counts = {member.name: 0 for member in ROSTER}
     for key in KEYS:
-        owner = owner_of(key, ROSTER)
+        owner = rendezvous_owner(key, ROSTER)
         assert owner is not None
         counts[owner.name] += 1
     assert min(counts.values()) > 60
@@ -36,19 +36,19 @@
 
 def test_only_the_keys_of_a_member_that_leaves_move() -> None:
     for key in KEYS:
-        before, after = owner_of(key, ROSTER), owner_of(key, ROSTER[1:])
+        before, after = rendezvous_owner(key, ROSTER), rendezvous_owner(key, ROSTER[1:])
         assert before == after or before == ROSTER[0]
 
 
 def test_a_new_start_of_a_member_keeps_its_keys() -> None:
     again = Member(ROSTER[0].name, ROSTER[0].address, 99)
     for key in KEYS:
-        before, after = owner_of(key, ROSTER), owner_of(key, (again, *ROSTER[1:]))
+        before, after = rendezvous_owner(key, ROSTER), rendezvous_owner(key, (again, *ROSTER[1:]))
         assert before is not None and after is not None and before.name == after.name
 
 
 def test_rosters_only_move_forward() -> None:
-    roles = Roles(ROSTER[0])
+    roles = OwnershipView(ROSTER[0])
     assert roles.update(5, ROSTER)
     assert not roles.update(5, ROSTER[1:])
     assert not roles.update(4, ROSTER[1:])
@@ -58,7 +58,7 @@
 
 
 def key_of(member: Member) -> str:
-    return next(key for key in KEYS if owner_of(key, ROSTER) == member)
+    return next(key for key in KEYS if rendezvous_owner(key, ROSTER) == member)
 
 
 @pytest.mark.parametrize(
@@ -68,34 +68,36 @@
         (0, 4, 10.1, ReplyStatus.STALE_TOKEN),
         (0, 6, 10.1, ReplyStatus.NOT_READY),
         (1, 5, 10.1, ReplyStatus.NOT_OWNER),
-        (0, 5, 10.0 + FRESH_S - 0.001, ReplyStatus.DECIDED),
-        (0, 5, 10.0 + FRESH_S + 0.001, ReplyStatus.NOT_READY),
-        (0, 4, 10.0 + FRESH_S + 0.001, ReplyStatus.STALE_TOKEN),
+        (0, 5, 10.0 + CONFIRMATION_VALID_S - 0.001, ReplyStatus.DECIDED),
+        (0, 5, 10.0 + CONFIRMATION_VALID_S + 0.001, ReplyStatus.NOT_READY),
+        (0, 4, 10.0 + CONFIRMATION_VALID_S + 0.001, ReplyStatus.STALE_TOKEN),
     ],
 )
 def test_an_owner_judges_tokens(owner: int, token: int, at: float, status: ReplyStatus) -> None:
-    roles = Roles(ROSTER[0])
+    roles = OwnershipView(ROSTER[0])
     roles.update(5, ROSTER)
     roles.confirm(10.0, 10.05)
     assert roles.judge(key_of(ROSTER[owner]), token, at) is status
 
 
 def test_a_member_that_never_pulled_owns_nothing_yet() -> None:
-    roles = Roles(ROSTER[0])
+    roles = OwnershipView(ROSTER[0])
     roles.update(5, ROSTER)
     assert roles.judge(key_of(ROSTER[0]), 5, 0.0) is ReplyStatus.NOT_READY
 
 
 def test_an_earlier_incarnation_of_this_member_in_the_roster_owns_no_key_here() -> None:
-    roles = Roles(Member(ROSTER[0].name, ROSTER[0].address, 99))
+    roles = OwnershipView(Member(ROSTER[0].name, ROSTER[0].address, 99))
     roles.update(5, ROSTER)
     roles.confirm(10.0, 10.0)
     assert roles.judge(key_of(ROSTER[0]), 5, 10.1) is ReplyStatus.NOT_OWNER
 
 
 def test_confirm_tells_how_long_the_view_was_not_confirmed() -> None:
-    roles = Roles(ROSTER[0])
+    roles = OwnershipView(ROSTER[0])
     assert roles.confirm(10.0, 10.1) == float("inf")
     assert roles.confirm(10.2, 10.3) == pytest.approx(0.3)
     assert roles.confirm(10.1, 13.0) == pytest.approx(2.8)
-    assert roles.fresh(10.2 + FRESH_S - 0.01) and not roles.fresh(10.2 + FRESH_S + 0.01)
+    assert roles.fresh(10.2 + CONFIRMATION_VALID_S - 0.01) and not roles.fresh(
+        10.2 + CONFIRMATION_VALID_S + 0.01
+    )
--- a/tests/budgets/test_quota_owner.py
+++ b/tests/budgets/test_quota_owner.py
@@ -5,9 +5,14 @@
 import pytest
 
 from roselink.budgets import quota_owner as module
-from roselink.budgets.quota_owner import QuotaLedger
-from roselink.budgets.retry_budget import FIRST_PART, FIRST_S, LENT_PART, RepeatLedger
-from roselink.budgets.usage import GRACE_PART, START_PART, Limit, QuotaRule
+from roselink.budgets.quota_owner import QuotaOwner
+from roselink.budgets.retry_budget import (
+    FIRST_WINDOW_FRACTION,
+    GRANTED_FRACTION,
+    START_DELAY_S,
+    RetryBudgetOwner,
+)
+from roselink.budgets.usage import GRACE_FRACTION, START_FRACTION, QuotaLimit, QuotaRule
 from roselink.model.fleet import Member
 from roselink.protocol.budgets import (
     BucketLevel,
@@ -18,7 +23,7 @@
     UsageSample,
 )
 
-LIMIT = Limit(100.0, 100.0)
+LIMIT = QuotaLimit(100.0, 100.0)
 EXACT = QuotaRule(window_s=8.0, over=0.0, slack=0.0)
 LOOSE = QuotaRule(window_s=8.0, over=0.1, slack=30.0)
 ALLOWANCE = LOOSE.allowance(LIMIT)  # 120
@@ -49,20 +54,20 @@
     )
 
 
-def owner(rule: QuotaRule = EXACT, at: float = 0.0, limit: Limit = LIMIT) -> QuotaLedger:
-    ledger = QuotaLedger(rule, 1000)
-    ledger.configure({"t": limit, "free": Limit(0.0, 0.0)}, at)
+def owner(rule: QuotaRule = EXACT, at: float = 0.0, limit: QuotaLimit = LIMIT) -> QuotaOwner:
+    ledger = QuotaOwner(rule, 1000)
+    ledger.configure({"t": limit, "free": QuotaLimit(0.0, 0.0)}, at)
     ledger.own(["t", "free"], (A, B), at)
     return ledger
 
 
-def full(rule: QuotaRule = EXACT) -> QuotaLedger:
+def full(rule: QuotaRule = EXACT) -> QuotaOwner:
     """An owner whose bucket has filled up; the time is 10."""
     return owner(rule, 0.0)
 
 
 def test_a_tenant_that_is_not_owned_is_not_decided() -> None:
-    ledger = QuotaLedger(EXACT, 1000)
+    ledger = QuotaOwner(EXACT, 1000)
     ledger.configure({"t": LIMIT}, 0.0)
     assert ledger.ask(ask(1.0), 0.0).status is ReplyStatus.NOT_READY
     ledger.own(["t"], (A,), 0.0)
@@ -113,18 +118,18 @@
 
 
 def test_retry_after_is_capped() -> None:
-    ledger = owner(limit=Limit(1.0, 1000.0))
-    assert ledger.ask(ask(500.0), 1.0).retry_after_s == module.RETRY_AFTER_MOST_S
+    ledger = owner(limit=QuotaLimit(1.0, 1000.0))
+    assert ledger.ask(ask(500.0), 1.0).retry_after_s == module.MAX_RETRY_AFTER_S
 
 
 def test_requests_that_cross_have_a_grace_out_of_the_allowance() -> None:
-    grace = GRACE_PART * ALLOWANCE
+    grace = GRACE_FRACTION * ALLOWANCE
     ledger = full(LOOSE)
     assert ledger.ask(ask(100.0, grace - 0.01, 1.0), 10.0).admitted == (True, True, False)
 
 
 @pytest.mark.parametrize(
-    ("at", "most"), [(0.0, 0.0), (0.5, 50 + START_PART * 120 / 2), (1.0, 100.0)]
+    ("at", "most"), [(0.0, 0.0), (0.5, 50 + START_FRACTION * 120 / 2), (1.0, 100.0)]
 )
 def test_a_term_that_nobody_told_anything_starts_with_nothing(at: float, most: float) -> None:
     answer = owner(LOOSE).ask(ask(), at)
@@ -188,11 +193,11 @@
 def test_a_silent_asker_with_recent_use_has_its_rate_held_back() -> None:
     ledger = full()
     ledger.ask(ask(80.0, member=B), 10.0)  # 10 a second over the window
-    silent = module.SILENT_S
+    silent = module.UNREACHABLE_AFTER_S
     assert ledger.ask(ask(100.0), 10.0 + silent + 0.5).admitted == (False,)
     assert ledger.ask(ask(94.0), 10.0 + silent + 0.5).admitted == (True,)
-    late = 10.0 + silent + module.HELD_BACK_S + 2
-    held = 10 * module.HELD_BACK_S
+    late = 10.0 + silent + module.MAX_RESERVE_S + 2
+    held = 10 * module.MAX_RESERVE_S
     assert ledger.ask(ask(101.0 - held), late).admitted == (False,)
     assert ledger.ask(ask(99.0 - held), late).admitted == (True,)
     assert ledger.ask(ask(100.0), 10.0 + LOOSE.window_s + 5).admitted == (True,)
@@ -204,7 +209,7 @@
     """
     ledger = owner()
     ledger.ask(ask(report=(UsageSample(100, 40.0),), known=BucketLevel(7, 100.0, 120.0, 0)), 0.0)
-    later = module.SILENT_S + 1.0
+    later = module.UNREACHABLE_AFTER_S + 1.0
     assert ledger.ask(ask(91.0), later).admitted == (False,)
     ledger.ask(ask(member=B, report=(UsageSample(100, 80.0),)), later)
     assert ledger.ask(ask(91.0), later).admitted == (True,)
@@ -249,13 +254,13 @@
 @pytest.mark.parametrize(
     ("limit", "level"),
     [
-        (Limit(100.0, 150.0), 90.0),
-        (Limit(100.0, 20.0), 20.0),
-        (Limit(500.0, 100.0), 40.0),
+        (QuotaLimit(100.0, 150.0), 90.0),
+        (QuotaLimit(100.0, 20.0), 20.0),
+        (QuotaLimit(500.0, 100.0), 40.0),
         (LIMIT, 40.0),
     ],
 )
-def test_a_new_limit_is_adopted_at_once(limit: Limit, level: float) -> None:
+def test_a_new_limit_is_adopted_at_once(limit: QuotaLimit, level: float) -> None:
     ledger = full()
     ledger.ask(ask(60.0), 10.0)
     ledger.configure({"t": limit}, 10.0)
@@ -264,7 +269,7 @@
 
 def test_a_tenant_without_a_limit_any_more_is_forgotten() -> None:
     ledger = full()
-    ledger.configure({"t": Limit(0.0, 100.0)}, 10.0)
+    ledger.configure({"t": QuotaLimit(0.0, 100.0)}, 10.0)
     ledger.own(["t"], (A,), 10.0)
     assert ledger.ask(ask(1.0), 10.0) == QuotaReply(ReplyStatus.NOT_READY, 5)
 
@@ -272,28 +277,28 @@
 # The shared slack of repeats
 
 
-def lend(ledger: RepeatLedger, at: float, times: int = 1) -> int:
+def lend(ledger: RetryBudgetOwner, at: float, times: int = 1) -> int:
     return sum(ledger.ask(RetryBudgetRequest("s", 5), at).allowed for _ in range(times))
 
 
 def test_a_term_lends_nothing_then_little_then_most_of_the_slack() -> None:
-    ledger = RepeatLedger(10.0, 100.0)
+    ledger = RetryBudgetOwner(10.0, 100.0)
     assert ledger.ask(RetryBudgetRequest("s", 5), 0.0).status is ReplyStatus.NOT_READY
     ledger.own(["s"], 0.0)
-    assert lend(ledger, FIRST_S - 0.01, 5) == 0
-    assert lend(ledger, FIRST_S, 50) == 100 * FIRST_PART
+    assert lend(ledger, START_DELAY_S - 0.01, 5) == 0
+    assert lend(ledger, START_DELAY_S, 50) == 100 * FIRST_WINDOW_FRACTION
     assert lend(ledger, 9.9, 50) == 0
-    assert lend(ledger, 10.1, 200) == 100 * (LENT_PART - FIRST_PART)
-    assert lend(ledger, 10.6, 200) == 100 * FIRST_PART
+    assert lend(ledger, 10.1, 200) == 100 * (GRANTED_FRACTION - FIRST_WINDOW_FRACTION)
+    assert lend(ledger, 10.6, 200) == 100 * FIRST_WINDOW_FRACTION
     assert lend(ledger, 20.0, 200) == 0
-    assert lend(ledger, 20.2, 200) == 100 * (LENT_PART - FIRST_PART)
+    assert lend(ledger, 20.2, 200) == 100 * (GRANTED_FRACTION - FIRST_WINDOW_FRACTION)
 
 
 @pytest.mark.parametrize(("silent_s", "lent"), [(1.3, 80), (9.9, 80), (10.0, 0)])
 def test_a_lapsed_confirmation_ends_a_term_of_repeats_after_a_whole_window(
     silent_s: float, lent: int
 ) -> None:
-    ledger = RepeatLedger(10.0, 100.0)
+    ledger = RetryBudgetOwner(10.0, 100.0)
     ledger.own(["s"], 0.0)
     ledger.end_terms(silent_s)
     ledger.own(["s"], 30.0)
@@ -301,14 +306,14 @@
 
 
 def test_a_service_that_moves_away_and_back_starts_a_new_term() -> None:
-    ledger = RepeatLedger(10.0, 100.0)
+    ledger = RetryBudgetOwner(10.0, 100.0)
     ledger.own(["s"], 0.0)
     ledger.own([], 30.0)
     ledger.own(["s"], 31.0)
-    assert lend(ledger, 32.0, 200) == 100 * FIRST_PART
+    assert lend(ledger, 32.0, 200) == 100 * FIRST_WINDOW_FRACTION
 
 
 def test_without_a_slack_nothing_is_lent() -> None:
-    ledger = RepeatLedger(10.0, 0.0)
+    ledger = RetryBudgetOwner(10.0, 0.0)
     ledger.own(["s"], 0.0)
     assert lend(ledger, 50.0, 5) == 0
--- a/tests/budgets/test_quota_wake_times.py
+++ b/tests/budgets/test_quota_wake_times.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from roselink.budgets.ownership import Roles
-from roselink.budgets.quota_client import QuotaClient, SendQuotaAsk
-from roselink.budgets.usage import Limit, QuotaRule
+from roselink.budgets.ownership import OwnershipView
+from roselink.budgets.quota_client import QuotaClient, SendQuotaRequest
+from roselink.budgets.usage import QuotaLimit, QuotaRule
 from roselink.model.fleet import Member
 from roselink.protocol.budgets import QuotaReply, QuotaRequest, ReplyStatus
 
@@ -32,12 +32,12 @@
 @pytest.mark.parametrize("seed", range(40))
 def test_no_tenant_is_noted_too_late(seed: int) -> None:
     chance = random.Random(seed)
-    roles = Roles(ROSTER[0])
+    roles = OwnershipView(ROSTER[0])
     roles.update(1, ROSTER)
     client = QuotaClient(roles, RULE)
-    limits = dict.fromkeys(NAMES, Limit(500.0, 500.0))
+    limits = dict.fromkeys(NAMES, QuotaLimit(500.0, 500.0))
     client.configure(limits, 0.0)
-    now, asks = 0.0, list[SendQuotaAsk]()
+    now, asks = 0.0, list[SendQuotaRequest]()
     for number in range(2000):
         now += chance.choice((0.0, 0.003, 0.02, 0.3))
         if number % 400 == 399:
@@ -59,7 +59,7 @@
             effects = client.configure(limits, now)
         else:
             effects = client.wake(now)
-        asks += [effect for effect in effects if isinstance(effect, SendQuotaAsk)]
+        asks += [effect for effect in effects if isinstance(effect, SendQuotaRequest)]
         looked = min(
             (client._due(state, now) for state in client._tenants.values()), default=float("inf")
         )
--- a/tests/cli/test_status.py
+++ b/tests/cli/test_status.py
@@ -11,7 +11,7 @@
 import pytest
 
 from roselink.__main__ import main
-from roselink.budgets.ownership import owner_of
+from roselink.budgets.ownership import rendezvous_owner
 from roselink.cli import EXIT_UNAVAILABLE
 from roselink.model.fleet import Member
 from roselink.status import owners, render
@@ -151,7 +151,7 @@
     found = owners(CONFIGURATION, gateways)
     assert set(found) == {"quota/t-1", "retry/model"}
     for key, name in found.items():
-        owner = owner_of(key, roster)
+        owner = rendezvous_owner(key, roster)
         assert owner is not None
         assert owner.name == name
     assert owners(CONFIGURATION, []) == {}
--- a/tests/mutations/budgets.py
+++ b/tests/mutations/budgets.py
@@ -33,7 +33,7 @@
             "if False:",
         ),
         ("nothing is held back for the silent", "+ grace - held_back)", "+ grace)"),
-        ("a term begins full", "START_PART * self._rule.allowance(limit))", "limit.burst)"),
+        ("a term begins full", "START_FRACTION * self._rule.allowance(limit))", "limit.burst)"),
         ("terms never end", "        self._buckets.clear()\n", "        pass\n"),
         (
             "what was admitted alone is not counted",
@@ -51,7 +51,7 @@
         ),
         (
             "a term lends at its beginning",
-            "        if age_s < FIRST_S:\n            return 0.0\n",
+            "        if age_s < START_DELAY_S:\n            return 0.0\n",
             "",
         ),
         ("lent repeats are forgotten", "            term.lent.append(now)\n", "            pass\n"),
--- a/tests/router/test_app.py
+++ b/tests/router/test_app.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from roselink.budgets.retry_budget import FIRST_PART
+from roselink.budgets.retry_budget import FIRST_WINDOW_FRACTION
 from roselink.model.configuration import Tenant
 from roselink.model.fleet import Member, Snapshot, VersionVector
 from roselink.model.settings import ProcessSettings, load_settings
@@ -167,7 +167,7 @@
         assert any(results) and not all(results)
         repeats = [await repeat(control) for control in gateways.controls * 4]
         assert (
-            sum(repeats) <= FIRST_PART * 50
+            sum(repeats) <= FIRST_WINDOW_FRACTION * 50
         )  # of a term's first window, however slow the machine is
         gateways.stop()
         core.server.close()
--- a/tools/asks.py
+++ b/tools/asks.py
@@ -13,10 +13,10 @@
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING
 
-from roselink.budgets.ownership import Roles
-from roselink.budgets.quota_client import KEY_PREFIX, QuotaClient, SendQuotaAsk
-from roselink.budgets.quota_owner import QuotaLedger
-from roselink.budgets.usage import Limit, QuotaRule
+from roselink.budgets.ownership import OwnershipView
+from roselink.budgets.quota_client import KEY_PREFIX, QuotaClient, SendQuotaRequest
+from roselink.budgets.quota_owner import QuotaOwner
+from roselink.budgets.usage import QuotaLimit, QuotaRule
 from roselink.protocol.budgets import QuotaReply, QuotaRequest, ReplyStatus
 from roselink.protocol.peers import FrameReader, frame
 from tools.measure import machine, processor_us, show, show_line
@@ -26,7 +26,7 @@
     from collections.abc import Sequence
 
 RULE = QuotaRule(8.0, 0.1, 110_000.0)
-LIMIT = Limit(120_000.0, 120_000.0)
+LIMIT = QuotaLimit(120_000.0, 120_000.0)
 AMOUNT = 1_890.0
 ASKERS = (6, 60, 175, 350)
 TENANTS = (5, 50, 200)
@@ -62,7 +62,7 @@
 
 def owner_cost(askers: int, asks: int) -> OwnerCost:
     """A bucket that so many gateways draw on, each of them heard lately."""
-    ledger = QuotaLedger(RULE, 1)
+    ledger = QuotaOwner(RULE, 1)
     ledger.configure({"t": LIMIT}, 0.0)
     ledger.own(["t"], (), 0.0)
     names = itertools.cycle([make_member(number).name for number in range(askers)])
@@ -91,7 +91,7 @@
     """One gateway's client of quotas in made-up time."""
 
     def __init__(self, tenants: int, gateways: int = 6) -> None:
-        roles = Roles(make_member(0))
+        roles = OwnershipView(make_member(0))
         roles.update(1, make_roster(gateways))
         self.client = QuotaClient(roles, RULE)
         self.names = [f"tenant{number}" for number in range(tenants)]
@@ -123,7 +123,7 @@
 
     def _take(self, effects: Sequence[object]) -> None:
         for effect in effects:
-            if isinstance(effect, SendQuotaAsk):
+            if isinstance(effect, SendQuotaRequest):
                 self.asks += 1
                 decided = tuple(True for _ in effect.ask.amounts)
                 answer = QuotaReply(ReplyStatus.DECIDED, 1, decided, 0.0, 0.0, 0.5, 7, 1000.0)
@@ -144,7 +144,7 @@
 def roster_cost(gateways: int, tenants: int) -> float:
     """Processor time in microseconds to find the owners of all tenants under a new roster."""
     roster, token = make_roster(gateways), itertools.count(1)
-    roles = Roles(roster[0])
+    roles = OwnershipView(roster[0])
     keys = [f"{KEY_PREFIX}tenant{number}" for number in range(tenants)]
 
     def change() -> None:
