--- a/roselink/budgets/__init__.py
+++ b/roselink/budgets/__init__.py
@@ -1,3 +1,7 @@
-"""What the live gateways share: roles sharded over the roster, quotas, the shared slack of
-repeats.
+"""Budgets that all gateways share: tenants' quotas and the services' retry budgets.
+
+Each budget is a key that one gateway owns (`ownership`). The owner decides (`quota_owner`,
+`retry_budget`); the other gateways send it their requests (`quota_client`, `retry_budget`) and
+decide for themselves while it is unreachable (`local_admission`). `budget_service` connects both
+sides to the internal protocol. All modules but that one are without I/O and are given the time.
 """
--- a/roselink/budgets/budget_service.py
+++ b/roselink/budgets/budget_service.py
@@ -1,6 +1,6 @@
-"""Drives quotas and the shared slack of repeats: both sides, over the peers' protocol.
+"""Runs both sides of quotas and retry budgets of one gateway over the internal protocol.
 
-Asks to this gateway itself take no detour over the network.
+Requests to keys that this gateway owns itself are decided directly, without the network.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from collections import deque
 from collections.abc import Callable, Iterable
 from functools import partial
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from roselink.budgets import quota_client, retry_budget
 from roselink.budgets.ownership import CONFIRMATION_VALID_S, OwnershipView
@@ -43,9 +43,13 @@
 log = logging.getLogger("roselink.budgets")
 
 RETRY_BUDGET_TIMEOUT_S = 0.1
+# A timer is set for no shorter delay, so that the loop is not kept busy.
 MIN_WAKE_DELAY_S = 0.002
 
+# Called with whether a request is admitted, and after how many seconds a refused one may come
+# again.
 DecideQuota = Callable[[bool, float], None]
+# Called with whether a retry is allowed.
 DecideRetry = Callable[[bool], None]
 Effect = (
     SendQuotaRequest | QuotaDecided | SendRetryBudgetRequest | RetryBudgetDecided | RefreshRoster
@@ -53,7 +57,7 @@
 
 
 class BudgetService:
-    """One gateway's part in all budgets; `refresh` is called when its roster seems old."""
+    """Quotas and retry budgets at one gateway, as owner and as requester."""
 
     def __init__(
         self,
@@ -63,123 +67,131 @@
         refresh: Callable[[], None],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
+        """Start without a snapshot.
+
+        Args:
+            own: this gateway.
+            thresholds: the figures of both budgets' rules, from the settings.
+            pool: sends requests to other gateways.
+            refresh: called when this gateway's roster seems to be outdated.
+            clock: the time in seconds.
+        """
         rule = QuotaRule(thresholds.quota_window_s, thresholds.quota_over, thresholds.quota_slack)
-        window_s, slack = thresholds.retry_window_s, thresholds.retry_slack
-        self._own, self._pool, self._refresh, self._clock = own, pool, refresh, clock
-        self._roles = OwnershipView(own)
-        self._quotas, self._quota_client = (
-            QuotaOwner(rule, own.incarnation),
-            QuotaClient(self._roles, rule),
-        )
-        self._repeats, self._repeat_client = (
-            RetryBudgetOwner(window_s, slack),
-            RetryBudgetClient(self._roles, slack),
-        )
+        window_s = thresholds.retry_window_s
+        slack = thresholds.retry_slack
+        self._own = own
+        self._pool = pool
+        self._refresh = refresh
+        self._clock = clock
+        self._ownership = OwnershipView(own)
+        self._quota_owner = QuotaOwner(rule, own.incarnation)
+        self._quota_client = QuotaClient(self._ownership, rule)
+        self._retry_owner = RetryBudgetOwner(window_s, slack)
+        self._retry_client = RetryBudgetClient(self._ownership, slack)
         self._tenants: list[str] = []
         self._services: list[str] = []
         self._numbers = itertools.count(1)
-        self._quota_waits: dict[int, DecideQuota] = {}
-        self._repeat_waits: dict[int, DecideRetry] = {}
+        self._quota_callbacks: dict[int, DecideQuota] = {}
+        self._retry_callbacks: dict[int, DecideRetry] = {}
         self._effects: deque[Effect] = deque()
         self._performing = False
         self._timer: asyncio.TimerHandle | None = None
         self._timer_at = float("inf")
 
     def apply(self, snapshot: Snapshot) -> None:
-        """A new snapshot is in force."""
+        """Take over the limits and the roster of a new snapshot."""
         now = self._clock()
         limits = {
             tenant.name: QuotaLimit(tenant.rate_per_s, tenant.burst)
             for tenant in snapshot.configuration.tenants
         }
-        self._roles.update(snapshot.vector.roster, snapshot.roster)
-        self._quotas.configure(limits, now)
+        self._ownership.update(snapshot.vector.roster, snapshot.roster)
+        self._quota_owner.configure(limits, now)
         self._tenants = list(limits)
         self._services = [service.name for service in snapshot.configuration.services]
-        self._own_roles(now)
-        self._perform(self._quota_client.configure(limits, now))
+        self._update_owned(now)
+        self._perform(self._quota_client.configure(limits))
 
     def confirm(self, at: float) -> None:
-        """What is in force was the newest after `at`."""
+        """Record that the snapshot in force was the newest one after `at`."""
         now = self._clock()
-        silent_s = self._roles.confirm(at, now)
-        if silent_s >= CONFIRMATION_VALID_S:
-            self._quotas.end_terms()
-            self._repeats.end_terms(silent_s)
-            self._own_roles(now)
+        unconfirmed_s = self._ownership.confirm(at, now)
+        if unconfirmed_s >= CONFIRMATION_VALID_S:
+            self._quota_owner.end_terms()
+            self._retry_owner.end_terms(unconfirmed_s)
+            self._update_owned(now)
 
     def admit(self, tenant: Tenant, amount: float, decide: DecideQuota) -> None:
-        """Decide whether a request is within its tenant's quota: `decide(allowed, retry_after_s)`,
-        once.
-        """
+        """Decide whether a request is within its tenant's quota; `decide` is called once."""
         if tenant.rate_per_s <= 0:
-            decide(True, 0.0)
+            decide(True, 0.0)  # noqa: FBT003 - a Callable takes no keywords
             return
         number = next(self._numbers)
-        self._quota_waits[number] = decide
+        self._quota_callbacks[number] = decide
         self._perform(self._quota_client.admit(number, tenant.name, amount, self._clock()))
 
     def give_back(self, tenant: Tenant, amount: float) -> None:
-        """A request that was admitted has not run and never will."""
+        """Return the amount of a request that was admitted, has not run, and will not run."""
         self._quota_client.give_back(tenant.name, amount, self._clock())
         self._perform(())
 
     def ask(self, service: str, decide: DecideRetry) -> None:
-        """Decide whether one repeat may draw on the service's shared slack: `decide(allowed)`,
-        once.
-        """
+        """Decide whether a retry may draw on its service's budget; `decide` is called once."""
         number = next(self._numbers)
-        self._repeat_waits[number] = decide
-        self._perform(self._repeat_client.ask(number, service, self._clock()))
+        self._retry_callbacks[number] = decide
+        self._perform(self._retry_client.request(number, service, self._clock()))
 
     def handle(self, message: object, reply: Reply) -> bool:
-        """Answer a peer's ask; False for records of other kinds."""
+        """Reply to a peer's request; return False for records of other kinds."""
         if isinstance(message, QuotaRequest):
-            reply(self._own_quota(message))
+            reply(self._decide_quota(message))
         elif isinstance(message, RetryBudgetRequest):
-            reply(self._own_repeat(message))
+            reply(self._decide_retry(message))
         else:
             return False
         return True
 
     def begin_drain(self) -> None:
-        """This gateway takes no new requests, and admits none by itself any more."""
-        self._quota_client.leaving = True
+        """This gateway takes no new requests, and admits none locally any more."""
+        self._quota_client.draining = True
 
     def stop(self) -> None:
-        """No more timers."""
+        """Cancel the timer."""
         if self._timer is not None:
             self._timer.cancel()
 
-    def _own_roles(self, now: float) -> None:
+    def _update_owned(self, now: float) -> None:
         tenants = self._owned(quota_client.KEY_PREFIX, self._tenants)
-        self._quotas.own(tenants, self._roles.roster, now)
-        self._repeats.own(self._owned(retry_budget.KEY_PREFIX, self._services), now)
+        self._quota_owner.set_owned(tenants, self._ownership.roster, now)
+        self._retry_owner.set_owned(self._owned(retry_budget.KEY_PREFIX, self._services), now)
 
     def _owned(self, prefix: str, names: Iterable[str]) -> list[str]:
-        return [name for name in names if self._roles.owns(prefix + name)]
+        return [name for name in names if self._ownership.owns(prefix + name)]
 
-    def _own_quota(self, ask: QuotaRequest) -> QuotaReply:
+    def _decide_quota(self, request: QuotaRequest) -> QuotaReply:
         now = self._clock()
-        status = self._judge(quota_client.KEY_PREFIX + ask.tenant, ask.token, now)
+        key = quota_client.KEY_PREFIX + request.tenant
+        status = self._check_request(key, request.fencing_token, now)
         if status is ReplyStatus.DECIDED:
-            return self._quotas.ask(ask, now)
-        return QuotaReply(status, self._roles.token)
+            return self._quota_owner.decide(request, now)
+        return QuotaReply(status, self._ownership.fencing_token)
 
-    def _own_repeat(self, ask: RetryBudgetRequest) -> RetryBudgetReply:
+    def _decide_retry(self, request: RetryBudgetRequest) -> RetryBudgetReply:
         now = self._clock()
-        status = self._judge(retry_budget.KEY_PREFIX + ask.service, ask.token, now)
+        key = retry_budget.KEY_PREFIX + request.service
+        status = self._check_request(key, request.fencing_token, now)
         if status is ReplyStatus.DECIDED:
-            return self._repeats.ask(ask, now)
-        return RetryBudgetReply(status, self._roles.token, False)
+            return self._retry_owner.decide(request, now)
+        return RetryBudgetReply(status, self._ownership.fencing_token, allowed=False)
 
-    def _judge(self, key: str, token: int, now: float) -> ReplyStatus:
-        status = self._roles.judge(key, token, now)
+    def _check_request(self, key: str, fencing_token: int, now: float) -> ReplyStatus:
+        status = self._ownership.check_request(key, fencing_token, now)
         if status is ReplyStatus.NOT_READY:
             self._refresh()
         return status
 
     def _perform(self, effects: Iterable[Effect]) -> None:
+        """Perform effects in order, and those that they cause, before the next timer is set."""
         self._effects.extend(effects)
         if self._performing:
             return
@@ -189,9 +201,8 @@
                 effect = self._effects.popleft()
                 try:
                     self._perform_one(effect)
-                except (
-                    Exception
-                ):  # one request's fault must not keep the others from their decisions
+                # A fault of one request must not keep the others from their decisions.
+                except Exception:
                     log.exception("decision_not_taken")
         finally:
             self._performing = False
@@ -200,44 +211,49 @@
     def _perform_one(self, effect: Effect) -> None:
         match effect:
             case QuotaDecided(number, allowed, retry_after_s):
-                self._quota_waits.pop(number)(allowed, retry_after_s)
+                self._quota_callbacks.pop(number)(allowed, retry_after_s)
             case RetryBudgetDecided(number, allowed):
-                self._repeat_waits.pop(number)(allowed)
-            case SendQuotaRequest(call, address, ask, timeout_s):
-                answered = partial(self._quota_answered, call)
+                self._retry_callbacks.pop(number)(allowed)
+            case SendQuotaRequest(call, address, request, timeout_s):
+                quota_done = partial(self._handle_quota_reply, call)
                 if address == self._own.address:
-                    answered(self._own_quota(ask))
+                    quota_done(self._decide_quota(request))
                 else:
-                    self._pool.call(_address(address), ask, timeout_s, answered)
-            case SendRetryBudgetRequest(number, address, repeat_ask):
-                decided = partial(self._repeat_answered, number)
+                    self._pool.call(_address(address), request, timeout_s, quota_done)
+            case SendRetryBudgetRequest(number, address, retry_request):
+                retry_done = partial(self._handle_retry_reply, number)
                 if address == self._own.address:
-                    decided(self._own_repeat(repeat_ask))
+                    retry_done(self._decide_retry(retry_request))
                 else:
-                    self._pool.call(_address(address), repeat_ask, RETRY_BUDGET_TIMEOUT_S, decided)
+                    self._pool.call(
+                        _address(address), retry_request, RETRY_BUDGET_TIMEOUT_S, retry_done
+                    )
             case RefreshRoster():
                 self._refresh()
 
-    def _quota_answered(self, call: int, answer: Any) -> None:
-        known = answer if isinstance(answer, QuotaReply) else None
-        self._perform(self._quota_client.answered(call, known, self._clock()))
+    def _handle_quota_reply(self, call: int, reply: object) -> None:
+        """Process a reply; a record of another kind counts as none."""
+        known = reply if isinstance(reply, QuotaReply) else None
+        self._perform(self._quota_client.handle_reply(call, known, self._clock()))
 
-    def _repeat_answered(self, number: int, answer: Any) -> None:
-        known = answer if isinstance(answer, RetryBudgetReply) else None
-        self._perform(self._repeat_client.answered(number, known, self._clock()))
+    def _handle_retry_reply(self, number: int, reply: object) -> None:
+        """Process a reply; a record of another kind counts as none."""
+        known = reply if isinstance(reply, RetryBudgetReply) else None
+        self._perform(self._retry_client.handle_reply(number, known, self._clock()))
 
     def _schedule(self) -> None:
+        """Set the timer for the quota client's next wake-up, unless one is set that is earlier."""
         now = self._clock()
-        due = self._quota_client.due_at(now)
+        wake_at = self._quota_client.next_wake_at(now)
         if self._timer is not None:
-            if due >= self._timer_at:
+            if wake_at >= self._timer_at:
                 return
             self._timer.cancel()
             self._timer = None
-        if due < float("inf"):
-            self._timer_at = due
-            wait_s = max(MIN_WAKE_DELAY_S, due - now)
-            self._timer = asyncio.get_running_loop().call_later(wait_s, self._wake)
+        if wake_at < float("inf"):
+            self._timer_at = wake_at
+            delay_s = max(MIN_WAKE_DELAY_S, wake_at - now)
+            self._timer = asyncio.get_running_loop().call_later(delay_s, self._wake)
 
     def _wake(self) -> None:
         self._timer = None
--- a/roselink/budgets/deadline_index.py
+++ b/roselink/budgets/deadline_index.py
@@ -1,53 +1,57 @@
-"""When each of many names is due: the earliest time without a walk over all of them."""
+"""An index of deadlines by name, which finds the earliest one without a walk over all names."""
 
 from __future__ import annotations
 
 from heapq import heapify, heappop, heappush
 
 NEVER = float("inf")
-_MAX_OUTDATED = 64  # outdated entries that may stay beside the names' own
+
+# Outdated heap entries that may stay beside the current ones before the heap is rebuilt.
+_MAX_OUTDATED = 64
 
 
 class DeadlineIndex:
-    """One time for each name, in seconds; the newest one told counts.
+    """One deadline for each name, in seconds on the caller's clock; the last one set counts.
+
+    The heap keeps outdated entries until they come to its top (lazy deletion) or outnumber the
+    current ones.
 
-    >>> times = DeadlineIndex()
-    >>> times.put("a", 2.0), times.put("b", 1.0), times.put("a", 0.5)
+    >>> deadlines = DeadlineIndex()
+    >>> deadlines.set("a", 2.0), deadlines.set("b", 1.0), deadlines.set("a", 0.5)
     (None, None, None)
-    >>> times.first(), times.due(0.5), times.first()
+    >>> deadlines.earliest(), deadlines.pop_due(0.5), deadlines.earliest()
     (0.5, ['a'], 1.0)
     """
 
     def __init__(self) -> None:
-        self._times: dict[str, float] = {}
+        """Start without any deadline."""
+        self._deadlines: dict[str, float] = {}
         self._heap: list[tuple[float, str]] = []
 
-    def put(self, name: str, at: float) -> None:
-        """A name is due at this time and at no other; at `NEVER` it has none."""
-        if self._times.get(name, NEVER) == at:
+    def set(self, name: str, at: float) -> None:
+        """Replace the deadline of a name; `NEVER` removes it."""
+        if self._deadlines.get(name, NEVER) == at:
             return
         if at == NEVER:
-            del self._times[name]
+            del self._deadlines[name]
             return
-        self._times[name] = at
+        self._deadlines[name] = at
         heappush(self._heap, (at, name))
-        if len(self._heap) > 2 * len(self._times) + _MAX_OUTDATED:
-            self._heap = [(time, each) for each, time in self._times.items()]
+        if len(self._heap) > 2 * len(self._deadlines) + _MAX_OUTDATED:
+            self._heap = [(deadline, each) for each, deadline in self._deadlines.items()]
             heapify(self._heap)
 
-    def first(self) -> float:
-        """The earliest time of all; `NEVER` if there is none."""
-        while self._heap and self._times.get(self._heap[0][1]) != self._heap[0][0]:
+    def earliest(self) -> float:
+        """Return the earliest deadline; `NEVER` if there is none."""
+        while self._heap and self._deadlines.get(self._heap[0][1]) != self._heap[0][0]:
             heappop(self._heap)
         return self._heap[0][0] if self._heap else NEVER
 
-    def due(self, now: float) -> list[str]:
-        """The names that are due by `now`, earliest first; they have no time until one is put
-        again.
-        """
+    def pop_due(self, now: float) -> list[str]:
+        """Remove the deadlines that have come by `now`; return their names, earliest first."""
         names = []
-        while self.first() <= now:
+        while self.earliest() <= now:
             name = heappop(self._heap)[1]
-            del self._times[name]
+            del self._deadlines[name]
             names.append(name)
         return names
--- a/roselink/budgets/ownership.py
+++ b/roselink/budgets/ownership.py
@@ -1,8 +1,10 @@
-"""Singleton roles, sharded by key over the live gateways, under a fencing token.
+"""Ownership of keys, distributed over the live gateways and protected by a fencing token.
 
-The owner of a key is the member with the highest hash of key and name. The token is the roster's
-version. An owner serves only asks under its own token, and only while its own view was confirmed
-lately: another may own the key as soon as the core has missed this gateway for longer.
+The owner of a key is the member with the highest hash of key and name: rendezvous hashing (Thaler
+and Ravishankar, "Using name-based mappings to increase hit rates", IEEE/ACM Transactions on
+Networking 6(1), 1998). The fencing token is the roster's version. An owner serves only requests
+under its own token, and only while its view is confirmed: once the control plane has missed this
+gateway for longer, another one may own the key.
 """
 
 from __future__ import annotations
@@ -18,19 +20,20 @@
 
     from roselink.model.fleet import Member
 
-CONFIRMATION_VALID_S = 1.0  # an owner acts for so long after its newest confirmed pull was sent
+# How long an owner may act after it sent its newest confirmed pull.
+CONFIRMATION_VALID_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class FencedOwner:
-    """Who owns a key, under which token."""
+    """The owner of a key and the fencing token under which it owns it."""
 
     owner: Member
-    token: int
+    fencing_token: int
 
 
 def rendezvous_owner(key: str, roster: Iterable[Member]) -> Member | None:
-    """The owner by rendezvous hashing; None of an empty roster."""
+    """Return the owner of a key by rendezvous hashing; None of an empty roster."""
     return max(roster, key=lambda member: (_weight(key, member.name), member.name), default=None)
 
 
@@ -39,59 +42,61 @@
 
 
 class OwnershipView:
-    """One gateway's view of all roles."""
+    """One gateway's view of the owners of all keys, under one roster."""
 
     def __init__(self, own: Member) -> None:
+        """Start without a roster. `own` is this process."""
         self.own = own
-        self.token = 0
+        self.fencing_token = 0
         self.roster: tuple[Member, ...] = ()
         self._confirmed_at = float("-inf")
         self._owners: dict[str, Member | None] = {}
 
     @property
     def size(self) -> int:
-        """How many gateways are live; 1 at least."""
+        """Number of live gateways; 1 at least."""
         return max(1, len(self.roster))
 
-    def update(self, token: int, roster: tuple[Member, ...]) -> bool:
-        """Take over a roster; an older one changes nothing. Returns whether it is new."""
-        if token <= self.token:
+    def update(self, fencing_token: int, roster: tuple[Member, ...]) -> bool:
+        """Adopt a roster, unless it is older; return whether it is new."""
+        if fencing_token <= self.fencing_token:
             return False
-        self.token, self.roster = token, roster
+        self.fencing_token = fencing_token
+        self.roster = roster
         self._owners.clear()
         return True
 
     def confirm(self, at: float, now: float) -> float:
-        """The view in force was the newest after `at`. Returns for how long it had not been
-        confirmed, in seconds; from `CONFIRMATION_VALID_S` on another may have owned this gateway's roles
-        meanwhile.
+        """Record that the view in force was the newest one after `at`.
+
+        Returns:
+            For how long it had not been confirmed, in seconds. From `CONFIRMATION_VALID_S` on,
+            another gateway may have owned this one's keys meanwhile.
         """
-        silent_s = now - self._confirmed_at
+        unconfirmed_s = now - self._confirmed_at
         self._confirmed_at = max(self._confirmed_at, at)
-        return silent_s
+        return unconfirmed_s
 
     def find(self, key: str) -> FencedOwner | None:
-        """The owner of a key as far as known here."""
+        """Return the owner of a key as far as known here."""
         if key not in self._owners:
             self._owners[key] = rendezvous_owner(key, self.roster)
         owner = self._owners[key]
-        return None if owner is None else FencedOwner(owner, self.token)
+        return None if owner is None else FencedOwner(owner, self.fencing_token)
 
     def owns(self, key: str) -> bool:
-        """Whether this process owns the key under its token (fresh or not)."""
+        """Return whether this process owns the key under its token, confirmed or not."""
         found = self.find(key)
         return found is not None and found.owner == self.own
 
-    def fresh(self, now: float) -> bool:
-        """Whether this gateway's view was confirmed lately."""
+    def is_confirmed(self, now: float) -> bool:
+        """Return whether this gateway's view was confirmed recently enough to act as an owner."""
         return now - self._confirmed_at < CONFIRMATION_VALID_S
 
-    def judge(self, key: str, token: int, now: float) -> ReplyStatus:
-        """Whether this gateway may decide, as owner, what is asked under a token
-        (`ReplyStatus.DECIDED`).
-        """
-        if token < self.token:
+    def check_request(self, key: str, fencing_token: int, now: float) -> ReplyStatus:
+        """Return `DECIDED` if this gateway may decide a request, else the reason why it may not."""
+        if fencing_token < self.fencing_token:
             return ReplyStatus.STALE_TOKEN
-        if token > self.token or not self.fresh(now):
+        if fencing_token > self.fencing_token or not self.is_confirmed(now):
             return ReplyStatus.NOT_READY
         return ReplyStatus.DECIDED if self.owns(key) else ReplyStatus.NOT_OWNER
--- a/roselink/budgets/quota_client.py
+++ b/roselink/budgets/quota_client.py
@@ -1,8 +1,9 @@
-"""The asker's side of quotas: requests wait for the owner's decision, together, for a bounded time.
+"""The requester's side of quotas: requests wait together, for a bounded time, for the owner.
 
-One ask a tenant is under way; what arrives meanwhile goes with the next. A gateway that had use
-lately is heard by the owner every `KEEP_ALIVE_INTERVAL_S`. Without an owner in reach requests are decided
-here (`alone`).
+One quota request for each tenant is in flight; amounts that arrive meanwhile go with the next one.
+A gateway with recent usage sends at least a keep-alive every `KEEP_ALIVE_INTERVAL_S`, by which the
+owner knows that it is reachable. While the owner is unreachable, requests are decided here
+(`local_admission`).
 """
 
 from __future__ import annotations
@@ -30,32 +31,39 @@
 
 KEY_PREFIX = "quota/"
 REQUEST_TIMEOUT_S = 0.15
-MIN_REQUEST_TIMEOUT_S = 0.03  # for requests that waited behind an ask that failed
-MAX_WAIT_S = 0.2  # a request waits no longer for a decision
-FAST_FAILURE_S = 0.05  # a connection that broke; asked again at once, one time
-RETRY_INTERVAL_S = 0.03  # after an answer that decided nothing
-PROBE_INTERVAL_S = 0.1  # between asks of an owner that doesn't answer
+# For amounts that waited behind a quota request that failed.
+MIN_REQUEST_TIMEOUT_S = 0.03
+# A request waits no longer for a decision.
+MAX_WAIT_S = 0.2
+# A faster failure is a broken connection: the request is retried at once, one time.
+FAST_FAILURE_S = 0.05
+# After a reply that decided nothing.
+RETRY_INTERVAL_S = 0.03
+# Between requests to an owner that doesn't reply.
+PROBE_INTERVAL_S = 0.1
 KEEP_ALIVE_INTERVAL_S = 0.4
 LEASE_DURATION_S = 0.3
-LEASE_AHEAD_S = 0.25  # of recent use is asked for ahead, where that is a request's worth
+# A lease is for the recent usage of this time, if that is a typical request's amount or more.
+LEASE_AHEAD_S = 0.25
+# `retry_after_s` of a request that local admission refuses.
 LOCAL_RETRY_AFTER_S = 0.3
+# Weight of the newest amount in the moving average of a request's amount.
+TYPICAL_WEIGHT = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class SendQuotaRequest:
-    """Effect: put the ask to the owner; `QuotaClient.answered` wants the outcome under this
-    number.
-    """
+    """Effect: send a request to the owner; `QuotaClient.handle_reply` takes the outcome."""
 
     call: int
     address: str
-    ask: QuotaRequest
+    request: QuotaRequest
     timeout_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaDecided:
-    """Effect: the decision on one request. `retry_after_s`: when a refused one may come again."""
+    """Effect: the decision on one request, and when a refused one may be sent again."""
 
     number: int
     allowed: bool
@@ -67,64 +75,71 @@
 
 @dataclass(slots=True)
 class _PendingAmount:
+    """The amount of one request that waits for its decision until a deadline."""
+
     number: int
     amount: float
-    until: float
+    deadline: float
 
 
 @dataclass(slots=True)
 class _InFlightRequest:
-    """The ask under way."""
+    """The quota request in flight, and how much of `admitted_locally` it reported."""
 
     call: int
     sent_at: float
-    asked: list[_PendingAmount]
-    unknown: float
+    amounts: list[_PendingAmount]
+    reported_locally: float
 
 
 @dataclass(slots=True)
 class _TenantState:
+    """One tenant at this gateway."""
+
     limit: QuotaLimit
-    used: UsageWindow
-    alone: LocalAdmission
-    waiting: deque[_PendingAmount] = field(default_factory=deque)
-    open: _InFlightRequest | None = None
-    asked_at: float = float("-inf")
+    usage: UsageWindow
+    local: LocalAdmission
+    pending: deque[_PendingAmount] = field(default_factory=deque)
+    in_flight: _InFlightRequest | None = None
+    last_sent_at: float = float("-inf")
     not_before: float = 0.0
     failures: int = 0
-    told: int = 0  # the token under which the owner has our report
-    unknown: float = 0.0  # admitted here since an owner last answered
-    known: tuple[BucketLevel, float] | None = None  # an owner's level, and when we heard it
+    # The fencing token under which the owner has this gateway's usage report; 0 for none.
+    reported_token: int = 0
+    # Admitted locally and not yet known to an owner.
+    admitted_locally: float = 0.0
+    # The bucket's level in the last reply, and when that reply came.
+    last_level: tuple[BucketLevel, float] | None = None
     lease: float = 0.0
-    lease_until: float = 0.0
+    lease_expires_at: float = 0.0
     returned: float = 0.0
-    share: float = 0.0
-    typical: float = 0.0  # size of a request
+    usage_fraction: float = 0.0
+    # Moving average of a request's amount.
+    typical_amount: float = 0.0
 
 
 class QuotaClient:
-    """Decisions on requests of all tenants, at one gateway."""
+    """Decisions on the requests of all tenants at one gateway."""
 
-    def __init__(self, roles: OwnershipView, rule: QuotaRule) -> None:
-        self.leaving = False
-        self._roles, self._rule = roles, rule
+    def __init__(self, ownership: OwnershipView, rule: QuotaRule) -> None:
+        """Start without tenants."""
+        self.draining = False
+        self._ownership = ownership
+        self._rule = rule
         self._tenants: dict[str, _TenantState] = {}
-        self._due_times = DeadlineIndex()
+        self._deadlines = DeadlineIndex()
         self._calls: dict[int, str] = {}
         self._last_call = 0
 
-    def configure(self, limits: Mapping[str, QuotaLimit], now: float) -> list[Effect]:
-        """Take over the limits of a configuration."""
+    def configure(self, limits: Mapping[str, QuotaLimit]) -> list[Effect]:
+        """Apply the limits of a configuration; requests of tenants without one are admitted."""
         effects: list[Effect] = []
         for name in list(self._tenants):
             limit = limits.get(name)
             if limit is not None and limit.rate_per_s > 0:
                 self._tenants[name].limit = limit
                 continue
-            gone = self._tenants.pop(name)
-            self._due_times.put(name, NEVER)
-            asked = gone.open.asked if gone.open is not None else []
-            effects += [QuotaDecided(entry.number, True, 0.0) for entry in [*asked, *gone.waiting]]
+            effects += self._remove(name)
         for name, limit in limits.items():
             if limit.rate_per_s > 0 and name not in self._tenants:
                 window_s = self._rule.window_s
@@ -133,204 +148,242 @@
                 )
         return effects
 
+    def _remove(self, tenant: str) -> list[Effect]:
+        """Remove a tenant and admit its requests."""
+        removed = self._tenants.pop(tenant)
+        self._deadlines.set(tenant, NEVER)
+        sent = removed.in_flight.amounts if removed.in_flight is not None else []
+        return [_admitted(entry.number) for entry in [*sent, *removed.pending]]
+
     def admit(self, number: int, tenant: str, amount: float, now: float) -> list[Effect]:
-        """One request; `number` is the caller's, unique. `QuotaDecided` comes once, perhaps at
-        once.
+        """Decide a request; `QuotaDecided` comes once, in this result or in a later one.
+
+        Args:
+            number: the caller's number of the request, unique.
+            tenant: name of the request's tenant.
+            amount: what the request wants to use of the quota.
+            now: the time in seconds.
         """
         state = self._tenants.get(tenant)
         if state is None:
-            return [QuotaDecided(number, True, 0.0)]
+            return [_admitted(number)]
         effects = self._admit(number, tenant, state, amount, now)
-        self._plan(tenant, state, now)
+        self._update_deadline(tenant, state, now)
         return effects
 
     def _admit(
         self, number: int, tenant: str, state: _TenantState, amount: float, now: float
     ) -> list[Effect]:
-        state.typical += 0.1 * (amount - state.typical) if state.typical else amount
-        self._end_lease(state, now)
-        if not state.waiting and state.lease >= amount > 0:
+        if state.typical_amount:
+            state.typical_amount += TYPICAL_WEIGHT * (amount - state.typical_amount)
+        else:
+            state.typical_amount += amount
+        _expire_lease(state, now)
+        if not state.pending and state.lease >= amount > 0:
             state.lease -= amount
-            state.used.add(now, amount)
-            return [QuotaDecided(number, True, 0.0)]
+            state.usage.add(now, amount)
+            return [_admitted(number)]
         entry = _PendingAmount(number, amount, now + MAX_WAIT_S)
-        if state.alone.under_way:
-            return [self._decide_alone(state, entry, now), *self._pump(tenant, state, now)]
-        state.waiting.append(entry)
-        return self._pump(tenant, state, now)
+        if state.local.active:
+            return [self._decide_locally(state, entry, now), *self._send_if_due(tenant, state, now)]
+        state.pending.append(entry)
+        return self._send_if_due(tenant, state, now)
 
     def give_back(self, tenant: str, amount: float, now: float) -> None:
-        """A request that was admitted did not run and won't."""
+        """Return the amount of a request that was admitted, has not run, and will not run."""
         state = self._tenants.get(tenant)
         if state is not None:
-            state.used.add(now, -amount)
+            state.usage.add(now, -amount)
             state.returned += amount
-            self._plan(tenant, state, now)
+            self._update_deadline(tenant, state, now)
 
-    def answered(self, call: int, answer: QuotaReply | None, now: float) -> list[Effect]:
-        """The outcome of an ask: the owner's answer, or None."""
+    def handle_reply(self, call: int, reply: QuotaReply | None, now: float) -> list[Effect]:
+        """Process the outcome of a quota request: the owner's reply, or None without one."""
         tenant = self._calls.pop(call, "")
         state = self._tenants.get(tenant)
-        if state is None or state.open is None or state.open.call != call:
+        if state is None or state.in_flight is None or state.in_flight.call != call:
             return []
-        effects = self._answered(tenant, state, state.open, answer, now)
-        self._plan(tenant, state, now)
+        effects = self._handle_reply(tenant, state, state.in_flight, reply, now)
+        self._update_deadline(tenant, state, now)
         return effects
 
-    def _answered(
+    def _handle_reply(
         self,
         tenant: str,
         state: _TenantState,
-        ended: _InFlightRequest,
-        answer: QuotaReply | None,
+        completed: _InFlightRequest,
+        reply: QuotaReply | None,
         now: float,
     ) -> list[Effect]:
-        state.open = None
-        if answer is not None and answer.status is ReplyStatus.DECIDED:
-            return self._decided(state, ended, answer, now) + self._pump(tenant, state, now)
-        state.waiting.extendleft(reversed(ended.asked))
+        state.in_flight = None
+        if reply is not None and reply.status is ReplyStatus.DECIDED:
+            decided = _apply_decisions(state, completed, reply, now)
+            return decided + self._send_if_due(tenant, state, now)
+        state.pending.extendleft(reversed(completed.amounts))
         effects: list[Effect] = []
-        if answer is None:
+        if reply is None:
             state.failures += 1
-            if state.failures > 1 or now - ended.sent_at > FAST_FAILURE_S:
+            if state.failures > 1 or now - completed.sent_at > FAST_FAILURE_S:
                 state.not_before = now + PROBE_INTERVAL_S
-                effects = self._go_alone(state, now)
-        elif answer.status is ReplyStatus.REPORT_WANTED and state.told:
-            state.told = 0
+                effects = self._switch_to_local(state, now)
+        elif reply.status is ReplyStatus.REPORT_WANTED and state.reported_token:
+            state.reported_token = 0
         else:
             state.not_before = now + RETRY_INTERVAL_S
             effects.append(RefreshRoster())
-        return effects + self._pump(tenant, state, now)
+        return effects + self._send_if_due(tenant, state, now)
 
     def wake(self, now: float) -> list[Effect]:
-        """Time has passed: what waited too long is decided here, and due asks go out."""
+        """Decide locally what has waited for too long, and send the quota requests that are due."""
         effects: list[Effect] = []
-        for tenant in self._due_times.due(now):
+        for tenant in self._deadlines.pop_due(now):
             state = self._tenants[tenant]
-            if state.waiting and state.waiting[0].until <= now:
-                effects += self._go_alone(state, now)
-            self._end_lease(state, now)
-            effects += self._pump(tenant, state, now)
-            self._plan(tenant, state, now)
+            if state.pending and state.pending[0].deadline <= now:
+                effects += self._switch_to_local(state, now)
+            _expire_lease(state, now)
+            effects += self._send_if_due(tenant, state, now)
+            self._update_deadline(tenant, state, now)
         return effects
 
-    def due_at(self, now: float) -> float:
-        """When `wake` is due next after `now`, or at once; infinity for never."""
-        due = self._due_times.first()
-        return max(now, due)
-
-    def _plan(self, tenant: str, state: _TenantState, now: float) -> None:
-        """Note when a tenant is due, after any change to its state; what is noted is never too
-        late.
-        """
-        self._due_times.put(tenant, self._due(state, now))
-
-    def _due(self, state: _TenantState, now: float) -> float:
-        due = state.waiting[0].until if state.waiting else NEVER
-        if state.open is None:
-            if state.waiting:
-                due = min(due, state.not_before)
-            elif state.returned or state.lease or abs(state.used.total(now)) > 0:
-                due = min(due, max(state.not_before, self._next_sign(state)))
-            else:
-                # What was given back may outweigh what is left of the use, once some of it is old.
-                due = min(
-                    due, max(state.not_before, self._next_sign(state), state.used.leaves_at())
-                )
-        return due
-
-    def _next_sign(self, state: _TenantState) -> float:
-        return state.asked_at + (
-            PROBE_INTERVAL_S if state.alone.under_way else KEEP_ALIVE_INTERVAL_S
-        )
-
-    def _pump(self, tenant: str, state: _TenantState, now: float) -> list[Effect]:
-        """The next ask, if one is due and none is under way."""
-        if state.open is not None or now < state.not_before:
+    def next_wake_at(self, now: float) -> float:
+        """Return when `wake` is due, `now` or later; infinity for never."""
+        return max(now, self._deadlines.earliest())
+
+    def _update_deadline(self, tenant: str, state: _TenantState, now: float) -> None:
+        """Set when a tenant is due, after any change to its state; never later than it is."""
+        self._deadlines.set(tenant, self._deadline(state, now))
+
+    def _deadline(self, state: _TenantState, now: float) -> float:
+        deadline = state.pending[0].deadline if state.pending else NEVER
+        if state.in_flight is not None:
+            return deadline
+        if state.pending:
+            return min(deadline, state.not_before)
+        next_send_at = max(state.not_before, _next_keep_alive(state))
+        if not _is_in_use(state, now):
+            # Returned amounts may outweigh the rest of the usage, once some of that has expired.
+            next_send_at = max(next_send_at, state.usage.oldest_expires_at())
+        return min(deadline, next_send_at)
+
+    def _send_if_due(self, tenant: str, state: _TenantState, now: float) -> list[Effect]:
+        """Send the next quota request if one is due and none is in flight."""
+        if state.in_flight is not None or now < state.not_before:
+            return []
+        if not state.pending and (not _is_in_use(state, now) or now < _next_keep_alive(state)):
             return []
-        if not state.waiting:
-            lately = state.returned or state.lease or state.used.total(now)
-            if not lately or now < self._next_sign(state):
-                return []
-        found = self._roles.find(KEY_PREFIX + tenant)
+        found = self._ownership.find(KEY_PREFIX + tenant)
         if found is None:
             state.not_before = now + PROBE_INTERVAL_S
-            return self._go_alone(state, now)
-        asked, state.waiting = list(state.waiting), deque()
+            return self._switch_to_local(state, now)
+        amounts = list(state.pending)
+        state.pending = deque()
         self._last_call += 1
         self._calls[self._last_call] = tenant
-        state.open = _InFlightRequest(self._last_call, now, asked, state.unknown)
-        state.asked_at = now
-        ask = self._ask(tenant, found.token, state, now)
-        soonest = min((entry.until for entry in asked), default=float("inf"))
-        timeout_s = max(MIN_REQUEST_TIMEOUT_S, min(REQUEST_TIMEOUT_S, soonest - now))
-        return [SendQuotaRequest(self._last_call, found.owner.address, ask, timeout_s)]
-
-    def _ask(self, tenant: str, token: int, state: _TenantState, now: float) -> QuotaRequest:
-        assert state.open is not None
-        asked = state.open.asked
-        report, known = None, None
-        if state.told != token or state.alone.under_way:
-            report = state.used.report(now)
-            if state.known is not None:
-                heard, at = state.known
-                known = replace(heard, age_ms=int((now - at) * 1000))
-        returned, state.returned = state.returned, 0.0
+        state.in_flight = _InFlightRequest(self._last_call, now, amounts, state.admitted_locally)
+        state.last_sent_at = now
+        request = self._make_request(tenant, found.fencing_token, state, amounts, now)
+        earliest = min((entry.deadline for entry in amounts), default=float("inf"))
+        timeout_s = max(MIN_REQUEST_TIMEOUT_S, min(REQUEST_TIMEOUT_S, earliest - now))
+        return [SendQuotaRequest(self._last_call, found.owner.address, request, timeout_s)]
+
+    def _make_request(
+        self,
+        tenant: str,
+        fencing_token: int,
+        state: _TenantState,
+        amounts: list[_PendingAmount],
+        now: float,
+    ) -> QuotaRequest:
+        report = None
+        last_level = None
+        if state.reported_token != fencing_token or state.local.active:
+            report = state.usage.report(now)
+            if state.last_level is not None:
+                level, received_at = state.last_level
+                last_level = replace(level, age_ms=int((now - received_at) * 1000))
+        returned = state.returned
+        state.returned = 0.0
         return QuotaRequest(
             tenant,
-            token,
-            self._roles.own.name,
-            self._roles.own.incarnation,
-            tuple(entry.amount for entry in asked),
-            self._ahead(state, now) if asked else 0.0,
+            fencing_token,
+            self._ownership.own.name,
+            self._ownership.own.incarnation,
+            tuple(entry.amount for entry in amounts),
+            self._lease_wanted(state, now) if amounts else 0.0,
             returned,
-            state.unknown,
-            self.leaving,
-            known,
+            state.admitted_locally,
+            self.draining,
+            last_level,
             report,
         )
 
-    def _ahead(self, state: _TenantState, now: float) -> float:
-        wanted = LEASE_AHEAD_S * state.used.total(now) / self._rule.window_s - state.lease
-        return wanted if wanted >= state.typical else 0.0
-
-    def _decided(
-        self, state: _TenantState, ended: _InFlightRequest, answer: QuotaReply, now: float
-    ) -> list[Effect]:
-        state.alone.end()
-        state.failures, state.told, state.share = 0, answer.token, answer.share
-        state.unknown -= ended.unknown
-        state.known = BucketLevel(answer.term, answer.level, answer.used, 0), now
-        effects: list[Effect] = []
-        for entry, admitted in zip(ended.asked, answer.admitted, strict=False):
-            if admitted:
-                state.used.add(now, entry.amount)
-            effects.append(
-                QuotaDecided(entry.number, admitted, 0.0 if admitted else answer.retry_after_s)
-            )
-        if answer.ahead > 0:
-            state.lease += answer.ahead
-            state.lease_until = ended.sent_at + LEASE_DURATION_S
-        return effects
-
-    def _end_lease(self, state: _TenantState, now: float) -> None:
-        """What is left of a lease goes back."""
-        if state.lease and now >= state.lease_until:
-            state.returned += state.lease
-            state.lease = 0.0
-
-    def _go_alone(self, state: _TenantState, now: float) -> list[Effect]:
-        if not state.alone.under_way:
-            rate = max(0.0, state.used.total(now)) / self._rule.window_s
-            state.alone.begin(rate, state.told != 0 and not self.leaving, now)
-        waiting, state.waiting = state.waiting, deque()
-        return [self._decide_alone(state, entry, now) for entry in waiting]
-
-    def _decide_alone(self, state: _TenantState, entry: _PendingAmount, now: float) -> QuotaDecided:
-        part = max(state.share * LOCAL_FRACTION, NEWCOMER_FRACTION / self._roles.size)
-        most = part * self._rule.allowance(state.limit)
-        if not state.alone.admit(entry.amount, most, now):
-            return QuotaDecided(entry.number, False, LOCAL_RETRY_AFTER_S)
-        state.used.add(now, entry.amount)
-        state.unknown += entry.amount
-        return QuotaDecided(entry.number, True, 0.0)
+    def _lease_wanted(self, state: _TenantState, now: float) -> float:
+        wanted = LEASE_AHEAD_S * state.usage.total(now) / self._rule.window_s - state.lease
+        return wanted if wanted >= state.typical_amount else 0.0
+
+    def _switch_to_local(self, state: _TenantState, now: float) -> list[Effect]:
+        """Decide all that is pending locally, and what comes until an owner replies."""
+        if not state.local.active:
+            rate = max(0.0, state.usage.total(now)) / self._rule.window_s
+            reserved = state.reported_token != 0 and not self.draining
+            state.local.begin(rate, now, reserved=reserved)
+        pending = state.pending
+        state.pending = deque()
+        return [self._decide_locally(state, entry, now) for entry in pending]
+
+    def _decide_locally(
+        self, state: _TenantState, entry: _PendingAmount, now: float
+    ) -> QuotaDecided:
+        fraction = max(
+            state.usage_fraction * LOCAL_FRACTION, NEWCOMER_FRACTION / self._ownership.size
+        )
+        unreserved_limit = fraction * self._rule.allowance(state.limit)
+        if not state.local.admit(entry.amount, unreserved_limit, now):
+            return QuotaDecided(entry.number, allowed=False, retry_after_s=LOCAL_RETRY_AFTER_S)
+        state.usage.add(now, entry.amount)
+        state.admitted_locally += entry.amount
+        return _admitted(entry.number)
+
+
+def _admitted(number: int) -> QuotaDecided:
+    return QuotaDecided(number, allowed=True, retry_after_s=0.0)
+
+
+def _is_in_use(state: _TenantState, now: float) -> bool:
+    """Whether an owner has to know of this gateway's usage: then it gets keep-alives."""
+    return bool(state.returned or state.lease or state.usage.total(now))
+
+
+def _next_keep_alive(state: _TenantState) -> float:
+    """When the owner is due for a keep-alive; an unreachable one, for a probe."""
+    return state.last_sent_at + (PROBE_INTERVAL_S if state.local.active else KEEP_ALIVE_INTERVAL_S)
+
+
+def _expire_lease(state: _TenantState, now: float) -> None:
+    """Return what is left of a lease that has expired."""
+    if state.lease and now >= state.lease_expires_at:
+        state.returned += state.lease
+        state.lease = 0.0
+
+
+def _apply_decisions(
+    state: _TenantState, completed: _InFlightRequest, reply: QuotaReply, now: float
+) -> list[Effect]:
+    """Take over what an owner decided."""
+    state.local.end()
+    state.failures = 0
+    state.reported_token = reply.fencing_token
+    state.usage_fraction = reply.usage_fraction
+    state.admitted_locally -= completed.reported_locally
+    state.last_level = BucketLevel(reply.term, reply.level, reply.recent_usage, 0), now
+    effects: list[Effect] = []
+    for entry, admitted in zip(completed.amounts, reply.admitted, strict=False):
+        if admitted:
+            state.usage.add(now, entry.amount)
+        effects.append(
+            QuotaDecided(entry.number, admitted, 0.0 if admitted else reply.retry_after_s)
+        )
+    if reply.lease_granted > 0:
+        state.lease += reply.lease_granted
+        state.lease_expires_at = completed.sent_at + LEASE_DURATION_S
+    return effects
--- a/roselink/budgets/quota_owner.py
+++ b/roselink/budgets/quota_owner.py
@@ -1,13 +1,14 @@
-"""The owner's side of quotas: one exact token bucket a tenant, and who used how much.
+"""The owner's side of quotas: one exact token bucket for each tenant, and each requester's usage.
 
-A term begins when this gateway becomes the owner of a tenant. Each asker tells what its last answer
-said of the bucket of the owner before, and what it admitted by itself since then: the newest such
-answer and all of the latter together say how the bucket stands now. Where nobody knows, the term
-starts at a part of the rule's allowance, for gateways that are gone may have used any amount.
+A term begins when this gateway becomes the owner of a tenant. Each requester reports the level of
+the previous owner's bucket that its last reply had, and what it has admitted locally since then:
+the newest such level and the sum of the local admissions give the level of the bucket now. Where no
+level is known, the term starts with a fraction of the rule's allowance, because gateways that are
+gone may have used any amount.
 
-An asker that falls silent may be cut off and admit at its recent rate by itself (`alone`): the
-owner holds that much back from the others meanwhile. So does a new owner, for all use that it heard
-of from the owner before and not from those who used it.
+A requester whose requests stop may be unreachable and admit at its recent rate locally
+(`local_admission`): the owner reserves that much and withholds it from the others. A new owner does
+the same for all usage that it knows from the previous owner only, not from those who used it.
 """
 
 from __future__ import annotations
@@ -35,125 +36,146 @@
 
     from roselink.model.fleet import Member
 
-UNREACHABLE_AFTER_S = 0.65  # askers with recent use are heard about twice as often (quota_client.KEEP_ALIVE_INTERVAL_S)
-MAX_RESERVE_S = 3.0  # an asker admits by itself for no longer (alone.RECENT_RATE_S)
-LEVEL_TRUSTED_S = 1.0  # a level that was heard so long ago may have been taken up by others since
-START_CREDIT_S = 1.0  # the bonus comes within this time
-LEASE_ABOVE_FRACTION = 0.5  # of the burst: tokens are lent ahead only from a bucket that is fuller
+# Requesters with recent usage send about twice as often (quota_client.KEEP_ALIVE_INTERVAL_S).
+UNREACHABLE_AFTER_S = 0.65
+# A requester admits at its recent rate for no longer (local_admission.RECENT_RATE_S).
+MAX_RESERVE_S = 3.0
+# What an older level has gained since may have been used by other gateways.
+LEVEL_TRUSTED_S = 1.0
+# A new term gains its start credit evenly over this time.
+START_CREDIT_S = 1.0
+# Fraction of the burst above which tokens are leased.
+LEASE_ABOVE_FRACTION = 0.5
 MAX_RETRY_AFTER_S = 2.0
 
+# Name and incarnation of a gateway process.
 Requester = tuple[str, int]
 
 
 @dataclass(slots=True)
 class _RequesterUsage:
-    """What the owner knows of one asker. `rate`: its use a second when it was heard last."""
+    """What the owner knows of one requester: its usage, and its rate at its last request."""
 
     usage: UsageWindow
-    heard_at: float
-    rate: float = 0.0
+    last_request_at: float
+    rate_per_s: float = 0.0
 
-    def held_back(self, now: float) -> float:
-        """What the asker may have admitted by itself since it fell silent."""
-        silent = now - self.heard_at
-        if silent <= UNREACHABLE_AFTER_S or silent > self.usage.window_s:
+    def reserved(self, now: float) -> float:
+        """Return what the requester may have admitted locally since it became unreachable."""
+        unreachable_s = now - self.last_request_at
+        if unreachable_s <= UNREACHABLE_AFTER_S or unreachable_s > self.usage.window_s:
             return 0.0
-        return self.rate * min(silent - UNREACHABLE_AFTER_S, MAX_RESERVE_S)
+        return self.rate_per_s * min(unreachable_s - UNREACHABLE_AFTER_S, MAX_RESERVE_S)
 
 
 @dataclass(slots=True)
 class _TenantBucket:
-    """One tenant in this owner's term. `assumed` is where the owner before stood at a moment, and
-    this term counts from it; `told_at` is when an asker heard the newest level of that owner.
-    `bonus` is what a term that starts with nothing is still to gain, and `gained` what it has.
-    `used` is what all had used by then, and `heard_used` what those used that were heard in this
-    term.
+    """The token bucket of one tenant in this owner's term.
+
+    `baseline_level` at `baseline_at` is where this term assumes that the previous owner's bucket
+    stood, and counts from. `previous_level_at` is when a requester learnt the newest level of that
+    owner; `previous_usage` is what all had used by then, and `reported_usage` what the requesters
+    of this term had used of it. `start_credit` is what a term without a trusted level gains, and
+    `credit_gained` what it has gained so far.
     """
 
     limit: QuotaLimit
     term: int
-    at: float
+    updated_at: float
     level: float
-    assumed: tuple[float, float]
-    bonus: float = 0.0
-    gained: float = 0.0
-    used: float = 0.0
-    heard_used: float = 0.0
-    told_at: float = float("-inf")
-    askers: dict[Requester, _RequesterUsage] = field(default_factory=dict)
+    baseline_level: float
+    baseline_at: float
+    start_credit: float = 0.0
+    credit_gained: float = 0.0
+    previous_usage: float = 0.0
+    reported_usage: float = 0.0
+    previous_level_at: float = float("-inf")
+    requesters: dict[Requester, _RequesterUsage] = field(default_factory=dict)
 
     def refill(self, now: float) -> None:
-        gain = min(self.bonus - self.gained, self.bonus * max(0.0, now - self.at) / START_CREDIT_S)
-        self.gained += gain
-        self.level = self._refilled(self.level + gain, max(0.0, now - self.at))
-        self.at = max(self.at, now)
+        """Add the tokens and the start credit of the time since the last update."""
+        elapsed_s = max(0.0, now - self.updated_at)
+        gain = min(
+            self.start_credit - self.credit_gained, self.start_credit * elapsed_s / START_CREDIT_S
+        )
+        self.credit_gained += gain
+        self.level = self._refilled(self.level + gain, elapsed_s)
+        self.updated_at = max(self.updated_at, now)
 
     def take(self, amount: float) -> None:
+        """Remove an amount; a negative one is returned, up to the burst."""
         self.level = min(self.limit.burst, self.level - amount)
 
-    def count_from(self, known: BucketLevel, now: float) -> None:
-        """Count from where the owner before stood, as an asker heard it; the newest such level
-        stays. What an old one seems to have gained since, others may have taken: it counts as the
-        bonus at most.
+    def adopt_level(self, previous: BucketLevel, now: float) -> None:
+        """Count from the previous owner's level as a requester learnt it; the newest one stays.
+
+        What an old level seems to have gained since, other gateways may have used: it counts as the
+        start credit at most.
         """
-        at = now - known.age_ms / 1000
-        if known.term == self.term or at <= self.told_at:
+        learnt_at = now - previous.age_ms / 1000
+        if previous.term == self.term or learnt_at <= self.previous_level_at:
             return
-        level = self._refilled(known.level, now - at)
-        if now - at > LEVEL_TRUSTED_S:
-            self.bonus = min(self.bonus, max(level, self.gained))
+        level = self._refilled(previous.level, now - learnt_at)
+        if now - learnt_at > LEVEL_TRUSTED_S:
+            self.start_credit = min(self.start_credit, max(level, self.credit_gained))
             level = min(level, 0.0)
         else:
-            self.level -= self.gained
-            self.bonus = self.gained = 0.0
-        self.level += level - self._refilled(self.assumed[0], now - self.assumed[1])
+            self.level -= self.credit_gained
+            self.start_credit = 0.0
+            self.credit_gained = 0.0
+        self.level += level - self._refilled(self.baseline_level, now - self.baseline_at)
         self.level = min(self.limit.burst, self.level)
-        self.assumed, self.told_at, self.used = (level, now), at, known.used
-
-    def held_back(self, asker: _RequesterUsage, now: float) -> float:
-        """What may have been admitted by gateways out of reach."""
-        held = sum(record.held_back(now) for record in self.askers.values() if record is not asker)
-        silent = now - self.told_at
-        window_s = asker.usage.window_s
-        if UNREACHABLE_AFTER_S < silent < window_s:
-            unheard = max(0.0, self.used - self.heard_used) / window_s
-            held += unheard * min(silent - UNREACHABLE_AFTER_S, MAX_RESERVE_S)
-        return held
-
-    def _refilled(self, level: float, after_s: float) -> float:
-        return min(self.limit.burst, level + self.limit.rate_per_s * after_s)
-
-    def adopt(self, limit: QuotaLimit, now: float) -> None:
-        """A new limit: a higher burst is there at once, a lower one caps."""
+        self.baseline_level = level
+        self.baseline_at = now
+        self.previous_level_at = learnt_at
+        self.previous_usage = previous.recent_usage
+
+    def reserved(self, requester: _RequesterUsage, now: float) -> float:
+        """Return what unreachable gateways other than the requester may have admitted locally."""
+        reserved = sum(
+            other.reserved(now) for other in self.requesters.values() if other is not requester
+        )
+        unreachable_s = now - self.previous_level_at
+        window_s = requester.usage.window_s
+        if UNREACHABLE_AFTER_S < unreachable_s < window_s:
+            unreported_per_s = max(0.0, self.previous_usage - self.reported_usage) / window_s
+            reserved += unreported_per_s * min(unreachable_s - UNREACHABLE_AFTER_S, MAX_RESERVE_S)
+        return reserved
+
+    def change_limit(self, limit: QuotaLimit, now: float) -> None:
+        """Apply a new limit: a higher burst is available at once, a lower one caps the level."""
         self.refill(now)
         self.level = min(limit.burst, self.level + max(0.0, limit.burst - self.limit.burst))
         self.limit = limit
 
+    def _refilled(self, level: float, after_s: float) -> float:
+        return min(self.limit.burst, level + self.limit.rate_per_s * after_s)
+
 
 class QuotaOwner:
-    """The buckets of all tenants that this gateway owns. `incarnation` tells its terms from
-    others'.
-    """
+    """The buckets of all tenants that this gateway owns."""
 
     def __init__(self, rule: QuotaRule, incarnation: int) -> None:
+        """Start without tenants. Terms count up from `incarnation`, so that no two are equal."""
         self._rule = rule
-        self._next_term = incarnation
+        self._last_term = incarnation
         self._limits: dict[str, QuotaLimit] = {}
         self._buckets: dict[str, _TenantBucket] = {}
 
     def configure(self, limits: Mapping[str, QuotaLimit], now: float) -> None:
-        """Take over the limits of a configuration."""
+        """Apply the limits of a configuration, by tenant."""
         self._limits = dict(limits)
         for tenant in list(self._buckets):
             limit = limits.get(tenant)
             if limit is None or limit.rate_per_s <= 0:
                 del self._buckets[tenant]
             elif limit != self._buckets[tenant].limit:
-                self._buckets[tenant].adopt(limit, now)
+                self._buckets[tenant].change_limit(limit, now)
+
+    def set_owned(self, tenants: Iterable[str], roster: Iterable[Member], now: float) -> None:
+        """Begin and end terms so that they are those of the tenants that this gateway owns.
 
-    def own(self, tenants: Iterable[str], roster: Iterable[Member], now: float) -> None:
-        """The tenants that this gateway owns from now on: terms begin and end. Nothing is held back
-        for a process that started anew.
+        Nothing stays reserved for a process that was restarted.
         """
         owned = {
             name for name in tenants if name in self._limits and self._limits[name].rate_per_s > 0
@@ -161,106 +183,135 @@
         for tenant in [name for name in self._buckets if name not in owned]:
             del self._buckets[tenant]
         for tenant in sorted(owned - self._buckets.keys()):
-            limit = self._limits[tenant]
-            self._next_term += 1
-            bonus = min(limit.burst, START_FRACTION * self._rule.allowance(limit))
-            self._buckets[tenant] = _TenantBucket(
-                limit, self._next_term, now, 0.0, (0.0, now), bonus
-            )
+            self._buckets[tenant] = self._new_bucket(self._limits[tenant], now)
         incarnations = {member.name: member.incarnation for member in roster}
         for bucket in self._buckets.values():
-            for (name, incarnation), record in bucket.askers.items():
+            for (name, incarnation), requester in bucket.requesters.items():
                 if incarnations.get(name, incarnation) != incarnation:
-                    record.rate = 0.0
+                    requester.rate_per_s = 0.0
 
     def end_terms(self) -> None:
-        """This gateway's view was not confirmed for so long that another may have owned its
-        tenants.
-        """
+        """End all terms: this gateway was unconfirmed for so long that others may have owned."""
         self._buckets.clear()
 
-    def ask(self, ask: QuotaRequest, now: float) -> QuotaReply:
-        """Decide; the caller has judged the token."""
-        bucket = self._buckets.get(ask.tenant)
+    def decide(self, request: QuotaRequest, now: float) -> QuotaReply:
+        """Decide a request, whose fencing token the caller has checked."""
+        bucket = self._buckets.get(request.tenant)
         if bucket is None:
-            return QuotaReply(ReplyStatus.NOT_READY, ask.token)
-        asker = (ask.asker, ask.incarnation)
-        if asker not in bucket.askers and ask.report is None:
-            return QuotaReply(ReplyStatus.REPORT_WANTED, ask.token)
-        if ask.report is not None:
-            usage = self._usage(ask.report, now)
-            if asker not in bucket.askers:
-                bucket.heard_used += usage.total(now)
-            bucket.askers[asker] = _RequesterUsage(usage, now)
-        record = bucket.askers[asker]
+            return QuotaReply(ReplyStatus.NOT_READY, request.fencing_token)
+        requester = (request.requester, request.incarnation)
+        if requester not in bucket.requesters and request.usage_report is None:
+            return QuotaReply(ReplyStatus.REPORT_WANTED, request.fencing_token)
+        known = self._update_requester(bucket, requester, request.usage_report, now)
         bucket.refill(now)
-        if ask.known is not None and ask.known.age_ms < self._rule.window_s * 1000:
-            bucket.count_from(ask.known, now)
-        bucket.take(ask.alone - ask.returned)
-        if ask.returned:
-            record.usage.add(now, -ask.returned)
-        admitted, retry_after_s = self._decide(bucket, record, ask.amounts, now)
-        ahead = self._lend(bucket, record, ask.ahead, now) if all(admitted) else 0.0
-        record.heard_at = now
-        record.rate = 0.0 if ask.leaving else record.usage.total(now) / self._rule.window_s
-        used = self._used(bucket, now)
-        share = max(0.0, min(1.0, record.usage.total(now) / used)) if used > 0 else 0.0
+        if (
+            request.last_level is not None
+            and request.last_level.age_ms < self._rule.window_s * 1000
+        ):
+            bucket.adopt_level(request.last_level, now)
+        bucket.take(request.admitted_locally - request.returned)
+        if request.returned:
+            known.usage.add(now, -request.returned)
+        admitted, retry_after_s = self._admit_amounts(bucket, known, request.amounts, now)
+        lease = (
+            self._grant_lease(bucket, known, request.lease_wanted, now) if all(admitted) else 0.0
+        )
+        known.last_request_at = now
+        known.rate_per_s = 0.0 if request.draining else known.usage.total(now) / self._rule.window_s
+        usage = self._recent_usage(bucket, now)
+        fraction = max(0.0, min(1.0, known.usage.total(now) / usage)) if usage > 0 else 0.0
         return QuotaReply(
             ReplyStatus.DECIDED,
-            ask.token,
+            request.fencing_token,
             admitted,
-            ahead,
-            retry_after_s,
-            share,
-            bucket.term,
-            bucket.level,
-            used,
+            lease_granted=lease,
+            retry_after_s=retry_after_s,
+            usage_fraction=fraction,
+            term=bucket.term,
+            level=bucket.level,
+            recent_usage=usage,
         )
 
-    def _usage(self, report: tuple[UsageSample, ...], now: float) -> UsageWindow:
+    def _new_bucket(self, limit: QuotaLimit, now: float) -> _TenantBucket:
+        self._last_term += 1
+        return _TenantBucket(
+            limit,
+            self._last_term,
+            updated_at=now,
+            level=0.0,
+            baseline_level=0.0,
+            baseline_at=now,
+            start_credit=min(limit.burst, START_FRACTION * self._rule.allowance(limit)),
+        )
+
+    def _update_requester(
+        self,
+        bucket: _TenantBucket,
+        requester: Requester,
+        report: tuple[UsageSample, ...] | None,
+        now: float,
+    ) -> _RequesterUsage:
+        """Return what is known of a requester, replaced by its report if there is one."""
+        if report is not None:
+            usage = self._reported_usage(report, now)
+            if requester not in bucket.requesters:
+                bucket.reported_usage += usage.total(now)
+            bucket.requesters[requester] = _RequesterUsage(usage, now)
+        return bucket.requesters[requester]
+
+    def _reported_usage(self, report: tuple[UsageSample, ...], now: float) -> UsageWindow:
         usage = UsageWindow(self._rule.window_s)
-        for used in report:
-            usage.add(now - used.age_ms / 1000, used.amount)
+        for sample in report:
+            usage.add(now - sample.age_ms / 1000, sample.amount)
         return usage
 
-    def _decide(
-        self, bucket: _TenantBucket, record: _RequesterUsage, amounts: tuple[float, ...], now: float
+    def _admit_amounts(
+        self,
+        bucket: _TenantBucket,
+        requester: _RequesterUsage,
+        amounts: tuple[float, ...],
+        now: float,
     ) -> tuple[tuple[bool, ...], float]:
-        """Each amount that the bucket holds is admitted; one above the whole burst wants a full
-        bucket.
+        """Admit each amount that the bucket has; one above the burst requires a full bucket.
+
+        Returns:
+            A decision for each amount, and after how many seconds the first refused one may be
+            requested again.
         """
         grace = GRACE_FRACTION * self._rule.allowance(bucket.limit)
-        held_back = bucket.held_back(record, now)
+        reserved = bucket.reserved(requester, now)
         decisions = []
         retry_after_s = 0.0
         for amount in amounts:
-            missing = min(amount, bucket.limit.burst) - (bucket.level + grace - held_back)
+            missing = min(amount, bucket.limit.burst) - (bucket.level + grace - reserved)
             decisions.append(missing <= 0)
             if missing <= 0:
                 bucket.take(amount)
-                record.usage.add(now, amount)
+                requester.usage.add(now, amount)
             elif not retry_after_s:
                 retry_after_s = min(MAX_RETRY_AFTER_S, missing / bucket.limit.rate_per_s)
         return tuple(decisions), retry_after_s
 
-    def _lend(
-        self, bucket: _TenantBucket, record: _RequesterUsage, wanted: float, now: float
+    def _grant_lease(
+        self, bucket: _TenantBucket, requester: _RequesterUsage, wanted: float, now: float
     ) -> float:
-        ahead = max(0.0, min(wanted, bucket.level - LEASE_ABOVE_FRACTION * bucket.limit.burst))
-        if ahead > 0:
-            bucket.take(ahead)
-            record.usage.add(now, ahead)
-        return ahead
-
-    def _used(self, bucket: _TenantBucket, now: float) -> float:
-        """What the askers used in the last window, but for those that left; forgets who used
-        nothing.
+        """Take tokens for a lease from what is above `LEASE_ABOVE_FRACTION`; return the amount."""
+        granted = max(0.0, min(wanted, bucket.level - LEASE_ABOVE_FRACTION * bucket.limit.burst))
+        if granted > 0:
+            bucket.take(granted)
+            requester.usage.add(now, granted)
+        return granted
+
+    def _recent_usage(self, bucket: _TenantBucket, now: float) -> float:
+        """Return the usage of the last window, without requesters that drain.
+
+        Requesters without usage in the window are forgotten.
         """
-        for asker, record in list(bucket.askers.items()):
-            if not record.usage.total(now) and now - record.heard_at > self._rule.window_s:
-                del bucket.askers[asker]
+        for requester, known in list(bucket.requesters.items()):
+            if not known.usage.total(now) and now - known.last_request_at > self._rule.window_s:
+                del bucket.requesters[requester]
         return sum(
-            max(0.0, record.usage.total(now))
-            for record in bucket.askers.values()
-            if record.rate > 0
+            max(0.0, known.usage.total(now))
+            for known in bucket.requesters.values()
+            if known.rate_per_s > 0
         )
--- a/roselink/budgets/retry_budget.py
+++ b/roselink/budgets/retry_budget.py
@@ -1,10 +1,11 @@
-"""The shared slack of repeats: owner's and asker's sides.
-
-The rule adds `retry_slack` repeats of a service to those its requests earn, in any window, over all
-gateways. An owner lends at most `GRANTED_FRACTION` of it within any window. Nobody can know what the owner
-before lent until its end: it may have been cut off with some of the gateways. So a term lends
-`FIRST_WINDOW_FRACTION` at most in its first window, and nothing at its very beginning, for owners pass fast
-while a roster forms. Four moves of ownership within one window stay under the slack.
+"""The retry budget that all gateways share for a service: the owner's and the requester's sides.
+
+The rule adds `retry_slack` retries of a service to those that its requests earn, in any window,
+over all gateways. An owner grants at most `GRANTED_FRACTION` of it within any window. No gateway
+can know what the previous owner granted up to its end, which may have been unreachable together
+with some of the gateways. So a term grants at most `FIRST_WINDOW_FRACTION` in its first window, and
+nothing in its first `START_DELAY_S`, because ownership moves quickly while a roster forms. Four
+moves of ownership within one window stay under the slack.
 """
 
 from __future__ import annotations
@@ -22,78 +23,81 @@
 
 GRANTED_FRACTION = 0.8
 FIRST_WINDOW_FRACTION = 0.05
-START_DELAY_S = 0.5  # from its beginning on a term lends nothing for so long
-REFUSAL_VALID_S = 0.1  # an asker refuses by itself for so long after a refusal
+# A new term grants nothing for this time.
+START_DELAY_S = 0.5
+# A requester refuses for this time after a refusal, without a request to the owner.
+REFUSAL_VALID_S = 0.1
 KEY_PREFIX = "retry/"
 
 
 class _Term:
-    """One service in this owner's term."""
+    """One service in this owner's term: when it began, and when each retry was granted."""
 
     def __init__(self, began_at: float) -> None:
         self.began_at = began_at
-        self.lent: deque[float] = deque()
+        self.granted_at: deque[float] = deque()
 
 
 class RetryBudgetOwner:
-    """The owner's side for all services that this gateway owns."""
+    """The owner's side, for all services that this gateway owns."""
 
     def __init__(self, window_s: float, slack: float) -> None:
+        """Start without services. `slack` is the number of retries in any `window_s` seconds."""
         self._window_s = window_s
-        self._most, self._first = GRANTED_FRACTION * slack, FIRST_WINDOW_FRACTION * slack
+        self._limit = GRANTED_FRACTION * slack
+        self._first_window_limit = FIRST_WINDOW_FRACTION * slack
         self._terms: dict[str, _Term] = {}
 
-    def own(self, services: Iterable[str], now: float) -> None:
-        """The services that this gateway owns from now on: terms begin and end."""
+    def set_owned(self, services: Iterable[str], now: float) -> None:
+        """Begin and end terms so that they are those of the services that this gateway owns."""
         owned = set(services)
         for service in [name for name in self._terms if name not in owned]:
             del self._terms[service]
         for service in owned - self._terms.keys():
             self._terms[service] = _Term(now)
 
-    def end_terms(self, silent_s: float) -> None:
-        """This gateway's view was not confirmed for so long. Another owner may have lent
-        `FIRST_WINDOW_FRACTION` within less than a window, which the parts allow for; only a longer gap ends
-        the terms.
+    def end_terms(self, unconfirmed_s: float) -> None:
+        """End all terms if this gateway's view was unconfirmed for a window or longer.
+
+        Another owner may have granted `FIRST_WINDOW_FRACTION` within less than a window, for which
+        the fractions leave room.
         """
-        if silent_s >= self._window_s:
+        if unconfirmed_s >= self._window_s:
             self._terms.clear()
 
-    def ask(self, ask: RetryBudgetRequest, now: float) -> RetryBudgetReply:
-        """Decide; the caller has judged the token."""
-        term = self._terms.get(ask.service)
+    def decide(self, request: RetryBudgetRequest, now: float) -> RetryBudgetReply:
+        """Decide a request, whose fencing token the caller has checked."""
+        term = self._terms.get(request.service)
         if term is None:
-            return RetryBudgetReply(ReplyStatus.NOT_READY, ask.token, False)
-        while term.lent and term.lent[0] <= now - self._window_s:
-            term.lent.popleft()
-        allowed = len(term.lent) + 1 <= self._may_lend(now - term.began_at)
+            return RetryBudgetReply(ReplyStatus.NOT_READY, request.fencing_token, allowed=False)
+        while term.granted_at and term.granted_at[0] <= now - self._window_s:
+            term.granted_at.popleft()
+        allowed = len(term.granted_at) + 1 <= self._window_limit(now - term.began_at)
         if allowed:
-            term.lent.append(now)
+            term.granted_at.append(now)
         return RetryBudgetReply(
-            ReplyStatus.DECIDED, ask.token, allowed, 0.0 if allowed else REFUSAL_VALID_S
+            ReplyStatus.DECIDED, request.fencing_token, allowed, 0.0 if allowed else REFUSAL_VALID_S
         )
 
-    def _may_lend(self, age_s: float) -> float:
-        """How many within a window, in a term so old."""
+    def _window_limit(self, age_s: float) -> float:
+        """Return the number of retries that a term of this age may grant within a window."""
         if age_s < START_DELAY_S:
             return 0.0
-        return self._first if age_s < self._window_s else self._most
+        return self._first_window_limit if age_s < self._window_s else self._limit
 
 
 @dataclass(frozen=True, slots=True)
 class SendRetryBudgetRequest:
-    """Effect: put the ask to the owner at an address; the outcome goes to
-    `RetryBudgetClient.answered`.
-    """
+    """Effect: send a request to the owner; `RetryBudgetClient.handle_reply` takes the outcome."""
 
     number: int
     address: str
-    ask: RetryBudgetRequest
+    request: RetryBudgetRequest
 
 
 @dataclass(frozen=True, slots=True)
 class RetryBudgetDecided:
-    """Effect: the answer to one `RetryBudgetClient.ask`."""
+    """Effect: the decision on one `RetryBudgetClient.request`."""
 
     number: int
     allowed: bool
@@ -101,44 +105,43 @@
 
 @dataclass(frozen=True, slots=True)
 class RefreshRoster:
-    """Effect: the owner's roster isn't ours: pull soon."""
+    """Effect: the owner's roster differs from this gateway's, which pulls soon."""
 
 
 RetryBudgetEffect = SendRetryBudgetRequest | RetryBudgetDecided | RefreshRoster
 
 
 class RetryBudgetClient:
-    """The asker's side: without an owner in reach, no."""
+    """The requester's side. Without a reachable owner every retry is refused."""
 
-    def __init__(self, roles: OwnershipView, slack: float) -> None:
-        self._roles, self._slack = roles, slack
-        self._open: dict[int, str] = {}
+    def __init__(self, ownership: OwnershipView, slack: float) -> None:
+        """Start without requests. A `slack` below 1 refuses all."""
+        self._ownership = ownership
+        self._slack = slack
+        self._in_flight: dict[int, str] = {}
         self._refused_until: dict[str, float] = {}
 
-    def ask(self, number: int, service: str, now: float) -> list[RetryBudgetEffect]:
-        """One repeat wants to draw on the slack; `number` is the caller's, unique."""
-        found = self._roles.find(KEY_PREFIX + service)
+    def request(self, number: int, service: str, now: float) -> list[RetryBudgetEffect]:
+        """Request one retry to a service; `number` is the caller's and unique."""
+        found = self._ownership.find(KEY_PREFIX + service)
         if self._slack < 1 or found is None or now < self._refused_until.get(service, 0.0):
-            return [RetryBudgetDecided(number, False)]
-        self._open[number] = service
-        return [
-            SendRetryBudgetRequest(
-                number, found.owner.address, RetryBudgetRequest(service, found.token)
-            )
-        ]
-
-    def answered(
-        self, number: int, answer: RetryBudgetReply | None, now: float
+            return [RetryBudgetDecided(number, allowed=False)]
+        self._in_flight[number] = service
+        request = RetryBudgetRequest(service, found.fencing_token)
+        return [SendRetryBudgetRequest(number, found.owner.address, request)]
+
+    def handle_reply(
+        self, number: int, reply: RetryBudgetReply | None, now: float
     ) -> list[RetryBudgetEffect]:
-        """The outcome of an ask; without an answer, no."""
-        service = self._open.pop(number, None)
+        """Decide by the owner's reply; without one (None) the retry is refused."""
+        service = self._in_flight.pop(number, None)
         if service is None:
             return []
-        if answer is None:
+        if reply is None:
             self._refused_until[service] = now + REFUSAL_VALID_S
-            return [RetryBudgetDecided(number, False)]
-        if answer.status is not ReplyStatus.DECIDED:
-            return [RefreshRoster(), RetryBudgetDecided(number, False)]
-        if not answer.allowed:
-            self._refused_until[service] = now + answer.retry_after_s
-        return [RetryBudgetDecided(number, answer.allowed)]
+            return [RetryBudgetDecided(number, allowed=False)]
+        if reply.status is not ReplyStatus.DECIDED:
+            return [RefreshRoster(), RetryBudgetDecided(number, allowed=False)]
+        if not reply.allowed:
+            self._refused_until[service] = now + reply.retry_after_s
+        return [RetryBudgetDecided(number, reply.allowed)]
--- a/roselink/budgets/usage.py
+++ b/roselink/budgets/usage.py
@@ -1,4 +1,7 @@
-"""The quota rule's figures, and what was admitted lately, in slots of time."""
+"""The figures of the quota rule, and a sliding window of recent usage.
+
+Amounts are in the unit of the tenant's quota: requests or language model tokens.
+"""
 
 from __future__ import annotations
 
@@ -7,12 +10,24 @@
 
 from roselink.protocol.budgets import UsageSample
 
+# Resolution of a usage window.
 SLOT_S = 0.5
 
+# How the rule's allowance is divided; the fractions sum up to 1.
+
+# The credit of a new term whose predecessor's bucket level is not known.
+START_FRACTION = 0.35
+# Overdraft of the exact bucket, for requests that cross each other on the way.
+GRACE_FRACTION = 0.15
+# What all gateways together admit locally without an owner that reserves it for them.
+LOCAL_FRACTION = 0.4
+# The same, for gateways without recent usage of the tenant.
+NEWCOMER_FRACTION = 0.1
+
 
 @dataclass(frozen=True, slots=True)
 class QuotaLimit:
-    """One tenant's quota; a rate of 0 sets no limit."""
+    """One tenant's quota: a token bucket's rate and burst. A rate of 0 sets no limit."""
 
     rate_per_s: float
     burst: float
@@ -20,40 +35,37 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaRule:
-    """How far the sum over all gateways may pass a tenant's limit within a window."""
+    """How far the sum over all gateways may exceed a tenant's limit within a window.
+
+    `over` is a fraction of the limit, `slack` an amount on top.
+    """
 
     window_s: float
     over: float
     slack: float
 
     def allowance(self, limit: QuotaLimit) -> float:
-        """What may run in one window beyond rate x window + burst."""
+        """Return the amount that may run in one window beyond rate x window + burst."""
         return self.over * (limit.rate_per_s * self.window_s + limit.burst) + self.slack
 
 
-# How the allowance is shared out; the parts sum up to 1.
-START_FRACTION = 0.35  # what a term starts with, where nobody knows how the owner before stood
-GRACE_FRACTION = 0.15  # on top of the exact bucket: requests cross each other on their way
-LOCAL_FRACTION = (
-    0.4  # what gateways together admit without an owner and without its holding back for them
-)
-NEWCOMER_FRACTION = 0.1  # the same, for gateways that had no use of the tenant lately
-
-
 class UsageWindow:
-    """Amounts of the last window, summed by slot. A slot counts until its newest moment leaves the
-    window.
+    """Amounts of the last `window_s` seconds, summed by slot of `SLOT_S`.
+
+    A slot counts until its newest moment leaves the window.
     """
 
     __slots__ = ("_slots", "_total", "window_s")
 
     def __init__(self, window_s: float) -> None:
+        """Start without usage."""
         self.window_s = window_s
-        self._slots: deque[list[float]] = deque()  # [end, amount], oldest first
+        # [end of the slot, amount], oldest first
+        self._slots: deque[list[float]] = deque()
         self._total = 0.0
 
     def add(self, at: float, amount: float) -> None:
-        """Count an amount; older moments are in order too."""
+        """Count an amount at a moment, which may be older than the newest one."""
         end = (at // SLOT_S + 1) * SLOT_S
         self._total += amount
         for slot in reversed(self._slots):
@@ -69,19 +81,19 @@
         self._slots = deque(sorted(self._slots))
 
     def total(self, now: float) -> float:
-        """The sum of the last window."""
+        """Return the sum of the last window."""
         while self._slots and self._slots[0][0] <= now - self.window_s:
             self._total -= self._slots.popleft()[1]
         if not self._slots:
             self._total = 0.0
         return self._total
 
-    def leaves_at(self) -> float:
-        """When the oldest amount leaves the window; infinity where there is none."""
+    def oldest_expires_at(self) -> float:
+        """Return when the oldest amount leaves the window; infinity where there is none."""
         return self._slots[0][0] + self.window_s if self._slots else float("inf")
 
     def report(self, now: float) -> tuple[UsageSample, ...]:
-        """The last window as it is told to an owner."""
+        """Return the last window as a request reports it to an owner."""
         self.total(now)
         return tuple(
             UsageSample(int(max(0.0, now - end) * 1000), amount) for end, amount in self._slots
--- a/roselink/protocol/budgets.py
+++ b/roselink/protocol/budgets.py
@@ -40,13 +40,13 @@
 class BucketLevel:
     """The state of an owner's token bucket `age_ms` milliseconds ago.
 
-    `term` identifies that owner's term; `level` is in tokens; `used` is what the gateways that the
-    owner took for live had used in the window before, in tokens.
+    `term` identifies that owner's term; `level` is in tokens; `recent_usage` is what the gateways
+    that the owner took for live had used in the window before, in tokens.
     """
 
     term: int
     level: float
-    used: float
+    recent_usage: float
     age_ms: int
 
 
@@ -55,24 +55,24 @@
 class QuotaRequest:
     """Whether these amounts of tokens may run now, each decided by itself and in sequence.
 
-    `ahead`: tokens wanted on top, to be used within the lease. `returned`: tokens admitted or lent
-    before that weren't used. `alone`: admitted by the requester itself since an owner last replied.
-    `leaving`: the requester drains and admits nothing by itself. `known`: the level in the last
-    reply. `report`: all that the requester admitted in the last window, where the owner may not
-    know it.
+    `lease_wanted`: tokens wanted on top, to be used within the lease. `returned`: tokens admitted
+    or leased before that weren't used. `admitted_locally`: what the requester admitted without an
+    owner since one last replied. `draining`: the requester drains and admits nothing locally.
+    `last_level`: the bucket's level in the last reply. `usage_report`: all that the requester
+    admitted in the last window, where the owner may not know it.
     """
 
     tenant: str
-    token: int
-    asker: str
+    fencing_token: int
+    requester: str
     incarnation: int
     amounts: tuple[float, ...]
-    ahead: float
+    lease_wanted: float
     returned: float
-    alone: float
-    leaving: bool
-    known: BucketLevel | None
-    report: tuple[UsageSample, ...] | None
+    admitted_locally: float
+    draining: bool
+    last_level: BucketLevel | None
+    usage_report: tuple[UsageSample, ...] | None
 
 
 @record(98)
@@ -80,21 +80,22 @@
 class QuotaReply:
     """The owner's decisions: `admitted` has one for each amount of the request.
 
-    `retry_after_s`: when the first refused amount may be requested again. `used`: what all live
-    gateways admitted of the tenant in the last window, in tokens; `share`: the requester's fraction
-    of it (0 to 1). `term` and `level` are the bucket's, after these decisions. `token` is the
-    owner's.
+    `lease_granted`: tokens that the requester may use within the lease. `retry_after_s`: when the
+    first refused amount may be requested again. `usage_fraction`: the requester's fraction of
+    `recent_usage` (0 to 1), which is what all live gateways admitted of the tenant in the last
+    window, in tokens. `term` and `level` are the bucket's, after these decisions. `fencing_token`
+    is the owner's.
     """
 
     status: ReplyStatus
-    token: int
+    fencing_token: int
     admitted: tuple[bool, ...] = ()
-    ahead: float = 0.0
+    lease_granted: float = 0.0
     retry_after_s: float = 0.0
-    share: float = 0.0
+    usage_fraction: float = 0.0
     term: int = 0
     level: float = 0.0
-    used: float = 0.0
+    recent_usage: float = 0.0
 
 
 @record(99)
@@ -103,7 +104,7 @@
     """Whether one retry to a service may draw on its retry budget."""
 
     service: str
-    token: int
+    fencing_token: int
 
 
 @record(100)
@@ -112,6 +113,6 @@
     """The owner's decision; a refusal stands for at least `retry_after_s` seconds."""
 
     status: ReplyStatus
-    token: int
+    fencing_token: int
     allowed: bool
     retry_after_s: float = 0.0
--- a/tests/budgets/checks.py
+++ b/tests/budgets/checks.py
@@ -39,11 +39,11 @@
     """The requests that an exact bucket, fed in the order of arrival, lets pass."""
     level, at = burst, 0.0
     passed = []
-    for entry in sorted(decisions, key=lambda decision: decision.asked_at):
+    for entry in sorted(decisions, key=lambda decision: decision.arrived_at):
         if entry.tenant != tenant:
             continue
-        level = min(burst, level + rate * (entry.asked_at - at))
-        at = entry.asked_at
+        level = min(burst, level + rate * (entry.arrived_at - at))
+        at = entry.arrived_at
         if level >= entry.amount:
             level -= entry.amount
             passed.append(entry)
--- a/tests/budgets/fleet.py
+++ b/tests/budgets/fleet.py
@@ -2,7 +2,7 @@
 fails.
 
 The core is played by its outcome: whoever has not pulled for `CORE_MISSES_S` leaves the roster, but
-time in which the core heard nobody at all for longer than `CORE_PAUSE_S` is no gateway's silence.
+a time in which the core received no pull at all for longer than `CORE_PAUSE_S` counts against none.
 What requests were admitted is kept for checkers, which share no code with the machines.
 """
 
@@ -51,7 +51,7 @@
     tenant: str
     gateway: int
     amount: float
-    asked_at: float
+    arrived_at: float
     decided_at: float
     allowed: bool
     retry_after_s: float
@@ -70,8 +70,8 @@
     retry_window_s: float = 10.0
     now: float = 100.0
     decisions: list[Decision] = field(default_factory=list)
-    repeats: list[tuple[float, str]] = field(default_factory=list)
-    asks: int = 0
+    retries: list[tuple[float, str]] = field(default_factory=list)
+    requests_sent: int = 0
 
     def __post_init__(self) -> None:
         self.chance = random.Random(self.seed)
@@ -79,7 +79,7 @@
         self._count = 0
         self.version = 0
         self.roster: tuple[Member, ...] = ()
-        self.heard: dict[Member, float] = {}
+        self.last_pulls: dict[Member, float] = {}
         self.last_pull = self.now
         self.cuts: set[frozenset[int]] = set()  # pairs of gateways; -1 is the core
         self.gateways = [Gateway(self, index) for index in range(self.size)]
@@ -100,44 +100,49 @@
         return frozenset((one, other)) not in self.cuts
 
     def pull(self, member: Member, serving: bool) -> None:
-        """The core hears a gateway, and forgets those that were silent."""
+        """The core receives a pull, and removes the gateways that have not pulled."""
         pause_s = self.now - self.last_pull
         self.last_pull = self.now
         if pause_s > CORE_PAUSE_S:
-            self.heard = {known: at + pause_s for known, at in self.heard.items()}
-        self.heard[member] = self.now if serving else float("-inf")
-        live = [known for known, at in self.heard.items() if self.now - at < CORE_MISSES_S]
+            self.last_pulls = {known: at + pause_s for known, at in self.last_pulls.items()}
+        self.last_pulls[member] = self.now if serving else float("-inf")
+        live = [known for known, at in self.last_pulls.items() if self.now - at < CORE_MISSES_S]
         newest: dict[str, Member] = {known.name: known for known in live}
         roster = tuple(sorted(newest.values(), key=lambda known: known.name))
         if roster != self.roster:
             self.version, self.roster = self.version + 1, roster
 
     def call(
-        self, caller: Gateway, address: str, ask: Any, timeout_s: float, done: Callable[[Any], None]
+        self,
+        caller: Gateway,
+        address: str,
+        request: Any,
+        timeout_s: float,
+        done: Callable[[Any], None],
     ) -> None:
         """As `PeerPool.call` has it: `done` runs once, at the caller."""
-        self.asks += 1
-        life, callee = caller.life, self.gateways[int(address)]
+        self.requests_sent += 1
+        incarnation, callee = caller.incarnation, self.gateways[int(address)]
         open_call = [True]
 
-        def settle(answer: Any) -> None:
-            if open_call[0] and caller.life == life:
+        def complete(reply: Any) -> None:
+            if open_call[0] and caller.incarnation == incarnation:
                 open_call[0] = False
-                done(answer)
+                done(reply)
 
-        def back(answer: Any) -> None:
+        def back(reply: Any) -> None:
             if self.reachable(caller.index, callee.index):
-                caller.when_awake(self.now + LINK_S, lambda: settle(answer))
+                caller.when_awake(self.now + LINK_S, lambda: complete(reply))
 
         def deliver() -> None:
             if callee.alive:
-                back(callee.serve(ask))
+                back(callee.serve(request))
             else:
                 back(None)
 
-        caller.when_awake(self.now + timeout_s, lambda: settle(None))
+        caller.when_awake(self.now + timeout_s, lambda: complete(None))
         if caller is callee:
-            settle(callee.serve(ask))
+            complete(callee.serve(request))
         elif self.reachable(caller.index, callee.index):
             callee.when_awake(self.now + LINK_S, deliver)
 
@@ -147,27 +152,27 @@
 
     def __init__(self, fleet: Fleet, index: int) -> None:
         self.fleet, self.index = fleet, index
-        self.life = 0
+        self.incarnation = 0
         self.alive = False
         self.frozen_until = 0.0
         self.serving = True
 
     def begin(self) -> None:
         fleet = self.fleet
-        self.life += 1
+        self.incarnation += 1
         self.alive, self.serving = True, True
         self.member = Member(
-            f"edge-{self.index}", str(self.index), 1_000_000 * (100 * self.life + self.index)
+            f"edge-{self.index}", str(self.index), 1_000_000 * (100 * self.incarnation + self.index)
         )
-        self.roles = OwnershipView(self.member)
-        self.ledger, self.client = (
+        self.ownership = OwnershipView(self.member)
+        self.quota_owner, self.client = (
             QuotaOwner(fleet.rule, self.member.incarnation),
-            QuotaClient(self.roles, fleet.rule),
+            QuotaClient(self.ownership, fleet.rule),
         )
-        self.repeat_ledger = RetryBudgetOwner(fleet.retry_window_s, fleet.slack)
-        self.repeat_client = RetryBudgetClient(self.roles, fleet.slack)
-        self._asked: dict[int, tuple[str, float, float]] = {}
-        self._repeats: dict[int, str] = {}
+        self.retry_owner = RetryBudgetOwner(fleet.retry_window_s, fleet.slack)
+        self.retry_client = RetryBudgetClient(self.ownership, fleet.slack)
+        self._requests: dict[int, tuple[str, float, float]] = {}
+        self._retries: dict[int, str] = {}
         self._numbers = 0
         self._wake_at = float("inf")
         self.configure(fleet.limits)
@@ -175,13 +180,13 @@
 
     def leave(self) -> None:
         """SIGTERM: no roles any more, and soon the end."""
-        self.serving, self.client.leaving = False, True
+        self.serving, self.client.draining = False, True
         self.pull(again=False)
 
     def end(self) -> None:
         """A kill: all that it knew is gone."""
         self.alive = False
-        self.life += 1
+        self.incarnation += 1
 
     def when_awake(self, when: float, step: Step) -> None:
         def attempt() -> None:
@@ -193,17 +198,17 @@
         self.fleet.at(when, attempt)
 
     def later(self, delay_s: float, step: Step) -> None:
-        life = self.life
+        incarnation = self.incarnation
 
         def attempt() -> None:
-            if self.life == life:
+            if self.incarnation == incarnation:
                 step()
 
         self.when_awake(self.fleet.now + delay_s, attempt)
 
     def configure(self, limits: dict[str, QuotaLimit]) -> None:
-        self.ledger.configure(limits, self.fleet.now)
-        self.perform(self.client.configure(limits, self.fleet.now))
+        self.quota_owner.configure(limits, self.fleet.now)
+        self.perform(self.client.configure(limits))
 
     def pull(self, again: bool = True) -> None:
         fleet, sent_at = self.fleet, self.fleet.now
@@ -216,84 +221,98 @@
 
     def pulled(self, version: int, roster: tuple[Member, ...], sent_at: float) -> None:
         now = self.fleet.now
-        self.roles.update(version, roster)
-        silent_s = self.roles.confirm(sent_at, now)
-        if silent_s >= CONFIRMATION_VALID_S:
-            self.ledger.end_terms()
-            self.repeat_ledger.end_terms(silent_s)
+        self.ownership.update(version, roster)
+        unconfirmed_s = self.ownership.confirm(sent_at, now)
+        if unconfirmed_s >= CONFIRMATION_VALID_S:
+            self.quota_owner.end_terms()
+            self.retry_owner.end_terms(unconfirmed_s)
         tenants = [
-            name for name in self.fleet.limits if self.roles.owns(quota_client.KEY_PREFIX + name)
+            name
+            for name in self.fleet.limits
+            if self.ownership.owns(quota_client.KEY_PREFIX + name)
         ]
-        self.ledger.own(tenants, roster, now)
+        self.quota_owner.set_owned(tenants, roster, now)
         services = [
-            name for name in self.fleet.services if self.roles.owns(retry_budget.KEY_PREFIX + name)
+            name
+            for name in self.fleet.services
+            if self.ownership.owns(retry_budget.KEY_PREFIX + name)
         ]
-        self.repeat_ledger.own(services, now)
+        self.retry_owner.set_owned(services, now)
 
-    def serve(self, ask: Any) -> Any:
+    def serve(self, request: Any) -> Any:
         now = self.fleet.now
-        if isinstance(ask, QuotaRequest):
-            status = self.roles.judge(quota_client.KEY_PREFIX + ask.tenant, ask.token, now)
+        if isinstance(request, QuotaRequest):
+            status = self.ownership.check_request(
+                quota_client.KEY_PREFIX + request.tenant, request.fencing_token, now
+            )
             if status is ReplyStatus.DECIDED:
-                return self.ledger.ask(ask, now)
-            return QuotaReply(status, self.roles.token)
-        assert isinstance(ask, RetryBudgetRequest)
-        status = self.roles.judge(retry_budget.KEY_PREFIX + ask.service, ask.token, now)
+                return self.quota_owner.decide(request, now)
+            return QuotaReply(status, self.ownership.fencing_token)
+        assert isinstance(request, RetryBudgetRequest)
+        status = self.ownership.check_request(
+            retry_budget.KEY_PREFIX + request.service, request.fencing_token, now
+        )
         if status is ReplyStatus.DECIDED:
-            return self.repeat_ledger.ask(ask, now)
-        return RetryBudgetReply(status, self.roles.token, False)
+            return self.retry_owner.decide(request, now)
+        return RetryBudgetReply(status, self.ownership.fencing_token, False)
 
     def request(self, tenant: str, amount: float) -> None:
         """A client's request; one that reaches a dead process is lost."""
-        life, asked_at = self.life, self.fleet.now
+        incarnation, arrived_at = self.incarnation, self.fleet.now
 
         def arrive() -> None:
-            if self.life == life and self.alive:
+            if self.incarnation == incarnation and self.alive:
                 self._numbers += 1
-                self._asked[self._numbers] = (tenant, amount, asked_at)
+                self._requests[self._numbers] = (tenant, amount, arrived_at)
                 self.perform(self.client.admit(self._numbers, tenant, amount, self.fleet.now))
 
         self.when_awake(self.fleet.now, arrive)
 
-    def repeat(self, service: str) -> None:
+    def retry(self, service: str) -> None:
         if self.alive and self.fleet.now >= self.frozen_until:
             self._numbers += 1
-            self._repeats[self._numbers] = service
-            self.perform(self.repeat_client.ask(self._numbers, service, self.fleet.now))
+            self._retries[self._numbers] = service
+            self.perform(self.retry_client.request(self._numbers, service, self.fleet.now))
 
     def perform(self, effects: Iterable[Any]) -> None:
         fleet = self.fleet
         for effect in effects:
             match effect:
                 case QuotaDecided(number, allowed, retry_after_s):
-                    tenant, amount, asked_at = self._asked.pop(number)
+                    tenant, amount, arrived_at = self._requests.pop(number)
                     fleet.decisions.append(
                         Decision(
-                            tenant, self.index, amount, asked_at, fleet.now, allowed, retry_after_s
+                            tenant,
+                            self.index,
+                            amount,
+                            arrived_at,
+                            fleet.now,
+                            allowed,
+                            retry_after_s,
                         )
                     )
                 case RetryBudgetDecided(number, allowed):
-                    service = self._repeats.pop(number)
+                    service = self._retries.pop(number)
                     if allowed:
-                        fleet.repeats.append((fleet.now, service))
-                case SendQuotaRequest(call, address, ask, timeout_s):
-                    fleet.call(self, address, ask, timeout_s, self._quota_done(call))
-                case SendRetryBudgetRequest(number, address, repeat_ask):
-                    fleet.call(self, address, repeat_ask, 0.1, self._repeat_done(number))
+                        fleet.retries.append((fleet.now, service))
+                case SendQuotaRequest(call, address, quota_request, timeout_s):
+                    fleet.call(self, address, quota_request, timeout_s, self._quota_done(call))
+                case SendRetryBudgetRequest(number, address, retry_request):
+                    fleet.call(self, address, retry_request, 0.1, self._retry_done(number))
                 case RefreshRoster():
                     self.later(0.05, lambda: self.pull(again=False))
         self._schedule()
 
     def _quota_done(self, call: int) -> Callable[[Any], None]:
-        return lambda answer: self.perform(self.client.answered(call, answer, self.fleet.now))
+        return lambda reply: self.perform(self.client.handle_reply(call, reply, self.fleet.now))
 
-    def _repeat_done(self, number: int) -> Callable[[Any], None]:
-        return lambda answer: self.perform(
-            self.repeat_client.answered(number, answer, self.fleet.now)
+    def _retry_done(self, number: int) -> Callable[[Any], None]:
+        return lambda reply: self.perform(
+            self.retry_client.handle_reply(number, reply, self.fleet.now)
         )
 
     def _schedule(self) -> None:
-        due = self.client.due_at(self.fleet.now)
+        due = self.client.next_wake_at(self.fleet.now)
         if due < self._wake_at:
             self._wake_at = due
             self.later(max(0.001, due - self.fleet.now), self._wake)
--- a/tests/budgets/test_deadline_index.py
+++ b/tests/budgets/test_deadline_index.py
@@ -1,4 +1,4 @@
-"""Due times of many names, against a plain table of them."""
+"""Due deadlines of many names, against a plain table of them."""
 
 from __future__ import annotations
 
@@ -27,27 +27,27 @@
     ],
 )
 def test_what_is_due(steps: list[Step], now: float, due: list[str], first: float) -> None:
-    times = DeadlineIndex()
+    deadlines = DeadlineIndex()
     for name, at in steps:
-        times.put(name, at)
-    assert times.due(now) == due
-    assert times.first() == first
+        deadlines.set(name, at)
+    assert deadlines.pop_due(now) == due
+    assert deadlines.earliest() == first
 
 
 @pytest.mark.parametrize("seed", range(10))
 def test_as_a_plain_table(seed: int) -> None:
     chance = random.Random(seed)
-    times, table = DeadlineIndex(), dict[str, float]()
+    deadlines, table = DeadlineIndex(), dict[str, float]()
     for step in range(3000):
         name = f"n{chance.randrange(30)}"
         at = chance.choice((step + chance.randrange(50), NEVER, step))
-        times.put(name, at)
+        deadlines.set(name, at)
         table[name] = at
-        assert times.first() == min(table.values())
+        assert deadlines.earliest() == min(table.values())
         if chance.random() < 0.2:
-            due = times.due(step)
+            due = deadlines.pop_due(step)
             assert sorted(due) == sorted(each for each, when in table.items() if when <= step)
             assert [table[each] for each in due] == sorted(table[each] for each in due)
             table = {each: when for each, when in table.items() if when > step}
-            assert times.first() == min(table.values(), default=NEVER)
-        assert len(times._heap) <= 2 * 30 + 65
+            assert deadlines.earliest() == min(table.values(), default=NEVER)
+        assert len(deadlines._heap) <= 2 * 30 + 65
--- a/tests/budgets/test_fleet.py
+++ b/tests/budgets/test_fleet.py
@@ -46,7 +46,7 @@
         passed = within_limit(fleet.decisions, tenant, RATE, BURST)
         assert len(passed) > 100
         assert [entry for entry in passed if not entry.allowed] == []
-    assert max(entry.decided_at - entry.asked_at for entry in fleet.decisions) < 0.02
+    assert max(entry.decided_at - entry.arrived_at for entry in fleet.decisions) < 0.02
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -74,7 +74,7 @@
     fleet.run(until + 1)
     assert largest_window(admitted(fleet.decisions, "hot"), RULE.window_s) <= BOUND
     awake = [entry for entry in fleet.decisions if fleet.gateways[entry.gateway].frozen_until == 0]
-    assert max(entry.decided_at - entry.asked_at for entry in awake) <= 0.25
+    assert max(entry.decided_at - entry.arrived_at for entry in awake) <= 0.25
 
 
 @pytest.mark.parametrize(
@@ -104,13 +104,13 @@
     at = fleet.now + 1
     while at < until:
         gateway, service = chance.choice(fleet.gateways), chance.choice(("one", "two"))
-        fleet.at(at, lambda gateway=gateway, service=service: gateway.repeat(service))  # type: ignore[misc]
+        fleet.at(at, lambda gateway=gateway, service=service: gateway.retry(service))  # type: ignore[misc]
         at += chance.expovariate(60)
     if trouble is not None:
         make_trouble(fleet, until - 3, list(TROUBLES) if trouble == "any" else [trouble])
     fleet.run(until + 1)
     for service in ("one", "two"):
-        lent = [(at, 1.0) for at, name in fleet.repeats if name == service]
+        lent = [(at, 1.0) for at, name in fleet.retries if name == service]
         assert largest_window(lent, window_s) <= slack
         if trouble is None:
             late = [entry for entry in lent if entry[0] > until - 30]
--- a/tests/budgets/test_ownership.py
+++ b/tests/budgets/test_ownership.py
@@ -1,4 +1,4 @@
-"""Who owns a key, and what an owner makes of tokens."""
+"""Who owns a key, and which fencing tokens an owner serves."""
 
 from __future__ import annotations
 
@@ -48,13 +48,13 @@
 
 
 def test_rosters_only_move_forward() -> None:
-    roles = OwnershipView(ROSTER[0])
-    assert roles.update(5, ROSTER)
-    assert not roles.update(5, ROSTER[1:])
-    assert not roles.update(4, ROSTER[1:])
-    assert roles.token == 5 and roles.size == 6
-    assert roles.update(6, ROSTER[:2])
-    assert roles.size == 2
+    view = OwnershipView(ROSTER[0])
+    assert view.update(5, ROSTER)
+    assert not view.update(5, ROSTER[1:])
+    assert not view.update(4, ROSTER[1:])
+    assert view.fencing_token == 5 and view.size == 6
+    assert view.update(6, ROSTER[:2])
+    assert view.size == 2
 
 
 def key_of(member: Member) -> str:
@@ -73,31 +73,33 @@
         (0, 4, 10.0 + CONFIRMATION_VALID_S + 0.001, ReplyStatus.STALE_TOKEN),
     ],
 )
-def test_an_owner_judges_tokens(owner: int, token: int, at: float, status: ReplyStatus) -> None:
-    roles = OwnershipView(ROSTER[0])
-    roles.update(5, ROSTER)
-    roles.confirm(10.0, 10.05)
-    assert roles.judge(key_of(ROSTER[owner]), token, at) is status
+def test_an_owner_checks_the_fencing_token(
+    owner: int, token: int, at: float, status: ReplyStatus
+) -> None:
+    view = OwnershipView(ROSTER[0])
+    view.update(5, ROSTER)
+    view.confirm(10.0, 10.05)
+    assert view.check_request(key_of(ROSTER[owner]), token, at) is status
 
 
 def test_a_member_that_never_pulled_owns_nothing_yet() -> None:
-    roles = OwnershipView(ROSTER[0])
-    roles.update(5, ROSTER)
-    assert roles.judge(key_of(ROSTER[0]), 5, 0.0) is ReplyStatus.NOT_READY
+    view = OwnershipView(ROSTER[0])
+    view.update(5, ROSTER)
+    assert view.check_request(key_of(ROSTER[0]), 5, 0.0) is ReplyStatus.NOT_READY
 
 
 def test_an_earlier_incarnation_of_this_member_in_the_roster_owns_no_key_here() -> None:
-    roles = OwnershipView(Member(ROSTER[0].name, ROSTER[0].address, 99))
-    roles.update(5, ROSTER)
-    roles.confirm(10.0, 10.0)
-    assert roles.judge(key_of(ROSTER[0]), 5, 10.1) is ReplyStatus.NOT_OWNER
-
-
-def test_confirm_tells_how_long_the_view_was_not_confirmed() -> None:
-    roles = OwnershipView(ROSTER[0])
-    assert roles.confirm(10.0, 10.1) == float("inf")
-    assert roles.confirm(10.2, 10.3) == pytest.approx(0.3)
-    assert roles.confirm(10.1, 13.0) == pytest.approx(2.8)
-    assert roles.fresh(10.2 + CONFIRMATION_VALID_S - 0.01) and not roles.fresh(
+    view = OwnershipView(Member(ROSTER[0].name, ROSTER[0].address, 99))
+    view.update(5, ROSTER)
+    view.confirm(10.0, 10.0)
+    assert view.check_request(key_of(ROSTER[0]), 5, 10.1) is ReplyStatus.NOT_OWNER
+
+
+def test_confirm_returns_how_long_the_view_was_not_confirmed() -> None:
+    view = OwnershipView(ROSTER[0])
+    assert view.confirm(10.0, 10.1) == float("inf")
+    assert view.confirm(10.2, 10.3) == pytest.approx(0.3)
+    assert view.confirm(10.1, 13.0) == pytest.approx(2.8)
+    assert view.is_confirmed(10.2 + CONFIRMATION_VALID_S - 0.01) and not view.is_confirmed(
         10.2 + CONFIRMATION_VALID_S + 0.01
     )
--- a/tests/budgets/test_quota_client.py
+++ b/tests/budgets/test_quota_client.py
@@ -1,4 +1,4 @@
-"""What a gateway asks of a quota's owner, and what it decides without one."""
+"""What a gateway requests of a quota's owner, and what it decides without one."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 OK = ReplyStatus.DECIDED
 
 
-def client(token: int = 5) -> tuple[QuotaClient, OwnershipView]:
-    roles = OwnershipView(OWN)
+def make_client(token: int = 5) -> tuple[QuotaClient, OwnershipView]:
+    ownership = OwnershipView(OWN)
     if token:
-        roles.update(token, (OTHER,))
-        roles.confirm(9.9, 9.9)
-    asker = QuotaClient(roles, RULE)
-    asker.configure({"t": LIMIT, "free": QuotaLimit(0.0, 0.0)}, 0.0)
-    return asker, roles
+        ownership.update(token, (OTHER,))
+        ownership.confirm(9.9, 9.9)
+    client = QuotaClient(ownership, RULE)
+    client.configure({"t": LIMIT, "free": QuotaLimit(0.0, 0.0)})
+    return client, ownership
 
 
 def sent(effects: list[Effect]) -> SendQuotaRequest:
@@ -44,211 +44,241 @@
     return {each.number: each.allowed for each in effects if isinstance(each, QuotaDecided)}
 
 
-def answer(*admitted: bool, token: int = 5, ahead: float = 0.0, share: float = 0.5) -> QuotaReply:
-    return QuotaReply(OK, token, admitted, ahead, 0.7, share, 77, 42.0)
+def make_reply(
+    *admitted: bool, token: int = 5, lease: float = 0.0, usage_fraction: float = 0.5
+) -> QuotaReply:
+    return QuotaReply(OK, token, admitted, lease, 0.7, usage_fraction, 77, 42.0)
 
 
-def settled(amount: float = 40.0) -> tuple[QuotaClient, OwnershipView]:
+def connected_client(amount: float = 40.0) -> tuple[QuotaClient, OwnershipView]:
     """A client whose owner has answered once, at 10; an ask of it is due later."""
-    asker, roles = client()
-    asker.answered(sent(asker.admit(1, "t", amount, 10.0)).call, answer(True), 10.003)
-    return asker, roles
+    client, ownership = make_client()
+    client.handle_reply(sent(client.admit(1, "t", amount, 10.0)).call, make_reply(True), 10.003)
+    return client, ownership
 
 
 @pytest.mark.parametrize("tenant", ["free", "unknown"])
 def test_a_tenant_without_a_limit_is_never_asked_for(tenant: str) -> None:
-    asker, _ = client()
-    assert asker.admit(1, tenant, 5.0, 10.0) == [QuotaDecided(1, True, 0.0)]
-    assert asker.due_at(10.0) == float("inf")
+    client, _ = make_client()
+    assert client.admit(1, tenant, 5.0, 10.0) == [QuotaDecided(1, True, 0.0)]
+    assert client.next_wake_at(10.0) == float("inf")
 
 
 def test_the_first_ask_brings_a_report_and_what_arrives_meanwhile_goes_together_next() -> None:
-    asker, _ = client()
-    first = sent(asker.admit(1, "t", 40.0, 10.0))
+    client, _ = make_client()
+    first = sent(client.admit(1, "t", 40.0, 10.0))
     assert first.address == OTHER.address and first.timeout_s == module.REQUEST_TIMEOUT_S
-    assert first.ask == QuotaRequest("t", 5, "a", 1, (40.0,), 0.0, 0.0, 0.0, False, None, ())
-    assert asker.admit(2, "t", 10.0, 10.001) == []
-    assert asker.admit(3, "t", 20.0, 10.002) == []
-    effects = asker.answered(first.call, answer(True), 10.003)
+    assert first.request == QuotaRequest("t", 5, "a", 1, (40.0,), 0.0, 0.0, 0.0, False, None, ())
+    assert client.admit(2, "t", 10.0, 10.001) == []
+    assert client.admit(3, "t", 20.0, 10.002) == []
+    effects = client.handle_reply(first.call, make_reply(True), 10.003)
     assert decided(effects) == {1: True}
     second = sent(effects)
-    assert second.ask.amounts == (10.0, 20.0) and second.ask.report is None
-    effects = asker.answered(second.call, answer(False, True), 10.006)
+    assert second.request.amounts == (10.0, 20.0) and second.request.usage_report is None
+    effects = client.handle_reply(second.call, make_reply(False, True), 10.006)
     assert effects == [QuotaDecided(2, False, 0.7), QuotaDecided(3, True, 0.0)]
 
 
 def test_an_owner_that_wants_a_report_gets_one_at_once() -> None:
-    asker, _ = settled()
-    ask = sent(asker.admit(2, "t", 5.0, 10.1))
-    again = sent(asker.answered(ask.call, QuotaReply(ReplyStatus.REPORT_WANTED, 5), 10.102))
-    assert again.ask.amounts == (5.0,)
-    assert again.ask.report is not None and sum(used.amount for used in again.ask.report) == 40.0
-    assert again.ask.known is not None and (again.ask.known.term, again.ask.known.level) == (
+    client, _ = connected_client()
+    sent_request = sent(client.admit(2, "t", 5.0, 10.1))
+    again = sent(
+        client.handle_reply(sent_request.call, QuotaReply(ReplyStatus.REPORT_WANTED, 5), 10.102)
+    )
+    assert again.request.amounts == (5.0,)
+    assert (
+        again.request.usage_report is not None
+        and sum(used.amount for used in again.request.usage_report) == 40.0
+    )
+    assert again.request.last_level is not None and (
+        again.request.last_level.term,
+        again.request.last_level.level,
+    ) == (
         77,
         42.0,
     )
 
 
 def test_a_new_token_brings_the_report_again() -> None:
-    asker, roles = settled()
-    roles.update(6, (OTHER,))
-    ask = sent(asker.admit(2, "t", 5.0, 10.1)).ask
-    assert ask.token == 6 and ask.report is not None
-    assert ask.known is not None and ask.known.age_ms in (96, 97)
+    client, ownership = connected_client()
+    ownership.update(6, (OTHER,))
+    sent_request = sent(client.admit(2, "t", 5.0, 10.1)).request
+    assert sent_request.fencing_token == 6 and sent_request.usage_report is not None
+    assert sent_request.last_level is not None and sent_request.last_level.age_ms in (96, 97)
 
 
 @pytest.mark.parametrize(
     "status", [ReplyStatus.STALE_TOKEN, ReplyStatus.NOT_READY, ReplyStatus.NOT_OWNER]
 )
 def test_when_rosters_differ_it_pulls_and_asks_again_soon(status: ReplyStatus) -> None:
-    asker, _ = settled()
-    ask = sent(asker.admit(2, "t", 5.0, 10.1))
-    assert asker.answered(ask.call, QuotaReply(status, 6), 10.102) == [RefreshRoster()]
-    assert asker.due_at(10.102) == pytest.approx(10.102 + module.RETRY_INTERVAL_S)
-    again = sent(asker.wake(10.14))
-    assert decided(asker.answered(again.call, answer(True), 10.142)) == {2: True}
+    client, _ = connected_client()
+    sent_request = sent(client.admit(2, "t", 5.0, 10.1))
+    assert client.handle_reply(sent_request.call, QuotaReply(status, 6), 10.102) == [
+        RefreshRoster()
+    ]
+    assert client.next_wake_at(10.102) == pytest.approx(10.102 + module.RETRY_INTERVAL_S)
+    again = sent(client.wake(10.14))
+    assert decided(client.handle_reply(again.call, make_reply(True), 10.142)) == {2: True}
 
 
 def test_a_request_waits_no_longer_than_the_bound() -> None:
-    asker, _ = settled(100.0)
+    client, _ = connected_client(100.0)
     now = 10.1
     decisions: dict[int, bool] = {}
-    effects = asker.admit(2, "t", 5.0, now)
+    effects = client.admit(2, "t", 5.0, now)
     while not decisions:
         for effect in effects:
             if isinstance(effect, SendQuotaRequest):
-                effects = asker.answered(effect.call, QuotaReply(ReplyStatus.NOT_READY, 6), now)
-        now = asker.due_at(now)
-        effects = asker.wake(now)
+                effects = client.handle_reply(
+                    effect.call, QuotaReply(ReplyStatus.NOT_READY, 6), now
+                )
+        now = client.next_wake_at(now)
+        effects = client.wake(now)
         decisions = decided(effects)
     assert decisions == {2: True}  # at the own recent rate
     assert now <= 10.1 + module.MAX_WAIT_S + 0.001
 
 
 def test_a_broken_connection_is_tried_again_at_once_and_a_silent_owner_is_not() -> None:
-    asker, _ = settled()
-    ask = sent(asker.admit(2, "t", 5.0, 10.1))
-    again = sent(asker.answered(ask.call, None, 10.103))
-    effects = asker.answered(again.call, None, 10.105)
+    client, _ = connected_client()
+    sent_request = sent(client.admit(2, "t", 5.0, 10.1))
+    again = sent(client.handle_reply(sent_request.call, None, 10.103))
+    effects = client.handle_reply(again.call, None, 10.105)
     assert decided(effects) == {2: True}
-    asker, _ = settled()
-    ask = sent(asker.admit(2, "t", 5.0, 10.1))
-    assert decided(asker.answered(ask.call, None, 10.25)) == {2: True}
-
-
-def alone(share: float = 0.5) -> QuotaClient:
-    """A client with a use of 100 in its window, whose owner fell silent at 10.4."""
-    asker, _ = client()
-    asker.answered(sent(asker.admit(1, "t", 100.0, 10.0)).call, answer(True, share=share), 10.003)
-    ask = sent(asker.wake(10.41))
-    asker.answered(ask.call, None, 10.56)
-    return asker
+    client, _ = connected_client()
+    sent_request = sent(client.admit(2, "t", 5.0, 10.1))
+    assert decided(client.handle_reply(sent_request.call, None, 10.25)) == {2: True}
+
+
+def unreachable_owner(usage_fraction: float = 0.5) -> QuotaClient:
+    """A client with a use of 100 in its window, whose owner is unreachable from 10.4 on."""
+    client, _ = make_client()
+    client.handle_reply(
+        sent(client.admit(1, "t", 100.0, 10.0)).call,
+        make_reply(True, usage_fraction=usage_fraction),
+        10.003,
+    )
+    sent_request = sent(client.wake(10.41))
+    client.handle_reply(sent_request.call, None, 10.56)
+    return client
 
 
 def test_without_an_owner_it_goes_on_at_its_recent_rate_for_a_while() -> None:
-    asker = alone(share=0.0)
+    client = unreachable_owner(usage_fraction=0.0)
     rate = RECENT_RATE_FRACTION * 100 / 8
     total, now = 0.0, 10.6
     while now < 10.6 + 2 * RECENT_RATE_S:
-        total += sum(decided(asker.admit(int(now * 1000), "t", 1.0, now)).values())
+        total += sum(decided(client.admit(int(now * 1000), "t", 1.0, now)).values())
         now += 0.02
     newcomer = NEWCOMER_FRACTION * ALLOWANCE
     assert rate * RECENT_RATE_S <= total <= rate * RECENT_RATE_S + 1 + newcomer
 
 
 @pytest.mark.parametrize(
-    ("share", "part"),
+    ("usage_fraction", "local_fraction"),
     [(0.5, 0.5 * LOCAL_FRACTION), (0.0, NEWCOMER_FRACTION), (1.0, LOCAL_FRACTION)],
 )
-def test_after_that_only_a_part_of_the_allowance_is_used(share: float, part: float) -> None:
-    asker = alone(share)
+def test_after_that_only_a_part_of_the_allowance_is_used(
+    usage_fraction: float, local_fraction: float
+) -> None:
+    client = unreachable_owner(usage_fraction)
     late = 10.56 + RECENT_RATE_S
     total = sum(
-        decided(asker.admit(number, "t", 1.0, late)).get(number, False) for number in range(2, 500)
+        decided(client.admit(number, "t", 1.0, late)).get(number, False) for number in range(2, 500)
     )
-    assert total == int(part * ALLOWANCE + 1e-9)
+    assert total == int(local_fraction * ALLOWANCE + 1e-9)
 
 
 def test_an_owner_that_answers_again_hears_of_all_of_it() -> None:
-    asker = alone()
-    effects = asker.admit(2, "t", 5.0, 10.7)
+    client = unreachable_owner()
+    effects = client.admit(2, "t", 5.0, 10.7)
     assert decided(effects) == {2: True}
     probe = sent(effects)
-    assert probe.ask.amounts == () and probe.ask.alone == 5.0 and probe.ask.report is not None
-    asker.answered(probe.call, answer(), 10.703)
-    ask = sent(asker.admit(3, "t", 5.0, 10.71)).ask
-    assert ask.amounts == (5.0,) and ask.alone == 0.0 and ask.report is None
+    assert (
+        probe.request.amounts == ()
+        and probe.request.admitted_locally == 5.0
+        and probe.request.usage_report is not None
+    )
+    client.handle_reply(probe.call, make_reply(), 10.703)
+    sent_request = sent(client.admit(3, "t", 5.0, 10.71)).request
+    assert (
+        sent_request.amounts == (5.0,)
+        and sent_request.admitted_locally == 0.0
+        and sent_request.usage_report is None
+    )
 
 
 def test_a_gateway_that_leaves_has_nothing_held_back() -> None:
-    asker, _ = settled()
-    asker.leaving = True
-    ask = sent(asker.admit(2, "t", 50.0, 10.1))
-    assert ask.ask.leaving
-    assert decided(asker.answered(ask.call, None, 10.25)) == {2: False}
+    client, _ = connected_client()
+    client.draining = True
+    sent_request = sent(client.admit(2, "t", 50.0, 10.1))
+    assert sent_request.request.draining
+    assert decided(client.handle_reply(sent_request.call, None, 10.25)) == {2: False}
 
 
 def test_a_gateway_without_a_roster_decides_by_itself() -> None:
-    asker, _ = client(token=0)
-    assert decided(asker.admit(1, "t", 1.0, 10.0)) == {1: True}
-    assert decided(asker.admit(2, "t", 50.0, 10.0)) == {2: False}
+    client, _ = make_client(token=0)
+    assert decided(client.admit(1, "t", 1.0, 10.0)) == {1: True}
+    assert decided(client.admit(2, "t", 50.0, 10.0)) == {2: False}
 
 
 def test_signs_of_life_go_out_while_there_was_use_lately() -> None:
-    asker, _ = settled()
+    client, _ = connected_client()
     now, signs = 10.003, 0
-    while (due := asker.due_at(now)) < 30:
+    while (due := client.next_wake_at(now)) < 30:
         now = due
-        for effect in asker.wake(now):
-            assert isinstance(effect, SendQuotaRequest) and effect.ask.amounts == ()
+        for effect in client.wake(now):
+            assert isinstance(effect, SendQuotaRequest) and effect.request.amounts == ()
             signs += 1
-            asker.answered(effect.call, answer(), now + 0.003)
+            client.handle_reply(effect.call, make_reply(), now + 0.003)
     assert signs == pytest.approx(RULE.window_s / module.KEEP_ALIVE_INTERVAL_S, abs=2)
     assert now < 19
 
 
 def test_tokens_lent_ahead_decide_at_once_and_the_rest_goes_back() -> None:
-    asker, _ = client()
+    client, _ = make_client()
     now = 10.0
     for number in range(1, 400):  # many small requests: a request's worth comes ahead
-        effects = asker.admit(number, "t", 1.0, now)
-        asks = [each for each in effects if isinstance(each, SendQuotaRequest)]
+        effects = client.admit(number, "t", 1.0, now)
+        requests = [each for each in effects if isinstance(each, SendQuotaRequest)]
         now += 0.01
-        if asks and asks[0].ask.ahead:
+        if requests and requests[0].request.lease_wanted:
             break
-        for ask in asks:
-            asker.answered(ask.call, answer(*[True] * len(ask.ask.amounts)), now)
-    assert asks[0].ask.ahead >= 1.0
-    asker.answered(asks[0].call, answer(True, ahead=2.5), now)
-    assert decided(asker.admit(1000, "t", 1.0, now + 0.01)) == {1000: True}
-    assert decided(asker.admit(1001, "t", 1.0, now + 0.02)) == {1001: True}
-    late = sent(asker.wake(now + module.KEEP_ALIVE_INTERVAL_S + module.LEASE_DURATION_S))
-    assert late.ask.returned == pytest.approx(0.5)
+        for sent_request in requests:
+            client.handle_reply(
+                sent_request.call, make_reply(*[True] * len(sent_request.request.amounts)), now
+            )
+    assert requests[0].request.lease_wanted >= 1.0
+    client.handle_reply(requests[0].call, make_reply(True, lease=2.5), now)
+    assert decided(client.admit(1000, "t", 1.0, now + 0.01)) == {1000: True}
+    assert decided(client.admit(1001, "t", 1.0, now + 0.02)) == {1001: True}
+    late = sent(client.wake(now + module.KEEP_ALIVE_INTERVAL_S + module.LEASE_DURATION_S))
+    assert late.request.returned == pytest.approx(0.5)
 
 
 def test_what_did_not_run_is_given_back() -> None:
-    asker, _ = settled()
-    asker.give_back("t", 40.0, 10.05)
-    asker.give_back("unknown", 40.0, 10.05)
-    ask = sent(asker.admit(2, "t", 5.0, 10.1)).ask
-    assert ask.returned == 40.0
+    client, _ = connected_client()
+    client.give_back("t", 40.0, 10.05)
+    client.give_back("unknown", 40.0, 10.05)
+    sent_request = sent(client.admit(2, "t", 5.0, 10.1)).request
+    assert sent_request.returned == 40.0
 
 
 def test_requests_of_a_tenant_whose_limit_goes_are_admitted() -> None:
-    asker, _ = client()
-    asker.admit(1, "t", 5.0, 10.0)
-    asker.admit(2, "t", 5.0, 10.0)
-    assert decided(asker.configure({}, 10.01)) == {1: True, 2: True}
-    assert asker.answered(1, answer(True), 10.02) == []
+    client, _ = make_client()
+    client.admit(1, "t", 5.0, 10.0)
+    client.admit(2, "t", 5.0, 10.0)
+    assert decided(client.configure({})) == {1: True, 2: True}
+    assert client.handle_reply(1, make_reply(True), 10.02) == []
 
 
 # The shared slack of repeats
 
 
-def repeats(slack: float = 52.0) -> RetryBudgetClient:
-    roles = OwnershipView(OWN)
-    roles.update(5, (OTHER,))
-    return RetryBudgetClient(roles, slack)
+def retry_client(slack: float = 52.0) -> RetryBudgetClient:
+    ownership = OwnershipView(OWN)
+    ownership.update(5, (OTHER,))
+    return RetryBudgetClient(ownership, slack)
 
 
 @pytest.mark.parametrize(
@@ -270,28 +300,28 @@
 def test_a_repeat_is_allowed_only_by_its_owner(
     outcome: RetryBudgetReply | None, effects: list[object]
 ) -> None:
-    asker = repeats()
-    [ask] = asker.ask(1, "s", 10.0)
+    client = retry_client()
+    [sent_request] = client.request(1, "s", 10.0)
     assert (
-        isinstance(ask, SendRetryBudgetRequest)
-        and ask.address == OTHER.address
-        and ask.ask.token == 5
+        isinstance(sent_request, SendRetryBudgetRequest)
+        and sent_request.address == OTHER.address
+        and sent_request.request.fencing_token == 5
     )
-    assert asker.answered(1, outcome, 10.01) == effects
-    assert asker.answered(1, outcome, 10.01) == []
+    assert client.handle_reply(1, outcome, 10.01) == effects
+    assert client.handle_reply(1, outcome, 10.01) == []
 
 
 def test_a_refusal_stands_for_a_moment() -> None:
-    asker = repeats()
-    asker.ask(1, "s", 10.0)
-    asker.answered(1, RetryBudgetReply(OK, 5, False, 0.1), 10.0)
-    assert asker.ask(2, "s", 10.05) == [RetryBudgetDecided(2, False)]
-    assert isinstance(asker.ask(3, "other", 10.05)[0], SendRetryBudgetRequest)
-    assert isinstance(asker.ask(4, "s", 10.11)[0], SendRetryBudgetRequest)
+    client = retry_client()
+    client.request(1, "s", 10.0)
+    client.handle_reply(1, RetryBudgetReply(OK, 5, False, 0.1), 10.0)
+    assert client.request(2, "s", 10.05) == [RetryBudgetDecided(2, False)]
+    assert isinstance(client.request(3, "other", 10.05)[0], SendRetryBudgetRequest)
+    assert isinstance(client.request(4, "s", 10.11)[0], SendRetryBudgetRequest)
 
 
 def test_without_a_slack_or_a_roster_the_answer_is_no() -> None:
-    assert repeats(0.0).ask(1, "s", 10.0) == [RetryBudgetDecided(1, False)]
-    assert RetryBudgetClient(OwnershipView(OWN), 52.0).ask(1, "s", 10.0) == [
+    assert retry_client(0.0).request(1, "s", 10.0) == [RetryBudgetDecided(1, False)]
+    assert RetryBudgetClient(OwnershipView(OWN), 52.0).request(1, "s", 10.0) == [
         RetryBudgetDecided(1, False)
     ]
--- a/tests/budgets/test_quota_owner.py
+++ b/tests/budgets/test_quota_owner.py
@@ -30,18 +30,18 @@
 A, B = Member("a", "10.0.0.1:1", 1), Member("b", "10.0.0.2:1", 2)
 
 
-def ask(
+def request(
     *amounts: float,
     member: Member = A,
     report: tuple[UsageSample, ...] | None = (),
     **values: object,
 ) -> QuotaRequest:
-    parts: dict[str, object] = {
-        "ahead": 0.0,
+    defaults: dict[str, object] = {
+        "lease_wanted": 0.0,
         "returned": 0.0,
-        "alone": 0.0,
-        "leaving": False,
-        "known": None,
+        "admitted_locally": 0.0,
+        "draining": False,
+        "last_level": None,
     }
     return QuotaRequest(
         "t",
@@ -49,38 +49,38 @@
         member.name,
         member.incarnation,
         amounts,
-        report=report,
-        **{**parts, **values},  # type: ignore[arg-type]
+        usage_report=report,
+        **{**defaults, **values},  # type: ignore[arg-type]
     )
 
 
-def owner(rule: QuotaRule = EXACT, at: float = 0.0, limit: QuotaLimit = LIMIT) -> QuotaOwner:
-    ledger = QuotaOwner(rule, 1000)
-    ledger.configure({"t": limit, "free": QuotaLimit(0.0, 0.0)}, at)
-    ledger.own(["t", "free"], (A, B), at)
-    return ledger
+def make_owner(rule: QuotaRule = EXACT, at: float = 0.0, limit: QuotaLimit = LIMIT) -> QuotaOwner:
+    owner = QuotaOwner(rule, 1000)
+    owner.configure({"t": limit, "free": QuotaLimit(0.0, 0.0)}, at)
+    owner.set_owned(["t", "free"], (A, B), at)
+    return owner
 
 
-def full(rule: QuotaRule = EXACT) -> QuotaOwner:
+def full_owner(rule: QuotaRule = EXACT) -> QuotaOwner:
     """An owner whose bucket has filled up; the time is 10."""
-    return owner(rule, 0.0)
+    return make_owner(rule, 0.0)
 
 
 def test_a_tenant_that_is_not_owned_is_not_decided() -> None:
-    ledger = QuotaOwner(EXACT, 1000)
-    ledger.configure({"t": LIMIT}, 0.0)
-    assert ledger.ask(ask(1.0), 0.0).status is ReplyStatus.NOT_READY
-    ledger.own(["t"], (A,), 0.0)
-    assert ledger.ask(ask(), 0.0).status is ReplyStatus.DECIDED
-    ledger.own([], (A,), 1.0)
-    assert ledger.ask(ask(), 1.0).status is ReplyStatus.NOT_READY
+    owner = QuotaOwner(EXACT, 1000)
+    owner.configure({"t": LIMIT}, 0.0)
+    assert owner.decide(request(1.0), 0.0).status is ReplyStatus.NOT_READY
+    owner.set_owned(["t"], (A,), 0.0)
+    assert owner.decide(request(), 0.0).status is ReplyStatus.DECIDED
+    owner.set_owned([], (A,), 1.0)
+    assert owner.decide(request(), 1.0).status is ReplyStatus.NOT_READY
 
 
 def test_an_unknown_asker_must_report_first() -> None:
-    ledger = full()
-    assert ledger.ask(ask(1.0, report=None), 10.0).status is ReplyStatus.REPORT_WANTED
-    assert ledger.ask(ask(1.0, report=()), 10.0).admitted == (True,)
-    assert ledger.ask(ask(1.0, report=None), 10.0).admitted == (True,)
+    owner = full_owner()
+    assert owner.decide(request(1.0, report=None), 10.0).status is ReplyStatus.REPORT_WANTED
+    assert owner.decide(request(1.0, report=()), 10.0).admitted == (True,)
+    assert owner.decide(request(1.0, report=None), 10.0).admitted == (True,)
 
 
 @pytest.mark.parametrize(
@@ -97,43 +97,43 @@
 def test_a_full_bucket_holds_its_burst(
     amounts: tuple[float, ...], admitted: tuple[bool, ...]
 ) -> None:
-    assert full().ask(ask(*amounts), 10.0).admitted == admitted
+    assert full_owner().decide(request(*amounts), 10.0).admitted == admitted
 
 
 def test_the_bucket_refills_at_the_rate_and_debts_are_paid_back() -> None:
-    ledger = full()
-    ledger.ask(ask(250.0), 10.0)
-    refused = ledger.ask(ask(10.0), 10.5)
+    owner = full_owner()
+    owner.decide(request(250.0), 10.0)
+    refused = owner.decide(request(10.0), 10.5)
     assert refused.admitted == (False,)
     assert refused.retry_after_s == pytest.approx(1.1)  # level -100, wants 10
-    assert ledger.ask(ask(10.0), 11.59).admitted == (False,)
-    assert ledger.ask(ask(10.0), 11.61).admitted == (True,)
+    assert owner.decide(request(10.0), 11.59).admitted == (False,)
+    assert owner.decide(request(10.0), 11.61).admitted == (True,)
 
 
 def test_a_clock_that_stands_refills_nothing() -> None:
-    ledger = full()
-    ledger.ask(ask(100.0), 10.0)
-    assert ledger.ask(ask(1.0), 10.0).admitted == (False,)
-    assert ledger.ask(ask(1.0), 9.0).admitted == (False,)
+    owner = full_owner()
+    owner.decide(request(100.0), 10.0)
+    assert owner.decide(request(1.0), 10.0).admitted == (False,)
+    assert owner.decide(request(1.0), 9.0).admitted == (False,)
 
 
 def test_retry_after_is_capped() -> None:
-    ledger = owner(limit=QuotaLimit(1.0, 1000.0))
-    assert ledger.ask(ask(500.0), 1.0).retry_after_s == module.MAX_RETRY_AFTER_S
+    owner = make_owner(limit=QuotaLimit(1.0, 1000.0))
+    assert owner.decide(request(500.0), 1.0).retry_after_s == module.MAX_RETRY_AFTER_S
 
 
 def test_requests_that_cross_have_a_grace_out_of_the_allowance() -> None:
     grace = GRACE_FRACTION * ALLOWANCE
-    ledger = full(LOOSE)
-    assert ledger.ask(ask(100.0, grace - 0.01, 1.0), 10.0).admitted == (True, True, False)
+    owner = full_owner(LOOSE)
+    assert owner.decide(request(100.0, grace - 0.01, 1.0), 10.0).admitted == (True, True, False)
 
 
 @pytest.mark.parametrize(
     ("at", "most"), [(0.0, 0.0), (0.5, 50 + START_FRACTION * 120 / 2), (1.0, 100.0)]
 )
 def test_a_term_that_nobody_told_anything_starts_with_nothing(at: float, most: float) -> None:
-    answer = owner(LOOSE).ask(ask(), at)
-    assert answer.level == pytest.approx(most)
+    reply = make_owner(LOOSE).decide(request(), at)
+    assert reply.level == pytest.approx(most)
 
 
 @pytest.mark.parametrize(
@@ -150,105 +150,107 @@
 def test_a_term_counts_from_the_level_that_an_asker_heard(
     level: float, age_ms: int, starts_at: float
 ) -> None:
-    answer = owner().ask(ask(known=BucketLevel(7, level, 0.0, age_ms)), 0.0)
-    assert answer.level == pytest.approx(starts_at)
+    reply = make_owner().decide(request(last_level=BucketLevel(7, level, 0.0, age_ms)), 0.0)
+    assert reply.level == pytest.approx(starts_at)
 
 
 def test_the_newest_level_counts_whoever_tells_it_and_own_decisions_count_on_top() -> None:
-    ledger = owner()
-    assert ledger.ask(ask(30.0, known=BucketLevel(7, 40.0, 0.0, 200)), 0.0).level == pytest.approx(
-        30.0
-    )
-    newer = ledger.ask(ask(member=B, known=BucketLevel(7, 20.0, 0.0, 100)), 0.1)
+    owner = make_owner()
+    assert owner.decide(
+        request(30.0, last_level=BucketLevel(7, 40.0, 0.0, 200)), 0.0
+    ).level == pytest.approx(30.0)
+    newer = owner.decide(request(member=B, last_level=BucketLevel(7, 20.0, 0.0, 100)), 0.1)
     assert newer.level == pytest.approx(20 + 10 - 30)
-    older = ledger.ask(ask(member=B, known=BucketLevel(6, 100.0, 0.0, 5000)), 0.1)
+    older = owner.decide(request(member=B, last_level=BucketLevel(6, 100.0, 0.0, 5000)), 0.1)
     assert older.level == pytest.approx(newer.level)
 
 
 def test_a_level_of_this_very_term_changes_nothing() -> None:
-    ledger = full()
-    first = ledger.ask(ask(60.0), 10.0)
-    again = ledger.ask(ask(known=BucketLevel(first.term, 100.0, 0.0, 0)), 10.1)
+    owner = full_owner()
+    first = owner.decide(request(60.0), 10.0)
+    again = owner.decide(request(last_level=BucketLevel(first.term, 100.0, 0.0, 0)), 10.1)
     assert again.level == pytest.approx(50.0)
 
 
 def test_what_an_asker_admitted_by_itself_is_taken_and_what_comes_back_is_given() -> None:
-    ledger = full()
-    assert ledger.ask(ask(alone=70.0), 10.0).level == pytest.approx(30.0)
-    assert ledger.ask(ask(returned=20.0), 10.0).level == pytest.approx(50.0)
-    assert ledger.ask(ask(returned=500.0), 10.0).level == pytest.approx(100.0)
+    owner = full_owner()
+    assert owner.decide(request(admitted_locally=70.0), 10.0).level == pytest.approx(30.0)
+    assert owner.decide(request(returned=20.0), 10.0).level == pytest.approx(50.0)
+    assert owner.decide(request(returned=500.0), 10.0).level == pytest.approx(100.0)
 
 
 def test_a_term_ends_with_the_role_or_with_a_lapsed_confirmation() -> None:
-    ledger = full()
-    first = ledger.ask(ask(50.0), 10.0)
-    ledger.own(["t"], (A, B), 10.0)
-    assert ledger.ask(ask(), 10.0).term == first.term
-    ledger.end_terms()
-    ledger.own(["t"], (A, B), 10.0)
-    second = ledger.ask(ask(), 10.0)
+    owner = full_owner()
+    first = owner.decide(request(50.0), 10.0)
+    owner.set_owned(["t"], (A, B), 10.0)
+    assert owner.decide(request(), 10.0).term == first.term
+    owner.end_terms()
+    owner.set_owned(["t"], (A, B), 10.0)
+    second = owner.decide(request(), 10.0)
     assert second.term != first.term and second.level == 0.0
 
 
 def test_a_silent_asker_with_recent_use_has_its_rate_held_back() -> None:
-    ledger = full()
-    ledger.ask(ask(80.0, member=B), 10.0)  # 10 a second over the window
-    silent = module.UNREACHABLE_AFTER_S
-    assert ledger.ask(ask(100.0), 10.0 + silent + 0.5).admitted == (False,)
-    assert ledger.ask(ask(94.0), 10.0 + silent + 0.5).admitted == (True,)
-    late = 10.0 + silent + module.MAX_RESERVE_S + 2
-    held = 10 * module.MAX_RESERVE_S
-    assert ledger.ask(ask(101.0 - held), late).admitted == (False,)
-    assert ledger.ask(ask(99.0 - held), late).admitted == (True,)
-    assert ledger.ask(ask(100.0), 10.0 + LOOSE.window_s + 5).admitted == (True,)
+    owner = full_owner()
+    owner.decide(request(80.0, member=B), 10.0)  # 10 a second over the window
+    unreachable = module.UNREACHABLE_AFTER_S
+    assert owner.decide(request(100.0), 10.0 + unreachable + 0.5).admitted == (False,)
+    assert owner.decide(request(94.0), 10.0 + unreachable + 0.5).admitted == (True,)
+    late = 10.0 + unreachable + module.MAX_RESERVE_S + 2
+    reserved = 10 * module.MAX_RESERVE_S
+    assert owner.decide(request(101.0 - reserved), late).admitted == (False,)
+    assert owner.decide(request(99.0 - reserved), late).admitted == (True,)
+    assert owner.decide(request(100.0), 10.0 + LOOSE.window_s + 5).admitted == (True,)
 
 
 def test_a_new_owner_holds_back_for_those_that_it_only_heard_of() -> None:
     """All had used 120 in the window, and the one that tells it 40 of that: 10 a second are out of
     reach.
     """
-    ledger = owner()
-    ledger.ask(ask(report=(UsageSample(100, 40.0),), known=BucketLevel(7, 100.0, 120.0, 0)), 0.0)
+    owner = make_owner()
+    owner.decide(
+        request(report=(UsageSample(100, 40.0),), last_level=BucketLevel(7, 100.0, 120.0, 0)), 0.0
+    )
     later = module.UNREACHABLE_AFTER_S + 1.0
-    assert ledger.ask(ask(91.0), later).admitted == (False,)
-    ledger.ask(ask(member=B, report=(UsageSample(100, 80.0),)), later)
-    assert ledger.ask(ask(91.0), later).admitted == (True,)
+    assert owner.decide(request(91.0), later).admitted == (False,)
+    owner.decide(request(member=B, report=(UsageSample(100, 80.0),)), later)
+    assert owner.decide(request(91.0), later).admitted == (True,)
 
 
 def test_what_all_used_leaves_out_those_that_left() -> None:
-    ledger = full()
-    ledger.ask(ask(30.0), 10.0)
-    assert ledger.ask(ask(20.0, member=B), 10.0).used == pytest.approx(50.0)
-    assert ledger.ask(ask(member=B, leaving=True), 10.0).used == pytest.approx(30.0)
+    owner = full_owner()
+    owner.decide(request(30.0), 10.0)
+    assert owner.decide(request(20.0, member=B), 10.0).recent_usage == pytest.approx(50.0)
+    assert owner.decide(request(member=B, draining=True), 10.0).recent_usage == pytest.approx(30.0)
 
 
 @pytest.mark.parametrize("how", ["leaving", "new start", "heard"])
 def test_nothing_is_held_back_for_a_process_that_admits_nothing_by_itself(how: str) -> None:
-    ledger = full()
-    ledger.ask(ask(80.0, member=B, leaving=how == "leaving"), 10.0)
+    owner = full_owner()
+    owner.decide(request(80.0, member=B, draining=how == "leaving"), 10.0)
     if how == "new start":
-        ledger.own(["t"], (A, Member("b", B.address, 3)), 10.1)
+        owner.set_owned(["t"], (A, Member("b", B.address, 3)), 10.1)
     if how == "heard":
-        ledger.ask(ask(member=B), 12.9)
-    assert ledger.ask(ask(100.0), 13.0).admitted == (True,)
+        owner.decide(request(member=B), 12.9)
+    assert owner.decide(request(100.0), 13.0).admitted == (True,)
 
 
 def test_tokens_are_lent_ahead_only_from_a_bucket_that_is_more_than_half_full() -> None:
-    ledger = full()
-    assert ledger.ask(ask(10.0, ahead=20.0), 10.0).ahead == 20.0
-    assert ledger.ask(ask(10.0, ahead=20.0), 10.0).ahead == pytest.approx(10.0)
-    assert ledger.ask(ask(10.0, ahead=20.0), 10.0).ahead == 0.0
+    owner = full_owner()
+    assert owner.decide(request(10.0, lease_wanted=20.0), 10.0).lease_granted == 20.0
+    assert owner.decide(request(10.0, lease_wanted=20.0), 10.0).lease_granted == pytest.approx(10.0)
+    assert owner.decide(request(10.0, lease_wanted=20.0), 10.0).lease_granted == 0.0
 
 
 def test_shares_tell_who_used_how_much() -> None:
-    ledger = full()
-    assert ledger.ask(ask(), 10.0).share == 0.0
-    assert ledger.ask(ask(30.0), 10.0).share == 1.0
-    assert ledger.ask(ask(10.0, member=B), 10.0).share == pytest.approx(0.25)
-    reported = ledger.ask(
-        ask(member=B, report=(UsageSample(2000, 30.0), UsageSample(9000, 500.0))), 10.5
+    owner = full_owner()
+    assert owner.decide(request(), 10.0).usage_fraction == 0.0
+    assert owner.decide(request(30.0), 10.0).usage_fraction == 1.0
+    assert owner.decide(request(10.0, member=B), 10.0).usage_fraction == pytest.approx(0.25)
+    reported = owner.decide(
+        request(member=B, report=(UsageSample(2000, 30.0), UsageSample(9000, 500.0))), 10.5
     )
-    assert reported.share == pytest.approx(0.5)
+    assert reported.usage_fraction == pytest.approx(0.5)
 
 
 @pytest.mark.parametrize(
@@ -261,59 +263,59 @@
     ],
 )
 def test_a_new_limit_is_adopted_at_once(limit: QuotaLimit, level: float) -> None:
-    ledger = full()
-    ledger.ask(ask(60.0), 10.0)
-    ledger.configure({"t": limit}, 10.0)
-    assert ledger.ask(ask(), 10.0).level == pytest.approx(level)
+    owner = full_owner()
+    owner.decide(request(60.0), 10.0)
+    owner.configure({"t": limit}, 10.0)
+    assert owner.decide(request(), 10.0).level == pytest.approx(level)
 
 
 def test_a_tenant_without_a_limit_any_more_is_forgotten() -> None:
-    ledger = full()
-    ledger.configure({"t": QuotaLimit(0.0, 100.0)}, 10.0)
-    ledger.own(["t"], (A,), 10.0)
-    assert ledger.ask(ask(1.0), 10.0) == QuotaReply(ReplyStatus.NOT_READY, 5)
+    owner = full_owner()
+    owner.configure({"t": QuotaLimit(0.0, 100.0)}, 10.0)
+    owner.set_owned(["t"], (A,), 10.0)
+    assert owner.decide(request(1.0), 10.0) == QuotaReply(ReplyStatus.NOT_READY, 5)
 
 
 # The shared slack of repeats
 
 
-def lend(ledger: RetryBudgetOwner, at: float, times: int = 1) -> int:
-    return sum(ledger.ask(RetryBudgetRequest("s", 5), at).allowed for _ in range(times))
+def grant(owner: RetryBudgetOwner, at: float, times: int = 1) -> int:
+    return sum(owner.decide(RetryBudgetRequest("s", 5), at).allowed for _ in range(times))
 
 
 def test_a_term_lends_nothing_then_little_then_most_of_the_slack() -> None:
-    ledger = RetryBudgetOwner(10.0, 100.0)
-    assert ledger.ask(RetryBudgetRequest("s", 5), 0.0).status is ReplyStatus.NOT_READY
-    ledger.own(["s"], 0.0)
-    assert lend(ledger, START_DELAY_S - 0.01, 5) == 0
-    assert lend(ledger, START_DELAY_S, 50) == 100 * FIRST_WINDOW_FRACTION
-    assert lend(ledger, 9.9, 50) == 0
-    assert lend(ledger, 10.1, 200) == 100 * (GRANTED_FRACTION - FIRST_WINDOW_FRACTION)
-    assert lend(ledger, 10.6, 200) == 100 * FIRST_WINDOW_FRACTION
-    assert lend(ledger, 20.0, 200) == 0
-    assert lend(ledger, 20.2, 200) == 100 * (GRANTED_FRACTION - FIRST_WINDOW_FRACTION)
-
-
-@pytest.mark.parametrize(("silent_s", "lent"), [(1.3, 80), (9.9, 80), (10.0, 0)])
+    owner = RetryBudgetOwner(10.0, 100.0)
+    assert owner.decide(RetryBudgetRequest("s", 5), 0.0).status is ReplyStatus.NOT_READY
+    owner.set_owned(["s"], 0.0)
+    assert grant(owner, START_DELAY_S - 0.01, 5) == 0
+    assert grant(owner, START_DELAY_S, 50) == 100 * FIRST_WINDOW_FRACTION
+    assert grant(owner, 9.9, 50) == 0
+    assert grant(owner, 10.1, 200) == 100 * (GRANTED_FRACTION - FIRST_WINDOW_FRACTION)
+    assert grant(owner, 10.6, 200) == 100 * FIRST_WINDOW_FRACTION
+    assert grant(owner, 20.0, 200) == 0
+    assert grant(owner, 20.2, 200) == 100 * (GRANTED_FRACTION - FIRST_WINDOW_FRACTION)
+
+
+@pytest.mark.parametrize(("unconfirmed_s", "granted"), [(1.3, 80), (9.9, 80), (10.0, 0)])
 def test_a_lapsed_confirmation_ends_a_term_of_repeats_after_a_whole_window(
-    silent_s: float, lent: int
+    unconfirmed_s: float, granted: int
 ) -> None:
-    ledger = RetryBudgetOwner(10.0, 100.0)
-    ledger.own(["s"], 0.0)
-    ledger.end_terms(silent_s)
-    ledger.own(["s"], 30.0)
-    assert lend(ledger, 30.0, 200) == lent
+    owner = RetryBudgetOwner(10.0, 100.0)
+    owner.set_owned(["s"], 0.0)
+    owner.end_terms(unconfirmed_s)
+    owner.set_owned(["s"], 30.0)
+    assert grant(owner, 30.0, 200) == granted
 
 
 def test_a_service_that_moves_away_and_back_starts_a_new_term() -> None:
-    ledger = RetryBudgetOwner(10.0, 100.0)
-    ledger.own(["s"], 0.0)
-    ledger.own([], 30.0)
-    ledger.own(["s"], 31.0)
-    assert lend(ledger, 32.0, 200) == 100 * FIRST_WINDOW_FRACTION
+    owner = RetryBudgetOwner(10.0, 100.0)
+    owner.set_owned(["s"], 0.0)
+    owner.set_owned([], 30.0)
+    owner.set_owned(["s"], 31.0)
+    assert grant(owner, 32.0, 200) == 100 * FIRST_WINDOW_FRACTION
 
 
 def test_without_a_slack_nothing_is_lent() -> None:
-    ledger = RetryBudgetOwner(10.0, 0.0)
-    ledger.own(["s"], 0.0)
-    assert lend(ledger, 50.0, 5) == 0
+    owner = RetryBudgetOwner(10.0, 0.0)
+    owner.set_owned(["s"], 0.0)
+    assert grant(owner, 50.0, 5) == 0
--- a/tests/budgets/test_quota_wake_times.py
+++ b/tests/budgets/test_quota_wake_times.py
@@ -1,4 +1,4 @@
-"""When a gateway's quotas want to be woken: never later than a look at every tenant would say."""
+"""When a gateway's quotas are due to wake: never later than a walk over all tenants finds."""
 
 from __future__ import annotations
 
@@ -17,54 +17,57 @@
 ROSTER = tuple(Member(f"edge-{number}", f"10.1.0.{number}:7500", 1) for number in range(4))
 
 
-def answer(ask: QuotaRequest, chance: random.Random) -> QuotaReply | None:
+def make_reply(request: QuotaRequest, chance: random.Random) -> QuotaReply | None:
     if chance.random() < 0.15:
         return None
     if chance.random() < 0.1:
         return QuotaReply(
-            chance.choice((ReplyStatus.NOT_READY, ReplyStatus.REPORT_WANTED)), ask.token
+            chance.choice((ReplyStatus.NOT_READY, ReplyStatus.REPORT_WANTED)), request.fencing_token
         )
-    admitted = tuple(chance.random() < 0.8 for _ in ask.amounts)
-    ahead = ask.ahead if all(admitted) else 0.0
-    return QuotaReply(ReplyStatus.DECIDED, ask.token, admitted, ahead, 0.1, 0.3, 7, 100.0)
+    admitted = tuple(chance.random() < 0.8 for _ in request.amounts)
+    lease = request.lease_wanted if all(admitted) else 0.0
+    return QuotaReply(
+        ReplyStatus.DECIDED, request.fencing_token, admitted, lease, 0.1, 0.3, 7, 100.0
+    )
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_no_tenant_is_noted_too_late(seed: int) -> None:
+def test_no_tenant_has_a_deadline_that_is_too_late(seed: int) -> None:
     chance = random.Random(seed)
-    roles = OwnershipView(ROSTER[0])
-    roles.update(1, ROSTER)
-    client = QuotaClient(roles, RULE)
+    ownership = OwnershipView(ROSTER[0])
+    ownership.update(1, ROSTER)
+    client = QuotaClient(ownership, RULE)
     limits = dict.fromkeys(NAMES, QuotaLimit(500.0, 500.0))
-    client.configure(limits, 0.0)
-    now, asks = 0.0, list[SendQuotaRequest]()
+    client.configure(limits)
+    now, requests = 0.0, list[SendQuotaRequest]()
     for number in range(2000):
         now += chance.choice((0.0, 0.003, 0.02, 0.3))
         if number % 400 == 399:
             now += 10.0  # all use leaves the window
-        roles.confirm(now, now)
+        ownership.confirm(now, now)
         chosen = chance.random()
         if chosen < 0.3:
             effects = client.admit(number, chance.choice(NAMES), chance.choice((1.0, 40.0)), now)
-        elif chosen < 0.5 and asks:
-            ask = asks.pop(chance.randrange(len(asks)))
-            effects = client.answered(ask.call, answer(ask.ask, chance), now)
+        elif chosen < 0.5 and requests:
+            sent = requests.pop(chance.randrange(len(requests)))
+            effects = client.handle_reply(sent.call, make_reply(sent.request, chance), now)
         elif chosen < 0.55:
             client.give_back(chance.choice(NAMES), 1.0, now)
             effects = []
         elif chosen < 0.57:
             kept = chance.sample(NAMES, 6)
-            effects = client.configure({name: limits[name] for name in kept}, now)
+            effects = client.configure({name: limits[name] for name in kept})
         elif chosen < 0.6:
-            effects = client.configure(limits, now)
+            effects = client.configure(limits)
         else:
             effects = client.wake(now)
-        asks += [effect for effect in effects if isinstance(effect, SendQuotaRequest)]
-        looked = min(
-            (client._due(state, now) for state in client._tenants.values()), default=float("inf")
+        requests += [effect for effect in effects if isinstance(effect, SendQuotaRequest)]
+        earliest = min(
+            (client._deadline(state, now) for state in client._tenants.values()),
+            default=float("inf"),
         )
-        assert client.due_at(now) <= max(looked, now)  # what is past is due now
+        assert client.next_wake_at(now) <= max(earliest, now)  # what is past is due now
         if (
             chosen >= 0.6
-        ):  # right after a wake-up nothing is due but what waits for an owner's answer
-            assert client.due_at(now) > now
+        ):  # right after a wake-up nothing is due but what waits for an owner's reply
+            assert client.next_wake_at(now) > now
--- a/tools/asks.py
+++ b/tools/asks.py
@@ -62,9 +62,9 @@
 
 def owner_cost(askers: int, asks: int) -> OwnerCost:
     """A bucket that so many gateways draw on, each of them heard lately."""
-    ledger = QuotaOwner(RULE, 1)
-    ledger.configure({"t": LIMIT}, 0.0)
-    ledger.own(["t"], (), 0.0)
+    owner = QuotaOwner(RULE, 1)
+    owner.configure({"t": LIMIT}, 0.0)
+    owner.set_owned(["t"], (), 0.0)
     names = itertools.cycle([make_member(number).name for number in range(askers)])
     now = 1.0
 
@@ -72,12 +72,14 @@
         return QuotaRequest("t", 1, next(names), 1, (AMOUNT,), 0.0, 0.0, 0.0, False, None, None)
 
     for number in range(askers):
-        ledger.ask(replace(make(), asker=make_member(number).name, amounts=(), report=()), now)
+        owner.decide(
+            replace(make(), requester=make_member(number).name, amounts=(), usage_report=()), now
+        )
 
     def ask() -> QuotaReply:
         nonlocal now
         now += 0.4 / askers
-        return ledger.ask(make(), now)
+        return owner.decide(make(), now)
 
     make_us = processor_us(make, asks)
     decide_us = processor_us(ask, asks) - make_us
@@ -91,11 +93,11 @@
     """One gateway's client of quotas in made-up time."""
 
     def __init__(self, tenants: int, gateways: int = 6) -> None:
-        roles = OwnershipView(make_member(0))
-        roles.update(1, make_roster(gateways))
-        self.client = QuotaClient(roles, RULE)
+        ownership = OwnershipView(make_member(0))
+        ownership.update(1, make_roster(gateways))
+        self.client = QuotaClient(ownership, RULE)
         self.names = [f"tenant{number}" for number in range(tenants)]
-        self.client.configure(dict.fromkeys(self.names, LIMIT), 0.0)
+        self.client.configure(dict.fromkeys(self.names, LIMIT))
         self.now, self.asks, self._number = 0.0, 0, 0
         self._chance = random.Random(1)
         self._answers: list[tuple[float, int, QuotaReply]] = []
@@ -105,14 +107,14 @@
         arrival = self.now + self._chance.expovariate(rate_per_s)
         while True:
             answer_at = self._answers[0][0] if self._answers else float("inf")
-            at = min(arrival, answer_at, self.client.due_at(self.now))
+            at = min(arrival, answer_at, self.client.next_wake_at(self.now))
             if at >= until:
                 self.now = until
                 return
             self.now = max(self.now, at)
             if answer_at <= at:
                 _, call, answer = self._answers.pop(0)
-                self._take(self.client.answered(call, answer, self.now))
+                self._take(self.client.handle_reply(call, answer, self.now))
             elif arrival <= at:
                 self._number += 1
                 tenant = self._chance.choice(self.names)
@@ -125,7 +127,7 @@
         for effect in effects:
             if isinstance(effect, SendQuotaRequest):
                 self.asks += 1
-                decided = tuple(True for _ in effect.ask.amounts)
+                decided = tuple(True for _ in effect.request.amounts)
                 answer = QuotaReply(ReplyStatus.DECIDED, 1, decided, 0.0, 0.0, 0.5, 7, 1000.0)
                 self._answers.append((self.now + TRIP_S, effect.call, answer))
 
@@ -144,13 +146,13 @@
 def roster_cost(gateways: int, tenants: int) -> float:
     """Processor time in microseconds to find the owners of all tenants under a new roster."""
     roster, token = make_roster(gateways), itertools.count(1)
-    roles = OwnershipView(roster[0])
+    ownership = OwnershipView(roster[0])
     keys = [f"{KEY_PREFIX}tenant{number}" for number in range(tenants)]
 
     def change() -> None:
-        roles.update(next(token), roster)
+        ownership.update(next(token), roster)
         for key in keys:
-            roles.owns(key)
+            ownership.owns(key)
 
     return processor_us(change, 3)
 
