--- a/roselink/simulation/clients.py
+++ b/roselink/simulation/clients.py
@@ -9,15 +9,15 @@
 from roselink.controller.updates import UpdateRequest, parse_update_request, submit_update
 from roselink.controller.validation import ValidationFailure
 from roselink.coordination.effects import (
+    ChangeCommitted,
     Confirmation,
     Conflict,
-    NotNewer,
+    OutcomeUnknown,
+    StaleGeneration,
     SubmitOutcome,
-    TakenOrder,
-    Unsettled,
 )
 from roselink.coordination.state import digest_of
-from roselink.protocol.chain import ConfigurationOrder
+from roselink.protocol.chain import ConfigurationChange
 from roselink.simulation.history import Change, Reading, Said
 
 if TYPE_CHECKING:
@@ -65,28 +65,28 @@
     """A change as its operator sends it, whole or as an update, each time with the same bytes."""
 
     change: Change
-    order: ConfigurationOrder | UpdateRequest
+    order: ConfigurationChange | UpdateRequest
 
     def to(
         self, machine: Machine, done: Callable[[SubmitOutcome | ValidationFailure], None]
     ) -> None:
         """Have a member carry it."""
-        if isinstance(self.order, ConfigurationOrder):
+        if isinstance(self.order, ConfigurationChange):
             machine.submit(self.order, done)
             return
         life = machine.life
 
-        def submit(order: ConfigurationOrder, then: Callable[[SubmitOutcome], None]) -> None:
+        def submit(order: ConfigurationChange, then: Callable[[SubmitOutcome], None]) -> None:
             if machine.life == life:
                 machine.submit(order, then)
 
         submit_update(self.order, machine.read, submit, done)
 
 
-def order_of(change: Change, padding: int = 0) -> ConfigurationOrder:
+def order_of(change: Change, padding: int = 0) -> ConfigurationChange:
     """A change as members take it."""
     document = document_of(change, padding)
-    return ConfigurationOrder(
+    return ConfigurationChange(
         change.base, change.version, document, digest_of(change.base, document)
     )
 
@@ -108,11 +108,11 @@
 
 def said(outcome: SubmitOutcome | ValidationFailure) -> Said:
     """What an outcome tells an operator."""
-    if isinstance(outcome, TakenOrder):
+    if isinstance(outcome, ChangeCommitted):
         return Said.CONFIRMED
     return (
         Said.REFUSED
-        if isinstance(outcome, Conflict | NotNewer | ValidationFailure)
+        if isinstance(outcome, Conflict | StaleGeneration | ValidationFailure)
         else Said.UNCLEAR
     )
 
@@ -187,7 +187,7 @@
 
         def done(outcome: SubmitOutcome | ValidationFailure) -> None:
             call.ended, call.said = world.now, said(outcome)
-            if isinstance(outcome, TakenOrder):
+            if isinstance(outcome, ChangeCommitted):
                 world.note_taken(change.text, outcome.sequence)
             lost = world.random.random() < 0.05
             if ended or lost:
@@ -201,15 +201,15 @@
         self, sending: Sending, began: float, tries: int, outcome: SubmitOutcome | ValidationFailure
     ) -> None:
         world, change = self.world, sending.change
-        if isinstance(outcome, TakenOrder):
+        if isinstance(outcome, ChangeCommitted):
             self.base = max(self.base, change.version)
             self.slowest_s = max(self.slowest_s, world.now - began)
             if world.random.random() < 0.1:
                 self._send(sending, world.now, tries + 1)
                 return
-        elif isinstance(outcome, Conflict | NotNewer):
+        elif isinstance(outcome, Conflict | StaleGeneration):
             self.base = max(self.base, outcome.current)
-        elif isinstance(outcome, Unsettled):
+        elif isinstance(outcome, OutcomeUnknown):
             self._send(sending, began, tries + 1)
             return
         world.after(world.random.uniform(0, self.pause_s), self._next)
