--- a/tools/configurations.py
+++ b/tools/configurations.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from roselink.controller.chain_interface import ConfigurationOrder, Confirmation
+from roselink.controller.chain_interface import ConfigurationChange, Confirmation
 from roselink.controller.updates import parse_update_request, proposal_from_update
 from roselink.controller.validation import ValidationFailure, ValidDocument, validate
 from roselink.dataplane.route_table import RouteTable
@@ -56,7 +56,7 @@
     )
 
 
-def _updated(body: bytes) -> ConfigurationOrder:
+def _updated(body: bytes) -> ConfigurationChange:
     """One route changed by an update of items, merged onto the document."""
     document = json.loads(body)
     generation = document["generation"]
