--- a/tests/dataplane/stage.py
+++ b/tests/dataplane/harness.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any
 
-from roselink.dataplane.plane import DataPlane
+from roselink.dataplane.gateway_data_plane import DataPlane
 from roselink.model.configuration import Configuration, Tenant
 from roselink.model.fleet import Host, HostState, Snapshot, VersionVector
 from roselink.model.settings import read_settings
--- a/tests/dataplane/test_storm.py
+++ b/tests/dataplane/test_storm.py
@@ -20,7 +20,7 @@
     SendAttempt,
 )
 from roselink.routing.fleet_decider import FleetDecider
-from tests.dataplane.stage import (
+from tests.dataplane.harness import (
     Answer,
     FakeDecider,
     Stage,
