--- a/roselink/gateway/engine.py
+++ b/roselink/gateway/engine.py
@@ -1,7 +1,7 @@
-"""Drives the decision module: events in, actions out, alarms, one clock. Owns the open requests.
+"""Drives the decider: events in, actions out, alarms, one clock. Owns the open requests.
 
 Nothing about hosts, retries or refusals is decided here. What the engine adds is what real sockets
-need: an answer in time even if the module says nothing, and a fault in one request that stays that
+need: a response in time even if the decider brings none, and a fault in one request that stays that
 request's own.
 """
 
@@ -46,39 +46,53 @@
 
 log = logging.getLogger("roselink.gateway.engine")
 
-# Before the client's deadline by this much the attempts are timed out and the module says its last
-# word: room for the way to the client, for a loop that runs late and for a core that another
-# gateway has just now.
-MARGIN_S = 0.040
-GUARD_S = 0.015  # and this much before it the engine answers by itself, if the module said nothing
-MARGIN_PART = (
-    0.25  # of the time that a client in a hurry gives: both margins shrink to fit into that
-)
+# Before the client's deadline by this much the attempts are timed out and the decider gives its
+# final answer: time for the way to the client, for a loop that runs late and for a core that
+# another gateway is using.
+ATTEMPT_MARGIN_S = 0.040
+# Before the client's deadline by this much the engine responds by itself, if the decider has not.
+GUARD_MARGIN_S = 0.015
+# Fraction of a short time-out of a client: the attempt margin is at most so long, and the guard
+# margin shrinks with it.
+MARGIN_FRACTION = 0.25
+
+STATUS_SERVED = 200
+STATUS_FAILED = 502
+STATUS_REFUSED = 503
+STATUS_TIMED_OUT = 504
 
 
 class Reply(NamedTuple):
-    """The one final answer to a client."""
+    """The one response to a client: a status, and where a host has served it, the host's."""
 
     status: int
     answer: Answer | None = None
     retry_after_us: int = 0
 
 
-SERVED, FAILED, REFUSED, TIMED_OUT = 200, 502, 503, 504
-
-
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """A request that has passed all checks of its form."""
+    """A request that has passed all checks of its form.
+
+    Attributes:
+        id: Its `Request-Id`.
+        route: Index of its class in the settings.
+        tenant: Index of its tenant in the settings, -1 for one that they do not name.
+        key: The last segment of its path, if it has one.
+        expires: Loop time at which the client stops waiting.
+        repeat: Whether the client marks it as a retry.
+        work_us: The work that the client expects it to bring.
+        head: Request line and headers as they go on, less the deadline's and the empty line.
+        body: Its body as it goes on.
+    """
 
     id: str
     route: int
     tenant: int
     key: str | None
-    expires: float  # loop time at which the client stops waiting
+    expires: float
     repeat: bool
     work_us: int | None
-    # what goes on unchanged: request line and headers, the deadline's and the last line apart
     head: bytes
     body: bytes
 
@@ -94,40 +108,55 @@
         gone: Callable[[], bool],
         give_up: float,
     ) -> None:
-        self.number, self.request = number, request
-        self.gone = gone  # whether its client has left, though the loop has not told so yet
-        self.give_up = give_up  # loop time at which its attempts end
+        """An open request; `number` is the decider's name of it."""
+        self.number = number
+        self.request = request
+        # Whether its client has left, which the loop may not have reported yet.
+        self.gone = gone
+        # Loop time at which its attempts end.
+        self.give_up = give_up
+        # None once it has its response.
         self.reply: Callable[[Reply], None] | None = reply
-        self.attempts: list[Attempt | None] = []  # None: not sent at all
-        self.out = 0
+        # None: not sent at all, or ended.
+        self.attempts: list[Attempt | None] = []
+        self.in_flight = 0
         self.guard: asyncio.TimerHandle | None = None
 
 
 class Engine:
-    """One module, one clock. `now_us` is Unix time that never goes back, so starts of hosts told in
-    Unix time, also those before this process began, lie where they belong on it.
+    """One decider, one clock.
+
+    The clock, `now_us`, is Unix time that never goes back: starts of hosts are given in Unix time,
+    also those before this process began, and can be compared with it.
     """
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, balancer: Balancer, upstream: Upstream
     ) -> None:
-        self._loop, self._balancer, self._upstream = loop, balancer, upstream
+        """An engine with no host and no request."""
+        self._loop = loop
+        self._balancer = balancer
+        self._upstream = upstream
         self._epoch_us = time.time_ns() // 1000 - int(loop.time() * 1e6)
         self._numbers = itertools.count(1)
         self._open: dict[int, OpenRequest] = {}
-        self._ids: set[str] = set()  # ids of the requests that still wait for their answer
+        # Ids of the requests that have no response yet.
+        self._ids: set[str] = set()
         self._events: deque[Event] = deque()
         self._busy = False
         self.hosts: dict[int, Host] = {}
 
     def now_us(self) -> int:
+        """The time in microseconds on the engine's clock."""
         return self._epoch_us + int(self._loop.time() * 1e6)
 
     def is_open(self, request_id: str) -> bool:
+        """Whether a request of this id has no response yet."""
         return request_id in self._ids
 
     @property
     def ready(self) -> bool:
+        """Whether there is a host to send to."""
         return bool(self.hosts)
 
     # From the client side.
@@ -135,17 +164,23 @@
     def accept(
         self, request: ClientRequest, reply: Callable[[Reply], None], gone: Callable[[], bool]
     ) -> OpenRequest:
-        """Take a request; `reply` is called once, before the client's deadline, unless it
-        departs.
+        """Takes a request.
+
+        Args:
+            request: The checked request.
+            reply: Is called once, before the client's deadline, unless the client leaves.
+            gone: Whether the client has left, read from its socket.
         """
         left_s = max(0.0, request.expires - self._loop.time())
-        shrink = min(1.0, MARGIN_PART * left_s / MARGIN_S)
+        shrink = min(1.0, MARGIN_FRACTION * left_s / ATTEMPT_MARGIN_S)
         opened = OpenRequest(
-            next(self._numbers), request, reply, gone, request.expires - MARGIN_S * shrink
+            next(self._numbers), request, reply, gone, request.expires - ATTEMPT_MARGIN_S * shrink
         )
         self._open[opened.number] = opened
         self._ids.add(request.id)
-        opened.guard = self._loop.call_at(request.expires - GUARD_S * shrink, self._overdue, opened)
+        opened.guard = self._loop.call_at(
+            request.expires - GUARD_MARGIN_S * shrink, self._respond_overdue, opened
+        )
         give_up_us = self._epoch_us + int(opened.give_up * 1e6)
         self.feed(
             Arrived(
@@ -161,38 +196,46 @@
         return opened
 
     def depart(self, opened: OpenRequest) -> None:
-        """The client has gone."""
+        """Ends a request whose client has left."""
         if opened.reply is not None:
-            self._settle(opened)
+            self._end_response(opened)
             self.feed(Departed(opened.number))
-            self._forget(opened)
+            self._release(opened)
+
+    def _may_write(self, opened: OpenRequest, before_us: int) -> bool:
+        """Whether an attempt may be written to its host; called right before each write.
 
-    def _wanted(self, opened: OpenRequest, before_us: int) -> bool:
-        """Asked right before each write to a host. A client's end comes with the loop's next turn,
-        or not at all while its connection is not read, and must not be overtaken by a retry, a
-        hedge or a connect. Nor may a connect that takes long carry an attempt past the time that
-        the module gave it.
+        A client's end comes with the loop's next turn, or not at all while its connection is not
+        read, and must not be overtaken by a retry, a hedge or a connect. Nor may a connect that
+        takes long carry an attempt past `before_us`, the time limit that the decider gave it.
         """
         if opened.reply is not None and opened.gone():
             self.depart(opened)
         return opened.reply is not None and not 0 < before_us <= self.now_us()
 
-    def _overdue(self, opened: OpenRequest) -> None:
-        """Rule 1's last line: a failure promises nothing and so is always allowed."""
+    def _respond_overdue(self, opened: OpenRequest) -> None:
+        """Rule 1's last resort: a failure promises nothing and so is always allowed."""
         if opened.reply is not None:
             log.error("request %s: no decision by its deadline", opened.request.id)
-            self._answer(opened, Reply(TIMED_OUT))
+            self._respond(opened, Reply(STATUS_TIMED_OUT))
             self.feed(Departed(opened.number))
-            self._forget(opened)
+            self._release(opened)
 
     # From the list of hosts.
 
     def update(
         self, servers: ServerList, names: dict[int, str], addresses: dict[int, Address]
     ) -> None:
-        """A list takes effect on the sockets first: what it ends must not get a byte more. The
-        module hears of it before it hears what became of that, or it would send again by the list
+        """Takes over a list of hosts.
+
+        It takes effect on the sockets first: what it ends must not get a byte more. The decider
+        gets the list before the outcomes of what it ended, or it would send again by the list
         before.
+
+        Args:
+            servers: The list, as the decider gets it.
+            names: Name of each listed host by its number.
+            addresses: Address of each listed host that is not gone, by its number.
         """
         self._events.append(servers)
         self._busy = True
@@ -205,32 +248,35 @@
     def _update_hosts(
         self, servers: ServerList, names: dict[int, str], addresses: dict[int, Address]
     ) -> None:
-        whole = servers.kind is not ListKind.CHANGES
+        full = servers.kind is not ListKind.CHANGES
         named = {s.id for s in servers.servers}
-        told = {s.id: s for s in servers.servers if s.state is not State.GONE}
+        listed = {s.id: s for s in servers.servers if s.state is not State.GONE}
         for number, host in list(self.hosts.items()):
-            line = told.get(number)
-            gone = line is None and (whole or number in named)
-            moved = line is not None and addresses[number] != host.address
+            server_now = listed.get(number)
+            gone = server_now is None and (full or number in named)
+            moved = server_now is not None and addresses[number] != host.address
             if gone or moved:
                 del self.hosts[number]
                 self._upstream.retire(host)
-        for number, server in told.items():
+        for number, server in listed.items():
             current = self.hosts.get(number) or Host(names[number], addresses[number])
             self.hosts[number] = current
             if current.started_us != server.started_us:
                 current.started_us = server.started_us
-                current.drop_idle()  # they lead to the process before, and may hang for ever
+                # Idle connections lead to the process before, and may hang for ever.
+                current.drop_idle()
             if server.state is State.DRAINING:
                 self._upstream.retire(current)
             else:
                 current.ready = True
 
-    # The module.
+    # The decider.
 
     def feed(self, event: Event) -> None:
-        """Give the module one event and carry out what it decides. What an action brings about at
-        once is fed after it, in order, never from inside the module.
+        """Gives the decider one event and carries out what it decides.
+
+        Events that an action brings about at once follow after it, in order, never from inside the
+        decider.
         """
         self._events.append(event)
         if not self._busy:
@@ -248,13 +294,13 @@
         try:
             actions = self._balancer.handle(self.now_us(), [event])
         except Exception:
-            # One request's fault must not take the gateway down. What was decided before it still
-            # counts.
+            # One request's fault must not end the gateway. What was decided before it still counts.
             log.exception("the module failed on %s", type(event).__name__)
             actions = self._balancer.actions
             if isinstance(event, Arrived | AttemptDone | StreamStarted):
                 self._fail(event.request)
-                self._events.append(Departed(event.request))  # or the module would keep it for ever
+                # Or the decider would keep it for ever.
+                self._events.append(Departed(event.request))
         for action in actions:
             try:
                 self._perform(action)
@@ -266,9 +312,9 @@
     def _fail(self, number: int) -> None:
         opened = self._open.get(number)
         if opened is not None and opened.reply is not None:
-            self._answer(opened, Reply(FAILED))
+            self._respond(opened, Reply(STATUS_FAILED))
             self._events.append(Departed(number))
-            self._forget(opened)
+            self._release(opened)
 
     def _perform(self, action: Action) -> None:
         if isinstance(action, Send):
@@ -285,19 +331,23 @@
             if opened is not None and opened.reply is not None:
                 refused = isinstance(action, Refuse)
                 retry_after_us = action.retry_after_us if isinstance(action, Refuse) else 0
-                self._answer(opened, Reply(REFUSED if refused else FAILED, None, retry_after_us))
-                self._forget(opened)
+                self._respond(
+                    opened,
+                    Reply(STATUS_REFUSED if refused else STATUS_FAILED, None, retry_after_us),
+                )
+                self._release(opened)
         elif isinstance(action, Log):
             log.info("%s", action.text)
-        # `Watch` asks for what the gateway always does; `Probe` the module never asks for.
+        # `Watch` requests what the gateway always does; the decider never requests a `Probe`.
 
     def _send(self, action: Send) -> None:
         opened = self._open.get(action.request)
         if opened is None:
             return
-        number, started = len(opened.attempts), self._loop.time()
+        number = len(opened.attempts)
+        started = self._loop.time()
         host = self.hosts.get(action.server)
-        if host is None or not self._wanted(opened, action.before_us):
+        if host is None or not self._may_write(opened, action.before_us):
             opened.attempts.append(None)
             self._events.append(
                 AttemptDone(action.request, number, Outcome.MOOT, 0, opened.reply is None)
@@ -316,16 +366,16 @@
                 request,
                 timeout_s,
                 partial(self._done, opened, number, started),
-                partial(self._wanted, opened, action.before_us),
+                partial(self._may_write, opened, action.before_us),
             )
         except Exception:
-            # A fault of ours that may have come after the first byte: the module must not take it
+            # A fault of ours that may have come after the first byte: the decider must not take it
             # for unsent.
             log.exception("request %s could not be sent", opened.request.id)
             opened.attempts.append(None)
             self._events.append(AttemptDone(action.request, number, Outcome.RESET, 0))
             return
-        opened.out += 1
+        opened.in_flight += 1
         opened.attempts.append(attempt)
 
     def _done(
@@ -336,30 +386,30 @@
         outcome: Outcome,
         answer: Answer | None,
     ) -> None:
-        opened.out -= 1
+        opened.in_flight -= 1
         opened.attempts[number] = None
         if answer is not None and opened.reply is not None:
-            self._answer(opened, Reply(SERVED, answer))
-        elapsed_us = max(
-            1, int((self._loop.time() - started) * 1e6)
-        )  # the loop's clock counts milliseconds
+            self._respond(opened, Reply(STATUS_SERVED, answer))
+        # The loop's clock counts milliseconds, so a quick response may show no time at all.
+        elapsed_us = max(1, int((self._loop.time() - started) * 1e6))
         self.feed(AttemptDone(opened.number, number, outcome, elapsed_us, opened.reply is None))
-        self._forget(opened)
+        self._release(opened)
 
     # The end of a request.
 
-    def _answer(self, opened: OpenRequest, reply: Reply) -> None:
+    def _respond(self, opened: OpenRequest, reply: Reply) -> None:
         send = opened.reply
-        self._settle(opened)
+        self._end_response(opened)
         if send is not None:
             send(reply)
 
-    def _settle(self, opened: OpenRequest) -> None:
+    def _end_response(self, opened: OpenRequest) -> None:
         opened.reply = None
         self._ids.discard(opened.request.id)
         if opened.guard is not None:
             opened.guard.cancel()
 
-    def _forget(self, opened: OpenRequest) -> None:
-        if opened.reply is None and not opened.out:
+    def _release(self, opened: OpenRequest) -> None:
+        """Drops a request that has its response and the outcome of every attempt."""
+        if opened.reply is None and not opened.in_flight:
             self._open.pop(opened.number, None)
--- /dev/null
+++ b/roselink/gateway/request_checks.py
@@ -0,0 +1,153 @@
+"""Checks of a client's request: path and class, method, headers; and what of it goes on to a host.
+
+A refused request raises `Bad` with its status: 404 for a path that is not served, 400 for the rest.
+"""
+
+from __future__ import annotations
+
+import math
+from typing import TYPE_CHECKING
+from urllib.parse import unquote
+
+from roselink.balancer.interface import Effect
+from roselink.gateway.engine import ClientRequest
+from roselink.http.framing_checks import Bad
+
+if TYPE_CHECKING:
+    from roselink.gateway.config import Config
+
+# Headers that concern one connection only (RFC 9110, section 7.6.1), and those that the gateway
+# writes anew.
+HOP_BY_HOP = frozenset(
+    b"connection keep-alive proxy-connection te trailer transfer-encoding upgrade expect "
+    b"content-length "
+    b"request-timeout-ms proxy-authorization proxy-authenticate".split()
+)
+SINGLE_HEADERS = frozenset((b"request-id", b"idempotency-key", b"request-timeout-ms"))
+# Digits of the largest numbers that are read from a header.
+MAX_TIMEOUT_DIGITS = 12
+MAX_HINT_DIGITS = 11
+# Index of a tenant that the settings do not name.
+UNKNOWN_TENANT = -1
+
+
+class RequestChecks:
+    """What the settings require of requests."""
+
+    def __init__(self, config: Config) -> None:
+        """Reads classes, deadlines and tenants."""
+        routes = config.settings.routes
+        self._routes = {route.name: index for index, route in enumerate(routes)}
+        self._effects = [route.effect for route in routes]
+        self._deadlines_s = [route.deadline_us / 1e6 for route in routes]
+        self._tenants = {name: index for index, name in enumerate(config.tenants)}
+        # Requests that begin after the first loop time must have their response by the second.
+        self._drained_from = math.inf
+        self._drained_by = math.inf
+
+    def shorten_deadlines(self, begun_from: float, respond_by: float) -> None:
+        """Requests that begin at loop time `begun_from` or later expire at `respond_by`."""
+        self._drained_from = begun_from
+        self._drained_by = respond_by
+
+    def check(
+        self,
+        method: bytes,
+        url: bytes,
+        headers: list[tuple[bytes, bytes]],
+        body: bytes,
+        since: float,
+    ) -> ClientRequest:
+        """The request that may go on.
+
+        Args:
+            method: As it came.
+            url: The request's target, as it came.
+            headers: Names and values, as they came.
+            body: The decoded body.
+            since: Loop time at which the request began.
+
+        Raises:
+            Bad: The request is refused, with this status.
+        """
+        segments = url.partition(b"?")[0].split(b"/")
+        route = self._route(segments)
+        single, forwarded = self._read_headers(headers)
+        self._check_form(route, method, body, single)
+        request_id = single.get(b"request-id", b"").decode("latin-1")
+        if not request_id:
+            raise Bad(400, "no Request-Id")
+        expires = since + min(self._timeout_s(single), self._deadlines_s[route])
+        if self._effects[route] is not Effect.SAFE:
+            forwarded.append(b"Content-Length: %d" % len(body))
+        head = [b"%b %b HTTP/1.1" % (method, url), *forwarded]
+        tenant = single.get(b"tenant", b"").decode("latin-1")
+        return ClientRequest(
+            id=request_id,
+            route=route,
+            tenant=self._tenants.get(tenant, UNKNOWN_TENANT),
+            key=_key(segments),
+            expires=expires if since < self._drained_from else min(expires, self._drained_by),
+            repeat=single.get(b"client-retry") == b"1",
+            work_us=_work_us(single.get(b"work-hint", b"")),
+            head=b"\r\n".join(head) + b"\r\n",
+            body=body,
+        )
+
+    def _route(self, segments: list[bytes]) -> int:
+        """The index of the class that the path's first segment names."""
+        if len(segments) < 2 or segments[0] or not segments[1]:
+            raise Bad(404, "no such path")
+        route = self._routes.get(unquote(segments[1].decode("latin-1")))
+        if route is None:
+            raise Bad(400 if len(segments) == 3 else 404, "no such class")
+        return route
+
+    @staticmethod
+    def _read_headers(
+        headers: list[tuple[bytes, bytes]],
+    ) -> tuple[dict[bytes, bytes], list[bytes]]:
+        """The last value of each header by its lower-case name, and the lines that go on."""
+        values: dict[bytes, bytes] = {}
+        forwarded: list[bytes] = []
+        for name, value in headers:
+            lower = name.lower()
+            if lower in SINGLE_HEADERS and lower in values:
+                raise Bad(400, f"two headers {lower.decode()}")
+            values[lower] = value
+            if lower not in HOP_BY_HOP:
+                forwarded.append(b"%b: %b" % (name, value))
+        return values, forwarded
+
+    def _check_form(
+        self, route: int, method: bytes, body: bytes, headers: dict[bytes, bytes]
+    ) -> None:
+        """Method, body and Idempotency-Key must go with the class."""
+        safe = self._effects[route] is Effect.SAFE
+        keyed = self._effects[route] is Effect.KEYED
+        if method != (b"GET" if safe else b"POST"):
+            raise Bad(400, "wrong method for the class")
+        if safe and body:
+            raise Bad(400, "a body with GET")
+        if keyed != bool(headers.get(b"idempotency-key")):
+            raise Bad(400, "Idempotency-Key and class do not go together")
+
+    @staticmethod
+    def _timeout_s(headers: dict[bytes, bytes]) -> float:
+        """How long the client waits for its response."""
+        value = headers.get(b"request-timeout-ms", b"")
+        if not value.isdigit() or len(value) > MAX_TIMEOUT_DIGITS or int(value) == 0:
+            raise Bad(400, "bad Request-Timeout-Ms")
+        return int(value) / 1000
+
+
+def _key(segments: list[bytes]) -> str | None:
+    """The last segment of a path of two segments or more."""
+    if len(segments) > 2 and segments[-1]:
+        return unquote(segments[-1].decode("latin-1"))
+    return None
+
+
+def _work_us(hint: bytes) -> int | None:
+    """The client's hint of the request's work; one that is no number counts as none."""
+    return int(hint) if hint.isdigit() and len(hint) <= MAX_HINT_DIGITS else None
--- a/roselink/gateway/server.py
+++ b/roselink/gateway/server.py
@@ -1,17 +1,16 @@
-"""The client side: check requests, frame the one answer, drain. `connections` has what is any
-server's.
+"""The client side: reads requests, writes the one response to each, drains.
+
+`roselink.http` has what any server needs; `request_checks` checks what a request of this service
+must look like.
 """
 
 from __future__ import annotations
 
 import logging
-import math
 from typing import TYPE_CHECKING
-from urllib.parse import unquote
 
-from roselink.balancer.interface import Effect
-from roselink.gateway.engine import ClientRequest, Engine, OpenRequest, Reply
-from roselink.http.framing_checks import Bad
+from roselink.gateway.engine import Reply
+from roselink.gateway.request_checks import RequestChecks
 from roselink.http.host_connection import BODY_LIMIT, HEAD_LIMIT
 from roselink.http.limits import Sizes, Times
 from roselink.http.reason_phrases import REASONS
@@ -23,48 +22,50 @@
     from collections.abc import Callable
 
     from roselink.gateway.config import Config
+    from roselink.gateway.engine import Engine, OpenRequest
     from roselink.http.descriptors import Descriptors
 
 log = logging.getLogger("roselink.gateway.server")
 
-HOP_BY_HOP = frozenset(
-    b"connection keep-alive proxy-connection te trailer transfer-encoding upgrade expect "
-    b"content-length "
-    b"request-timeout-ms proxy-authorization proxy-authenticate".split()
-)
 MESSAGE_LIMIT = HEAD_LIMIT + 4 * BODY_LIMIT  # with a chunked body's framing
-RECEIVE_S = (
-    2.0  # for a request to come in whole, from its first byte, and for a first one to begin at all
-)
-UNREAD_S = 5.0  # for a client to take its answer
-IDLE_S = 60.0  # connections are worth keeping, and the longest idle make room when room is needed
-IDLE_ONCE_S = 2.0  # for one that has asked once only: most such clients never come back
+# Time-out for a request to arrive, from its first byte, and for a first one to begin at all.
+RECEIVE_S = 2.0
+# Time-out for a client to read its response.
+UNREAD_S = 5.0
+# Keep-alive time-out: connections are kept long, and the longest idle are closed when descriptors
+# run short.
+IDLE_S = 60.0
+# The same after one request only: most such clients never come back.
+IDLE_ONCE_S = 2.0
 
 
 class ClientConnection(HttpConnection):
     """One client connection: its requests go to the engine."""
 
     def __init__(self, server: Server) -> None:
+        """A connection that `server` has accepted."""
         super().__init__(server)
         self._owner = server
         self._opened: OpenRequest | None = None
 
     def _departed(self) -> None:
         if self._opened is not None:
-            opened, self._opened = self._opened, None
+            opened = self._opened
+            self._opened = None
             self._owner.engine.depart(opened)
 
     def _read(self, method: bytes, keep: bool) -> Pending:
         path = self._url.partition(b"?")[0]
         if path == b"/up" and method == b"GET":
             return Pending(None, self._owner.up_status(), keep)
-        request = self._owner.check(
+        request = self._owner.checks.check(
             method, self._url, self._headers, b"".join(self._body), self._read_at
         )
         return Pending(request, 200, keep)
 
     def _serve(self, pending: Pending) -> None:
-        self._serving, self._keep = True, pending.keep
+        self._serving = True
+        self._keep = pending.keep
         if pending.request is None:
             if pending.status >= 400 and pending.status != 503:
                 log.info("%d: %s", pending.status, pending.why)
@@ -75,10 +76,9 @@
             log.info("400: the id of an open request")
             self.answer(Reply(400))
             return
-        late = (
-            self._owner.loop.time() >= pending.request.expires
-        )  # it waited for the answers before it
-        if late or self._owner.crowded():
+        # It may have waited for the responses before it.
+        expired = self._owner.loop.time() >= pending.request.expires
+        if expired or self._owner.crowded():
             self.answer(Reply(503, None, self._owner.retry_after_us))
             return
         try:
@@ -88,12 +88,14 @@
             if self._serving:
                 self.answer(Reply(500))
             return
-        if self._serving:  # not answered already
+        # It may have its response already.
+        if self._serving:
             self._opened = opened
 
     def answer(self, reply: Reply) -> None:
-        """The one place that writes to a client."""
-        self._opened, self._serving = None, False
+        """Writes the response to a client; nothing else writes to it."""
+        self._opened = None
+        self._serving = False
         self.last_change = self._owner.loop.time()
         if self._transport is None:
             return
@@ -123,86 +125,41 @@
         descriptors: Descriptors,
         make_room: Callable[[], bool],
     ) -> None:
+        """A server that does not listen yet.
+
+        Args:
+            loop: The loop of the gateway.
+            config: Classes, deadlines and tenants.
+            engine: Takes the requests.
+            descriptors: Count of the sockets that are open.
+            make_room: Closes an idle connection to a host; whether there was one.
+        """
         super().__init__(loop, descriptors, make_room, Sizes(HEAD_LIMIT, BODY_LIMIT, MESSAGE_LIMIT))
         self.engine = engine
-        self._routes = {route.name: i for i, route in enumerate(config.settings.routes)}
-        self._effects = [route.effect for route in config.settings.routes]
-        self._deadlines = [route.deadline_us / 1e6 for route in config.settings.routes]
-        self._drained_from = self._drained_by = math.inf
-        self.retry_after_us = (
-            config.settings.max_retry_after_us if config.settings.retry_after else 0
-        )
-        self._tenants = {name: i for i, name in enumerate(config.tenants)}
+        self.checks = RequestChecks(config)
+        settings = config.settings
+        self.retry_after_us = settings.max_retry_after_us if settings.retry_after else 0
 
     def connection(self) -> HttpConnection:
+        """A new client connection."""
         return ClientConnection(self)
 
     def times(self) -> Times:
+        """The time-outs of client connections."""
         return Times(RECEIVE_S, RECEIVE_S, UNREAD_S, (RECEIVE_S, IDLE_ONCE_S, IDLE_S))
 
     def drain(self, taken_s: float, most_s: float) -> None:
-        """From now on each answer ends its connection. What comes later than `taken_s` from now on
-        one that is still open has to be answered within `most_s` from now, before the process may
-        be killed.
+        """From now on each response ends its connection.
+
+        Args:
+            taken_s: A request that comes later than this from now, on a connection that is still
+                open, has the shorter deadline.
+            most_s: That deadline, from now: the process may be killed after it.
         """
         self.draining = True
-        self._drained_from, self._drained_by = self.loop.time() + taken_s, self.loop.time() + most_s
+        now = self.loop.time()
+        self.checks.shorten_deadlines(now + taken_s, now + most_s)
 
     def up_status(self) -> int:
+        """The status of `/up`: 200 while there are hosts and the gateway does not drain."""
         return 200 if self.engine.ready and not self.draining else 503
-
-    def check(
-        self,
-        method: bytes,
-        url: bytes,
-        headers: list[tuple[bytes, bytes]],
-        body: bytes,
-        since: float,
-    ) -> ClientRequest:
-        """A request that may go on, or `Bad`."""
-        parts = url.partition(b"?")[0].split(b"/")
-        if len(parts) < 2 or parts[0] or not parts[1]:
-            raise Bad(404, "no such path")
-        route = self._routes.get(unquote(parts[1].decode("latin-1")))
-        if route is None:
-            raise Bad(400 if len(parts) == 3 else 404, "no such class")
-        single: dict[bytes, bytes] = {}
-        kept = [b"%b %b HTTP/1.1" % (method, url)]
-        for name, value in headers:
-            lower = name.lower()
-            if (
-                lower in (b"request-id", b"idempotency-key", b"request-timeout-ms")
-                and lower in single
-            ):
-                raise Bad(400, f"two headers {lower.decode()}")
-            single[lower] = value
-            if lower not in HOP_BY_HOP:
-                kept.append(b"%b: %b" % (name, value))
-        safe, keyed = self._effects[route] is Effect.SAFE, self._effects[route] is Effect.KEYED
-        if method != (b"GET" if safe else b"POST"):
-            raise Bad(400, "wrong method for the class")
-        if safe and body:
-            raise Bad(400, "a body with GET")
-        if keyed != bool(single.get(b"idempotency-key")):
-            raise Bad(400, "Idempotency-Key and class do not go together")
-        request_id = single.get(b"request-id", b"").decode("latin-1")
-        if not request_id:
-            raise Bad(400, "no Request-Id")
-        wait = single.get(b"request-timeout-ms", b"")
-        if not wait.isdigit() or len(wait) > 12 or int(wait) == 0:
-            raise Bad(400, "bad Request-Timeout-Ms")
-        if not safe:
-            kept.append(b"Content-Length: %d" % len(body))
-        hint = single.get(b"work-hint", b"")
-        expires = since + min(int(wait) / 1000, self._deadlines[route])
-        return ClientRequest(
-            id=request_id,
-            route=route,
-            tenant=self._tenants.get(single.get(b"tenant", b"").decode("latin-1"), -1),
-            key=unquote(parts[-1].decode("latin-1")) if len(parts) > 2 and parts[-1] else None,
-            expires=expires if since < self._drained_from else min(expires, self._drained_by),
-            repeat=single.get(b"client-retry") == b"1",
-            work_us=int(hint) if hint.isdigit() and len(hint) < 12 else None,
-            head=b"\r\n".join(kept) + b"\r\n",
-            body=body,
-        )
