--- a/roselink/gateway/__main__.py
+++ b/roselink/gateway/__main__.py
@@ -15,14 +15,14 @@
 from roselink.balancer.decider import Balancer
 from roselink.gateway.config import (
     Config,
-    ConfigError,
-    HeldDescriptor,
+    ReservedDescriptor,
     changed_fields,
     load,
     reload,
 )
 from roselink.gateway.discovery import Discovery
 from roselink.gateway.engine import Engine
+from roselink.gateway.exceptions import ConfigError
 from roselink.gateway.server import Server
 from roselink.http.descriptors import Descriptors
 from roselink.http.host_pool import Upstream
@@ -33,41 +33,55 @@
 
 log = logging.getLogger("roselink.gateway")
 
+# Between two sweeps of the connections for time-outs.
 SWEEP_S = 0.25
-ACCEPT_S = 0.55  # after SIGTERM: the front sends connections for up to 0.4 s more
-KILL_S = 3.0  # SIGKILL may come so long after ACCEPT_S, or a longest deadline that is shorter
-FLUSH_S = 0.1  # for the last answers to leave
+# Connections are accepted so long after SIGTERM: the front sends them for up to 0.4 s more.
+ACCEPT_S = 0.55
+# SIGKILL may come so long after ACCEPT_S, or a longest deadline that is shorter.
+KILL_S = 3.0
+# For the last responses to leave.
+FLUSH_S = 0.1
+# Between two looks whether every connection has ended.
+DRAIN_POLL_S = 0.02
 
 
 class Gateway:
-    """The parts of one gateway, wired."""
+    """The components of one gateway, wired."""
 
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
-        self.config, self.loop = config, loop
+        """Builds the components; nothing listens yet."""
+        self.config = config
+        self.loop = loop
         descriptors = Descriptors(config.sockets)
         self.upstream = Upstream(loop, descriptors, config.connect_timeout_s, config.idle_s)
         self.engine = Engine(loop, Balancer(config.settings, config.seed), self.upstream)
         self.discovery = Discovery(config, self.engine.update)
         self.server = Server(loop, config, self.engine, descriptors, self.upstream.drop_oldest_idle)
-        self._for_reload = HeldDescriptor()
+        self._for_reload = ReservedDescriptor()
         self.port = 0
         self._sweeper: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Serve by the known list at once."""
+        """Listens, and serves by the known list at once.
+
+        Raises:
+            ConfigError: The known list is malformed, or the address cannot be listened on.
+        """
         self.discovery.start_from(self.config.known)
         host, port = self.config.listen
         try:
             self.port = await self.server.listen(host, port)
         except OSError as error:
-            raise ConfigError(f"GW_LISTEN: cannot listen on {host}:{port}: {error}") from None
+            raise ConfigError("GW_LISTEN", f"cannot listen on {host}:{port}: {error}") from None
         self.discovery.start_paced()
         self._sweeper = self.loop.create_task(self._sweep())
         log.info("%s listens on %s:%d", self.config.name, self.config.listen[0], self.port)
 
     def reload(self, environment: Mapping[str, str]) -> None:
-        """Take over what a new file changes: the address of discovery. List, connections and open
-        requests stay as they are, also while draining; a file that cannot work changes nothing.
+        """Takes over what a new file changes: the address of discovery.
+
+        List, connections and open requests stay as they are, also while draining; a file that
+        cannot work changes nothing.
         """
         try:
             with self._for_reload.lent():
@@ -75,8 +89,8 @@
         except ConfigError as error:
             log.error("the old configuration stands: %s", error)
             return
-        if left := changed_fields(self.config, config):
-            log.warning("these fields change with a restart only: %s", ", ".join(left))
+        if ignored := changed_fields(self.config, config):
+            log.warning("these fields change with a restart only: %s", ", ".join(ignored))
         if config.discovery != self.discovery.address:
             log.info("discovery is now at %s:%d", *config.discovery)
             self.discovery.follow(config.discovery)
@@ -91,8 +105,10 @@
                 log.exception("a sweep failed")
 
     async def drain(self) -> None:
-        """Answers say `Connection: close` at once; the listener and idle connections stay while the
-        front may still send, for ending them first would lose what crosses the close.
+        """Responds to what has come, and to what comes while the front may still send.
+
+        Responses say `Connection: close` at once; the listener and idle connections stay until
+        then, for ending them first would lose what crosses the close.
         """
         longest_s = (
             max((route.deadline_us for route in self.config.settings.routes), default=0) / 1e6
@@ -103,9 +119,10 @@
         end = self.loop.time() + longest_s + FLUSH_S
         while self.server.connections and self.loop.time() < end:
             self.server.close_idle()
-            await asyncio.sleep(0.02)
+            await asyncio.sleep(DRAIN_POLL_S)
 
     def stop(self) -> None:
+        """Ends listener, watch and sweeps."""
         self.server.stop_listening()
         self.discovery.stop()
         if self._sweeper is not None:
@@ -113,7 +130,11 @@
 
 
 async def serve(config: Config) -> None:
-    """Run one gateway until SIGTERM or SIGINT, then answer what it has taken."""
+    """Runs one gateway until SIGTERM or SIGINT, then responds to what it has taken.
+
+    Raises:
+        ConfigError: It cannot start.
+    """
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -122,7 +143,8 @@
     await gateway.start()
     loop.add_signal_handler(signal.SIGHUP, gateway.reload, os.environ)
     gc.collect()
-    gc.freeze()  # what is here at the start stays; collections need not walk it each time
+    # What is here at the start stays; collections need not walk it each time.
+    gc.freeze()
     await stop.wait()
     log.info("draining")
     await gateway.drain()
@@ -131,10 +153,10 @@
 
 
 def main() -> int:
+    """Runs the program; its exit status is 2 where the configuration cannot work."""
     start_log()
-    signal.signal(
-        signal.SIGHUP, signal.SIG_IGN
-    )  # until there is a gateway that can reload, it would kill
+    # Until there is a gateway that can reload, SIGHUP would end the process.
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
         config = load(os.environ)
     except ConfigError as error:
--- a/roselink/gateway/config.py
+++ b/roselink/gateway/config.py
@@ -1,7 +1,6 @@
-"""What a gateway is told at its start and at a reload: `GW_*` and the JSON file, as typed values.
+"""The configuration at the start and at a reload: `GW_*` and the JSON file, as typed values.
 
-Everything is checked here, once, so that a gateway that came up has no missing value to trip over
-at night.
+Everything is validated here, once, so that no value is missing in a gateway that has started.
 """
 
 from __future__ import annotations
@@ -14,6 +13,7 @@
 from typing import TYPE_CHECKING, Any
 
 from roselink.balancer.simulator_adapter import read_settings
+from roselink.gateway.exceptions import ConfigError
 
 if TYPE_CHECKING:
     from collections.abc import Iterator, Mapping
@@ -21,32 +21,44 @@
     from roselink.balancer.interface import Settings
     from roselink.http.address import Address
 
+PORTS = 65536
+MICROSECONDS_PER_S = 1e6
 
-class ConfigError(Exception):
-    """The configuration cannot work; the text is one plain line that names the field."""
 
-
-class HeldDescriptor:
-    """One that no client can take: free only within a block that does not wait, to open a file in
-    it.
-    """
+class ReservedDescriptor:
+    """A descriptor that no client can take, to open a file with."""
 
     def __init__(self) -> None:
-        self._held = socket.socket()
+        """Reserves it."""
+        self._reserved = socket.socket()
 
     @contextmanager
     def lent(self) -> Iterator[None]:
-        self._held.close()
+        """Frees the descriptor within a block, which must not wait."""
+        self._reserved.close()
         try:
             yield
         finally:
-            self._held = socket.socket()
+            self._reserved = socket.socket()
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """One gateway's configuration. The names that the sockets use stand in their order in the
-    settings.
+    """One gateway's configuration.
+
+    Attributes:
+        name: The gateway's name in its log.
+        listen: The address for clients.
+        discovery: The address of discovery.
+        seed: The decider's random source.
+        sockets: How many descriptors the process may have.
+        known: The list of hosts as this gateway last had it; empty for none.
+        settings: The decider's settings.
+        tenants: Names of the tenants, in the order of the settings.
+        kinds: Names of the kinds of machine, in the order of the settings.
+        zones: Names of the zones, in the order of the settings.
+        connect_timeout_s: Time-out to connect to a host.
+        idle_s: Keep-alive time-out of connections to hosts.
     """
 
     name: str
@@ -63,35 +75,45 @@
     idle_s: float
 
 
-def read_address(text: Any, field: str) -> Address:
+def read_address(text: str | None, field: str) -> Address:
+    """An address of the form `host:port`.
+
+    Raises:
+        ConfigError: It has another form; the error names `field`.
+    """
     host, colon, port = str(text).rpartition(":")
-    if not (colon and host and port.isascii() and port.isdigit() and 0 <= int(port) < 65536):
-        raise ConfigError(f"{field}: needs address:port, not {text!r}")
+    if not (colon and host and port.isascii() and port.isdigit() and 0 <= int(port) < PORTS):
+        raise ConfigError(field, f"needs address:port, not {text!r}")
     return host, int(port)
 
 
-def _part(
+def _value(
     data: Mapping[str, Any], key: str, kind: type[Any], field: str, default: Any = None
 ) -> Any:
     value = data.get(key)
     if value is None:
         value = default
     if value is None:
-        raise ConfigError(f"{field}: missing")
+        raise ConfigError(field, "missing")
     if not isinstance(value, kind) or isinstance(value, bool):
-        raise ConfigError(f"{field}: needs {kind.__name__}, not {type(value).__name__}")
+        raise ConfigError(field, f"needs {kind.__name__}, not {type(value).__name__}")
     return value
 
 
 def _above_zero(data: Mapping[str, Any], key: str, field: str, default: int) -> int:
-    value: int = _part(data, key, int, field, default)
+    value: int = _value(data, key, int, field, default)
     if value <= 0:
-        raise ConfigError(f"{field}: must be above 0")
+        raise ConfigError(field, "must be above 0")
     return value
 
 
+def _timeout_s(limits: Mapping[str, Any], key: str, *, default_us: int) -> float:
+    """A time-out of the settings, which give it in microseconds."""
+    return _above_zero(limits, key, f"settings.limits.{key}", default_us) / MICROSECONDS_PER_S
+
+
 def _names(data: Mapping[str, Any], key: str) -> tuple[str, ...]:
-    names = _part(data, key, list, f"settings.{key}", [])
+    names = _value(data, key, list, f"settings.{key}", [])
     return tuple(str(name.get("name")) if isinstance(name, dict) else str(name) for name in names)
 
 
@@ -105,27 +127,29 @@
 
 
 def load(environment: Mapping[str, str]) -> Config:
-    """The configuration that the environment points at; raises `ConfigError` where it cannot
-    work.
+    """The configuration that the environment names.
+
+    Raises:
+        ConfigError: It cannot work.
     """
     path = environment.get("GW_CONFIG")
     if not path:
-        raise ConfigError("GW_CONFIG: missing")
+        raise ConfigError("GW_CONFIG", "missing")
     try:
         with open(path, encoding="utf-8") as file:
             data = json.load(file)
     except OSError as error:
-        raise ConfigError(f"GW_CONFIG: cannot read {path}: {error.strerror}") from None
+        raise ConfigError("GW_CONFIG", f"cannot read {path}: {error.strerror}") from None
     except (ValueError, RecursionError) as error:
-        raise ConfigError(f"GW_CONFIG: {path} is not JSON: {error}") from None
+        raise ConfigError("GW_CONFIG", f"{path} is not JSON: {error}") from None
     if not isinstance(data, dict):
-        raise ConfigError(f"GW_CONFIG: {path} holds no JSON object")
-    told = _part(data, "settings", dict, "settings")
-    limits = _part(told, "limits", dict, "settings.limits", {})
+        raise ConfigError("GW_CONFIG", f"{path} holds no JSON object")
+    raw_settings = _value(data, "settings", dict, "settings")
+    limits = _value(raw_settings, "limits", dict, "settings.limits", {})
     try:
-        settings = read_settings(told)
+        settings = read_settings(raw_settings)
     except (ValueError, TypeError) as error:
-        raise ConfigError(f"settings: {error}") from None
+        raise ConfigError("settings", str(error)) from None
     return Config(
         name=str(environment.get("GW_NAME") or data.get("name") or "gateway"),
         listen=read_address(environment.get("GW_LISTEN") or data.get("listen"), "GW_LISTEN"),
@@ -134,30 +158,30 @@
         ),
         seed=_seed(data.get("seed", 0)),
         sockets=_above_zero(
-            _part(data, "limits", dict, "limits", {}), "sockets", "limits.sockets", 1024
+            _value(data, "limits", dict, "limits", {}), "sockets", "limits.sockets", 1024
         ),
-        known=_part(data, "known", dict, "known", {}),
+        known=_value(data, "known", dict, "known", {}),
         settings=settings,
-        tenants=_names(told, "orgs"),
-        kinds=_names(told, "models"),
-        zones=_names(told, "zones"),
-        connect_timeout_s=_above_zero(
-            limits, "connect_timeout", "settings.limits.connect_timeout", 1_000_000
-        )
-        / 1e6,
-        idle_s=_above_zero(limits, "conn_idle", "settings.limits.conn_idle", 15_000_000) / 1e6,
+        tenants=_names(raw_settings, "orgs"),
+        kinds=_names(raw_settings, "models"),
+        zones=_names(raw_settings, "zones"),
+        connect_timeout_s=_timeout_s(limits, "connect_timeout", default_us=1_000_000),
+        idle_s=_timeout_s(limits, "conn_idle", default_us=15_000_000),
     )
 
 
 def reload(environment: Mapping[str, str]) -> Config:
-    """The file as it is now. Its `discovery` counts, not the environment's, which is that of the
-    start.
+    """The file as it is now; its `discovery` is used, not the environment's, which is the start's.
+
+    Raises:
+        ConfigError: It cannot work.
     """
     return load({name: value for name, value in environment.items() if name != "GW_DISCOVERY"})
 
 
 def changed_fields(old: Config, new: Config) -> list[str]:
-    """What differs and a reload does not take over. Seed and known list are for a start alone."""
-    kept = {"discovery", "known", "seed"}
-    names = [field.name for field in fields(Config) if field.name not in kept]
+    """The fields that differ and that a reload does not take over."""
+    # Discovery is taken over; seed and known list are used at a start only.
+    reloadable = {"discovery", "known", "seed"}
+    names = [field.name for field in fields(Config) if field.name not in reloadable]
     return [name for name in names if getattr(old, name) != getattr(new, name)]
--- /dev/null
+++ b/roselink/gateway/json_framer.py
@@ -0,0 +1,108 @@
+"""Splits a stream into the JSON objects that it consists of, however they are laid out.
+
+Every byte is scanned once, whatever chunks it comes in: a list that trickles in costs no more work
+than one that comes at once. Size and depth are limited, for a value that never ends must cost its
+connection only.
+"""
+
+from __future__ import annotations
+
+import re
+from typing import TYPE_CHECKING
+
+from roselink.gateway.exceptions import MalformedListError
+
+if TYPE_CHECKING:
+    from collections.abc import Iterator
+
+# A list is three deep; past some hundreds the parser of JSON itself gives up.
+DEPTH_LIMIT = 16
+_STRUCTURE = re.compile(rb'["{}\[\]]')
+_IN_STRING = re.compile(rb'["\\]')
+
+
+class JsonFramer:
+    """Splits one stream."""
+
+    def __init__(self, limit: int) -> None:
+        """Limits a value to `limit` bytes."""
+        self._limit = limit
+        # The value that has begun.
+        self._value = bytearray()
+        self._depth = 0
+        # Whether the scan is within a string, and right behind a backslash in it.
+        self._in_string = False
+        self._escaped = False
+
+    @property
+    def within(self) -> bool:
+        """Whether a value has begun and not ended."""
+        return self._depth > 0
+
+    def feed(self, data: bytes) -> Iterator[bytes]:
+        """The values that `data` completes, in order.
+
+        An empty one stands for each gap between two values that has a line's end, which is a
+        keep-alive.
+
+        Raises:
+            MalformedListError: At what cannot be a value, after the values before it.
+        """
+        # Where the value's bytes in `data` start, and how far they are scanned.
+        start = 0
+        at = 0
+        while at < len(data):
+            if self._in_string:
+                at = self._scan_string(data, at)
+                continue
+            found = _STRUCTURE.search(data, at)
+            end = found.start() if found else len(data)
+            if not self._depth:
+                if self._is_line_end(data[at:end]):
+                    yield b""
+                start = end
+            if not found:
+                break
+            at = found.end()
+            self._count_depth(found.group())
+            if not self._depth:
+                self._append(data[start:at])
+                yield bytes(self._value)
+                self._value.clear()
+                start = at
+        if self._depth:
+            self._append(data[start:])
+
+    def _append(self, chunk: bytes) -> None:
+        self._value += chunk
+        if len(self._value) > self._limit:
+            raise MalformedListError(reason="a value without end")
+
+    def _scan_string(self, data: bytes, at: int) -> int:
+        if self._escaped:
+            self._escaped = False
+            return at + 1
+        found = _IN_STRING.search(data, at)
+        if not found:
+            return len(data)
+        self._escaped = found.group() == b"\\"
+        self._in_string = self._escaped
+        return found.end()
+
+    @staticmethod
+    def _is_line_end(gap: bytes) -> bool:
+        if gap.strip():
+            raise MalformedListError(reason=f"not JSON: {gap.strip()[:60]!r}")
+        return b"\n" in gap
+
+    def _count_depth(self, token: bytes) -> None:
+        if not self._depth and token != b"{":
+            raise MalformedListError(reason=f"no object: it starts with {token.decode()}")
+        if token == b'"':
+            self._in_string = True
+        elif token in b"{[":
+            self._depth += 1
+            if self._depth > DEPTH_LIMIT:
+                raise MalformedListError(reason="nested too deep")
+        else:
+            self._depth -= 1
--- a/roselink/gateway/pacing.py
+++ b/roselink/gateway/pacing.py
@@ -1,5 +1,4 @@
-"""When to call discovery: as spread over the fleet as the rules on what counts as told allow, and
-no wider.
+"""When to call discovery: spread over the fleet as widely as the deadlines for news allow.
 
 Discovery is one service for all gateways and handles calls in turn. A call that waits too long
 there fails, yet its turn is worked off all the same. Gateways that all call at once, and again soon
@@ -7,18 +6,18 @@
 which the calls are spread grows with the number of gateways, and the jitter covers all of it: what
 failed together must not return together.
 
-But a gateway is held to what it would have been told, and each cause of a call has a bound of its
-own. Where lists are pushed, all that discovery has counts as told at once. Where it is asked, a
-gateway with no watch has the settings' time for asking; but once a call has failed, a change counts
-as told 6 s after discovery had it and could be reached. What a silent watch misses, and what a new
-discovery tells, counts as told so many seconds after it.
+But a gateway must act on a change by a deadline, whether it has received it or not, and each cause
+of a call has a deadline of its own. Where lists are pushed, a change counts as known as soon as
+discovery has it. Where gateways poll, one with no watch has the settings' `ask_within`; but once a
+call has failed, a change counts as known 6 s after discovery had it and could be reached. What an
+unresponsive watch misses, and what a new discovery has, counts as known so many seconds after it.
 
-A call that fails tells little: discovery answers 503 after the same wait whether it is down or has
+A call that fails shows little: discovery answers 503 after the same wait whether it is down or has
 too many callers, and one that waits there when discovery returns may fail yet. So calls go on, down
-or not, at the slowest pace that keeps the bound: the next begins so soon after the one that failed
-began that it can take its time and still be answered. The first such wait is drawn over all of
-that, and the later ones keep the fleet as spread as the draw has made it: whenever discovery comes
-back, the calls come evenly over the bound.
+or not, at the slowest pace that keeps the deadline: the next begins so soon after the one that
+failed began that it can take its time and still be answered. The first such wait is drawn over all
+of that, and the later ones keep the fleet as spread as the draw has made it: whenever discovery
+comes back, the calls come evenly over the deadline.
 """
 
 from __future__ import annotations
@@ -26,31 +25,39 @@
 import random
 from enum import Enum
 
-SLOT_S = (
-    0.1  # for each gateway's call: lists that come sooner against the load of a whole fleet's calls
-)
-SPREAD_LEAST_S = (
-    1.0  # the spread grows to this at least: a few gateways need not hurry a service in trouble
-)
-SILENCE_S = 2.5  # with no sign of life a watch is broken: an empty line is due every 2 s
-ANSWER_S = 3.5  # for an answer's head: discovery fails a call that waited two or three for its turn
-SILENT_TOLD_S = 6.0  # after a watch fell silent, what it misses counts as told
-MOVED_TOLD_S = 4.0  # after SIGHUP, what the new discovery has counts as told
-FAILED_TOLD_S = (
-    6.0  # after a call failed, what discovery had, or has from its return on, counts as told
-)
-CALL_S = 2.0  # for a call to wait its turn and to be answered: what the spread leaves of each bound
-# of a call at discovery: what a fleet's calls must be spread over if they fail again and again
+# Spread for each gateway's call: lists that come sooner against the load of a whole fleet's calls.
+SLOT_S = 0.1
+# The spread grows to this at least: a few gateways need not hurry a failing service.
+MIN_SPREAD_S = 1.0
+# Keep-alive time-out of a watch: an empty line is due every 2 s.
+WATCH_TIMEOUT_S = 2.5
+# Time-out of a response's head: discovery fails a call that waited two or three for its turn.
+RESPONSE_TIMEOUT_S = 3.5
+# What a watch misses counts as known so long after it became unresponsive.
+UNRESPONSIVE_DEADLINE_S = 6.0
+# What the new discovery has counts as known so long after SIGHUP.
+MOVED_DEADLINE_S = 4.0
+# What discovery had, or has from its return on, counts as known so long after a call failed.
+FAILED_DEADLINE_S = 6.0
+# Time for a call to wait its turn and to be answered: what the spread leaves of each deadline.
+CALL_S = 2.0
+# Time of a call at discovery: what a fleet's calls must be spread over if they fail again and
+# again.
 TURN_S = 0.02
-STEADY_PART = (
-    0.95  # least part of a further wait: the fleet stays as spread as the first ones have made it
-)
-ASKING_PART = 0.6  # of the time for asking: the rest is for the call, and for changes not told yet
-PUSHED_AGAIN_S = 0.1  # where lists are pushed: what discovery has at its return counts at once
-REFUSED_AGAIN_S = 0.5  # the same after a list that made no sense: the next may be no better
-WAITED_S = 1.0  # a call that failed sooner took no turn there
-PATIENT_FAILURES = 4  # calls that waited in vain: more in a row than a short outage brings
-AGAIN_LEAST_S = 0.25  # the same where it is asked, while a bound is near
+# Least fraction of a further wait: the fleet stays as spread as the first ones have made it.
+MIN_JITTER_FRACTION = 0.95
+# Fraction of `ask_within`: the rest is for the call, and for changes that have not come yet.
+POLL_FRACTION = 0.6
+# Wait where lists are pushed: what discovery has at its return counts at once.
+PUSHED_RETRY_S = 0.1
+# The same after a list that was malformed: the next may be no better.
+PUSHED_MALFORMED_RETRY_S = 0.5
+# A call that failed sooner took no turn at discovery.
+MIN_TURN_S = 1.0
+# Calls that waited in vain: more in a row than a short outage brings.
+MAX_FAILURES_IN_SHORT_OUTAGE = 4
+# Least wait where gateways poll, while a deadline is near.
+MIN_RETRY_S = 0.25
 
 
 class Cause(Enum):
@@ -59,75 +66,96 @@
     START = "start"
     MOVED = "another discovery"
     ENDED = "the watch ended"
-    SILENT = "the watch fell silent"
+    UNRESPONSIVE = "the watch fell silent"
     UNANSWERED = "the call brought nothing at all"
     FAILED = "the call failed"
-    REFUSED = "its list made no sense"
+    MALFORMED = "its list made no sense"
 
 
-PUSHED_PAUSES_S = {
-    Cause.ENDED: PUSHED_AGAIN_S,
-    Cause.UNANSWERED: PUSHED_AGAIN_S,
-    Cause.FAILED: PUSHED_AGAIN_S,
-    Cause.REFUSED: REFUSED_AGAIN_S,
+# Waits where lists are pushed; none for other causes.
+PUSHED_WAITS_S = {
+    Cause.ENDED: PUSHED_RETRY_S,
+    Cause.UNANSWERED: PUSHED_RETRY_S,
+    Cause.FAILED: PUSHED_RETRY_S,
+    Cause.MALFORMED: PUSHED_MALFORMED_RETRY_S,
 }
-BOUNDS_S = {  # from the call's cause on
-    Cause.SILENT: SILENT_TOLD_S - SILENCE_S,
-    Cause.UNANSWERED: SILENT_TOLD_S - ANSWER_S,  # it may have fallen silent as it was made
-    Cause.MOVED: MOVED_TOLD_S,
+# Deadlines that run from the call's cause on.
+DEADLINES_S = {
+    Cause.UNRESPONSIVE: UNRESPONSIVE_DEADLINE_S - WATCH_TIMEOUT_S,
+    # The watch may have become unresponsive as it was made.
+    Cause.UNANSWERED: UNRESPONSIVE_DEADLINE_S - RESPONSE_TIMEOUT_S,
+    Cause.MOVED: MOVED_DEADLINE_S,
 }
 
 
 class CallPacing:
     """The waits of one gateway before its calls."""
 
-    def __init__(self, gateways: int, asks: bool, ask_within_s: float, seed: int) -> None:
-        self._slot_s, self._asks = SLOT_S * gateways, asks
-        self._in_time_s = FAILED_TOLD_S - CALL_S
-        self._lost_most_s = min(ASKING_PART * ask_within_s, self._in_time_s)
-        self._failed_s = min(max(SPREAD_LEAST_S, 4 * self._slot_s), self._in_time_s)
-        self._failed_most_s = max(self._failed_s, TURN_S * gateways)
+    def __init__(self, gateways: int, ask_within_s: float, seed: int, *, polls: bool) -> None:
+        """The pacing of one gateway.
+
+        Args:
+            gateways: How many share the discovery.
+            ask_within_s: The settings' time for a gateway with no watch to get a list.
+            seed: Its random source, which must differ among the gateways.
+            polls: Whether gateways request lists; else discovery pushes them.
+        """
+        self._slot_s = SLOT_S * gateways
+        self._polls = polls
+        self._in_time_s = FAILED_DEADLINE_S - CALL_S
+        self._max_spread_s = min(POLL_FRACTION * ask_within_s, self._in_time_s)
+        self._initial_failed_spread_s = min(max(MIN_SPREAD_S, 4 * self._slot_s), self._in_time_s)
+        self._max_failed_spread_s = max(self._initial_failed_spread_s, TURN_S * gateways)
         self._random = random.Random(seed)
-        self._failures = self._waited = (
-            0  # calls that failed, one after the other; those that took a turn
-        )
-        self._told_at = (
-            0.0  # until then the list must be here: the bound of a silent watch or a move
-        )
+        # Calls that failed, one after the other, and those of them that took a turn at discovery.
+        self._failures = 0
+        self._turns_failed = 0
+        # When the list must be here, after an unresponsive watch or a move.
+        self._deadline = 0.0
 
     def wait_s(self, cause: Cause, now: float, took_s: float = 0.0) -> float:
-        """Before the next call, from now on; `now` on any clock that never goes back. `took_s` is
-        how long the call took that failed.
+        """How long to wait before the next call.
+
+        Args:
+            cause: Why it is made.
+            now: The time in seconds of any clock that never goes back.
+            took_s: How long the call took that failed.
         """
-        self._failures = self._failures + 1 if cause is Cause.FAILED else 0
-        self._waited = self._waited + (took_s >= WAITED_S) if cause is Cause.FAILED else 0
+        if cause is Cause.FAILED:
+            self._failures += 1
+            self._turns_failed += took_s >= MIN_TURN_S
+        else:
+            self._failures = 0
+            self._turns_failed = 0
         draw = self._random.random()
-        if not self._asks:
-            return PUSHED_PAUSES_S.get(cause, 0.0) * (0.5 + 0.5 * draw)
-        if cause in BOUNDS_S:
-            self._told_at = now + BOUNDS_S[cause]
+        if not self._polls:
+            return PUSHED_WAITS_S.get(cause, 0.0) * (0.5 + 0.5 * draw)
+        if cause in DEADLINES_S:
+            self._deadline = now + DEADLINES_S[cause]
         elif cause is not Cause.FAILED:
-            self._told_at = 0.0
-        if self._failures > 1 and now >= self._told_at:
-            draw = STEADY_PART + (1.0 - STEADY_PART) * draw
+            self._deadline = 0.0
+        if self._failures > 1 and now >= self._deadline:
+            draw = MIN_JITTER_FRACTION + (1.0 - MIN_JITTER_FRACTION) * draw
         return draw * self._spread_s(cause, now, took_s)
 
     def _spread_s(self, cause: Cause, now: float, took_s: float) -> float:
-        if now < self._told_at:
-            return min(self._slot_s, max(AGAIN_LEAST_S, self._told_at - now - CALL_S))
+        if now < self._deadline:
+            return min(self._slot_s, max(MIN_RETRY_S, self._deadline - now - CALL_S))
         if cause is Cause.FAILED:
             return self._failed_spread_s(took_s)
-        least_s = SPREAD_LEAST_S if cause is Cause.REFUSED else 0.0
-        return min(max(least_s, self._slot_s), self._lost_most_s)
+        min_spread_s = MIN_SPREAD_S if cause is Cause.MALFORMED else 0.0
+        return min(max(min_spread_s, self._slot_s), self._max_spread_s)
 
     def _failed_spread_s(self, took_s: float) -> float:
-        """At first the bound runs from the begin of the call that failed. After many that waited in
+        """The spread after a failed call that took `took_s`.
+
+        At first the deadline runs from the begin of the call that failed. After many that waited in
         vain it runs from the end: it is still kept by the calls that begin after the return, and a
         queue that is too long becomes shorter. Only where the turns of all calls take longer than
-        the bound, which no pace could keep, the calls slow down to the pace of those turns: else
+        the deadline, which no pace could keep, the calls slow down to the pace of those turns: else
         the queue would stay too long.
         """
-        over = self._waited - PATIENT_FAILURES
+        over = self._turns_failed - MAX_FAILURES_IN_SHORT_OUTAGE
         if over < 0:
-            return max(AGAIN_LEAST_S, min(self._failed_s, self._in_time_s - took_s))
-        return min(self._failed_s * 2.0 ** min(over, 16), self._failed_most_s)
+            return max(MIN_RETRY_S, min(self._initial_failed_spread_s, self._in_time_s - took_s))
+        return min(self._initial_failed_spread_s * 2.0 ** min(over, 16), self._max_failed_spread_s)
--- a/tests/gateway/test_discovery.py
+++ b/tests/gateway/test_discovery.py
@@ -13,7 +13,15 @@
 import pytest
 
 from roselink.gateway import discovery
-from roselink.gateway.pacing import ANSWER_S, CALL_S, FAILED_TOLD_S, SILENCE_S, CallPacing, Cause
+from roselink.gateway.host_list import server_number
+from roselink.gateway.pacing import (
+    CALL_S,
+    FAILED_DEADLINE_S,
+    RESPONSE_TIMEOUT_S,
+    WATCH_TIMEOUT_S,
+    CallPacing,
+    Cause,
+)
 from tests.support.net import (
     Behaviour,
     Client,
@@ -112,7 +120,7 @@
 @on_loop
 async def test_a_silent_watch_begins_again(monkeypatch: pytest.MonkeyPatch) -> None:
     """An agent that is cut off says nothing, and a connection to it stays open for ever."""
-    monkeypatch.setattr(discovery, "SILENCE_S", 0.2)
+    monkeypatch.setattr(discovery, "WATCH_TIMEOUT_S", 0.2)
     async with world(serve_ok) as w, w.client() as client:
         await w.discovery.asked.get()
         assert (await client.ask()).status == 200
@@ -174,7 +182,7 @@
     trickle: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Bytes go on coming, each well before the time-out, but never a list or an empty line."""
-    monkeypatch.setattr(discovery, "SILENCE_S", 0.3)
+    monkeypatch.setattr(discovery, "WATCH_TIMEOUT_S", 0.3)
     async with world(serve_ok) as w:
         old = w.discovery.watches[0]
         w.discovery.send(trickle)
@@ -189,7 +197,7 @@
 async def test_an_answer_that_stalls_in_its_head_is_given_up(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(discovery, "ANSWER_S", 0.3)
+    monkeypatch.setattr(discovery, "RESPONSE_TIMEOUT_S", 0.3)
     host = await FakeHost("s-known").start()
 
     async def stall(message: Message, writer: asyncio.StreamWriter) -> None:
@@ -253,8 +261,8 @@
 
 
 def test_numbers_of_hosts_are_the_same_everywhere() -> None:
-    assert discovery.server_number("s-5be2a07c") == discovery.server_number("s-5be2a07c")
-    assert discovery.server_number("s-5be2a07c") != discovery.server_number("s-5be2a07d")
+    assert server_number("s-5be2a07c") == server_number("s-5be2a07c")
+    assert server_number("s-5be2a07c") != server_number("s-5be2a07d")
 
 
 async def successor(w: World, *entries: dict[str, Any]) -> FakeDiscovery:
@@ -318,11 +326,9 @@
         w.discovery.tell(*(host.entry(zone=zone) for host, zone in zip(hosts, zones, strict=True)))
         known = w.gateway.engine._balancer.state.servers
         await until(lambda: len(known) == 4)
-        attic, cellar, loft = (
-            known[discovery.server_number(host.name)].spec.zone for host in hosts
-        )
+        attic, cellar, loft = (known[server_number(host.name)].spec.zone for host in hosts)
         assert attic == loft != cellar
-        assert known[discovery.server_number(w.hosts[0].name)].spec.zone not in (attic, cellar)
+        assert known[server_number(w.hosts[0].name)].spec.zone not in (attic, cellar)
 
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -337,13 +343,13 @@
     ("behave", "cause"),
     [
         (hang, Cause.UNANSWERED),  # it may be a watch that fell silent before its answer
-        (say(HEAD), Cause.SILENT),
-        (say(HEAD + chunk(b"\n")), Cause.SILENT),
+        (say(HEAD), Cause.UNRESPONSIVE),
+        (say(HEAD + chunk(b"\n")), Cause.UNRESPONSIVE),
         (say(HEAD, end=True), Cause.ENDED),
         (say(HEAD + chunk(EMPTY), end=True), Cause.ENDED),
         (say(HEAD + chunk(EMPTY + b"[]\n")), Cause.ENDED),
         (say(HEAD + chunk(EMPTY) + b"no chunk\r\n"), Cause.ENDED),
-        (say(HEAD + chunk(b"[]\n")), Cause.REFUSED),
+        (say(HEAD + chunk(b"[]\n")), Cause.MALFORMED),
         (say(b"no HTTP\r\n\r\n"), Cause.FAILED),
         (say(answer(b"", "503 Busy")), Cause.FAILED),
         (break_off, Cause.FAILED),
@@ -354,8 +360,8 @@
     behave: Behaviour, cause: Cause, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Each has a time of its own by which the list must be here."""
-    monkeypatch.setattr(discovery, "ANSWER_S", 0.3)
-    monkeypatch.setattr(discovery, "SILENCE_S", 0.3)
+    monkeypatch.setattr(discovery, "RESPONSE_TIMEOUT_S", 0.3)
+    monkeypatch.setattr(discovery, "WATCH_TIMEOUT_S", 0.3)
     causes: list[Cause] = []
 
     def record(pacing: CallPacing, why: Cause, now: float, took_s: float = 0.0) -> float:
@@ -395,13 +401,17 @@
     the last of them began. The waits are those of service; they are added up here instead of waited
     for.
     """
-    for name in ("ANSWER_S", "SILENCE_S"):
+    for name in ("RESPONSE_TIMEOUT_S", "WATCH_TIMEOUT_S"):
         monkeypatch.setattr(discovery, name, 0.05)
     waits: list[float] = []
     wait_s = CallPacing.wait_s
 
     def add_up(pacing: CallPacing, cause: Cause, now: float, took_s: float = 0.0) -> float:
-        given_up_s = {Cause.UNANSWERED: ANSWER_S, Cause.SILENT: SILENCE_S}.get(cause, took_s)
+        timeouts_s = {
+            Cause.UNANSWERED: RESPONSE_TIMEOUT_S,
+            Cause.UNRESPONSIVE: WATCH_TIMEOUT_S,
+        }
+        given_up_s = timeouts_s.get(cause, took_s)
         now = 1000.0 + 6.0 * len(waits)  # as if waited for: past the bound of the call before
         waits.append(given_up_s + wait_s(pacing, cause, now, took_s))
         return 0.0
@@ -419,7 +429,7 @@
         if trouble is None:
             await agent.up()
         await until(lambda: not next(iter(gateway.engine.hosts.values())).ready)
-        assert max(waits[1:4]) + CALL_S <= FAILED_TOLD_S
+        assert max(waits[1:4]) + CALL_S <= FAILED_DEADLINE_S
 
 
 @pytest.mark.parametrize("lost", ["spoilt", "silent"])
@@ -427,7 +437,7 @@
 async def test_a_watch_lost_in_the_turn_of_a_reload_leaves_one_watch_of_the_new_discovery(
     lost: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(discovery, "SILENCE_S", 0.2 if lost == "silent" else 1000.0)
+    monkeypatch.setattr(discovery, "WATCH_TIMEOUT_S", 0.2 if lost == "silent" else 1000.0)
     async with world(serve_ok) as w:
         new = await FakeDiscovery(w.hosts[0].entry()).start()
         if lost == "silent":
@@ -436,7 +446,7 @@
             time.sleep(0.3)  # which falls due in this turn
         else:
             os.write(w.discovery.watches[-1].get_extra_info("socket").fileno(), b"no chunk\r\n")
-        monkeypatch.setattr(discovery, "SILENCE_S", 1000.0)
+        monkeypatch.setattr(discovery, "WATCH_TIMEOUT_S", 1000.0)
         w.gateway.discovery.follow(("127.0.0.1", new.port))
         assert await new.asked.get() == "/discovery/hosts"
         assert (await new.asked.get()).endswith("from=1")
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -21,8 +21,8 @@
     ServerList,
 )
 from roselink.gateway import server
-from roselink.gateway.discovery import server_number
 from roselink.gateway.engine import ClientRequest
+from roselink.gateway.host_list import server_number
 from roselink.gateway.server import RECEIVE_S, UNREAD_S
 from roselink.http import server as http_server
 from roselink.http import server_connection
--- a/tests/gateway/test_framing.py
+++ b/tests/gateway/test_json_framer.py
@@ -9,7 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from roselink.gateway.framing import Framer, Malformed
+from roselink.gateway.exceptions import MalformedListError
+from roselink.gateway.json_framer import JsonFramer
 
 texts = st.text(st.sampled_from('{}[]"\\,: \nab'), max_size=6)
 inner = st.recursive(
@@ -26,7 +27,7 @@
     values: list[Any], indent: int | str | None, step: int
 ) -> None:
     data = b"".join(json.dumps(value, indent=indent).encode() + b"\n" for value in values)
-    framer, got = Framer(4096), list[bytes]()
+    framer, got = JsonFramer(4096), list[bytes]()
     for start in range(0, len(data), step):
         got += framer.feed(data[start : start + step])
     assert [json.loads(value) for value in got if value] == values
@@ -35,7 +36,7 @@
 
 
 def test_a_value_counts_as_begun_until_its_end() -> None:
-    framer = Framer(100)
+    framer = JsonFramer(100)
     assert list(framer.feed(b' {"a":[1')) == []
     assert framer.within
     assert list(framer.feed(b"]} ")) == [b'{"a":[1]}']
@@ -46,8 +47,8 @@
     "data", [b"7", b"[1]", b"}", b'"{}"', b'{"a":1}x\n', b'{"a":"' + b"b" * 100, b'{"a":' * 20]
 )
 def test_what_is_no_object_or_too_large_is_refused(data: bytes) -> None:
-    with pytest.raises(Malformed):
-        list(Framer(100).feed(data))
+    with pytest.raises(MalformedListError):
+        list(JsonFramer(100).feed(data))
 
 
 def test_each_byte_is_looked_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -63,19 +64,19 @@
             looked += len(data) - at
             return self.inner.search(data, at)
 
-    for name in ("_STRUCTURE", "_IN_TEXT"):
+    for name in ("_STRUCTURE", "_IN_STRING"):
         monkeypatch.setattr(
-            f"roselink.gateway.framing.{name}", Counted(Framer.feed.__globals__[name])
+            f"roselink.gateway.json_framer.{name}", Counted(JsonFramer.feed.__globals__[name])
         )
     data = json.dumps({"instances": [{"id": "x" * 9}] * 500}, indent=1).encode()
-    framer = Framer(2**20)
+    framer = JsonFramer(2**20)
     got = [value for i in range(len(data)) for value in framer.feed(data[i : i + 1])]
     assert got == [data]
     assert looked <= len(data)
 
 
 def test_a_value_before_what_makes_no_sense_still_counts() -> None:
-    values = Framer(100).feed(b'{"a":1}x')
+    values = JsonFramer(100).feed(b'{"a":1}x')
     assert next(values) == b'{"a":1}'
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedListError):
         next(values)
--- a/tests/gateway/test_pacing.py
+++ b/tests/gateway/test_pacing.py
@@ -9,12 +9,12 @@
 import pytest
 
 from roselink.gateway.pacing import (
-    ANSWER_S,
     CALL_S,
-    FAILED_TOLD_S,
-    MOVED_TOLD_S,
-    SILENCE_S,
-    SILENT_TOLD_S,
+    FAILED_DEADLINE_S,
+    MOVED_DEADLINE_S,
+    RESPONSE_TIMEOUT_S,
+    UNRESPONSIVE_DEADLINE_S,
+    WATCH_TIMEOUT_S,
     CallPacing,
     Cause,
 )
@@ -25,7 +25,7 @@
 
 
 def asked(gateways: int, seed: int) -> CallPacing:
-    return CallPacing(gateways, True, ASKING_S, seed)
+    return CallPacing(gateways, ASKING_S, seed, polls=True)
 
 
 class Fleet:
@@ -122,7 +122,7 @@
     vain.
     """
     fleet = returned(gateways, service_s, 8.0, fails_after_s, seed)
-    assert fleet.told_after_s <= FAILED_TOLD_S
+    assert fleet.told_after_s <= FAILED_DEADLINE_S
     assert fleet.failed == 0
 
 
@@ -133,7 +133,7 @@
     """
     for gateways, service_s in ((20, 0.125), (40, 0.1), (60, 0.0625), (200, 0.02)):
         fleet = returned(gateways, service_s, down_s, PATIENCE_S, 1)
-        assert fleet.told_after_s <= FAILED_TOLD_S + 1.0
+        assert fleet.told_after_s <= FAILED_DEADLINE_S + 1.0
 
 
 @pytest.mark.parametrize("seed", range(2))
@@ -159,35 +159,35 @@
 def widest(
     cause: Cause, pushed: bool = False, asking_s: float = ASKING_S, gateways: int = 200
 ) -> float:
-    pacing = [CallPacing(gateways, not pushed, asking_s, seed) for seed in range(300)]
+    pacing = [CallPacing(gateways, asking_s, seed, polls=not pushed) for seed in range(300)]
     return max(one.wait_s(cause, 100.0) for one in pacing)
 
 
 @pytest.mark.parametrize("asking_s", [3.0, 10.0])
-@pytest.mark.parametrize("cause", [Cause.START, Cause.ENDED, Cause.REFUSED])
+@pytest.mark.parametrize("cause", [Cause.START, Cause.ENDED, Cause.MALFORMED])
 def test_a_list_is_asked_for_within_the_time_for_asking(cause: Cause, asking_s: float) -> None:
     bound = min(
-        0.6 * asking_s, FAILED_TOLD_S - CALL_S
+        0.6 * asking_s, FAILED_DEADLINE_S - CALL_S
     )  # its call may fail, and then this counts too
     assert 0.9 * bound < widest(cause, asking_s=asking_s) <= bound
 
 
 def test_what_a_silent_watch_misses_is_asked_for_before_it_counts_as_told() -> None:
-    assert SILENCE_S + widest(Cause.SILENT) + CALL_S <= SILENT_TOLD_S
+    assert WATCH_TIMEOUT_S + widest(Cause.UNRESPONSIVE) + CALL_S <= UNRESPONSIVE_DEADLINE_S
 
 
 def test_a_watch_that_fell_silent_before_its_answer_is_no_exception() -> None:
-    assert ANSWER_S + widest(Cause.UNANSWERED) + CALL_S <= SILENT_TOLD_S
+    assert RESPONSE_TIMEOUT_S + widest(Cause.UNANSWERED) + CALL_S <= UNRESPONSIVE_DEADLINE_S
 
 
 def test_a_new_discovery_is_asked_before_what_it_has_counts_as_told() -> None:
-    assert widest(Cause.MOVED) + CALL_S <= MOVED_TOLD_S
+    assert widest(Cause.MOVED) + CALL_S <= MOVED_DEADLINE_S
 
 
-@pytest.mark.parametrize("cause", [Cause.SILENT, Cause.MOVED])
+@pytest.mark.parametrize("cause", [Cause.UNRESPONSIVE, Cause.MOVED])
 def test_a_call_that_failed_while_a_bound_is_near_is_made_again_at_once(cause: Cause) -> None:
     for seed in range(100):
-        pacing = CallPacing(200, True, ASKING_S, seed)
+        pacing = CallPacing(200, ASKING_S, seed, polls=True)
         now = 100.0 + pacing.wait_s(cause, 100.0)
         assert pacing.wait_s(Cause.FAILED, now + 0.1) <= 2.0
         assert pacing.wait_s(Cause.FAILED, 103.4) <= 0.25
@@ -201,16 +201,16 @@
 ) -> None:
     """Discovery may have come back right after the begin of the call that failed."""
     for seed in range(100):
-        pacing = CallPacing(gateways, True, asking_s, seed)
+        pacing = CallPacing(gateways, asking_s, seed, polls=True)
         for _ in range(3):
-            assert took_s + pacing.wait_s(Cause.FAILED, 100.0, took_s) + CALL_S <= FAILED_TOLD_S
+            assert took_s + pacing.wait_s(Cause.FAILED, 100.0, took_s) + CALL_S <= FAILED_DEADLINE_S
 
 
 def test_many_calls_in_vain_may_slow_a_fleet_down_to_the_bound_from_their_end_and_no_more() -> None:
     pacing = asked(200, 7)
     assert (
         max(pacing.wait_s(Cause.FAILED, 0.0, PATIENCE_S) for _ in range(200)) + CALL_S
-        <= FAILED_TOLD_S
+        <= FAILED_DEADLINE_S
     )
 
 
@@ -219,16 +219,16 @@
     """All that discovery has counts as told from the first moment of a process, with a watch or
     without.
     """
-    assert widest(cause, pushed=True) <= (0.5 if cause is Cause.REFUSED else 0.1)
+    assert widest(cause, pushed=True) <= (0.5 if cause is Cause.MALFORMED else 0.1)
 
 
 @pytest.mark.parametrize("pushed", [True, False])
-@pytest.mark.parametrize("cause", [Cause.FAILED, Cause.REFUSED])
+@pytest.mark.parametrize("cause", [Cause.FAILED, Cause.MALFORMED])
 def test_no_cause_makes_a_storm_of_calls(cause: Cause, pushed: bool) -> None:
     """One gateway whose every call ends at once, against a discovery that is down or tells
     nonsense.
     """
-    pacing = CallPacing(1, not pushed, ASKING_S, 3)
+    pacing = CallPacing(1, ASKING_S, 3, polls=not pushed)
     now = 0.0
     for _ in range(200):
         now += pacing.wait_s(cause, now)
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -18,7 +18,8 @@
 import pytest
 
 import roselink.gateway.__main__
-from roselink.gateway.config import ConfigError, load
+from roselink.gateway.config import load
+from roselink.gateway.exceptions import ConfigError
 from tests.support.net import (
     Client,
     FakeDiscovery,
@@ -155,7 +156,13 @@
     "zlib",
 }
 # Of its own packages only these, and of `routing` the modules that both deciders use.
-OWN_PACKAGES = {"roselink.gateway", "roselink.http", "roselink.balancer", "roselink.routing"}
+OWN_PACKAGES = {
+    "roselink.gateway",
+    "roselink.http",
+    "roselink.balancer",
+    "roselink.routing",
+    "roselink.exceptions",
+}
 OF_ROUTING = {"latency_tracker", "outcome", "token_bucket"}
 
 
