--- a/roselink/controller/api.py
+++ b/roselink/controller/api.py
@@ -37,7 +37,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from roselink.controller.pull_server import GatewayLag
+    from roselink.controller.gateway_roster import GatewayLag
     from roselink.model.fleet import VersionVector
 
 MAX_BODY_BYTES = 16 * 1024 * 1024
--- /dev/null
+++ b/roselink/controller/gateway_roster.py
@@ -0,0 +1,157 @@
+"""Which gateways are live, as the tail infers it from their pulls. Sans I/O.
+
+A pull is also a gateway's heartbeat. The roster is the sorted list of the live gateways that serve;
+each change of it is a new version. `now` is in seconds of a steady clock.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from roselink.model.fleet import Member, VersionVector
+    from roselink.protocol.pull import Pull
+
+# Kept of each gateway, so that a delayed pull of a former start changes nothing.
+MAX_FORMER_INCARNATIONS = 8
+
+
+@dataclass(frozen=True, slots=True)
+class LivenessTimes:
+    """Bounds of failure detection, in seconds.
+
+    Attributes:
+        gateway_timeout_s: a gateway that has not pulled for so long is dropped.
+        collection_s: how long a new view's tail waits for pulls before its first roster.
+        stall_s: with no input for so long this member itself was stalled, and the gap does not
+            count against any gateway.
+    """
+
+    gateway_timeout_s: float = 1.2
+    collection_s: float = 0.6
+    stall_s: float = 0.6
+
+
+@dataclass(frozen=True, slots=True)
+class GatewayLag:
+    """A gateway as the tail sees it, for the status page, whose JSON has these field names.
+
+    Attributes:
+        name: the gateway's name.
+        address: its address for peers, "ip:port".
+        serving: whether it may own roles.
+        silent_s: seconds since its last pull.
+        configuration: the configuration's version that it had at its last pull.
+        hosts: how many versions of the host list it is behind.
+        roster: how many versions of the roster it is behind.
+    """
+
+    name: str
+    address: str
+    serving: bool
+    silent_s: float
+    configuration: int
+    hosts: int
+    roster: int
+
+
+@dataclass(slots=True)
+class _Gateway:
+    """What the tail knows of a gateway from its newest pull."""
+
+    member: Member
+    serving: bool
+    last_pull_at: float
+    vector: VersionVector
+    former: deque[int] = field(default_factory=lambda: deque(maxlen=MAX_FORMER_INCARNATIONS))
+
+
+class GatewayRoster:
+    """The gateways that pull, and the published roster with its version.
+
+    Attributes:
+        members: the published roster; None before a view's first.
+        version: the roster's version; 0 before a view's first.
+    """
+
+    def __init__(self, times: LivenessTimes) -> None:
+        """Begin without gateways."""
+        self.members: tuple[Member, ...] | None = None
+        self.version = 0
+        self._times = times
+        self._gateways: dict[str, _Gateway] = {}
+        self._collect_until = 0.0
+        self._last_input_at = 0.0
+
+    def input_received(self, now: float) -> None:
+        """Discount time in which this member was stalled: the gateways could not be received."""
+        pause_s = now - self._last_input_at
+        self._last_input_at = now
+        if pause_s > self._times.stall_s:
+            for gateway in self._gateways.values():
+                gateway.last_pull_at += pause_s
+
+    def view_changed(self, now: float, *, is_tail: bool) -> None:
+        """Begin a view: its roster is collected anew; only a tail keeps the gateways it knows."""
+        self.members = None
+        self.version = 0
+        self._collect_until = now + self._times.collection_s
+        if not is_tail:
+            self._gateways.clear()
+
+    def pull_received(self, now: float, pull: Pull) -> None:
+        """Count a pull as its gateway's heartbeat, unless it is of a former incarnation."""
+        member = pull.member
+        known = self._gateways.get(member.name)
+        if known is None:
+            self._gateways[member.name] = _Gateway(member, pull.serving, now, pull.vector)
+            return
+        if member.incarnation != known.member.incarnation:
+            if member.incarnation in known.former:
+                return
+            known.former.append(known.member.incarnation)
+        known.member = member
+        known.serving = pull.serving
+        known.last_pull_at = now
+        known.vector = pull.vector
+
+    def publish(self, now: float, next_version: Callable[[int], int]) -> None:
+        """Drop the gateways that timed out, and publish the roster if it has changed.
+
+        Args:
+            now: the time.
+            next_version: gives the version that follows the present one.
+        """
+        expired = [
+            name
+            for name, gateway in self._gateways.items()
+            if now - gateway.last_pull_at > self._times.gateway_timeout_s
+        ]
+        for name in expired:
+            del self._gateways[name]
+        if now < self._collect_until:
+            return
+        serving = [gateway.member for gateway in self._gateways.values() if gateway.serving]
+        members = tuple(sorted(serving, key=lambda member: member.name))
+        if members != self.members:
+            self.members = members
+            self.version = next_version(self.version)
+
+    def lags(self, now: float, hosts_version: int) -> tuple[GatewayLag, ...]:
+        """The live gateways by name, and how far behind each was at its last pull."""
+        return tuple(
+            GatewayLag(
+                gateway.member.name,
+                gateway.member.address,
+                gateway.serving,
+                round(now - gateway.last_pull_at, 3),
+                gateway.vector.configuration,
+                max(0, hosts_version - gateway.vector.hosts),
+                max(0, self.version - gateway.vector.roster),
+            )
+            for gateway in sorted(self._gateways.values(), key=lambda gateway: gateway.member.name)
+        )
--- a/roselink/controller/host_versions.py
+++ b/roselink/controller/host_versions.py
@@ -1,7 +1,6 @@
-"""The list of hosts at the tail: its versions, and what changed from one to the next. No I/O, no
-clock.
+"""The list of hosts at the tail: its versions, and the changes from one to the next. Sans I/O.
 
-What goes to gateways is encoded once, however many of them ask for it.
+What goes to gateways is encoded once, however many of them request it.
 """
 
 from __future__ import annotations
@@ -18,79 +17,96 @@
 
     from roselink.model.fleet import Host
 
-MOST_STEPS = 64  # versions back from the newest for which changes are known
-MOST_PART = 0.5  # of the list's length: more changes than that go as the whole list
+# Versions back from the newest for which changes are known.
+MAX_STEPS = 64
+# Of the list's length: more changes than that travel as the complete list.
+MAX_CHANGED_FRACTION = 0.5
+
+
+_Identity = tuple[str | int | bool | tuple[str, ...], ...]
 
 
 @dataclass(frozen=True, slots=True)
 class _Step:
-    """From the version `before` to the next one."""
+    """The changes from the version `base_version` to the next one."""
 
-    before: int
-    gone: tuple[str, ...]
+    base_version: int
+    removed: tuple[str, ...]
     put: tuple[Host, ...]
 
 
 class HostVersions:
-    """The newest list and its version; 0 while there is none."""
+    """The newest list and its versions.
+
+    Attributes:
+        hosts: the newest list by id; None while there is none.
+        version: its version; 0 while there is none.
+    """
 
     def __init__(self) -> None:
+        """Begin without a list."""
         self.hosts: tuple[Host, ...] | None = None
         self.version = 0
-        self._identities: dict[str, tuple[object, ...]] = {}
-        self._steps: deque[_Step] = deque(maxlen=MOST_STEPS)
-        self._whole: bytes | None = None
-        self._changes: dict[int, bytes | None] = {}
+        self._identities: dict[str, _Identity] = {}
+        self._steps: deque[_Step] = deque(maxlen=MAX_STEPS)
+        self._encoded_list: bytes | None = None
+        self._encoded_changes: dict[int, bytes | None] = {}
 
     def publish(self, hosts: tuple[Host, ...], next_version: Callable[[int], int]) -> None:
-        """Take a list in any order. It is a new version if a host in it is another one than
-        before.
+        """Publish a list in any order, as a new version if any host in it differs.
+
+        Args:
+            hosts: the complete list.
+            next_version: gives the version that follows the present one.
         """
         ordered = tuple(sorted(hosts, key=lambda host: host.id))
         identities = {host.id: _identity(host) for host in ordered}
         if self.hosts is not None:
-            gone = tuple(name for name in self._identities if name not in identities)
+            removed = tuple(name for name in self._identities if name not in identities)
             put = tuple(
                 host for host in ordered if self._identities.get(host.id) != identities[host.id]
             )
-            if not gone and not put:
+            if not removed and not put:
                 return
-            self._steps.append(_Step(self.version, gone, put))
-        self.hosts, self._identities = ordered, identities
+            self._steps.append(_Step(self.version, removed, put))
+        self.hosts = ordered
+        self._identities = identities
         self.version = next_version(self.version)
-        self._whole, self._changes = None, {}
+        self._encoded_list = None
+        self._encoded_changes = {}
 
-    def whole(self) -> bytes | None:
+    def encoded_list(self) -> bytes | None:
         """The newest list, encoded as a `HostList`; None while there is none."""
-        if self._whole is None and self.hosts is not None:
-            self._whole = encode(HostList(self.hosts))
-        return self._whole
+        if self._encoded_list is None and self.hosts is not None:
+            self._encoded_list = encode(HostList(self.hosts))
+        return self._encoded_list
+
+    def encoded_changes(self, base_version: int) -> bytes | None:
+        """The changes since an older version, encoded as `HostChanges`.
 
-    def since(self, held: int) -> bytes | None:
-        """What changed from an older version, encoded as `HostChanges`; None where only the whole
-        list will do.
+        None where they are not known, or so many that the complete list is the better reply.
         """
-        if held not in self._changes:
-            self._changes[held] = self._merged(held)
-        return self._changes[held]
+        if base_version not in self._encoded_changes:
+            self._encoded_changes[base_version] = self._merged(base_version)
+        return self._encoded_changes[base_version]
 
-    def _merged(self, held: int) -> bytes | None:
+    def _merged(self, base_version: int) -> bytes | None:
         latest: dict[str, Host | None] = {}
         known = False
         for step in self._steps:
-            known = known or step.before == held
+            known = known or step.base_version == base_version
             if known:
-                latest.update(dict.fromkeys(step.gone))
+                latest.update(dict.fromkeys(step.removed))
                 latest.update((host.id, host) for host in step.put)
-        if not known or self.hosts is None or len(latest) > MOST_PART * len(self.hosts):
+        if not known or self.hosts is None or len(latest) > MAX_CHANGED_FRACTION * len(self.hosts):
             return None
-        gone = tuple(name for name, host in latest.items() if host is None)
+        removed = tuple(name for name, host in latest.items() if host is None)
         put = tuple(host for host in latest.values() if host is not None)
-        return encode(HostChanges(held, gone, put))
+        return encode(HostChanges(base_version, removed, put))
 
 
-def _identity(host: Host) -> tuple[object, ...]:
-    """What makes a host another one to a gateway: all but how much of its warm-up is left."""
+def _identity(host: Host) -> _Identity:
+    """The fields in which a host differs to a gateway: all but the warm-up time that is left."""
     return (
         host.id,
         host.service,
--- a/roselink/controller/payoffs.py
+++ b/roselink/controller/payoffs.py
@@ -1,8 +1,8 @@
-"""Payoffs of hosts, pooled from what all gateways report. Sans I/O; `now` in seconds of a steady
-clock.
+"""Payoffs of hosts, pooled from the reports of all gateways. Sans I/O.
 
-Evidence halves with time, and what is kept of it is bounded: a host that recovers is believed soon.
-A host that few requests reach any more, since it is avoided, returns by that alone.
+A host's payoff is its fraction of served outcomes. Evidence decays exponentially and its weight is
+bounded, so that a host which recovers is trusted soon. A host that few requests reach any more,
+since it is avoided, returns by the decay alone. `now` is in seconds of a steady clock.
 """
 
 from __future__ import annotations
@@ -16,75 +16,88 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-HALF_S = 2.0
-MOST_WEIGHT = 12.0  # outcomes that are remembered of a host
-LEAST_WEIGHT = 0.05  # below, a host is forgotten
-PRIOR = 1.0  # outcomes that speak for a host before any came
-FALLEN = 0.75  # payoffs below this are told
-STEP = 5  # hundredths that payoffs are rounded to, so that what is told changes seldom
-PUBLISH_S = 0.1  # between two sums
-MOST_HOSTS = 4096
-MOST_COUNT = 1000  # of a report's own figures
+HALF_LIFE_S = 2.0
+# Outcomes that are remembered of a host.
+MAX_WEIGHT = 12.0
+# Below this weight a host is forgotten.
+MIN_WEIGHT = 0.05
+# Served outcomes that are assumed of a host before any came.
+PRIOR_SERVED = 1.0
+# Payoffs below this are published.
+PUBLISH_BELOW = 0.75
+# Payoffs are rounded to multiples of this, so that the published record changes seldom.
+ROUNDING_PERCENT = 5
+# Between two encodings of the published record.
+PUBLISH_INTERVAL_S = 0.1
+MAX_HOSTS = 4096
+# Of the outcomes of one host in one report.
+MAX_REPORTED_COUNT = 1000
 
 
 @dataclass(slots=True)
 class _Evidence:
+    """A host's decayed outcomes as of the time `at`."""
+
     served: float
     missed: float
     at: float
 
     def age(self, now: float) -> None:
-        kept = 0.5 ** (max(0.0, now - self.at) / HALF_S)
-        self.served, self.missed, self.at = (
-            self.served * kept,
-            self.missed * kept,
-            max(self.at, now),
-        )
+        decay = 0.5 ** (max(0.0, now - self.at) / HALF_LIFE_S)
+        self.served *= decay
+        self.missed *= decay
+        self.at = max(self.at, now)
 
     def add(self, served: int, missed: int) -> None:
-        self.served += min(MOST_COUNT, max(0, served))
-        self.missed += min(MOST_COUNT, max(0, missed))
-        excess = (self.served + self.missed) / MOST_WEIGHT
+        self.served += min(MAX_REPORTED_COUNT, max(0, served))
+        self.missed += min(MAX_REPORTED_COUNT, max(0, missed))
+        excess = (self.served + self.missed) / MAX_WEIGHT
         if excess > 1.0:
-            self.served, self.missed = self.served / excess, self.missed / excess
+            self.served /= excess
+            self.missed /= excess
 
     def payoff(self) -> float:
-        return (self.served + PRIOR) / (self.served + self.missed + PRIOR)
+        return (self.served + PRIOR_SERVED) / (self.served + self.missed + PRIOR_SERVED)
 
 
 class PayoffPool:
     """The evidence of one member while it is the tail."""
 
     def __init__(self) -> None:
+        """Begin without evidence."""
         self._hosts: dict[str, _Evidence] = {}
-        self._told = b""
-        self._summed_at = float("-inf")
+        self._encoded = b""
+        self._encoded_at = float("-inf")
 
-    def heard(self, now: float, outcomes: Iterable[HostOutcomes]) -> None:
-        """A gateway's report."""
+    def add_report(self, now: float, outcomes: Iterable[HostOutcomes]) -> None:
+        """Add a gateway's report."""
         for outcome in outcomes:
             known = self._hosts.get(outcome.host)
             if known is None:
-                if len(self._hosts) >= MOST_HOSTS:
+                if len(self._hosts) >= MAX_HOSTS:
                     continue
                 known = self._hosts[outcome.host] = _Evidence(0.0, 0.0, now)
             known.age(now)
             known.add(outcome.served, outcome.missed)
 
-    def told(self, now: float) -> bytes:
-        """The `PooledPayoffs` record to send; empty when no host's payoff has fallen."""
-        if now - self._summed_at >= PUBLISH_S:
-            self._summed_at = now
-            fallen = self._fallen(now)
-            self._told = encode(PooledPayoffs(fallen)) if fallen else b""
-        return self._told
+    def encoded(self, now: float) -> bytes:
+        """The `PooledPayoffs` record to send; empty when no host's payoff is low."""
+        if now - self._encoded_at >= PUBLISH_INTERVAL_S:
+            self._encoded_at = now
+            low = self._low_payoffs(now)
+            self._encoded = encode(PooledPayoffs(low)) if low else b""
+        return self._encoded
 
-    def _fallen(self, now: float) -> tuple[HostPayoff, ...]:
-        fallen = []
+    def _low_payoffs(self, now: float) -> tuple[HostPayoff, ...]:
+        low = []
         for name, evidence in list(self._hosts.items()):
             evidence.age(now)
-            if evidence.served + evidence.missed < LEAST_WEIGHT:
+            if evidence.served + evidence.missed < MIN_WEIGHT:
                 del self._hosts[name]
-            elif evidence.payoff() < FALLEN:
-                fallen.append(HostPayoff(name, STEP * round(evidence.payoff() * 100 / STEP)))
-        return tuple(sorted(fallen, key=lambda entry: entry.host))
+            elif evidence.payoff() < PUBLISH_BELOW:
+                low.append(
+                    HostPayoff(
+                        name, ROUNDING_PERCENT * round(evidence.payoff() * 100 / ROUNDING_PERCENT)
+                    )
+                )
+        return tuple(sorted(low, key=lambda entry: entry.host))
--- a/roselink/controller/pull_driver.py
+++ b/roselink/controller/pull_driver.py
@@ -5,52 +5,67 @@
 import itertools
 import time
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any, Protocol
+from typing import TYPE_CHECKING, Protocol
 
-from roselink.controller.pull_server import (
-    Answer,
-    AnswerChanges,
-    Confirm,
-    Forward,
+from roselink.controller.pull_effects import (
+    AnyReply,
     ForwardedChangesPull,
     ForwardedPull,
-    GatewayLag,
+    ForwardToTail,
     PullEffect,
-    PullServer,
-    PullTimes,
+    RequestConfirmation,
+    SendChangesReply,
+    SendReply,
 )
+from roselink.controller.pull_server import PullServer
 from roselink.protocol.pull import ChangesPull, ChangesReply, Pull, PullReply
 
 if TYPE_CHECKING:
     from roselink.controller.chain_interface import Address, Confirmation, ReplicatedChain
+    from roselink.controller.gateway_roster import GatewayLag, LivenessTimes
     from roselink.model.fleet import Host, VersionVector
 
+# Of a call to the tail with a forwarded pull.
 FORWARD_TIMEOUT_S = 0.4
 
-Reply = Callable[[Any], None]
+Reply = Callable[[AnyReply], None]
 
 
 class Caller(Protocol):
-    """What the service needs of a `PeerPool`."""
+    """What the driver needs of a `PeerPool`."""
 
     def call(
-        self, address: Address, message: object, timeout_s: float, done: Callable[[Any], None]
+        self,
+        address: Address,
+        message: ForwardedPull | ForwardedChangesPull,
+        timeout_s: float,
+        done: Callable[[object], None],
     ) -> None:
-        """Send a call; `done` gets the answer, or None."""
+        """Send a call; `done` gets the reply, or None within `timeout_s`."""
 
 
 class PullDriver:
-    """Answers the pulls that come to one member."""
+    """Replies to the pulls that come to one member."""
 
     def __init__(
         self,
         node: ReplicatedChain,
         pool: Caller,
-        times: PullTimes | None = None,
+        times: LivenessTimes | None = None,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        self._node, self._pool, self._clock = node, pool, clock
-        self._desk = PullServer(times)
+        """Make the driver; `start` lets it follow the chain.
+
+        Args:
+            node: the replicated chain.
+            pool: the connections to the other members.
+            times: bounds of the gateways' liveness.
+            clock: a steady clock, in seconds.
+        """
+        self._node = node
+        self._pool = pool
+        self._clock = clock
+        self._server = PullServer(times)
         self._replies: dict[int, Reply] = {}
         self._numbers = itertools.count(1)
 
@@ -63,65 +78,75 @@
         """Take over the node's view."""
         node = self._node
         self._apply(
-            self._desk.view_changed(
-                self._clock(), node.epoch, node.is_tail, node.tail, node.core_addresses()
+            self._server.view_changed(
+                self._clock(),
+                node.epoch,
+                node.tail,
+                node.core_addresses(),
+                is_tail=node.is_tail,
             )
         )
 
     def handle(self, peer: Address, message: object, reply: Reply) -> bool:
         """Take a record of the pull service; False for any other."""
         if isinstance(message, Pull):
-            self._take(message, reply, forwarded=False)
+            self._receive(message, reply, forwarded=False)
         elif isinstance(message, ForwardedPull):
-            self._take(message.pull, reply, forwarded=True)
+            self._receive(message.pull, reply, forwarded=True)
         elif isinstance(message, ChangesPull):
-            self._take(message.pull, reply, forwarded=False, changes=True)
+            self._receive(message.pull, reply, forwarded=False, changes=True)
         elif isinstance(message, ForwardedChangesPull):
-            self._take(message.pull, reply, forwarded=True, changes=True)
+            self._receive(message.pull, reply, forwarded=True, changes=True)
         else:
             return False
         return True
 
     def hosts_listed(self, epoch: int, hosts: tuple[Host, ...]) -> None:
-        """Publish a whole list of hosts that was read in view `epoch`."""
-        self._apply(self._desk.hosts_listed(self._clock(), epoch, hosts))
+        """Publish a complete list of hosts that was read in view `epoch`."""
+        self._apply(self._server.hosts_listed(self._clock(), epoch, hosts))
 
     @property
     def versions(self) -> VersionVector:
         """The versions that this member has published."""
-        return self._desk.versions
+        return self._server.versions
 
     def lags(self) -> tuple[GatewayLag, ...]:
-        """The gateways heard by the tail, for people."""
-        return self._desk.lags(self._clock())
+        """The gateways that pull from the tail, for the status page."""
+        return self._server.lags(self._clock())
 
-    def _take(self, pull: Pull, reply: Reply, forwarded: bool, changes: bool = False) -> None:
+    def _receive(self, pull: Pull, reply: Reply, *, forwarded: bool, changes: bool = False) -> None:
         number = next(self._numbers)
         self._replies[number] = reply
-        self._desk.cores_changed(self._node.core_addresses())
-        self._apply(self._desk.pull(self._clock(), number, pull, forwarded, changes))
+        self._server.cores_changed(self._node.core_addresses())
+        self._apply(
+            self._server.pull_received(
+                self._clock(), number, pull, forwarded=forwarded, changes=changes
+            )
+        )
 
     def _apply(self, effects: list[PullEffect]) -> None:
         for effect in effects:
             match effect:
-                case Confirm(number):
-                    self._node.confirm(self._when_confirmed(number))
-                case Forward(number, tail, message):
-                    self._pool.call(tail, message, FORWARD_TIMEOUT_S, self._when_forwarded(number))
-                case Answer(number, answer):
-                    self._replies.pop(number)(answer)
-                case AnswerChanges(number, changes):
-                    self._replies.pop(number)(changes)
-
-    def _when_confirmed(self, number: int) -> Callable[[Confirmation | None], None]:
+                case RequestConfirmation(number):
+                    self._node.confirm(self._on_confirmation(number))
+                case ForwardToTail(number, tail, message):
+                    self._pool.call(
+                        tail, message, FORWARD_TIMEOUT_S, self._on_forward_reply(number)
+                    )
+                case SendReply(number, reply):
+                    self._replies.pop(number)(reply)
+                case SendChangesReply(number, changes_reply):
+                    self._replies.pop(number)(changes_reply)
+
+    def _on_confirmation(self, number: int) -> Callable[[Confirmation | None], None]:
         def done(confirmation: Confirmation | None) -> None:
-            self._apply(self._desk.confirmed(self._clock(), number, confirmation))
+            self._apply(self._server.confirmation_received(self._clock(), number, confirmation))
 
         return done
 
-    def _when_forwarded(self, number: int) -> Callable[[Any], None]:
-        def done(answer: Any) -> None:
-            reply = answer if isinstance(answer, PullReply | ChangesReply) else None
-            self._apply(self._desk.forwarded(self._clock(), number, reply))
+    def _on_forward_reply(self, number: int) -> Callable[[object], None]:
+        def done(received: object) -> None:
+            reply = received if isinstance(received, PullReply | ChangesReply) else None
+            self._apply(self._server.forward_completed(self._clock(), number, reply))
 
         return done
--- /dev/null
+++ b/roselink/controller/pull_effects.py
@@ -0,0 +1,67 @@
+"""The pull server's effects, and the records with which a member forwards a pull to the tail."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+from roselink.protocol.pull import ChangesReply, Pull, PullReply
+from roselink.protocol.records import record
+
+if TYPE_CHECKING:
+    from roselink.controller.chain_interface import Address
+
+
+@record(64)
+@dataclass(frozen=True, slots=True)
+class ForwardedPull:
+    """A pull that a member forwards to the tail; replied to like the pull itself.
+
+    It is never forwarded again.
+    """
+
+    pull: Pull
+
+
+@record(65)
+@dataclass(frozen=True, slots=True)
+class ForwardedChangesPull:
+    """The same for a `ChangesPull`."""
+
+    pull: Pull
+
+
+@dataclass(frozen=True, slots=True)
+class RequestConfirmation:
+    """Begin a confirmed read; its end comes back as `confirmation_received` with this number."""
+
+    number: int
+
+
+@dataclass(frozen=True, slots=True)
+class ForwardToTail:
+    """Call the tail; its reply, or None, comes back as `forward_completed` with this number."""
+
+    number: int
+    tail: Address
+    message: ForwardedPull | ForwardedChangesPull
+
+
+@dataclass(frozen=True, slots=True)
+class SendReply:
+    """The reply to the pull that came with this number."""
+
+    number: int
+    reply: PullReply
+
+
+@dataclass(frozen=True, slots=True)
+class SendChangesReply:
+    """The reply to the `ChangesPull` that came with this number."""
+
+    number: int
+    reply: ChangesReply
+
+
+AnyReply = PullReply | ChangesReply
+PullEffect = RequestConfirmation | ForwardToTail | SendReply | SendChangesReply
--- a/roselink/controller/pull_server.py
+++ b/roselink/controller/pull_server.py
@@ -1,349 +1,165 @@
-"""The pull service of one core member: what each gateway misses, and which gateways live. Sans I/O.
+"""The pull service of one core member: which pulls wait, and for what. Sans I/O.
 
-The tail of the active view answers; any other member sends a pull on to the tail, one hop only.
-Every answer waits for a confirmation that was begun after its pull came. What the tail knows beside
-the configuration (hosts, live gateways) is collected anew in every view: a newer view's version is
-never older in content.
+The tail of the active view replies; any other member forwards a pull to the tail, one hop only.
+Every reply waits for a confirmation that was begun after its pull came, so a gateway learns all
+that was acknowledged before it sent the pull. What the tail knows beside the configuration (hosts,
+live gateways, payoffs) is collected anew in every view: a newer view's version is never older in
+content.
 
 Inputs are methods with `now` in seconds of a steady clock; each returns its effects.
 """
 
 from __future__ import annotations
 
-import zlib
-from collections import deque
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from roselink.controller.host_versions import HostVersions
-from roselink.controller.payoffs import PayoffPool
-from roselink.model.fleet import Host, Member, VersionVector
+from roselink.controller.gateway_roster import GatewayLag, GatewayRoster, LivenessTimes
+from roselink.controller.pull_effects import (
+    AnyReply,
+    ForwardedChangesPull,
+    ForwardedPull,
+    ForwardToTail,
+    PullEffect,
+    RequestConfirmation,
+    SendChangesReply,
+    SendReply,
+)
+from roselink.controller.pull_replies import ReplyBuilder, unconfirmed_reply
+from roselink.model.fleet import Host, VersionVector
 from roselink.protocol.pull import ChangesReply, Pull, PullReply
-from roselink.protocol.records import record
 
 if TYPE_CHECKING:
     from roselink.controller.chain_interface import Address, Confirmation
 
+# Versions of hosts and roster: the view's epoch above these bits, a counter in them.
 EPOCH_SHIFT = 32
-COMPRESSION = 1  # zlib's fastest: documents repeat themselves so much that more effort gains little
-FORMER_INCARNATIONS = (
-    8  # kept of each gateway, so that a late pull of a former start changes nothing
-)
-
-
-@record(64)
-@dataclass(frozen=True, slots=True)
-class ForwardedPull:
-    """A pull that a member sends on to the tail; answered like the pull itself, and never sent on
-    again.
-    """
-
-    pull: Pull
-
-
-@record(65)
-@dataclass(frozen=True, slots=True)
-class ForwardedChangesPull:
-    """The same for a `ChangesPull`."""
-
-    pull: Pull
-
-
-@dataclass(frozen=True, slots=True)
-class PullTimes:
-    """Bounds of the service, in seconds.
-
-    `silence_s`: a gateway that has not pulled for so long is gone. `collect_s`: how long a new
-    view's tail waits for pulls before its first roster. `pause_s`: with no input for so long the
-    member itself stood still, and no gateway's silence counts.
-    """
-
-    silence_s: float = 1.2
-    collect_s: float = 0.6
-    pause_s: float = 0.6
-
-
-@dataclass(frozen=True, slots=True)
-class Confirm:
-    """Begin a confirmed read; its end comes back as `confirmed` with this number."""
-
-    number: int
-
-
-@dataclass(frozen=True, slots=True)
-class Forward:
-    """Ask the tail; its reply, or None, comes back as `forwarded` with this number."""
-
-    number: int
-    tail: Address
-    message: ForwardedPull | ForwardedChangesPull
-
-
-@dataclass(frozen=True, slots=True)
-class Answer:
-    """The reply to the pull that came with this number."""
-
-    number: int
-    reply: PullReply
-
-
-@dataclass(frozen=True, slots=True)
-class AnswerChanges:
-    """The reply to the `ChangesPull` that came with this number."""
-
-    number: int
-    reply: ChangesReply
-
-
-AnyReply = PullReply | ChangesReply
-PullEffect = Confirm | Forward | Answer | AnswerChanges
 
 
 @dataclass(frozen=True, slots=True)
-class _Waiting:
-    """A pull without its answer. `changes`: it came as a `ChangesPull`."""
+class _PendingPull:
+    """A pull without its reply. `changes`: it came as a `ChangesPull`."""
 
     pull: Pull
     changes: bool
 
 
-@dataclass(slots=True)
-class _Gateway:
-    """What the tail knows of a gateway."""
-
-    member: Member
-    serving: bool
-    heard_at: float
-    vector: VersionVector
-    former: deque[int] = field(default_factory=lambda: deque(maxlen=FORMER_INCARNATIONS))
-
-
-@dataclass(frozen=True, slots=True)
-class GatewayLag:
-    """A gateway as the tail sees it, for people: versions it misses, and how long it has been
-    silent.
-    """
-
-    name: str
-    address: str
-    serving: bool
-    silent_s: float
-    configuration: int
-    hosts: int
-    roster: int
-
-
 class PullServer:
     """The state of the pull service in one member."""
 
-    def __init__(self, times: PullTimes | None = None) -> None:
-        self._times = times or PullTimes()
+    def __init__(self, times: LivenessTimes | None = None) -> None:
+        """Begin without a view: every pull gets an unconfirmed reply."""
         self._epoch = 0
         self._is_tail = False
         self._tail: Address | None = None
         self._cores: tuple[str, ...] = ()
-        self._waiting: dict[int, _Waiting] = {}
-        self._gateways: dict[str, _Gateway] = {}
-        self._collect_until = 0.0
-        self._last_input = 0.0
-        self._roster: tuple[Member, ...] | None = None
-        self._roster_version = 0
-        self._hosts = HostVersions()
-        self._payoffs = PayoffPool()
-        self._newest: tuple[int, bytes] | None = (
-            None  # a configuration's sequence and compressed document
-        )
+        self._pending: dict[int, _PendingPull] = {}
+        self._roster = GatewayRoster(times or LivenessTimes())
+        self._replies = ReplyBuilder(self._roster)
 
     @property
     def versions(self) -> VersionVector:
-        """The versions that this member has published in its view; the configuration's is the
-        chain's.
+        """The versions that this member has published in its view.
+
+        The configuration's is 0 here: the chain has it.
         """
-        return VersionVector(0, self._hosts.version, self._roster_version)
+        return VersionVector(0, self._replies.hosts.version, self._roster.version)
 
     def view_changed(
-        self, now: float, epoch: int, is_tail: bool, tail: Address | None, cores: tuple[str, ...]
+        self, now: float, epoch: int, tail: Address | None, cores: tuple[str, ...], *, is_tail: bool
     ) -> list[PullEffect]:
-        """The active view, or what is known of it, is another. Open questions end at their own
-        time-outs.
+        """The active view, or what is known of it, has changed.
+
+        Pending pulls end at their own time-outs.
+
+        Args:
+            now: the time.
+            epoch: the view's number.
+            tail: the peer address of the view's tail, if one is known.
+            cores: the peer addresses ("ip:port") of the core's members.
+            is_tail: whether this member is the tail of the active view.
         """
-        self._note(now)
-        self._tail, self._cores = tail, cores
+        self._roster.input_received(now)
+        self._tail = tail
+        self._cores = cores
         if epoch == self._epoch and is_tail == self._is_tail:
             return []
-        self._epoch, self._is_tail = epoch, is_tail
-        self._hosts = HostVersions()
-        self._roster, self._roster_version = None, 0
-        self._payoffs = PayoffPool()
-        self._collect_until = now + self._times.collect_s
-        if not is_tail:
-            self._gateways.clear()
+        self._epoch = epoch
+        self._is_tail = is_tail
+        self._replies.view_changed()
+        self._roster.view_changed(now, is_tail=is_tail)
         return []
 
     def cores_changed(self, cores: tuple[str, ...]) -> None:
-        """The members of the core are others, in the same view."""
+        """The members of the core have changed, in the same view."""
         self._cores = cores
 
-    def pull(
-        self, now: float, number: int, pull: Pull, forwarded: bool = False, changes: bool = False
+    def pull_received(
+        self, now: float, number: int, pull: Pull, *, forwarded: bool = False, changes: bool = False
     ) -> list[PullEffect]:
-        """A pull came, from a gateway or `forwarded` by another member; `changes`: as a
-        `ChangesPull`.
+        """A pull came.
+
+        Args:
+            now: the time.
+            number: the driver's number for this pull.
+            pull: the pull.
+            forwarded: it came from another member, and must not be forwarded again.
+            changes: it came as a `ChangesPull`.
         """
-        self._note(now)
+        self._roster.input_received(now)
         if self._is_tail:
-            self._heard(now, pull)
-            self._payoffs.heard(now, pull.outcomes)
-            self._waiting[number] = _Waiting(pull, changes)
-            return [Confirm(number)]
+            self._roster.pull_received(now, pull)
+            self._replies.payoffs.add_report(now, pull.outcomes)
+            self._pending[number] = _PendingPull(pull, changes)
+            return [RequestConfirmation(number)]
         if forwarded or self._tail is None:
-            return [self._unconfirmed(number, changes)]
-        self._waiting[number] = _Waiting(pull, changes)
+            return [unconfirmed_reply(number, self._cores, changes=changes)]
+        self._pending[number] = _PendingPull(pull, changes)
         message = ForwardedChangesPull(pull) if changes else ForwardedPull(pull)
-        return [Forward(number, self._tail, message)]
+        return [ForwardToTail(number, self._tail, message)]
 
-    def forwarded(
-        self, now: float, number: int, reply: PullReply | ChangesReply | None
+    def forward_completed(
+        self, now: float, number: int, reply: AnyReply | None
     ) -> list[PullEffect]:
-        """The tail's reply to a pull that was sent on, or None."""
-        self._note(now)
-        waiting = self._waiting.pop(number, None)
-        if waiting is None:
+        """The tail's reply to a pull that was forwarded, or None."""
+        self._roster.input_received(now)
+        pending = self._pending.pop(number, None)
+        if pending is None:
             return []
-        if waiting.changes and isinstance(reply, ChangesReply):
-            return [AnswerChanges(number, reply)]
-        if not waiting.changes and isinstance(reply, PullReply):
-            return [Answer(number, reply)]
-        return [self._unconfirmed(number, waiting.changes)]
+        if pending.changes and isinstance(reply, ChangesReply):
+            return [SendChangesReply(number, reply)]
+        if not pending.changes and isinstance(reply, PullReply):
+            return [SendReply(number, reply)]
+        return [unconfirmed_reply(number, self._cores, changes=pending.changes)]
 
-    def confirmed(
+    def confirmation_received(
         self, now: float, number: int, confirmation: Confirmation | None
     ) -> list[PullEffect]:
-        """The end of a confirmed read."""
-        self._note(now)
-        waiting = self._waiting.pop(number, None)
-        if waiting is None:
+        """The end of a confirmed read; None when nothing could be confirmed."""
+        self._roster.input_received(now)
+        pending = self._pending.pop(number, None)
+        if pending is None:
             return []
         if confirmation is None or not self._is_tail or confirmation.epoch != self._epoch:
-            return [self._unconfirmed(number, waiting.changes)]
-        self._publish_roster(now)
-        if waiting.changes:
-            return [
-                AnswerChanges(number, self._changes_reply(now, waiting.pull.vector, confirmation))
-            ]
-        return [Answer(number, self._reply(now, waiting.pull.vector, confirmation))]
+            return [unconfirmed_reply(number, self._cores, changes=pending.changes)]
+        self._roster.publish(now, self._next_version)
+        current = pending.pull.vector
+        if pending.changes:
+            changes = self._replies.changes_reply(now, current, confirmation, self._cores)
+            return [SendChangesReply(number, changes)]
+        return [SendReply(number, self._replies.reply(now, current, confirmation, self._cores))]
 
     def hosts_listed(self, now: float, epoch: int, hosts: tuple[Host, ...]) -> list[PullEffect]:
-        """A whole list of hosts, read from its first page on in view `epoch`."""
-        self._note(now)
+        """A complete list of hosts, read from its first page on in view `epoch`."""
+        self._roster.input_received(now)
         if not self._is_tail or epoch != self._epoch:
             return []
-        self._hosts.publish(hosts, self._next_version)
+        self._replies.hosts.publish(hosts, self._next_version)
         return []
 
     def lags(self, now: float) -> tuple[GatewayLag, ...]:
-        """The gateways that the tail hears, and how far behind each was at its last pull."""
-        return tuple(
-            GatewayLag(
-                gateway.member.name,
-                gateway.member.address,
-                gateway.serving,
-                round(now - gateway.heard_at, 3),
-                gateway.vector.configuration,
-                max(0, self._hosts.version - gateway.vector.hosts),
-                max(0, self._roster_version - gateway.vector.roster),
-            )
-            for gateway in sorted(self._gateways.values(), key=lambda gateway: gateway.member.name)
-        )
-
-    def _note(self, now: float) -> None:
-        """Time in which this member stood still is no silence of the gateways."""
-        pause = now - self._last_input
-        self._last_input = now
-        if pause > self._times.pause_s:
-            for gateway in self._gateways.values():
-                gateway.heard_at += pause
-
-    def _heard(self, now: float, pull: Pull) -> None:
-        member = pull.member
-        known = self._gateways.get(member.name)
-        if known is None:
-            self._gateways[member.name] = _Gateway(member, pull.serving, now, pull.vector)
-            return
-        if member.incarnation != known.member.incarnation:
-            if member.incarnation in known.former:
-                return
-            known.former.append(known.member.incarnation)
-        known.member, known.serving, known.heard_at, known.vector = (
-            member,
-            pull.serving,
-            now,
-            pull.vector,
-        )
-
-    def _publish_roster(self, now: float) -> None:
-        silent = [
-            name
-            for name, gateway in self._gateways.items()
-            if now - gateway.heard_at > self._times.silence_s
-        ]
-        for name in silent:
-            del self._gateways[name]
-        if now < self._collect_until:
-            return
-        serving = [gateway.member for gateway in self._gateways.values() if gateway.serving]
-        roster = tuple(sorted(serving, key=lambda member: member.name))
-        if roster != self._roster:
-            self._roster = roster
-            self._roster_version = self._next_version(self._roster_version)
+        """The gateways that pull from the tail, and how far behind each was at its last pull."""
+        return self._roster.lags(now, self._replies.hosts.version)
 
     def _next_version(self, version: int) -> int:
         return max(version, self._epoch << EPOCH_SHIFT) + 1
-
-    def _reply(self, now: float, held: VersionVector, confirmation: Confirmation) -> PullReply:
-        return PullReply(
-            confirmed=True,
-            vector=self._vector(confirmation),
-            configuration=_missed(held, confirmation),
-            hosts=self._hosts.hosts if self._hosts.version > held.hosts else None,
-            roster=self._roster if self._roster_version > held.roster else None,
-            cores=self._cores,
-            payoffs=self._payoffs.told(now),
-        )
-
-    def _changes_reply(
-        self, now: float, held: VersionVector, confirmation: Confirmation
-    ) -> ChangesReply:
-        newer = self._hosts.version > held.hosts
-        changes = self._hosts.since(held.hosts) if newer else None
-        return ChangesReply(
-            confirmed=True,
-            vector=self._vector(confirmation),
-            configuration=self._compressed(held, confirmation),
-            host_list=self._hosts.whole() if newer and changes is None else None,
-            host_changes=changes,
-            roster=self._roster if self._roster_version > held.roster else None,
-            cores=self._cores,
-            payoffs=self._payoffs.told(now),
-        )
-
-    def _compressed(self, held: VersionVector, confirmation: Confirmation) -> bytes | None:
-        document = _missed(held, confirmation)
-        if document is None:
-            return None
-        if self._newest is None or self._newest[0] != confirmation.sequence:
-            self._newest = confirmation.sequence, zlib.compress(document, COMPRESSION)
-        return self._newest[1]
-
-    def _vector(self, confirmation: Confirmation) -> VersionVector:
-        return VersionVector(confirmation.sequence, self._hosts.version, self._roster_version)
-
-    def _unconfirmed(self, number: int, changes: bool) -> PullEffect:
-        if changes:
-            nothing = ChangesReply(False, VersionVector(), None, None, None, None, self._cores)
-            return AnswerChanges(number, nothing)
-        return Answer(number, PullReply(False, VersionVector(), None, None, None, self._cores))
-
-
-def _missed(held: VersionVector, confirmation: Confirmation) -> bytes | None:
-    return confirmation.document if confirmation.sequence != held.configuration else None
--- a/roselink/simulation/world.py
+++ b/roselink/simulation/world.py
@@ -11,15 +11,15 @@
 from functools import partial
 from typing import TYPE_CHECKING, Any
 
-from roselink.controller.pull_server import (
-    Answer,
-    AnswerChanges,
-    Confirm,
-    Forward,
+from roselink.controller.pull_effects import (
     ForwardedChangesPull,
+    ForwardToTail,
     PullEffect,
-    PullServer,
+    RequestConfirmation,
+    SendChangesReply,
+    SendReply,
 )
+from roselink.controller.pull_server import PullServer
 from roselink.controller.storage import Storage, record_number
 from roselink.coordination.effects import (
     Confirmation,
@@ -85,7 +85,7 @@
         self.submits: dict[int, Callable[[SubmitOutcome], None]] = {}
         self.reads: dict[int, Callable[[Confirmation | None], None]] = {}
         self.storage = Storage(FOLDER, self.disk.files)
-        self.desk = PullServer()
+        self.pull_server = PullServer()
         self.pulls: dict[int, Replied] = {}
 
     @property
@@ -110,7 +110,7 @@
             state=state,
         )
         self.member = Member(start, self.world.now)
-        self.desk = PullServer()
+        self.pull_server = PullServer()
         self.frozen = False
         self.perform(self.member.begin(self.world.now))
         self._tick(self.life)
@@ -191,7 +191,11 @@
         number = self.world.number()
         self.pulls[number] = reply
         forwarded = isinstance(message, ForwardedChangesPull)
-        self._serve(self.desk.pull(self.world.now, number, message.pull, forwarded, changes=True))
+        self._serve(
+            self.pull_server.pull_received(
+                self.world.now, number, message.pull, forwarded=forwarded, changes=True
+            )
+        )
         return []
 
     # --- effects
@@ -219,29 +223,31 @@
         cores = tuple(voter.address for voter in view.voters)
         is_tail = self.member.chain.is_tail
         self._serve(
-            self.desk.view_changed(self.world.now, view.epoch, is_tail, (host, int(port)), cores)
+            self.pull_server.view_changed(
+                self.world.now, view.epoch, (host, int(port)), cores, is_tail=is_tail
+            )
         )
 
     def _serve(self, effects: list[PullEffect]) -> None:
         for effect in effects:
             match effect:
-                case Confirm(number):
+                case RequestConfirmation(number):
                     self.read(partial(self._confirmed, number))
-                case Forward(number, (host, port), message):
+                case ForwardToTail(number, (host, port), message):
                     forwarded = partial(self._forwarded, self.life, number)
                     to = f"{host}:{port}"
                     self.world.call(self.address, to, message, FORWARD_TIMEOUT_S, forwarded)
-                case Answer(number, reply) | AnswerChanges(number, reply):
+                case SendReply(number, reply) | SendChangesReply(number, reply):
                     answered = self.pulls.pop(number, None)
                     if answered is not None:
                         answered(reply)
 
     def _confirmed(self, number: int, confirmation: Confirmation | None) -> None:
-        self._serve(self.desk.confirmed(self.world.now, number, confirmation))
+        self._serve(self.pull_server.confirmation_received(self.world.now, number, confirmation))
 
     def _forwarded(self, life: int, number: int, reply: Any) -> None:
         def step(member: Member) -> list[Effect]:
-            self._serve(self.desk.forwarded(self.world.now, number, reply))
+            self._serve(self.pull_server.forward_completed(self.world.now, number, reply))
             return []
 
         self.run(life, step)
@@ -256,7 +262,7 @@
         hosts, epoch = self.world.listed_hosts(), self.member.view.epoch
 
         def listed(member: Member) -> list[Effect]:
-            self._serve(self.desk.hosts_listed(self.world.now, epoch, hosts))
+            self._serve(self.pull_server.hosts_listed(self.world.now, epoch, hosts))
             return []
 
         self.world.after(LIST_TAKES_S, lambda: self.run(life, listed))
--- a/tests/controller/test_api.py
+++ b/tests/controller/test_api.py
@@ -19,7 +19,7 @@
     TakenOrder,
     Unsettled,
 )
-from roselink.controller.pull_server import GatewayLag
+from roselink.controller.gateway_roster import GatewayLag
 from roselink.controller.updates import digest_of_update
 from roselink.coordination.state import digest_of
 from roselink.model.fleet import VersionVector
--- a/tests/controller/test_host_versions.py
+++ b/tests/controller/test_host_versions.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from roselink.controller.host_versions import MOST_STEPS, HostVersions
+from roselink.controller.host_versions import MAX_STEPS, HostVersions
 from roselink.model.fleet import Host, HostState
 from roselink.protocol.pull import HostChanges, HostList
 from roselink.protocol.records import decode, number_of
@@ -34,8 +34,8 @@
     return made
 
 
-def changes(made: HostVersions, held: int) -> HostChanges | None:
-    data = made.since(held)
+def changes(made: HostVersions, base_version: int) -> HostChanges | None:
+    data = made.encoded_changes(base_version)
     if data is None:
         return None
     found = decode(number_of(HostChanges(0, (), ())), data)
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize(
-    ("lists", "held", "gone", "put"),
+    ("lists", "base_version", "gone", "put"),
     [
         ((hosts("a"), hosts("a", "b")), 1, (), (host("b"),)),
         ((hosts("a"), hosts("b")), 1, ("a",), (host("b"),)),
@@ -70,13 +70,16 @@
     ],
 )
 def test_changes_from_an_older_version(
-    lists: tuple[tuple[Host, ...], ...], held: int, gone: tuple[str, ...], put: tuple[Host, ...]
+    lists: tuple[tuple[Host, ...], ...],
+    base_version: int,
+    gone: tuple[str, ...],
+    put: tuple[Host, ...],
 ) -> None:
-    assert changes(published(*lists), held) == HostChanges(held, gone, put)
+    assert changes(published(*lists), base_version) == HostChanges(base_version, gone, put)
 
 
 @pytest.mark.parametrize(
-    ("lists", "held"),
+    ("lists", "base_version"),
     [
         ((hosts("a"),), 0),
         ((hosts("a"), hosts("b")), 0),
@@ -86,30 +89,40 @@
         ((hosts("a"), ()), 1),
         ((), 0),
     ],
-    ids=["first", "none held", "unknown", "former view", "most is new", "all gone", "no list"],
+    ids=[
+        "first",
+        "none base_version",
+        "unknown",
+        "former view",
+        "most is new",
+        "all gone",
+        "no list",
+    ],
 )
-def test_only_the_whole_list_will_do(lists: tuple[tuple[Host, ...], ...], held: int) -> None:
-    assert changes(published(*lists), held) is None
+def test_only_the_whole_list_will_do(
+    lists: tuple[tuple[Host, ...], ...], base_version: int
+) -> None:
+    assert changes(published(*lists), base_version) is None
 
 
 def test_changes_are_known_for_a_bounded_number_of_versions() -> None:
-    made = published(*(hosts("ab"[number % 2]) for number in range(MOST_STEPS + 2)))
-    assert made.version == MOST_STEPS + 2
+    made = published(*(hosts("ab"[number % 2]) for number in range(MAX_STEPS + 2)))
+    assert made.version == MAX_STEPS + 2
     assert changes(made, 1) is None
     assert changes(made, 2) is not None
 
 
 def test_no_list_has_no_encoding() -> None:
-    assert published().whole() is None
+    assert published().encoded_list() is None
 
 
 def test_each_encoding_is_made_once_for_a_version() -> None:
     made = published(hosts("a"), hosts("b"))
-    assert made.whole() is made.whole()
-    assert made.since(1) is made.since(1)
-    first = made.whole()
+    assert made.encoded_list() is made.encoded_list()
+    assert made.encoded_changes(1) is made.encoded_changes(1)
+    first = made.encoded_list()
     made.publish(hosts("c"), lambda version: version + 1)
-    data = made.whole()
+    data = made.encoded_list()
     assert data is not None
     assert data != first
     assert decode(number_of(HostList(())), data) == HostList(made.hosts or ())
--- a/tests/controller/test_payoffs.py
+++ b/tests/controller/test_payoffs.py
@@ -4,8 +4,9 @@
 
 import pytest
 
-from roselink.controller.payoffs import MOST_HOSTS, PUBLISH_S, PayoffPool
-from roselink.controller.pull_server import AnswerChanges, PullServer
+from roselink.controller.payoffs import MAX_HOSTS, PUBLISH_INTERVAL_S, PayoffPool
+from roselink.controller.pull_effects import SendChangesReply
+from roselink.controller.pull_server import PullServer
 from roselink.distribution.host_changes import completed
 from roselink.protocol.payoffs import HostOutcomes, PooledPayoffs
 from roselink.protocol.pull import Pull
@@ -47,62 +48,64 @@
     served: int, missed: int, after_s: float, percent: int | None
 ) -> None:
     pool = PayoffPool()
-    pool.heard(1.0, [HostOutcomes("h", served, missed)])
-    assert told(pool.told(1.0 + after_s)).get("h") == percent
+    pool.add_report(1.0, [HostOutcomes("h", served, missed)])
+    assert told(pool.encoded(1.0 + after_s)).get("h") == percent
 
 
 def test_single_misses_of_many_gateways_add_up_and_a_recovered_host_is_believed() -> None:
     pool = PayoffPool()
     for gateway in range(10):
-        pool.heard(0.01 * gateway, [HostOutcomes("h", 0, 1), HostOutcomes("well", 1, 0)])
-    assert told(pool.told(0.1)) == {"h": 10}
+        pool.add_report(0.01 * gateway, [HostOutcomes("h", 0, 1), HostOutcomes("well", 1, 0)])
+    assert told(pool.encoded(0.1)) == {"h": 10}
     for gateway in range(30):
-        pool.heard(1.0 + 0.01 * gateway, [HostOutcomes("h", 1, 0)])
-    assert told(pool.told(1.3)) == {}
+        pool.add_report(1.0 + 0.01 * gateway, [HostOutcomes("h", 1, 0)])
+    assert told(pool.encoded(1.3)) == {}
 
 
 def test_what_is_told_is_summed_now_and_then() -> None:
     pool = PayoffPool()
-    assert pool.told(1.0) == b""
-    pool.heard(1.0, [HostOutcomes("h", 0, 9)])
-    assert pool.told(1.0 + PUBLISH_S / 2) == b""
-    assert told(pool.told(1.0 + PUBLISH_S)) == {"h": 10}
+    assert pool.encoded(1.0) == b""
+    pool.add_report(1.0, [HostOutcomes("h", 0, 9)])
+    assert pool.encoded(1.0 + PUBLISH_INTERVAL_S / 2) == b""
+    assert told(pool.encoded(1.0 + PUBLISH_INTERVAL_S)) == {"h": 10}
 
 
 def test_hosts_are_bounded_and_forgotten() -> None:
     pool = PayoffPool()
-    pool.heard(0.0, [HostOutcomes(f"h{number}", 0, 1) for number in range(MOST_HOSTS + 10)])
-    assert len(told(pool.told(0.0))) == MOST_HOSTS
-    assert pool.told(60.0) == b""
+    pool.add_report(0.0, [HostOutcomes(f"h{number}", 0, 1) for number in range(MAX_HOSTS + 10)])
+    assert len(told(pool.encoded(0.0))) == MAX_HOSTS
+    assert pool.encoded(60.0) == b""
     assert not pool._hosts
 
 
 def test_the_tail_pools_what_pulls_bring_and_a_new_view_begins_anew() -> None:
     tail = Tail()
     tail.ask(Pull(member("a"), pull().vector, True, (HostOutcomes("h", 0, 3),)))
-    tail.now += PUBLISH_S
+    tail.now += PUBLISH_INTERVAL_S
     assert told(tail.ask(pull("b")).payoffs) == {"h": 25}
-    tail.desk.view_changed(tail.now, EPOCH + 1, True, TAIL, CORES)
+    tail.pull_server.view_changed(tail.now, EPOCH + 1, TAIL, CORES, is_tail=True)
     assert tail.ask(pull("b")).payoffs == b""
 
 
 def test_an_answer_of_changes_brings_payoffs_too_as_far_as_the_gateway() -> None:
     tail = Tail()
     tail.ask(Pull(member("a"), pull().vector, True, (HostOutcomes("h", 0, 3),)))
-    tail.now += PUBLISH_S
-    tail.desk.pull(tail.now, 99, pull("b"), changes=True)
-    (answer,) = tail.desk.confirmed(tail.now, 99, confirmation(EPOCH))
-    assert isinstance(answer, AnswerChanges)
+    tail.now += PUBLISH_INTERVAL_S
+    tail.pull_server.pull_received(tail.now, 99, pull("b"), changes=True)
+    (answer,) = tail.pull_server.confirmation_received(tail.now, 99, confirmation(EPOCH))
+    assert isinstance(answer, SendChangesReply)
     whole = completed(answer.reply, 0, ())
     assert whole is not None
     assert told(whole.payoffs) == {"h": 25}
 
 
 def test_only_the_tail_counts_outcomes() -> None:
-    desk = PullServer(TIMES)
-    desk.view_changed(0.0, EPOCH, False, TAIL, CORES)
-    desk.pull(0.1, 1, Pull(member("a"), pull().vector, True, (HostOutcomes("h", 0, 3),)))
-    assert desk._payoffs.told(1.0) == b""
+    pull_server = PullServer(TIMES)
+    pull_server.view_changed(0.0, EPOCH, TAIL, CORES, is_tail=False)
+    pull_server.pull_received(
+        0.1, 1, Pull(member("a"), pull().vector, True, (HostOutcomes("h", 0, 3),))
+    )
+    assert pull_server._replies.payoffs.encoded(1.0) == b""
 
 
 def test_outcomes_survive_the_wire() -> None:
--- a/tests/controller/test_pull_server.py
+++ b/tests/controller/test_pull_server.py
@@ -8,19 +8,19 @@
 import pytest
 
 from roselink.controller.chain_interface import Confirmation
+from roselink.controller.gateway_roster import LivenessTimes
 from roselink.controller.pull_driver import FORWARD_TIMEOUT_S, PullDriver
-from roselink.controller.pull_server import (
-    EPOCH_SHIFT,
-    Answer,
-    AnswerChanges,
-    Confirm,
-    Forward,
+from roselink.controller.pull_effects import (
+    AnyReply,
     ForwardedChangesPull,
     ForwardedPull,
+    ForwardToTail,
     PullEffect,
-    PullServer,
-    PullTimes,
+    RequestConfirmation,
+    SendChangesReply,
+    SendReply,
 )
+from roselink.controller.pull_server import EPOCH_SHIFT, PullServer
 from roselink.model.fleet import Host, HostState, Member, VersionVector
 from roselink.protocol.pull import ChangesPull, ChangesReply, Pull, PullReply
 from roselink.protocol.records import decode, encode, number_of
@@ -28,7 +28,7 @@
 
 CORES = ("10.0.0.1:7500", "10.0.0.2:7500", "10.0.0.3:7500")
 TAIL = ("10.0.0.3", 7500)
-TIMES = PullTimes(silence_s=1.2, collect_s=0.6, pause_s=0.6)
+TIMES = LivenessTimes(gateway_timeout_s=1.2, collection_s=0.6, stall_s=0.6)
 EPOCH = 3
 FIRST = (EPOCH << EPOCH_SHIFT) + 1
 UNCONFIRMED = PullReply(False, VersionVector(), None, None, None, CORES)
@@ -66,23 +66,28 @@
 
 
 class Tail:
-    """A desk at the tail, asked at steps of time small enough that it never seems to have stood
-    still.
+    """A pull server at the tail, queried in steps of time.
+
+    They are small enough that it never seems to have been stalled.
     """
 
     def __init__(self) -> None:
-        self.desk = PullServer(TIMES)
+        self.pull_server = PullServer(TIMES)
         self.now = 100.0
         self.numbers = 0
-        self.desk.view_changed(self.now, EPOCH, True, TAIL, CORES)
+        self.pull_server.view_changed(self.now, EPOCH, TAIL, CORES, is_tail=True)
 
     def ask(self, asked: Pull, end: Confirmation | None = None) -> PullReply:
         self.numbers += 1
-        assert self.desk.pull(self.now, self.numbers, asked) == [Confirm(self.numbers)]
-        effects = self.desk.confirmed(self.now, self.numbers, end or confirmation(self.desk._epoch))
+        assert self.pull_server.pull_received(self.now, self.numbers, asked) == [
+            RequestConfirmation(self.numbers)
+        ]
+        effects = self.pull_server.confirmation_received(
+            self.now, self.numbers, end or confirmation(self.pull_server._epoch)
+        )
         assert len(effects) == 1
         answer = effects[0]
-        assert isinstance(answer, Answer)
+        assert isinstance(answer, SendReply)
         assert answer.number == self.numbers
         return answer.reply
 
@@ -104,18 +109,18 @@
 @pytest.mark.parametrize(
     ("is_tail", "tail", "forwarded", "effect"),
     [
-        (True, TAIL, False, Confirm(1)),
-        (True, TAIL, True, Confirm(1)),
-        (False, TAIL, False, Forward(1, TAIL, ForwardedPull(pull()))),
-        (False, TAIL, True, Answer(1, UNCONFIRMED)),
-        (False, None, False, Answer(1, UNCONFIRMED)),
-        (False, None, True, Answer(1, UNCONFIRMED)),
+        (True, TAIL, False, RequestConfirmation(1)),
+        (True, TAIL, True, RequestConfirmation(1)),
+        (False, TAIL, False, ForwardToTail(1, TAIL, ForwardedPull(pull()))),
+        (False, TAIL, True, SendReply(1, UNCONFIRMED)),
+        (False, None, False, SendReply(1, UNCONFIRMED)),
+        (False, None, True, SendReply(1, UNCONFIRMED)),
     ],
 )
 def test_who_answers(is_tail: bool, tail: Any, forwarded: bool, effect: PullEffect) -> None:
-    desk = PullServer(TIMES)
-    desk.view_changed(0.0, EPOCH, is_tail, tail, CORES)
-    assert desk.pull(0.1, 1, pull(), forwarded) == [effect]
+    pull_server = PullServer(TIMES)
+    pull_server.view_changed(0.0, EPOCH, tail, CORES, is_tail=is_tail)
+    assert pull_server.pull_received(0.1, 1, pull(), forwarded=forwarded) == [effect]
 
 
 NOTHING = ChangesReply(False, VersionVector(), None, None, None, None, CORES)
@@ -124,28 +129,28 @@
 @pytest.mark.parametrize(
     ("is_tail", "tail", "forwarded", "effect"),
     [
-        (True, TAIL, False, Confirm(1)),
-        (True, TAIL, True, Confirm(1)),
-        (False, TAIL, False, Forward(1, TAIL, ForwardedChangesPull(pull()))),
-        (False, TAIL, True, AnswerChanges(1, NOTHING)),
-        (False, None, False, AnswerChanges(1, NOTHING)),
-        (False, None, True, AnswerChanges(1, NOTHING)),
+        (True, TAIL, False, RequestConfirmation(1)),
+        (True, TAIL, True, RequestConfirmation(1)),
+        (False, TAIL, False, ForwardToTail(1, TAIL, ForwardedChangesPull(pull()))),
+        (False, TAIL, True, SendChangesReply(1, NOTHING)),
+        (False, None, False, SendChangesReply(1, NOTHING)),
+        (False, None, True, SendChangesReply(1, NOTHING)),
     ],
 )
 def test_who_answers_a_pull_of_changes(
     is_tail: bool, tail: Any, forwarded: bool, effect: PullEffect
 ) -> None:
-    desk = PullServer(TIMES)
-    desk.view_changed(0.0, EPOCH, is_tail, tail, CORES)
-    assert desk.pull(0.1, 1, pull(), forwarded, changes=True) == [effect]
+    pull_server = PullServer(TIMES)
+    pull_server.view_changed(0.0, EPOCH, tail, CORES, is_tail=is_tail)
+    assert pull_server.pull_received(0.1, 1, pull(), forwarded=forwarded, changes=True) == [effect]
 
 
 def test_without_a_confirmation_a_pull_of_changes_brings_nothing() -> None:
-    desk = PullServer(TIMES)
-    desk.view_changed(0.0, EPOCH, True, TAIL, CORES)
-    desk.hosts_listed(0.1, EPOCH, (host("h"),))
-    desk.pull(0.2, 1, pull(), changes=True)
-    assert desk.confirmed(0.3, 1, None) == [AnswerChanges(1, NOTHING)]
+    pull_server = PullServer(TIMES)
+    pull_server.view_changed(0.0, EPOCH, TAIL, CORES, is_tail=True)
+    pull_server.hosts_listed(0.1, EPOCH, (host("h"),))
+    pull_server.pull_received(0.2, 1, pull(), changes=True)
+    assert pull_server.confirmation_received(0.3, 1, None) == [SendChangesReply(1, NOTHING)]
 
 
 TOLD = ChangesReply(True, VersionVector(5, 6, 7), b"{}", b"list", None, (), CORES)
@@ -154,22 +159,26 @@
 @pytest.mark.parametrize(
     ("changes", "answer", "effect"),
     [
-        (True, TOLD, AnswerChanges(1, TOLD)),
-        (True, None, AnswerChanges(1, NOTHING)),
-        (True, PullReply(True, VersionVector(), None, None, None, ()), AnswerChanges(1, NOTHING)),
-        (False, TOLD, Answer(1, UNCONFIRMED)),
+        (True, TOLD, SendChangesReply(1, TOLD)),
+        (True, None, SendChangesReply(1, NOTHING)),
+        (
+            True,
+            PullReply(True, VersionVector(), None, None, None, ()),
+            SendChangesReply(1, NOTHING),
+        ),
+        (False, TOLD, SendReply(1, UNCONFIRMED)),
     ],
 )
 def test_the_tail_answers_in_kind(changes: bool, answer: Any, effect: PullEffect) -> None:
-    desk = PullServer(TIMES)
-    desk.view_changed(0.0, EPOCH, False, TAIL, CORES)
-    desk.pull(0.1, 1, pull(), changes=changes)
-    assert desk.forwarded(0.2, 1, answer) == [effect]
+    pull_server = PullServer(TIMES)
+    pull_server.view_changed(0.0, EPOCH, TAIL, CORES, is_tail=False)
+    pull_server.pull_received(0.1, 1, pull(), changes=changes)
+    assert pull_server.forward_completed(0.2, 1, answer) == [effect]
 
 
 def test_a_member_without_a_view_confirms_nothing() -> None:
-    assert PullServer(TIMES).pull(0.1, 1, pull()) == [
-        Answer(1, PullReply(False, VersionVector(), None, None, None, ()))
+    assert PullServer(TIMES).pull_received(0.1, 1, pull()) == [
+        SendReply(1, PullReply(False, VersionVector(), None, None, None, ()))
     ]
 
 
@@ -178,11 +187,11 @@
 
 @pytest.mark.parametrize(("answer", "reply"), [(RELAYED, RELAYED), (None, UNCONFIRMED)])
 def test_the_reply_of_the_tail_is_handed_on(answer: PullReply | None, reply: PullReply) -> None:
-    desk = PullServer(TIMES)
-    desk.view_changed(0.0, EPOCH, False, TAIL, CORES)
-    desk.pull(0.1, 1, pull())
-    assert desk.forwarded(0.2, 1, answer) == [Answer(1, reply)]
-    assert desk.forwarded(0.3, 1, answer) == []
+    pull_server = PullServer(TIMES)
+    pull_server.view_changed(0.0, EPOCH, TAIL, CORES, is_tail=False)
+    pull_server.pull_received(0.1, 1, pull())
+    assert pull_server.forward_completed(0.2, 1, answer) == [SendReply(1, reply)]
+    assert pull_server.forward_completed(0.3, 1, answer) == []
 
 
 @pytest.mark.parametrize(
@@ -191,19 +200,19 @@
     ids=["none", "former view", "later view"],
 )
 def test_without_a_confirmation_in_this_view_nothing_is_said(end: Confirmation | None) -> None:
-    desk = PullServer(TIMES)
-    desk.view_changed(0.0, EPOCH, True, TAIL, CORES)
-    desk.pull(0.1, 1, pull())
-    assert desk.confirmed(0.2, 1, end) == [Answer(1, UNCONFIRMED)]
-    assert desk.confirmed(0.3, 1, confirmation()) == []
+    pull_server = PullServer(TIMES)
+    pull_server.view_changed(0.0, EPOCH, TAIL, CORES, is_tail=True)
+    pull_server.pull_received(0.1, 1, pull())
+    assert pull_server.confirmation_received(0.2, 1, end) == [SendReply(1, UNCONFIRMED)]
+    assert pull_server.confirmation_received(0.3, 1, confirmation()) == []
 
 
 def test_a_read_confirmed_for_a_former_tail_counts_no_more() -> None:
-    desk = PullServer(TIMES)
-    desk.view_changed(0.0, EPOCH, True, TAIL, CORES)
-    desk.pull(0.1, 1, pull())
-    desk.view_changed(0.2, EPOCH + 1, False, ("10.0.0.2", 7500), CORES)
-    assert desk.confirmed(0.3, 1, confirmation()) == [Answer(1, UNCONFIRMED)]
+    pull_server = PullServer(TIMES)
+    pull_server.view_changed(0.0, EPOCH, TAIL, CORES, is_tail=True)
+    pull_server.pull_received(0.1, 1, pull())
+    pull_server.view_changed(0.2, EPOCH + 1, ("10.0.0.2", 7500), CORES, is_tail=False)
+    assert pull_server.confirmation_received(0.3, 1, confirmation()) == [SendReply(1, UNCONFIRMED)]
 
 
 @pytest.mark.parametrize(
@@ -231,11 +240,11 @@
     tail = Tail()
     replies = []
     for sequence in (5, 5, 6):
-        tail.desk.pull(tail.now, sequence, pull(), changes=True)
-        [answer] = tail.desk.confirmed(
+        tail.pull_server.pull_received(tail.now, sequence, pull(), changes=True)
+        [answer] = tail.pull_server.confirmation_received(
             tail.now, sequence, confirmation(EPOCH, sequence, b"%d" % sequence)
         )
-        assert isinstance(answer, AnswerChanges)
+        assert isinstance(answer, SendChangesReply)
         replies.append(answer.reply.configuration)
     assert replies[0] is replies[1] is not None
     assert [zlib.decompress(each) for each in replies if each] == [b"5", b"5", b"6"]
@@ -246,9 +255,9 @@
     held = VersionVector(hosts=(2 << EPOCH_SHIFT) + 50)
     before = tail.ask(pull(held=held))
     assert (before.vector.hosts, before.hosts) == (0, None)
-    tail.desk.hosts_listed(tail.now, EPOCH - 1, (host("h"),))
+    tail.pull_server.hosts_listed(tail.now, EPOCH - 1, (host("h"),))
     assert tail.ask(pull(held=held)).hosts is None
-    tail.desk.hosts_listed(tail.now, EPOCH, ())
+    tail.pull_server.hosts_listed(tail.now, EPOCH, ())
     after = tail.ask(pull(held=held))
     assert (after.vector.hosts, after.hosts) == (FIRST, ())
     assert tail.ask(pull(held=after.vector)).hosts is None
@@ -271,8 +280,8 @@
     then: tuple[Host, ...], raised: bool
 ) -> None:
     tail = Tail()
-    tail.desk.hosts_listed(tail.now, EPOCH, (host("h"),))
-    tail.desk.hosts_listed(tail.now, EPOCH, then)
+    tail.pull_server.hosts_listed(tail.now, EPOCH, (host("h"),))
+    tail.pull_server.hosts_listed(tail.now, EPOCH, then)
     reply = tail.ask(pull(held=VersionVector(hosts=FIRST)))
     assert reply.vector.hosts == FIRST + raised
     assert reply.hosts == (then if raised else None)
@@ -280,22 +289,22 @@
 
 def test_neither_order_nor_passing_warm_up_is_a_change() -> None:
     tail = Tail()
-    tail.desk.hosts_listed(tail.now, EPOCH, (host("h", warmup_left_ms=900.0), host("i")))
-    tail.desk.hosts_listed(tail.now, EPOCH, (host("i"), host("h", warmup_left_ms=300.0)))
-    assert tail.desk.versions.hosts == FIRST
-    tail.desk.hosts_listed(tail.now, EPOCH, (host("i"), host("h")))
-    assert tail.desk.versions.hosts == FIRST + 1
+    tail.pull_server.hosts_listed(tail.now, EPOCH, (host("h", warmup_left_ms=900.0), host("i")))
+    tail.pull_server.hosts_listed(tail.now, EPOCH, (host("i"), host("h", warmup_left_ms=300.0)))
+    assert tail.pull_server.versions.hosts == FIRST
+    tail.pull_server.hosts_listed(tail.now, EPOCH, (host("i"), host("h")))
+    assert tail.pull_server.versions.hosts == FIRST + 1
 
 
 def test_a_newer_view_has_newer_versions_and_waits_for_its_own_list() -> None:
     tail = Tail()
-    tail.desk.hosts_listed(tail.now, EPOCH, (host("h"),))
+    tail.pull_server.hosts_listed(tail.now, EPOCH, (host("h"),))
     held = tail.ask(pull()).vector
-    tail.desk.view_changed(tail.now, EPOCH + 2, True, TAIL, CORES)
+    tail.pull_server.view_changed(tail.now, EPOCH + 2, TAIL, CORES, is_tail=True)
     assert tail.ask(pull(held=held)).hosts is None
-    tail.desk.hosts_listed(tail.now, EPOCH, (host("h"),))
+    tail.pull_server.hosts_listed(tail.now, EPOCH, (host("h"),))
     assert tail.ask(pull(held=held)).hosts is None
-    tail.desk.hosts_listed(tail.now, EPOCH + 2, (host("h"),))
+    tail.pull_server.hosts_listed(tail.now, EPOCH + 2, (host("h"),))
     reply = tail.ask(pull(held=held))
     assert reply.vector.hosts == ((EPOCH + 2) << EPOCH_SHIFT) + 1 > held.hosts
     assert reply.hosts == (host("h"),)
@@ -306,7 +315,7 @@
     early = tail.ask(pull("b"))
     assert (early.vector.roster, early.roster) == (0, None)
     tail.ask(pull("a"))
-    tail.now += TIMES.collect_s
+    tail.now += TIMES.collection_s
     reply = tail.ask(pull("c"))
     assert (reply.vector.roster, names(reply)) == (FIRST, ["a", "b", "c"])
     assert tail.ask(pull("c", held=reply.vector)).roster is None
@@ -316,7 +325,7 @@
     tail = Tail()
     held = tail.pass_time(0.9, pull("a"), pull("b"))
     assert held is not None
-    tail.desk.view_changed(tail.now, EPOCH + 1, True, TAIL, CORES)
+    tail.pull_server.view_changed(tail.now, EPOCH + 1, TAIL, CORES, is_tail=True)
     assert tail.ask(pull("a", held=held.vector)).roster is None
     reply = tail.pass_time(0.6, pull("a", held=held.vector))
     assert names(reply) == ["a", "b"]
@@ -334,7 +343,7 @@
 def test_a_silent_gateway_goes_after_its_time() -> None:
     tail = Tail()
     assert names(tail.pass_time(0.9, pull("a"), pull("b"))) == ["a", "b"]
-    assert names(tail.pass_time(TIMES.silence_s, pull("a"))) == ["a", "b"]
+    assert names(tail.pass_time(TIMES.gateway_timeout_s, pull("a"))) == ["a", "b"]
     reply = tail.pass_time(0.3, pull("a"))
     assert names(reply) == ["a"]
     assert reply is not None
@@ -363,10 +372,10 @@
 
 def test_how_far_gateways_are_behind() -> None:
     tail = Tail()
-    tail.desk.hosts_listed(tail.now, EPOCH, (host("h"),))
+    tail.pull_server.hosts_listed(tail.now, EPOCH, (host("h"),))
     tail.ask(pull("a", held=VersionVector(4, FIRST - 1)))
     tail.now += 0.25
-    (lag,) = tail.desk.lags(tail.now)
+    (lag,) = tail.pull_server.lags(tail.now)
     assert (lag.name, lag.silent_s, lag.configuration, lag.hosts, lag.roster) == (
         "a",
         0.25,
@@ -399,7 +408,7 @@
 def test_driver_at_the_tail() -> None:
     node = FakeNode()
     made, _ = service(node)
-    replies: list[PullReply] = []
+    replies: list[AnyReply] = []
     assert made.handle(("10.1.0.1", 4000), pull(), replies.append)
     assert replies == []
     node.reads.get_nowait()(confirmation())
@@ -412,7 +421,7 @@
     node = FakeNode()
     node.is_tail = False
     made, pool = service(node)
-    replies: list[PullReply] = []
+    replies: list[AnyReply] = []
     for _ in range(2):
         assert made.handle(("10.1.0.1", 4000), pull(), replies.append)
     for (address, message, timeout_s, done), answer in zip(
@@ -428,7 +437,7 @@
     made, _ = service(node)
     node.change_view(EPOCH + 1, False, None)
     node.cores = CORES[:2]
-    replies: list[PullReply] = []
+    replies: list[AnyReply] = []
     assert made.handle(("10.1.0.1", 4000), ForwardedPull(pull()), replies.append)
     assert replies == [PullReply(False, VersionVector(), None, None, None, CORES[:2])]
 
--- a/tests/distribution/test_host_changes.py
+++ b/tests/distribution/test_host_changes.py
@@ -1,5 +1,6 @@
-"""Lists of hosts out of whole lists and changes, alone and between a tail's desk and a gateway's
-machine.
+"""Lists of hosts out of whole lists and changes.
+
+Alone, and between a tail's pull server and a gateway's machine.
 """
 
 from __future__ import annotations
@@ -11,7 +12,8 @@
 import pytest
 
 from roselink.controller.chain_interface import Confirmation
-from roselink.controller.pull_server import AnswerChanges, Confirm, PullServer
+from roselink.controller.pull_effects import RequestConfirmation, SendChangesReply
+from roselink.controller.pull_server import PullServer
 from roselink.distribution.host_changes import completed
 from roselink.distribution.pull import Apply, Confirmed, Effect, PullMachine, SendPull
 from roselink.model.fleet import Host, HostState, Member, VersionVector
@@ -86,21 +88,21 @@
 
 
 class Pair:
-    """A gateway's machine and the desk of a tail; messages go through their frames."""
+    """A gateway's machine and the pull server of a tail; messages go through their frames."""
 
     def __init__(self) -> None:
         self.machine = PullMachine(MEMBER, [("10.2.0.1", 7500)], random.Random(1))
-        self.desk = PullServer()
+        self.pull_server = PullServer()
         self.now, self.epoch = 10.0, EPOCH
         self.lists = self.changes = 0
         self.view(EPOCH)
 
     def view(self, epoch: int) -> None:
         self.epoch = epoch
-        self.desk.view_changed(self.now, epoch, True, None, CORES)
+        self.pull_server.view_changed(self.now, epoch, None, CORES, is_tail=True)
 
     def listed(self, *hosts: Host) -> None:
-        self.desk.hosts_listed(self.now, self.epoch, hosts)
+        self.pull_server.hosts_listed(self.now, self.epoch, hosts)
 
     def pull(self, lost: bool = False) -> list[Effect]:
         """One pull and its answer, or None in its place."""
@@ -112,9 +114,13 @@
 
     def answer(self, asked: ChangesPull) -> ChangesReply:
         ((_, number, received),) = FrameReader().feed(frame(0, 1, asked))
-        assert self.desk.pull(self.now, number, received.pull, changes=True) == [Confirm(1)]
-        (effect,) = self.desk.confirmed(self.now, number, Confirmation(self.epoch, 1, DOCUMENT, 1))
-        assert isinstance(effect, AnswerChanges)
+        assert self.pull_server.pull_received(self.now, number, received.pull, changes=True) == [
+            RequestConfirmation(1)
+        ]
+        (effect,) = self.pull_server.confirmation_received(
+            self.now, number, Confirmation(self.epoch, 1, DOCUMENT, 1)
+        )
+        assert isinstance(effect, SendChangesReply)
         self.lists += effect.reply.host_list is not None
         self.changes += effect.reply.host_changes is not None
         ((_, _, answer),) = FrameReader().feed(frame(1, 1, effect.reply))
@@ -152,7 +158,7 @@
     pair.pull()
     assert (pair.held, pair.lists, pair.changes) == ((A, B), 2, 0)
     assert pair.machine.snapshot is not None
-    assert pair.machine.snapshot.vector.hosts == pair.desk.versions.hosts
+    assert pair.machine.snapshot.vector.hosts == pair.pull_server.versions.hosts
 
 
 def test_a_reply_that_cannot_be_read_moves_nothing_and_the_next_one_does() -> None:
--- a/tests/mutations/controller.py
+++ b/tests/mutations/controller.py
@@ -109,6 +109,20 @@
             "if forwarded or self._tail is None:",
             "if self._tail is None:",
         ),
+        (
+            "hosts of an older view are published",
+            "if not self._is_tail or epoch != self._epoch:",
+            "if not self._is_tail:",
+        ),
+        (
+            "a version begins anew in a view",
+            "return max(version, self._epoch << EPOCH_SHIFT) + 1",
+            "return version + 1",
+        ),
+    ),
+    *mutations_of(
+        "controller/gateway_roster.py",
+        PULLS,
         (
             "a late pull of a former start counts",
             "            if member.incarnation in known.former:\n                return\n",
@@ -116,7 +130,7 @@
         ),
         (
             "a pause is the gateways' silence",
-            "        if pause > self._times.pause_s:",
+            "        if pause_s > self._times.stall_s:",
             "        if False:",
         ),
         (
@@ -124,15 +138,5 @@
             "        if now < self._collect_until:\n            return\n",
             "",
         ),
-        (
-            "hosts of an older view are published",
-            "if not self._is_tail or epoch != self._epoch:",
-            "if not self._is_tail:",
-        ),
-        (
-            "a version begins anew in a view",
-            "return max(version, self._epoch << EPOCH_SHIFT) + 1",
-            "return version + 1",
-        ),
     ),
 )
--- a/tools/pulls.py
+++ b/tools/pulls.py
@@ -14,7 +14,8 @@
 from typing import TYPE_CHECKING
 
 from roselink.controller.chain_interface import Confirmation
-from roselink.controller.pull_server import Answer, AnswerChanges, PullServer
+from roselink.controller.pull_effects import SendChangesReply, SendReply
+from roselink.controller.pull_server import PullServer
 from roselink.coordination.views import MAX_VOTERS
 from roselink.dataplane.topology import HostDirectory
 from roselink.dataplane.upstream import FleetUpstream
@@ -59,7 +60,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DeskPull:
+class TailPull:
     """The same at the tail, and a pull that brings the roster."""
 
     gateways: int
@@ -121,10 +122,10 @@
     return QuietPull(cores, processor_us(pull, pulls), pull_bytes, len(reply))
 
 
-def desk_pull(gateways: int, cores: int, pulls: int) -> DeskPull:
+def tail_pull(gateways: int, cores: int, pulls: int) -> TailPull:
     """The tail's side with so many gateways, each of which pulled a moment ago."""
-    desk = PullServer()
-    desk.view_changed(0.0, EPOCH, True, None, make_cores(cores))
+    pull_server = PullServer()
+    pull_server.view_changed(0.0, EPOCH, None, make_cores(cores), is_tail=True)
     members = make_roster(gateways)
     confirmation = Confirmation(EPOCH, 1, b"", 1)
     now, number, step = 1.0, 0, PULL_EVERY_S / gateways
@@ -132,12 +133,12 @@
     def pull_of(member: Member) -> PullReply | None:
         nonlocal number
         number += 1
-        held = VersionVector(1, desk.versions.hosts, desk.versions.roster)
+        held = VersionVector(1, pull_server.versions.hosts, pull_server.versions.roster)
         data = frame(CALL, number, Pull(member, held, True))
         for _, _, message in FrameReader().feed(data):
-            desk.pull(now, number, message)
-        for effect in desk.confirmed(now, number, confirmation):
-            if isinstance(effect, Answer):
+            pull_server.pull_received(now, number, message)
+        for effect in pull_server.confirmation_received(now, number, confirmation):
+            if isinstance(effect, SendReply):
                 frame(ANSWER, effect.number, effect.reply)
                 return effect.reply
         return None
@@ -151,16 +152,16 @@
         pull_of(members[number % gateways])
 
     tail_us = processor_us(pull, pulls)
-    vector = VersionVector(1, 1, desk.versions.roster)
+    vector = VersionVector(1, 1, pull_server.versions.roster)
     roster = frame(ANSWER, 1, PullReply(True, vector, None, None, members, make_cores(cores)))
-    return DeskPull(gateways, tail_us, len(roster))
+    return TailPull(gateways, tail_us, len(roster))
 
 
 def host_list(count: int, cores: int, times: int) -> HostList:
     """A changed list of so many hosts."""
     hosts = make_hosts(count)
-    desk = PullServer()
-    desk.view_changed(0.0, EPOCH, True, None, make_cores(cores))
+    pull_server = PullServer()
+    pull_server.view_changed(0.0, EPOCH, None, make_cores(cores), is_tail=True)
     reply = PullReply(True, VersionVector(1, 1, 1), None, hosts, None, make_cores(cores))
     data = frame(ANSWER, 1, reply)
     loop = asyncio.new_event_loop()
@@ -172,7 +173,7 @@
         loop.close()
     return HostList(
         count,
-        processor_us(lambda: desk.hosts_listed(1.0, EPOCH, hosts), times),
+        processor_us(lambda: pull_server.hosts_listed(1.0, EPOCH, hosts), times),
         processor_us(lambda: frame(ANSWER, 1, reply), times),
         processor_us(lambda: FrameReader().feed(data), times),
         directory_us,
@@ -185,17 +186,17 @@
 def host_difference(count: int, times: int) -> HostDifference:
     """A list of so many hosts, of which one is replaced."""
     hosts, members = make_hosts(count), make_roster(1)
-    desk = PullServer()
-    desk.view_changed(0.0, EPOCH, True, None, make_cores(MAX_VOTERS))
-    desk.hosts_listed(0.0, EPOCH, hosts)
-    held = VersionVector(1, desk.versions.hosts, 0)
-    desk.hosts_listed(0.0, EPOCH, replaced(hosts, 0, 1))
+    pull_server = PullServer()
+    pull_server.view_changed(0.0, EPOCH, None, make_cores(MAX_VOTERS), is_tail=True)
+    pull_server.hosts_listed(0.0, EPOCH, hosts)
+    held = VersionVector(1, pull_server.versions.hosts, 0)
+    pull_server.hosts_listed(0.0, EPOCH, replaced(hosts, 0, 1))
     confirmation = Confirmation(EPOCH, 1, b"", 1)
 
     def answer(vector: VersionVector) -> bytes:
-        desk.pull(0.0, 1, Pull(members[0], vector, True), changes=True)
-        for effect in desk.confirmed(0.0, 1, confirmation):
-            if isinstance(effect, AnswerChanges):
+        pull_server.pull_received(0.0, 1, Pull(members[0], vector, True), changes=True)
+        for effect in pull_server.confirmation_received(0.0, 1, confirmation):
+            if isinstance(effect, SendChangesReply):
                 return frame(ANSWER, 1, effect.reply)
         raise RuntimeError("no answer")
 
@@ -254,11 +255,11 @@
     )
     show_line("gateway", "us", "core member", [(q.cores, q.gateway_us) for q in quiet])
     show_line("reply", "bytes", "core member", [(q.cores, q.reply_bytes) for q in quiet])
-    desks = [desk_pull(count, MAX_VOTERS, pulls) for count in gateways]
+    tails = [tail_pull(count, MAX_VOTERS, pulls) for count in gateways]
     columns = ("gateways", "tail us", "reply bytes with roster")
-    show("A pull at the tail", columns, [(d.gateways, d.tail_us, d.roster_bytes) for d in desks])
-    show_line("tail", "us", "gateway", [(d.gateways, d.tail_us) for d in desks])
-    show_line("roster", "bytes", "gateway", [(d.gateways, d.roster_bytes) for d in desks])
+    show("A pull at the tail", columns, [(d.gateways, d.tail_us, d.roster_bytes) for d in tails])
+    show_line("tail", "us", "gateway", [(d.gateways, d.tail_us) for d in tails])
+    show_line("roster", "bytes", "gateway", [(d.gateways, d.roster_bytes) for d in tails])
     lists = [host_list(count, MAX_VOTERS, changes) for count in sizes]
     columns = (
         "hosts",
