--- a/roselink/controller/gateway_roster.py
+++ b/roselink/controller/gateway_roster.py
@@ -14,7 +14,7 @@
     from collections.abc import Callable
 
     from roselink.model.fleet import Member, VersionVector
-    from roselink.protocol.pull import Pull
+    from roselink.protocol.pull import PullRequest
 
 # Kept of each gateway, so that a delayed pull of a former start changes nothing.
 MAX_FORMER_INCARNATIONS = 8
@@ -103,7 +103,7 @@
         if not is_tail:
             self._gateways.clear()
 
-    def pull_received(self, now: float, pull: Pull) -> None:
+    def pull_received(self, now: float, pull: PullRequest) -> None:
         """Count a pull as its gateway's heartbeat, unless it is of a former incarnation."""
         member = pull.member
         known = self._gateways.get(member.name)
--- a/roselink/controller/pull_driver.py
+++ b/roselink/controller/pull_driver.py
@@ -9,16 +9,16 @@
 
 from roselink.controller.pull_effects import (
     AnyReply,
-    ForwardedChangesPull,
+    ForwardedDeltaPull,
     ForwardedPull,
     ForwardToTail,
     PullEffect,
     RequestConfirmation,
-    SendChangesReply,
+    SendDeltaReply,
     SendReply,
 )
 from roselink.controller.pull_server import PullServer
-from roselink.protocol.pull import ChangesPull, ChangesReply, Pull, PullReply
+from roselink.protocol.pull import DeltaPullReply, DeltaPullRequest, PullReply, PullRequest
 
 if TYPE_CHECKING:
     from roselink.controller.chain_interface import Address, Confirmation, ReplicatedChain
@@ -37,7 +37,7 @@
     def call(
         self,
         address: Address,
-        message: ForwardedPull | ForwardedChangesPull,
+        message: ForwardedPull | ForwardedDeltaPull,
         timeout_s: float,
         done: Callable[[object], None],
     ) -> None:
@@ -89,14 +89,14 @@
 
     def handle(self, peer: Address, message: object, reply: Reply) -> bool:
         """Take a record of the pull service; False for any other."""
-        if isinstance(message, Pull):
+        if isinstance(message, PullRequest):
             self._receive(message, reply, forwarded=False)
         elif isinstance(message, ForwardedPull):
             self._receive(message.pull, reply, forwarded=True)
-        elif isinstance(message, ChangesPull):
-            self._receive(message.pull, reply, forwarded=False, changes=True)
-        elif isinstance(message, ForwardedChangesPull):
-            self._receive(message.pull, reply, forwarded=True, changes=True)
+        elif isinstance(message, DeltaPullRequest):
+            self._receive(message.pull, reply, forwarded=False, delta=True)
+        elif isinstance(message, ForwardedDeltaPull):
+            self._receive(message.pull, reply, forwarded=True, delta=True)
         else:
             return False
         return True
@@ -114,13 +114,15 @@
         """The gateways that pull from the tail, for the status page."""
         return self._server.lags(self._clock())
 
-    def _receive(self, pull: Pull, reply: Reply, *, forwarded: bool, changes: bool = False) -> None:
+    def _receive(
+        self, pull: PullRequest, reply: Reply, *, forwarded: bool, delta: bool = False
+    ) -> None:
         number = next(self._numbers)
         self._replies[number] = reply
         self._server.cores_changed(self._node.core_addresses())
         self._apply(
             self._server.pull_received(
-                self._clock(), number, pull, forwarded=forwarded, changes=changes
+                self._clock(), number, pull, forwarded=forwarded, delta=delta
             )
         )
 
@@ -135,8 +137,8 @@
                     )
                 case SendReply(number, reply):
                     self._replies.pop(number)(reply)
-                case SendChangesReply(number, changes_reply):
-                    self._replies.pop(number)(changes_reply)
+                case SendDeltaReply(number, delta_reply):
+                    self._replies.pop(number)(delta_reply)
 
     def _on_confirmation(self, number: int) -> Callable[[Confirmation | None], None]:
         def done(confirmation: Confirmation | None) -> None:
@@ -146,7 +148,7 @@
 
     def _on_forward_reply(self, number: int) -> Callable[[object], None]:
         def done(received: object) -> None:
-            reply = received if isinstance(received, PullReply | ChangesReply) else None
+            reply = received if isinstance(received, PullReply | DeltaPullReply) else None
             self._apply(self._server.forward_completed(self._clock(), number, reply))
 
         return done
--- a/roselink/controller/pull_effects.py
+++ b/roselink/controller/pull_effects.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from roselink.protocol.pull import ChangesReply, Pull, PullReply
+from roselink.protocol.pull import DeltaPullReply, PullReply, PullRequest
 from roselink.protocol.records import record
 
 if TYPE_CHECKING:
@@ -20,15 +20,15 @@
     It is never forwarded again.
     """
 
-    pull: Pull
+    pull: PullRequest
 
 
 @record(65)
 @dataclass(frozen=True, slots=True)
-class ForwardedChangesPull:
-    """The same for a `ChangesPull`."""
+class ForwardedDeltaPull:
+    """The same for a `DeltaPullRequest`."""
 
-    pull: Pull
+    pull: PullRequest
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,7 +44,7 @@
 
     number: int
     tail: Address
-    message: ForwardedPull | ForwardedChangesPull
+    message: ForwardedPull | ForwardedDeltaPull
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,12 +56,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SendChangesReply:
-    """The reply to the `ChangesPull` that came with this number."""
+class SendDeltaReply:
+    """The reply to the `DeltaPullRequest` that came with this number."""
 
     number: int
-    reply: ChangesReply
+    reply: DeltaPullReply
 
 
-AnyReply = PullReply | ChangesReply
-PullEffect = RequestConfirmation | ForwardToTail | SendReply | SendChangesReply
+AnyReply = PullReply | DeltaPullReply
+PullEffect = RequestConfirmation | ForwardToTail | SendReply | SendDeltaReply
--- a/roselink/controller/pull_replies.py
+++ b/roselink/controller/pull_replies.py
@@ -1,7 +1,7 @@
 """What a pull's reply brings: each part that the gateway lacks, of what the tail publishes.
 
-The replies to `Pull` carry the whole list of hosts; those to `ChangesPull` carry encoded changes
-and a compressed configuration, each encoded once for all gateways.
+The replies to `PullRequest` carry the complete list of hosts; those to `DeltaPullRequest` carry
+encoded changes and a compressed configuration, each encoded once for all gateways.
 """
 
 from __future__ import annotations
@@ -11,9 +11,9 @@
 
 from roselink.controller.host_versions import HostVersions
 from roselink.controller.payoffs import PayoffPool
-from roselink.controller.pull_effects import SendChangesReply, SendReply
+from roselink.controller.pull_effects import SendDeltaReply, SendReply
 from roselink.model.fleet import VersionVector
-from roselink.protocol.pull import ChangesReply, PullReply
+from roselink.protocol.pull import DeltaPullReply, PullReply
 
 if TYPE_CHECKING:
     from roselink.controller.chain_interface import Confirmation
@@ -47,7 +47,7 @@
     def reply(
         self, now: float, current: VersionVector, confirmation: Confirmation, cores: tuple[str, ...]
     ) -> PullReply:
-        """The reply to a `Pull` of a gateway that has the versions `current`."""
+        """The reply to a `PullRequest` of a gateway that has the versions `current`."""
         return PullReply(
             confirmed=True,
             vector=self._vector(confirmation),
@@ -58,13 +58,13 @@
             payoffs=self.payoffs.encoded(now),
         )
 
-    def changes_reply(
+    def delta_reply(
         self, now: float, current: VersionVector, confirmation: Confirmation, cores: tuple[str, ...]
-    ) -> ChangesReply:
-        """The reply to a `ChangesPull` of a gateway that has the versions `current`."""
+    ) -> DeltaPullReply:
+        """The reply to a `DeltaPullRequest` of a gateway that has the versions `current`."""
         newer = self.hosts.version > current.hosts
         changes = self.hosts.encoded_changes(current.hosts) if newer else None
-        return ChangesReply(
+        return DeltaPullReply(
             confirmed=True,
             vector=self._vector(confirmation),
             configuration=self._compressed(current, confirmation),
@@ -89,11 +89,11 @@
 
 
 def unconfirmed_reply(
-    number: int, cores: tuple[str, ...], *, changes: bool
-) -> SendReply | SendChangesReply:
+    number: int, cores: tuple[str, ...], *, delta: bool
+) -> SendReply | SendDeltaReply:
     """The reply that confirms nothing: the gateway pulls from another member."""
-    if changes:
-        reply = ChangesReply(
+    if delta:
+        reply = DeltaPullReply(
             confirmed=False,
             vector=VersionVector(),
             configuration=None,
@@ -102,7 +102,7 @@
             roster=None,
             cores=cores,
         )
-        return SendChangesReply(number, reply)
+        return SendDeltaReply(number, reply)
     nothing = PullReply(
         confirmed=False,
         vector=VersionVector(),
--- a/roselink/controller/pull_server.py
+++ b/roselink/controller/pull_server.py
@@ -17,17 +17,17 @@
 from roselink.controller.gateway_roster import GatewayLag, GatewayRoster, LivenessTimes
 from roselink.controller.pull_effects import (
     AnyReply,
-    ForwardedChangesPull,
+    ForwardedDeltaPull,
     ForwardedPull,
     ForwardToTail,
     PullEffect,
     RequestConfirmation,
-    SendChangesReply,
+    SendDeltaReply,
     SendReply,
 )
 from roselink.controller.pull_replies import ReplyBuilder, unconfirmed_reply
 from roselink.model.fleet import Host, VersionVector
-from roselink.protocol.pull import ChangesReply, Pull, PullReply
+from roselink.protocol.pull import DeltaPullReply, PullReply, PullRequest
 
 if TYPE_CHECKING:
     from roselink.controller.chain_interface import Address, Confirmation
@@ -38,10 +38,10 @@
 
 @dataclass(frozen=True, slots=True)
 class _PendingPull:
-    """A pull without its reply. `changes`: it came as a `ChangesPull`."""
+    """A pull without its reply. `delta`: it came as a `DeltaPullRequest`."""
 
-    pull: Pull
-    changes: bool
+    pull: PullRequest
+    delta: bool
 
 
 class PullServer:
@@ -95,7 +95,13 @@
         self._cores = cores
 
     def pull_received(
-        self, now: float, number: int, pull: Pull, *, forwarded: bool = False, changes: bool = False
+        self,
+        now: float,
+        number: int,
+        pull: PullRequest,
+        *,
+        forwarded: bool = False,
+        delta: bool = False,
     ) -> list[PullEffect]:
         """A pull came.
 
@@ -104,18 +110,18 @@
             number: the driver's number for this pull.
             pull: the pull.
             forwarded: it came from another member, and must not be forwarded again.
-            changes: it came as a `ChangesPull`.
+            delta: it came as a `DeltaPullRequest`.
         """
         self._roster.input_received(now)
         if self._is_tail:
             self._roster.pull_received(now, pull)
             self._replies.payoffs.add_report(now, pull.outcomes)
-            self._pending[number] = _PendingPull(pull, changes)
+            self._pending[number] = _PendingPull(pull, delta)
             return [RequestConfirmation(number)]
         if forwarded or self._tail is None:
-            return [unconfirmed_reply(number, self._cores, changes=changes)]
-        self._pending[number] = _PendingPull(pull, changes)
-        message = ForwardedChangesPull(pull) if changes else ForwardedPull(pull)
+            return [unconfirmed_reply(number, self._cores, delta=delta)]
+        self._pending[number] = _PendingPull(pull, delta)
+        message = ForwardedDeltaPull(pull) if delta else ForwardedPull(pull)
         return [ForwardToTail(number, self._tail, message)]
 
     def forward_completed(
@@ -126,11 +132,11 @@
         pending = self._pending.pop(number, None)
         if pending is None:
             return []
-        if pending.changes and isinstance(reply, ChangesReply):
-            return [SendChangesReply(number, reply)]
-        if not pending.changes and isinstance(reply, PullReply):
+        if pending.delta and isinstance(reply, DeltaPullReply):
+            return [SendDeltaReply(number, reply)]
+        if not pending.delta and isinstance(reply, PullReply):
             return [SendReply(number, reply)]
-        return [unconfirmed_reply(number, self._cores, changes=pending.changes)]
+        return [unconfirmed_reply(number, self._cores, delta=pending.delta)]
 
     def confirmation_received(
         self, now: float, number: int, confirmation: Confirmation | None
@@ -141,12 +147,12 @@
         if pending is None:
             return []
         if confirmation is None or not self._is_tail or confirmation.epoch != self._epoch:
-            return [unconfirmed_reply(number, self._cores, changes=pending.changes)]
+            return [unconfirmed_reply(number, self._cores, delta=pending.delta)]
         self._roster.publish(now, self._next_version)
         current = pending.pull.vector
-        if pending.changes:
-            changes = self._replies.changes_reply(now, current, confirmation, self._cores)
-            return [SendChangesReply(number, changes)]
+        if pending.delta:
+            reply = self._replies.delta_reply(now, current, confirmation, self._cores)
+            return [SendDeltaReply(number, reply)]
         return [SendReply(number, self._replies.reply(now, current, confirmation, self._cores))]
 
     def hosts_listed(self, now: float, epoch: int, hosts: tuple[Host, ...]) -> list[PullEffect]:
--- a/roselink/dataplane/plane.py
+++ b/roselink/dataplane/gateway_data_plane.py
@@ -7,11 +7,12 @@
 import zlib
 from typing import TYPE_CHECKING
 
-from roselink.dataplane.engine import Engine
-from roselink.dataplane.server import DataServer, ReadinessServer
-from roselink.dataplane.upstream import FleetUpstream
+from roselink.dataplane.client_server import DataServer
+from roselink.dataplane.decision_driver import Engine
+from roselink.dataplane.fleet_host_pool import FleetUpstream
+from roselink.dataplane.readiness_server import ReadinessServer
 from roselink.http.descriptors import Descriptors
-from roselink.routing.decisions import PooledPayoffs
+from roselink.routing.events_and_actions import PooledPayoffs
 
 if TYPE_CHECKING:
     from roselink.dataplane.interfaces import Authority, Decisions, Quotas, SharedBudget
--- a/roselink/gateway/engine.py
+++ b/roselink/gateway/engine.py
@@ -26,7 +26,6 @@
     Fail,
     ListKind,
     Log,
-    Outcome,
     Refuse,
     Send,
     ServerList,
@@ -35,12 +34,13 @@
     StreamStarted,
 )
 from roselink.http.host_connection import Answer, Attempt, Host
+from roselink.routing.outcome import Outcome
 
 if TYPE_CHECKING:
     import asyncio
     from collections.abc import Callable
 
-    from roselink.balancer.balance import Balancer
+    from roselink.balancer.decider import Balancer
     from roselink.http.address import Address
     from roselink.http.host_pool import Upstream
 
--- a/roselink/simulation/world.py
+++ b/roselink/simulation/world.py
@@ -12,11 +12,11 @@
 from typing import TYPE_CHECKING, Any
 
 from roselink.controller.pull_effects import (
-    ForwardedChangesPull,
+    ForwardedDeltaPull,
     ForwardToTail,
     PullEffect,
     RequestConfirmation,
-    SendChangesReply,
+    SendDeltaReply,
     SendReply,
 )
 from roselink.controller.pull_server import PullServer
@@ -33,14 +33,14 @@
 )
 from roselink.coordination.member import TICK_S, Member, Start
 from roselink.model.fleet import Host, HostState
-from roselink.protocol.records import decode, encode, number_of
+from roselink.protocol.records import decode, encode, record_number_of
 from roselink.simulation.disk import FOLDER, Broken, MemoryFiles
 from roselink.simulation.history import Change, History
 from roselink.simulation.timeline import Timeline
 
 if TYPE_CHECKING:
-    from roselink.protocol.chain import ConfigurationOrder
-    from roselink.protocol.pull import ChangesPull
+    from roselink.protocol.chain import ConfigurationChange
+    from roselink.protocol.pull import DeltaPullRequest
 
 SEEDS = 3  # that settings name
 SAVE_S = 0.015
@@ -168,7 +168,7 @@
 
     # --- what callers ask
 
-    def submit(self, order: ConfigurationOrder, done: Callable[[SubmitOutcome], None]) -> None:
+    def submit(self, order: ConfigurationChange, done: Callable[[SubmitOutcome], None]) -> None:
         """Carry an order."""
         if self.member is None:
             raise AssertionError("no process")
@@ -185,12 +185,12 @@
         self.perform(effects)
 
     def take_pull(
-        self, message: ChangesPull | ForwardedChangesPull, reply: Replied, _: Member
+        self, message: DeltaPullRequest | ForwardedDeltaPull, reply: Replied, _: Member
     ) -> list[Effect]:
         """Answer a gateway's pull, or one that another member sent on."""
         number = self.world.number()
         self.pulls[number] = reply
-        forwarded = isinstance(message, ForwardedChangesPull)
+        forwarded = isinstance(message, ForwardedDeltaPull)
         self._serve(
             self.pull_server.pull_received(
                 self.world.now, number, message.pull, forwarded=forwarded, changes=True
@@ -237,7 +237,7 @@
                     forwarded = partial(self._forwarded, self.life, number)
                     to = f"{host}:{port}"
                     self.world.call(self.address, to, message, FORWARD_TIMEOUT_S, forwarded)
-                case SendReply(number, reply) | SendChangesReply(number, reply):
+                case SendReply(number, reply) | SendDeltaReply(number, reply):
                     answered = self.pulls.pop(number, None)
                     if answered is not None:
                         answered(reply)
@@ -345,7 +345,7 @@
         for _ in range(copies):
             delay = self.delay()
             if delay is not None:
-                number, payload = number_of(send.message), encode(send.message)
+                number, payload = record_number_of(send.message), encode(send.message)
                 self.after(delay, partial(self._arrive, sender, send.to, number, payload))
 
     def delay(self) -> float | None:
@@ -374,7 +374,7 @@
         nobody.
         """
         payload = encode(message)
-        number = number_of(message)
+        number = record_number_of(message)
         open_call = [True]
 
         def finish(reply: Any) -> None:
--- a/tests/controller/test_pull_server.py
+++ b/tests/controller/test_pull_server.py
@@ -12,18 +12,18 @@
 from roselink.controller.pull_driver import FORWARD_TIMEOUT_S, PullDriver
 from roselink.controller.pull_effects import (
     AnyReply,
-    ForwardedChangesPull,
+    ForwardedDeltaPull,
     ForwardedPull,
     ForwardToTail,
     PullEffect,
     RequestConfirmation,
-    SendChangesReply,
+    SendDeltaReply,
     SendReply,
 )
 from roselink.controller.pull_server import EPOCH_SHIFT, PullServer
 from roselink.model.fleet import Host, HostState, Member, VersionVector
-from roselink.protocol.pull import ChangesPull, ChangesReply, Pull, PullReply
-from roselink.protocol.records import decode, encode, number_of
+from roselink.protocol.pull import DeltaPullReply, DeltaPullRequest, PullReply, PullRequest
+from roselink.protocol.records import decode, encode, record_number_of
 from tests.controller.fakes import FakeNode
 
 CORES = ("10.0.0.1:7500", "10.0.0.2:7500", "10.0.0.3:7500")
@@ -40,8 +40,8 @@
 
 def pull(
     name: str = "a", held: VersionVector | None = None, incarnation: int = 1, serving: bool = True
-) -> Pull:
-    return Pull(member(name, incarnation), held or VersionVector(), serving)
+) -> PullRequest:
+    return PullRequest(member(name, incarnation), held or VersionVector(), serving)
 
 
 def host(name: str, **changes: Any) -> Host:
@@ -77,7 +77,7 @@
         self.numbers = 0
         self.pull_server.view_changed(self.now, EPOCH, TAIL, CORES, is_tail=True)
 
-    def ask(self, asked: Pull, end: Confirmation | None = None) -> PullReply:
+    def ask(self, asked: PullRequest, end: Confirmation | None = None) -> PullReply:
         self.numbers += 1
         assert self.pull_server.pull_received(self.now, self.numbers, asked) == [
             RequestConfirmation(self.numbers)
@@ -91,7 +91,7 @@
         assert answer.number == self.numbers
         return answer.reply
 
-    def pass_time(self, seconds: float, *pulling: Pull) -> PullReply | None:
+    def pass_time(self, seconds: float, *pulling: PullRequest) -> PullReply | None:
         """Let time go by in steps; these gateways pull at each."""
         end, reply = self.now + seconds, None
         while self.now < end - 1e-9:
@@ -123,7 +123,7 @@
     assert pull_server.pull_received(0.1, 1, pull(), forwarded=forwarded) == [effect]
 
 
-NOTHING = ChangesReply(False, VersionVector(), None, None, None, None, CORES)
+NOTHING = DeltaPullReply(False, VersionVector(), None, None, None, None, CORES)
 
 
 @pytest.mark.parametrize(
@@ -131,10 +131,10 @@
     [
         (True, TAIL, False, RequestConfirmation(1)),
         (True, TAIL, True, RequestConfirmation(1)),
-        (False, TAIL, False, ForwardToTail(1, TAIL, ForwardedChangesPull(pull()))),
-        (False, TAIL, True, SendChangesReply(1, NOTHING)),
-        (False, None, False, SendChangesReply(1, NOTHING)),
-        (False, None, True, SendChangesReply(1, NOTHING)),
+        (False, TAIL, False, ForwardToTail(1, TAIL, ForwardedDeltaPull(pull()))),
+        (False, TAIL, True, SendDeltaReply(1, NOTHING)),
+        (False, None, False, SendDeltaReply(1, NOTHING)),
+        (False, None, True, SendDeltaReply(1, NOTHING)),
     ],
 )
 def test_who_answers_a_pull_of_changes(
@@ -142,29 +142,29 @@
 ) -> None:
     pull_server = PullServer(TIMES)
     pull_server.view_changed(0.0, EPOCH, tail, CORES, is_tail=is_tail)
-    assert pull_server.pull_received(0.1, 1, pull(), forwarded=forwarded, changes=True) == [effect]
+    assert pull_server.pull_received(0.1, 1, pull(), forwarded=forwarded, delta=True) == [effect]
 
 
 def test_without_a_confirmation_a_pull_of_changes_brings_nothing() -> None:
     pull_server = PullServer(TIMES)
     pull_server.view_changed(0.0, EPOCH, TAIL, CORES, is_tail=True)
     pull_server.hosts_listed(0.1, EPOCH, (host("h"),))
-    pull_server.pull_received(0.2, 1, pull(), changes=True)
-    assert pull_server.confirmation_received(0.3, 1, None) == [SendChangesReply(1, NOTHING)]
+    pull_server.pull_received(0.2, 1, pull(), delta=True)
+    assert pull_server.confirmation_received(0.3, 1, None) == [SendDeltaReply(1, NOTHING)]
 
 
-TOLD = ChangesReply(True, VersionVector(5, 6, 7), b"{}", b"list", None, (), CORES)
+TOLD = DeltaPullReply(True, VersionVector(5, 6, 7), b"{}", b"list", None, (), CORES)
 
 
 @pytest.mark.parametrize(
     ("changes", "answer", "effect"),
     [
-        (True, TOLD, SendChangesReply(1, TOLD)),
-        (True, None, SendChangesReply(1, NOTHING)),
+        (True, TOLD, SendDeltaReply(1, TOLD)),
+        (True, None, SendDeltaReply(1, NOTHING)),
         (
             True,
             PullReply(True, VersionVector(), None, None, None, ()),
-            SendChangesReply(1, NOTHING),
+            SendDeltaReply(1, NOTHING),
         ),
         (False, TOLD, SendReply(1, UNCONFIRMED)),
     ],
@@ -172,7 +172,7 @@
 def test_the_tail_answers_in_kind(changes: bool, answer: Any, effect: PullEffect) -> None:
     pull_server = PullServer(TIMES)
     pull_server.view_changed(0.0, EPOCH, TAIL, CORES, is_tail=False)
-    pull_server.pull_received(0.1, 1, pull(), changes=changes)
+    pull_server.pull_received(0.1, 1, pull(), delta=changes)
     assert pull_server.forward_completed(0.2, 1, answer) == [effect]
 
 
@@ -240,11 +240,11 @@
     tail = Tail()
     replies = []
     for sequence in (5, 5, 6):
-        tail.pull_server.pull_received(tail.now, sequence, pull(), changes=True)
+        tail.pull_server.pull_received(tail.now, sequence, pull(), delta=True)
         [answer] = tail.pull_server.confirmation_received(
             tail.now, sequence, confirmation(EPOCH, sequence, b"%d" % sequence)
         )
-        assert isinstance(answer, SendChangesReply)
+        assert isinstance(answer, SendDeltaReply)
         replies.append(answer.reply.configuration)
     assert replies[0] is replies[1] is not None
     assert [zlib.decompress(each) for each in replies if each] == [b"5", b"5", b"6"]
@@ -387,7 +387,7 @@
 
 def test_a_forwarded_pull_survives_the_wire() -> None:
     sent = ForwardedPull(pull("a", VersionVector(1, 2, 3)))
-    assert decode(number_of(sent), encode(sent)) == sent
+    assert decode(record_number_of(sent), encode(sent)) == sent
 
 
 class FakePool:
@@ -451,14 +451,14 @@
     node = FakeNode()
     made, pool = service(node)
     replies: list[Any] = []
-    assert made.handle(("10.1.0.1", 4000), ChangesPull(pull()), replies.append)
+    assert made.handle(("10.1.0.1", 4000), DeltaPullRequest(pull()), replies.append)
     node.reads.get_nowait()(confirmation())
-    assert made.handle(("10.0.0.1", 4000), ForwardedChangesPull(pull()), replies.append)
+    assert made.handle(("10.0.0.1", 4000), ForwardedDeltaPull(pull()), replies.append)
     node.reads.get_nowait()(confirmation())
-    assert [(type(reply), reply.confirmed) for reply in replies] == [(ChangesReply, True)] * 2
+    assert [(type(reply), reply.confirmed) for reply in replies] == [(DeltaPullReply, True)] * 2
     node.change_view(4, False, ("10.0.0.2", 7500))
-    made.handle(("10.1.0.1", 4000), ChangesPull(pull()), replies.append)
+    made.handle(("10.1.0.1", 4000), DeltaPullRequest(pull()), replies.append)
     ((address, message, _, done),) = pool.calls
-    assert (address, message) == (("10.0.0.2", 7500), ForwardedChangesPull(pull()))
+    assert (address, message) == (("10.0.0.2", 7500), ForwardedDeltaPull(pull()))
     done(TOLD)
     assert replies[-1] == TOLD
--- a/tools/pulls.py
+++ b/tools/pulls.py
@@ -14,17 +14,17 @@
 from typing import TYPE_CHECKING
 
 from roselink.controller.chain_interface import Confirmation
-from roselink.controller.pull_effects import SendChangesReply, SendReply
+from roselink.controller.pull_effects import SendDeltaReply, SendReply
 from roselink.controller.pull_server import PullServer
 from roselink.coordination.views import MAX_VOTERS
-from roselink.dataplane.topology import HostDirectory
-from roselink.dataplane.upstream import FleetUpstream
-from roselink.distribution.host_changes import completed
-from roselink.distribution.pull import PULL_EVERY_S, PullMachine, SendPull
+from roselink.dataplane.fleet_host_pool import FleetUpstream
+from roselink.dataplane.host_directory import HostDirectory
+from roselink.distribution.host_changes import expand_reply
+from roselink.distribution.pull_state_machine import PULL_EVERY_S, PullStateMachine, SendPull
 from roselink.http.descriptors import Descriptors
 from roselink.model.fleet import Host, Member, Snapshot, VersionVector
 from roselink.protocol.peers import FrameReader, frame
-from roselink.protocol.pull import ChangesReply, Pull, PullReply
+from roselink.protocol.pull import DeltaPullReply, PullReply, PullRequest
 from tools.measure import heap_bytes, machine, processor_us, show, show_line
 from tools.shapes import (
     make_configuration,
@@ -103,10 +103,10 @@
 
 def quiet_pull(cores: int, pulls: int) -> QuietPull:
     """One gateway against a core that has nothing new."""
-    machine_ = PullMachine(make_member(1), [("10.2.0.1", 7500)], random.Random(1))
+    machine_ = PullStateMachine(make_member(1), [("10.2.0.1", 7500)], random.Random(1))
     vector = VersionVector(1, EPOCH << 32 | 1, EPOCH << 32 | 1)
     reply = frame(ANSWER, 1, PullReply(True, vector, None, None, None, make_cores(cores)))
-    pull_bytes = len(frame(CALL, 1, Pull(make_member(1), vector, True)))
+    pull_bytes = len(frame(CALL, 1, PullRequest(make_member(1), vector, True)))
     reader = FrameReader()
     now = 0.0
 
@@ -117,7 +117,7 @@
             if isinstance(effect, SendPull):
                 frame(CALL, effect.call, effect.pull)
                 for _, _, answer in reader.feed(reply):
-                    machine_.answered(effect.call, answer, now + 0.003)
+                    machine_.reply_received(effect.call, answer, now + 0.003)
 
     return QuietPull(cores, processor_us(pull, pulls), pull_bytes, len(reply))
 
@@ -134,7 +134,7 @@
         nonlocal number
         number += 1
         held = VersionVector(1, pull_server.versions.hosts, pull_server.versions.roster)
-        data = frame(CALL, number, Pull(member, held, True))
+        data = frame(CALL, number, PullRequest(member, held, True))
         for _, _, message in FrameReader().feed(data):
             pull_server.pull_received(now, number, message)
         for effect in pull_server.confirmation_received(now, number, confirmation):
@@ -194,20 +194,20 @@
     confirmation = Confirmation(EPOCH, 1, b"", 1)
 
     def answer(vector: VersionVector) -> bytes:
-        pull_server.pull_received(0.0, 1, Pull(members[0], vector, True), changes=True)
+        pull_server.pull_received(0.0, 1, PullRequest(members[0], vector, True), delta=True)
         for effect in pull_server.confirmation_received(0.0, 1, confirmation):
-            if isinstance(effect, SendChangesReply):
+            if isinstance(effect, SendDeltaReply):
                 return frame(ANSWER, 1, effect.reply)
         raise RuntimeError("no answer")
 
     data = answer(held)
-    reply: ChangesReply = FrameReader().feed(data)[0][2]
+    reply: DeltaPullReply = FrameReader().feed(data)[0][2]
     if reply.host_changes is None:
         raise RuntimeError("the whole list came")
 
     def take() -> None:
         FrameReader().feed(data)
-        completed(reply, held.hosts, hosts)
+        expand_reply(reply, held.hosts, hosts)
 
     return HostDifference(
         count,
