--- a/roselink/routing/affinity.py
+++ b/roselink/routing/affinity.py
@@ -1,15 +1,15 @@
-"""Prompt caches of hosts: which key a request's hosts are found by, and what a host would have to
-read.
-
-A prompt comes in parts; a host that keeps a part and all before it reads neither again. How
-affinity shapes the draw: the two hosts that are compared are the first two of the ring for the
-request's key, in place of two random ones, and each is charged the shared tokens that it would have
-to read as if they were requests in flight. So the host that keeps more wins, unless it is more
-loaded by that much. The first of the ring (its home) is taken to keep the shared parts though this
-gateway has not sent them: the others send them there too.
-
-The key is the last shared part. The last part of a prompt is the request's own, or its session's: a
-route's last parts tell, by how many of them come again.
+"""Prompt caches of hosts: a request's affinity key, and what a host would have to read.
+
+A prompt comes in parts; a host that has cached a part and all parts before it reads none of them
+again. Affinity shapes the draw: the two hosts that are compared are the first two of the ring for
+the request's key, in place of two random ones, and each is charged the shared tokens that it would
+have to read as if they were requests in flight. So the host with the larger cached prefix wins,
+unless it is more loaded by that much. The first host of the ring (the key's home) is assumed to
+have cached the shared parts even if this gateway has not sent them: the other gateways send them
+there too.
+
+The key is the last shared part. The last part of a prompt belongs to the request alone, or to its
+session: how often a route's last parts recur distinguishes the two.
 """
 
 from __future__ import annotations
@@ -21,74 +21,100 @@
 if TYPE_CHECKING:
     from roselink.routing.events_and_actions import PromptPart, RequestFacts
 
-KEPT_PARTS = 8192  # parts whose hosts are remembered
-KEPT_LASTS = 2048  # last parts remembered, to see which come again
-KEPT_ROUTES = 1024
-KEEPS_S = 20.0  # a host is taken to keep a part for this long after its last use there
-HOME_KEEPS = 0.9  # part of the shared tokens that the home is taken to keep, with nothing known
-AGAIN_SMOOTH = 1 / 32
-SESSION_SHARE = 0.25  # a route's last parts are its sessions' when more than this share comes again
+# Prompt parts whose hosts are remembered.
+MAX_REMEMBERED_PARTS = 8192
+# Hosts remembered for each of these parts.
+MAX_HOSTS_PER_PART = 16
+# Last parts remembered, to detect those that recur.
+MAX_REMEMBERED_LAST_PARTS = 2048
+MAX_REMEMBERED_ROUTES = 1024
+# A host is assumed to cache a part for this long after its last use there.
+CACHE_LIFETIME_S = 20.0
+# Fraction of the shared tokens that the home is assumed to have cached when nothing is known.
+HOME_CACHED_FRACTION = 0.9
+# Weight of the newest arrival in a route's recurrence rate.
+RECURRENCE_SMOOTHING = 1 / 32
+# A route's last parts belong to sessions when more than this fraction of them recurs.
+SESSION_RECURRENCE = 0.25
 
 
 Value = TypeVar("Value")
 
 
 @dataclass(slots=True)
-class _Route:
-    again: float = 0.0  # share of last parts that were seen before
+class _LastParts:
+    """How often a route's last parts recur."""
+
+    recurrence: float = 0.0
 
 
 class PrefixMemory:
-    """What this gateway has seen of prompt parts, and of the hosts that read them; bounded."""
+    """The prompt parts that this gateway has seen, and the hosts that read them; bounded."""
 
     def __init__(self) -> None:
-        self._holders: OrderedDict[str, dict[str, float]] = OrderedDict()
-        self._lasts: OrderedDict[str, None] = OrderedDict()
-        self._routes: OrderedDict[str, _Route] = OrderedDict()
+        """Start with nothing known."""
+        self._hosts_by_part: OrderedDict[str, dict[str, float]] = OrderedDict()
+        self._last_parts: OrderedDict[str, None] = OrderedDict()
+        self._routes: OrderedDict[str, _LastParts] = OrderedDict()
 
-    def see(self, facts: RequestFacts) -> None:
-        """Learn from an arrival whether its route's last parts come again."""
+    def observe_arrival(self, facts: RequestFacts) -> None:
+        """Learn from an arrival whether its route's last parts recur."""
         if not facts.prompt:
             return
-        route = self._routes.setdefault(facts.route, _Route())
+        route = self._routes.setdefault(facts.route, _LastParts())
         last = facts.prompt[-1].id
-        route.again += ((last in self._lasts) - route.again) * AGAIN_SMOOTH
-        self._lasts[last] = None
-        self._lasts.move_to_end(last)
-        _bound(self._lasts, KEPT_LASTS)
-        _bound(self._routes, KEPT_ROUTES)
-
-    def shared(self, facts: RequestFacts) -> tuple[PromptPart, ...]:
-        """The parts that other requests share; the last of them is the key."""
+        route.recurrence += ((last in self._last_parts) - route.recurrence) * RECURRENCE_SMOOTHING
+        self._last_parts[last] = None
+        self._last_parts.move_to_end(last)
+        _evict_oldest(self._last_parts, MAX_REMEMBERED_LAST_PARTS)
+        _evict_oldest(self._routes, MAX_REMEMBERED_ROUTES)
+
+    def shared_parts(self, facts: RequestFacts) -> tuple[PromptPart, ...]:
+        """The leading parts that other requests share; the last of them is the affinity key."""
         parts = facts.prompt
         route = self._routes.get(facts.route)
-        own_last = len(parts) > 1 and (route is None or route.again <= SESSION_SHARE)
-        return parts[:-1] if own_last else parts
+        last_is_unique = len(parts) > 1 and (
+            route is None or route.recurrence <= SESSION_RECURRENCE
+        )
+        return parts[:-1] if last_is_unique else parts
 
-    def read_by(self, host: str, shared: tuple[PromptPart, ...], now: float) -> None:
-        """A host has read these parts, in order."""
+    def record_read(self, host: str, shared: tuple[PromptPart, ...], now: float) -> None:
+        """Note that a host has read these parts, in order; `now` in seconds."""
         for part in shared:
-            holders = self._holders.setdefault(part.id, {})
-            if len(holders) >= 16 and host not in holders:
-                del holders[min(holders, key=holders.__getitem__)]
-            holders[host] = now
-            self._holders.move_to_end(part.id)
-        _bound(self._holders, KEPT_PARTS)
-
-    def to_read(self, host: str, shared: tuple[PromptPart, ...], home: bool, now: float) -> float:
-        """Shared tokens that a host is expected to have to read."""
-        kept, total, leading = 0, 0, True
+            hosts = self._hosts_by_part.setdefault(part.id, {})
+            if len(hosts) >= MAX_HOSTS_PER_PART and host not in hosts:
+                del hosts[min(hosts, key=hosts.__getitem__)]
+            hosts[host] = now
+            self._hosts_by_part.move_to_end(part.id)
+        _evict_oldest(self._hosts_by_part, MAX_REMEMBERED_PARTS)
+
+    def uncached_tokens(
+        self, host: str, shared: tuple[PromptPart, ...], now: float, *, is_home: bool
+    ) -> float:
+        """Shared tokens that a host is expected to have to read.
+
+        Args:
+            host: Its id.
+            shared: The shared parts, in order.
+            now: Seconds.
+            is_home: Whether the host is the first of the ring for the key.
+        """
+        cached = 0
+        total = 0
+        prefix_cached = True
         for part in shared:
             total += part.tokens
-            read_at = self._holders.get(part.id, _NOBODY).get(host)
-            leading = leading and read_at is not None and now - read_at < KEEPS_S
-            kept += part.tokens * leading
-        return total - max(kept, HOME_KEEPS * total if home else 0.0)
+            read_at = self._hosts_by_part.get(part.id, _NO_HOSTS).get(host)
+            prefix_cached = (
+                prefix_cached and read_at is not None and now - read_at < CACHE_LIFETIME_S
+            )
+            cached += part.tokens * prefix_cached
+        return total - max(cached, HOME_CACHED_FRACTION * total if is_home else 0.0)
 
 
-_NOBODY: dict[str, float] = {}
+_NO_HOSTS: dict[str, float] = {}
 
 
-def _bound(table: OrderedDict[str, Value], most: int) -> None:
-    while len(table) > most:
+def _evict_oldest(table: OrderedDict[str, Value], size: int) -> None:
+    while len(table) > size:
         table.popitem(last=False)
--- a/roselink/routing/classifier.py
+++ b/roselink/routing/classifier.py
@@ -1,4 +1,8 @@
-"""Which outcomes may be tried again: by the route's kind, and by what surely did not run."""
+"""Which outcomes may be retried: by the route's kind, and by whether the request surely never ran.
+
+The balancer's classifier has the same rule for a failed outcome (never ran, or repeatable), but
+finds `repeatable` from the route's effect, and knows no failure that was relayed to the client.
+"""
 
 from __future__ import annotations
 
@@ -12,15 +16,20 @@
 class RetryDecision(Enum):
     """What an outcome means for its request."""
 
+    # The client has its response.
     DONE = "done"
     RETRY = "retry"
+    # Failed, and must not run again.
     STOP = "stop"
 
 
-def classify(outcome: Outcome, repeatable: bool, relayed: bool = False) -> RetryDecision:
-    """Work that never ran may always be repeated; any failure may where repeats do no harm.
+def classify(outcome: Outcome, *, repeatable: bool, relayed: bool = False) -> RetryDecision:
+    """Decide about a retry: always where nothing ran, otherwise only where repeating is harmless.
 
-    `relayed`: the client has this very answer already, whatever it was.
+    Args:
+        outcome: How the attempt ended.
+        repeatable: Whether the request may run more than once.
+        relayed: Whether the client already has this attempt's response, whatever it was.
     """
     if outcome is Outcome.SUCCESS or relayed:
         return RetryDecision.DONE
--- a/roselink/routing/events_and_actions.py
+++ b/roselink/routing/events_and_actions.py
@@ -1,7 +1,6 @@
 """What goes into the fleet's decisions and what comes out: facts, events, actions. Types only.
 
-Times are seconds of one monotonic clock that the host program chooses. `Outcome` is the gateway's
-own.
+Times are seconds of one monotonic clock that the host program chooses.
 """
 
 from __future__ import annotations
@@ -18,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """One part of a prompt, in order; the same leading ids share that part of a host's cache."""
+    """One part of a prompt, in order; equal leading ids share the parts in a host's cache."""
 
     id: str
     tokens: int
@@ -26,10 +25,24 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestFacts:
-    """All that decisions need of a request. `give_up_at`: when it must have its final answer.
-
-    `repeatable`: it may run more than once. `aim_s`: time to the first event, or to the whole
-    answer where it isn't streaming, within which it earns its full worth (0: none told).
+    """All that decisions need of a request.
+
+    Attributes:
+        number: Names the request in events and actions.
+        route: The route's name.
+        service: The service's name.
+        repeatable: It may run more than once.
+        streaming: Its response is a stream of events.
+        arrived_at: When it came.
+        deadline: When it must have its final response.
+        target_latency_s: Time to the first event, or to the whole response where it is not
+            streaming, within which it counts as served in time; 0 for none.
+        max_attempts: Bound on attempts, those that were not sent aside.
+        priority: Its rank; larger ranks are rejected first.
+        affinity: The route prefers hosts that have cached the prompt.
+        prompt: The prompt's parts; empty if they are unknown.
+        tokens_in: Tokens of the prompt.
+        tokens_out: Expected tokens of the response.
     """
 
     number: int
@@ -38,8 +51,8 @@
     repeatable: bool
     streaming: bool
     arrived_at: float
-    give_up_at: float
-    aim_s: float
+    deadline: float
+    target_latency_s: float
     max_attempts: int
     priority: int
     affinity: bool
@@ -50,8 +63,9 @@
 
 @dataclass(frozen=True, slots=True)
 class TopologyChanged:
-    """Event: the hosts and services now in force. A host that is missing or draining takes nothing
-    new.
+    """Event: the hosts and services now in force.
+
+    A host that is missing or draining takes nothing new.
     """
 
     hosts: tuple[Host, ...]
@@ -60,14 +74,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """Event: a request within its quota. One final answer is owed before `give_up_at`."""
+    """Event: a request within its quota. It gets one final response before its deadline."""
 
     facts: RequestFacts
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetDecided:
-    """Event: the answer to `AcquireSharedBudget`."""
+    """Event: the reply to `AcquireSharedBudget`."""
 
     number: int
     allowed: bool
@@ -75,8 +89,9 @@
 
 @dataclass(frozen=True, slots=True)
 class FirstEvent:
-    """Event: the first event of a stream went on to the client. From now on only resumption may
-    repeat it.
+    """Event: the first event of a stream went on to the client.
+
+    From now on the request can be repeated by resumption only.
     """
 
     number: int
@@ -85,12 +100,20 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """Event: what became of an attempt. `progressed`: part of its stream went on to the client.
-
-    SUCCESS: the whole answer went on. FULL: the host said it did not run (`X-Not-Executed`, or
-    421). ERROR: an answer that may have run; `relayed` says that the client has it already.
-    TIMEOUT, RESET: sent, no whole answer. CONNECT_FAILED, MOOT: nothing was sent. `wrong_host`:
-    421, another host has the address.
+    """Event: how an attempt ended.
+
+    SUCCESS: the whole response went on. FULL: the host said that it did not run (`X-Not-Executed`,
+    or 421). ERROR: a response that may have run. TIMEOUT, RESET: sent, no whole response.
+    CONNECT_FAILED, MOOT: nothing was sent.
+
+    Attributes:
+        number: The request's.
+        attempt: The attempt's.
+        outcome: See above.
+        elapsed_s: Since it was sent.
+        progressed: Part of its stream went on to the client.
+        relayed: The client already has this ERROR response.
+        wrong_host: 421, another host has the address.
     """
 
     number: int
@@ -118,7 +141,8 @@
 
 @dataclass(frozen=True, slots=True)
 class PooledPayoffs:
-    """Event: payoffs of hosts over all gateways, 0 to 1, by id; of the others nothing bad is known.
+    """Event: payoffs of hosts over all gateways, 0 to 1, by id; those not named have the best.
+
     They hold until the next such event, and for a time of the decider's own.
     """
 
@@ -139,8 +163,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SendAttempt:
-    """Action: send the request to a host. Attempts of a request count from 0. With `resume` the
-    stream goes on behind the last event that the client got (`Last-Event-Id`).
+    """Action: send the request to a host. Attempts of a request count from 0.
+
+    With `resume` the stream resumes after the last event that the client got (`Last-Event-Id`).
     """
 
     number: int
@@ -151,8 +176,9 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Action: stop waiting for an attempt; its outcome comes as CANCELLED, or MOOT when nothing was
-    sent.
+    """Action: stop waiting for an attempt.
+
+    Its outcome comes as CANCELLED, or as MOOT when nothing was sent.
     """
 
     number: int
@@ -161,8 +187,9 @@
 
 @dataclass(frozen=True, slots=True)
 class AcquireSharedBudget:
-    """Action: ask the owner of the service's shared slack for one repeat; `BudgetDecided` answers,
-    once.
+    """Action: request one retry from the owner of the service's shared slack.
+
+    `BudgetDecided` replies, once.
     """
 
     number: int
@@ -170,18 +197,27 @@
 
 
 class FailureReason(Enum):
-    """Why a request gets a final answer of ours."""
+    """Why a request gets a final response of the gateway's own."""
 
-    NOT_RUN = "not_run"  # 503: it has not run and never will
-    MAY_HAVE_RUN = "may_have_run"  # 502
-    OUT_OF_TIME = "out_of_time"  # 504; with nothing sent, 503
+    # 503: it has not run and never will.
+    NOT_RUN = "not_run"
+    # 502.
+    MAY_HAVE_RUN = "may_have_run"
+    # 504; with nothing sent, 503.
+    OUT_OF_TIME = "out_of_time"
 
 
 @dataclass(frozen=True, slots=True)
 class FinalResponse:
-    """Action: the final answer. A host's own failure that was held back for a retry is passed on
-    instead of a 502 where the data plane still has it. `retry_after_s`: when to come back, for
-    NOT_RUN; 0: at once.
+    """Action: the gateway's own final response.
+
+    Where the data plane still has a host's own failure, kept for the time of a retry, it passes
+    that on instead of a 502.
+
+    Attributes:
+        number: The request's.
+        reason: Why.
+        retry_after_s: When the client is to come back, for NOT_RUN; 0: at once.
     """
 
     number: int
@@ -191,7 +227,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartTimer:
-    """Action: ask for `TimerFired` at a time."""
+    """Action: request a `TimerFired` with this tag at a time."""
 
     tag: int
     at: float
--- a/roselink/routing/host_record.py
+++ b/roselink/routing/host_record.py
@@ -1,4 +1,4 @@
-"""What one gateway knows of one host: payoff, own requests there, failures and rests."""
+"""What one gateway knows of one host: payoff, its own requests there, failures and ejections."""
 
 from __future__ import annotations
 
@@ -8,87 +8,121 @@
 if TYPE_CHECKING:
     from roselink.model.fleet import Host
 
-UNKNOWN = 0.5  # payoff of a host that nothing is known of
-SMOOTH = 0.12  # weight of the newest outcome in a payoff
-FAILURES = 2  # failures in a row without a sign of life that rest a host
-FIRST_REST_S, LONGEST_REST_S = 0.2, 2.0
-LIGHT = 8.0  # a host of this capacity or less feels each request as a whole one
-SATURATED = 0.25  # part of a host's limit that one gateway may fill before it counts as saturated
-FULL_PART = 0.8  # of the own requests out at a refusal: the new limit
+# Payoff of a host that nothing is known of.
+UNKNOWN_PAYOFF = 0.5
+# Weight of the newest outcome in a payoff.
+PAYOFF_SMOOTHING = 0.12
+# Consecutive failures without any response that eject a host.
+FAILURES_TO_EJECT = 2
+# The first ejection; each further one is twice as long, up to the longest.
+FIRST_EJECTION_S = 0.2
+LONGEST_EJECTION_S = 2.0
+# On a host of this capacity or less each request weighs as a whole one.
+FULL_WEIGHT_CAPACITY = 8.0
+# Fraction of a host's limit that one gateway may use before the host counts as saturated.
+SATURATED_FRACTION = 0.25
+# Own requests in flight at which no host counts as saturated yet.
+MIN_SATURATED = 2.0
+# The new limit after a rejection, as a fraction of the own requests in flight.
+LIMIT_DECREASE = 0.8
 
 
 @dataclass(slots=True, eq=False)
 class HostRecord:
-    """One host. `reading`: own prompt tokens sent there that no first event has answered yet."""
+    """One host. Times in seconds of the decider's clock.
+
+    Attributes:
+        spec: The host as listed.
+        limit: Own requests in flight that it is believed to accept.
+        payoff: Fraction of recent outcomes that met their target, 0 to 1.
+        pooled_payoff: The payoff over all gateways; 1 where no gateway reports anything worse.
+        unreported_in_time: Outcomes within their target not yet reported to the other gateways.
+        unreported_missed: Outcomes that missed it, not yet reported.
+        in_flight: Own attempts in flight there.
+        pending_prompt_tokens: Own prompt tokens sent there whose attempts have no first event yet.
+        last_response_at: When a first event or a response last came from it.
+        consecutive_failures: Failures since then or since the last ejection.
+        ejections: Ejections since the last response.
+        ejected_until: No attempts before this time.
+        probation: It was ejected, and has not responded since: one probe request at a time.
+        probe_in_flight: Whether that probe request is in flight.
+    """
 
     spec: Host
     limit: float
-    payoff: float = UNKNOWN
-    pooled: float = 1.0  # payoff over all gateways; 1 where nothing speaks against it
-    served_untold: int = 0  # outcomes that the other gateways have not been told of
-    missed_untold: int = 0
+    payoff: float = UNKNOWN_PAYOFF
+    pooled_payoff: float = 1.0
+    unreported_in_time: int = 0
+    unreported_missed: int = 0
     in_flight: int = 0
-    reading: int = 0
-    heard_at: float = field(default=float("-inf"))
-    failures: int = 0
-    rests: int = 0
-    rested_until: float = 0.0
-    probation: bool = False  # rested, and not heard of since: one trial at a time
-    trial_out: bool = False
-
-    def available(self, now: float) -> bool:
-        """Whether it may get a request: not resting, and no trial of it under way."""
-        return self.rested_until <= now and not (self.probation and self.trial_out)
-
-    def has_room(self) -> bool:
-        """Whether own requests there are below what it surely takes."""
+    pending_prompt_tokens: int = 0
+    last_response_at: float = field(default=float("-inf"))
+    consecutive_failures: int = 0
+    ejections: int = 0
+    ejected_until: float = 0.0
+    probation: bool = False
+    probe_in_flight: bool = False
+
+    def is_available(self, now: float) -> bool:
+        """Whether it may get a request: not ejected, and no probe request of it in flight."""
+        return self.ejected_until <= now and not (self.probation and self.probe_in_flight)
+
+    def below_limit(self) -> bool:
+        """Whether own requests in flight are fewer than it is believed to accept."""
         return self.in_flight < self.limit
 
-    def saturated(self) -> bool:
-        """Whether own requests fill a fair share of it."""
-        return self.in_flight >= min(self.limit, max(2.0, SATURATED * self.limit))
-
-    def weight(self) -> float:
-        """What one running request takes of it, in whole requests."""
-        return min(1.0, LIGHT / max(1, self.spec.capacity))
-
-    def credit(self, worth: float) -> None:
-        """Learn from one outcome: 1 if served within the aim, else 0."""
-        self.payoff += (worth - self.payoff) * SMOOTH
-        if worth > 0:
-            self.served_untold += 1
+    def is_saturated(self) -> bool:
+        """Whether own requests use as much of it as one gateway should."""
+        return self.in_flight >= min(
+            self.limit, max(MIN_SATURATED, SATURATED_FRACTION * self.limit)
+        )
+
+    def request_weight(self) -> float:
+        """Load of one running request on it, in whole requests."""
+        return min(1.0, FULL_WEIGHT_CAPACITY / max(1, self.spec.capacity))
+
+    def record_payoff(self, *, in_time: bool) -> None:
+        """Learn from one outcome: payoff 1 if served within the target latency, else 0."""
+        if in_time:
+            self.payoff += (1.0 - self.payoff) * PAYOFF_SMOOTHING
+            self.unreported_in_time += 1
         else:
-            self.missed_untold += 1
-
-    def expected(self) -> float:
-        """The payoff by which it is compared."""
-        return self.payoff * self.pooled
-
-    def alive(self, now: float) -> None:
-        """A first event or an answer came from it."""
-        self.heard_at = now
-        self.failures = self.rests = 0
-        self.probation = self.trial_out = False
-
-    def served(self) -> None:
-        """An answer: it takes a little more than was thought."""
+            self.payoff += (0.0 - self.payoff) * PAYOFF_SMOOTHING
+            self.unreported_missed += 1
+
+    def effective_payoff(self) -> float:
+        """The payoff by which it is compared: the own one times the one over all gateways."""
+        return self.payoff * self.pooled_payoff
+
+    def record_response(self, now: float) -> None:
+        """A first event or a response came from it: end failures, ejections and probation."""
+        self.last_response_at = now
+        self.consecutive_failures = 0
+        self.ejections = 0
+        self.probation = False
+        self.probe_in_flight = False
+
+    def raise_limit(self) -> None:
+        """After a success: additive increase, one for each window of successes."""
         self.limit = min(float(self.spec.capacity), self.limit + 1.0 / self.limit)
 
-    def refused(self) -> None:
-        """It was full with the own requests that are out."""
-        self.limit = max(1.0, min(self.limit, FULL_PART * (self.in_flight + 1)))
-
-    def failed(self) -> bool:
-        """Count a failure without a sign of life; True when it has earned a rest."""
-        self.failures += 1
-        return self.probation or self.failures >= FAILURES
-
-    def rest(self, now: float) -> None:
-        """Send nothing there for a while, longer each time."""
-        self.rested_until = now + min(LONGEST_REST_S, FIRST_REST_S * 2.0**self.rests)
-        self.rests += 1
-        self.failures = 0
-        self.probation, self.trial_out = True, False
+    def lower_limit(self) -> None:
+        """After a rejection: it was full with the own requests in flight."""
+        self.limit = max(1.0, min(self.limit, LIMIT_DECREASE * (self.in_flight + 1)))
+
+    def record_failure(self) -> bool:
+        """Count a failure without any response; True when it is to be ejected."""
+        self.consecutive_failures += 1
+        return self.probation or self.consecutive_failures >= FAILURES_TO_EJECT
+
+    def eject(self, now: float) -> None:
+        """Send nothing there for a while, longer each time (exponential)."""
+        duration_s = min(LONGEST_EJECTION_S, FIRST_EJECTION_S * 2.0**self.ejections)
+        self.ejected_until = now + duration_s
+        self.ejections += 1
+        self.consecutive_failures = 0
+        self.probation = True
+        self.probe_in_flight = False
 
 
 def new_host_record(spec: Host) -> HostRecord:
--- a/roselink/routing/learning.py
+++ b/roselink/routing/learning.py
@@ -1,4 +1,4 @@
-"""What each outcome tells of its host, its route and its service."""
+"""What each outcome shows about its host, its route and its service."""
 
 from __future__ import annotations
 
@@ -14,77 +14,105 @@
     from roselink.routing.topology import Topology
 
 BROKEN = frozenset({Outcome.CONNECT_FAILED, Outcome.RESET})
-UNTOLD = frozenset({Outcome.CANCELLED, Outcome.MOOT})  # outcomes that tell nothing of a host
+# Outcomes that show nothing about a host.
+UNINFORMATIVE = frozenset({Outcome.CANCELLED, Outcome.MOOT})
 
 
 class Learner:
-    """Turns outcomes into payoffs, rests, limits, latencies and the memory of prompt parts."""
+    """Turns outcomes into payoffs, ejections, limits, latencies and the memory of prompt parts."""
 
     def __init__(self, topology: Topology, memory: PrefixMemory) -> None:
-        self._topology, self._memory = topology, memory
+        """Learn into `topology`'s hosts and services, and `memory`'s prompt parts."""
+        self._topology = topology
+        self._memory = memory
 
-    def sent(self, attempt: Attempt) -> None:
-        """An attempt goes out; a host that came back from a rest takes it as its trial."""
+    def record_sent(self, attempt: Attempt) -> None:
+        """An attempt goes out; at a host on probation it may be the probe request."""
         host = attempt.host
-        attempt.trial = host.probation and not host.trial_out
-        host.trial_out = host.trial_out or attempt.trial
+        attempt.is_probe = host.probation and not host.probe_in_flight
+        host.probe_in_flight = host.probe_in_flight or attempt.is_probe
         host.in_flight += 1
-        host.reading += attempt.reading
-
-    def answered(self, request: Request, attempt: Attempt, now: float) -> None:
-        """The first event, or the whole answer where no event came before."""
-        host, elapsed_s = attempt.host, now - attempt.sent_at
-        _stop_reading(attempt)
-        host.alive(now)
-        if not attempt.late:
-            host.credit(1.0 if request.route.in_time(request.policy, elapsed_s) else 0.0)
+        host.pending_prompt_tokens += attempt.pending_prompt_tokens
+
+    def record_first_event(self, request: Request, attempt: Attempt, now: float) -> None:
+        """The first event, or the whole response where no event came before."""
+        host = attempt.host
+        elapsed_s = now - attempt.sent_at
+        _clear_pending_tokens(attempt)
+        host.record_response(now)
+        if not attempt.overdue:
+            host.record_payoff(in_time=request.route.is_in_time(request.policy, elapsed_s))
         request.route.learn(elapsed_s)
         if request.facts.affinity and request.facts.prompt:
-            self._memory.read_by(host.spec.id, self._memory.shared(request.facts), now)
+            self._memory.record_read(host.spec.id, self._memory.shared_parts(request.facts), now)
 
-    def overdue(self, request: Request, attempt: Attempt, now: float) -> None:
-        """An attempt past its aim counts zero at once; a host not heard of since has failed."""
-        if attempt.outcome is not None or attempt.started:
+    def record_overdue(self, request: Request, attempt: Attempt, now: float) -> None:
+        """An attempt passes the target latency: count a miss at once.
+
+        It is a failure too if its host has not responded since it was sent.
+        """
+        if attempt.outcome is not None or attempt.first_event_seen:
             return
-        attempt.late = True
-        attempt.host.credit(0.0)
-        if attempt.host.heard_at <= attempt.sent_at:
-            self._failed(request, attempt.host, now, sure=False)
-
-    def ended(self, request: Request, attempt: Attempt, event: AttemptEnded, now: float) -> None:
-        """The outcome of an attempt."""
-        host, outcome = attempt.host, event.outcome
+        attempt.overdue = True
+        attempt.host.record_payoff(in_time=False)
+        if attempt.host.last_response_at <= attempt.sent_at:
+            self._record_failure(request, attempt.host, now, certain=False)
+
+    def record_end(
+        self, request: Request, attempt: Attempt, event: AttemptEnded, now: float
+    ) -> None:
+        """An attempt ended, with any outcome."""
+        host = attempt.host
         host.in_flight -= 1
-        _stop_reading(attempt)
-        if attempt.trial and host.probation:
-            host.trial_out = False
-        if outcome in UNTOLD:
-            return None
-        full = outcome is Outcome.FULL and not event.wrong_host
-        self._topology.pool(request.facts.service).count(full)
-        if outcome is Outcome.SUCCESS:
-            host.served()
-            if attempt.resumed:
-                host.credit(1.0)
-            elif not attempt.started:
-                self.answered(request, attempt, now)
-            return host.alive(now)
-        if not attempt.late:
-            host.credit(0.0)
-        if outcome in BROKEN or event.wrong_host:
-            return self._failed(request, host, now, sure=True, at_once=event.wrong_host)
-        if full:
-            host.refused()
-        if outcome is not Outcome.TIMEOUT:
-            host.alive(now)
-
-    def _failed(
-        self, request: Request, host: HostRecord, now: float, sure: bool, at_once: bool = False
+        _clear_pending_tokens(attempt)
+        if attempt.is_probe and host.probation:
+            host.probe_in_flight = False
+        if event.outcome in UNINFORMATIVE:
+            return
+        rejected = event.outcome is Outcome.FULL and not event.wrong_host
+        self._topology.ready_hosts(request.facts.service).record_outcome(rejected=rejected)
+        if event.outcome is Outcome.SUCCESS:
+            self._record_success(request, attempt, now)
+        else:
+            self._record_error(request, attempt, event, now)
+
+    def _record_success(self, request: Request, attempt: Attempt, now: float) -> None:
+        host = attempt.host
+        host.raise_limit()
+        if attempt.resumed:
+            host.record_payoff(in_time=True)
+        elif not attempt.first_event_seen:
+            self.record_first_event(request, attempt, now)
+        host.record_response(now)
+
+    def _record_error(
+        self, request: Request, attempt: Attempt, event: AttemptEnded, now: float
+    ) -> None:
+        host = attempt.host
+        if not attempt.overdue:
+            host.record_payoff(in_time=False)
+        if event.outcome in BROKEN or event.wrong_host:
+            self._record_failure(request, host, now, certain=True, at_once=event.wrong_host)
+            return
+        if event.outcome is Outcome.FULL:
+            host.lower_limit()
+        if event.outcome is not Outcome.TIMEOUT:
+            host.record_response(now)
+
+    def _record_failure(
+        self,
+        request: Request,
+        host: HostRecord,
+        now: float,
+        *,
+        certain: bool,
+        at_once: bool = False,
     ) -> None:
-        if host.failed() or at_once:
-            self._topology.pool(request.facts.service).rest(host, now, sure)
+        if host.record_failure() or at_once:
+            ready = self._topology.ready_hosts(request.facts.service)
+            ready.eject(host, now, certain=certain)
 
 
-def _stop_reading(attempt: Attempt) -> None:
-    attempt.host.reading -= attempt.reading
-    attempt.reading = 0
+def _clear_pending_tokens(attempt: Attempt) -> None:
+    attempt.host.pending_prompt_tokens -= attempt.pending_prompt_tokens
+    attempt.pending_prompt_tokens = 0
--- a/roselink/routing/policy.py
+++ b/roselink/routing/policy.py
@@ -1,4 +1,4 @@
-"""The EffectivePolicy of each route, found by PolicyKey, and what was learned of its latencies."""
+"""The policy of each call, and what was learned of each route's latencies."""
 
 from __future__ import annotations
 
@@ -11,93 +11,111 @@
 if TYPE_CHECKING:
     from roselink.routing.events_and_actions import RequestFacts
 
-PolicyKey = str  # the route's name
-
-TRACKED = 128  # latencies kept for a route
-KEPT_ROUTES = 1024
-HEDGE_AT = 0.95  # a request slower than this percentile of its route may be hedged
-HEDGE_LEAST_S = 0.01
-HEDGE_SAMPLES = 32  # latencies that a percentile needs
-# A hedged stream costs a whole prompt: only far past the percentile and the aim, at a host that
-# seems dark.
+# The route's name.
+PolicyKey = str
+
+# Latencies kept for a route.
+MAX_LATENCIES = 128
+MAX_ROUTES = 1024
+# A request slower than this percentile of its route may be hedged.
+HEDGE_PERCENTILE = 0.95
+MIN_HEDGE_WAIT_S = 0.01
+# New latencies after which the percentile is computed again.
+HEDGE_SAMPLES = 32
+# A hedge needs an attempt beyond the first.
+MIN_HEDGE_ATTEMPTS = 2
+# A hedged stream costs a whole prompt: only far past the percentile and the target latency, at a
+# host that seems unresponsive.
 HEDGE_STREAMS = True
-STREAM_PATIENCE = 2.0
-MICROSECONDS = 1e6
+# Multiple of the percentile after which a stream may be hedged.
+STREAM_HEDGE_FACTOR = 2.0
+MICROSECONDS_PER_S = 1e6
 
 
 @dataclass(frozen=True, slots=True)
 class EffectivePolicy:
-    """What binds one call. Seconds; an aim of 0: none told."""
+    """What binds one call.
+
+    Attributes:
+        key: The route's name.
+        repeatable: Whether the call may run more than once.
+        streaming: Whether its response is a stream of events.
+        max_attempts: At least 1.
+        target_latency_s: Seconds; 0 for none.
+    """
 
     key: PolicyKey
     repeatable: bool
     streaming: bool
     max_attempts: int
-    aim_s: float
+    target_latency_s: float
 
     @staticmethod
     def of(facts: RequestFacts) -> EffectivePolicy:
-        """The policy that a request's facts tell, normalized: one attempt at least."""
+        """The policy in a request's facts, normalized: at least one attempt, no negative time."""
         return EffectivePolicy(
             facts.route,
             facts.repeatable,
             facts.streaming,
             max(1, facts.max_attempts),
-            max(0.0, facts.aim_s),
+            max(0.0, facts.target_latency_s),
         )
 
 
-class RouteRecord:
-    """What one route's calls took (to the first event, or to the whole answer); bounded."""
+class RouteLatencies:
+    """Latencies of one route's calls, to the first event or the whole response; bounded."""
 
     def __init__(self) -> None:
-        self._latencies = LatencyTracker(maxlen=TRACKED)
-        self._hedge_s: float | None = None
-        self._fresh = 0
+        """Start with no latency known."""
+        self._latencies = LatencyTracker(maxlen=MAX_LATENCIES)
+        self._hedge_wait_s: float | None = None
+        self._new_latencies = 0
 
     def learn(self, elapsed_s: float) -> None:
-        """One success."""
-        self._latencies.append(int(elapsed_s * MICROSECONDS))
-        self._fresh += 1
-
-    def in_time(self, policy: EffectivePolicy, elapsed_s: float) -> bool:
-        """Whether that is within the aim; with none told, within the route's own median."""
-        if policy.aim_s > 0:
-            return elapsed_s <= policy.aim_s
+        """Take the latency of one success."""
+        self._latencies.append(int(elapsed_s * MICROSECONDS_PER_S))
+        self._new_latencies += 1
+
+    def is_in_time(self, policy: EffectivePolicy, elapsed_s: float) -> bool:
+        """Whether that is within the target latency, or without one, the route's own median."""
+        if policy.target_latency_s > 0:
+            return elapsed_s <= policy.target_latency_s
         median = self._latencies.percentile(0.5)
-        return median is None or elapsed_s * MICROSECONDS <= median
+        return median is None or elapsed_s * MICROSECONDS_PER_S <= median
+
+    def hedge_wait_s(self, policy: EffectivePolicy) -> float | None:
+        """How long to wait before a hedge; None: never.
 
-    def hedge_after_s(self, policy: EffectivePolicy) -> float | None:
-        """How long to wait before a second copy; None: never. The percentile is taken anew now and
-        then.
+        The percentile is computed again after every `HEDGE_SAMPLES` new latencies only.
         """
         if (
             not policy.repeatable
-            or policy.max_attempts < 2
+            or policy.max_attempts < MIN_HEDGE_ATTEMPTS
             or (policy.streaming and not HEDGE_STREAMS)
         ):
             return None
-        if self._fresh >= HEDGE_SAMPLES:
-            self._hedge_s = max(
-                HEDGE_LEAST_S, (self._latencies.percentile(HEDGE_AT) or 0) / MICROSECONDS
-            )
-            self._fresh = 0
+        if self._new_latencies >= HEDGE_SAMPLES:
+            percentile_us = self._latencies.percentile(HEDGE_PERCENTILE) or 0
+            self._hedge_wait_s = max(MIN_HEDGE_WAIT_S, percentile_us / MICROSECONDS_PER_S)
+            self._new_latencies = 0
         if not policy.streaming:
-            return self._hedge_s
-        return max(STREAM_PATIENCE * (self._hedge_s or 0.0), policy.aim_s) or None
+            return self._hedge_wait_s
+        stream_wait_s = STREAM_HEDGE_FACTOR * (self._hedge_wait_s or 0.0)
+        return max(stream_wait_s, policy.target_latency_s) or None
 
 
-class RouteTable:
-    """The routes that were asked for, the newest of them; bounded."""
+class RouteLatencyTable:
+    """The latencies of the routes that were added last; bounded."""
 
     def __init__(self) -> None:
-        self._routes: OrderedDict[PolicyKey, RouteRecord] = OrderedDict()
-
-    def find(self, key: PolicyKey) -> RouteRecord:
-        """The record of a route."""
-        record = self._routes.get(key)
-        if record is None:
-            record = self._routes[key] = RouteRecord()
-            while len(self._routes) > KEPT_ROUTES:
+        """Start with no route known."""
+        self._routes: OrderedDict[PolicyKey, RouteLatencies] = OrderedDict()
+
+    def find(self, key: PolicyKey) -> RouteLatencies:
+        """The latencies of a route, added if it is new."""
+        latencies = self._routes.get(key)
+        if latencies is None:
+            latencies = self._routes[key] = RouteLatencies()
+            while len(self._routes) > MAX_ROUTES:
                 self._routes.popitem(last=False)
-        return record
+        return latencies
--- a/roselink/routing/ready_hosts.py
+++ b/roselink/routing/ready_hosts.py
@@ -1,4 +1,4 @@
-"""The ready hosts of one service, as one gateway sees them: random draws, the ring, and rests."""
+"""The ready hosts of one service, as one gateway sees them: random draws, the ring, ejections."""
 
 from __future__ import annotations
 
@@ -12,71 +12,90 @@
 if TYPE_CHECKING:
     import random
 
-DRAWS = 8  # random tries for a host that will do, before a scan
-SCAN = 64  # hosts looked at in a row after that
-REFUSED_SMOOTH = 0.1
+# Random draws for a host that satisfies a condition, before a scan.
+MAX_DRAWS = 8
+# Hosts that the scan then checks in a row.
+MAX_SCANNED = 64
+# Weight of the newest outcome in the rejection rate.
+REJECTION_SMOOTHING = 0.1
 
 Condition = Callable[[HostRecord], bool]
 
 
 class ReadyHosts:
-    """Hosts of one service. `refused_share`: of late outcomes, those that said the host was
-    full.
+    """Ready hosts of one service.
+
+    Attributes:
+        hosts: All of them, those that are ejected included.
+        rejection_rate: Fraction of recent outcomes by which a host rejected the attempt as full.
     """
 
     def __init__(self) -> None:
+        """Start with no host."""
         self.hosts: list[HostRecord] = []
-        self.refused_share = 0.0
+        self.rejection_rate = 0.0
         self._by_id: dict[str, HostRecord] = {}
         self._ring: HashRing | None = None
-        self._resting: list[HostRecord] = []
+        self._ejected: list[HostRecord] = []
 
     def replace(self, hosts: list[HostRecord]) -> None:
-        """Take a new list; the ring is built again only when other ids are in it."""
+        """Take a new list; the ring is built again only when the set of ids changed."""
         by_id = {host.spec.id: host for host in hosts}
         if by_id.keys() != self._by_id.keys():
             self._ring = None
-        self.hosts, self._by_id = hosts, by_id
-        self._resting = [host for host in self._resting if host.spec.id in by_id]
+        self.hosts = hosts
+        self._by_id = by_id
+        self._ejected = [host for host in self._ejected if host.spec.id in by_id]
 
-    def count(self, refused: bool) -> None:
-        """Learn how crowded the service is."""
-        self.refused_share += (refused - self.refused_share) * REFUSED_SMOOTH
+    def record_outcome(self, *, rejected: bool) -> None:
+        """Learn from one outcome how crowded the service is."""
+        self.rejection_rate += (rejected - self.rejection_rate) * REJECTION_SMOOTHING
 
-    def ranked(self, key: str, most: int) -> Iterator[HostRecord]:
+    def ranked(self, key: str, limit: int) -> Iterator[HostRecord]:
         """The first hosts in a key's order, the same at every gateway that has the same list."""
         if self._ring is None:
             self._ring = HashRing(self._by_id)
-        return (self._by_id[name] for name in islice(self._ring.walk(key), most))
+        return (self._by_id[host] for host in islice(self._ring.walk(key), limit))
+
+    def draw(self, condition: Condition, randomness: random.Random) -> HostRecord | None:
+        """Draw a host that satisfies a condition at random; the number of checks is bounded.
 
-    def draw(self, fits: Condition, randomness: random.Random) -> HostRecord | None:
-        """A host drawn at random among those that fit, with a bounded number of looks."""
+        Returns:
+            None if none was found, though one may exist among more hosts than are checked.
+        """
         count = len(self.hosts)
-        for _ in range(min(DRAWS, count * 2)):
+        for _ in range(min(MAX_DRAWS, count * 2)):
             host = self.hosts[int(randomness.random() * count)]
-            if fits(host):
+            if condition(host):
                 return host
         start = int(randomness.random() * count)
-        for step in range(min(SCAN, count)):
+        for step in range(min(MAX_SCANNED, count)):
             host = self.hosts[(start + step) % count]
-            if fits(host):
+            if condition(host):
                 return host
         return None
 
-    def rest(self, host: HostRecord, now: float, sure: bool) -> bool:
-        """Rest a host, unless no other of the service would be left.
+    def eject(self, host: HostRecord, now: float, *, certain: bool) -> bool:
+        """Eject a host, unless too few of the service would be left.
+
+        Args:
+            host: The host.
+            now: Seconds.
+            certain: Whether it surely failed; then one other host must be left. Of hosts that only
+                did not respond, half must be left: an overloaded service looks the same.
 
-        Of one that only fell silent (not `sure`), half are left: a crowd of slow hosts looks the
-        same.
+        Returns:
+            Whether it was ejected.
         """
-        self._resting = [other for other in self._resting if other.rested_until > now]
-        if host in self._resting:
+        self._ejected = [other for other in self._ejected if other.ejected_until > now]
+        if host in self._ejected:
             return False
         count = len(self.hosts)
-        least = 1 if sure else max(1, (count + 1) // 2)
-        if self._by_id.get(host.spec.id) is not host or count - len(self._resting) <= least:
-            host.failures = 0
+        min_left = 1 if certain else max(1, (count + 1) // 2)
+        is_listed = self._by_id.get(host.spec.id) is host
+        if not is_listed or count - len(self._ejected) <= min_left:
+            host.consecutive_failures = 0
             return False
-        host.rest(now)
-        self._resting.append(host)
+        host.eject(now)
+        self._ejected.append(host)
         return True
--- a/roselink/routing/retry_budget.py
+++ b/roselink/routing/retry_budget.py
@@ -1,80 +1,117 @@
-"""The local retry budget of one service: a token bucket whose tokens expire with the window of the
-rule.
+"""The local retry budget of a service: a token bucket whose tokens expire with the window.
 
-The rule counts over all gateways: in any window, repeats <= ratio * requests + slack. Each gateway
-keeps its own repeats within its share of the ratio, taken over its own first sends of the last
-window, so the sum over any number of gateways keeps the ratio. The slack is lent by one owner for
-all and never counted here.
+The rule counts over all gateways: in any window, retries <= ratio * requests + slack. Each gateway
+keeps its own retries within its fraction of the ratio, over its own first sends of the last window,
+so the sum over any number of gateways keeps the ratio. The slack is lent by one owner for all
+gateways and never counted here.
 """
 
 from __future__ import annotations
 
 from collections import deque
+from dataclasses import dataclass
 
 from roselink.routing.token_bucket import TokenBucket
 
-EARNED_PART = 0.9  # of the told ratio: first sends that fail before they arrive earn as well
-SLICES = 20  # parts of the window that are counted together
+# Fraction of the configured ratio: first sends that fail before they arrive earn as well.
+EARNED_FRACTION = 0.9
+# Slices of the window that are counted together.
+SLICES = 20
+# Hedges need this many tokens at least, so that retries find some left.
+MIN_HEDGE_TOKENS = 2.0
 
 
 class LocalRetryBudget:
-    """Asked before every attempt beyond the first. Times in seconds; `ratio`: repeats for each
-    first send.
-    """
+    """Consulted before every attempt beyond the first. Times in seconds."""
 
     def __init__(self, ratio: float, window_s: float) -> None:
-        self._share = EARNED_PART * ratio
+        """Start empty.
+
+        Args:
+            ratio: Retries allowed for each first send, over all gateways.
+            window_s: The window of the rule, in seconds.
+        """
+        self._earned_per_send = EARNED_FRACTION * ratio
         self._slice_s = window_s / SLICES
         self._bucket = TokenBucket(0.0)
-        self._firsts: deque[list[int]] = deque()  # [slice, count], oldest first
-        self._repeats: deque[list[int]] = deque()
-        self._first_count = self._repeat_count = 0
+        self._first_sends: deque[_SliceCount] = deque()
+        self._retries: deque[_SliceCount] = deque()
+        self._first_send_count = 0
+        self._retry_count = 0
 
-    def first_send(self, now: float) -> None:
-        """Count a first send: it passes ungated and earns its part of a token."""
+    def record_first_send(self, now: float) -> None:
+        """Count a first send: it needs no token and earns a fraction of one."""
         self._expire(now)
-        self._first_count += 1
-        _count(self._firsts, self._slice(now))
-        self._bucket.earn(self._share, self._cap())
+        self._first_send_count += 1
+        _count(self._first_sends, self._slice(now))
+        self._bucket.earn(self._earned_per_send, self._cap())
 
     def spend(self, now: float) -> bool:
         """Take one token for a retry or a hedge; False when there is none."""
         self.tokens(now)
         if not self._bucket.spend():
             return False
-        self._repeat_count += 1
-        _count(self._repeats, self._slice(now))
+        self._retry_count += 1
+        _count(self._retries, self._slice(now))
         return True
 
     def tokens(self, now: float) -> float:
-        """What is left to spend now."""
+        """Tokens that may be spent now."""
         self._expire(now)
         self._bucket.earn(0.0, self._cap())
         return self._bucket.tokens
 
-    def rich(self, now: float) -> bool:
-        """Whether more than half of what the window earned is unspent, and at least two tokens."""
-        return self.tokens(now) >= max(2.0, self._share * self._first_count / 2)
+    def allows_hedge(self, now: float) -> bool:
+        """Whether half of what the window earned is unspent, and `MIN_HEDGE_TOKENS`."""
+        tokens = self.tokens(now)
+        earned = self._earned_per_send * self._first_send_count
+        return tokens >= max(MIN_HEDGE_TOKENS, earned / 2)
 
     def _cap(self) -> float:
-        return max(0.0, self._share * self._first_count - self._repeat_count)
+        return max(0.0, self._earned_per_send * self._first_send_count - self._retry_count)
 
     def _slice(self, now: float) -> int:
         return int(now // self._slice_s)
 
     def _expire(self, now: float) -> None:
-        """First sends count while their whole slice lies in the window, repeats while any of it
-        does.
+        """Drop counts that left the window.
+
+        First sends count while their whole slice lies in the window, retries while any of it does.
         """
         current = self._slice(now)
-        while self._firsts and self._firsts[0][0] <= current - SLICES:
-            self._first_count -= self._firsts.popleft()[1]
-        while self._repeats and self._repeats[0][0] < current - SLICES:
-            self._repeat_count -= self._repeats.popleft()[1]
+        while self._first_sends and self._first_sends[0].index <= current - SLICES:
+            self._first_send_count -= self._first_sends.popleft().count
+        while self._retries and self._retries[0].index < current - SLICES:
+            self._retry_count -= self._retries.popleft().count
+
+
+class RetryBudgets:
+    """The local budgets of all services, each made when it is first needed."""
+
+    def __init__(self, ratio: float, window_s: float) -> None:
+        """Keep what every budget is made with; see `LocalRetryBudget`."""
+        self._ratio = ratio
+        self._window_s = window_s
+        self._budgets: dict[str, LocalRetryBudget] = {}
+
+    def of(self, service: str) -> LocalRetryBudget:
+        """The budget of a service."""
+        known = self._budgets.get(service)
+        if known is None:
+            known = self._budgets[service] = LocalRetryBudget(self._ratio, self._window_s)
+        return known
+
+
+@dataclass(slots=True)
+class _SliceCount:
+    """How many sends fell into one slice of time, numbered from the clock's zero."""
+
+    index: int
+    count: int
 
 
-def _count(slices: deque[list[int]], index: int) -> None:
-    if slices and slices[-1][0] >= index:
-        slices[-1][1] += 1
+def _count(slices: deque[_SliceCount], index: int) -> None:
+    if slices and slices[-1].index >= index:
+        slices[-1].count += 1
     else:
-        slices.append([index, 1])
+        slices.append(_SliceCount(index, 1))
--- a/roselink/routing/ring.py
+++ b/roselink/routing/ring.py
@@ -1,7 +1,8 @@
-"""A consistent-hash ring: every gateway finds the same hosts for a key; a lost host moves only its
-own keys.
+"""Consistent hashing: every gateway finds the same hosts for a key; a lost host moves only its own.
 
-Hashes are blake2b of the id, so they don't depend on the process. A lookup is a bisection and a
+Each host has a number of points on a ring of 64-bit hashes, and a key's hosts are those of the
+points that follow its hash (Karger et al., Consistent Hashing and Random Trees, STOC 1997).
+Hashes are blake2b of the id, so they do not depend on the process. A lookup is a bisection and a
 short walk.
 """
 
@@ -16,56 +17,66 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
 
-MANY, VERY_MANY = 64, 1024  # hosts
-POINTS, POINTS_OF_MANY, POINTS_OF_VERY_MANY = 128, 32, 8
-IN_A_DIGEST = 8  # points that one digest of 64 bytes gives
-PLACE_BITS = 20  # the low bits of a point tell its host: a million at most
-PLACES = (1 << PLACE_BITS) - 1
+# Numbers of hosts up to which a host has more points.
+MANY_HOSTS = 64
+VERY_MANY_HOSTS = 1024
+# Points of each host in a ring of few, many and very many hosts.
+POINTS = 128
+POINTS_OF_MANY = 32
+POINTS_OF_VERY_MANY = 8
+# Points that one digest of 64 bytes gives.
+POINTS_PER_DIGEST = 8
+# The low bits of a point are its host's index: a million hosts at most.
+INDEX_BITS = 20
+INDEX_MASK = (1 << INDEX_BITS) - 1
 
 
 class HashRing:
-    """The hosts of one service by id. A larger fleet has fewer points a host: its shares are small
-    anyway.
+    """The hosts of one service by id.
+
+    In a larger fleet each host has fewer points: its fraction of the keys is small anyway.
     """
 
     def __init__(self, ids: Iterable[str]) -> None:
-        self._names = names = sorted(set(ids))
-        count = len(names)
-        each = (
-            POINTS
-            if count <= MANY
-            else POINTS_OF_MANY
-            if count <= VERY_MANY
-            else POINTS_OF_VERY_MANY
-        )
+        """Build the ring of these hosts; equal ids count once."""
+        self._ids = sorted(set(ids))
+        blocks = _points_per_host(len(self._ids)) // POINTS_PER_DIGEST
         points: list[int] = []
-        for place, name in enumerate(names):
-            for block in range(each // IN_A_DIGEST):
-                points += [point | place for point in _block(name, block)]
+        for index, host in enumerate(self._ids):
+            for block in range(blocks):
+                points += [point | index for point in _block(host, block)]
         points.sort()
         self._points = array("Q", points)
 
     def __len__(self) -> int:
+        """The number of points."""
         return len(self._points)
 
     def walk(self, key: str) -> Iterator[str]:
         """Every host once, in the key's order."""
-        size, seen = len(self._points), set()
+        size = len(self._points)
+        seen = set()
         start = bisect_right(self._points, key_hash(key))
         for step in range(size):
-            place = self._points[(start + step) % size] & PLACES
-            if place not in seen:
-                seen.add(place)
-                yield self._names[place]
+            index = self._points[(start + step) % size] & INDEX_MASK
+            if index not in seen:
+                seen.add(index)
+                yield self._ids[index]
 
 
 def key_hash(key: str) -> int:
-    """The place of a key on the ring."""
+    """The position of a key on the ring."""
     return int.from_bytes(blake2b(key.encode(), digest_size=8, person=b"key").digest(), "big")
 
 
+def _points_per_host(hosts: int) -> int:
+    if hosts <= MANY_HOSTS:
+        return POINTS
+    return POINTS_OF_MANY if hosts <= VERY_MANY_HOSTS else POINTS_OF_VERY_MANY
+
+
 @lru_cache(maxsize=16384)
-def _block(name: str, block: int) -> tuple[int, ...]:
-    """Eight of a host's points, with the bits for its place left empty."""
-    digest = blake2b(name.encode(), salt=block.to_bytes(2, "big"), person=b"host").digest()
-    return tuple(int.from_bytes(digest[at : at + 8], "big") & ~PLACES for at in range(0, 64, 8))
+def _block(host: str, block: int) -> tuple[int, ...]:
+    """Eight of a host's points, with the bits for its index left zero."""
+    digest = blake2b(host.encode(), salt=block.to_bytes(2, "big"), person=b"host").digest()
+    return tuple(int.from_bytes(digest[at : at + 8], "big") & ~INDEX_MASK for at in range(0, 64, 8))
--- a/roselink/routing/timers.py
+++ b/roselink/routing/timers.py
@@ -1,69 +1,90 @@
-"""Many due times behind one timer of the driver: it is set again only for an earlier time."""
+"""Many timers of requests behind one timer of the driver, set again only for an earlier time."""
 
 from __future__ import annotations
 
 from enum import Enum, auto
 from heapq import heappop, heappush
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 from roselink.routing.events_and_actions import StartTimer
-from roselink.routing.request_state import Request
 
 if TYPE_CHECKING:
-    from collections.abc import Callable
+    from roselink.routing.request_state import Request
 
 
-class Due(Enum):
-    """What comes due for a request."""
+class TimerKind(Enum):
+    """What is to happen to a request at its time."""
 
+    # Its deadline: the final response.
     GIVE_UP = auto()
-    HOLD = auto()
+    # The end of the wait for a ready host.
+    HOST_WAIT = auto()
+    # The end of a backoff.
     RETRY = auto()
+    # An attempt passes the target latency.
     OVERDUE = auto()
+    # A hedge may be sent.
     HEDGE = auto()
 
 
-Entry = tuple[float, int, Due, Request, int]
+class RequestTimer(NamedTuple):
+    """One timer; ordered by `due_at`, then by `sequence`, which no other timer has.
 
+    Attributes:
+        due_at: Seconds of the decider's clock.
+        sequence: Number of the timer, in the order in which they were scheduled.
+        kind: What is to happen.
+        request: To which request.
+        attempt: The number of its attempt, for OVERDUE and HEDGE.
+    """
 
-def is_over(entry: Entry) -> bool:
-    """Whether nothing is left to do at that time."""
-    _, _, due, request, number = entry
-    if due is Due.OVERDUE:
-        return request.attempts[number].outcome is not None or request.attempts[number].started
-    return request.closed
+    due_at: float
+    sequence: int
+    kind: TimerKind
+    request: Request
+    attempt: int
+
+    def is_obsolete(self) -> bool:
+        """Whether nothing is left to do at that time."""
+        if self.kind is TimerKind.OVERDUE:
+            attempt = self.request.attempts[self.attempt]
+            return attempt.outcome is not None or attempt.first_event_seen
+        return self.request.closed
 
 
 class Timers:
-    """Due times in order. An entry whose request is over is dropped without a wake-up."""
+    """Timers in order. Obsolete ones are dropped without a wake-up when they are the next."""
 
     def __init__(self) -> None:
-        self._entries: list[Entry] = []
-        self._pushed = self._tag = 0
+        """Start with none."""
+        self._timers: list[RequestTimer] = []
+        self._scheduled = 0
+        self._tag = 0
         self._armed_at: float | None = None
 
-    def push(self, at: float, due: Due, request: Request, attempt: int = 0) -> None:
-        """Ask for `due` at a time."""
-        self._pushed += 1
-        heappush(self._entries, (at, self._pushed, due, request, attempt))
+    def schedule(self, at: float, kind: TimerKind, request: Request, attempt: int = 0) -> None:
+        """Set a timer for a time in seconds."""
+        self._scheduled += 1
+        heappush(self._timers, RequestTimer(at, self._scheduled, kind, request, attempt))
 
-    def fired(self, tag: int) -> None:
-        """The driver's timer came."""
+    def driver_timer_fired(self, tag: int) -> None:
+        """The driver's timer fired; one with an older tag was replaced, and is ignored."""
         if tag == self._tag:
             self._armed_at = None
 
-    def pop_due(self, now: float) -> Entry | None:
-        """The next entry that is due."""
-        return heappop(self._entries) if self._entries and self._entries[0][0] <= now else None
-
-    def rearm(self, over: Callable[[Entry], bool]) -> StartTimer | None:
-        """The timer to start, if one is needed."""
-        while self._entries and over(self._entries[0]):
-            heappop(self._entries)
-        if not self._entries or (
-            self._armed_at is not None and self._armed_at <= self._entries[0][0]
-        ):
+    def pop_due(self, now: float) -> RequestTimer | None:
+        """Remove and return the next timer that is due."""
+        return heappop(self._timers) if self._timers and self._timers[0].due_at <= now else None
+
+    def rearm(self) -> StartTimer | None:
+        """The driver's timer to start, if one is needed."""
+        while self._timers and self._timers[0].is_obsolete():
+            heappop(self._timers)
+        if not self._timers:
+            return None
+        next_at = self._timers[0].due_at
+        if self._armed_at is not None and self._armed_at <= next_at:
             return None
         self._tag += 1
-        self._armed_at = self._entries[0][0]
-        return StartTimer(self._tag, self._armed_at)
+        self._armed_at = next_at
+        return StartTimer(self._tag, next_at)
--- a/roselink/routing/topology.py
+++ b/roselink/routing/topology.py
@@ -1,63 +1,84 @@
-"""The hosts and services now in force, and what is known of each host while it stays listed."""
+"""The hosts and services in force, and what is known of each host while it stays listed."""
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 from roselink.model.fleet import Host, HostState
 from roselink.routing.events_and_actions import PooledPayoffs, TopologyChanged
 from roselink.routing.host_record import HostRecord, new_host_record
 from roselink.routing.ready_hosts import ReadyHosts
 
-POOLED_S = 2.0  # payoffs over all gateways hold for so long
+# Payoffs over all gateways hold for this long.
+POOLED_PAYOFFS_S = 2.0
+
+
+class UnreportedOutcomes(NamedTuple):
+    """Outcomes at one host, for the other gateways.
+
+    Attributes:
+        host: Its id.
+        in_time: Outcomes served within the target latency.
+        missed: The others.
+    """
+
+    host: str
+    in_time: int
+    missed: int
 
 
 class Topology:
-    """One pool of ready hosts for each service. Draining hosts are remembered, and in no pool."""
+    """The ready hosts of each service. Draining hosts are remembered, but not ready."""
 
     def __init__(self) -> None:
+        """Start with no host and no service."""
         self._hosts: dict[str, HostRecord] = {}
-        self._pools: dict[str, ReadyHosts] = {}
+        self._ready: dict[str, ReadyHosts] = {}
         self._pooled_until = float("inf")
 
-    def pool(self, service: str) -> ReadyHosts:
-        """The hosts of a service; an empty pool for one that nobody told of."""
-        return self._pools.setdefault(service, ReadyHosts())
+    def ready_hosts(self, service: str) -> ReadyHosts:
+        """The ready hosts of a service; none for a service that is not listed."""
+        return self._ready.setdefault(service, ReadyHosts())
 
     def replace(self, event: TopologyChanged) -> None:
-        """Take the new list, whole."""
+        """Take a new list in place of the old."""
         ready: dict[str, list[HostRecord]] = {service.name: [] for service in event.services}
         hosts: dict[str, HostRecord] = {}
         for spec in event.hosts:
-            known = hosts[spec.id] = self._known(spec)
+            known = hosts[spec.id] = self._record_of(spec)
             if spec.state is HostState.READY:
                 ready.setdefault(spec.service, []).append(known)
         self._hosts = hosts
-        for service in self._pools.keys() - ready.keys():
-            del self._pools[service]
+        for service in self._ready.keys() - ready.keys():
+            del self._ready[service]
         for service, members in ready.items():
-            self.pool(service).replace(members)
+            self.ready_hosts(service).replace(members)
 
-    def pool_payoffs(self, event: PooledPayoffs, now: float) -> None:
-        """Take over the payoffs over all gateways; hosts not named have the best."""
+    def set_pooled_payoffs(self, event: PooledPayoffs, now: float) -> None:
+        """Take the payoffs over all gateways; hosts that are not named have the best."""
         payoffs = dict(event.hosts)
-        self._pooled_until = now + POOLED_S if payoffs else float("inf")
+        self._pooled_until = now + POOLED_PAYOFFS_S if payoffs else float("inf")
         for name, host in self._hosts.items():
-            host.pooled = payoffs.get(name, 1.0)
+            host.pooled_payoff = payoffs.get(name, 1.0)
 
-    def forget_pooled(self, now: float) -> None:
-        """Payoffs over all gateways end when they are not told anew."""
+    def expire_pooled_payoffs(self, now: float) -> None:
+        """Drop the payoffs over all gateways when they were not renewed in time."""
         if now > self._pooled_until:
-            self.pool_payoffs(PooledPayoffs(()), now)
+            self.set_pooled_payoffs(PooledPayoffs(()), now)
 
-    def untold(self) -> list[tuple[str, int, int]]:
-        """Hosts with outcomes since the last call: id, served within the aim, missed."""
-        told = []
+    def take_unreported_outcomes(self) -> list[UnreportedOutcomes]:
+        """Hosts with outcomes since the last call, and their numbers."""
+        unreported = []
         for name, host in self._hosts.items():
-            if host.served_untold or host.missed_untold:
-                told.append((name, host.served_untold, host.missed_untold))
-                host.served_untold = host.missed_untold = 0
-        return told
+            if host.unreported_in_time or host.unreported_missed:
+                unreported.append(
+                    UnreportedOutcomes(name, host.unreported_in_time, host.unreported_missed)
+                )
+                host.unreported_in_time = 0
+                host.unreported_missed = 0
+        return unreported
 
-    def _known(self, spec: Host) -> HostRecord:
+    def _record_of(self, spec: Host) -> HostRecord:
         known = self._hosts.get(spec.id)
         if known is None or known.spec.service != spec.service:
             return new_host_record(spec)
--- a/tests/mutations/routing.py
+++ b/tests/mutations/routing.py
@@ -20,7 +20,7 @@
     *mutations_of(
         "routing/request_state.py",
         ROUTING,
-        ("attempts without end", "gone_to < self.policy.max_attempts and", ""),
+        ("attempts without end", "sent < self.policy.max_attempts and", ""),
         (
             "half an answer is begun again",
             "self.policy.repeatable and (self.policy.streaming or not self.progressed)",
@@ -28,19 +28,24 @@
         ),
     ),
     *mutations_of(
-        "routing/fleet_decider.py",
+        "routing/request_lifecycle.py",
         ROUTING,
         (
-            "repeats draw on no budget",
-            "elif self._budget(request.facts.service).spend(self._now):",
+            "retries draw on no budget",
+            "elif self._state.budgets.of(service).spend(self.now):",
             "elif True:",
         ),
-        ("a no of the budget is passed over", "        if event.allowed:\n", "        if True:\n"),
         (
             "sent once its time is up",
-            "        if self._now >= request.facts.give_up_at:\n"
-            "            return self._finish(request)\n",
+            "        if self.now >= request.facts.deadline:\n"
+            "            self.finish(request)\n"
+            "            return\n",
             "",
         ),
     ),
+    *mutations_of(
+        "routing/fleet_decider.py",
+        ROUTING,
+        ("a no of the budget is passed over", "        if event.allowed:\n", "        if True:\n"),
+    ),
 )
--- a/tests/routing/builders.py
+++ b/tests/routing/builders.py
@@ -27,8 +27,8 @@
     repeatable=True,
     streaming=False,
     arrived_at=0.0,
-    give_up_at=4.0,
-    aim_s=0.6,
+    deadline=4.0,
+    target_latency_s=0.6,
     max_attempts=3,
     priority=0,
     affinity=False,
@@ -74,7 +74,7 @@
 
     def arrive(self, facts: RequestFacts = FACTS, /, **changes: object) -> list[Action]:
         facts = replace(facts, **changes)  # type: ignore[arg-type]
-        shifted = replace(facts, arrived_at=self.now, give_up_at=self.now + facts.give_up_at)
+        shifted = replace(facts, arrived_at=self.now, deadline=self.now + facts.deadline)
         return self.tell(RequestArrived(shifted))
 
     def end(
@@ -95,7 +95,11 @@
     def earn(self, requests: int = 60, service: str = "s") -> None:
         """First sends that succeed, so that the bucket holds tokens."""
         for number in range(10_000, 10_000 + requests):
-            self.arrive(replace(FACTS, number=number, service=service, route="earning", aim_s=0.0))
+            self.arrive(
+                replace(
+                    FACTS, number=number, service=service, route="earning", target_latency_s=0.0
+                )
+            )
             self.end(Outcome.SUCCESS, number=number)
 
 
--- a/tests/routing/test_fleet_decider.py
+++ b/tests/routing/test_fleet_decider.py
@@ -147,7 +147,7 @@
         made = Bench(FleetDecider("z", seed, 0.2, 10.0))
         made.list_hosts(*hosts(8))
         made.earn()
-        made.arrive(max_attempts=5, aim_s=0.64)
+        made.arrive(max_attempts=5, target_latency_s=0.64)
         for attempt in range(4):
             failed_at = made.now
             made.end(O.ERROR, attempt)
@@ -160,7 +160,7 @@
 
 def test_spent_time_aborts() -> None:
     made = bench()
-    made.arrive(give_up_at=1.0)
+    made.arrive(deadline=1.0)
     made.now = 0.9999
     assert verdict(made.end(O.ERROR)) == MAY_HAVE_RUN
 
@@ -168,7 +168,7 @@
 @pytest.mark.parametrize("repeatable", [True, False])
 def test_a_silent_attempt_ends_with_the_time(repeatable: bool) -> None:
     made = bench(tokens=False)
-    made.arrive(repeatable=repeatable, streaming=True, give_up_at=2.0)
+    made.arrive(repeatable=repeatable, streaming=True, deadline=2.0)
     actions = made.wait(5.0)
     assert only(FinalResponse, actions) == [FinalResponse(1, FailureReason.OUT_OF_TIME)]
     assert only(CancelAttempt, actions) == [CancelAttempt(1, 0)]
@@ -177,7 +177,7 @@
 
 def test_a_running_stream_is_not_cut_by_us_and_not_taken_up_after_its_time() -> None:
     made = bench()
-    made.arrive(streaming=True, give_up_at=2.0)
+    made.arrive(streaming=True, deadline=2.0)
     made.tell(FirstEvent(1, 0))
     assert made.wait(5.0) == []
     (final,) = made.end(O.RESET, progressed=True)
@@ -224,7 +224,7 @@
 
 def test_a_grant_after_the_time_sends_nothing() -> None:
     made = bench(tokens=False)
-    made.arrive(give_up_at=1.0)
+    made.arrive(deadline=1.0)
     settle(made, made.end(O.ERROR), until=0.1)
     made.now = 1.0
     actions = made.tell(BudgetDecided(1, True))
@@ -361,7 +361,7 @@
 def test_of_hosts_that_only_fell_silent_half_are_left(sure: bool, resting: int) -> None:
     pool = ReadyHosts()
     pool.replace([new_host_record(one) for one in hosts(6)])
-    assert sum(pool.rest(state, 0.0, sure) for state in pool.hosts) == resting
+    assert sum(pool.eject(state, 0.0, certain=sure) for state in pool.hosts) == resting
 
 
 def test_no_copy_after_the_first_event() -> None:
@@ -508,9 +508,9 @@
         made.arrive(number=number)
         made.end(O.SUCCESS, number=number)
     made.wait(made.now + 10.0)
-    assert made.decider._requests == {}
-    assert made.decider._timers._entries == []
-    assert FACTS.number not in made.decider._held
+    assert made.decider._lifecycle.requests == {}
+    assert made.decider._timers._timers == []
+    assert FACTS.number not in made.decider._lifecycle.awaiting_host
 
 
 def test_a_call_keeps_the_policy_of_its_arrival() -> None:
--- a/tests/routing/test_host_choice.py
+++ b/tests/routing/test_host_choice.py
@@ -210,10 +210,10 @@
 def test_the_other_of_the_pair_wins_when_the_home_is_more_loaded() -> None:
     made = pool(6)
     home, second = list(made.ranked("session", 2))
-    home.reading = 20_000
+    home.pending_prompt_tokens = 20_000
     counts = picked(made, MODEL, times=400)
     assert counts[second.spec.id] > 0.85 * 400
-    second.reading = 20_000
+    second.pending_prompt_tokens = 20_000
     counts = picked(made, MODEL, times=400)
     assert counts[home.spec.id] > 0.85 * 400
 
@@ -225,7 +225,7 @@
     home.in_flight = 32  # loads of 4 requests
     lost = sum(choose.pick(made, MODEL, (), 0.0) is second for _ in range(200))
     home.in_flight = 4
-    memory.read_by(second.spec.id, MODEL.prompt[:2], 0.0)
+    memory.record_read(second.spec.id, MODEL.prompt[:2], 0.0)
     kept = sum(choose.pick(made, MODEL, (), 1.0) is second for _ in range(200))
     forgotten = sum(choose.pick(made, MODEL, (), 60.0) is second for _ in range(200))
     assert lost > 170
@@ -249,7 +249,7 @@
 def test_a_resting_host_leaves_its_sessions_to_the_next() -> None:
     made = pool(6)
     home, second, third, _ = made.ranked("session", 4)
-    assert made.rest(home, 0.0, sure=True)
+    assert made.eject(home, 0.0, certain=True)
     counts = picked(made, MODEL, times=400)
     assert {h for h, n in counts.items() if n} == {second.spec.id, third.spec.id}
 
@@ -269,8 +269,8 @@
     memory = PrefixMemory()
     for number in range(100):
         last = parts[-1] if comes_again else f"{parts[-1]}{number}"
-        memory.see(replace(MODEL, prompt=prompt(*parts[:-1], last)))
-    assert memory.shared(replace(MODEL, prompt=prompt(*parts)))[-1].id == key
+        memory.observe_arrival(replace(MODEL, prompt=prompt(*parts[:-1], last)))
+    assert memory.shared_parts(replace(MODEL, prompt=prompt(*parts)))[-1].id == key
 
 
 @pytest.mark.parametrize(
@@ -287,18 +287,20 @@
     read: tuple[str, ...], home: bool, expected: float
 ) -> None:
     memory = PrefixMemory()
-    memory.read_by("h0", prompt(*read), 0.0)
-    assert memory.to_read("h0", MODEL.prompt[:2], home, 1.0) == pytest.approx(expected)
+    memory.record_read("h0", prompt(*read), 0.0)
+    assert memory.uncached_tokens("h0", MODEL.prompt[:2], 1.0, is_home=home) == pytest.approx(
+        expected
+    )
 
 
 def test_what_is_remembered_is_bounded() -> None:
     memory = PrefixMemory()
     for number in range(20_000):
         facts = replace(MODEL, route=f"r{number}", prompt=prompt(f"s{number}", f"o{number}"))
-        memory.see(facts)
-        memory.read_by(f"h{number}", facts.prompt, 0.0)
-        memory.read_by(f"h{number}", prompt("hot"), 0.0)
-    assert len(memory._holders) <= 8192
-    assert len(memory._lasts) <= 2048
+        memory.observe_arrival(facts)
+        memory.record_read(f"h{number}", facts.prompt, 0.0)
+        memory.record_read(f"h{number}", prompt("hot"), 0.0)
+    assert len(memory._hosts_by_part) <= 8192
+    assert len(memory._last_parts) <= 2048
     assert len(memory._routes) <= 1024
-    assert len(memory._holders["hot"]) <= 16
+    assert len(memory._hosts_by_part["hot"]) <= 16
--- a/tests/routing/test_invariants.py
+++ b/tests/routing/test_invariants.py
@@ -84,7 +84,7 @@
         number, facts = action.number, self.facts[action.number]
         ended = self.ended.setdefault(number, [])
         assert number in self.owed
-        assert self.made.now < facts.give_up_at
+        assert self.made.now < facts.deadline
         assert action.host in self.listed
         out = [key for key in self.out if key[0] == number]
         if not facts.repeatable:
@@ -146,8 +146,8 @@
             repeatable=number % 4 < 2,
             streaming=bool(number % 2),
             arrived_at=now,
-            give_up_at=now + 1.5,
-            aim_s=0.2,
+            deadline=now + 1.5,
+            target_latency_s=0.2,
             max_attempts=1 + number % 3,
             priority=number % 5,
             affinity=bool(number % 2),
@@ -184,9 +184,9 @@
             self.tell(AttemptEnded(*key, outcome, 0.1, progressed=key[0] in self.started))
         assert not self.owed
         decider = self.made.decider
-        assert decider._requests == decider._held == {}
+        assert decider._lifecycle.requests == decider._lifecycle.awaiting_host == {}
         for known in decider._topology._hosts.values():
-            assert (known.in_flight, known.reading) == (0, 0)
+            assert (known.in_flight, known.pending_prompt_tokens) == (0, 0)
             assert 0.0 <= known.payoff <= 1.0
 
 
--- a/tests/routing/test_pooled_payoffs.py
+++ b/tests/routing/test_pooled_payoffs.py
@@ -9,7 +9,7 @@
     SendAttempt,
 )
 from roselink.routing.outcome import Outcome
-from roselink.routing.topology import POOLED_S
+from roselink.routing.topology import POOLED_PAYOFFS_S
 from tests.routing.builders import Bench, hosts, only, prompt
 
 SESSION = prompt("shared", "session", "own")
@@ -50,7 +50,7 @@
     if ended_by == "news":
         made.tell(PooledPayoffs(()))
     else:
-        made.now += POOLED_S + 0.1
+        made.now += POOLED_PAYOFFS_S + 0.1
     assert homes(made, 100, True)[home] > 0.8 * 60
 
 
--- a/tests/routing/test_recorded_decisions.py
+++ b/tests/routing/test_recorded_decisions.py
@@ -93,9 +93,8 @@
             hosts = tuple((f"h{n}", self.draw.random()) for n in range(5) if n % 2)
             self.tell(PooledPayoffs(hosts))
         elif chance < 0.04:
-            self.record.update(
-                f"untold {self.made.decider.take_unreported_outcomes()!r}\n".encode()
-            )
+            unreported = [tuple(each) for each in self.made.decider.take_unreported_outcomes()]
+            self.record.update(f"untold {unreported!r}\n".encode())
 
 
 @pytest.mark.parametrize(("seed", "kind"), RECORDED, ids=str)
--- a/tests/routing/test_retry_budget.py
+++ b/tests/routing/test_retry_budget.py
@@ -26,7 +26,7 @@
         now += gap
         for _ in range(count):
             if kind == "f":
-                budget.first_send(now)
+                budget.record_first_send(now)
                 firsts.append(now)
             elif budget.spend(now):
                 repeats.append(now)
@@ -49,24 +49,24 @@
 def test_tokens_expire_with_the_window(firsts: int, pause_s: float, granted: int) -> None:
     budget = LocalRetryBudget(RATIO, WINDOW_S)
     for _ in range(firsts):
-        budget.first_send(100.0)
+        budget.record_first_send(100.0)
     assert sum(budget.spend(100.0 + pause_s) for _ in range(1000)) == granted
 
 
 def test_a_long_calm_stretch_saves_up_no_more_than_one_window() -> None:
     budget = LocalRetryBudget(RATIO, WINDOW_S)
     for step in range(10_000):  # 10 a second
-        budget.first_send(step * 0.1)
+        budget.record_first_send(step * 0.1)
     granted = sum(budget.spend(999.9) for _ in range(1000))
     assert 15 <= granted <= RATIO * 10 * WINDOW_S
 
 
 def test_rich_needs_most_of_the_window_unspent() -> None:
     budget = LocalRetryBudget(RATIO, WINDOW_S)
-    assert not budget.rich(0.0)
+    assert not budget.allows_hedge(0.0)
     for _ in range(100):
-        budget.first_send(0.0)
-    assert budget.rich(0.0)
+        budget.record_first_send(0.0)
+    assert budget.allows_hedge(0.0)
     for _ in range(10):
         budget.spend(0.0)
-    assert not budget.rich(0.0)
+    assert not budget.allows_hedge(0.0)
--- a/tools/decider.py
+++ b/tools/decider.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING
 
-from roselink.routing.affinity import KEPT_PARTS, PrefixMemory
+from roselink.routing.affinity import MAX_REMEMBERED_PARTS, PrefixMemory
 from roselink.routing.events_and_actions import (
     AttemptEnded,
     FirstEvent,
@@ -54,8 +54,8 @@
     repeatable=True,
     streaming=True,
     arrived_at=0.0,
-    give_up_at=0.0,
-    aim_s=1.2,
+    deadline=0.0,
+    target_latency_s=1.2,
     max_attempts=2,
     priority=0,
     affinity=True,
@@ -99,7 +99,7 @@
             service=service or service_name(number % MODELS),
             route=f"r-{number % 50}",
             arrived_at=self._now,
-            give_up_at=self._now + 5.0,
+            deadline=self._now + 5.0,
             prompt=(*parts, PromptPart(f"n{number:07x}", 250)),
         )
         sent = self.decider.handle(self._now, RequestArrived(facts))
@@ -154,7 +154,7 @@
         names = [make_host(number).id for number in range(holders)]
         for number in range(parts):
             for name in names:
-                memory.read_by(name, (PromptPart(f"{number:08x}", 400),), float(number))
+                memory.record_read(name, (PromptPart(f"{number:08x}", 400),), float(number))
         return memory
 
     return heap_bytes(build)
@@ -164,7 +164,7 @@
     sizes: Sequence[int] = HOSTS,
     requests: int = REQUESTS,
     changes: int = CHANGES,
-    parts: int = KEPT_PARTS,
+    parts: int = MAX_REMEMBERED_PARTS,
 ) -> list[Cost]:
     """Measure and print."""
     print(machine())
