--- a/roselink/dataplane/attempt_runner.py
+++ b/roselink/dataplane/attempt_runner.py
@@ -5,7 +5,7 @@
 from functools import partial
 from typing import TYPE_CHECKING, Protocol
 
-from roselink.dataplane.exchange import AnswerMode, AttemptAnswer, Exchange
+from roselink.dataplane.exchange import AttemptResponse, Exchange, ResponseMode
 from roselink.dataplane.fleet_host_connection import FleetAttempt
 from roselink.dataplane.proxy_request import attempt_head
 from roselink.routing.decisions import AttemptEnded, Event, FirstEvent, SendAttempt
@@ -16,7 +16,7 @@
     from collections import Counter
     from collections.abc import Mapping
 
-    from roselink.dataplane.fleet_host_pool import FleetHost, FleetUpstream
+    from roselink.dataplane.fleet_host_pool import FleetHost, FleetHostPool
 
 HOST_MARGIN_MS = (
     5  # hosts are told so much less: what they say at their deadline is still passed on
@@ -24,7 +24,7 @@
 OVER_S = 1.0  # an attempt that nothing else has ended ends so long after its request's deadline
 
 
-class Owner(Protocol):
+class RequestOwner(Protocol):
     """Who has the requests."""
 
     counts: Counter[str]
@@ -36,15 +36,15 @@
     def settle(self, exchange: Exchange) -> None: ...
 
 
-class Attempts:
+class AttemptRunner:
     """Starts attempts and judges their ends."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        upstream: FleetUpstream,
+        upstream: FleetHostPool,
         hosts: Mapping[str, FleetHost],
-        owner: Owner,
+        owner: RequestOwner,
     ) -> None:
         self._loop, self._upstream, self._hosts, self._owner = loop, upstream, hosts, owner
 
@@ -61,7 +61,7 @@
                 self._owner.settle(exchange)
             return
         now, resume = self._loop.time(), exchange.begun
-        answer = AttemptAnswer(
+        answer = AttemptResponse(
             exchange, action.attempt, resume, now, self._first_event, self._ended
         )
         answer.attempt = FleetAttempt(
@@ -102,10 +102,10 @@
             last = b"%d" % (exchange.progress.last_id or 0)
         return exchange.base + attempt_head(host.name, left_ms, last) + exchange.request.body
 
-    def _first_event(self, answer: AttemptAnswer) -> None:
+    def _first_event(self, answer: AttemptResponse) -> None:
         self._owner.feed(FirstEvent(answer.exchange.number, answer.number))
 
-    def _ended(self, answer: AttemptAnswer, outcome: Outcome) -> None:
+    def _ended(self, answer: AttemptResponse, outcome: Outcome) -> None:
         exchange = answer.exchange
         exchange.attempts.pop(answer.number, None)
         if answer.sent and outcome not in NEVER_RAN:
@@ -134,14 +134,14 @@
         )
         self._owner.settle(exchange)
 
-    def _succeeded(self, answer: AttemptAnswer) -> bool:
+    def _succeeded(self, answer: AttemptResponse) -> bool:
         """A whole answer with its stamp: pass on what of it has not gone on. False if it turns out
         cut.
         """
         exchange = answer.exchange
         if exchange.closed or not answer.may_go_on:
             return True
-        if answer.mode is AnswerMode.HOLD:
+        if answer.mode is ResponseMode.HOLD:
             exchange.client.whole(*answer.whole())
         elif answer.finish_stream():
             exchange.client.end()
@@ -151,7 +151,7 @@
         exchange.closed = True
         return True
 
-    def _failed(self, answer: AttemptAnswer) -> bool:
+    def _failed(self, answer: AttemptResponse) -> bool:
         """A whole answer that is no success. A host's 4xx is the client's own; a failure is kept
         while the decider may try again. Whether the client has it.
         """
--- a/roselink/dataplane/client_connection.py
+++ b/roselink/dataplane/client_connection.py
@@ -9,11 +9,11 @@
 
 from roselink.dataplane.admission import NOT_CONFIRMED_RETRY_S
 from roselink.dataplane.proxy_request import Headers, ProxyRequest, read_request
-from roselink.http.reason_phrases import REASONS
-from roselink.http.server_connection import HttpConnection, Pending
+from roselink.http.reason_phrases import REASON_PHRASES
+from roselink.http.server_connection import PendingRequest, ServerConnection
 
 if TYPE_CHECKING:
-    from roselink.dataplane.client_server import DataServer
+    from roselink.dataplane.client_server import FleetServer
     from roselink.dataplane.exchange import Exchange
 
 log = logging.getLogger("roselink.dataplane")
@@ -22,10 +22,10 @@
 BODILESS = (204, 304)
 
 
-class DataConnection(HttpConnection):
+class FleetClientConnection(ServerConnection):
     """One client connection: its requests go to the engine."""
 
-    def __init__(self, server: DataServer) -> None:
+    def __init__(self, server: FleetServer) -> None:
         super().__init__(server)
         self._owner = server
         self._exchange: Exchange | None = None
@@ -51,15 +51,15 @@
         if asked and not (self._serving or self._backlog):
             self._write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
-    def _read(self, method: bytes, keep: bool) -> Pending:
+    def _read(self, method: bytes, keep: bool) -> PendingRequest:
         assert self._parser is not None
         request = read_request(
             method, self._url, self._headers, b"".join(self._body), self._read_at
         )
         request.version = self._parser.get_http_version()
-        return Pending(request, 200, keep)
+        return PendingRequest(request, 200, keep)
 
-    def _serve(self, pending: Pending) -> None:
+    def _serve(self, pending: PendingRequest) -> None:
         self._serving, self._keep = True, pending.keep
         request = pending.request
         if not isinstance(request, ProxyRequest):
@@ -135,7 +135,7 @@
 
     def _head_of(self, status: int, headers: Headers, framing: list[bytes]) -> bytes:
         self._kept = self._may_keep()
-        lines = [b"HTTP/1.1 %d %b" % (status, REASONS.get(status, b""))]
+        lines = [b"HTTP/1.1 %d %b" % (status, REASON_PHRASES.get(status, b""))]
         lines += [b"%b: %b" % header for header in headers]
         lines += framing
         lines.append(b"Connection: keep-alive" if self._kept else b"Connection: close")
--- a/roselink/dataplane/client_server.py
+++ b/roselink/dataplane/client_server.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING
 
-from roselink.dataplane.client_connection import DataConnection
-from roselink.http.limits import Sizes, Times
+from roselink.dataplane.client_connection import FleetClientConnection
+from roselink.http.limits import SizeLimits, TimeLimits
 from roselink.http.server import HttpServer
 from roselink.model.configuration import Limits
 
@@ -13,9 +13,9 @@
     import asyncio
     from collections.abc import Callable
 
-    from roselink.dataplane.decision_driver import Engine
+    from roselink.dataplane.decision_driver import DecisionDriver
     from roselink.http.descriptors import Descriptors
-    from roselink.http.server_connection import HttpConnection
+    from roselink.http.server_connection import ServerConnection
 
 # For a body to be complete, behind the head's own time.
 BODY_S = 10.0
@@ -27,13 +27,13 @@
 BODIES_LIMIT = 64 * 1024 * 1024
 
 
-class DataServer(HttpServer):
+class FleetServer(HttpServer):
     """All client connections of the data plane."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        engine: Engine,
+        engine: DecisionDriver,
         descriptors: Descriptors,
         make_room: Callable[[], bool],
     ) -> None:
@@ -59,17 +59,17 @@
         )
         head_s = max(limits.header_timeout_ms for limits in self._limits) / 1000
         idle_s = max(limits.idle_timeout_ms for limits in self._limits) / 1000
-        self._times = Times(head_s, head_s + BODY_S, UNREAD_S, (idle_s + IDLE_OVER_S,))
+        self._times = TimeLimits(head_s, head_s + BODY_S, UNREAD_S, (idle_s + IDLE_OVER_S,))
 
-    def times(self) -> Times:
+    def times(self) -> TimeLimits:
         return self._times
 
-    def connection(self) -> HttpConnection:
-        return DataConnection(self)
+    def connection(self) -> ServerConnection:
+        return FleetClientConnection(self)
 
     def crowded(self) -> bool:
         return super().crowded() or self.engine.body_bytes > BODIES_LIMIT
 
 
-def _sizes(head: int, body: int) -> Sizes:
-    return Sizes(head, body, head + 4 * body)
+def _sizes(head: int, body: int) -> SizeLimits:
+    return SizeLimits(head, body, head + 4 * body)
--- a/roselink/dataplane/decision_driver.py
+++ b/roselink/dataplane/decision_driver.py
@@ -25,9 +25,9 @@
     judge,
     unconfigured_retry_s,
 )
-from roselink.dataplane.attempt_runner import Attempts
+from roselink.dataplane.attempt_runner import AttemptRunner
 from roselink.dataplane.event_queue import EventQueue
-from roselink.dataplane.exchange import ClientAnswer, Exchange
+from roselink.dataplane.exchange import ClientResponse, Exchange
 from roselink.dataplane.host_directory import HostDirectory
 from roselink.dataplane.proxy_request import ProxyRequest, host_head
 from roselink.dataplane.route_table import RouteTable
@@ -51,8 +51,8 @@
 if TYPE_CHECKING:
     import asyncio
 
-    from roselink.dataplane.fleet_host_pool import FleetUpstream
-    from roselink.dataplane.interfaces import Authority, Decisions, Quotas, SharedBudget
+    from roselink.dataplane.fleet_host_pool import FleetHostPool
+    from roselink.dataplane.interfaces import Authority, Decider, Quotas, SharedBudget
     from roselink.model.configuration import Tenant
 
 log = logging.getLogger("roselink.dataplane")
@@ -60,14 +60,14 @@
 STREAM_OVER_S = 0.1  # a running stream ends so long after its deadline
 
 
-class Engine:
+class DecisionDriver:
     """One decider, one clock: the loop's."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        decider: Decisions,
-        upstream: FleetUpstream,
+        decider: Decider,
+        upstream: FleetHostPool,
         authority: Authority,
         quotas: Quotas,
         budget: SharedBudget,
@@ -86,7 +86,7 @@
         self.open: dict[int, Exchange] = {}
         self.body_bytes = 0  # of all open requests
         self.counts: Counter[str] = Counter()
-        self._attempts = Attempts(loop, upstream, self.hosts, self)
+        self._attempts = AttemptRunner(loop, upstream, self.hosts, self)
 
     # From the authority.
 
@@ -108,7 +108,7 @@
 
     # From the client side.
 
-    def accept(self, request: ProxyRequest, client: ClientAnswer) -> Exchange | None:
+    def accept(self, request: ProxyRequest, client: ClientResponse) -> Exchange | None:
         """Take a request; None if it is answered already. The client gets one answer, unless it
         leaves.
         """
@@ -123,13 +123,13 @@
         return self._open(request, verdict, client)
 
     def _refuse(
-        self, client: ClientAnswer, status: int, retry_after_s: float | None = None
+        self, client: ClientResponse, status: int, retry_after_s: float | None = None
     ) -> None:
         self.counts[f"refused_{status}"] += 1
         client.own(status, retry_after_s)
 
     def _open(
-        self, request: ProxyRequest, admitted: Admitted, client: ClientAnswer
+        self, request: ProxyRequest, admitted: Admitted, client: ClientResponse
     ) -> Exchange | None:
         entry, tenant = admitted
         route = entry.route
--- a/roselink/dataplane/event_queue.py
+++ b/roselink/dataplane/event_queue.py
@@ -21,7 +21,7 @@
     import asyncio
     from collections.abc import Callable, Iterator
 
-    from roselink.dataplane.interfaces import Decisions
+    from roselink.dataplane.interfaces import Decider
 
 log = logging.getLogger("roselink.dataplane")
 
@@ -34,7 +34,7 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        decider: Decisions,
+        decider: Decider,
         perform: Callable[[Action], None],
         fail: Callable[[int], None],
     ) -> None:
--- a/roselink/dataplane/exchange.py
+++ b/roselink/dataplane/exchange.py
@@ -26,7 +26,7 @@
 HOLD_LIMIT = 256 * 1024  # bytes of an answer that wait here for the rest of it
 
 
-class ClientAnswer(Protocol):
+class ClientResponse(Protocol):
     """The client's side of one request: one whole answer, or one in parts."""
 
     def whole(self, status: int, headers: Headers, body: bytes) -> None: ...
@@ -54,7 +54,7 @@
         ...
 
 
-class HeldAnswer(NamedTuple):
+class CompleteResponse(NamedTuple):
     """A host's own failure, whole."""
 
     status: int
@@ -62,7 +62,7 @@
     body: bytes
 
 
-class AnswerMode(Enum):
+class ResponseMode(Enum):
     """How an attempt's answer is taken."""
 
     HOLD = "hold"
@@ -81,7 +81,7 @@
         route: Route,
         tenant: Tenant | None,
         base: bytes,
-        client: ClientAnswer,
+        client: ClientResponse,
     ) -> None:
         self.request, self.route, self.tenant, self.base, self.client = (
             request,
@@ -94,8 +94,8 @@
         self.number = 0
         self.service = ""
         self.give_up_at = self.expires_at = 0.0
-        self.attempts: dict[int, AttemptAnswer] = {}
-        self.owner: AttemptAnswer | None = None  # whose answer goes on
+        self.attempts: dict[int, AttemptResponse] = {}
+        self.owner: AttemptResponse | None = None  # whose answer goes on
         self.begun = self.closed = False
         self.stopped = False  # the attempt whose answer went on has ended without its end
         self.broken = False  # then: another attempt may take it up
@@ -103,7 +103,7 @@
         self.may_have_run = False  # by an attempt that has ended
         self.distrusted = False  # its key may not be used any more
         self.counted = False  # against its tenant's quota
-        self.held: HeldAnswer | None = None
+        self.held: CompleteResponse | None = None
         taken_up = request.last_event_id
         self.progress = Progress(int(taken_up) if taken_up.isdigit() and len(taken_up) < 19 else 0)
         self.guard: asyncio.TimerHandle | None = None
@@ -132,7 +132,7 @@
             self.owner.attempt.resume()
 
 
-class AttemptAnswer:
+class AttemptResponse:
     """One attempt's answer as it comes in. `first_event` and `ended` are told of it."""
 
     def __init__(
@@ -141,13 +141,13 @@
         number: int,
         resumed: bool,
         started: float,
-        first_event: Callable[[AttemptAnswer], None],
-        ended: Callable[[AttemptAnswer, Outcome], None],
+        first_event: Callable[[AttemptResponse], None],
+        ended: Callable[[AttemptResponse, Outcome], None],
     ) -> None:
         self.exchange, self.number, self.resumed, self.started = exchange, number, resumed, started
         self._first_event, self._ended = first_event, ended
         self.attempt: FleetAttempt | None = None
-        self.mode = AnswerMode.HOLD
+        self.mode = ResponseMode.HOLD
         self.status = 0
         self.headers: Headers = []
         self._outcome = Outcome.RESET
@@ -177,11 +177,11 @@
         self.status, self.headers = status, headers
         self._outcome = outcome_of(status, {name.lower(): value for name, value in headers})
         if self._outcome is Outcome.SUCCESS and self.exchange.streaming:
-            self.mode = AnswerMode.EVENTS
+            self.mode = ResponseMode.EVENTS
             self._filter = StreamFilter(self.exchange.progress, self.resumed)
 
     def body(self, data: bytes) -> None:
-        if self.mode is AnswerMode.PASS:
+        if self.mode is ResponseMode.PASS:
             self._part(data)
         elif self._filter is not None:
             self._events(self._filter, data)
@@ -211,7 +211,7 @@
         if self._outcome is not Outcome.SUCCESS or self.resumed:
             self._give_up()
         elif self._claim(self._told_length()):
-            self.mode = AnswerMode.PASS
+            self.mode = ResponseMode.PASS
             whole, self._body = b"".join(self._body), []
             self._part(whole)
 
@@ -270,10 +270,10 @@
             self._part(rest)
         return True
 
-    def whole(self) -> HeldAnswer:
-        return HeldAnswer(self.status, relayed_headers(self.headers), b"".join(self._body))
+    def whole(self) -> CompleteResponse:
+        return CompleteResponse(self.status, relayed_headers(self.headers), b"".join(self._body))
 
-    def failure(self) -> HeldAnswer | None:
+    def failure(self) -> CompleteResponse | None:
         """The host's own failure, if a client may see it: no status that promises what nobody
         knows.
         """
--- a/roselink/dataplane/fleet_host_connection.py
+++ b/roselink/dataplane/fleet_host_connection.py
@@ -26,7 +26,7 @@
     import asyncio
 
     from roselink.dataplane.proxy_request import Headers
-    from roselink.http.host_pool import Upstream
+    from roselink.http.host_pool import HostPool
 
 # Unacknowledged bytes for so long: the machine is gone.
 USER_TIMEOUT_MS = 2500
@@ -46,7 +46,7 @@
 NOT_RUN = frozenset((400, 421, 429, 503))
 
 
-class Receiver(Protocol):
+class ResponseReceiver(Protocol):
     """Who takes one attempt's answer. `done` comes last and once."""
 
     def head(self, status: int, headers: Headers) -> None: ...
@@ -66,7 +66,7 @@
         request_id: bytes,
         bodiless: bool,
         timeout_s: float,
-        receiver: Receiver,
+        receiver: ResponseReceiver,
         wanted: Wanted,
         once: bool = False,
     ) -> None:
@@ -82,19 +82,19 @@
 
     def pause(self) -> None:
         """Read nothing more for now: the client does not take it."""
-        if isinstance(self.connection, FleetConnection):
+        if isinstance(self.connection, FleetHostConnection):
             self.connection.pause_reading()
 
     def resume(self) -> None:
         """Read on."""
-        if isinstance(self.connection, FleetConnection):
+        if isinstance(self.connection, FleetHostConnection):
             self.connection.resume_reading()
 
 
-class FleetConnection(HostConnection):
+class FleetHostConnection(HostConnection):
     """One connection to a host; bodies go on to the attempt's receiver."""
 
-    def __init__(self, upstream: Upstream, host: Host) -> None:
+    def __init__(self, upstream: HostPool, host: Host) -> None:
         self._raw: Headers = []
         self._parts: list[bytes] = []
         self._silent = self._surplus = self._sent_bytes = 0
--- a/roselink/dataplane/fleet_host_pool.py
+++ b/roselink/dataplane/fleet_host_pool.py
@@ -4,9 +4,9 @@
 
 from typing import TYPE_CHECKING
 
-from roselink.dataplane.fleet_host_connection import FleetAttempt, FleetConnection
+from roselink.dataplane.fleet_host_connection import FleetAttempt, FleetHostConnection
 from roselink.http.host_connection import Attempt, Host, HostConnection
-from roselink.http.host_pool import Upstream
+from roselink.http.host_pool import HostPool
 
 if TYPE_CHECKING:
     import asyncio
@@ -28,14 +28,14 @@
         self.service, self.most = service, most
 
 
-class FleetUpstream(Upstream):
+class FleetHostPool(HostPool):
     """The pool of all hosts."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, descriptors: Descriptors) -> None:
         super().__init__(loop, descriptors, CONNECT_TIMEOUT_S, 0.0)
 
     def _new_connection(self, host: Host) -> HostConnection:
-        return FleetConnection(self, host)
+        return FleetHostConnection(self, host)
 
     def _suits(self, attempt: Attempt, connection: HostConnection) -> bool:
         once = isinstance(attempt, FleetAttempt) and attempt.once
--- a/roselink/dataplane/gateway_data_plane.py
+++ b/roselink/dataplane/gateway_data_plane.py
@@ -7,15 +7,15 @@
 import zlib
 from typing import TYPE_CHECKING
 
-from roselink.dataplane.client_server import DataServer
-from roselink.dataplane.decision_driver import Engine
-from roselink.dataplane.fleet_host_pool import FleetUpstream
+from roselink.dataplane.client_server import FleetServer
+from roselink.dataplane.decision_driver import DecisionDriver
+from roselink.dataplane.fleet_host_pool import FleetHostPool
 from roselink.dataplane.readiness_server import ReadinessServer
 from roselink.http.descriptors import Descriptors
 from roselink.routing.decisions import PooledPayoffs
 
 if TYPE_CHECKING:
-    from roselink.dataplane.interfaces import Authority, Decisions, Quotas, SharedBudget
+    from roselink.dataplane.interfaces import Authority, Decider, Quotas, SharedBudget
     from roselink.http.server import HttpServer
     from roselink.model.fleet import Snapshot
     from roselink.model.settings import ProcessSettings
@@ -32,25 +32,27 @@
 OTHER_DESCRIPTORS = 300  # not for clients and hosts: files, peers, libraries
 
 
-class DataPlane:
+class GatewayDataPlane:
     """Public face: `start`, `begin_drain`, `drained`, `stop`, `status_line`."""
 
     def __init__(
         self,
         settings: ProcessSettings,
         loop: asyncio.AbstractEventLoop,
-        decider: Decisions,
+        decider: Decider,
         authority: Authority,
         quotas: Quotas,
         shared_budget: SharedBudget,
     ) -> None:
         self._settings, self._loop, self._authority = settings, loop, authority
         descriptors = Descriptors(max(128, settings.resources.max_fds - OTHER_DESCRIPTORS))
-        self.upstream = FleetUpstream(loop, descriptors)
+        self.upstream = FleetHostPool(loop, descriptors)
         seed = zlib.crc32(settings.node_name.encode())
-        self.engine = Engine(loop, decider, self.upstream, authority, quotas, shared_budget, seed)
+        self.engine = DecisionDriver(
+            loop, decider, self.upstream, authority, quotas, shared_budget, seed
+        )
         make_room = self.upstream.drop_oldest_idle
-        self.server = DataServer(loop, self.engine, descriptors, make_room)
+        self.server = FleetServer(loop, self.engine, descriptors, make_room)
         self.readiness = ReadinessServer(loop, self.ready, descriptors, make_room)
         self.port = self.readiness_port = 0
         self.draining = False
--- a/roselink/dataplane/host_directory.py
+++ b/roselink/dataplane/host_directory.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from roselink.dataplane.fleet_host_pool import FleetHost, FleetUpstream
+from roselink.dataplane.fleet_host_pool import FleetHost, FleetHostPool
 from roselink.model.fleet import Host, HostState, Snapshot
 
 CONNECTIONS_LEAST = 4  # to each host
@@ -12,7 +12,7 @@
 class HostDirectory:
     """Hosts by their id."""
 
-    def __init__(self, upstream: FleetUpstream) -> None:
+    def __init__(self, upstream: FleetHostPool) -> None:
         self._upstream = upstream
         self.hosts: dict[str, FleetHost] = {}
         self._lines: dict[str, Host] = {}  # of the snapshot before
--- a/roselink/dataplane/interfaces.py
+++ b/roselink/dataplane/interfaces.py
@@ -14,7 +14,7 @@
     from roselink.routing.decisions import Action, Event
 
 
-class Decisions(Protocol):
+class Decider(Protocol):
     """Which host gets which attempt, and when to give up. The engine feeds it, in this order for
     each request: `RequestArrived`; then `FirstEvent` (of each attempt whose events go on, once),
     `AttemptEnded` and `BudgetDecided` as they come; `RequestClosed` once. Each attempt that was
--- a/roselink/dataplane/proxy_request.py
+++ b/roselink/dataplane/proxy_request.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from roselink.http.framing_checks import Bad
+from roselink.http.framing_checks import BadRequestError
 from roselink.model.configuration import Route, RouteKind, Tenant
 from roselink.routing.decisions import PromptPart
 
@@ -56,24 +56,24 @@
 def read_request(
     method: bytes, url: bytes, headers: Headers, body: bytes, since: float
 ) -> ProxyRequest:
-    """A request that may go on as far as its form says; raises `Bad`."""
+    """A request that may go on as far as its form says; raises `BadRequestError`."""
     single: dict[bytes, bytes] = {}
     has_body = bool(body)
     for name, value in headers:
         lower = name.lower()
         plain = lower.replace(b"_", b"-")
         if plain != lower and plain in _ONCE:
-            raise Bad(400, f"{plain.decode()} spelt oddly")
+            raise BadRequestError(400, f"{plain.decode()} spelt oddly")
         if lower in _ONCE and lower in single:
-            raise Bad(400, f"two headers {lower.decode()}")
+            raise BadRequestError(400, f"two headers {lower.decode()}")
         single[lower] = value
         has_body = has_body or lower in (b"content-length", b"transfer-encoding")
     if not url.startswith(b"/"):
-        raise Bad(400, "no path")
+        raise BadRequestError(400, "no path")
     if not single.get(b"host"):
-        raise Bad(400, "no Host")
+        raise BadRequestError(400, "no Host")
     if not single.get(b"x-request-id"):
-        raise Bad(400, "no X-Request-Id")
+        raise BadRequestError(400, "no X-Request-Id")
     return ProxyRequest(
         method=method,
         url=url,
--- a/roselink/dataplane/readiness_server.py
+++ b/roselink/dataplane/readiness_server.py
@@ -4,11 +4,11 @@
 
 from typing import TYPE_CHECKING
 
-from roselink.http.framing_checks import Bad
-from roselink.http.limits import Sizes, Times
-from roselink.http.reason_phrases import REASONS
+from roselink.http.framing_checks import BadRequestError
+from roselink.http.limits import SizeLimits, TimeLimits
+from roselink.http.reason_phrases import REASON_PHRASES
 from roselink.http.server import HttpServer
-from roselink.http.server_connection import HttpConnection, Pending
+from roselink.http.server_connection import PendingRequest, ServerConnection
 
 if TYPE_CHECKING:
     import asyncio
@@ -17,20 +17,20 @@
     from roselink.http.descriptors import Descriptors
 
 
-class ReadinessConnection(HttpConnection):
+class ReadinessConnection(ServerConnection):
     """A caller that asks whether this gateway is ready."""
 
     def __init__(self, server: ReadinessServer) -> None:
         super().__init__(server)
         self._owner = server
 
-    def _read(self, method: bytes, keep: bool) -> Pending:
+    def _read(self, method: bytes, keep: bool) -> PendingRequest:
         known = method in (b"GET", b"HEAD") and self._url.partition(b"?")[0] == b"/readyz"
         if not known:
-            raise Bad(404, "no such page")
-        return Pending(None, 200, keep)
+            raise BadRequestError(404, "no such page")
+        return PendingRequest(None, 200, keep)
 
-    def _serve(self, pending: Pending) -> None:
+    def _serve(self, pending: PendingRequest) -> None:
         self._serving, self._keep = True, pending.keep
         status = pending.status
         if status == 200 and not self._owner.ready():
@@ -38,7 +38,7 @@
         keep = self._may_keep()
         self._write(
             b"HTTP/1.1 %d %b\r\nContent-Length: 0\r\nConnection: %b\r\n\r\n"
-            % (status, REASONS[status], b"keep-alive" if keep else b"close")
+            % (status, REASON_PHRASES[status], b"keep-alive" if keep else b"close")
         )
         self._finish(keep)
 
@@ -53,11 +53,11 @@
         descriptors: Descriptors,
         make_room: Callable[[], bool],
     ) -> None:
-        super().__init__(loop, descriptors, make_room, Sizes(8192, 8192, 65536))
+        super().__init__(loop, descriptors, make_room, SizeLimits(8192, 8192, 65536))
         self.ready = ready
 
-    def times(self) -> Times:
-        return Times(3.0, 3.0, 3.0, (30.0,))
+    def times(self) -> TimeLimits:
+        return TimeLimits(3.0, 3.0, 3.0, (30.0,))
 
-    def connection(self) -> HttpConnection:
+    def connection(self) -> ServerConnection:
         return ReadinessConnection(self)
--- a/roselink/gateway/__main__.py
+++ b/roselink/gateway/__main__.py
@@ -25,7 +25,7 @@
 from roselink.gateway.engine import Engine
 from roselink.gateway.server import Server
 from roselink.http.descriptors import Descriptors
-from roselink.http.host_pool import Upstream
+from roselink.http.host_pool import HostPool
 from roselink.http.logs import start_log
 
 if TYPE_CHECKING:
@@ -45,7 +45,7 @@
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
         self.config, self.loop = config, loop
         descriptors = Descriptors(config.sockets)
-        self.upstream = Upstream(loop, descriptors, config.connect_timeout_s, config.idle_s)
+        self.upstream = HostPool(loop, descriptors, config.connect_timeout_s, config.idle_s)
         self.engine = Engine(loop, Balancer(config.settings, config.seed), self.upstream)
         self.discovery = Discovery(config, self.engine.update)
         self.server = Server(loop, config, self.engine, descriptors, self.upstream.drop_oldest_idle)
--- a/roselink/gateway/engine.py
+++ b/roselink/gateway/engine.py
@@ -42,7 +42,7 @@
 
     from roselink.balancer.balance import Balancer
     from roselink.http.address import Address
-    from roselink.http.host_pool import Upstream
+    from roselink.http.host_pool import HostPool
 
 log = logging.getLogger("roselink.gateway.engine")
 
@@ -109,7 +109,7 @@
     """
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, balancer: Balancer, upstream: Upstream
+        self, loop: asyncio.AbstractEventLoop, balancer: Balancer, upstream: HostPool
     ) -> None:
         self._loop, self._balancer, self._upstream = loop, balancer, upstream
         self._epoch_us = time.time_ns() // 1000 - int(loop.time() * 1e6)
--- a/roselink/gateway/server.py
+++ b/roselink/gateway/server.py
@@ -11,12 +11,12 @@
 
 from roselink.balancer.interface import Effect
 from roselink.gateway.engine import ClientRequest, Engine, OpenRequest, Reply
-from roselink.http.framing_checks import Bad
+from roselink.http.framing_checks import BadRequestError
 from roselink.http.host_connection import BODY_LIMIT, HEAD_LIMIT
-from roselink.http.limits import Sizes, Times
-from roselink.http.reason_phrases import REASONS
+from roselink.http.limits import SizeLimits, TimeLimits
+from roselink.http.reason_phrases import REASON_PHRASES
 from roselink.http.server import HttpServer
-from roselink.http.server_connection import HttpConnection, Pending
+from roselink.http.server_connection import PendingRequest, ServerConnection
 
 if TYPE_CHECKING:
     import asyncio
@@ -41,7 +41,7 @@
 IDLE_ONCE_S = 2.0  # for one that has asked once only: most such clients never come back
 
 
-class ClientConnection(HttpConnection):
+class ClientConnection(ServerConnection):
     """One client connection: its requests go to the engine."""
 
     def __init__(self, server: Server) -> None:
@@ -54,16 +54,16 @@
             opened, self._opened = self._opened, None
             self._owner.engine.depart(opened)
 
-    def _read(self, method: bytes, keep: bool) -> Pending:
+    def _read(self, method: bytes, keep: bool) -> PendingRequest:
         path = self._url.partition(b"?")[0]
         if path == b"/up" and method == b"GET":
-            return Pending(None, self._owner.up_status(), keep)
+            return PendingRequest(None, self._owner.up_status(), keep)
         request = self._owner.check(
             method, self._url, self._headers, b"".join(self._body), self._read_at
         )
-        return Pending(request, 200, keep)
+        return PendingRequest(request, 200, keep)
 
-    def _serve(self, pending: Pending) -> None:
+    def _serve(self, pending: PendingRequest) -> None:
         self._serving, self._keep = True, pending.keep
         if pending.request is None:
             if pending.status >= 400 and pending.status != 503:
@@ -98,7 +98,7 @@
         if self._transport is None:
             return
         keep = self._may_keep()
-        lines = [b"HTTP/1.1 %d %b" % (reply.status, REASONS[reply.status])]
+        lines = [b"HTTP/1.1 %d %b" % (reply.status, REASON_PHRASES[reply.status])]
         body = b""
         if reply.answer is not None:
             body = reply.answer.body
@@ -123,7 +123,9 @@
         descriptors: Descriptors,
         make_room: Callable[[], bool],
     ) -> None:
-        super().__init__(loop, descriptors, make_room, Sizes(HEAD_LIMIT, BODY_LIMIT, MESSAGE_LIMIT))
+        super().__init__(
+            loop, descriptors, make_room, SizeLimits(HEAD_LIMIT, BODY_LIMIT, MESSAGE_LIMIT)
+        )
         self.engine = engine
         self._routes = {route.name: i for i, route in enumerate(config.settings.routes)}
         self._effects = [route.effect for route in config.settings.routes]
@@ -134,11 +136,11 @@
         )
         self._tenants = {name: i for i, name in enumerate(config.tenants)}
 
-    def connection(self) -> HttpConnection:
+    def connection(self) -> ServerConnection:
         return ClientConnection(self)
 
-    def times(self) -> Times:
-        return Times(RECEIVE_S, RECEIVE_S, UNREAD_S, (RECEIVE_S, IDLE_ONCE_S, IDLE_S))
+    def times(self) -> TimeLimits:
+        return TimeLimits(RECEIVE_S, RECEIVE_S, UNREAD_S, (RECEIVE_S, IDLE_ONCE_S, IDLE_S))
 
     def drain(self, taken_s: float, most_s: float) -> None:
         """From now on each answer ends its connection. What comes later than `taken_s` from now on
@@ -159,13 +161,13 @@
         body: bytes,
         since: float,
     ) -> ClientRequest:
-        """A request that may go on, or `Bad`."""
+        """A request that may go on, or `BadRequestError`."""
         parts = url.partition(b"?")[0].split(b"/")
         if len(parts) < 2 or parts[0] or not parts[1]:
-            raise Bad(404, "no such path")
+            raise BadRequestError(404, "no such path")
         route = self._routes.get(unquote(parts[1].decode("latin-1")))
         if route is None:
-            raise Bad(400 if len(parts) == 3 else 404, "no such class")
+            raise BadRequestError(400 if len(parts) == 3 else 404, "no such class")
         single: dict[bytes, bytes] = {}
         kept = [b"%b %b HTTP/1.1" % (method, url)]
         for name, value in headers:
@@ -174,23 +176,23 @@
                 lower in (b"request-id", b"idempotency-key", b"request-timeout-ms")
                 and lower in single
             ):
-                raise Bad(400, f"two headers {lower.decode()}")
+                raise BadRequestError(400, f"two headers {lower.decode()}")
             single[lower] = value
             if lower not in HOP_BY_HOP:
                 kept.append(b"%b: %b" % (name, value))
         safe, keyed = self._effects[route] is Effect.SAFE, self._effects[route] is Effect.KEYED
         if method != (b"GET" if safe else b"POST"):
-            raise Bad(400, "wrong method for the class")
+            raise BadRequestError(400, "wrong method for the class")
         if safe and body:
-            raise Bad(400, "a body with GET")
+            raise BadRequestError(400, "a body with GET")
         if keyed != bool(single.get(b"idempotency-key")):
-            raise Bad(400, "Idempotency-Key and class do not go together")
+            raise BadRequestError(400, "Idempotency-Key and class do not go together")
         request_id = single.get(b"request-id", b"").decode("latin-1")
         if not request_id:
-            raise Bad(400, "no Request-Id")
+            raise BadRequestError(400, "no Request-Id")
         wait = single.get(b"request-timeout-ms", b"")
         if not wait.isdigit() or len(wait) > 12 or int(wait) == 0:
-            raise Bad(400, "bad Request-Timeout-Ms")
+            raise BadRequestError(400, "bad Request-Timeout-Ms")
         if not safe:
             kept.append(b"Content-Length: %d" % len(body))
         hint = single.get(b"work-hint", b"")
--- a/roselink/http/host_connection.py
+++ b/roselink/http/host_connection.py
@@ -16,12 +16,12 @@
 
 import httptools
 
-from roselink.http.socket_probe import SocketLook
+from roselink.http.socket_probe import SocketProbe
 from roselink.routing.outcome import Outcome
 
 if TYPE_CHECKING:
     from roselink.http.address import Address
-    from roselink.http.host_pool import Upstream
+    from roselink.http.host_pool import HostPool
 
 BODY_LIMIT = 64 * 1024
 HEAD_LIMIT = 16 * 1024
@@ -121,7 +121,7 @@
 class HostConnection(asyncio.Protocol):
     """One connection to a host: carries one attempt at a time, or is idle."""
 
-    def __init__(self, upstream: Upstream, host: Host) -> None:
+    def __init__(self, upstream: HostPool, host: Host) -> None:
         self.upstream, self.host = upstream, host
         self.attempt: Attempt | None = None
         self.transport: asyncio.Transport | None = None
@@ -129,7 +129,7 @@
         self.counted = True  # holds a descriptor, from the connect on
         self._unsent = False
         self._parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
-        self._look: SocketLook | None = None
+        self._look: SocketProbe | None = None
         self._stall: asyncio.TimerHandle | None = None
         self._clear()
 
@@ -151,7 +151,7 @@
         # `resume_writing` for "the kernel has the last byte": what parts a failed connection from a
         # reset.
         self.transport.set_write_buffer_limits(high=0)
-        self._look = SocketLook(transport)
+        self._look = SocketProbe(transport)
 
     def pause_writing(self) -> None:
         self._unsent = True
@@ -175,7 +175,7 @@
 
     def stale(self) -> bool:
         """Whether it has been idle for longer than its host may keep it."""
-        return False  # `Upstream.sweep` ends those
+        return False  # `HostPool.sweep` ends those
 
     def unread(self) -> bool:
         """Whether bytes, or the end, have come that this process has not read yet: a close, or more
--- a/roselink/http/host_pool.py
+++ b/roselink/http/host_pool.py
@@ -20,7 +20,7 @@
 IDLE_PART = 0.5
 
 
-class Upstream:
+class HostPool:
     """Starts attempts on pooled connections."""
 
     def __init__(
--- a/roselink/http/limits.py
+++ b/roselink/http/limits.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 
-class Sizes(NamedTuple):
+class SizeLimits(NamedTuple):
     """What a request may hold, in bytes. `message`: all of it, a chunked body's framing
     included.
     """
@@ -15,7 +15,7 @@
     message: int
 
 
-class Times(NamedTuple):
+class TimeLimits(NamedTuple):
     """How long a client may take, in seconds. `head` and `body`: from a request's first byte until
     they are whole; `unread`: to take an answer; `idle`: by the requests that its connection has
     brought, the last one for all higher numbers.
--- a/roselink/http/reason_phrases.py
+++ b/roselink/http/reason_phrases.py
@@ -1,6 +1,6 @@
 """Reason phrases of the statuses that are sent here (RFC 9110, section 15)."""
 
-REASONS = {
+REASON_PHRASES = {
     200: b"OK",
     201: b"Created",
     202: b"Accepted",
--- a/roselink/http/server.py
+++ b/roselink/http/server.py
@@ -10,12 +10,12 @@
 from typing import TYPE_CHECKING
 
 from roselink.http.descriptors import LENT, Descriptors
-from roselink.http.server_connection import HttpConnection
+from roselink.http.server_connection import ServerConnection
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from roselink.http.limits import Sizes, Times
+    from roselink.http.limits import SizeLimits, TimeLimits
 
 BACKLOG = 1024  # connections that may wait in the kernel to be accepted
 # after which a first request would have been read here, or a last answer by the client
@@ -28,8 +28,8 @@
 
 
 def _end_one(
-    connections: dict[HttpConnection, None],
-    end: Callable[[HttpConnection], bool],
+    connections: dict[ServerConnection, None],
+    end: Callable[[ServerConnection], bool],
     changed_before: float = math.inf,
 ) -> bool:
     """End one of the first few, the oldest that can be ended; whether there was one."""
@@ -49,7 +49,7 @@
         loop: asyncio.AbstractEventLoop,
         descriptors: Descriptors,
         make_room: Callable[[], bool],
-        sizes: Sizes,
+        sizes: SizeLimits,
     ) -> None:
         self.loop, self.sizes = loop, sizes
         self._descriptors, self._make_room = descriptors, make_room
@@ -57,19 +57,23 @@
         self._most = (
             descriptors.limit // 2
         )  # the other half is the hosts': each request needs one there
-        self.connections: dict[HttpConnection, None] = {}
-        self._unheard: dict[HttpConnection, None] = {}  # no byte of a request yet, the oldest first
-        self._resting: dict[HttpConnection, None] = {}  # between requests, the longest idle first
-        self._leaving: dict[HttpConnection, None] = {}  # have their last answer, the longest first
+        self.connections: dict[ServerConnection, None] = {}
+        self._unheard: dict[
+            ServerConnection, None
+        ] = {}  # no byte of a request yet, the oldest first
+        self._resting: dict[ServerConnection, None] = {}  # between requests, the longest idle first
+        self._leaving: dict[
+            ServerConnection, None
+        ] = {}  # have their last answer, the longest first
         self.draining = False
         self._listener: asyncio.Server | None = None
 
     # What a subclass says.
 
-    def times(self) -> Times:
+    def times(self) -> TimeLimits:
         raise NotImplementedError
 
-    def connection(self) -> HttpConnection:
+    def connection(self) -> ServerConnection:
         """A new client connection."""
         raise NotImplementedError
 
@@ -83,7 +87,7 @@
         port_used: int = self._listener.sockets[0].getsockname()[1]
         return port_used
 
-    def joined(self, connection: HttpConnection) -> None:
+    def joined(self, connection: ServerConnection) -> None:
         """Past the clients' part of the descriptors each new connection ends another. Guards
         against floods: first go those that have their last answer and those that never said
         anything, then those between two requests, never one with a request.
@@ -95,24 +99,24 @@
         if self._descriptors.spare() <= -LENT and not self._make_room():
             connection.abort()
 
-    def _end_another(self, newest: HttpConnection) -> None:
+    def _end_another(self, newest: ServerConnection) -> None:
         settled = self.loop.time() - UNHEARD_S
         if (
-            _end_one(self._leaving, HttpConnection.close_left, settled)
-            or _end_one(self._unheard, HttpConnection.close_idle, settled)
-            or _end_one(self._resting, HttpConnection.close_idle)
+            _end_one(self._leaving, ServerConnection.close_left, settled)
+            or _end_one(self._unheard, ServerConnection.close_idle, settled)
+            or _end_one(self._resting, ServerConnection.close_idle)
         ):
             return
         flooded = len(self.connections) > self._most + self._most // 4
         if flooded and next(iter(self._unheard)) is not newest:
-            _end_one(self._unheard, HttpConnection.close_idle)
+            _end_one(self._unheard, ServerConnection.close_idle)
 
-    def awake(self, connection: HttpConnection) -> None:
+    def awake(self, connection: ServerConnection) -> None:
         """A request has begun: the connection is not ended to make room."""
         self._unheard.pop(connection, None)
         self._resting.pop(connection, None)
 
-    def rests(self, connection: HttpConnection) -> None:
+    def rests(self, connection: ServerConnection) -> None:
         """It is between two requests. Clients may hold so many connections here and no more: guards
         against those that ask once and stay, which would take the places of all others for as long
         as they may.
@@ -120,19 +124,19 @@
         self._resting[connection] = None
         heard = len(self.connections) - len(self._unheard) - len(self._leaving)
         if heard > self._heard_most and len(self._resting) > 1:
-            _end_one(self._resting, HttpConnection.close_idle)
+            _end_one(self._resting, ServerConnection.close_idle)
 
-    def leaves(self, connection: HttpConnection) -> None:
+    def leaves(self, connection: ServerConnection) -> None:
         """It has its last answer, and needs no more than time to read it."""
         self._leaving[connection] = None
 
-    def closes(self, connection: HttpConnection) -> None:
+    def closes(self, connection: ServerConnection) -> None:
         """Ended, though its descriptor is in use until the loop comes round to it."""
         self.connections.pop(connection, None)
         self._leaving.pop(connection, None)
         self.awake(connection)
 
-    def left(self, connection: HttpConnection) -> None:
+    def left(self, connection: ServerConnection) -> None:
         self._descriptors.used -= 1
         self.closes(connection)
 
--- a/roselink/http/server_connection.py
+++ b/roselink/http/server_connection.py
@@ -14,11 +14,11 @@
 
 import httptools
 
-from roselink.http.framing_checks import Bad, check_framing
-from roselink.http.socket_probe import SocketLook
+from roselink.http.framing_checks import BadRequestError, check_framing
+from roselink.http.socket_probe import SocketProbe
 
 if TYPE_CHECKING:
-    from roselink.http.limits import Times
+    from roselink.http.limits import TimeLimits
     from roselink.http.server import HttpServer
 
 AHEAD = 2  # requests parsed ahead on one connection: clients send one at a time
@@ -28,7 +28,7 @@
 LINGER_BYTES = 1024 * 1024
 
 
-class Pending:
+class PendingRequest:
     """A request that is complete, or the status that it gets, waiting for its turn on the
     connection.
     """
@@ -37,7 +37,7 @@
         self.request, self.status, self.keep, self.why = request, status, keep, why
 
 
-class HttpConnection(asyncio.Protocol):
+class ServerConnection(asyncio.Protocol):
     """One client connection: one request at a time, those sent ahead in order.
 
     A subclass says what a whole request is (`_read`), begins its answer (`_serve`), writes it
@@ -47,7 +47,7 @@
     def __init__(self, server: HttpServer) -> None:
         self._server = server
         self._transport: asyncio.Transport | None = None
-        self._look: SocketLook | None = None
+        self._look: SocketProbe | None = None
         self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self._unfed = b""  # read, not parsed yet
         self._read_at = (
@@ -56,12 +56,12 @@
         self._empty_at = (
             math.inf
         )  # with reading paused: when the kernel was last seen to hold nothing
-        self._backlog: deque[Pending] = deque()
+        self._backlog: deque[PendingRequest] = deque()
         self._serving = False
         self._keep = True
         self._advancing = self._paused = self._unread = self._ended = self._partial = False
         self._discarded = self._complete = 0
-        self._bad: Bad | None = None
+        self._bad: BadRequestError | None = None
         self.last_change = server.loop.time()  # what the limits on time count from
         self._begin()
 
@@ -78,7 +78,7 @@
         self._transport = cast("asyncio.Transport", transport)  # uvloop's are no subclass of it
         # With the marks at 0 `_unread` stands for "bytes of an answer left in this process".
         self._transport.set_write_buffer_limits(high=0)
-        self._look = SocketLook(transport)
+        self._look = SocketProbe(transport)
         self._server.joined(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -133,19 +133,21 @@
                     # A header without end, or an endless extension of a chunk, reaches no callback.
                     self._received += len(data)
                     if self._head and self._received > self._server.sizes.head:
-                        raise Bad(431, "head too long")
+                        raise BadRequestError(431, "head too long")
                     if self._received > self._server.sizes.message:
-                        raise Bad(413, "request too long")
+                        raise BadRequestError(413, "request too long")
             except httptools.HttpParserUpgrade:
                 # The offer is not taken up: the request is served, and what follows is not HTTP any
                 # more.
                 self._ended, self._backlog[-1].keep = True, False
-            except (httptools.HttpParserError, Bad) as error:
+            except (httptools.HttpParserError, BadRequestError) as error:
                 bad = (
-                    error if isinstance(error, Bad) else self._bad or Bad(400, f"not HTTP: {error}")
+                    error
+                    if isinstance(error, BadRequestError)
+                    else self._bad or BadRequestError(400, f"not HTTP: {error}")
                 )
                 self._ended = True
-                self._backlog.append(Pending(None, bad.status, False, str(bad)))
+                self._backlog.append(PendingRequest(None, bad.status, False, str(bad)))
         if self._ended:
             self._unfed = b""
         wait = bool(self._unfed) and not self._ended
@@ -186,7 +188,7 @@
 
     def _reject(self, status: int, why: str) -> None:
         """End the parsing from inside a callback; the parser wraps what is raised here."""
-        self._bad = Bad(status, why)
+        self._bad = BadRequestError(status, why)
         raise self._bad
 
     def on_headers_complete(self) -> None:
@@ -194,7 +196,7 @@
         assert self._parser is not None
         try:
             check_framing(self._parser.get_http_version(), self._headers, self._server.sizes.body)
-        except Bad as bad:
+        except BadRequestError as bad:
             self._reject(bad.status, str(bad))
 
     def on_body(self, body: bytes) -> None:
@@ -209,8 +211,8 @@
         keep = self._parser.should_keep_alive()
         try:
             pending = self._read(self._parser.get_method(), keep)
-        except Bad as bad:
-            pending = Pending(None, bad.status, keep, str(bad))
+        except BadRequestError as bad:
+            pending = PendingRequest(None, bad.status, keep, str(bad))
         self._backlog.append(pending)
 
     # One request after another.
@@ -235,13 +237,19 @@
 
     # What a subclass says.
 
-    def _read(self, method: bytes, keep: bool) -> Pending:
-        """The request that has just come whole; raises `Bad`. `keep`: its client lets the
-        connection stay.
+    def _read(self, method: bytes, keep: bool) -> PendingRequest:
+        """Read the request that has just become complete.
+
+        Args:
+            method: of the request.
+            keep: whether its client lets the connection stay open.
+
+        Raises:
+            BadRequestError: when there is no such request.
         """
         raise NotImplementedError
 
-    def _serve(self, pending: Pending) -> None:
+    def _serve(self, pending: PendingRequest) -> None:
         """Answer one, at once or later; `begin_answer` first."""
         raise NotImplementedError
 
@@ -346,7 +354,7 @@
         self.abort()
         return True
 
-    def sweep(self, now: float, times: Times) -> None:
+    def sweep(self, now: float, times: TimeLimits) -> None:
         """Ends what takes too long. Guards the descriptors against clients that come and say
         nothing.
         """
@@ -356,7 +364,7 @@
         elif self._partial and not self._serving and not self._ended:
             if waited > (times.head if self._head else times.body):
                 self._ended = True
-                self._backlog.append(Pending(None, 408, False, "request not whole in time"))
+                self._backlog.append(PendingRequest(None, 408, False, "request not whole in time"))
                 self._advance()
         elif self.idle() and waited > times.idle[min(self._complete, len(times.idle) - 1)]:
             self.close_idle()
--- a/roselink/http/socket_probe.py
+++ b/roselink/http/socket_probe.py
@@ -15,7 +15,7 @@
 _LEFT = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
-class SocketLook:
+class SocketProbe:
     """One connection's socket, for as long as its transport is open."""
 
     def __init__(self, transport: asyncio.BaseTransport) -> None:
--- a/roselink/router/app.py
+++ b/roselink/router/app.py
@@ -41,7 +41,9 @@
     )  # until there is a gateway that can reload, it would kill
     path = os.environ.get(ENVIRONMENT_VARIABLE, DEFAULT_PATH)
     make_decider = importlib.import_module("roselink.routing.fleet").FleetDecider
-    make_data_plane = importlib.import_module("roselink.dataplane.gateway_data_plane").DataPlane
+    make_data_plane = importlib.import_module(
+        "roselink.dataplane.gateway_data_plane"
+    ).GatewayDataPlane
     try:
         uvloop.run(serve(settings, path, make_decider, make_data_plane))
     except OSError as error:
--- a/tests/dataplane/fuzz.py
+++ b/tests/dataplane/fuzz.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from tests.dataplane.harness import STAMP, Stage, StreamClient, chunk, event, request
+from tests.dataplane.harness import STAMP, DataPlaneHarness, StreamClient, chunk, event, request
 from tests.support.net import FakeHost, Message, read_message, reset
 
 if TYPE_CHECKING:
@@ -20,7 +20,7 @@
 STREAMS = ("/chat/", "/plan/")
 REPEATABLE = ("/chat/", "/safe/")
 SLACK_S = 0.15  # for the machine that runs the test
-ROUTE_S = {"/brief/": 0.3}  # `timeout_ms` of the stage's routes, where it is short
+ROUTE_S = {"/brief/": 0.3}  # `timeout_ms` of the harness's routes, where it is short
 DEADLINE_S = 0.8
 HOST_FAULTS = (
     ["fine"] * 10
@@ -220,7 +220,7 @@
 class FuzzClient:
     """Sends one request after the other, and goes wrong too."""
 
-    stage: Stage
+    harness: DataPlaneHarness
     ledger: Ledger
     draw: random.Random
     name: str
@@ -232,7 +232,7 @@
         client: StreamClient | None = None
         for _ in range(turns):
             if client is None:
-                client = await self.stage.client().__aenter__()
+                client = await self.harness.client().__aenter__()
             fault = self.draw.choice(CLIENT_FAULTS)
             kept = await self._turn(client, fault)
             if not kept:
--- a/tests/dataplane/harness.py
+++ b/tests/dataplane/harness.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any
 
-from roselink.dataplane.gateway_data_plane import DataPlane
+from roselink.dataplane.gateway_data_plane import GatewayDataPlane
 from roselink.model.configuration import Configuration, Tenant
 from roselink.model.fleet import Host, HostState, Snapshot, VersionVector
 from roselink.model.settings import read_settings
@@ -33,7 +33,7 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Callable
 
-    from roselink.dataplane.interfaces import Decisions
+    from roselink.dataplane.interfaces import Decider
 
 STAMP = "X-Response-Signature: 3e1b.07.5a2"
 KEY = "key-of-huka"
@@ -213,8 +213,8 @@
 
 
 @dataclass
-class Stage:
-    plane: DataPlane
+class DataPlaneHarness:
+    plane: GatewayDataPlane
     decider: FakeDecider
     authority: FakeAuthority
     quotas: FakeQuotas
@@ -229,16 +229,16 @@
 
 
 @asynccontextmanager
-async def stage(
-    *behaviours: Behaviour, by: Decisions | None = None, **changes: Any
-) -> AsyncIterator[Stage]:
+async def running_data_plane(
+    *behaviours: Behaviour, by: Decider | None = None, **changes: Any
+) -> AsyncIterator[DataPlaneHarness]:
     """Hosts and a data plane that decides `by` the fake, if nothing else is told."""
     hosts = [await FakeHost(f"i-{i}", behave).start() for i, behave in enumerate(behaviours)]
     decider, authority, quotas = FakeDecider(), FakeAuthority(), FakeQuotas()
-    plane = DataPlane(
+    plane = GatewayDataPlane(
         settings(), asyncio.get_running_loop(), by or decider, authority, quotas, FakeBudget()
     )
-    made = Stage(plane, decider, authority, quotas, hosts)
+    made = DataPlaneHarness(plane, decider, authority, quotas, hosts)
     authority.now_in_force = made.snapshot(*(host_line(host) for host in hosts), **changes)
     await plane.start()
     try:
--- a/tests/dataplane/test_checks.py
+++ b/tests/dataplane/test_checks.py
@@ -25,7 +25,7 @@
     relayed_headers,
 )
 from roselink.dataplane.route_table import RouteTable
-from roselink.http.framing_checks import Bad
+from roselink.http.framing_checks import BadRequestError
 from roselink.model.configuration import Configuration, Route, Tenant
 from tests.dataplane.harness import KEY, document
 
@@ -113,14 +113,14 @@
     ],
 )
 def test_what_is_in_doubt_is_no_request(headers: list[tuple[bytes, bytes]]) -> None:
-    with pytest.raises(Bad) as told:
+    with pytest.raises(BadRequestError) as told:
         read_request(b"GET", b"/a/x", headers, b"", 0.0)
     assert told.value.status == 400
 
 
 @pytest.mark.parametrize("url", [b"", b"*", b"http://ficu.example/a/", b"ficu.example:80"])
 def test_only_paths_are_asked_for(url: bytes) -> None:
-    with pytest.raises(Bad):
+    with pytest.raises(BadRequestError):
         made(url=url)
 
 
--- a/tests/dataplane/test_clients.py
+++ b/tests/dataplane/test_clients.py
@@ -13,14 +13,14 @@
 from roselink.dataplane.client_server import IDLE_OVER_S
 from tests.dataplane.harness import (
     KEY,
-    Stage,
+    DataPlaneHarness,
     chunk,
     event,
     head,
     plain,
     request,
+    running_data_plane,
     sse,
-    stage,
     stream,
 )
 from tests.support.net import Message, hang, on_loop, until
@@ -31,7 +31,7 @@
     async def echo(message: Message, writer: asyncio.StreamWriter) -> None:
         await plain(message.first.encode())(message, writer)
 
-    async with stage(echo) as s, s.client() as client:
+    async with running_data_plane(echo) as harness, harness.client() as client:
         client.writer.write(b"".join(request(f"/once/{i}") for i in range(5)))
         for i in range(5):
             assert (await client.answer()).body == b"POST /once/%d HTTP/1.1" % i
@@ -39,7 +39,7 @@
 
 @on_loop
 async def test_a_request_behind_a_stream_waits_for_its_end() -> None:
-    async with stage(stream(3)) as s, s.client() as client:
+    async with running_data_plane(stream(3)) as harness, harness.client() as client:
         client.writer.write(request("/chat/1") + request("/nowhere/2") + request("/chat/3"))
         assert (await client.answer()).ids == [1, 2, 3]
         assert (await client.answer()).status == 404
@@ -51,7 +51,7 @@
     async def bare(message: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(head(message) + b"Content-Length: 10\r\n\r\n")
 
-    async with stage(bare) as s, s.client() as client:
+    async with running_data_plane(bare) as harness, harness.client() as client:
         got = await client.ask("/once/x", method="HEAD")
         assert (got.status, got.body) == (200, b"")
         assert (await client.ask("/once/x", method="HEAD")).status == 200
@@ -59,15 +59,15 @@
 
 @on_loop
 async def test_an_old_client_gets_a_stream_up_to_the_end_of_the_connection() -> None:
-    async with stage(stream(2), stream(2, cut_after=1)) as s:
-        async with s.client() as client:
+    async with running_data_plane(stream(2), stream(2, cut_after=1)) as harness:
+        async with harness.client() as client:
             client.writer.write(request("/plan/x").replace(b"HTTP/1.1", b"HTTP/1.0"))
             status, headers = await client.head()
             assert (status, headers["connection"]) == (200, "close")
             assert "transfer-encoding" not in headers
             assert await client.reader.read() == event(1) + event(2)
-        s.decider.hosts.reverse()
-        async with s.client() as client:
+        harness.decider.hosts.reverse()
+        async with harness.client() as client:
             client.writer.write(request("/plan/x").replace(b"HTTP/1.1", b"HTTP/1.0"))
             with pytest.raises(ConnectionResetError):  # an end would look like the whole
                 await client.reader.read()
@@ -75,12 +75,12 @@
 
 @on_loop
 async def test_a_client_that_asks_before_its_body_is_told_to_go_on() -> None:
-    async with stage(plain()) as s, s.client() as client:
+    async with running_data_plane(plain()) as harness, harness.client() as client:
         client.writer.write(request("/once/x", Content_Length="3", Expect="100-continue"))
         assert await client.reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
         client.writer.write(b"abc")
         assert (await client.answer()).status == 200
-        assert s.hosts[0].seen[0].body == b"abc"
+        assert harness.hosts[0].seen[0].body == b"abc"
 
 
 LIMITS = {
@@ -102,33 +102,33 @@
 )
 @on_loop
 async def test_the_configurations_limits_hold(told: dict[str, Any], status: int) -> None:
-    async with stage(plain(), limits=LIMITS) as s, s.client() as client:
+    async with running_data_plane(plain(), limits=LIMITS) as harness, harness.client() as client:
         assert (await client.ask("/once/x", **told)).status == status
 
 
 @on_loop
 async def test_half_a_head_is_answered_once_its_time_is_up() -> None:
-    async with stage(plain(), limits=LIMITS) as s, s.client() as client:
+    async with running_data_plane(plain(), limits=LIMITS) as harness, harness.client() as client:
         client.writer.write(request("/once/x")[:-6])
-        await until(lambda: any(c._partial for c in s.plane.server.connections))
-        [connection] = s.plane.server.connections
-        s.plane.server.sweep()
+        await until(lambda: any(c._partial for c in harness.plane.server.connections))
+        [connection] = harness.plane.server.connections
+        harness.plane.server.sweep()
         connection.last_change -= 1.0
-        s.plane.server.sweep()
+        harness.plane.server.sweep()
         assert (await client.answer()).status == 408
-        assert not s.hosts[0].seen
+        assert not harness.hosts[0].seen
 
 
 @on_loop
 async def test_a_resting_connection_is_kept_for_as_long_as_clients_are_told() -> None:
-    async with stage(plain(), limits=LIMITS) as s, s.client() as client:
+    async with running_data_plane(plain(), limits=LIMITS) as harness, harness.client() as client:
         assert (await client.ask("/once/x")).status == 200
-        [connection] = s.plane.server.connections
+        [connection] = harness.plane.server.connections
         connection.last_change -= 4.9
-        s.plane.server.sweep()
+        harness.plane.server.sweep()
         assert (await client.ask("/once/x")).status == 200
         connection.last_change -= 5.0 + IDLE_OVER_S
-        s.plane.server.sweep()
+        harness.plane.server.sweep()
         assert await client.ended()
 
 
@@ -140,16 +140,16 @@
     idle_ms: int, rested: float, kept: bool
 ) -> None:
     """Clients that have not heard of a shorter time go on by the longer one."""
-    async with stage(plain(), limits=LIMITS) as s, s.client() as client:
+    async with running_data_plane(plain(), limits=LIMITS) as harness, harness.client() as client:
         assert (await client.ask("/once/x", body=b"x" * 3000)).status == 200
-        assert s.authority.now_in_force is not None
-        lines = s.authority.now_in_force.hosts
+        assert harness.authority.now_in_force is not None
+        lines = harness.authority.now_in_force.hosts
         for _ in range(2):  # the same again changes nothing
             told = LIMITS | {"idle_timeout_ms": idle_ms, "max_body_bytes": 10}
-            s.authority.tell(s.snapshot(*lines, limits=told))
-        [connection] = s.plane.server.connections
+            harness.authority.tell(harness.snapshot(*lines, limits=told))
+        [connection] = harness.plane.server.connections
         connection.last_change -= rested
-        s.plane.server.sweep()
+        harness.plane.server.sweep()
         if kept:
             assert (await client.ask("/once/x", body=b"x" * 3000)).status == 200
         else:
@@ -159,32 +159,34 @@
 @on_loop
 async def test_a_sweep_that_comes_late_ends_nothing() -> None:
     """After a freeze what came meanwhile has not been read."""
-    async with stage(plain(), limits=LIMITS) as s, s.client() as client:
+    async with running_data_plane(plain(), limits=LIMITS) as harness, harness.client() as client:
         assert (await client.ask("/once/x")).status == 200
-        [connection] = s.plane.server.connections
+        [connection] = harness.plane.server.connections
         connection.last_change -= 60.0
-        s.plane._swept_at -= 60.0
-        s.plane._sweep()
+        harness.plane._swept_at -= 60.0
+        harness.plane._sweep()
         assert (await client.ask("/once/x")).status == 200
 
 
 @on_loop
 async def test_a_new_configuration_counts_for_the_next_request_of_a_connection() -> None:
-    async with stage(plain()) as s, s.client() as client:
+    async with running_data_plane(plain()) as harness, harness.client() as client:
         assert (await client.ask("/once/x")).status == 200
-        assert s.authority.now_in_force is not None
-        lines = s.authority.now_in_force.hosts
-        s.authority.tell(s.snapshot(*lines, tenants=[{"name": "other", "api_keys": ["new"]}]))
+        assert harness.authority.now_in_force is not None
+        lines = harness.authority.now_in_force.hosts
+        harness.authority.tell(
+            harness.snapshot(*lines, tenants=[{"name": "other", "api_keys": ["new"]}])
+        )
         assert (await client.ask("/once/x")).status == 401
         assert (await client.ask("/once/x", key="new")).status == 200
-        s.authority.tell(s.snapshot(*lines, routes=[]))
+        harness.authority.tell(harness.snapshot(*lines, routes=[]))
         assert (await client.ask("/once/x", key=KEY)).status == 404
 
 
 @on_loop
 async def test_before_anything_is_known_clients_are_told_to_come_back() -> None:
-    async with stage(plain()) as s, s.client() as client:
-        s.plane.engine.table = None
+    async with running_data_plane(plain()) as harness, harness.client() as client:
+        harness.plane.engine.table = None
         got = await client.ask("/once/x")
         assert got.status == 503
         assert 0.7 < float(got.headers["retry-after"]) <= 1.5  # not while all gateways are starting
@@ -194,11 +196,11 @@
 
 
 async def drains(
-    s: Stage, monkeypatch: pytest.MonkeyPatch, accept_s: float = 0.1
+    harness: DataPlaneHarness, monkeypatch: pytest.MonkeyPatch, accept_s: float = 0.1
 ) -> asyncio.Task[None]:
     monkeypatch.setattr(gateway_data_plane, "ACCEPT_S", accept_s)
-    s.plane.begin_drain()
-    return asyncio.get_running_loop().create_task(s.plane.drained())
+    harness.plane.begin_drain()
+    return asyncio.get_running_loop().create_task(harness.plane.drained())
 
 
 @on_loop
@@ -214,22 +216,27 @@
         await go.wait()
         writer.write(chunk(event(2)) + b"0\r\n\r\n")
 
-    async with stage(slow) as s, s.client() as one, s.client() as two, s.client() as idle:
+    async with (
+        running_data_plane(slow) as harness,
+        harness.client() as one,
+        harness.client() as two,
+        harness.client() as idle,
+    ):
         assert (await idle.ask("/nowhere/x")).status == 404
         one.writer.write(request("/once/x"))
         two.writer.write(request("/plan/x"))
         await two.head()
         assert await two.chunk() == event(1)
-        await until(lambda: len(s.hosts[0].seen) == 2)
-        done = await drains(s, monkeypatch)
-        assert not s.plane.ready()
-        async with s.client() as late:  # the platform still sends some
+        await until(lambda: len(harness.hosts[0].seen) == 2)
+        done = await drains(harness, monkeypatch)
+        assert not harness.plane.ready()
+        async with harness.client() as late:  # the platform still sends some
             got = await late.ask("/nowhere/x")
             assert (got.status, got.headers["connection"]) == (404, "close")
             assert await late.ended()
         assert await idle.ended()
         with pytest.raises(OSError):
-            await s.client().__aenter__()
+            await harness.client().__aenter__()
         assert not done.done()
         go.set()
         got = await one.answer()
@@ -251,13 +258,17 @@
         await hang(message, writer)
 
     monkeypatch.setattr(gateway_data_plane, "RESERVE_S", 7.6)  # of a grace of 8 s
-    async with stage(stuck) as s, s.client() as one, s.client() as two:
+    async with (
+        running_data_plane(stuck) as harness,
+        harness.client() as one,
+        harness.client() as two,
+    ):
         one.writer.write(request("/once/x"))
         two.writer.write(request("/chat/x"))
-        await until(lambda: len(s.hosts[0].seen) == 2)
-        done = await drains(s, monkeypatch, 0.05)
+        await until(lambda: len(harness.hosts[0].seen) == 2)
+        done = await drains(harness, monkeypatch, 0.05)
         assert (await one.answer()).status == 504
         await done
-        s.plane.stop()
+        harness.plane.stop()
         got = await two.answer()
         assert (got.ids, got.whole) == ([1], False)
--- a/tests/dataplane/test_fuzz.py
+++ b/tests/dataplane/test_fuzz.py
@@ -11,7 +11,7 @@
 
 from roselink.routing.fleet import FleetDecider
 from tests.dataplane.fuzz import FuzzClient, FuzzHost, Ledger
-from tests.dataplane.harness import host_line, plain, stage
+from tests.dataplane.harness import host_line, plain, running_data_plane
 from tests.support.net import on_loop, until
 
 HOSTS, CLIENTS, TURNS = 4, 6, 20
@@ -25,16 +25,17 @@
         await FuzzHost(f"fuzz-{n}", ledger, random.Random(draw.random())).start()
         for n in range(HOSTS)
     ]
-    async with stage(plain(), by=FleetDecider("z", seed, 0.2, 10.0)) as s:
-        s.authority.tell(s.snapshot(*(host_line(host) for host in hosts)))
+    async with running_data_plane(plain(), by=FleetDecider("z", seed, 0.2, 10.0)) as harness:
+        harness.authority.tell(harness.snapshot(*(host_line(host) for host in hosts)))
         clients = [
-            FuzzClient(s, ledger, random.Random(draw.random()), f"c{n}") for n in range(CLIENTS)
+            FuzzClient(harness, ledger, random.Random(draw.random()), f"c{n}")
+            for n in range(CLIENTS)
         ]
         await asyncio.gather(*(client.run(TURNS) for client in clients))
-        await until(lambda: not s.plane.engine.open)
+        await until(lambda: not harness.plane.engine.open)
         await asyncio.sleep(0.15)
         ledger.check_all()
-        assert not s.hosts[0].seen
+        assert not harness.hosts[0].seen
     for host in hosts:
         host.down()
     return sum(client.served for client in clients)
--- a/tests/dataplane/test_guards.py
+++ b/tests/dataplane/test_guards.py
@@ -18,16 +18,16 @@
 from roselink.routing.outcome import NEVER_RAN, Outcome
 from tests.dataplane.harness import (
     KEY,
+    DataPlaneHarness,
     FakeDecider,
-    Stage,
     event,
     head,
     host_line,
     plain,
     rejects,
     request,
+    running_data_plane,
     sse,
-    stage,
     stream,
 )
 from tests.dataplane.harness import chunk as chunk_of
@@ -36,7 +36,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from roselink.dataplane.exchange import ClientAnswer
+    from roselink.dataplane.exchange import ClientResponse
 
 PAUSE_S = 0.2
 MARGIN_MS = 120  # for the machine that runs the test
@@ -52,8 +52,8 @@
         return [self.send(told.number, told.progressed)]
 
 
-def handed_ms(s: Stage, host: int) -> int:
-    return int(s.hosts[host].seen[0].headers["x-request-deadline"])
+def handed_ms(harness: DataPlaneHarness, host: int) -> int:
+    return int(harness.hosts[host].seen[0].headers["x-request-deadline"])
 
 
 # Time.
@@ -67,9 +67,9 @@
         await rejects()(message, writer)
 
     last = stream(2) if path in ("/plan/x", "/chat/x") else plain()
-    async with stage(slowly, slowly, last) as s, s.client() as client:
+    async with running_data_plane(slowly, slowly, last) as harness, harness.client() as client:
         assert (await client.ask(path, X_Request_Deadline="1000")).status == 200
-        told = [handed_ms(s, host) for host in range(3)]
+        told = [handed_ms(harness, host) for host in range(3)]
         for attempt, left_ms in enumerate(told):
             most = 1000 - attempt * PAUSE_S * 1000
             assert most - MARGIN_MS < left_ms < most
@@ -81,11 +81,11 @@
 @on_loop
 async def test_a_host_is_handed_no_more_than_its_route_allows(path: str, most: int) -> None:
     last = stream(2) if path == "/chat/x" else plain()
-    async with stage(last) as s, s.client() as client:
+    async with running_data_plane(last) as harness, harness.client() as client:
         assert (await client.ask(path, X_Request_Deadline="60000")).status == 200
-        assert most - MARGIN_MS < handed_ms(s, 0) < most
+        assert most - MARGIN_MS < handed_ms(harness, 0) < most
         await client.ask(path, X_Request_Deadline=None)
-        assert int(s.hosts[0].seen[1].headers["x-request-deadline"]) < most
+        assert int(harness.hosts[0].seen[1].headers["x-request-deadline"]) < most
 
 
 @on_loop
@@ -94,9 +94,9 @@
         await asyncio.sleep(PAUSE_S)
         await stream(4, cut_after=2)(message, writer)
 
-    async with stage(slowly, stream(4)) as s, s.client() as client:
+    async with running_data_plane(slowly, stream(4)) as harness, harness.client() as client:
         assert (await client.ask("/chat/x", X_Request_Deadline="1000")).ids == [1, 2, 3, 4]
-        assert handed_ms(s, 1) < 1000 - PAUSE_S * 1000
+        assert handed_ms(harness, 1) < 1000 - PAUSE_S * 1000
 
 
 @on_loop
@@ -105,10 +105,10 @@
         await asyncio.sleep(0.3)
         await rejects()(message, writer)
 
-    async with stage(late, plain()) as s, s.client() as client:
+    async with running_data_plane(late, plain()) as harness, harness.client() as client:
         assert (await client.ask("/safe/x", X_Request_Deadline="200")).status == 504
         await asyncio.sleep(0.3)
-        assert not s.hosts[1].seen
+        assert not harness.hosts[1].seen
 
 
 # No second run.
@@ -122,20 +122,26 @@
 ) -> None:
     decider = Greedy()
     decider.hedges = 1
-    async with stage(behave, plain(), by=decider) as s, s.client() as client:
+    async with (
+        running_data_plane(behave, plain(), by=decider) as harness,
+        harness.client() as client,
+    ):
         await client.ask(path, X_Request_Deadline="200")
-        assert len(s.hosts[0].seen) == 1
-        assert not s.hosts[1].seen
+        assert len(harness.hosts[0].seen) == 1
+        assert not harness.hosts[1].seen
 
 
 @on_loop
 async def test_a_stream_that_may_not_resume_is_resumed_by_nobody_whatever_the_decider_says() -> (
     None
 ):
-    async with stage(stream(5, cut_after=2), stream(5), by=Greedy()) as s, s.client() as client:
+    async with (
+        running_data_plane(stream(5, cut_after=2), stream(5), by=Greedy()) as harness,
+        harness.client() as client,
+    ):
         got = await client.ask("/plan/x")
         assert (got.whole, got.ids) == (False, [1, 2])
-        assert not s.hosts[1].seen
+        assert not harness.hosts[1].seen
 
 
 @on_loop
@@ -145,10 +151,13 @@
         await asyncio.sleep(0.03)
         writer.close()
 
-    async with stage(unnumbered, stream(3), by=Greedy()) as s, s.client() as client:
+    async with (
+        running_data_plane(unnumbered, stream(3), by=Greedy()) as harness,
+        harness.client() as client,
+    ):
         got = await client.ask("/chat/x")
         assert (got.whole, got.body) == (False, b"data: one\n\n")
-        assert not s.hosts[1].seen
+        assert not harness.hosts[1].seen
 
 
 @on_loop
@@ -158,9 +167,9 @@
         await asyncio.sleep(0.05)
         writer.close()
 
-    async with stage(cut, plain(), by=Greedy()) as s, s.client() as client:
+    async with running_data_plane(cut, plain(), by=Greedy()) as harness, harness.client() as client:
         assert not (await client.ask("/safe/x")).whole
-        assert not s.hosts[1].seen
+        assert not harness.hosts[1].seen
 
 
 async def resets_unread(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -174,14 +183,18 @@
 async def test_a_long_request_that_fails_while_it_is_written_may_have_run(size: int) -> None:
     listener = await asyncio.start_server(resets_unread, "127.0.0.1", 0, limit=1024)
     address = f"127.0.0.1:{listener.sockets[0].getsockname()[1]}"
-    async with stage(plain(), plain(), limits={"max_body_bytes": 200 * PROVEN_LIMIT}) as s:
-        breaking = host_line(s.hosts[0], id="i-breaking", address=address)
-        lines = (breaking, host_line(s.hosts[1]))
-        s.authority.tell(s.snapshot(*lines, limits={"max_body_bytes": 200 * PROVEN_LIMIT}))
-        async with s.client() as client:
+    async with running_data_plane(
+        plain(), plain(), limits={"max_body_bytes": 200 * PROVEN_LIMIT}
+    ) as harness:
+        breaking = host_line(harness.hosts[0], id="i-breaking", address=address)
+        lines = (breaking, host_line(harness.hosts[1]))
+        harness.authority.tell(
+            harness.snapshot(*lines, limits={"max_body_bytes": 200 * PROVEN_LIMIT})
+        )
+        async with harness.client() as client:
             assert (await client.ask("/once/x", body=bytes(size))).status == 502
-        assert not s.hosts[1].seen
-        assert [end.outcome for end in s.decider.ends()] == [Outcome.RESET]
+        assert not harness.hosts[1].seen
+        assert [end.outcome for end in harness.decider.ends()] == [Outcome.RESET]
     listener.close()
 
 
@@ -220,24 +233,24 @@
 @pytest.mark.parametrize("warm", [False, True])
 @on_loop
 async def test_nothing_is_sent_for_a_client_that_has_left(path: bytes, warm: bool) -> None:
-    async with stage(plain(b"ok", "200 OK", "Keep-Alive: timeout=9")) as s:
+    async with running_data_plane(plain(b"ok", "200 OK", "Keep-Alive: timeout=9")) as harness:
         if warm:
-            async with s.client() as client:
+            async with harness.client() as client:
                 assert (await client.ask("/safe/x")).status == 200
-        before = len(s.hosts[0].seen)
-        client_left: ClientAnswer = GoneClient()
+        before = len(harness.hosts[0].seen)
+        client_left: ClientResponse = GoneClient()
         headers = [
             (b"Host", b"ficu.example"),
             (b"X-Request-Id", b"left"),
             (b"Authorization", b"Bearer " + KEY.encode()),
         ]
         asked = read_request(b"POST", path, headers, b"", asyncio.get_running_loop().time())
-        s.plane.engine.accept(asked, client_left)
-        await until(lambda: not s.plane.engine.open)
+        harness.plane.engine.accept(asked, client_left)
+        await until(lambda: not harness.plane.engine.open)
         await asyncio.sleep(0.05)
-        assert len(s.hosts[0].seen) == before
-        assert s.plane.engine.counts["departed"] == 1
-        assert s.quotas.given_back == [("huka", 200.0)]
+        assert len(harness.hosts[0].seen) == before
+        assert harness.plane.engine.counts["departed"] == 1
+        assert harness.quotas.given_back == [("huka", 200.0)]
 
 
 # Streams without a gap.
@@ -249,10 +262,13 @@
         writer.write(sse(message) + chunk_of(event(4)) + chunk_of(event(5)))
         writer.write(b"0\r\n\r\n")
 
-    async with stage(stream(5, cut_after=2), skips, skips) as s, s.client() as client:
+    async with (
+        running_data_plane(stream(5, cut_after=2), skips, skips) as harness,
+        harness.client() as client,
+    ):
         got = await client.ask("/chat/x")
         assert (got.whole, got.ids) == (False, [1, 2])
-        spoilt = [end.outcome for end in s.decider.ends()[1:]]
+        spoilt = [end.outcome for end in harness.decider.ends()[1:]]
         assert spoilt
         assert set(spoilt) == {Outcome.RESET}  # and no success for a host that skipped
 
@@ -271,7 +287,7 @@
         await asyncio.sleep(0.01)
         writer.write(answered + b"more")
 
-    async with stage(doubled) as s, s.client() as client:
+    async with running_data_plane(doubled) as harness, harness.client() as client:
         for _ in range(4):
             got = await client.ask("/once/x")
             assert (got.status, got.body) == (200, b"mine")
@@ -321,10 +337,10 @@
     early = await EarlyHost("i-early").start()
     assert isinstance(early, EarlyHost)
     limits = {"max_body_bytes": 200 * PROVEN_LIMIT}
-    async with stage(plain(), limits=limits) as s:
-        s.authority.tell(s.snapshot(host_line(early), limits=limits))
+    async with running_data_plane(plain(), limits=limits) as harness:
+        harness.authority.tell(harness.snapshot(host_line(early), limits=limits))
         for _ in range(3):
-            async with s.client() as client:
+            async with harness.client() as client:
                 assert (await client.ask("/once/x", body=b"." * size)).status == 503
         await asyncio.sleep(0.4)
         assert early.wrong == []
@@ -335,12 +351,12 @@
 @on_loop
 async def test_what_a_client_left_is_no_longer_worked_on(kind: str) -> None:
     path = "/chat/x" if kind == "streaming" else "/safe/x"
-    async with stage(hang) as s:
-        async with s.client() as client:
+    async with running_data_plane(hang) as harness:
+        async with harness.client() as client:
             client.writer.write(request(path))
-            await s.hosts[0].came.get()
+            await harness.hosts[0].came.get()
         left_at = asyncio.get_running_loop().time()
-        await s.hosts[0].closed.get()
+        await harness.hosts[0].closed.get()
         assert asyncio.get_running_loop().time() - left_at < 0.3
 
 
@@ -349,11 +365,13 @@
 
 @on_loop
 async def test_a_request_goes_to_no_host_of_another_service() -> None:
-    async with stage(plain()) as s, s.client() as client:
-        s.authority.tell(s.snapshot(host_line(s.hosts[0], id="i-other", service="other")))
-        s.decider.hosts = ["i-other"]
+    async with running_data_plane(plain()) as harness, harness.client() as client:
+        harness.authority.tell(
+            harness.snapshot(host_line(harness.hosts[0], id="i-other", service="other"))
+        )
+        harness.decider.hosts = ["i-other"]
         assert (await client.ask("/safe/x", X_Request_Deadline="300")).status == 503
-        assert not s.hosts[0].seen
+        assert not harness.hosts[0].seen
 
 
 class Slow(FakeDecider):
@@ -380,12 +398,15 @@
     monkeypatch.setattr(host_pool, "SETTLE_S", -1.0)
     decider = Slow()
     keeps = plain(b"ok", "200 OK", "Keep-Alive: timeout=9")
-    async with stage(rejects(), keeps, by=decider) as s, s.client() as client:
+    async with (
+        running_data_plane(rejects(), keeps, by=decider) as harness,
+        harness.client() as client,
+    ):
         assert (await client.ask("/safe/x")).status == 200
         decider.pause_s = 0.3
         assert (await client.ask("/safe/x", X_Request_Deadline="200")).status == 503
         await asyncio.sleep(0.1)
-        assert len(s.hosts[1].seen) == 1
+        assert len(harness.hosts[1].seen) == 1
 
 
 class Silent(FakeDecider):
@@ -397,7 +418,10 @@
 
 @on_loop
 async def test_a_stream_that_may_not_resume_ends_with_its_host_at_once() -> None:
-    async with stage(stream(5, cut_after=2), by=Silent()) as s, s.client() as client:
+    async with (
+        running_data_plane(stream(5, cut_after=2), by=Silent()) as harness,
+        harness.client() as client,
+    ):
         began = asyncio.get_running_loop().time()
         got = await client.ask("/plan/x")
         assert (got.whole, got.ids) == (False, [1, 2])
@@ -406,17 +430,17 @@
 
 @on_loop
 async def test_a_quota_that_decides_twice_admits_once() -> None:
-    async with stage(plain()) as s, s.client() as client:
+    async with running_data_plane(plain()) as harness, harness.client() as client:
 
         def twice(tenant: object, amount: float, decide: Callable[[bool, float], None]) -> None:
             decide(True, 0.0)
             decide(True, 0.0)
             asyncio.get_running_loop().call_soon(decide, True, 0.0)
 
-        s.quotas.admit = twice  # type: ignore[method-assign]
+        harness.quotas.admit = twice  # type: ignore[method-assign]
         assert (await client.ask("/once/x")).status == 200
-        assert s.decider.count(RequestArrived) == 1
-        assert len(s.hosts[0].seen) == 1
+        assert harness.decider.count(RequestArrived) == 1
+        assert len(harness.hosts[0].seen) == 1
 
 
 @on_loop
@@ -426,9 +450,11 @@
         await asyncio.sleep(0.1)
         writer.write(b"HTTP/1.1 408 Late\r\nContent-Length: 0\r\n\r\n")
 
-    async with stage(more) as s, s.client() as client:
+    async with running_data_plane(more) as harness, harness.client() as client:
         assert (await client.ask("/once/x")).status == 200
-        await asyncio.wait_for(s.hosts[0].closed.get(), 0.35)  # long before it is swept as idle
+        await asyncio.wait_for(
+            harness.hosts[0].closed.get(), 0.35
+        )  # long before it is swept as idle
 
 
 class StuckHost(FakeHost):
@@ -461,11 +487,11 @@
     monkeypatch.setattr(host_pool, "SETTLE_S", -1.0)
     stuck = await StuckHost("i-stuck").start()
     limits = {"max_body_bytes": 200 * PROVEN_LIMIT}
-    async with stage(plain(), limits=limits) as s:
-        s.authority.tell(s.snapshot(host_line(stuck), limits=limits))
-        async with s.client() as client:
+    async with running_data_plane(plain(), limits=limits) as harness:
+        harness.authority.tell(harness.snapshot(host_line(stuck), limits=limits))
+        async with harness.client() as client:
             assert (await client.ask("/once/x", body=bytes(150 * PROVEN_LIMIT))).status == 503
-        async with s.client() as client:
+        async with harness.client() as client:
             assert (await client.ask("/safe/x", X_Request_Deadline="1000")).status == 200
     stuck.down()
 
@@ -475,23 +501,23 @@
 
 @on_loop
 async def test_a_request_whose_time_is_over_when_it_comes_costs_nothing() -> None:
-    async with stage(plain()) as s, s.client() as client:
+    async with running_data_plane(plain()) as harness, harness.client() as client:
         answer = await client.ask("/safe/x", X_Request_Deadline="0")
         assert (answer.status, float(answer.headers["retry-after"])) == (503, 0.0)
-        assert s.quotas.asked == []
-        assert s.decider.count(RequestArrived) == 0
+        assert harness.quotas.asked == []
+        assert harness.decider.count(RequestArrived) == 0
 
 
 @pytest.mark.parametrize("taken_before", [True, False])
 @on_loop
 async def test_what_is_open_in_a_drain_has_its_answer_when_that_ends(taken_before: bool) -> None:
-    async with stage(hang) as s, s.client() as client:
+    async with running_data_plane(hang) as harness, harness.client() as client:
         loop = asyncio.get_running_loop()
         began = loop.time()
         if taken_before:
             client.writer.write(request("/safe/x"))
-            await until(lambda: bool(s.hosts[0].seen))
-        s.plane.engine.drain(loop.time() + PAUSE_S)
+            await until(lambda: bool(harness.hosts[0].seen))
+        harness.plane.engine.drain(loop.time() + PAUSE_S)
         if not taken_before:
             client.writer.write(request("/safe/x"))
         assert (await client.answer()).status == 504
--- a/tests/dataplane/test_host_pool.py
+++ b/tests/dataplane/test_host_pool.py
@@ -15,7 +15,7 @@
 from roselink.routing.decisions import FirstEvent
 from roselink.routing.outcome import Outcome
 from tests.dataplane.harness import (
-    Stage,
+    DataPlaneHarness,
     StreamClient,
     chunk,
     event,
@@ -24,8 +24,8 @@
     plain,
     rejects,
     request,
+    running_data_plane,
     sse,
-    stage,
     stream,
 )
 from tests.support.net import Behaviour, Message, NeverUp, hang, on_loop, reset, say, until
@@ -39,8 +39,8 @@
     monkeypatch.setattr(host_pool, "SETTLE_S", -1.0)
 
 
-async def ask_in_turn(s: Stage, count: int, path: str = "/once/x") -> None:
-    async with s.client() as client:
+async def ask_in_turn(harness: DataPlaneHarness, count: int, path: str = "/once/x") -> None:
+    async with harness.client() as client:
         for _ in range(count):
             assert (await client.ask(path)).status == 200
 
@@ -50,9 +50,9 @@
 )
 @on_loop
 async def test_connections_are_used_again(told: tuple[str, ...], connections: int) -> None:
-    async with stage(plain(b"ok", "200 OK", *told)) as s:
-        await ask_in_turn(s, 3)
-        assert len(s.hosts[0].writers) == connections
+    async with running_data_plane(plain(b"ok", "200 OK", *told)) as harness:
+        await ask_in_turn(harness, 3)
+        assert len(harness.hosts[0].writers) == connections
 
 
 @pytest.mark.parametrize(
@@ -71,16 +71,16 @@
 
 @on_loop
 async def test_what_has_rested_too_long_is_not_used() -> None:
-    async with stage(plain(b"ok", "200 OK", KEEPS)) as s:
-        await ask_in_turn(s, 1)
-        [connection] = s.plane.engine.hosts["i-0"].idle
+    async with running_data_plane(plain(b"ok", "200 OK", KEEPS)) as harness:
+        await ask_in_turn(harness, 1)
+        [connection] = harness.plane.engine.hosts["i-0"].idle
         connection.idle_since -= 7.0
-        await ask_in_turn(s, 1)
-        assert len(s.hosts[0].writers) == 2
-        [connection] = s.plane.engine.hosts["i-0"].idle
+        await ask_in_turn(harness, 1)
+        assert len(harness.hosts[0].writers) == 2
+        [connection] = harness.plane.engine.hosts["i-0"].idle
         connection.idle_since -= 7.0
-        s.plane.upstream.sweep()
-        await s.hosts[0].closed.get()
+        harness.plane.upstream.sweep()
+        await harness.hosts[0].closed.get()
 
 
 @pytest.mark.parametrize(
@@ -91,23 +91,26 @@
 async def test_what_can_not_be_repeated_goes_on_no_connection_that_its_host_may_have_forgotten(
     path: str, rested_s: float, connections: int
 ) -> None:
-    async with stage(plain(b"ok", "200 OK", KEEPS)) as s:
-        await ask_in_turn(s, 1, path)
-        [connection] = s.plane.engine.hosts["i-0"].idle
+    async with running_data_plane(plain(b"ok", "200 OK", KEEPS)) as harness:
+        await ask_in_turn(harness, 1, path)
+        [connection] = harness.plane.engine.hosts["i-0"].idle
         connection.idle_since -= rested_s
-        await ask_in_turn(s, 1, path)
-        assert len(s.hosts[0].writers) == connections
+        await ask_in_turn(harness, 1, path)
+        assert len(harness.hosts[0].writers) == connections
 
 
 @on_loop
 async def test_a_close_that_came_while_idle_costs_nothing() -> None:
-    async with stage(plain(b"ok", "200 OK", KEEPS)) as s, s.client() as client:
+    async with (
+        running_data_plane(plain(b"ok", "200 OK", KEEPS)) as harness,
+        harness.client() as client,
+    ):
         for _ in range(3):
             assert (await client.ask("/once/x")).status == 200
-            reset(s.hosts[0].writers[-1])
-            await s.hosts[0].closed.get()
-        assert len(s.hosts[0].writers) == 3
-        assert all(end.outcome is Outcome.SUCCESS for end in s.decider.ends())
+            reset(harness.hosts[0].writers[-1])
+            await harness.hosts[0].closed.get()
+        assert len(harness.hosts[0].writers) == 3
+        assert all(end.outcome is Outcome.SUCCESS for end in harness.decider.ends())
 
 
 @pytest.mark.parametrize("path", ["/once/x", "/plan/x", "/safe/x"])
@@ -116,12 +119,12 @@
     other = NeverUp()
     second = stream(2) if path == "/plan/x" else plain()
     try:
-        async with stage(hang, second) as s, s.client() as client:
-            lines = [host_line(host) for host in s.hosts]
+        async with running_data_plane(hang, second) as harness, harness.client() as client:
+            lines = [host_line(host) for host in harness.hosts]
             lines[0] = dataclasses.replace(lines[0], address=f"127.0.0.1:{other.address[1]}")
-            s.authority.tell(s.snapshot(*lines))
+            harness.authority.tell(harness.snapshot(*lines))
             assert (await client.ask(path)).status == 200
-            first, _ = s.decider.ends()
+            first, _ = harness.decider.ends()
             assert first.outcome is Outcome.CONNECT_FAILED
             assert 0.2 < first.elapsed_s < 0.5
     finally:
@@ -132,9 +135,9 @@
 async def test_a_refused_connection_promises_in_the_end() -> None:
     with socket.socket() as nobody:
         nobody.bind(("127.0.0.1", 0))
-        async with stage(hang) as s, s.client() as client:
-            line = host_line(s.hosts[0], address=f"127.0.0.1:{nobody.getsockname()[1]}")
-            s.authority.tell(s.snapshot(line))
+        async with running_data_plane(hang) as harness, harness.client() as client:
+            line = host_line(harness.hosts[0], address=f"127.0.0.1:{nobody.getsockname()[1]}")
+            harness.authority.tell(harness.snapshot(line))
             got = await client.ask("/once/x")
             assert (got.status, got.headers["retry-after"]) == (503, "0.400")
 
@@ -148,82 +151,97 @@
         await go.wait()
         writer.write(chunk(event(2)) + b"0\r\n\r\n")
 
-    async with stage(slow, plain()) as s, s.client() as client, s.client() as other:
+    async with (
+        running_data_plane(slow, plain()) as harness,
+        harness.client() as client,
+        harness.client() as other,
+    ):
         client.writer.write(request("/plan/x"))
         assert (await client.head())[0] == 200
         assert await client.chunk() == event(1)
         for lines in (
-            [host_line(s.hosts[0], state=HostState.DRAINING), host_line(s.hosts[1])],
-            [host_line(s.hosts[1])],
+            [host_line(harness.hosts[0], state=HostState.DRAINING), host_line(harness.hosts[1])],
+            [host_line(harness.hosts[1])],
         ):
-            s.authority.tell(s.snapshot(*lines))
+            harness.authority.tell(harness.snapshot(*lines))
             assert (await other.ask("/once/x")).status == 200
-        s.decider.hosts.insert(0, "i-0")
+        harness.decider.hosts.insert(0, "i-0")
         assert (await other.ask("/once/x")).status == 200  # moot at the one that has left
         go.set()
         assert await client.chunk() == event(2)
         assert await client.chunk() == b""
-        assert len(s.hosts[0].seen) == 1
+        assert len(harness.hosts[0].seen) == 1
 
 
 @on_loop
 async def test_connecting_attempts_are_withdrawn_when_their_host_leaves() -> None:
     other = NeverUp()
     try:
-        async with stage(hang, plain()) as s, s.client() as client:
-            line = host_line(s.hosts[0], address=f"127.0.0.1:{other.address[1]}")
-            s.authority.tell(s.snapshot(line, host_line(s.hosts[1])))
+        async with running_data_plane(hang, plain()) as harness, harness.client() as client:
+            line = host_line(harness.hosts[0], address=f"127.0.0.1:{other.address[1]}")
+            harness.authority.tell(harness.snapshot(line, host_line(harness.hosts[1])))
             client.writer.write(request("/once/x"))
-            await until(lambda: bool(s.plane.engine.open))
-            s.authority.tell(s.snapshot(host_line(s.hosts[1])))
+            await until(lambda: bool(harness.plane.engine.open))
+            harness.authority.tell(harness.snapshot(host_line(harness.hosts[1])))
             assert (await client.answer()).status == 200
-            assert s.decider.ends()[0].outcome is Outcome.MOOT
+            assert harness.decider.ends()[0].outcome is Outcome.MOOT
     finally:
         other.close()
 
 
 @on_loop
 async def test_an_address_that_another_host_has_is_never_reused_for_the_old_one() -> None:
-    async with stage(plain(b"ok", "200 OK", KEEPS)) as s:
-        await ask_in_turn(s, 1)
-        s.authority.tell(s.snapshot(host_line(s.hosts[0], id="i-new")))
-        await ask_in_turn(s, 1)
-        assert [seen.headers["x-target-instance"] for seen in s.hosts[0].seen] == ["i-0", "i-new"]
-        assert len(s.hosts[0].writers) == 2
+    async with running_data_plane(plain(b"ok", "200 OK", KEEPS)) as harness:
+        await ask_in_turn(harness, 1)
+        harness.authority.tell(harness.snapshot(host_line(harness.hosts[0], id="i-new")))
+        await ask_in_turn(harness, 1)
+        assert [seen.headers["x-target-instance"] for seen in harness.hosts[0].seen] == [
+            "i-0",
+            "i-new",
+        ]
+        assert len(harness.hosts[0].writers) == 2
 
 
 @on_loop
 async def test_a_host_gets_so_many_connections_and_no_more() -> None:
-    async with stage(hang, plain(), services=[{"name": "model", "max_connections": 6}]) as s:
-        clients = [await s.client().__aenter__() for _ in range(CONNECTIONS_LEAST + 1)]
+    async with running_data_plane(
+        hang, plain(), services=[{"name": "model", "max_connections": 6}]
+    ) as harness:
+        clients = [await harness.client().__aenter__() for _ in range(CONNECTIONS_LEAST + 1)]
         for client in clients:
             client.writer.write(request("/once/x"))
         assert (
             await clients[-1].answer()
         ).status == 200  # moot at the first host, then at the other
-        assert len(s.hosts[0].seen) == CONNECTIONS_LEAST
+        assert len(harness.hosts[0].seen) == CONNECTIONS_LEAST
         for client in clients:
             await client.__aexit__()
-        await until(lambda: s.plane.engine.hosts["i-0"].open == 0)
+        await until(lambda: harness.plane.engine.hosts["i-0"].open == 0)
 
 
 @on_loop
 async def test_a_resumption_that_is_refused_goes_to_a_third_host() -> None:
-    async with stage(stream(5, cut_after=2), rejects(), stream(5)) as s, s.client() as client:
+    async with (
+        running_data_plane(stream(5, cut_after=2), rejects(), stream(5)) as harness,
+        harness.client() as client,
+    ):
         got = await client.ask("/chat/x")
         assert (got.whole, got.ids) == (True, [1, 2, 3, 4, 5])
-        assert [end.outcome for end in s.decider.ends()] == [
+        assert [end.outcome for end in harness.decider.ends()] == [
             Outcome.RESET,
             Outcome.FULL,
             Outcome.SUCCESS,
         ]
-        assert all(end.progressed for end in s.decider.ends())
+        assert all(end.progressed for end in harness.decider.ends())
 
 
 @on_loop
 async def test_a_stream_is_cut_where_no_host_takes_it_up() -> None:
     fault = plain(b"fault", "500 Fault")
-    async with stage(stream(5, cut_after=2), fault, fault) as s, s.client() as client:
+    async with (
+        running_data_plane(stream(5, cut_after=2), fault, fault) as harness,
+        harness.client() as client,
+    ):
         got = await client.ask("/chat/x")
         assert (got.status, got.whole, got.ids) == (200, False, [1, 2])
 
@@ -241,14 +259,14 @@
             await asyncio.sleep(0.03)
         writer.write(b"0\r\n\r\n")
 
-    async with stage(slow, late) as s, s.client() as client:
-        s.decider.hedges = 1
+    async with running_data_plane(slow, late) as harness, harness.client() as client:
+        harness.decider.hedges = 1
         got = await client.ask("/chat/x")
         assert (got.whole, got.body) == (
             True,
             b"".join(event(number, "slow") for number in range(1, 4)),
         )
-        assert {end.attempt: end.outcome for end in s.decider.ends()} == {
+        assert {end.attempt: end.outcome for end in harness.decider.ends()} == {
             0: Outcome.SUCCESS,
             1: Outcome.CANCELLED,
         }
@@ -262,21 +280,21 @@
 
     async def winner(message: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(sse(message) + chunk(event(1)))
-        await until(lambda: len(s.decider.ends()) == 1)
+        await until(lambda: len(harness.decider.ends()) == 1)
         reset(writer)
 
     async def loser(message: Message, writer: asyncio.StreamWriter) -> None:
         if "last-event-id" in message.headers:
             await stream(4)(message, writer)
             return
-        await until(lambda: s.decider.count(FirstEvent) == 1)
+        await until(lambda: harness.decider.count(FirstEvent) == 1)
         writer.write(sse(message) + chunk(event(1) + event(2) + event(3)))
 
-    async with stage(winner, loser, loser) as s, s.client() as client:
-        s.decider.hedges = 1
+    async with running_data_plane(winner, loser, loser) as harness, harness.client() as client:
+        harness.decider.hedges = 1
         got = await client.ask("/chat/x")
         assert (got.whole, got.ids) == (True, [1, 2, 3, 4])
-        assert [end.outcome for end in s.decider.ends()] == [
+        assert [end.outcome for end in harness.decider.ends()] == [
             Outcome.CANCELLED,
             Outcome.RESET,
             Outcome.SUCCESS,
@@ -298,7 +316,7 @@
             writer.write(b"id: 2\nda")
         writer.close()
 
-    async with stage(told) as s, s.client() as client:
+    async with running_data_plane(told) as harness, harness.client() as client:
         got = await client.ask("/plan/x")
         assert (got.body, got.whole) == (event(1), whole)
 
@@ -309,7 +327,7 @@
         writer.write(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n")
         await plain(b"whole")(message, writer)
 
-    async with stage(interim) as s, s.client() as client:
+    async with running_data_plane(interim) as harness, harness.client() as client:
         assert (await client.ask("/once/x")).body == b"whole"
 
 
@@ -327,10 +345,10 @@
     async def say(message: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(data)
 
-    async with stage(say) as s, s.client() as client:
+    async with running_data_plane(say) as harness, harness.client() as client:
         got = await client.ask("/once/x")
         assert (got.status, got.body) == (502, b"")
-        assert s.decider.ends()[0].outcome is Outcome.RESET
+        assert harness.decider.ends()[0].outcome is Outcome.RESET
 
 
 @on_loop
@@ -341,7 +359,7 @@
             writer.write(chunk(b"data: " + b"x" * 60_000))
             await writer.drain()
 
-    async with stage(endless) as s, s.client() as client:
+    async with running_data_plane(endless) as harness, harness.client() as client:
         assert (await client.ask("/plan/x")).status == 502
 
 
@@ -359,19 +377,19 @@
             written = number
         writer.write(b"0\r\n\r\n")
 
-    async with stage(flood) as s:
-        client = StreamClient(s.plane.port)
+    async with running_data_plane(flood) as harness:
+        client = StreamClient(harness.plane.port)
         client.reader, client.writer = await asyncio.open_connection(
-            "127.0.0.1", s.plane.port, limit=4096
+            "127.0.0.1", harness.plane.port, limit=4096
         )
         client.writer.write(request("/plan/x", X_Request_Deadline="20000"))
-        await until(lambda: any(c._unread for c in s.plane.server.connections))
+        await until(lambda: any(c._unread for c in harness.plane.server.connections))
         stopped = -1
         while stopped != written:
             stopped = written
             await asyncio.sleep(0.1)
         assert stopped < count
-        [connection] = s.plane.server.connections
+        [connection] = harness.plane.server.connections
         assert connection._transport is not None
         assert connection._transport.get_write_buffer_size() < 1_000_000
         got = await client.answer()
@@ -385,35 +403,35 @@
 
 @on_loop
 async def test_all_descriptors_come_back_and_nothing_stays_open() -> None:
-    async with stage(*behaviours()) as s:
+    async with running_data_plane(*behaviours()) as harness:
         for path in ("/safe/x", "/once/x", "/chat/x", "/plan/x") * 3:
-            async with s.client() as client:
+            async with harness.client() as client:
                 client.writer.write(request(path, X_Request_Deadline="150"))
                 await client.answer()
-            s.decider.hosts.append(s.decider.hosts.pop(0))
-        await until(lambda: not s.plane.server.connections and not s.plane.engine.open)
-        idle = sum(len(host.idle) for host in s.plane.engine.hosts.values())
-        await until(lambda: s.plane.upstream._descriptors.used == idle)
-        assert sum(host.open for host in s.plane.engine.hosts.values()) == idle
+            harness.decider.hosts.append(harness.decider.hosts.pop(0))
+        await until(lambda: not harness.plane.server.connections and not harness.plane.engine.open)
+        idle = sum(len(host.idle) for host in harness.plane.engine.hosts.values())
+        await until(lambda: harness.plane.upstream._descriptors.used == idle)
+        assert sum(host.open for host in harness.plane.engine.hosts.values()) == idle
 
 
 @on_loop
 async def test_a_fault_in_the_decider_costs_one_request() -> None:
-    async with stage(plain()) as s, s.client() as client:
-        handle = s.decider.handle
-        s.decider.handle = lambda now, event: 1 / 0  # type: ignore[method-assign, assignment, return-value]
+    async with running_data_plane(plain()) as harness, harness.client() as client:
+        handle = harness.decider.handle
+        harness.decider.handle = lambda now, event: 1 / 0  # type: ignore[method-assign, assignment, return-value]
         assert (await client.ask("/once/x")).status == 503  # nothing was sent
-        s.decider.handle = handle  # type: ignore[method-assign]
+        harness.decider.handle = handle  # type: ignore[method-assign]
         assert (await client.ask("/once/x")).status == 200
 
 
 @on_loop
 async def test_a_decider_that_never_stops_costs_one_request() -> None:
-    async with stage(plain()) as s, s.client() as client:
-        s.decider.ended = lambda event: [s.decider.send(event.number)]  # type: ignore[method-assign]
-        s.decider.hosts = ["i-gone"]
+    async with running_data_plane(plain()) as harness, harness.client() as client:
+        harness.decider.ended = lambda event: [harness.decider.send(event.number)]  # type: ignore[method-assign]
+        harness.decider.hosts = ["i-gone"]
         assert (await client.ask("/once/x")).status == 503
-        s.decider.hosts = ["i-0"]
+        harness.decider.hosts = ["i-0"]
         assert (await client.ask("/once/x")).status == 200
 
 
@@ -426,58 +444,58 @@
         await plain(b"sent before")(message, writer)
 
     async def reject(message: Message, writer: asyncio.StreamWriter) -> None:
-        s.authority.fresh = False
+        harness.authority.fresh = False
         await rejects()(message, writer)
         go.set()
 
-    async with stage(slow, reject) as s, s.client() as client:
-        s.decider.hedges = 1
+    async with running_data_plane(slow, reject) as harness, harness.client() as client:
+        harness.decider.hedges = 1
         assert (await client.ask("/safe/x")).body == b"sent before"
-        assert [len(host.seen) for host in s.hosts] == [1, 1]
+        assert [len(host.seen) for host in harness.hosts] == [1, 1]
 
 
 @on_loop
 async def test_a_fault_of_the_quotas_costs_one_answer() -> None:
-    async with stage(plain()) as s, s.client() as client:
-        s.quotas.admit = lambda tenant, amount, decide: 1 / 0  # type: ignore[method-assign, assignment]
+    async with running_data_plane(plain()) as harness, harness.client() as client:
+        harness.quotas.admit = lambda tenant, amount, decide: 1 / 0  # type: ignore[method-assign, assignment]
         assert (await client.ask("/once/x", X_Request_Deadline="100")).status == 503
-        assert not s.plane.engine.open
+        assert not harness.plane.engine.open
         assert (await client.ask("/open/x")).status == 200
 
 
 @on_loop
 async def test_only_a_changed_topology_is_told() -> None:
-    async with stage(plain()) as s:
-        told = len(s.decider.events)
-        assert s.authority.now_in_force is not None
-        s.authority.tell(dataclasses.replace(s.authority.now_in_force, roster=()))
-        assert len(s.decider.events) == told
-        s.authority.tell(s.snapshot())
-        assert len(s.decider.events) == told + 1
+    async with running_data_plane(plain()) as harness:
+        told = len(harness.decider.events)
+        assert harness.authority.now_in_force is not None
+        harness.authority.tell(dataclasses.replace(harness.authority.now_in_force, roster=()))
+        assert len(harness.decider.events) == told
+        harness.authority.tell(harness.snapshot())
+        assert len(harness.decider.events) == told + 1
 
 
 @pytest.mark.parametrize("path", ["/once/x", "/safe/x"])
 @on_loop
 async def test_what_has_not_run_is_given_back_to_its_quota(path: str) -> None:
-    async with stage(rejects()) as s, s.client() as client:
+    async with running_data_plane(rejects()) as harness, harness.client() as client:
         assert (await client.ask(path, X_Token_Usage="1460,80")).status == 503
-        assert s.quotas.given_back == s.quotas.asked == [("huka", 1540.0)]
+        assert harness.quotas.given_back == harness.quotas.asked == [("huka", 1540.0)]
 
 
 @pytest.mark.parametrize("behave", [plain(), plain(b"", "500 Fault"), say(b"", end=True), hang])
 @on_loop
 async def test_what_may_have_run_counts_against_its_quota(behave: Behaviour) -> None:
-    async with stage(behave) as s, s.client() as client:
+    async with running_data_plane(behave) as harness, harness.client() as client:
         await client.ask("/once/x", X_Request_Deadline="200")
-        await until(lambda: not s.plane.engine.open)
-        assert s.quotas.given_back == []
+        await until(lambda: not harness.plane.engine.open)
+        assert harness.quotas.given_back == []
 
 
 @on_loop
 async def test_what_no_quota_counts_is_not_given_back() -> None:
-    async with stage(rejects()) as s, s.client() as client:
+    async with running_data_plane(rejects()) as harness, harness.client() as client:
         for asked in ({"path": "/open/x"}, {"key": "key-of-zoka"}):
             assert (await client.ask(**asked)).status == 503
-        s.quotas.allowed = False
+        harness.quotas.allowed = False
         assert (await client.ask("/once/x")).status == 429
-        assert s.quotas.given_back == []
+        assert harness.quotas.given_back == []
--- a/tests/dataplane/test_storm.py
+++ b/tests/dataplane/test_storm.py
@@ -22,21 +22,21 @@
 from roselink.routing.fleet import FleetDecider
 from tests.dataplane.harness import (
     Answer,
+    DataPlaneHarness,
     FakeDecider,
-    Stage,
     chunk,
     event,
     head,
     plain,
     rejects,
     request,
+    running_data_plane,
     sse,
-    stage,
 )
 from tests.support.net import Message, on_loop, reset, until
 
 if TYPE_CHECKING:
-    from roselink.dataplane.interfaces import Decisions
+    from roselink.dataplane.interfaces import Decider
 
 EVENTS = 6
 SERVED = {
@@ -66,7 +66,7 @@
 class Recorded:
     """A decider that is watched."""
 
-    def __init__(self, inner: Decisions) -> None:
+    def __init__(self, inner: Decider) -> None:
         self._inner = inner
         self.events: list[Event] = []
         self.actions: list[Action] = []
@@ -171,8 +171,8 @@
         return "cut"
 
 
-async def ask(s: Stage, storm: Storm, path: str, number: str) -> str:
-    async with s.client() as client:
+async def ask(harness: DataPlaneHarness, storm: Storm, path: str, number: str) -> str:
+    async with harness.client() as client:
         client.writer.write(request(path + "x", X_Request_Id=number, X_Request_Deadline="200"))
         got = await client.answer()
     return storm.check(path, number, got)
@@ -186,16 +186,16 @@
     fake = FakeDecider()
     fake.hedges = seed % 2
     recorded = Recorded(fake if kind == "fake" else FleetDecider("z", seed, 0.2, 10.0))
-    async with stage(*[storm.behave] * 4, by=recorded) as s:
+    async with running_data_plane(*[storm.behave] * 4, by=recorded) as harness:
         outcomes: Counter[str] = Counter()
 
         async def client(index: int) -> None:
             for turn in range(20):
                 path = ("/chat/", "/plan/", "/safe/", "/once/")[(index + turn) % 4]
-                outcomes[await ask(s, storm, path, f"{index}-{turn}")] += 1
+                outcomes[await ask(harness, storm, path, f"{index}-{turn}")] += 1
 
         await asyncio.gather(*(client(index) for index in range(8)))
-        await until(lambda: not s.plane.engine.open)
+        await until(lambda: not harness.plane.engine.open)
         assert sum(outcomes.values()) == 160
         assert outcomes["served"] > SERVED[kind]
         arrived = [
@@ -206,4 +206,4 @@
         sent = [(a.number, a.attempt) for a in recorded.actions if isinstance(a, SendAttempt)]
         ended = [(e.number, e.attempt) for e in recorded.events if isinstance(e, AttemptEnded)]
         assert sorted(sent) == sorted(ended)
-        await until(lambda: not s.plane.server.connections)
+        await until(lambda: not harness.plane.server.connections)
--- a/tests/gateway/test_closes.py
+++ b/tests/gateway/test_closes.py
@@ -15,7 +15,7 @@
 from roselink.http import server as http_server
 from roselink.http import server_connection
 from roselink.http.host_connection import BODY_LIMIT
-from roselink.http.server_connection import HttpConnection
+from roselink.http.server_connection import ServerConnection
 from tests.support.net import (
     SuddenClient,
     World,
@@ -32,7 +32,7 @@
     from collections.abc import Callable
 
 
-async def resting(w: World) -> tuple[SuddenClient, HttpConnection]:
+async def resting(w: World) -> tuple[SuddenClient, ServerConnection]:
     """A client that has had an answer, and its connection, which rests."""
     client = SuddenClient(w.gateway.port)
     client.send()
@@ -50,28 +50,28 @@
         return b""
 
 
-def sweep(to: Server, connection: HttpConnection) -> None:
+def sweep(to: Server, connection: ServerConnection) -> None:
     connection.last_change -= 1000.0
     to.sweep()
 
 
-def rest_of_others(to: Server, connection: HttpConnection) -> None:
+def rest_of_others(to: Server, connection: ServerConnection) -> None:
     to._heard_most = -1
     to.rests(next(other for other in to.connections if other is not connection))
 
 
-def room(to: Server, connection: HttpConnection) -> None:
+def room(to: Server, connection: ServerConnection) -> None:
     to._end_another(connection)
 
 
-def drain(to: Server, connection: HttpConnection) -> None:
+def drain(to: Server, connection: ServerConnection) -> None:
     to.close_idle()
 
 
 @pytest.mark.parametrize("close", [sweep, rest_of_others, room, drain])
 @on_loop
 async def test_a_close_of_an_idle_connection_looks_for_a_request_first(
-    close: Callable[[Server, HttpConnection], None],
+    close: Callable[[Server, ServerConnection], None],
 ) -> None:
     async with world(serve_ok) as w, w.client():
         client, connection = await resting(w)
@@ -112,7 +112,7 @@
         assert b"Connection: close" in await received(client)
 
 
-async def unread(w: World) -> tuple[SuddenClient, HttpConnection]:
+async def unread(w: World) -> tuple[SuddenClient, ServerConnection]:
     """A client that has not read its answer, and its connection, which holds most of it: the
     kernel's buffers on both sides are small, so that the answer can never fit into them.
     """
@@ -143,15 +143,15 @@
 
 @on_loop
 async def test_a_last_answer_is_read_whole_however_slowly(monkeypatch: pytest.MonkeyPatch) -> None:
-    looks: list[HttpConnection] = []
-    lingered = HttpConnection._lingered
+    looks: list[ServerConnection] = []
+    lingered = ServerConnection._lingered
 
-    def look(connection: HttpConnection) -> None:
+    def look(connection: ServerConnection) -> None:
         looks.append(connection)
         lingered(connection)
 
     monkeypatch.setattr(server_connection, "LINGER_S", 0.001)
-    monkeypatch.setattr(HttpConnection, "_lingered", look)
+    monkeypatch.setattr(ServerConnection, "_lingered", look)
     async with world(say(answer(b"x" * BODY_LIMIT))) as w:
         client, connection = await unread(w)
         connection._keep = False
@@ -163,10 +163,10 @@
         assert data.count(b"x") == BODY_LIMIT
 
 
-@pytest.mark.parametrize("close", [HttpConnection._lingered, HttpConnection.close_left])
+@pytest.mark.parametrize("close", [ServerConnection._lingered, ServerConnection.close_left])
 @on_loop
 async def test_a_last_answer_is_not_reset_by_what_still_comes(
-    close: Callable[[HttpConnection], object], monkeypatch: pytest.MonkeyPatch
+    close: Callable[[ServerConnection], object], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A slow client: its answer is with this kernel, most of it not with its own yet, and it sends
     on.
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -50,7 +50,7 @@
 )
 
 if TYPE_CHECKING:
-    from roselink.http.server_connection import HttpConnection
+    from roselink.http.server_connection import ServerConnection
 
 
 async def at_end(client: Client) -> bytes:
@@ -72,7 +72,7 @@
         return getattr(self._loop, name)
 
 
-async def joined(w: World) -> HttpConnection:
+async def joined(w: World) -> ServerConnection:
     """The one connection of a client, once the gateway has it."""
     await until(lambda: len(w.gateway.server.connections) == 1)
     return next(iter(w.gateway.server.connections))
--- a/tests/gateway/test_host_pool.py
+++ b/tests/gateway/test_host_pool.py
@@ -15,7 +15,7 @@
 from roselink.http import host_pool
 from roselink.http.descriptors import RESERVED, Descriptors
 from roselink.http.host_connection import Answer, Attempt, Host, HostConnection
-from roselink.http.host_pool import Upstream
+from roselink.http.host_pool import HostPool
 from roselink.routing.outcome import Outcome
 from tests.support.net import (
     Behaviour,
@@ -47,7 +47,7 @@
 
     def __init__(self, address: Address, connect_s: float = LONG_S, sockets: int = 100) -> None:
         self.descriptors = Descriptors(RESERVED + sockets)
-        self.upstream = Upstream(asyncio.get_running_loop(), self.descriptors, connect_s, 15.0)
+        self.upstream = HostPool(asyncio.get_running_loop(), self.descriptors, connect_s, 15.0)
         self.host = Host("s-1", address)
         self.results: list[tuple[Outcome, Answer | None]] = []
         self.wanted = True
--- a/tools/pulls.py
+++ b/tools/pulls.py
@@ -16,7 +16,7 @@
 from roselink.controller.chain_interface import Confirmation
 from roselink.controller.pull_server import Answer, AnswerChanges, PullServer
 from roselink.coordination.views import MAX_VOTERS
-from roselink.dataplane.fleet_host_pool import FleetUpstream
+from roselink.dataplane.fleet_host_pool import FleetHostPool
 from roselink.dataplane.host_directory import HostDirectory
 from roselink.distribution.host_changes import expand_reply
 from roselink.distribution.pull_state_machine import PULL_EVERY_S, PullStateMachine, SendPull
@@ -221,7 +221,7 @@
     """The data plane's list of hosts, which takes over two lists in turn."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, *lists: tuple[Host, ...]) -> None:
-        self._directory = HostDirectory(FleetUpstream(loop, Descriptors(1000)))
+        self._directory = HostDirectory(FleetHostPool(loop, Descriptors(1000)))
         configuration = make_configuration(1, 1)
         made = [Snapshot(VersionVector(1, 1, 1), configuration, hosts, ()) for hosts in lists]
         self._snapshots = itertools.cycle(made)
