--- a/roselink/__main__.py
+++ b/roselink/__main__.py
@@ -1,10 +1,9 @@
 """The command line: `python3 -m roselink COMMAND`.
 
-`router` and `controller` are the fleet's two programs and take no options: what they need stands in
-the settings file that ROSELINK_BOOT names. `gateway` is the gateway of the deployments in service,
-the same as `python3 -m roselink.gateway`. They are dispatched before anything else is imported:
-each import is time in which a restarted process doesn't serve. All other commands are in
-`roselink.cli`.
+`router` and `controller` are the fleet's two programs and take no options: they read the settings
+file that ROSELINK_BOOT names. `gateway` is the gateway of the deployments in service, the same as
+`python3 -m roselink.gateway`. They are dispatched before anything else is imported, because a
+restarted process serves only after its imports. All other commands are in `roselink.cli`.
 """
 
 from __future__ import annotations
@@ -17,9 +16,9 @@
 
 
 def run_program(command: str) -> int:
-    """Run the gateway or the control plane until it ends; the exit status.
+    """Run the router or the controller until it ends; return the exit status.
 
-    A crash in native code writes where each thread was to the log.
+    A crash in native code writes the stack of each thread to the log.
     """
     faulthandler.enable(sys.__stderr__ or sys.stderr)
     from roselink.model.settings import (
@@ -44,7 +43,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run one command; the exit status."""
+    """Run one command; return its exit status."""
     if arguments and arguments[0] in ("router", "controller"):
         return run_program(arguments[0])
     if arguments and arguments[0] == "gateway":
--- a/roselink/cli.py
+++ b/roselink/cli.py
@@ -1,7 +1,7 @@
-"""Commands for people: check a file, show the fleet's state, run a whole fleet on loopback.
+"""Commands for operators and developers: `check`, `status`, `lab` and `simulate`.
 
-Each returns the exit status: 0 all well, 1 the fleet can't tell or can't run, 2 the input is at
-fault.
+Each returns the exit status: 0 for success, 1 if the fleet is unavailable or a run failed, 2 if the
+input is at fault.
 """
 
 from __future__ import annotations
@@ -14,51 +14,51 @@
 
 from roselink.controller.validation import ValidationFailure, validate_document
 from roselink.model.settings import SettingsError, read_settings
-from roselink.status import NoAnswer, fetch_state, render
+from roselink.status import StatusUnavailableError, fetch_status, render
 
 EXIT_UNAVAILABLE = 1
 EXIT_FAULTS = 2
-MOST_MACHINES = 9  # that vote
+MAX_MACHINES = 9
 
 
 def check(file: Path) -> int:
-    """Check a settings file or a configuration, and name every fault by its path.
+    """Check a settings file or a configuration, and print every fault with its path.
 
-    :param file: JSON; one with `node_name` is taken for a process's settings, any other for a
+    :param file: JSON; one with `node_name` is read as a process's settings, any other as a
         configuration
     """
     try:
         document = codec.loads(file.read_bytes())
     except OSError as error:
-        return _report([f"{file}: cannot be read: {error.strerror}"])
+        return _report_faults([f"{file}: cannot be read: {error.strerror}"])
     except (ValueError, RecursionError) as error:
-        return _report([f"{file}: is not JSON: {error}"])
+        return _report_faults([f"{file}: is not JSON: {error}"])
     if isinstance(document, dict) and "node_name" in document:
         try:
             read_settings(document)
         except SettingsError as error:
-            return _report(error.faults)
+            return _report_faults(error.faults)
         return 0
     checked = validate_document(document)
     if isinstance(checked, ValidationFailure):
-        return _report([str(fault) for fault in checked.faults])
+        return _report_faults([str(fault) for fault in checked.faults])
     return 0
 
 
 def status(address: str, *, json: bool = False) -> int:
-    """Show the view and its chain, the versions, each gateway's lag, and the owners of roles.
+    """Show the view and its chain, the versions, each gateway's lag, and the owners of budgets.
 
     :param address: the operator address of any controller, as ip:port
-    :param json: all that is known, as JSON
+    :param json: print the status document as JSON
     """
     try:
-        state = fetch_state(address)
-    except NoAnswer as error:
+        fleet_status = fetch_status(address)
+    except StatusUnavailableError as error:
         sys.stderr.write(f"{error}\n")
         return EXIT_UNAVAILABLE
-    text = codec.dumps(state, indent=2) if json else "\n".join(render(state))
+    text = codec.dumps(fleet_status, indent=2) if json else "\n".join(render(fleet_status))
     sys.stdout.write(text + "\n")
-    return 0 if state["confirmed"] else EXIT_UNAVAILABLE
+    return 0 if fleet_status["confirmed"] else EXIT_UNAVAILABLE
 
 
 def lab(
@@ -69,54 +69,54 @@
     kill: bool = False,
     folder: Path | None = None,
 ) -> int:
-    """Run a whole fleet on loopback, with stand-ins for platform, hosts, operator and clients.
+    """Run a fleet on loopback, with simulated platform, hosts, operator and clients.
 
-    Prints what is where and a line a second, until Ctrl-C.
+    Prints the addresses and one line a second, until Ctrl-C.
 
-    :param routers: how many gateways, beside 3 controllers
-    :param clients: how many send requests, one after the other each
-    :param seconds: end after so long
-    :param kill: kill a gateway and the chain's tail on the way
-    :param folder: keep settings, disks and logs in this new folder
+    :param routers: number of gateways, beside 3 controllers
+    :param clients: number of clients, each with one request in flight
+    :param seconds: duration of the run
+    :param kill: kill a gateway and the chain's tail during the run
+    :param folder: new folder that keeps settings, disks and logs
     """
     from roselink.lab.command import Plan, run_lab
     from roselink.lab.fleet import MOST_ROUTERS
 
     if not (1 <= routers <= MOST_ROUTERS and clients >= 1):
-        return _report([f"routers: 1 to {MOST_ROUTERS}; clients: 1 at least"])
+        return _report_faults([f"routers: 1 to {MOST_ROUTERS}; clients: 1 at least"])
     if folder is not None and folder.exists():
-        return _report([f"{folder}: is there already"])
-    report = run_lab(Plan(routers, clients, seconds, kill, folder), _say)
+        return _report_faults([f"{folder}: is there already"])
+    report = run_lab(Plan(routers, clients, seconds, kill, folder), _print_line)
     return EXIT_UNAVAILABLE if report.trouble is not None or report.late else 0
 
 
 def simulate(*, seed: int = 1, days: int = 1, machines: int | None = None, jobs: int = 1) -> int:
-    """Play days of troubles on a simulated control plane, and judge all that its callers were told.
+    """Simulate days with faults on a control plane, and check all replies to its callers.
 
-    :param seed: of the first day; the next have the next ones
-    :param days: how many days
-    :param machines: of the core; left out, size and kind of day follow from the seed
-    :param jobs: how many days at a time
+    :param seed: seed of the first day; each next day has the next seed
+    :param days: number of days
+    :param machines: number of core members; by default size and kind of day follow from the seed
+    :param jobs: number of days in parallel
     """
     from roselink.simulation.command import play_days
 
-    if days < 1 or jobs < 1 or (machines is not None and not 1 <= machines <= MOST_MACHINES):
-        return _report([f"days and jobs: 1 at least; machines: 1 to {MOST_MACHINES}"])
-    return EXIT_UNAVAILABLE if play_days(seed, days, machines, jobs, _say) else 0
+    if days < 1 or jobs < 1 or (machines is not None and not 1 <= machines <= MAX_MACHINES):
+        return _report_faults([f"days and jobs: 1 at least; machines: 1 to {MAX_MACHINES}"])
+    return EXIT_UNAVAILABLE if play_days(seed, days, machines, jobs, _print_line) else 0
 
 
-def _say(line: str) -> None:
+def _print_line(line: str) -> None:
     sys.stdout.write(line + "\n")
     sys.stdout.flush()
 
 
-def _report(faults: list[str]) -> int:
+def _report_faults(faults: list[str]) -> int:
     for fault in faults:
         sys.stderr.write(fault + "\n")
     return EXIT_FAULTS
 
 
 def run_command(arguments: list[str]) -> int:
-    """Run one of the commands above; the exit status."""
+    """Run one of the commands above; return its exit status."""
     result = defopt.run([check, status, lab, simulate], argv=arguments, short={})
     return int(result or 0)
--- a/roselink/router/__init__.py
+++ b/roselink/router/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway process of the fleet: assembly, signals, exit."""
+"""The gateway process of the fleet: assembly, signals, drain, exit."""
--- a/roselink/router/app.py
+++ b/roselink/router/app.py
@@ -4,13 +4,11 @@
 
 import asyncio
 import gc
-import importlib
 import logging
 import os
 import signal
 import sys
 from collections.abc import Callable
-from typing import Any
 
 import uvloop
 
@@ -22,28 +20,31 @@
 from roselink.model.settings import DEFAULT_PATH, ENVIRONMENT_VARIABLE, ProcessSettings
 from roselink.protocol.payoffs import HostOutcomes
 from roselink.protocol.peers import Address, PeerPool, PeerServer, Reply
-from roselink.router.interfaces import DataPlane
+from roselink.router.interfaces import DataPlane, Decider
 from roselink.router.status_log import StatusLog
 
 log = logging.getLogger("roselink.router")
 
 EXIT_START_FAILED = 3
+MakeDecider = Callable[..., Decider]
 MakeDataPlane = Callable[..., DataPlane]
 
 
 def run(settings: ProcessSettings) -> None:
-    """Run the gateway until SIGTERM or SIGINT and a drain; exits with a code when it can't
-    start.
+    """Run the gateway until SIGTERM or SIGINT and a drain.
+
+    Raises:
+        SystemExit: with `EXIT_START_FAILED` if an address cannot be bound.
     """
     start_log()
-    signal.signal(
-        signal.SIGHUP, signal.SIG_IGN
-    )  # until there is a gateway that can reload, it would kill
+    # SIGHUP reloads the settings. Until the handler is there, its default would kill the process.
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)
     path = os.environ.get(ENVIRONMENT_VARIABLE, DEFAULT_PATH)
-    make_decider = importlib.import_module("roselink.routing.fleet").FleetDecider
-    make_data_plane = importlib.import_module("roselink.dataplane.gateway_data_plane").DataPlane
+    from roselink.dataplane.gateway_data_plane import DataPlane as GatewayDataPlane
+    from roselink.routing.fleet import FleetDecider
+
     try:
-        uvloop.run(serve(settings, path, make_decider, make_data_plane))
+        uvloop.run(serve(settings, path, FleetDecider, GatewayDataPlane))
     except OSError as error:
         print(f"roselink.router: cannot start: {error}", file=sys.stderr)
         sys.exit(EXIT_START_FAILED)
@@ -52,54 +53,65 @@
 async def serve(
     settings: ProcessSettings,
     settings_path: str,
-    make_decider: Callable[..., Any],
+    make_decider: MakeDecider,
     make_data_plane: MakeDataPlane,
 ) -> None:
-    """Start all parts, wait for the signal to stop, and drain. Raises OSError when an address can't
-    be had.
+    """Start the gateway, wait for the signal to stop, and drain.
+
+    Args:
+        settings: of this process.
+        settings_path: the file that they were read from, for reloads.
+        make_decider: makes the decider, from its zone, seed and the figures of the retry budget.
+        make_data_plane: makes the data plane, from the settings, the loop, the decider, and what
+            `roselink.dataplane.interfaces` names of the rest of the process.
+
+    Raises:
+        OSError: an address cannot be bound.
     """
     loop = asyncio.get_running_loop()
     stopping = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stopping.set)
-    control = Control(settings, settings_path)
-    await control.start()
+    services = ControlServices(settings, settings_path)
+    await services.start()
     thresholds = settings.thresholds
     seed = int.from_bytes(os.urandom(8), "big")
     decider = make_decider(
         settings.zone, seed, thresholds.retry_budget_ratio, thresholds.retry_window_s
     )
     data_plane = make_data_plane(
-        settings, loop, decider, control.pull_client, control.budgets, control.budgets
+        settings, loop, decider, services.pull_client, services.budgets, services.budgets
     )
-    control.pull_client.exchange_payoffs(
+    services.pull_client.exchange_payoffs(
         lambda: tuple(HostOutcomes(*outcome) for outcome in decider.untold_outcomes()),
-        lambda told: data_plane.pool_payoffs(told.hosts),
+        lambda pooled: data_plane.pool_payoffs(pooled.hosts),
     )
     await data_plane.start()
     status_log = StatusLog(loop, data_plane.status_line)
     status_log.start()
-    control.pull_client.set_serving(True)
-    loop.add_signal_handler(signal.SIGHUP, control.pull_client.reload)
+    services.pull_client.set_serving(True)
+    loop.add_signal_handler(signal.SIGHUP, services.pull_client.reload)
     gc.collect()
-    gc.freeze()  # what is here at the start stays; collections need not walk it each time
+    # What exists at the start stays: later collections need not traverse it.
+    gc.freeze()
     log.info("gateway_started node=%s", settings.node_name)
     await stopping.wait()
     log.info("gateway_draining")
     data_plane.begin_drain()
-    control.budgets.begin_drain()
-    control.pull_client.set_serving(False)
+    services.budgets.begin_drain()
+    services.pull_client.set_serving(False)
     await data_plane.drained()
     status_log.stop()
     data_plane.stop()
-    control.stop()
+    services.stop()
     log.info("gateway_drained")
 
 
-class Control:
-    """All of a gateway but the data plane: peers, pulls, budgets and peer sampling."""
+class ControlServices:
+    """All of a gateway beside the data plane: the pull client, budgets and peer sampling."""
 
     def __init__(self, settings: ProcessSettings, settings_path: str) -> None:
+        """Make the services. `settings_path` is the file of the settings, for reloads."""
         self._listen: Address = (settings.ip, settings.peer_port)
         incarnation = int.from_bytes(os.urandom(7), "big")
         self.member = Member(settings.node_name, "{}:{}".format(*self._listen), incarnation)
@@ -113,11 +125,15 @@
         )
         self.pull_client.subscribe(self.budgets.apply)
         self.pull_client.subscribe(self.peer_sampling.apply)
-        self.pull_client.subscribe_confirmed(self._confirmed)
+        self.pull_client.subscribe_confirmed(self._on_confirmed)
         self._server = PeerServer(self._handle)
 
     async def start(self) -> None:
-        """Listen for peers, and begin to pull. Raises OSError."""
+        """Listen for peers, and begin to pull.
+
+        Raises:
+            OSError: the address for peers cannot be bound.
+        """
         await self._server.listen(*self._listen)
         self.pull_client.start()
         self.peer_sampling.start()
@@ -130,10 +146,10 @@
         self._server.close()
         self.pool.close()
 
-    def _confirmed(self, at: float) -> None:
+    def _on_confirmed(self, at: float) -> None:
         self.budgets.confirm(at)
         self.peer_sampling.confirm(at, self.pull_client.cores())
 
-    def _handle(self, peer: Address, message: Any, reply: Reply) -> None:
+    def _handle(self, peer: Address, message: object, reply: Reply) -> None:
         if not (self.budgets.handle(message, reply) or self.peer_sampling.handle(message, reply)):
             log.warning("record_unknown peer=%s record=%s", peer[0], type(message).__name__)
--- a/roselink/router/interfaces.py
+++ b/roselink/router/interfaces.py
@@ -1,21 +1,48 @@
-"""The data plane as the assembly of a gateway process uses it."""
+"""What the assembly of a gateway process uses of the decider and of the data plane."""
 
 from __future__ import annotations
 
 from typing import Protocol
 
 
+class Decider(Protocol):
+    """The decisions on each request: host choice, retries and hedges."""
+
+    def untold_outcomes(self) -> list[tuple[str, int, int]]:
+        """Return the outcomes since the last call, for the other gateways.
+
+        Each entry has a host, how many attempts succeeded in time, and how many did not.
+        """
+        ...
+
+
 class DataPlane(Protocol):
-    """What carries the traffic."""
+    """Carries the traffic of one gateway, from its listeners to the hosts."""
+
+    async def start(self) -> None:
+        """Listen for clients.
 
-    async def start(self) -> None: ...
+        Raises:
+            OSError: an address cannot be bound.
+        """
+        ...
 
-    def pool_payoffs(self, payoffs: tuple[tuple[str, float], ...]) -> None: ...
+    def pool_payoffs(self, payoffs: tuple[tuple[str, float], ...]) -> None:
+        """Take over the payoffs (0 to 1) of hosts over all gateways."""
+        ...
 
-    def begin_drain(self) -> None: ...
+    def begin_drain(self) -> None:
+        """Take no new requests."""
+        ...
 
-    async def drained(self) -> None: ...
+    async def drained(self) -> None:
+        """Return when no request is in flight any more."""
+        ...
 
-    def stop(self) -> None: ...
+    def stop(self) -> None:
+        """Close all connections."""
+        ...
 
-    def status_line(self) -> str: ...
+    def status_line(self) -> str:
+        """Return the counters since the start, as `key=value` for the log."""
+        ...
--- a/roselink/router/status_log.py
+++ b/roselink/router/status_log.py
@@ -1,4 +1,4 @@
-"""One line on a gateway's state at most every so many seconds, and none while nothing changes."""
+"""Logs a gateway's status at most once an interval, and only when it has changed."""
 
 from __future__ import annotations
 
@@ -11,34 +11,36 @@
 
 log = logging.getLogger("roselink.router")
 
-EVERY_S = 10.0
+INTERVAL_S = 10.0
 
 
 class StatusLog:
-    """Writes what `read` returns where it differs from the last line written."""
+    """Logs what `read_status` returns where it differs from the last status logged."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, read: Callable[[], str]) -> None:
-        self._loop, self._read = loop, read
-        self._last = ""
+    def __init__(self, loop: asyncio.AbstractEventLoop, read_status: Callable[[], str]) -> None:
+        """Start without a timer."""
+        self._loop = loop
+        self._read_status = read_status
+        self._last_status = ""
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Begin; the first line comes after the first stretch of time."""
-        self._timer = self._loop.call_later(EVERY_S, self._due)
+        """Begin; the first status is logged after the first interval."""
+        self._timer = self._loop.call_later(INTERVAL_S, self._on_timer)
 
     def stop(self) -> None:
-        """No more timers; what has changed since the last line is written."""
+        """Cancel the timer; a status that has changed since the last one is logged."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-            self._write()
+            self._log_changed()
 
-    def _due(self) -> None:
-        self._timer = self._loop.call_later(EVERY_S, self._due)
-        self._write()
+    def _on_timer(self) -> None:
+        self._timer = self._loop.call_later(INTERVAL_S, self._on_timer)
+        self._log_changed()
 
-    def _write(self) -> None:
-        line = self._read()
-        if line != self._last:
-            self._last = line
-            log.info("gateway_status %s", line)
+    def _log_changed(self) -> None:
+        status = self._read_status()
+        if status != self._last_status:
+            self._last_status = status
+            log.info("gateway_status %s", status)
--- a/roselink/status.py
+++ b/roselink/status.py
@@ -1,129 +1,205 @@
-"""The fleet's state for people: asked from one controller, completed by the chain's tail, shown as
-a table.
+"""The fleet's status for operators: fetched from one controller and the chain's tail, as a table.
 
-Only the tail hears the gateways' pulls, so another member's answer is completed by the tail's.
-Owners of shared roles are computed from the live gateways, as the gateways themselves do.
+Only the chain's tail receives the gateways' pulls, so the status of another controller is completed
+with the tail's gateways. The owners of shared budgets are computed from the live gateways, by the
+same hash as in the gateways (`roselink.budgets.ownership`).
 """
 
 from __future__ import annotations
 
 import http.client
 import json
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, TypedDict, cast
 
 from roselink.budgets.ownership import rendezvous_owner
 from roselink.budgets.quota_client import KEY_PREFIX as QUOTA_PREFIX
-from roselink.budgets.retry_budget import KEY_PREFIX as REPEAT_PREFIX
+from roselink.budgets.retry_budget import KEY_PREFIX as RETRY_BUDGET_PREFIX
+from roselink.exceptions import RoselinkError
 from roselink.model.fleet import Member
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
 
 TIMEOUT_S = 3.0
+# A version made in a view has the view's epoch above these bits and a count in them.
+COUNT_BITS = 32
+COUNT_MASK = (1 << COUNT_BITS) - 1
 
-State = dict[str, Any]
+JsonObject = dict[str, Any]
 
 
-class NoAnswer(Exception):
-    """A controller did not answer, or not with what was asked for."""
+class GatewayStatus(TypedDict):
+    """One gateway as the tail knows it, with how far its versions are behind."""
 
-    code = "no_answer"
+    name: str
+    address: str
+    serving: bool
+    silent_s: float
+    configuration_behind: bool
+    hosts: int
+    roster: int
 
 
-def fetch_state(address: str) -> State:
-    """The state as the controller at "ip:port" knows it, with the tail's gateways and the owners of
-    roles.
+class Versions(TypedDict):
+    """The newest versions that a controller knows; None where it cannot confirm one."""
 
-    Raises `NoAnswer` when the controller itself does not answer; what the tail doesn't tell is left
-    out.
+    configuration: int | None
+    hosts: int | None
+    roster: int | None
+
+
+class FleetStatus(TypedDict):
+    """The document of a controller's `/status`, and what `fetch_status` adds to it."""
+
+    epoch: int
+    is_tail: bool
+    tail: str | None
+    core: list[str]
+    chain: list[str]
+    confirmed: bool
+    generation: int | None
+    versions: Versions
+    gateways: list[GatewayStatus]
+    # Added here: the operator address that `gateways` are from, and the owner of each budget.
+    gateways_from: str | None
+    owners: dict[str, str]
+
+
+class StatusUnavailableError(RoselinkError):
+    """A controller did not respond, or not with a JSON object.
+
+    Attributes:
+        address: the controller's operator address.
+        path: the page of its API.
+        reason: what went wrong.
+    """
+
+    def __init__(self, address: str, path: str, reason: str) -> None:
+        """Make the message from the page and the reason."""
+        super().__init__(f"{address}{path}: {reason}")
+        self.address = address
+        self.path = path
+        self.reason = reason
+
+
+def fetch_status(address: str) -> FleetStatus:
+    """Fetch the status that a controller knows, completed by the tail's gateways and the owners.
+
+    What the tail or the configuration's page does not return is left out.
+
+    Args:
+        address: the controller's operator address, as "ip:port".
+
+    Raises:
+        StatusUnavailableError: the controller itself does not respond.
     """
-    state = _get(address, "/status")
-    tail = state.get("tail")
-    state["gateways_from"] = address if state.get("is_tail") else None
-    if tail is not None and not state.get("is_tail"):
-        other = f"{tail.rpartition(':')[0]}:{address.rpartition(':')[2]}"
-        try:
-            told = _get(other, "/status")
-        except NoAnswer:
-            told = {}
-        if told.get("is_tail"):
-            state |= {"gateways": told["gateways"], "gateways_from": other}
-            state["versions"] |= {part: told["versions"][part] for part in ("hosts", "roster")}
+    status = cast("FleetStatus", _get(address, "/status"))
+    tail = status.get("tail")
+    status["gateways_from"] = address if status.get("is_tail") else None
+    if tail is not None and not status.get("is_tail"):
+        tail_address = f"{tail.rpartition(':')[0]}:{address.rpartition(':')[2]}"
+        _complete_from_tail(status, tail_address)
     try:
-        state["owners"] = owners(_get(address, "/config/get"), state["gateways"])
-    except NoAnswer:
-        state["owners"] = {}
-    return state
+        configuration = _get(address, "/config/get")
+        status["owners"] = budget_owners(configuration, status["gateways"])
+    except StatusUnavailableError:
+        status["owners"] = {}
+    return status
 
 
-def owners(document: State, gateways: Iterable[State]) -> dict[str, str]:
-    """The gateway that owns each tenant's quota and each service's repeats."""
+def _complete_from_tail(status: FleetStatus, tail_address: str) -> None:
+    try:
+        of_tail = cast("FleetStatus", _get(tail_address, "/status"))
+    except StatusUnavailableError:
+        return
+    if of_tail.get("is_tail"):
+        status["gateways"] = of_tail["gateways"]
+        status["gateways_from"] = tail_address
+        status["versions"]["hosts"] = of_tail["versions"]["hosts"]
+        status["versions"]["roster"] = of_tail["versions"]["roster"]
+
+
+def budget_owners(configuration: JsonObject, gateways: Iterable[GatewayStatus]) -> dict[str, str]:
+    """Return the name of the gateway that owns each tenant's quota and each retry budget, by key.
+
+    Args:
+        configuration: the operator's document, with tenants and services.
+        gateways: all gateways; only those that serve own keys.
+    """
     live = [
         Member(gateway["name"], gateway["address"], 0) for gateway in gateways if gateway["serving"]
     ]
-    names = [QUOTA_PREFIX + tenant["name"] for tenant in document.get("tenants") or ()]
-    names += [REPEAT_PREFIX + service["name"] for service in document.get("services") or ()]
-    found = {name: rendezvous_owner(name, live) for name in names}
-    return {name: owner.name for name, owner in found.items() if owner is not None}
+    keys = [QUOTA_PREFIX + tenant["name"] for tenant in configuration.get("tenants") or ()]
+    keys += [
+        RETRY_BUDGET_PREFIX + service["name"] for service in configuration.get("services") or ()
+    ]
+    found = {key: rendezvous_owner(key, live) for key in keys}
+    return {key: owner.name for key, owner in found.items() if owner is not None}
 
 
-def _get(address: str, path: str) -> State:
+def _get(address: str, path: str) -> JsonObject:
     connection = http.client.HTTPConnection(address, timeout=TIMEOUT_S)
     try:
         connection.request("GET", path)
-        answer = connection.getresponse()
-        body = answer.read()
-        if answer.status != http.client.OK:
-            raise NoAnswer(f"{address}{path}: status {answer.status}")
-        state = json.loads(body)
+        response = connection.getresponse()
+        body = response.read()
+        if response.status != http.client.OK:
+            raise StatusUnavailableError(address, path, f"status {response.status}")
+        document = json.loads(body)
     except (OSError, ValueError, http.client.HTTPException) as error:
-        raise NoAnswer(f"{address}{path}: {error}") from None
+        raise StatusUnavailableError(address, path, str(error)) from None
     finally:
         connection.close()
-    if not isinstance(state, dict):
-        raise NoAnswer(f"{address}{path}: no JSON object")
-    return state
+    if not isinstance(document, dict):
+        raise StatusUnavailableError(address, path, "no JSON object")
+    return document
 
 
-def render(state: State) -> list[str]:
-    """The lines of the table."""
-    versions = state["versions"]
-    confirmed = "confirmed" if state["confirmed"] else "NOT CONFIRMED: no majority answered in time"
+def render(status: FleetStatus) -> list[str]:
+    """Return the lines of the table."""
+    versions = cast("dict[str, int | None]", status["versions"])
+    confirmed = (
+        "confirmed" if status["confirmed"] else "NOT CONFIRMED: no majority answered in time"
+    )
     lines = [
-        f"view       {state['epoch']} ({confirmed})",
-        f"chain      {' -> '.join(state['chain']) or '-'}",
-        f"members    {', '.join(state['core']) or '-'}",
-        f"generation {_shown(state['generation'])}",
-        "versions   " + ", ".join(f"{part} {_version(value)}" for part, value in versions.items()),
+        f"view       {status['epoch']} ({confirmed})",
+        f"chain      {' -> '.join(status['chain']) or '-'}",
+        f"members    {', '.join(status['core']) or '-'}",
+        f"generation {_number_or_unknown(status['generation'])}",
+        "versions   " + ", ".join(f"{kind} {_version(value)}" for kind, value in versions.items()),
     ]
-    lines += ["", *_gateways(state)]
-    if state.get("owners"):
-        lines += ["", *_table(("role", "owner"), sorted(state["owners"].items()))]
+    lines += ["", *_gateway_lines(status)]
+    if status.get("owners"):
+        lines += ["", *_table(("role", "owner"), sorted(status["owners"].items()))]
     return lines
 
 
-def _gateways(state: State) -> list[str]:
-    if state["gateways_from"] is None:
+def _gateway_lines(status: FleetStatus) -> list[str]:
+    if status["gateways_from"] is None:
         return ["gateways   unknown: the chain's tail did not tell"]
-    if not state["gateways"]:
+    if not status["gateways"]:
         return ["gateways   none has pulled from the tail"]
     heads = ("gateway", "address", "serving", "silent s", "configuration", "hosts", "roster")
-    return _table(
-        heads, [_gateway(entry) for entry in sorted(state["gateways"], key=lambda e: e["name"])]
-    )
+    by_name = sorted(status["gateways"], key=lambda gateway: gateway["name"])
+    return _table(heads, [_gateway_row(gateway) for gateway in by_name])
 
 
-def _gateway(entry: State) -> tuple[str, ...]:
+def _gateway_row(gateway: GatewayStatus) -> tuple[str, ...]:
     return (
-        entry["name"],
-        entry["address"],
-        "yes" if entry["serving"] else "no",
-        f"{entry['silent_s']:.1f}",
-        "behind" if entry["configuration_behind"] else "newest",
-        *("newest" if not entry[part] else f"{entry[part]} behind" for part in ("hosts", "roster")),
+        gateway["name"],
+        gateway["address"],
+        "yes" if gateway["serving"] else "no",
+        f"{gateway['silent_s']:.1f}",
+        "behind" if gateway["configuration_behind"] else "newest",
+        _lag(gateway["hosts"]),
+        _lag(gateway["roster"]),
     )
 
 
+def _lag(versions_behind: int) -> str:
+    return f"{versions_behind} behind" if versions_behind else "newest"
+
+
 def _table(heads: Sequence[str], rows: Sequence[Sequence[str]]) -> list[str]:
     widths = [max(map(len, column)) for column in zip(heads, *rows, strict=True)]
     lines = [heads, *rows]
@@ -134,11 +210,11 @@
 
 
 def _version(value: int | None) -> str:
-    """Versions made in a view show as epoch and count."""
-    if value is None:
-        return "unknown"
-    return f"{value >> 32}.{value & 0xFFFFFFFF}" if value >> 32 else str(value)
+    """Versions made in a view are shown as epoch and count."""
+    if value is not None and value >> COUNT_BITS:
+        return f"{value >> COUNT_BITS}.{value & COUNT_MASK}"
+    return _number_or_unknown(value)
 
 
-def _shown(value: int | None) -> str:
+def _number_or_unknown(value: int | None) -> str:
     return "unknown" if value is None else str(value)
--- a/tests/cli/test_check.py
+++ b/tests/cli/test_check.py
@@ -1,4 +1,4 @@
-"""`check`: which files pass, and how each fault is told."""
+"""`check`: which files pass, and how each fault is printed."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
         ([], [""]),
     ],
 )
-def test_every_fault_is_told_by_its_path(
+def test_every_fault_is_printed_with_its_path(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], value: object, paths: list[str]
 ) -> None:
     assert play(tmp_path, json.dumps(value).encode()) == EXIT_FAULTS
--- a/tests/cli/test_status.py
+++ b/tests/cli/test_status.py
@@ -1,4 +1,4 @@
-"""`status`: the table, all as JSON, and answers completed by the tail."""
+"""`status`: the table, all as JSON, and statuses completed by the tail."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import threading
 from contextlib import contextmanager
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, cast
 
 import pytest
 
@@ -14,7 +14,7 @@
 from roselink.budgets.ownership import rendezvous_owner
 from roselink.cli import EXIT_UNAVAILABLE
 from roselink.model.fleet import Member
-from roselink.status import owners, render
+from roselink.status import FleetStatus, GatewayStatus, budget_owners, render
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator
@@ -78,9 +78,9 @@
 
 
 def test_the_table(capsys: pytest.CaptureFixture[str]) -> None:
-    late = gateway("g-2", serving=False, silent_s=1.25, configuration_behind=True, hosts=3)
-    told = state(gateways=[late, gateway("g-1")])
-    with controllers({"/status": told, "/config/get": CONFIGURATION}) as (address,):
+    lagging = gateway("g-2", serving=False, silent_s=1.25, configuration_behind=True, hosts=3)
+    status = state(gateways=[lagging, gateway("g-1")])
+    with controllers({"/status": status, "/config/get": CONFIGURATION}) as (address,):
         assert main(["status", address]) == 0
     assert capsys.readouterr().out.splitlines() == [
         "view       7 (confirmed)",
@@ -100,16 +100,16 @@
 
 
 def test_another_member_is_completed_by_the_tail(capsys: pytest.CaptureFixture[str]) -> None:
-    asked = state(is_tail=False, versions={"configuration": 4, "hosts": 0, "roster": 0})
+    first = state(is_tail=False, versions={"configuration": 4, "hosts": 0, "roster": 0})
     tail = state(gateways=[gateway("g-1")])
-    with controllers({"/status": asked}, {"/status": tail}) as (address, other):
+    with controllers({"/status": first}, {"/status": tail}) as (address, other):
         assert main(["status", address, "--json"]) == 0
     shown = json.loads(capsys.readouterr().out)
     assert shown["gateways"] == tail["gateways"]
     assert shown["gateways_from"] == other
     assert shown["versions"] == tail["versions"]
     assert shown["is_tail"] is False
-    assert shown["owners"] == {}  # the configuration was not told
+    assert shown["owners"] == {}  # the configuration was not available
 
 
 def _lost(tail: str | None) -> Callable[[], dict[str, Any]]:
@@ -119,7 +119,7 @@
 @pytest.mark.parametrize(
     "make", [_lost(None), _lost("127.0.0.200:7500")], ids=["no tail", "dead tail"]
 )
-def test_what_is_not_known_is_said(
+def test_what_is_not_known_is_shown_as_unknown(
     capsys: pytest.CaptureFixture[str], make: Callable[[], dict[str, Any]]
 ) -> None:
     with controllers({"/status": make()}) as (address,):
@@ -131,7 +131,7 @@
 
 
 @pytest.mark.parametrize("pages", [{}, {"/status": [1]}], ids=["503", "no object"])
-def test_a_controller_that_does_not_tell(capsys: pytest.CaptureFixture[str], pages: Pages) -> None:
+def test_a_controller_without_a_status(capsys: pytest.CaptureFixture[str], pages: Pages) -> None:
     with controllers(pages) as (address,):
         assert main(["status", address]) == EXIT_UNAVAILABLE
     out, err = capsys.readouterr()
@@ -146,18 +146,19 @@
 
 def test_owners_are_those_that_the_gateways_compute() -> None:
     names = [f"g-{number}" for number in range(5)]
-    gateways = [gateway(name, serving=name != "g-0") for name in names]
+    gateways = [cast("GatewayStatus", gateway(name, serving=name != "g-0")) for name in names]
     roster = [Member(name, "elsewhere:1", 9) for name in names[1:]]
-    found = owners(CONFIGURATION, gateways)
+    found = budget_owners(CONFIGURATION, gateways)
     assert set(found) == {"quota/t-1", "retry/model"}
     for key, name in found.items():
         owner = rendezvous_owner(key, roster)
         assert owner is not None
         assert owner.name == name
-    assert owners(CONFIGURATION, []) == {}
+    assert budget_owners(CONFIGURATION, []) == {}
 
 
 def test_nothing_known_yet() -> None:
-    lines = render(state(epoch=0, chain=[], core=[], gateways_from="127.0.0.1:1", generation=None))
+    status = state(epoch=0, chain=[], core=[], gateways_from="127.0.0.1:1", generation=None)
+    lines = render(cast("FleetStatus", status))
     assert "chain      -" in lines
     assert "gateways   none has pulled from the tail" in lines
--- a/tests/router/test_app.py
+++ b/tests/router/test_app.py
@@ -19,7 +19,7 @@
 from roselink.model.settings import ProcessSettings, load_settings
 from roselink.protocol.peers import Address, PeerServer, Reply
 from roselink.protocol.pull import DeltaPullRequest, PullReply, PullRequest
-from roselink.router.app import Control, serve
+from roselink.router.app import ControlServices, serve
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -106,7 +106,7 @@
         self.controls = []
         for index in range(count):
             path = folder / f"{index}.json"
-            control = Control(write_settings(path, f"edge-{index}", free_port()), str(path))
+            control = ControlServices(write_settings(path, f"edge-{index}", free_port()), str(path))
             control.pull_client.add_core_hints([f"{HOST}:{core.port}"])
             self.controls.append(control)
 
@@ -138,13 +138,13 @@
     asyncio.run(asyncio.wait_for(scene(), 20))
 
 
-async def admit(control: Control, amount: float) -> bool:
+async def admit(control: ControlServices, amount: float) -> bool:
     answered: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
     control.budgets.admit(TENANT, amount, lambda allowed, _: answered.set_result(allowed))
     return await answered
 
 
-async def repeat(control: Control) -> bool:
+async def repeat(control: ControlServices) -> bool:
     answered: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
     control.budgets.ask("llm", answered.set_result)
     return await answered
@@ -210,7 +210,7 @@
         core = await Core().start()
         path = tmp_path / "boot.json"
         dead = free_port()
-        control = Control(write_settings(path, "edge", dead), str(path))
+        control = ControlServices(write_settings(path, "edge", dead), str(path))
         await control.start()
         path.write_text("{ half a file")
         control.pull_client.reload()
@@ -242,15 +242,27 @@
     return json.dumps(document)
 
 
+class FakeDecider:
+    """Records what the assembly makes it from."""
+
+    def __init__(self, *arguments: Any) -> None:
+        self.arguments = arguments
+        DECIDERS.append(self)
+
+    def untold_outcomes(self) -> list[tuple[str, int, int]]:
+        return []
+
+
 class FakeDataPlane:
-    """Notes what the assembly calls."""
+    """Records what the assembly calls."""
 
     def __init__(
         self, settings: Any, loop: Any, decider: Any, authority: Any, quotas: Any, shared: Any
     ) -> None:
         self.calls: list[str] = []
         self.authority = authority
-        CREATED.append(self)
+        self.decider = decider
+        DATA_PLANES.append(self)
 
     async def start(self) -> None:
         self.calls.append("start")
@@ -272,17 +284,20 @@
         self.calls.append("pool_payoffs")
 
 
-CREATED: list[FakeDataPlane] = []
+DECIDERS: list[FakeDecider] = []
+DATA_PLANES: list[FakeDataPlane] = []
 
 
 def test_a_signal_to_stop_drains_and_ends(tmp_path: Path) -> None:
     path = tmp_path / "boot.json"
     settings = write_settings(path, "edge", free_port())
-    made: list[tuple[Any, ...]] = []
-    CREATED.clear()
-    asyncio.run(serve(settings, str(path), lambda *parts: made.append(parts), FakeDataPlane))
-    assert CREATED[0].calls == ["start", "begin_drain", "drained", "stop"]
-    [(zone, seed, ratio, window_s)] = made
+    DECIDERS.clear()
+    DATA_PLANES.clear()
+    asyncio.run(serve(settings, str(path), FakeDecider, FakeDataPlane))
+    assert DATA_PLANES[0].calls == ["start", "begin_drain", "drained", "stop"]
+    [decider] = DECIDERS
+    assert DATA_PLANES[0].decider is decider
+    zone, seed, ratio, window_s = decider.arguments
     assert (zone, ratio, window_s) == ("-", 0.2, 10)
     assert isinstance(seed, int)
 
@@ -291,5 +306,5 @@
     path = tmp_path / "boot.json"
     with socket.create_server((HOST, 0)) as taken:
         settings = write_settings(path, "edge", taken.getsockname()[1])
-        with pytest.raises(OSError):
-            asyncio.run(serve(settings, str(path), lambda *_: None, FakeDataPlane))
+        with pytest.raises(OSError, match=r"(?i)address already in use"):
+            asyncio.run(serve(settings, str(path), FakeDecider, FakeDataPlane))
--- a/tests/router/test_status_log.py
+++ b/tests/router/test_status_log.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from roselink.router.status_log import EVERY_S, StatusLog
+from roselink.router.status_log import INTERVAL_S, StatusLog
 
 if TYPE_CHECKING:
     import asyncio
@@ -29,7 +29,7 @@
         self.timers: list[Timer] = []
 
     def call_later(self, delay_s: float, work: Callable[[], None], *args: Any) -> Timer:
-        assert delay_s == EVERY_S
+        assert delay_s == INTERVAL_S
         self.timers.append(Timer(work))
         return self.timers[-1]
 
