--- a/roselink/dataplane/gateway_data_plane.py
+++ b/roselink/dataplane/gateway_data_plane.py
@@ -12,7 +12,7 @@
 from roselink.dataplane.fleet_host_pool import FleetUpstream
 from roselink.dataplane.readiness_server import ReadinessServer
 from roselink.http.descriptors import Descriptors
-from roselink.routing.decisions import PooledPayoffs
+from roselink.routing.events_and_actions import PooledPayoffs
 
 if TYPE_CHECKING:
     from roselink.dataplane.interfaces import Authority, Decisions, Quotas, SharedBudget
--- a/roselink/router/app.py
+++ b/roselink/router/app.py
@@ -41,7 +41,7 @@
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     path = os.environ.get(ENVIRONMENT_VARIABLE, DEFAULT_PATH)
     from roselink.dataplane.gateway_data_plane import DataPlane as GatewayDataPlane
-    from roselink.routing.fleet import FleetDecider
+    from roselink.routing.fleet_decider import FleetDecider
 
     try:
         uvloop.run(serve(settings, path, FleetDecider, GatewayDataPlane))
@@ -83,7 +83,7 @@
         settings, loop, decider, services.pull_client, services.budgets, services.budgets
     )
     services.pull_client.exchange_payoffs(
-        lambda: tuple(HostOutcomes(*outcome) for outcome in decider.untold_outcomes()),
+        lambda: tuple(HostOutcomes(*outcome) for outcome in decider.take_unreported_outcomes()),
         lambda pooled: data_plane.pool_payoffs(pooled.hosts),
     )
     await data_plane.start()
--- a/roselink/router/interfaces.py
+++ b/roselink/router/interfaces.py
@@ -8,7 +8,7 @@
 class Decider(Protocol):
     """The decisions on each request: host choice, retries and hedges."""
 
-    def untold_outcomes(self) -> list[tuple[str, int, int]]:
+    def take_unreported_outcomes(self) -> list[tuple[str, int, int]]:
         """Return the outcomes since the last call, for the other gateways.
 
         Each entry has a host, how many attempts succeeded in time, and how many did not.
--- a/tests/dataplane/test_guards.py
+++ b/tests/dataplane/test_guards.py
@@ -14,7 +14,7 @@
 from roselink.dataplane.fleet_host_connection import PROVEN_LIMIT
 from roselink.dataplane.proxy_request import Headers, read_request
 from roselink.http import host_pool
-from roselink.routing.decisions import Action, AttemptEnded, RequestArrived
+from roselink.routing.events_and_actions import Action, AttemptEnded, RequestArrived
 from roselink.routing.outcome import NEVER_RAN, Outcome
 from tests.dataplane.harness import (
     KEY,
--- a/tests/gateway/test_settings.py
+++ b/tests/gateway/test_settings.py
@@ -94,5 +94,5 @@
     stage.pass_time(5_000_000)
     stage.done(stage.arrive(), Outcome.SUCCESS)
     balancer = stage.balancer
-    assert len(balancer.servers) == 5 and len(balancer.requests) == len(balancer.alarms) == 0
-    assert all(len(r.latency) <= 128 for r in balancer.routes)
+    assert len(balancer.state.servers) == 5 and len(balancer.requests) == len(balancer.alarms) == 0
+    assert all(len(r.latency) <= 128 for r in balancer.state.routes)
--- a/tests/router/test_app.py
+++ b/tests/router/test_app.py
@@ -249,7 +249,7 @@
         self.arguments = arguments
         DECIDERS.append(self)
 
-    def untold_outcomes(self) -> list[tuple[str, int, int]]:
+    def take_unreported_outcomes(self) -> list[tuple[str, int, int]]:
         return []
 
 
