--- a/roselink/simulation/world.py
+++ b/roselink/simulation/world.py
@@ -193,7 +193,7 @@
         forwarded = isinstance(message, ForwardedDeltaPull)
         self._serve(
             self.pull_server.pull_received(
-                self.world.now, number, message.pull, forwarded=forwarded, changes=True
+                self.world.now, number, message.pull, forwarded=forwarded, delta=True
             )
         )
         return []
