--- a/roselink/gateway/__main__.py
+++ b/roselink/gateway/__main__.py
@@ -25,7 +25,7 @@
 from roselink.gateway.exceptions import ConfigError
 from roselink.gateway.server import Server
 from roselink.http.descriptors import Descriptors
-from roselink.http.host_pool import Upstream
+from roselink.http.host_pool import HostPool
 from roselink.http.logs import start_log
 
 if TYPE_CHECKING:
@@ -53,7 +53,7 @@
         self.config = config
         self.loop = loop
         descriptors = Descriptors(config.sockets)
-        self.upstream = Upstream(loop, descriptors, config.connect_timeout_s, config.idle_s)
+        self.upstream = HostPool(loop, descriptors, config.connect_timeout_s, config.idle_s)
         self.engine = Engine(loop, Balancer(config.settings, config.seed), self.upstream)
         self.discovery = Discovery(config, self.engine.update)
         self.server = Server(loop, config, self.engine, descriptors, self.upstream.drop_oldest_idle)
--- a/roselink/gateway/engine.py
+++ b/roselink/gateway/engine.py
@@ -42,7 +42,7 @@
 
     from roselink.balancer.decider import Balancer
     from roselink.http.address import Address
-    from roselink.http.host_pool import Upstream
+    from roselink.http.host_pool import HostPool
 
 log = logging.getLogger("roselink.gateway.engine")
 
@@ -131,7 +131,7 @@
     """
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, balancer: Balancer, upstream: Upstream
+        self, loop: asyncio.AbstractEventLoop, balancer: Balancer, upstream: HostPool
     ) -> None:
         """An engine with no host and no request."""
         self._loop = loop
--- a/roselink/gateway/request_checks.py
+++ b/roselink/gateway/request_checks.py
@@ -1,6 +1,7 @@
 """Checks of a client's request: path and class, method, headers; and what of it goes on to a host.
 
-A refused request raises `Bad` with its status: 404 for a path that is not served, 400 for the rest.
+A refused request raises `BadRequestError` with its status: 404 for a path that is not served, 400
+for the rest.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 
 from roselink.balancer.interface import Effect
 from roselink.gateway.engine import ClientRequest
-from roselink.http.framing_checks import Bad
+from roselink.http.framing_checks import BadRequestError
 
 if TYPE_CHECKING:
     from roselink.gateway.config import Config
@@ -68,7 +69,7 @@
             since: Loop time at which the request began.
 
         Raises:
-            Bad: The request is refused, with this status.
+            BadRequestError: The request is refused, with this status.
         """
         segments = url.partition(b"?")[0].split(b"/")
         route = self._route(segments)
@@ -76,7 +77,7 @@
         self._check_form(route, method, body, single)
         request_id = single.get(b"request-id", b"").decode("latin-1")
         if not request_id:
-            raise Bad(400, "no Request-Id")
+            raise BadRequestError(400, "no Request-Id")
         expires = since + min(self._timeout_s(single), self._deadlines_s[route])
         if self._effects[route] is not Effect.SAFE:
             forwarded.append(b"Content-Length: %d" % len(body))
@@ -97,10 +98,10 @@
     def _route(self, segments: list[bytes]) -> int:
         """The index of the class that the path's first segment names."""
         if len(segments) < 2 or segments[0] or not segments[1]:
-            raise Bad(404, "no such path")
+            raise BadRequestError(404, "no such path")
         route = self._routes.get(unquote(segments[1].decode("latin-1")))
         if route is None:
-            raise Bad(400 if len(segments) == 3 else 404, "no such class")
+            raise BadRequestError(400 if len(segments) == 3 else 404, "no such class")
         return route
 
     @staticmethod
@@ -113,7 +114,7 @@
         for name, value in headers:
             lower = name.lower()
             if lower in SINGLE_HEADERS and lower in values:
-                raise Bad(400, f"two headers {lower.decode()}")
+                raise BadRequestError(400, f"two headers {lower.decode()}")
             values[lower] = value
             if lower not in HOP_BY_HOP:
                 forwarded.append(b"%b: %b" % (name, value))
@@ -126,18 +127,18 @@
         safe = self._effects[route] is Effect.SAFE
         keyed = self._effects[route] is Effect.KEYED
         if method != (b"GET" if safe else b"POST"):
-            raise Bad(400, "wrong method for the class")
+            raise BadRequestError(400, "wrong method for the class")
         if safe and body:
-            raise Bad(400, "a body with GET")
+            raise BadRequestError(400, "a body with GET")
         if keyed != bool(headers.get(b"idempotency-key")):
-            raise Bad(400, "Idempotency-Key and class do not go together")
+            raise BadRequestError(400, "Idempotency-Key and class do not go together")
 
     @staticmethod
     def _timeout_s(headers: dict[bytes, bytes]) -> float:
         """How long the client waits for its response."""
         value = headers.get(b"request-timeout-ms", b"")
         if not value.isdigit() or len(value) > MAX_TIMEOUT_DIGITS or int(value) == 0:
-            raise Bad(400, "bad Request-Timeout-Ms")
+            raise BadRequestError(400, "bad Request-Timeout-Ms")
         return int(value) / 1000
 
 
--- a/roselink/gateway/server.py
+++ b/roselink/gateway/server.py
@@ -12,10 +12,10 @@
 from roselink.gateway.engine import Reply
 from roselink.gateway.request_checks import RequestChecks
 from roselink.http.host_connection import BODY_LIMIT, HEAD_LIMIT
-from roselink.http.limits import Sizes, Times
-from roselink.http.reason_phrases import REASONS
+from roselink.http.limits import SizeLimits, TimeLimits
+from roselink.http.reason_phrases import REASON_PHRASES
 from roselink.http.server import HttpServer
-from roselink.http.server_connection import HttpConnection, Pending
+from roselink.http.server_connection import PendingRequest, ServerConnection
 
 if TYPE_CHECKING:
     import asyncio
@@ -39,7 +39,7 @@
 IDLE_ONCE_S = 2.0
 
 
-class ClientConnection(HttpConnection):
+class ClientConnection(ServerConnection):
     """One client connection: its requests go to the engine."""
 
     def __init__(self, server: Server) -> None:
@@ -54,16 +54,16 @@
             self._opened = None
             self._owner.engine.depart(opened)
 
-    def _read(self, method: bytes, keep: bool) -> Pending:
+    def _read(self, method: bytes, keep: bool) -> PendingRequest:
         path = self._url.partition(b"?")[0]
         if path == b"/up" and method == b"GET":
-            return Pending(None, self._owner.up_status(), keep)
+            return PendingRequest(None, self._owner.up_status(), keep)
         request = self._owner.checks.check(
             method, self._url, self._headers, b"".join(self._body), self._read_at
         )
-        return Pending(request, 200, keep)
+        return PendingRequest(request, 200, keep)
 
-    def _serve(self, pending: Pending) -> None:
+    def _serve(self, pending: PendingRequest) -> None:
         self._serving = True
         self._keep = pending.keep
         if pending.request is None:
@@ -100,7 +100,7 @@
         if self._transport is None:
             return
         keep = self._may_keep()
-        lines = [b"HTTP/1.1 %d %b" % (reply.status, REASONS[reply.status])]
+        lines = [b"HTTP/1.1 %d %b" % (reply.status, REASON_PHRASES[reply.status])]
         body = b""
         if reply.answer is not None:
             body = reply.answer.body
@@ -134,19 +134,21 @@
             descriptors: Count of the sockets that are open.
             make_room: Closes an idle connection to a host; whether there was one.
         """
-        super().__init__(loop, descriptors, make_room, Sizes(HEAD_LIMIT, BODY_LIMIT, MESSAGE_LIMIT))
+        super().__init__(
+            loop, descriptors, make_room, SizeLimits(HEAD_LIMIT, BODY_LIMIT, MESSAGE_LIMIT)
+        )
         self.engine = engine
         self.checks = RequestChecks(config)
         settings = config.settings
         self.retry_after_us = settings.max_retry_after_us if settings.retry_after else 0
 
-    def connection(self) -> HttpConnection:
+    def connection(self) -> ServerConnection:
         """A new client connection."""
         return ClientConnection(self)
 
-    def times(self) -> Times:
+    def times(self) -> TimeLimits:
         """The time-outs of client connections."""
-        return Times(RECEIVE_S, RECEIVE_S, UNREAD_S, (RECEIVE_S, IDLE_ONCE_S, IDLE_S))
+        return TimeLimits(RECEIVE_S, RECEIVE_S, UNREAD_S, (RECEIVE_S, IDLE_ONCE_S, IDLE_S))
 
     def drain(self, taken_s: float, most_s: float) -> None:
         """From now on each response ends its connection.
