--- a/roselink/controller/chain_driver.py
+++ b/roselink/controller/chain_driver.py
@@ -26,7 +26,7 @@
     ViewChanged,
 )
 from roselink.coordination.member import TICK_S, Member, Start
-from roselink.coordination.messages import HANDLED
+from roselink.coordination.messages import is_chain_message
 from roselink.protocol.chain import AcceptorState, ConfigurationChange, StoredState, View
 
 if TYPE_CHECKING:
@@ -78,7 +78,7 @@
         if self._member is not None and self._running:
             ends_at = self._loop.time() + LEAVE_S
             self._perform(self._member.leave(self._loop.time()))
-            while not self._member.left and self._loop.time() < ends_at:
+            while not self._member.has_left and self._loop.time() < ends_at:
                 await asyncio.sleep(_LEAVE_STEP_S)
         self.halt()
 
@@ -99,7 +99,7 @@
 
     def handle(self, peer: Address, message: object, reply: Reply) -> bool:
         """Take a record from a peer; False if it is none of the chain's."""
-        if type(message) not in HANDLED:
+        if not is_chain_message(message):
             return False
         if self._member is not None and self._running:
             self._perform(self._member.receive(message, self._loop.time()))
@@ -125,11 +125,11 @@
         self._reads[number] = done
         self._perform(effects)
 
-    def seeds_changed(self, settings: ProcessSettings) -> None:
+    def set_seeds(self, settings: ProcessSettings) -> None:
         """The settings file names other seeds."""
         self._settings = settings
         if self._member is not None:
-            self._member.seeds_changed(_seeds(settings))
+            self._member.set_seeds(_seeds(settings))
 
     def on_view(self, watcher: Callable[[], None]) -> None:
         """Have `watcher` called when the view changes or its chain becomes active."""
@@ -176,7 +176,7 @@
     @property
     def disk_ok(self) -> bool:
         """Whether the disk took the last saves in time."""
-        return self._member is not None and self._member.disk_fit
+        return self._member is not None and self._member.disk_is_healthy
 
     # --- effects
 
@@ -254,7 +254,7 @@
             tolerated=settings.tolerated_nodes,
             session=secrets.randbits(_SESSION_BITS) + 1,
             fresh_incarnation=secrets.randbits(_SESSION_BITS) + 1,
-            votes=loaded[0],
+            acceptor_state=loaded[0],
             state=loaded[1],
         )
         now = self._loop.time()
--- a/roselink/coordination/chain.py
+++ b/roselink/coordination/chain.py
@@ -1,12 +1,17 @@
-"""One member's part in the chain of one epoch after the other. No I/O, no clock.
+"""One member's replica in the chain of one epoch after the other. No I/O, no clock.
 
-An epoch begins with the head's state: it goes down the chain as `Sync`, each member puts it on its
-disk before it passes it on, and the tail's `Ack` travels back; from then the chain is active there.
-Writes take the same way. Nothing of another epoch is taken, and none of an epoch that this process
-isn't in the view for. `applied` may run ahead of the disk; only what is durable is passed on,
-acknowledged or shown. What the tail has on its disk is on every disk of the chain: it is committed.
+Chain replication (van Renesse and Schneider, OSDI 2004), under views that are agreed on outside the
+chain, as in Vertical Paxos (Lamport, Malkhi and Zhou, PODC 2009). An epoch begins with the head's
+state: it travels down the chain as `Sync`, each member puts it on its disk before it forwards it, and
+the tail's `Ack` travels back; from then the chain is active at each member that has the `Ack`. Writes
+travel the same way. Of this follows:
 
-Messages may be lost, doubled or come out of order: each is taken only in its place, and sent again
+K1. What the tail has on its disk is on every disk of the chain: it is committed. `applied` may be
+    ahead of the disk; only what is durable is forwarded, acknowledged or shown.
+K2. A member handles messages of its present epoch only, and only if its process is the one that the
+    view names. Once it has entered a newer view nothing of the older epoch is acknowledged by it.
+
+Messages may be lost, duplicated or reordered: each is handled in sequence only, and is sent again
 until the `Ack` that covers it.
 """
 
@@ -15,6 +20,7 @@
 from dataclasses import dataclass, field
 
 from roselink.coordination.effects import Emit, Persist, Send, Store
+from roselink.coordination.exceptions import DriverContractError
 from roselink.coordination.state import EMPTY, apply_change
 from roselink.coordination.views import replica_of
 from roselink.protocol.chain import (
@@ -30,14 +36,30 @@
 )
 from roselink.protocol.records import encode
 
-SYNC_AGAIN_S = 0.3  # and the time for the state at SYNC_BYTES_S
-SYNC_BYTES_S = 4e6
-WRITE_AGAIN_S = 0.2
+# A state without an acknowledgement for so long, and for the time that its bytes take, is sent again.
+SYNC_RETRY_INTERVAL_S = 0.3
+SYNC_BYTES_PER_S = 4e6
+
+# Writes without an acknowledgement for so long are sent again.
+WRITE_RETRY_INTERVAL_S = 0.2
 
 
 @dataclass(slots=True)
 class ChainMember:
-    """The state, where it is durable, and the part in the present epoch's chain."""
+    """The state, what of it is durable, and the replica in the present epoch's chain.
+
+    Attributes:
+        voter: this member.
+        session: its process.
+        emit: takes the effects.
+        applied: the newest state here, and `applied_epoch` its epoch.
+        durable: the newest state on the disk, and `durable_epoch` its epoch.
+        view: the newest view that this member has entered.
+        participating: whether this process is in the chain of that view.
+        synced: whether it has the state with which the epoch begins.
+        active: whether it knows that the whole chain has that state.
+        committed: the sequence up to which it knows that all is on every disk; -1 for none.
+    """
 
     voter: Voter
     session: int
@@ -55,15 +77,17 @@
     _predecessor: ChainReplica | None = None
     _successor: ChainReplica | None = None
     _unacknowledged: list[Write] = field(default_factory=list)
-    _begun: bool = False
-    _first: ConfigurationState = EMPTY
-    _passed: int = 0
+    _epoch_started: bool = False
+    _initial_state: ConfigurationState = EMPTY
+    _forwarded: int = 0
     _sent_at: float = 0.0
 
     def restore(self, stored: StoredState) -> None:
-        """The state as it was on the disk."""
-        self.applied = self.durable = stored.state
-        self.applied_epoch = self.durable_epoch = stored.epoch
+        """Begin with the state that was on the disk."""
+        self.applied = stored.state
+        self.durable = stored.state
+        self.applied_epoch = stored.epoch
+        self.durable_epoch = stored.epoch
 
     @property
     def is_head(self) -> bool:
@@ -71,7 +95,7 @@
         return self.participating and self._predecessor is None
 
     @property
-    def at_end(self) -> bool:
+    def is_last(self) -> bool:
         """Whether this process is the last of its view's chain, active or not."""
         return self.participating and self._successor is None
 
@@ -80,24 +104,33 @@
         """Whether this process is the tail, and its view is active."""
         return self.participating and self.active and self._successor is None
 
-    def enter(self, view: View, fresh: bool, now: float) -> None:
-        """Leave the present epoch and take this process's part in the new view, if it has one."""
-        link = replica_of(view, self.voter)
+    def enter(self, view: View, now: float, *, is_fresh: bool) -> None:
+        """Leave the present epoch, and participate in the new view if it names this process.
+
+        Args:
+            view: the new view.
+            now: seconds of the member's clock.
+            is_fresh: whether this process itself made the first view, at the start of a new system.
+        """
+        replica = replica_of(view, self.voter)
         self.view = view
-        # No process has the session 0: it stands in the first view, in which any process takes part
-        # that made it.
-        self.participating = link is not None and (
-            fresh if link.session == 0 else link.session == self.session
+        # No process has the session 0: the first view has it, in which each process participates
+        # that made that view.
+        self.participating = replica is not None and (
+            is_fresh if replica.session == 0 else replica.session == self.session
         )
-        self.synced = self.active = self._begun = False
+        self.synced = False
+        self.active = False
+        self._epoch_started = False
         self.committed = -1
         self._unacknowledged = []
-        self._predecessor = self._successor = None
-        if link is None or not self.participating:
+        self._predecessor = None
+        self._successor = None
+        if replica is None or not self.participating:
             return
-        place = view.chain.index(link)
-        self._predecessor = view.chain[place - 1] if place else None
-        self._successor = view.chain[place + 1] if place + 1 < len(view.chain) else None
+        index = view.chain.index(replica)
+        self._predecessor = view.chain[index - 1] if index else None
+        self._successor = view.chain[index + 1] if index + 1 < len(view.chain) else None
         if self._predecessor is None:
             self.synced = True
             self.applied_epoch = (
@@ -107,84 +140,90 @@
             self._advance(now)
 
     def on_sync(self, message: Sync, now: float) -> bool:
-        """The state with which the epoch begins, from the predecessor; whether it committed
-        anything.
-        """
-        if not self._from(self._predecessor, message.sender, message.epoch):
+        """Take the epoch's initial state from the predecessor; whether that committed anything."""
+        if not self._is_from(self._predecessor, message.sender, message.epoch):
             return False
         if self.synced:
             self._acknowledge()
             return False
         self.synced = True
-        self.applied, self.applied_epoch = message.state, message.epoch
+        self.applied = message.state
+        self.applied_epoch = message.epoch
         self._save()
         return self._saving is None and self._advance(now)
 
     def on_write(self, message: Write) -> None:
-        """A change, from the predecessor; one that isn't next is passed over, and comes again."""
-        if not self._from(self._predecessor, message.sender, message.epoch) or not self.synced:
+        """Take a change from the predecessor; one out of sequence is dropped, and is sent again."""
+        if not self._is_from(self._predecessor, message.sender, message.epoch) or not self.synced:
             return
         if message.sequence == self.applied.sequence + 1:
             self._append(message)
         else:
             self._acknowledge()
 
-    def append(self, order: ConfigurationChange, refused: bool) -> int:
-        """As the head: take a change; its sequence."""
+    def append(self, change: ConfigurationChange, *, refused: bool) -> int:
+        """Append a change at the head; its sequence.
+
+        Raises:
+            DriverContractError: this process is not the head of an active view.
+        """
         if self.view is None or not self.is_head or not self.active:
-            raise AssertionError("only the head of an active view appends")
+            raise DriverContractError("append", "this process is the head of an active view")
         sequence = self.applied.sequence + 1
-        self._append(Write(self.voter, self.view.epoch, sequence, refused, order))
+        self._append(Write(self.voter, self.view.epoch, sequence, refused, change))
         return sequence
 
     def on_ack(self, message: Ack) -> bool:
-        """All up to a sequence is committed; whether that is news."""
-        if not self._from(self._successor, message.sender, message.epoch) or not self.synced:
+        """Take an acknowledgement; whether it committed anything new."""
+        if not self._is_from(self._successor, message.sender, message.epoch) or not self.synced:
             return False
         return self._commit(message.sequence)
 
     def on_persisted(self, now: float) -> bool:
-        """The save that was under way is durable; whether anything was committed by it."""
+        """The save in flight is durable; whether anything was committed by it.
+
+        Raises:
+            DriverContractError: no save was in flight.
+        """
         if self._saving is None:
-            raise AssertionError("no state was being saved")
-        self.durable, self.durable_epoch = self._saving.state, self._saving.epoch
+            raise DriverContractError("on_persisted", "a save of the state is in flight")
+        self.durable = self._saving.state
+        self.durable_epoch = self._saving.epoch
         self._saving = None
         self._save()
         return self._advance(now)
 
     def on_persist_failed(self) -> None:
-        """The disk has refused; `retry` tries again."""
+        """The disk has refused the save in flight; `retry_save` saves again."""
         self._saving = None
 
-    def retry(self) -> None:
-        """Save again what a refusing disk did not take."""
+    def retry_save(self) -> None:
+        """Save what a refusing disk did not take."""
         self._save()
 
     def resend(self, now: float) -> None:
-        """Send again what has no acknowledgement after a time."""
-        if self._successor is None or not self.participating or not self._begun:
+        """Send again what has had no acknowledgement for its retry interval."""
+        if self._successor is None or not self.participating or not self._epoch_started:
             return
         if not self.active:
-            size = len(self._first.document) + len(self._first.history)
-            if now - self._sent_at >= SYNC_AGAIN_S + size / SYNC_BYTES_S:
+            size = len(self._initial_state.document) + len(self._initial_state.history)
+            if now - self._sent_at >= SYNC_RETRY_INTERVAL_S + size / SYNC_BYTES_PER_S:
                 self._send_sync(now)
-        elif self._unacknowledged and now - self._sent_at >= WRITE_AGAIN_S:
+        elif self._unacknowledged and now - self._sent_at >= WRITE_RETRY_INTERVAL_S:
             self._sent_at = now
             for write in self._unacknowledged:
-                if write.sequence <= self._passed:
+                if write.sequence <= self._forwarded:
                     self._send_write(write)
 
     def _append(self, write: Write) -> None:
-        self.applied = apply_change(self.applied, write.order, write.refused)
+        self.applied = apply_change(self.applied, write.change, refused=write.refused)
         self.applied_epoch = write.epoch
         if self._successor is not None:
             self._unacknowledged.append(write)
         self._save()
 
     def _save(self) -> None:
-        """Save the newest state, one save at a time; what comes meanwhile goes together into the
-        next.
-        """
+        """Save the newest state, one save at a time; changes meanwhile share the next save."""
         if self._saving is not None:
             return
         if self.applied is self.durable and self.applied_epoch == self.durable_epoch:
@@ -192,39 +231,41 @@
         self._saving = StoredState(self.applied_epoch, self.applied)
         self.emit(Persist(Store.STATE, encode(self._saving)))
 
-    def _on_disk(self) -> bool:
-        """Whether the epoch's first state is durable here."""
+    def _initial_is_durable(self) -> bool:
+        """Whether the state with which the epoch begins is durable here."""
         if self.view is None or not self.synced:
             return False
         if self._predecessor is None:
-            return self._begun or self.durable is self.applied
+            return self._epoch_started or self.durable is self.applied
         return self.durable_epoch == self.view.epoch
 
     def _advance(self, now: float) -> bool:
-        """Pass on, or commit at the tail, what has become durable."""
-        if not self.participating or not self._on_disk():
+        """Forward what has become durable, or commit it at the tail."""
+        if not self.participating or not self._initial_is_durable():
             return False
-        if not self._begun:
-            self._begun = True
-            self._first, self._passed = self.durable, self.durable.sequence
+        if not self._epoch_started:
+            self._epoch_started = True
+            self._initial_state = self.durable
+            self._forwarded = self.durable.sequence
             self._send_sync(now)
         if self._successor is None:
             return self._commit(self.durable.sequence)
         for write in self._unacknowledged:
-            if self._passed < write.sequence <= self.durable.sequence:
+            if self._forwarded < write.sequence <= self.durable.sequence:
                 self._send_write(write)
-                self._passed, self._sent_at = write.sequence, now
+                self._forwarded = write.sequence
+                self._sent_at = now
         return False
 
     def _commit(self, sequence: int) -> bool:
-        news = not self.active or sequence > self.committed
+        is_new = not self.active or sequence > self.committed
         self.active = True
         self.committed = max(self.committed, sequence)
         self._unacknowledged = [
             write for write in self._unacknowledged if write.sequence > self.committed
         ]
         self._acknowledge()
-        return news
+        return is_new
 
     def _acknowledge(self) -> None:
         if self.active and self._predecessor is not None and self.view is not None:
@@ -234,18 +275,19 @@
     def _send_sync(self, now: float) -> None:
         if self._successor is not None and self.view is not None:
             self._sent_at = now
-            self.emit(Send(self._successor.voter.address, Sync(self.voter, self.view, self._first)))
+            sync = Sync(self.voter, self.view, self._initial_state)
+            self.emit(Send(self._successor.voter.address, sync))
 
     def _send_write(self, write: Write) -> None:
         if self._successor is not None:
-            own = Write(self.voter, write.epoch, write.sequence, write.refused, write.order)
-            self.emit(Send(self._successor.voter.address, own))
+            forwarded = Write(self.voter, write.epoch, write.sequence, write.refused, write.change)
+            self.emit(Send(self._successor.voter.address, forwarded))
 
-    def _from(self, link: ChainReplica | None, sender: Voter, epoch: int) -> bool:
+    def _is_from(self, replica: ChainReplica | None, sender: Voter, epoch: int) -> bool:
         return (
             self.participating
             and self.view is not None
             and epoch == self.view.epoch
-            and link is not None
-            and link.voter == sender
+            and replica is not None
+            and replica.voter == sender
         )
--- a/roselink/coordination/effects.py
+++ b/roselink/coordination/effects.py
@@ -1,4 +1,4 @@
-"""What the core member's state machines hand to their driver, and how calls to them end."""
+"""What a member's state machines emit for their driver, and how submitted changes and reads end."""
 
 from __future__ import annotations
 
@@ -8,13 +8,14 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from roselink.protocol.chain import View
+    from roselink.protocol.chain import ChainMessage, View
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeCommitted:
-    """The order is in force or was: every disk of the chain has it. `sequence`: its place in the
-    history.
+    """The change is in force or was: every disk of the chain has it.
+
+    `sequence`: its position in the history.
     """
 
     sequence: int
@@ -22,23 +23,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """The order builds on another generation than the current one. It will never come into
-    force.
-    """
+    """The change builds on another generation than `current`. It will never come into force."""
 
     current: int
 
 
 @dataclass(frozen=True, slots=True)
 class StaleGeneration:
-    """The order's generation isn't above the current one. It will never come into force."""
+    """The change's generation isn't above `current`. It will never come into force."""
 
     current: int
 
 
 @dataclass(frozen=True, slots=True)
 class OutcomeUnknown:
-    """Nothing is promised: the order may come into force or not."""
+    """Nothing is promised: the change may come into force or not."""
 
 
 SubmitOutcome = ChangeCommitted | Conflict | StaleGeneration | OutcomeUnknown
@@ -46,9 +45,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Confirmation:
-    """A committed state that is no older than anything acknowledged before the question.
+    """A committed state that is no older than anything acknowledged before the read began.
 
-    `document` is None before the first change.
+    Attributes:
+        epoch: the epoch of the view that confirmed it.
+        sequence: the state's sequence.
+        document: the state's document; None before the first change.
+        generation: the document's generation.
     """
 
     epoch: int
@@ -58,7 +61,7 @@
 
 
 class Store(Enum):
-    """The two things on a member's disk."""
+    """The two records on a member's disk; the values are their names in the disk format."""
 
     ACCEPTOR = "votes"
     STATE = "state"
@@ -66,16 +69,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send a notice to a peer address ("ip:port")."""
+    """Send a message to a peer address ("ip:port")."""
 
     to: str
-    message: object
+    message: ChainMessage
 
 
 @dataclass(frozen=True, slots=True)
 class Persist:
-    """Write `payload` durably; `persisted` or `persist_failed` with this store must follow, in
-    order.
+    """Write `payload` durably.
+
+    `persisted` or `persist_failed` with this store must follow, in the order of the requests.
     """
 
     store: Store
@@ -84,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SubmitDone:
-    """The end of the order that was submitted under `number`."""
+    """The end of the submitted change with this number."""
 
     number: int
     outcome: SubmitOutcome
@@ -92,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadDone:
-    """The end of the read that was asked under `number`."""
+    """The end of the read with this number; None: no majority confirmed it in time."""
 
     number: int
     confirmation: Confirmation | None
@@ -100,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewChanged:
-    """The member follows a new view, or the view's chain has become active."""
+    """The member has entered a new view, or the view's chain has become active."""
 
     view: View
 
--- /dev/null
+++ b/roselink/coordination/heartbeats.py
@@ -0,0 +1,130 @@
+"""A member's heartbeats, and the membership snapshot that it plans by. No I/O, no clock."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+from roselink.coordination.effects import Emit, Send
+from roselink.coordination.views import PeerStatus, chain_is_complete
+from roselink.protocol.chain import Heartbeat, View, Voter
+
+if TYPE_CHECKING:
+    from roselink.coordination.chain import ChainMember
+    from roselink.coordination.disk_health import DiskHealth
+    from roselink.coordination.peer_table import PeerTable
+
+HEARTBEAT_INTERVAL_S = 0.1
+
+# Ticks come about on time only: a heartbeat is due from this fraction of the interval on.
+DUE_FRACTION = 0.9
+
+# The least between a heartbeat and an early one to a machine that does not list this one yet.
+EARLY_HEARTBEAT_INTERVAL_S = 0.02
+
+# A machine that sends no heartbeats gets every so many of this member's.
+BEATS_PER_UNREACHABLE_PEER = 3
+
+
+@dataclass(slots=True)
+class HeartbeatSender:
+    """Tells the others about this member.
+
+    Attributes:
+        voter: this member.
+        session: its process.
+        seeds: addresses that get heartbeats whatever the view is.
+        chain: its replica.
+        peers: what it knows of the others.
+        disk: its disk's health.
+        emit: takes the effects.
+        leaving: whether its process is about to end.
+    """
+
+    voter: Voter
+    session: int
+    seeds: tuple[str, ...]
+    chain: ChainMember
+    peers: PeerTable
+    disk: DiskHealth
+    emit: Emit
+    leaving: bool = False
+    _sent_at: float = float("-inf")
+    _beats: int = 0
+
+    def leave(self) -> None:
+        """Have the next heartbeat, due at once, report that this process is about to end."""
+        self.leaving = True
+        self._sent_at = float("-inf")
+
+    def send_early(self, view: View | None, now: float) -> None:
+        """Send heartbeats now: a machine that sends some does not list this one as reachable."""
+        if now - self._sent_at >= EARLY_HEARTBEAT_INTERVAL_S:
+            self._sent_at = float("-inf")
+            self.send_due(view, now)
+
+    def own_status(self, view: View | None, now: float) -> PeerStatus:
+        """This member as the others know it."""
+        return PeerStatus(
+            voter=self.voter,
+            session=self.session,
+            epoch=view.epoch if view is not None else 0,
+            state_epoch=self.chain.durable_epoch,
+            participating=self.chain.participating,
+            disk_ok=self.disk.healthy,
+            leaving=self.leaving,
+            live=True,
+            steady=True,
+            since_heartbeat_s=0.0,
+            reachable=frozenset(self.peers.reachable(now)),
+        )
+
+    def snapshot(self, view: View | None, now: float) -> dict[str, PeerStatus]:
+        """Every known machine by address.
+
+        In the first view, replicas whose processes may still be starting count as live too.
+        """
+        expected = view.chain if view is not None and view.epoch == 1 else ()
+        return self.peers.snapshot(
+            now, self.own_status(view, now), [replica.voter.address for replica in expected]
+        )
+
+    def contacts(self, view: View | None, now: float) -> list[str]:
+        """The addresses that get heartbeats: seeds, voters, and whoever sends some."""
+        voters = view.voters if view is not None else ()
+        known = (*self.seeds, *(voter.address for voter in voters), *self.peers.contacts(now))
+        return [address for address in dict.fromkeys(known) if address != self.voter.address]
+
+    def send_due(self, view: View | None, now: float) -> None:
+        """Send heartbeats if they are due."""
+        if now - self._sent_at < HEARTBEAT_INTERVAL_S * DUE_FRACTION:
+            return
+        self._sent_at = now
+        self._beats += 1
+        own = self.own_status(view, now)
+        heartbeat = Heartbeat(
+            sender=self.voter,
+            session=own.session,
+            epoch=own.epoch,
+            state_epoch=own.state_epoch,
+            sequence=self.chain.durable.sequence,
+            participating=own.participating,
+            disk_ok=own.disk_ok,
+            leaving=own.leaving,
+            chain_is_complete=self._reports_complete_chain(view, now),
+            reachable=tuple(sorted(own.reachable)),
+        )
+        sending = self.peers.contacts(now)
+        for address in self.contacts(view, now):
+            if address in sending or self._beats % BEATS_PER_UNREACHABLE_PEER == 1:
+                self.emit(Send(address, heartbeat))
+
+    def _reports_complete_chain(self, view: View | None, now: float) -> bool:
+        """Whether this member participates in a chain that is complete and eligible."""
+        if view is None or not self.chain.participating:
+            return False
+        snapshot = self.snapshot(view, now)
+        known = [snapshot.get(replica.voter.address) for replica in view.chain]
+        return all(peer is not None and peer.eligible for peer in known) and chain_is_complete(
+            view, snapshot
+        )
--- a/roselink/coordination/member.py
+++ b/roselink/coordination/member.py
@@ -1,43 +1,53 @@
-"""One core member: heartbeats, agreed views, the chain, orders and confirmed reads together. No
-I/O, no clock.
-
-Inputs are method calls with `now` (seconds of one monotonic clock); each returns the effects in
-order. What the parts argue for: `views` (what is acknowledged outlives view changes), `votes` (one
-decided view an epoch), `reads` (a confirmed read misses nothing), `orders` (a refusal lasts). What
-is left to this module:
-
-- A vote leaves only after the disk has it: `ballots` keeps each answer until its version of `AcceptorState`
-  is durable.
-- A decided view is followed at once, before it is on this disk. A member that restarts with an
-  older view is as one that hasn't heard of the newer one; it does not take part in any chain of its
-  earlier process, as the view names another session. Its state may be of a later epoch than its
-  view, which only says how new the state is.
-- From the moment at which a member follows a newer view it takes nothing of the older epoch.
-  Acceptance of a proposal alone changes nothing in its chain: the older epoch may still acknowledge
-  through it, and the new head begins with what it has when it follows the new view itself.
-- A process that was frozen wakes with its old view. Each write that it could still acknowledge is
-  on the disks of that whole chain, the next head's too; a read needs answers to a round, which
-  voters that accepted a newer view refuse.
-- A member whose disk was lost has a new incarnation: it is another voter, and is let in by a view
-change.
+"""One core member: heartbeats, agreed views, the chain, changes and confirmed reads together.
+
+No I/O, no clock. Inputs are method calls with `now` (seconds of one monotonic clock); each returns
+the effects in order. What the parts prove: V1 to V4 in `views` (what is acknowledged outlives view
+changes), A1 to A3 in `acceptor` and R1 to R4 in `proposal_round` (one decided view an epoch, by
+Paxos), K1 and K2 in `chain` (what is committed), C1 and C2 in `reads` (a confirmed read misses
+nothing), H1 in `sequencer` and S1 in `state` (a refusal lasts). What is left to this module:
+
+M1. A vote leaves only after the disk has it: `reply_gate` buffers each reply until its version of the
+    `AcceptorState` is durable.
+M2. A decided view is entered at once, before it is on this disk. A member that restarts with an older
+    view is as one that hasn't learned of the newer one; it does not participate in any chain of its
+    earlier process, as the view names another session. Its state may be of a later epoch than its
+    view, which only says how new the state is.
+M3. From the moment at which a member enters a newer view it handles nothing of the older epoch.
+    Acceptance of a proposal alone changes nothing in its chain: the older epoch may still acknowledge
+    through it, and the new head begins with what it has when it enters the new view itself.
+M4. A process that was frozen wakes with its old view. Each write that it could still acknowledge is on
+    the disks of that whole chain, the next head's too; a read needs replies to a round, which voters
+    that accepted a newer view refuse.
+M5. A member whose disk was lost has a new incarnation: it is another voter, and is let in by a view
+    change.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
 
-from roselink.coordination.ballots import ReplyGate
+from roselink.coordination.acceptor import Acceptor
 from roselink.coordination.chain import ChainMember
+from roselink.coordination.disk_health import DiskHealth
 from roselink.coordination.effects import Effect, Persist, Send, Store, ViewChanged
+from roselink.coordination.exceptions import DriverContractError
+from roselink.coordination.heartbeats import HeartbeatSender
 from roselink.coordination.messages import MessageHandler
-from roselink.coordination.orders import ChangeSequencer, PendingCalls
-from roselink.coordination.peering import DiskHealth, PeerTable
-from roselink.coordination.presence import HeartbeatSender
-from roselink.coordination.proposing import Proposer
+from roselink.coordination.peer_table import PeerTable
+from roselink.coordination.pending_calls import PendingCalls
+from roselink.coordination.proposer import Proposer
 from roselink.coordination.reads import ReadRounds
+from roselink.coordination.reply_gate import ReplyGate
+from roselink.coordination.sequencer import ChangeSequencer
 from roselink.coordination.state import EMPTY
-from roselink.coordination.views import ViewPolicy, first_view, majority, replica_of, reunited
-from roselink.coordination.votes import Acceptor
+from roselink.coordination.views import (
+    ViewPolicy,
+    chain_is_reconnected,
+    first_view,
+    majority,
+    replica_of,
+)
 from roselink.protocol.chain import (
     AcceptorState,
     ConfigurationChange,
@@ -47,19 +57,35 @@
 )
 from roselink.protocol.records import encode
 
-TICK_S = 0.05  # how often the driver calls `tick`
-START_PATIENCE_S = (
-    0.3  # after its start a member waits so long for the chain's others before it plans
-)
-SLEPT_S = 0.3  # ticks further apart mean that this process did not run
-DISK_RETRY_S = 0.2
+if TYPE_CHECKING:
+    from roselink.protocol.chain import ChainMessage
+
+# How often the driver calls `tick`.
+TICK_S = 0.05
+
+# After its start a member waits so long for the chain's other machines before it plans.
+START_TIMEOUT_S = 0.3
+
+# Ticks further apart than this mean that the process did not run.
+PAUSE_THRESHOLD_S = 0.3
+
+# An unhealthy disk is tried with a save after this time.
+DISK_RETRY_INTERVAL_S = 0.2
 
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """What a process starts with. `session` and `fresh_incarnation` are random, above 0.
-
-    `votes` and `state` are None unless the disk held both.
+    """What a process starts with.
+
+    Attributes:
+        address: its peer address.
+        seeds: the addresses of the first view, which get heartbeats whatever the view is.
+        bootstrap: whether this is the first start of a new system.
+        tolerated: how many machines may be lost at once.
+        session: a random number above 0 for this process.
+        fresh_incarnation: a random number above 0, used if the disk is empty.
+        acceptor_state: the acceptor state on the disk; None unless the disk has both records.
+        state: the chain's state on the disk; None unless the disk has both records.
     """
 
     address: str
@@ -68,106 +94,112 @@
     tolerated: int
     session: int
     fresh_incarnation: int
-    votes: AcceptorState | None
+    acceptor_state: AcceptorState | None
     state: StoredState | None
 
 
 @dataclass(slots=True)
 class _Pending:
-    """What happens on this member next, in order: effects out, and messages to itself."""
+    """What the present input has caused so far: effects, and messages to this member itself."""
 
     effects: list[Effect] = field(default_factory=list)
-    own: list[object] = field(default_factory=list)
+    own_messages: list[ChainMessage] = field(default_factory=list)
 
 
 class Member:
-    """See the module."""
+    """One member: `begin` once, then `tick`, `receive` and the other inputs (see the module)."""
 
     def __init__(self, start: Start, now: float) -> None:
+        """Build the parts; nothing is emitted before `begin`."""
         self._start = start
-        self._out = _Pending()
-        whole_new = start.votes is None or start.state is None
-        self._fresh = whole_new and start.bootstrap and start.address in start.seeds
-        self._saved_first = not whole_new
-        voter = self._identity(whole_new)
-        self.voting = (
-            Acceptor(voter) if start.votes is None or whole_new else Acceptor.restored(start.votes)
+        self._pending = _Pending()
+        is_new = start.acceptor_state is None or start.state is None
+        self._is_fresh = is_new and start.bootstrap and start.address in start.seeds
+        self._is_on_disk = not is_new
+        voter = self._identity(is_new=is_new)
+        self.acceptor = (
+            Acceptor(voter)
+            if start.acceptor_state is None or is_new
+            else Acceptor.from_record(start.acceptor_state)
         )
-        self.ballots = ReplyGate(self.voting, self.emit)
+        self.reply_gate = ReplyGate(self.acceptor, self.emit)
         self.chain = ChainMember(voter, start.session, self.emit)
         self.peers = PeerTable(voter)
         self.disk = DiskHealth()
-        self.presence = HeartbeatSender(
+        self.heartbeats = HeartbeatSender(
             voter, start.session, start.seeds, self.chain, self.peers, self.disk, self.emit
         )
         self.proposer = Proposer(voter, start.session, ViewPolicy(start.tolerated), self.emit)
         self.reads = ReadRounds(voter, self.emit)
-        self.orders = ChangeSequencer(self.chain, self.emit)
-        self.calls = PendingCalls(voter, self.emit)
+        self.sequencer = ChangeSequencer(self.chain, self.emit)
+        self.pending_calls = PendingCalls(voter, self.emit)
         self._messages = MessageHandler(
-            voting=self.voting,
-            ballots=self.ballots,
+            acceptor=self.acceptor,
+            reply_gate=self.reply_gate,
             chain=self.chain,
             peers=self.peers,
-            presence=self.presence,
+            heartbeats=self.heartbeats,
             proposer=self.proposer,
             reads=self.reads,
-            orders=self.orders,
-            calls=self.calls,
+            sequencer=self.sequencer,
+            pending_calls=self.pending_calls,
             emit=self.emit,
             follow=self.follow,
             committed=self.committed,
         )
-        self._numbers = start.session
+        self._last_number = start.session
         self._announced = (0, False)
-        self._ticked_at = self._began_at = now
-        self._tried_disk_at = now
-        if start.state is not None and not whole_new:
+        self._ticked_at = now
+        self._started_at = now
+        self._disk_tried_at = now
+        if start.state is not None and not is_new:
             self.chain.restore(start.state)
 
-    def _identity(self, whole_new: bool) -> Voter:
-        if not whole_new and self._start.votes is not None:
-            return self._start.votes.voter
-        return Voter(self._start.address, 0 if self._fresh else self._start.fresh_incarnation)
+    def _identity(self, *, is_new: bool) -> Voter:
+        if not is_new and self._start.acceptor_state is not None:
+            return self._start.acceptor_state.voter
+        return Voter(self._start.address, 0 if self._is_fresh else self._start.fresh_incarnation)
 
     @property
     def view(self) -> View | None:
         """The newest view that this member knows."""
-        return self.voting.view
+        return self.acceptor.view
 
     @property
     def voter(self) -> Voter:
         """This member's identity."""
-        return self.voting.voter
+        return self.acceptor.voter
 
     @property
-    def disk_fit(self) -> bool:
+    def disk_is_healthy(self) -> bool:
         """Whether the disk took the last saves, in time."""
-        return self.disk.fit
+        return self.disk.healthy
 
     def forming(self, now: float) -> bool:
-        """Whether others wait for this member: it is not on its disk yet, or a majority of the
-        voters is heard while the newest view's chain is not active here.
+        """Whether others may be waiting for this member.
+
+        They are while it is not on its disk yet, and while a majority of the voters is reachable but
+        the newest view's chain is not active here.
         """
-        if not self._saved_first:
+        if not self._is_on_disk:
             return True
         if self.view is None or self.chain.active:
             return False
-        heard = {self.voter.address, *self.peers.heard(now)}
-        return sum(voter.address in heard for voter in self.view.voters) >= majority(self.view)
+        reachable = {self.voter.address, *self.peers.reachable(now)}
+        return sum(voter.address in reachable for voter in self.view.voters) >= majority(self.view)
 
     def begin(self, now: float) -> list[Effect]:
         """The first step of the process."""
-        if self._saved_first:
-            self.ballots.restored()
+        if self._is_on_disk:
+            self.reply_gate.restored()
             if self.view is not None:
                 self._enter(now)
         else:
-            self.chain.applied_epoch = 1 if self._fresh else 0
-            if self._fresh:
-                self.voting.view = first_view(self._start.seeds)
-                self.peers.grace(now)
-            self.voting.version = 1
+            self.chain.applied_epoch = 1 if self._is_fresh else 0
+            if self._is_fresh:
+                self.acceptor.view = first_view(self._start.seeds)
+                self.peers.start_grace(now)
+            self.acceptor.version = 1
             self._save_first()
         return self._flush(now)
 
@@ -176,175 +208,183 @@
         self.emit(Persist(Store.STATE, encode(StoredState(self.chain.applied_epoch, EMPTY))))
 
     def tick(self, now: float) -> list[Effect]:
-        """Every `TICK_S` or so."""
-        gap = now - self._ticked_at
-        if gap > SLEPT_S:
-            self.peers.skip(gap, now)
-            self.disk.skip(gap, now)
+        """Do what is due; called about every `TICK_S`."""
+        pause_s = now - self._ticked_at
+        if pause_s > PAUSE_THRESHOLD_S:
+            self.peers.discount_pause(pause_s, now)
+            self.disk.discount_pause(pause_s, now)
         self._ticked_at = now
         self.disk.check(now)
         self._retry_disk(now)
-        self.calls.proceed(self._known_view(), now)
-        if self._saved_first:
-            self.presence.beat(self.view, now)
+        self.pending_calls.proceed(self._known_view(), now)
+        if self._is_on_disk:
+            self.heartbeats.send_due(self.view, now)
             self.chain.resend(now)
             if self.view is not None and self.chain.is_tail:
                 self.reads.proceed(self.view, now)
             self._propose(now)
         return self._flush(now)
 
-    def submit(self, order: ConfigurationChange, now: float) -> tuple[int, list[Effect]]:
-        """Carry an order; a `SubmitDone` of this number follows."""
-        self._numbers += 1
-        self.calls.submit(self._numbers, order, self._known_view(), now)
-        return self._numbers, self._flush(now)
+    def submit(self, change: ConfigurationChange, now: float) -> tuple[int, list[Effect]]:
+        """Carry a change; a `SubmitDone` of the returned number follows."""
+        self._last_number += 1
+        self.pending_calls.submit(self._last_number, change, self._known_view(), now)
+        return self._last_number, self._flush(now)
 
     def read(self, now: float) -> tuple[int, list[Effect]]:
-        """Carry a confirmed read; a `ReadDone` of this number follows."""
-        self._numbers += 1
-        self.calls.read(self._numbers, self._known_view(), now)
-        return self._numbers, self._flush(now)
+        """Carry a confirmed read; a `ReadDone` of the returned number follows."""
+        self._last_number += 1
+        self.pending_calls.read(self._last_number, self._known_view(), now)
+        return self._last_number, self._flush(now)
 
     def leave(self, now: float) -> list[Effect]:
-        """Ask the others for a view whose chain this member isn't in."""
-        self.presence.leave()
-        if self._saved_first:
-            self.presence.beat(self.view, now)
+        """Request a view whose chain this member isn't in."""
+        self.heartbeats.leave()
+        if self._is_on_disk:
+            self.heartbeats.send_due(self.view, now)
         return self._flush(now)
 
     @property
-    def left(self) -> bool:
-        """Whether the newest view's chain goes without this member."""
+    def has_left(self) -> bool:
+        """Whether this member has no replica in the newest view's chain."""
         return replica_of(self.view, self.voter) is None
 
-    def seeds_changed(self, seeds: tuple[str, ...]) -> None:
-        """The settings name other machines to ask."""
-        self.presence.seeds = seeds
+    def set_seeds(self, seeds: tuple[str, ...]) -> None:
+        """Send heartbeats to other seeds from now on: the settings have changed."""
+        self.heartbeats.seeds = seeds
 
-    def receive(self, message: object, now: float) -> list[Effect]:
-        """Take one of the records that `messages.HANDLED` names."""
-        if self._saved_first:
+    def receive(self, message: ChainMessage, now: float) -> list[Effect]:
+        """Handle a message of the classes that `messages.is_chain_message` accepts."""
+        if self._is_on_disk:
             self._messages.handle(message, now)
         return self._flush(now)
 
     def persisted(self, store: Store, now: float) -> list[Effect]:
         """The oldest `Persist` of that store is durable."""
-        self.disk.ended(now, True)
-        if not self._saved_first:
+        self.disk.save_ended(now, succeeded=True)
+        if not self._is_on_disk:
             self._first_saved(store, now)
         elif store is Store.STATE:
             if self.chain.on_persisted(now):
                 self.committed(now)
         else:
-            self.ballots.saved()
+            self.reply_gate.saved()
         return self._flush(now)
 
     def persist_failed(self, store: Store, now: float) -> list[Effect]:
         """The disk has refused the oldest `Persist` of that store; nothing of it counts."""
-        self.disk.ended(now, False)
+        self.disk.save_ended(now, succeeded=False)
         if store is Store.ACCEPTOR:
-            self.ballots.save_failed()
-        elif self._saved_first:
+            self.reply_gate.save_failed()
+        elif self._is_on_disk:
             self.chain.on_persist_failed()
         return self._flush(now)
 
-    def take_effects(self, now: float) -> list[Effect]:
-        """What a call to one of this member's parts has brought about."""
+    def collect_effects(self, now: float) -> list[Effect]:
+        """What a call to one of this member's parts has caused."""
         return self._flush(now)
 
     # --- saves
 
     def _first_saved(self, store: Store, now: float) -> None:
         if store is Store.STATE:
-            self.ballots.save()
+            self.reply_gate.save()
             return
-        self._saved_first = True
+        self._is_on_disk = True
         self.chain.durable_epoch = self.chain.applied_epoch
-        self.ballots.saved()
+        self.reply_gate.saved()
         if self.view is not None:
             self._enter(now)
 
     def _retry_disk(self, now: float) -> None:
-        """A disk that refused, or was too slow, is tried with a save of the votes."""
-        if self.disk.fit or not self.disk.idle or now - self._tried_disk_at < DISK_RETRY_S:
+        """Try a disk that refused, or was too slow, with a save of the acceptor state."""
+        if (
+            self.disk.healthy
+            or not self.disk.idle
+            or now - self._disk_tried_at < DISK_RETRY_INTERVAL_S
+        ):
             return
-        self._tried_disk_at = now
+        self._disk_tried_at = now
         self.disk.refusing = False
-        if not self._saved_first:
+        if not self._is_on_disk:
             self._save_first()
             return
-        self.chain.retry()
-        self.ballots.touch()
+        self.chain.retry_save()
+        self.reply_gate.request_save()
 
     # --- views
 
     def _known_view(self) -> View | None:
-        return self.view if self._saved_first else None
+        return self.view if self._is_on_disk else None
 
     def follow(self, view: View, now: float) -> None:
-        """A decided view: enter it if it is newer."""
-        if self.voting.adopt(view):
-            self._fresh = False
-            self.ballots.drop()
+        """Enter a decided view if it is newer than the present one."""
+        if self.acceptor.enter(view):
+            self._is_fresh = False
+            self.reply_gate.drop()
             self._enter(now)
 
     def _enter(self, now: float) -> None:
         if self.view is None:
-            raise AssertionError("no view to enter")
+            raise DriverContractError("_enter", "a view is known")
         self.proposer.view_changed(now)
         self.reads.drop()
-        self.orders.drop()
-        self.chain.enter(self.view, self._fresh, now)
+        self.sequencer.drop()
+        self.chain.enter(self.view, now, is_fresh=self._is_fresh)
         self._announce()
-        self.calls.view_changed(self.view, now)
+        self.pending_calls.view_changed(self.view, now)
         if self.chain.active:
             self.committed(now)
 
     def committed(self, now: float) -> None:
         """Something was committed, or the chain has become active."""
-        self.orders.settle()
+        self.sequencer.on_committed()
         if self.view is not None and self.chain.is_tail:
             self.reads.proceed(self.view, now)
         self._announce()
 
     def _announce(self) -> None:
-        """Tell of a new view, or that its chain has become active."""
+        """Emit that the view is new, or that its chain has become active."""
         if self.view is not None and self._announced != (self.view.epoch, self.chain.active):
             self._announced = (self.view.epoch, self.chain.active)
             self.emit(ViewChanged(self.view))
 
     def _propose(self, now: float) -> None:
-        if self.view is None or not self.voting.entitled:
+        if self.view is None or not self.acceptor.is_voter:
             return
-        outside = not self.chain.participating and self.peers.settled(now, self.view.epoch)
-        picture = self.presence.picture(self.view, now)
-        if now - self._began_at < START_PATIENCE_S and not reunited(self.view, picture):
+        defers = not self.chain.participating and self.peers.reports_complete_chain(
+            now, self.view.epoch
+        )
+        snapshot = self.heartbeats.snapshot(self.view, now)
+        if now - self._started_at < START_TIMEOUT_S and not chain_is_reconnected(
+            self.view, snapshot
+        ):
             return  # the others may be starting too, after a loss of the whole core
-        self.proposer.consider(self.voting, picture, outside, now)
+        self.proposer.consider(self.acceptor, snapshot, now, defers=defers)
 
     # --- effects
 
     def emit(self, effect: Effect) -> None:
-        """Give out an effect; what goes to this member itself is handled before the input ends."""
+        """Emit an effect; a message to this member itself is handled before the input ends."""
         if isinstance(effect, Send) and effect.to == self.voter.address:
-            self._out.own.append(effect.message)
+            self._pending.own_messages.append(effect.message)
         else:
-            self._out.effects.append(effect)
+            self._pending.effects.append(effect)
 
     def _flush(self, now: float) -> list[Effect]:
-        """Deliver what the member told itself, save votes that changed, and hand the effects
-        out.
-        """
-        while self._out.own:
-            own, self._out.own = self._out.own, []
-            for message in own:
+        """Handle messages to this member itself, save changed acceptor state, return the effects."""
+        while self._pending.own_messages:
+            messages = self._pending.own_messages
+            self._pending.own_messages = []
+            for message in messages:
                 self._messages.handle(message, now)
-        if self._saved_first:
-            self.ballots.release()
+        if self._is_on_disk:
+            self.reply_gate.release()
             if not self.disk.refusing:
-                self.ballots.save()
-        effects, self._out.effects = self._out.effects, []
+                self.reply_gate.save()
+        effects = self._pending.effects
+        self._pending.effects = []
         for effect in effects:
             if isinstance(effect, Persist):
-                self.disk.began(now, len(effect.payload))
+                self.disk.save_requested(now, len(effect.payload))
         return effects
--- a/roselink/coordination/messages.py
+++ b/roselink/coordination/messages.py
@@ -1,9 +1,10 @@
-"""What a member does with each record that it receives. No I/O, no clock."""
+"""What a member does with each message that it receives. No I/O, no clock."""
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, ClassVar, TypeGuard
 
 from roselink.coordination.effects import Emit, Send
 from roselink.coordination.reads import ReadRounds, WaitingRead
@@ -11,6 +12,7 @@
     Accept,
     Accepted,
     Ack,
+    ChainMessage,
     ConfirmReply,
     ConfirmRequest,
     Decided,
@@ -28,71 +30,75 @@
 )
 
 if TYPE_CHECKING:
-    from collections.abc import Callable
-
-    from roselink.coordination.ballots import ReplyGate
+    from roselink.coordination.acceptor import Acceptor
     from roselink.coordination.chain import ChainMember
-    from roselink.coordination.orders import ChangeSequencer, PendingCalls
-    from roselink.coordination.peering import PeerTable
-    from roselink.coordination.presence import HeartbeatSender
-    from roselink.coordination.proposing import Proposer
-    from roselink.coordination.votes import Acceptor
+    from roselink.coordination.heartbeats import HeartbeatSender
+    from roselink.coordination.peer_table import PeerTable
+    from roselink.coordination.pending_calls import PendingCalls
+    from roselink.coordination.proposer import Proposer
+    from roselink.coordination.reply_gate import ReplyGate
+    from roselink.coordination.sequencer import ChangeSequencer
+
+# Each takes the handler, a message of its class, and now; the table below pairs them.
+_Handler = Callable[[Any, Any, float], None]
 
 
 @dataclass(slots=True)
 class MessageHandler:
-    """Hands each record to the parts of one member that it concerns.
+    """Dispatches each message to the parts of one member that it concerns.
 
-    `follow` enters a decided view if it is newer; `committed` is called when the chain has
-    committed.
+    Attributes:
+        follow: enters a decided view if it is newer.
+        committed: to be called when the chain has committed.
     """
 
-    voting: Acceptor
-    ballots: ReplyGate
+    acceptor: Acceptor
+    reply_gate: ReplyGate
     chain: ChainMember
     peers: PeerTable
-    presence: HeartbeatSender
+    heartbeats: HeartbeatSender
     proposer: Proposer
     reads: ReadRounds
-    orders: ChangeSequencer
-    calls: PendingCalls
+    sequencer: ChangeSequencer
+    pending_calls: PendingCalls
     emit: Emit
     follow: Callable[[View, float], None]
     committed: Callable[[float], None]
 
-    def handle(self, message: object, now: float) -> None:
-        """Take a record; one that is not the chain's is passed over."""
-        handler = _HANDLERS.get(type(message))
+    def handle(self, message: ChainMessage, now: float) -> None:
+        """Handle a message; one that is not the chain's is dropped."""
+        handler = self.HANDLERS.get(type(message))
         if handler is not None:
             handler(self, message, now)
 
     def _on_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
-        if heartbeat.sender.address == self.voting.voter.address:
+        if heartbeat.sender.address == self.acceptor.voter.address:
             return
-        self.peers.hear(heartbeat, now)
-        if self.voting.voter.address not in heartbeat.heard:
-            self.presence.greet(self.voting.view, now)
-        if self.voting.view is not None and heartbeat.epoch < self.voting.view.epoch:
-            self.emit(Send(heartbeat.sender.address, Decided(self.voting.voter, self.voting.view)))
+        self.peers.on_heartbeat(heartbeat, now)
+        if self.acceptor.voter.address not in heartbeat.reachable:
+            self.heartbeats.send_early(self.acceptor.view, now)
+        view = self.acceptor.view
+        if view is not None and heartbeat.epoch < view.epoch:
+            self.emit(Send(heartbeat.sender.address, Decided(self.acceptor.voter, view)))
 
-    def _on_prepare(self, asked: Prepare, now: float) -> None:
-        self.ballots.answer(asked.sender.address, self.voting.prepare(asked))
+    def _on_prepare(self, request: Prepare, _now: float) -> None:
+        self.reply_gate.reply(request.sender.address, self.acceptor.prepare(request))
 
-    def _on_accept(self, asked: Accept, now: float) -> None:
-        self.ballots.answer(asked.sender.address, self.voting.accept(asked))
+    def _on_accept(self, request: Accept, _now: float) -> None:
+        self.reply_gate.reply(request.sender.address, self.acceptor.accept(request))
 
-    def _on_promise(self, answer: Promise, now: float) -> None:
-        self.proposer.promised(answer, now)
+    def _on_promise(self, reply: Promise, now: float) -> None:
+        self.proposer.on_promise(reply, now)
 
-    def _on_refusal(self, answer: Refusal, now: float) -> None:
-        self.proposer.refused(answer, now)
+    def _on_refusal(self, reply: Refusal, now: float) -> None:
+        self.proposer.on_refusal(reply, now)
 
-    def _on_accepted(self, answer: Accepted, now: float) -> None:
-        decided = self.proposer.accepted(answer)
+    def _on_accepted(self, reply: Accepted, now: float) -> None:
+        decided = self.proposer.on_accepted(reply)
         if decided is not None:
             self.follow(decided, now)
-            for address in self.presence.contacts(self.voting.view, now):
-                self.emit(Send(address, Decided(self.voting.voter, decided)))
+            for address in self.heartbeats.contacts(self.acceptor.view, now):
+                self.emit(Send(address, Decided(self.acceptor.voter, decided)))
 
     def _on_decided(self, message: Decided, now: float) -> None:
         self.follow(message.view, now)
@@ -102,67 +108,69 @@
         if self.chain.on_sync(message, now):
             self.committed(now)
 
-    def _on_write(self, message: Write, now: float) -> None:
+    def _on_write(self, message: Write, _now: float) -> None:
         self.chain.on_write(message)
 
     def _on_ack(self, message: Ack, now: float) -> None:
         if self.chain.on_ack(message):
             self.committed(now)
 
-    def _on_submit(self, message: SubmitRequest, now: float) -> None:
+    def _on_submit_request(self, message: SubmitRequest, _now: float) -> None:
         if (
-            self.voting.view is not None
-            and message.epoch == self.voting.view.epoch
+            self.acceptor.view is not None
+            and message.epoch == self.acceptor.view.epoch
             and self.chain.is_head
         ):
-            self.orders.take(message)
+            self.sequencer.submit(message)
 
-    def _on_submit_reply(self, message: SubmitReply, now: float) -> None:
-        self.calls.settled(message)
+    def _on_submit_reply(self, message: SubmitReply, _now: float) -> None:
+        self.pending_calls.on_submit_reply(message)
 
-    def _on_confirm_ask(self, message: ConfirmRequest, now: float) -> None:
-        newest = self.voting.newest(message.epoch)
-        answer = ConfirmReply(self.voting.voter, message.epoch, message.round, newest)
-        self.emit(Send(message.sender.address, answer))
+    def _on_confirm_request(self, message: ConfirmRequest, _now: float) -> None:
+        is_newest = self.acceptor.is_newest(message.epoch)
+        reply = ConfirmReply(self.acceptor.voter, message.epoch, message.round, is_newest)
+        self.emit(Send(message.sender.address, reply))
 
-    def _on_confirm_answer(self, message: ConfirmReply, now: float) -> None:
-        if self.voting.view is None:
-            # and no round is under way: only an active tail begins one, and a new view drops it
+    def _on_confirm_reply(self, message: ConfirmReply, now: float) -> None:
+        if self.acceptor.view is None:
+            # and no round is in flight: only an active tail begins one, and a new view drops it
             return
         state = self.chain.durable
-        for read in self.reads.answer(message):
-            document = None if read.known == state.sequence else state.document
-            reply = ReadReply(
-                read.number, self.voting.view.epoch, state.sequence, state.generation, document
-            )
-            self.emit(Send(read.asker, reply))
-        self.reads.proceed(self.voting.view, now)
-
-    def _on_read_ask(self, message: ReadRequest, now: float) -> None:
-        if self.voting.view is not None and self.chain.at_end:
-            waiting = WaitingRead(message.sender.address, message.number, message.known)
-            self.reads.ask(waiting, self.voting.view, self.chain.active, now)
-
-    def _on_read_reply(self, message: ReadReply, now: float) -> None:
-        self.calls.confirmed(message)
-
-
-_HANDLERS: dict[type[Any], Callable[[MessageHandler, Any, float], None]] = {
-    Heartbeat: MessageHandler._on_heartbeat,
-    Prepare: MessageHandler._on_prepare,
-    Promise: MessageHandler._on_promise,
-    Refusal: MessageHandler._on_refusal,
-    Accept: MessageHandler._on_accept,
-    Accepted: MessageHandler._on_accepted,
-    Decided: MessageHandler._on_decided,
-    Sync: MessageHandler._on_sync,
-    Write: MessageHandler._on_write,
-    Ack: MessageHandler._on_ack,
-    ConfirmRequest: MessageHandler._on_confirm_ask,
-    ConfirmReply: MessageHandler._on_confirm_answer,
-    SubmitRequest: MessageHandler._on_submit,
-    SubmitReply: MessageHandler._on_submit_reply,
-    ReadRequest: MessageHandler._on_read_ask,
-    ReadReply: MessageHandler._on_read_reply,
-}
-HANDLED = frozenset(_HANDLERS)
+        for read in self.reads.on_reply(message):
+            document = None if read.known_sequence == state.sequence else state.document
+            epoch = self.acceptor.view.epoch
+            reply = ReadReply(read.number, epoch, state.sequence, state.generation, document)
+            self.emit(Send(read.requester, reply))
+        self.reads.proceed(self.acceptor.view, now)
+
+    def _on_read_request(self, message: ReadRequest, now: float) -> None:
+        if self.acceptor.view is not None and self.chain.is_last:
+            read = WaitingRead(message.sender.address, message.number, message.known_sequence)
+            self.reads.request(read, self.acceptor.view, now, is_active=self.chain.active)
+
+    def _on_read_reply(self, message: ReadReply, _now: float) -> None:
+        self.pending_calls.on_read_reply(message)
+
+    HANDLERS: ClassVar[dict[type[ChainMessage], _Handler]] = {
+        Heartbeat: _on_heartbeat,
+        Prepare: _on_prepare,
+        Promise: _on_promise,
+        Refusal: _on_refusal,
+        Accept: _on_accept,
+        Accepted: _on_accepted,
+        Decided: _on_decided,
+        Sync: _on_sync,
+        Write: _on_write,
+        Ack: _on_ack,
+        ConfirmRequest: _on_confirm_request,
+        ConfirmReply: _on_confirm_reply,
+        SubmitRequest: _on_submit_request,
+        SubmitReply: _on_submit_reply,
+        ReadRequest: _on_read_request,
+        ReadReply: _on_read_reply,
+    }
+
+
+def is_chain_message(message: object) -> TypeGuard[ChainMessage]:
+    """Whether a member handles messages of this class."""
+    return type(message) in MessageHandler.HANDLERS
--- /dev/null
+++ b/roselink/coordination/peer_table.py
@@ -0,0 +1,167 @@
+"""What a member knows of the other core machines from their heartbeats. No I/O, no clock.
+
+Times are seconds of the member's own clock. A machine is live while its heartbeats come and list
+this one as reachable: a link that carries one way only counts as broken on both ends.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
+
+from roselink.coordination.views import PeerStatus
+from roselink.protocol.chain import Heartbeat, Voter
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
+# A machine without a heartbeat for so long is suspected.
+SUSPECT_TIMEOUT_S = 0.45
+
+# A machine that has been live and eligible for so long is steady: it may join a chain.
+STEADY_AFTER_S = 0.3
+
+# A machine without a heartbeat for so long is removed from the table.
+FORGET_AFTER_S = 10.0
+
+# After the start of a new system, machines that have not sent a heartbeat yet count as live so long.
+START_GRACE_S = 1.5
+
+
+@dataclass(slots=True)
+class _KnownPeer:
+    heartbeat: Heartbeat
+    last_heartbeat_at: float
+    eligible_since: float | None = None
+
+
+@dataclass(slots=True)
+class PeerTable:
+    """The other machines by address."""
+
+    own: Voter
+    _known: dict[str, _KnownPeer] = field(default_factory=dict)
+    _grace_until: float = 0.0
+
+    def start_grace(self, now: float) -> None:
+        """Suspect no machine for a while: none may be up yet."""
+        self._grace_until = now + START_GRACE_S
+
+    def discount_pause(self, pause_s: float, now: float) -> None:
+        """Don't count a time in which this process did not run as silence of others."""
+        for known in self._known.values():
+            known.last_heartbeat_at = min(now, known.last_heartbeat_at + pause_s)
+
+    def on_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
+        """Take a heartbeat."""
+        address = heartbeat.sender.address
+        known = self._known.get(address)
+        if known is None or known.heartbeat.session != heartbeat.session:
+            known = _KnownPeer(heartbeat, now)
+            self._known[address] = known
+        if now - known.last_heartbeat_at >= SUSPECT_TIMEOUT_S:
+            known.eligible_since = None
+        known.heartbeat = heartbeat
+        known.last_heartbeat_at = now
+        eligible = self._is_live(known, now) and heartbeat.disk_ok and not heartbeat.leaving
+        if not eligible:
+            known.eligible_since = None
+        elif known.eligible_since is None:
+            known.eligible_since = now
+
+    def reachable(self, now: float) -> tuple[str, ...]:
+        """The addresses from which a heartbeat came lately, sorted."""
+        return tuple(
+            sorted(
+                address
+                for address, known in self._known.items()
+                if now - known.last_heartbeat_at < SUSPECT_TIMEOUT_S
+            )
+        )
+
+    def contacts(self, now: float) -> tuple[str, ...]:
+        """The addresses of machines that sent a heartbeat in the last seconds."""
+        return tuple(
+            address
+            for address, known in self._known.items()
+            if now - known.last_heartbeat_at < FORGET_AFTER_S
+        )
+
+    def reports_complete_chain(self, now: float, epoch: int) -> bool:
+        """Whether a live member of the epoch's chain reports that chain as complete."""
+        return any(
+            known.heartbeat.chain_is_complete
+            and known.heartbeat.epoch == epoch
+            and self._is_live(known, now)
+            for known in self._known.values()
+        )
+
+    def snapshot(
+        self, now: float, own: PeerStatus, expected: Iterable[str]
+    ) -> dict[str, PeerStatus]:
+        """Every known machine by address, as a plan needs it.
+
+        Args:
+            now: seconds of the member's clock.
+            own: this member's own status.
+            expected: addresses that count as live during the grace time of a new system.
+        """
+        for address in [
+            address
+            for address, known in self._known.items()
+            if now - known.last_heartbeat_at >= FORGET_AFTER_S
+        ]:
+            del self._known[address]
+        live = [known for known in self._known.values() if self._is_live(known, now)]
+        reachable_by_others = {address for known in live for address in known.heartbeat.reachable}
+        statuses = {own.voter.address: own}
+        for address, known in self._known.items():
+            since_heartbeat_s = (
+                0.0 if address in reachable_by_others else now - known.last_heartbeat_at
+            )
+            statuses[address] = self._status(known, now, since_heartbeat_s)
+        if now < self._grace_until:
+            for address in expected:
+                if address not in statuses:
+                    statuses[address] = _expected_status(address, own)
+        return statuses
+
+    def _status(self, known: _KnownPeer, now: float, since_heartbeat_s: float) -> PeerStatus:
+        heartbeat = known.heartbeat
+        return PeerStatus(
+            voter=heartbeat.sender,
+            session=heartbeat.session,
+            epoch=heartbeat.epoch,
+            state_epoch=heartbeat.state_epoch,
+            participating=heartbeat.participating,
+            disk_ok=heartbeat.disk_ok,
+            leaving=heartbeat.leaving,
+            live=self._is_live(known, now),
+            steady=known.eligible_since is not None
+            and now - known.eligible_since >= STEADY_AFTER_S,
+            since_heartbeat_s=since_heartbeat_s,
+            reachable=frozenset(heartbeat.reachable),
+        )
+
+    def _is_live(self, known: _KnownPeer, now: float) -> bool:
+        return (
+            now - known.last_heartbeat_at < SUSPECT_TIMEOUT_S
+            and self.own.address in known.heartbeat.reachable
+        )
+
+
+def _expected_status(address: str, own: PeerStatus) -> PeerStatus:
+    """A machine that may be starting: taken as eligible and steady, and as reaching everybody."""
+    return PeerStatus(
+        voter=Voter(address, 0),
+        session=0,
+        epoch=0,
+        state_epoch=1,
+        participating=False,
+        disk_ok=True,
+        leaving=False,
+        live=True,
+        steady=True,
+        since_heartbeat_s=0.0,
+        reachable=own.reachable | {own.voter.address},
+    )
--- /dev/null
+++ b/roselink/coordination/sequencer.py
@@ -0,0 +1,103 @@
+"""Submitted changes at the head. No I/O, no clock.
+
+The head validates a change on top of everything that it has appended, and replies once the state by
+which it validated is committed. A view change drops what has had no reply; the member that submitted
+the change sends it again.
+
+H1. A refused change never comes into force.
+
+  Proof. A refusal leaves only when it rests on a committed state. Every later head's state follows
+  that one (V1 in `roselink.coordination.views`), and in every state that follows the change is
+  refused as well (S1 in `roselink.coordination.state`): generations only rise, and a change whose
+  base is still to come is recorded in the state itself as refused.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
+
+from roselink.coordination.effects import Emit, Send
+from roselink.coordination.state import ValidationKind, validate
+from roselink.protocol.chain import OutcomeKind, SubmitReply, SubmitRequest
+
+if TYPE_CHECKING:
+    from roselink.coordination.chain import ChainMember
+
+_KINDS = {
+    ValidationKind.COMMITTED: OutcomeKind.COMMITTED,
+    ValidationKind.APPEND: OutcomeKind.COMMITTED,
+    ValidationKind.STALE_GENERATION: OutcomeKind.STALE_GENERATION,
+    ValidationKind.CONFLICT: OutcomeKind.CONFLICT,
+    ValidationKind.REFUSE_PERMANENTLY: OutcomeKind.CONFLICT,
+    ValidationKind.DOCUMENT_MISSING: OutcomeKind.UNKNOWN,
+}
+
+
+@dataclass(frozen=True, slots=True)
+class _WaitingReply:
+    """A reply that waits until `sequence` is committed."""
+
+    sequence: int
+    requester: str
+    reply: SubmitReply
+
+
+@dataclass(slots=True)
+class ChangeSequencer:
+    """The head's side of submitted changes: it gives each accepted one its sequence."""
+
+    chain: ChainMember
+    emit: Emit
+    _before_active: list[SubmitRequest] = field(default_factory=list)
+    _replies: list[_WaitingReply] = field(default_factory=list)
+
+    def drop(self) -> None:
+        """Forget all: the view has changed."""
+        self._before_active = []
+        self._replies = []
+
+    def submit(self, request: SubmitRequest) -> None:
+        """Validate a change now, or once the chain is active."""
+        if not self.chain.active:
+            if all(
+                (waiting.sender, waiting.number) != (request.sender, request.number)
+                for waiting in self._before_active
+            ):
+                self._before_active.append(request)
+            return
+        self._sequence(request)
+
+    def on_committed(self) -> None:
+        """Something was committed, or the chain has become active."""
+        if not self.chain.active:
+            return
+        before_active = self._before_active
+        self._before_active = []
+        for request in before_active:
+            self._sequence(request)
+        committed = self.chain.committed
+        released = [waiting for waiting in self._replies if waiting.sequence <= committed]
+        self._replies = [waiting for waiting in self._replies if waiting.sequence > committed]
+        for waiting in released:
+            self.emit(Send(waiting.requester, waiting.reply))
+
+    def _sequence(self, request: SubmitRequest) -> None:
+        """Validate and append a change, and reply once what the reply rests on is committed."""
+        validation = validate(self.chain.applied, request.change)
+        sequence = self.chain.applied.sequence
+        if validation.kind is ValidationKind.COMMITTED:
+            sequence = validation.value
+        elif validation.kind is ValidationKind.APPEND:
+            sequence = self.chain.append(request.change, refused=False)
+        elif validation.kind is ValidationKind.REFUSE_PERMANENTLY:
+            sequence = self.chain.append(request.change, refused=True)
+        requester = request.sender.address
+        reply = SubmitReply(request.number, _KINDS[validation.kind], validation.value)
+        if sequence <= self.chain.committed:
+            self.emit(Send(requester, reply))
+        elif all(
+            (waiting.requester, waiting.reply.number) != (requester, request.number)
+            for waiting in self._replies
+        ):
+            self._replies.append(_WaitingReply(sequence, requester, reply))
--- a/roselink/protocol/chain.py
+++ b/roselink/protocol/chain.py
@@ -1,8 +1,13 @@
-"""Records between the core's members: heartbeats, votes on views, the chain itself, and confirmed
-reads.
+"""Records between the core's members: heartbeats, votes on views, the chain, confirmed reads.
 
-Every message names its sender. Chain messages (`Sync`, `Write`, `Ack`) and orders under way carry
-the epoch of the view in which they were sent; a member takes them in that epoch only.
+Every message between members names its sender. Chain messages (`Sync`, `Write`, `Ack`) and
+submitted changes carry the epoch of the view in which they were sent; a member handles them in that
+epoch only.
+
+The messages of phase 1 and 2 (`Prepare`, `Promise`, `Accept`, `Accepted`) are those of Paxos
+(Lamport, "Paxos Made Simple", 2001); `Sync`, `Write` and `Ack` are those of chain replication
+(van Renesse and Schneider, OSDI 2004) under views that are agreed on outside the chain, as in
+Vertical Paxos (Lamport, Malkhi and Zhou, PODC 2009).
 """
 
 from __future__ import annotations
@@ -15,8 +20,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Voter:
-    """One voter: its peer address ("ip:port") and a number that is new whenever its disk is
-    empty.
+    """One voter of a view.
+
+    Attributes:
+        address: its peer address ("ip:port").
+        incarnation: a number that is drawn anew whenever its disk is empty.
     """
 
     address: str
@@ -25,11 +33,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ChainReplica:
-    """One place of the chain.
+    """One replica of a view's chain.
 
-    `since` is the epoch from which the voter has been in every view's chain. `session` is the
-    process that takes part: a process with another number, started later, does not (0 in the first
-    view).
+    Attributes:
+        voter: whose replica it is.
+        since: the epoch from which the voter has been in every view's chain.
+        session: the process that participates; a process with another number, started later, does
+            not. 0 in the first view, where any process does.
     """
 
     voter: Voter
@@ -49,8 +59,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Ballot:
-    """A proposal's number: no two proposals have the same, as each process draws its own
-    session.
+    """A proposal's number in Paxos; no two proposals have the same.
+
+    Attributes:
+        round: the proposer's count, raised above every one that it knows of.
+        address: the proposer's peer address.
+        session: the proposer's process; each draws its own number.
     """
 
     round: int
@@ -58,7 +72,7 @@
     session: int
 
     @property
-    def order(self) -> tuple[int, str, int]:
+    def sort_key(self) -> tuple[int, str, int]:
         """What ballots are compared by."""
         return self.round, self.address, self.session
 
@@ -66,8 +80,14 @@
 @record(33)
 @dataclass(frozen=True, slots=True)
 class AcceptorState:
-    """What a voter keeps on its disk: its identity, its newest view, its vote on the view that
-    follows.
+    """What an acceptor keeps on its disk.
+
+    Attributes:
+        voter: its identity.
+        view: the newest decided view that it knows.
+        promised: the highest ballot that it has promised, on the view that follows.
+        accepted: the ballot whose proposal it has accepted, if any.
+        proposal: that proposal.
     """
 
     voter: Voter
@@ -80,11 +100,15 @@
 @record(34)
 @dataclass(frozen=True, slots=True)
 class ConfigurationChange:
-    """One change of the operator's: a whole document on top of the generation `base`.
-
-    `digest` is taken over base and bytes as the operator sent them; it names the order when it
-    comes again. `document` is empty where it could not be made, as the base was not in place
-    (`coordination.state.validate`).
+    """One change that the operator proposes: a whole document on top of the generation `base`.
+
+    Attributes:
+        base: the generation that the change builds on.
+        generation: the generation that it makes.
+        document: the new document; empty where it could not be made, as the base was not current
+            (`coordination.state.validate`).
+        digest: taken over base and bytes as the operator sent them; identifies the change when it
+            is sent again.
     """
 
     base: int
@@ -96,8 +120,13 @@
 @record(35)
 @dataclass(frozen=True, slots=True)
 class ConfigurationState:
-    """The replicated state. `history`: packed entries of the newest orders
-    (`coordination.state`).
+    """The replicated state.
+
+    Attributes:
+        sequence: how many writes led to it.
+        generation: the document's generation.
+        document: the current document; empty before the first change.
+        history: packed entries of the newest changes (`coordination.state`).
     """
 
     sequence: int
@@ -118,10 +147,20 @@
 @record(37)
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """Sent to every known core machine. `heard`: the addresses that the sender heard of late.
-
-    `state_epoch` is the epoch of the state on its disk; `settled`: it takes part in the chain of
-    `epoch`, and finds that chain whole.
+    """Sent to every known core machine.
+
+    Attributes:
+        sender: who sends.
+        session: its process.
+        epoch: the epoch of the newest view that it knows; 0 without one.
+        state_epoch: the epoch of the state on its disk.
+        sequence: the sequence of that state.
+        participating: whether it participates in the chain of `epoch`.
+        disk_ok: whether its disk takes saves in time.
+        leaving: whether its process is about to end.
+        chain_is_complete: whether it participates in the chain of `epoch` and finds each replica of
+            that chain eligible and participating.
+        reachable: the addresses from which it has received heartbeats lately.
     """
 
     sender: Voter
@@ -132,14 +171,14 @@
     participating: bool
     disk_ok: bool
     leaving: bool
-    settled: bool
-    heard: tuple[str, ...]
+    chain_is_complete: bool
+    reachable: tuple[str, ...]
 
 
 @record(38)
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """Phase 1 of the vote on the view `epoch`."""
+    """Phase 1a of the vote on the view `epoch`."""
 
     sender: Voter
     epoch: int
@@ -149,7 +188,10 @@
 @record(39)
 @dataclass(frozen=True, slots=True)
 class Promise:
-    """The voter takes part in no ballot below this one, and tells what it accepted before."""
+    """Phase 1b: the acceptor refuses every ballot below this one.
+
+    `accepted` and `proposal` are what it has accepted before, if anything.
+    """
 
     sender: Voter
     epoch: int
@@ -161,7 +203,7 @@
 @record(40)
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """The voter has promised a higher ballot."""
+    """The acceptor has promised a higher ballot."""
 
     sender: Voter
     epoch: int
@@ -172,7 +214,7 @@
 @record(41)
 @dataclass(frozen=True, slots=True)
 class Accept:
-    """Phase 2: the proposed view."""
+    """Phase 2a: the proposed view."""
 
     sender: Voter
     ballot: Ballot
@@ -182,7 +224,7 @@
 @record(42)
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The voter has accepted the ballot's proposal."""
+    """Phase 2b: the acceptor has accepted the ballot's proposal."""
 
     sender: Voter
     epoch: int
@@ -203,7 +245,7 @@
 class Sync:
     """The whole state with which the epoch begins, from predecessor to successor.
 
-    It names the view, so that a successor that has not heard of the decision yet follows it at
+    It carries the view, so that a successor that has not received the decision yet enters it at
     once.
     """
 
@@ -220,15 +262,16 @@
 @record(45)
 @dataclass(frozen=True, slots=True)
 class Write:
-    """One change, from predecessor to successor. `refused`: the order is only noted as refused for
-    good.
+    """One change, from predecessor to successor.
+
+    `refused`: the change is only recorded as refused permanently.
     """
 
     sender: Voter
     epoch: int
     sequence: int
     refused: bool
-    order: ConfigurationChange
+    change: ConfigurationChange
 
 
 @record(46)
@@ -244,7 +287,7 @@
 @record(47)
 @dataclass(frozen=True, slots=True)
 class ConfirmRequest:
-    """The tail's question: has the voter accepted, or heard of, a view after `epoch`?"""
+    """The tail's request: has the voter accepted, or learned of, a view after `epoch`?"""
 
     sender: Voter
     epoch: int
@@ -254,39 +297,40 @@
 @record(48)
 @dataclass(frozen=True, slots=True)
 class ConfirmReply:
-    """`newest`: the voter has accepted nothing and heard of nothing after `epoch`."""
+    """`is_newest`: the voter has accepted nothing and learned of nothing after `epoch`."""
 
     sender: Voter
     epoch: int
     round: int
-    newest: bool
+    is_newest: bool
 
 
 class OutcomeKind(IntEnum):
-    """How an order ended."""
+    """How a submitted change ended."""
 
-    ACCEPTED = 1
+    COMMITTED = 1
     CONFLICT = 2
-    NOT_NEWER = 3
-    UNSETTLED = 4
+    STALE_GENERATION = 3
+    UNKNOWN = 4
 
 
 @record(49)
 @dataclass(frozen=True, slots=True)
 class SubmitRequest:
-    """An order for the head of the epoch's chain, from the member that the operator called."""
+    """A change for the head of the epoch's chain, from the member that the operator called."""
 
     sender: Voter
     epoch: int
     number: int
-    order: ConfigurationChange
+    change: ConfigurationChange
 
 
 @record(50)
 @dataclass(frozen=True, slots=True)
 class SubmitReply:
-    """How the order ended. `value`: the sequence of the write, or the generation that is
-    current.
+    """How the change of that number ended.
+
+    `value`: the sequence of its write when committed, else the current generation.
     """
 
     number: int
@@ -297,22 +341,44 @@
 @record(51)
 @dataclass(frozen=True, slots=True)
 class ReadRequest:
-    """A question for the tail's confirmed state. `known`: the sequence whose document the asker
-    holds.
+    """A request for the tail's confirmed state.
+
+    `known_sequence`: the sequence whose document the requester has already; -1 for none.
     """
 
     sender: Voter
     number: int
-    known: int
+    known_sequence: int
 
 
 @record(52)
 @dataclass(frozen=True, slots=True)
 class ReadReply:
-    """The confirmed state; `document` is None when the asker holds it."""
+    """The confirmed state; `document` is None when the requester has it already."""
 
     number: int
     epoch: int
     sequence: int
     generation: int
     document: bytes | None
+
+
+ChainMessage = (
+    Heartbeat
+    | Prepare
+    | Promise
+    | Refusal
+    | Accept
+    | Accepted
+    | Decided
+    | Sync
+    | Write
+    | Ack
+    | ConfirmRequest
+    | ConfirmReply
+    | SubmitRequest
+    | SubmitReply
+    | ReadRequest
+    | ReadReply
+)
+"""Every message that one core member sends to another."""
--- a/roselink/simulation/days.py
+++ b/roselink/simulation/days.py
@@ -361,7 +361,7 @@
     world.run(world.random.uniform(0.2, 2.0))
     if hurt.member is not None:
         hurt.perform(hurt.member.leave(world.now))
-    world.run_until(lambda: hurt.member is None or hurt.member.left, 1.5)
+    world.run_until(lambda: hurt.member is None or hurt.member.has_left, 1.5)
     hurt.kill()
     del world.machines[hurt.address]
 
--- a/roselink/simulation/system.py
+++ b/roselink/simulation/system.py
@@ -158,7 +158,7 @@
         """A member proposes what it would if one of the others were silent."""
         machine = _opened(self.machines[address])
         member = machine.member
-        if member.view is None or not member.voting.entitled:
+        if member.view is None or not member.acceptor.is_voter:
             return
         others = {
             each: _opened(packed).member
@@ -166,10 +166,10 @@
             if each != without
         }
         others[address] = member
-        wanted = plan(member.view, _picture(others), member.proposer.rules)
+        wanted = plan(member.view, _picture(others), member.proposer.policy)
         if wanted is not None:
-            member.proposer.propose(member.voting, member.view, wanted, NOW)
-            self._perform(address, machine, member.take_effects(NOW))
+            member.proposer.propose(member.acceptor, member.view, wanted, NOW)
+            self._perform(address, machine, member.collect_effects(NOW))
 
     def send_again(self, address: str) -> None:
         """A member sends what had no answer."""
@@ -177,8 +177,8 @@
         member = machine.member
         member.chain.resend(LATER)
         if member.view is not None:
-            member.calls.view_changed(member.view, NOW)
-        self._perform(address, machine, member.take_effects(NOW))
+            member.pending_calls.view_changed(member.view, NOW)
+        self._perform(address, machine, member.collect_effects(NOW))
 
     def submit(self, address: str, order: ConfigurationChange) -> None:
         """A caller sends an order to a member."""
@@ -294,7 +294,7 @@
         live=True,
         steady=True,
         since_heartbeat_s=0.0,
-        heard=heard,
+        reachable=heard,
     )
 
 
@@ -344,13 +344,13 @@
         return frozenset(value)
     if kind is Member:
         parts = (
-            value.voting,
-            value.ballots,
+            value.acceptor,
+            value.reply_gate,
             value.chain,
             value.proposer,
             value.reads,
-            value.orders,
-            value.calls,
+            value.sequencer,
+            value.pending_calls,
         )
         return tuple([_frozen(part) for part in parts])
     if is_dataclass(value):
--- a/roselink/simulation/world.py
+++ b/roselink/simulation/world.py
@@ -106,7 +106,7 @@
             tolerated=self.world.tolerated,
             session=draw.getrandbits(60) + 1,
             fresh_incarnation=draw.getrandbits(60) + 1,
-            votes=votes,
+            acceptor_state=votes,
             state=state,
         )
         self.member = Member(start, self.world.now)
--- a/tests/controller/test_updates.py
+++ b/tests/controller/test_updates.py
@@ -262,13 +262,13 @@
     def submit(self, order: ConfigurationChange, done: Any) -> None:
         verdict = validate(self.state, order)
         outcome: SubmitOutcome = Conflict(verdict.value)
-        if verdict.kind in (ValidationKind.APPEND, ValidationKind.TAKEN):
+        if verdict.kind in (ValidationKind.APPEND, ValidationKind.COMMITTED):
             outcome = ChangeCommitted(verdict.value)
-        if verdict.kind is ValidationKind.WITHOUT_DOCUMENT:
+        if verdict.kind is ValidationKind.DOCUMENT_MISSING:
             outcome = OutcomeUnknown()
-        if verdict.kind in (ValidationKind.APPEND, ValidationKind.REFUSE_FOR_GOOD):
+        if verdict.kind in (ValidationKind.APPEND, ValidationKind.REFUSE_PERMANENTLY):
             self.state = apply_change(
-                self.state, order, refused=verdict.kind is ValidationKind.REFUSE_FOR_GOOD
+                self.state, order, refused=verdict.kind is ValidationKind.REFUSE_PERMANENTLY
             )
         done(outcome)
 
--- a/tests/coordination/test_chain.py
+++ b/tests/coordination/test_chain.py
@@ -45,7 +45,7 @@
         self.effects: list[Effect] = []
         self.member = ChainMember(voter, session, self.effects.append)
         self.member.restore(stored or StoredState(2, STATE))
-        self.member.enter(VIEW, False, 0.0)
+        self.member.enter(VIEW, 0.0, is_fresh=False)
 
     def out(self) -> list[Effect]:
         effects = list(self.effects)
@@ -79,9 +79,9 @@
 def test_the_head_saves_what_it_had_not_saved_before_it_pushes() -> None:
     stage = Stage(A)
     stage.member.on_ack(Ack(B, 3, 1))
-    stage.member.append(SECOND, False)
+    stage.member.append(SECOND, refused=False)
     stage.out()
-    stage.member.enter(replace(VIEW, epoch=4), False, 0.0)
+    stage.member.enter(replace(VIEW, epoch=4), 0.0, is_fresh=False)
     assert stage.sent() == []
     newest = apply_change(STATE, SECOND, refused=False)
     stage.member.on_persisted(0.0)
@@ -192,7 +192,7 @@
     stage.out()
     stage.member.on_persist_failed()
     assert stage.out() == []
-    stage.member.retry()
+    stage.member.retry_save()
     assert [type(effect) for effect in stage.out()] == [Persist]
     stage.member.on_persisted(0.0)
     assert stage.sent() == [("c", Write(B, 3, 2, False, SECOND))]
@@ -202,7 +202,7 @@
     stage = middle()
     stage.member.on_write(WRITE)
     stage.out()
-    stage.member.enter(replace(VIEW, epoch=4), False, 0.0)
+    stage.member.enter(replace(VIEW, epoch=4), 0.0, is_fresh=False)
     assert stage.saved() == []
     stage.member.on_sync(sync(A, 4, STATE), 0.0)
     assert stage.saved() == [("c", sync(B, 4, STATE))]
@@ -216,7 +216,7 @@
     head.member.resend(0.5)
     assert head.sent() == [("b", sync(A, 3, STATE))]
     head.member.on_ack(Ack(B, 3, 1))
-    head.member.append(SECOND, False)
+    head.member.append(SECOND, refused=False)
     head.saved()
     head.member.resend(0.6)
     assert head.sent() == [("b", Write(A, 3, 2, False, SECOND))]
@@ -227,4 +227,4 @@
 
 def test_only_the_head_of_an_active_view_appends() -> None:
     with pytest.raises(AssertionError):
-        Stage(A).member.append(SECOND, False)
+        Stage(A).member.append(SECOND, refused=False)
--- a/tests/coordination/test_docs.py
+++ b/tests/coordination/test_docs.py
@@ -15,7 +15,7 @@
 ROOT = Path(__file__).parent.parent.parent
 PAGE = ROOT / "docs" / "coordination.md"
 ALLOWED = {
-    "coordination": {"coordination", "protocol"},
+    "coordination": {"coordination", "protocol", "exceptions"},
     "model": {"model"},
     "protocol": {"protocol", "model"},
 }
--- a/tests/coordination/test_member.py
+++ b/tests/coordination/test_member.py
@@ -8,6 +8,7 @@
 
 import pytest
 
+from roselink.coordination.disk_health import DiskHealth
 from roselink.coordination.effects import (
     Effect,
     OutcomeUnknown,
@@ -18,7 +19,7 @@
     SubmitDone,
 )
 from roselink.coordination.member import Member, Start
-from roselink.coordination.peering import DiskHealth, PeerTable
+from roselink.coordination.peer_table import PeerTable
 from roselink.coordination.state import EMPTY, apply_change, digest_of
 from roselink.coordination.views import first_view
 from roselink.protocol.chain import (
@@ -27,6 +28,7 @@
     AcceptorState,
     Ack,
     Ballot,
+    ChainMessage,
     ChainReplica,
     ConfigurationChange,
     ConfirmReply,
@@ -49,7 +51,7 @@
 STATE = StoredState(1, apply_change(EMPTY, ORDER, refused=False))
 FRESH = Start("b:1", SEEDS, True, 1, 40, 50, None, None)
 STORED = replace(
-    FRESH, bootstrap=False, votes=AcceptorState(B, VIEW, None, None, None), state=STATE
+    FRESH, bootstrap=False, acceptor_state=AcceptorState(B, VIEW, None, None, None), state=STATE
 )
 BALLOT = Ballot(1, "a:1", 9)
 NEXT = View(2, VIEW.voters, tuple(ChainReplica(voter, 1, 40) for voter in (B, C)))
@@ -60,13 +62,13 @@
         self.member = Member(start, 0.0)
         self.out: list[Effect] = self.member.begin(0.0)
 
-    def give(self, message: object, now: float = 0.0) -> list[object]:
+    def give(self, message: ChainMessage, now: float = 0.0) -> list[ChainMessage]:
         self.out += self.member.receive(message, now)
         return self.sent()
 
-    def sent(self) -> list[object]:
+    def sent(self) -> list[ChainMessage]:
         """What was sent, save heartbeats; saves stay waiting."""
-        sent = [
+        sent: list[ChainMessage] = [
             e.message
             for e in self.out
             if isinstance(e, Send) and not isinstance(e.message, Heartbeat)
@@ -108,7 +110,7 @@
         (replace(FRESH, address="d:1"), Voter("d:1", 50), 0),
         (replace(FRESH, bootstrap=False), Voter("b:1", 50), 0),
         (replace(STORED, state=None), Voter("b:1", 50), 0),
-        (replace(STORED, votes=None), Voter("b:1", 50), 0),
+        (replace(STORED, acceptor_state=None), Voter("b:1", 50), 0),
         (STORED, Voter("b:1", 0), 1),
         (replace(STORED, bootstrap=True), Voter("b:1", 0), 1),
     ],
@@ -146,7 +148,7 @@
     saved = decode(33, stage.save().payload)
     assert (saved.accepted, saved.proposal) == (BALLOT, NEXT)
     assert stage.sent() == [Accepted(B, 2, BALLOT)]
-    again = Stage(replace(STORED, votes=saved))
+    again = Stage(replace(STORED, acceptor_state=saved))
     assert again.give(ConfirmRequest(C, 1, 4)) == [ConfirmReply(B, 1, 4, False)]
 
 
@@ -154,10 +156,10 @@
     stage = Stage(STORED)
     stage.give(Prepare(A, 2, BALLOT))
     stage.out = stage.member.persist_failed(Store.ACCEPTOR, 0.0)
-    assert stage.out == [] and not stage.member.disk_fit
+    assert stage.out == [] and not stage.member.disk_is_healthy
     stage.out = stage.member.tick(0.25)
     assert stage.save(0.26).store is Store.ACCEPTOR
-    assert stage.member.disk_fit
+    assert stage.member.disk_is_healthy
     assert stage.sent() == [Promise(B, 2, BALLOT, None, None)]
 
 
@@ -213,7 +215,7 @@
         ([(0.0, beat(A))], 0.1, True, False),
         ([(0.0, beat(A)), (0.3, beat(A))], 0.35, True, True),
         ([(0.0, beat(A)), (0.3, beat(A))], 0.8, False, True),
-        ([(0.0, beat(A, heard=("c:1",)))], 0.1, False, False),
+        ([(0.0, beat(A, reachable=("c:1",)))], 0.1, False, False),
         ([(0.0, beat(A)), (0.2, beat(A, disk_ok=False)), (0.3, beat(A))], 0.4, True, False),
         ([(0.0, beat(A)), (1.0, beat(A))], 1.1, True, False),
         ([(0.0, beat(A)), (0.3, beat(A, session=4))], 0.4, True, False),
@@ -222,24 +224,24 @@
 def test_peers(beats: list[tuple[float, Heartbeat]], now: float, live: bool, steady: bool) -> None:
     peers = PeerTable(B)
     for at, heartbeat in beats:
-        peers.hear(heartbeat, at)
-    own = Stage(STORED).member.presence.own(None, now)
-    seen = peers.picture(now, own, ())["a:1"]
+        peers.on_heartbeat(heartbeat, at)
+    own = Stage(STORED).member.heartbeats.own_status(None, now)
+    seen = peers.snapshot(now, own, ())["a:1"]
     assert (seen.live, seen.steady) == (live, steady)
 
 
 def test_own_sleep_is_no_silence_of_others() -> None:
     peers = PeerTable(B)
-    peers.hear(beat(A), 0.0)
-    assert peers.heard(5.0) == ()
-    peers.skip(4.9, 5.0)
-    assert peers.heard(5.0) == ("a:1",)
-    peers.skip(4.9, 5.1)
-    assert peers.heard(5.6) == ()
+    peers.on_heartbeat(beat(A), 0.0)
+    assert peers.reachable(5.0) == ()
+    peers.discount_pause(4.9, 5.0)
+    assert peers.reachable(5.0) == ("a:1",)
+    peers.discount_pause(4.9, 5.1)
+    assert peers.reachable(5.6) == ()
 
 
 @pytest.mark.parametrize(
-    ("size", "seconds", "fit"),
+    ("size", "seconds", "healthy"),
     [
         (0, 0.29, True),
         (0, 0.31, False),
@@ -248,16 +250,16 @@
         (16_000_000, 1.05, True),
     ],
 )
-def test_a_large_save_may_take_longer(size: int, seconds: float, fit: bool) -> None:
+def test_a_large_save_may_take_longer(size: int, seconds: float, healthy: bool) -> None:
     disk = DiskHealth()
-    disk.began(0.0, size)
-    assert disk.check(seconds) is fit
-    disk.ended(seconds, True)
-    assert disk.fit is fit
+    disk.save_requested(0.0, size)
+    assert disk.check(seconds) is healthy
+    disk.save_ended(seconds, succeeded=True)
+    assert disk.healthy is healthy
 
 
 @pytest.mark.parametrize(
-    ("saves", "now", "fit"),
+    ("saves", "now", "healthy"),
     [
         ([(0.0, 0.02, True)], 0.1, True),
         ([(0.0, 0.5, True)], 0.6, False),
@@ -269,10 +271,12 @@
         ([(0.0, 0.5, True), (0.6, 0.65, True)], 0.9, True),
     ],
 )
-def test_disk_health(saves: list[tuple[float, float | None, bool]], now: float, fit: bool) -> None:
+def test_disk_health(
+    saves: list[tuple[float, float | None, bool]], now: float, healthy: bool
+) -> None:
     disk = DiskHealth()
-    for began, ended, well in saves:
-        disk.began(began, 0)
+    for began, ended, succeeded in saves:
+        disk.save_requested(began, 0)
         if ended is not None:
-            disk.ended(ended, well)
-    assert disk.check(now) is fit
+            disk.save_ended(ended, succeeded=succeeded)
+    assert disk.check(now) is healthy
--- a/tests/coordination/test_orders.py
+++ b/tests/coordination/test_orders.py
@@ -10,8 +10,9 @@
 from roselink.coordination import state as state_module
 from roselink.coordination.chain import ChainMember
 from roselink.coordination.effects import Confirmation, Effect, ReadDone, Send
-from roselink.coordination.orders import ChangeSequencer, PendingCalls
+from roselink.coordination.pending_calls import PendingCalls
 from roselink.coordination.reads import ReadRounds, WaitingRead
+from roselink.coordination.sequencer import ChangeSequencer
 from roselink.coordination.state import (
     EMPTY,
     HISTORY_LIMIT,
@@ -62,20 +63,20 @@
     ("state", "asked", "expected"),
     [
         (EMPTY, FIRST, Validation(ValidationKind.APPEND, 1)),
-        (EMPTY, order(0, 0), Validation(ValidationKind.NOT_NEWER, 0)),
-        (HELD, FIRST, Validation(ValidationKind.TAKEN, 1)),
-        (LATER, FIRST, Validation(ValidationKind.TAKEN, 1)),
+        (EMPTY, order(0, 0), Validation(ValidationKind.STALE_GENERATION, 0)),
+        (HELD, FIRST, Validation(ValidationKind.COMMITTED, 1)),
+        (LATER, FIRST, Validation(ValidationKind.COMMITTED, 1)),
         (HELD, order(5, 9), Validation(ValidationKind.APPEND, 3)),
         (HELD, order(0, 9), Validation(ValidationKind.CONFLICT, 5)),
-        (HELD, order(5, 5), Validation(ValidationKind.NOT_NEWER, 5)),
-        (HELD, order(9, 3), Validation(ValidationKind.NOT_NEWER, 5)),
-        (HELD, order(9, 13), Validation(ValidationKind.REFUSE_FOR_GOOD, 5)),
+        (HELD, order(5, 5), Validation(ValidationKind.STALE_GENERATION, 5)),
+        (HELD, order(9, 3), Validation(ValidationKind.STALE_GENERATION, 5)),
+        (HELD, order(9, 13), Validation(ValidationKind.REFUSE_PERMANENTLY, 5)),
         (HELD, EARLY, Validation(ValidationKind.CONFLICT, 5)),
         (LATER, EARLY, Validation(ValidationKind.CONFLICT, 9)),
-        (HELD, without_document(5, 9), Validation(ValidationKind.WITHOUT_DOCUMENT, 5)),
+        (HELD, without_document(5, 9), Validation(ValidationKind.DOCUMENT_MISSING, 5)),
         (HELD, without_document(0, 9), Validation(ValidationKind.CONFLICT, 5)),
-        (HELD, without_document(9, 13), Validation(ValidationKind.REFUSE_FOR_GOOD, 5)),
-        (HELD, replace(FIRST, document=b""), Validation(ValidationKind.TAKEN, 1)),
+        (HELD, without_document(9, 13), Validation(ValidationKind.REFUSE_PERMANENTLY, 5)),
+        (HELD, replace(FIRST, document=b""), Validation(ValidationKind.COMMITTED, 1)),
     ],
 )
 def test_judge(state: ConfigurationState, asked: ConfigurationChange, expected: Validation) -> None:
@@ -111,15 +112,15 @@
         self.effects: list[Effect] = []
         self.chain = ChainMember(A, 7, self.effects.append)
         self.chain.restore(StoredState(2, HELD))
-        self.orders = ChangeSequencer(self.chain, self.effects.append)
-        self.chain.enter(VIEW, False, 0.0)
+        self.sequencer = ChangeSequencer(self.chain, self.effects.append)
+        self.chain.enter(VIEW, 0.0, is_fresh=False)
 
     def activate(self) -> None:
         self.chain.on_ack(Ack(B, 3, self.chain.applied.sequence))
-        self.orders.settle()
+        self.sequencer.on_committed()
 
     def ask(self, asked: ConfigurationChange, number: int = 1) -> list[SubmitReply]:
-        self.orders.take(SubmitRequest(C, 3, number, asked))
+        self.sequencer.submit(SubmitRequest(C, 3, number, asked))
         return self.replies()
 
     def replies(self) -> list[SubmitReply]:
@@ -131,7 +132,7 @@
 
     def committed(self, sequence: int) -> list[SubmitReply]:
         self.chain.on_ack(Ack(B, 3, sequence))
-        self.orders.settle()
+        self.sequencer.on_committed()
         return self.replies()
 
 
@@ -139,7 +140,7 @@
     head = Head()
     assert head.ask(FIRST) == head.ask(FIRST) == []
     head.activate()
-    assert head.replies() == [SubmitReply(1, OutcomeKind.ACCEPTED, 1)]
+    assert head.replies() == [SubmitReply(1, OutcomeKind.COMMITTED, 1)]
 
 
 def test_an_answer_waits_for_what_it_rests_on() -> None:
@@ -151,11 +152,11 @@
     assert head.ask(order(9, 20), 4) == []
     assert head.ask(order(9, 20), 4) == []
     assert head.committed(3) == [
-        SubmitReply(1, OutcomeKind.ACCEPTED, 3),
-        SubmitReply(2, OutcomeKind.ACCEPTED, 3),
-        SubmitReply(3, OutcomeKind.NOT_NEWER, 9),
+        SubmitReply(1, OutcomeKind.COMMITTED, 3),
+        SubmitReply(2, OutcomeKind.COMMITTED, 3),
+        SubmitReply(3, OutcomeKind.STALE_GENERATION, 9),
     ]
-    assert head.committed(4) == [SubmitReply(4, OutcomeKind.ACCEPTED, 4)]
+    assert head.committed(4) == [SubmitReply(4, OutcomeKind.COMMITTED, 4)]
     assert head.ask(order(5, 30, "late"), 5) == [SubmitReply(5, OutcomeKind.CONFLICT, 20)]
 
 
@@ -170,7 +171,7 @@
     head = Head()
     head.activate()
     head.ask(order(5, 9))
-    head.orders.drop()
+    head.sequencer.drop()
     assert head.committed(3) == []
 
 
@@ -181,7 +182,7 @@
         self.view = first_view("abc")
 
     def ask(self, number: int) -> None:
-        self.reads.ask(WaitingRead("c", number, -1), self.view, True, 0.0)
+        self.reads.request(WaitingRead("c", number, -1), self.view, 0.0, is_active=True)
 
     def asked(self) -> list[int]:
         effects = list(self.effects)
@@ -194,7 +195,7 @@
 
     def answer(self, voter: Voter, number: int, newest: bool = True, epoch: int = 1) -> list[int]:
         return [
-            read.number for read in self.reads.answer(ConfirmReply(voter, epoch, number, newest))
+            read.number for read in self.reads.on_reply(ConfirmReply(voter, epoch, number, newest))
         ]
 
 
@@ -234,15 +235,15 @@
     calls = PendingCalls(B, effects.append)
     view = first_view("abc")
     calls.read(1, view, 0.0)
-    calls.confirmed(ReadReply(1, 1, 4, 5, b"four"))
+    calls.on_read_reply(ReadReply(1, 1, 4, 5, b"four"))
     calls.read(2, view, 0.1)
     calls.read(3, view, 0.1)
-    calls.confirmed(ReadReply(3, 1, 6, 7, b"six"))
+    calls.on_read_reply(ReadReply(3, 1, 6, 7, b"six"))
     effects.clear()
-    calls.confirmed(ReadReply(2, 1, 4, 5, None))
+    calls.on_read_reply(ReadReply(2, 1, 4, 5, None))
     assert effects == []
     calls.proceed(view, 0.5)
     assert [e.message for e in effects if isinstance(e, Send)] == [ReadRequest(B, 2, 6)]
     effects.clear()
-    calls.confirmed(ReadReply(2, 1, 6, 7, None))
+    calls.on_read_reply(ReadReply(2, 1, 6, 7, None))
     assert effects == [ReadDone(2, Confirmation(1, 6, b"six", 7))]
--- a/tests/coordination/test_views.py
+++ b/tests/coordination/test_views.py
@@ -10,7 +10,7 @@
     PeerStatus,
     ViewPolicy,
     first_view,
-    intact,
+    is_intact,
     majority,
     plan,
     waits_for_joiners,
@@ -33,7 +33,7 @@
         live=True,
         steady=True,
         since_heartbeat_s=0.0,
-        heard=ALL - {name},
+        reachable=ALL - {name},
     )
     return replace(well, **changes)  # type: ignore[arg-type]
 
@@ -46,19 +46,19 @@
     return peer(name, voter=Voter(name, 77), epoch=0, state_epoch=0, participating=False, **changes)
 
 
-def picture(*peers: PeerStatus) -> dict[str, PeerStatus]:
+def snapshot(*peers: PeerStatus) -> dict[str, PeerStatus]:
     return {each.voter.address: each for each in peers}
 
 
 def planned(view: View, tolerated: int, *peers: PeerStatus) -> tuple[str, str] | None:
     """Voters and chain of the plan, as names."""
-    proposal = plan(view, picture(*peers), ViewPolicy(tolerated))
+    proposal = plan(view, snapshot(*peers), ViewPolicy(tolerated))
     if proposal is None:
         return None
     assert proposal.epoch == view.epoch + 1
-    assert {link.voter for link in proposal.chain} <= set(proposal.voters)
+    assert {replica.voter for replica in proposal.chain} <= set(proposal.voters)
     voters = "".join(voter.address for voter in proposal.voters)
-    return voters, "".join(link.voter.address for link in proposal.chain)
+    return voters, "".join(replica.voter.address for replica in proposal.chain)
 
 
 def unsteady(name: str) -> PeerStatus:
@@ -95,8 +95,8 @@
         (Voter("a", 0), Voter("b", 0)),
         tuple(ChainReplica(Voter(name, 0), 1, 1) for name in "ab"),
     )
-    proposal = plan(pair, picture(*peers), ViewPolicy(0))
-    assert waits is (proposal is not None and waits_for_joiners(pair, proposal, picture(*peers)))
+    proposal = plan(pair, snapshot(*peers), ViewPolicy(0))
+    assert waits is (proposal is not None and waits_for_joiners(pair, proposal, snapshot(*peers)))
 
 
 THREE = first_view("abc")
@@ -169,7 +169,7 @@
         pytest.param(
             THREE,
             1,
-            (peer("a", heard=frozenset("c")), peer("b", heard=frozenset("c")), peer("c")),
+            (peer("a", reachable=frozenset("c")), peer("b", reachable=frozenset("c")), peer("c")),
             ("abc", "ac"),
             id="two that don't hear each other",
         ),
@@ -230,7 +230,7 @@
             1,
             (gone("a"), peer("b", state_epoch=0), peer("c", epoch=4)),
             None,
-            id="none intact: wait",
+            id="none is_intact: wait",
         ),
     ],
 )
@@ -287,24 +287,26 @@
 def test_a_young_view_waits_for_who_takes_the_state_over(
     tolerated: int, peers: tuple[PeerStatus, ...], expected: tuple[str, str] | None
 ) -> None:
-    """Else the loss of the one intact member would leave a chain that nobody can head."""
-    proposal = plan(GROWN, picture(*peers), ViewPolicy(tolerated), settling=True)
-    later = plan(GROWN, picture(*peers), ViewPolicy(tolerated), settling=False)
+    """Else the loss of the one is_intact member would leave a chain that nobody can head."""
+    proposal = plan(GROWN, snapshot(*peers), ViewPolicy(tolerated), is_young=True)
+    later = plan(GROWN, snapshot(*peers), ViewPolicy(tolerated), is_young=False)
     assert later is not None
     if expected is None:
         assert proposal is None
         return
     assert proposal == later
     assert "".join(voter.address for voter in proposal.voters) == expected[0]
-    assert "".join(link.voter.address for link in proposal.chain) == expected[1]
+    assert "".join(replica.voter.address for replica in proposal.chain) == expected[1]
 
 
 def test_since_is_kept_by_those_who_stay_and_new_for_the_others() -> None:
     proposal = plan(
-        SHORT, picture(*AB, peer("c", epoch=4, participating=False, session=9)), ViewPolicy(1)
+        SHORT, snapshot(*AB, peer("c", epoch=4, participating=False, session=9)), ViewPolicy(1)
     )
     assert proposal is not None
-    assert {link.voter.address: (link.since, link.session) for link in proposal.chain} == {
+    assert {
+        replica.voter.address: (replica.since, replica.session) for replica in proposal.chain
+    } == {
         "a": (1, 1),
         "b": (1, 1),
         "c": (5, 9),
@@ -318,15 +320,15 @@
 def test_intact(since: int, state_epoch: int, expected: bool) -> None:
     voter = Voter("a", 0)
     view = View(5, (voter,), (ChainReplica(voter, since, 1),))
-    assert intact(view, peer("a", state_epoch=state_epoch)) is expected
-    assert not intact(view, joiner("a", heard=ALL))
-    assert not intact(view, peer("b"))
+    assert is_intact(view, peer("a", state_epoch=state_epoch)) is expected
+    assert not is_intact(view, joiner("a", reachable=ALL))
+    assert not is_intact(view, peer("b"))
 
 
 def test_a_view_that_never_became_active_leaves_the_old_members_able_to_lead() -> None:
-    second = plan(THREE, picture(peer("a"), peer("b"), gone("c")), ViewPolicy(1))
+    second = plan(THREE, snapshot(peer("a"), peer("b"), gone("c")), ViewPolicy(1))
     assert second is not None
-    third = plan(second, picture(gone("a"), peer("b", epoch=2), peer("c", epoch=2)), ViewPolicy(1))
+    third = plan(second, snapshot(gone("a"), peer("b", epoch=2), peer("c", epoch=2)), ViewPolicy(1))
     assert third is not None
     assert third.chain[0].voter.address == "b"
 
--- a/tests/coordination/test_votes.py
+++ b/tests/coordination/test_votes.py
@@ -6,8 +6,9 @@
 
 import pytest
 
+from roselink.coordination.acceptor import Acceptor
+from roselink.coordination.proposal_round import ProposalRound
 from roselink.coordination.views import first_view
-from roselink.coordination.votes import Acceptor, ProposalRound
 from roselink.protocol.chain import (
     Accept,
     Accepted,
@@ -27,7 +28,7 @@
 ONE, TWO = View(2, VIEW.voters, VIEW.chain[:2]), View(2, VIEW.voters, VIEW.chain[1:])
 
 
-def voting(**changes: object) -> Acceptor:
+def acceptor(**changes: object) -> Acceptor:
     own = Acceptor(C, VIEW)
     for name, value in changes.items():
         setattr(own, name, value)
@@ -37,19 +38,19 @@
 @pytest.mark.parametrize(
     ("own", "asked", "expected"),
     [
-        (voting(), Prepare(A, 2, LOW), Promise(C, 2, LOW, None, None)),
-        (voting(promised=HIGH), Prepare(A, 2, LOW), Refusal(C, 2, LOW, HIGH)),
-        (voting(promised=LOW), Prepare(A, 2, LOW), Promise(C, 2, LOW, None, None)),
+        (acceptor(), Prepare(A, 2, LOW), Promise(C, 2, LOW, None, None)),
+        (acceptor(promised=HIGH), Prepare(A, 2, LOW), Refusal(C, 2, LOW, HIGH)),
+        (acceptor(promised=LOW), Prepare(A, 2, LOW), Promise(C, 2, LOW, None, None)),
         (
-            voting(promised=LOW, accepted=LOW, proposal=ONE),
+            acceptor(promised=LOW, accepted=LOW, proposal=ONE),
             Prepare(B, 2, HIGH),
             Promise(C, 2, HIGH, LOW, ONE),
         ),
-        (voting(), Prepare(A, 3, LOW), None),
-        (voting(), Prepare(A, 1, LOW), None),
-        (voting(voter=OUTSIDER), Prepare(A, 2, LOW), None),
-        (voting(voter=Voter("c", 8)), Prepare(A, 2, LOW), None),
-        (voting(view=None), Prepare(A, 1, LOW), None),
+        (acceptor(), Prepare(A, 3, LOW), None),
+        (acceptor(), Prepare(A, 1, LOW), None),
+        (acceptor(voter=OUTSIDER), Prepare(A, 2, LOW), None),
+        (acceptor(voter=Voter("c", 8)), Prepare(A, 2, LOW), None),
+        (acceptor(view=None), Prepare(A, 1, LOW), None),
     ],
 )
 def test_phase_one(own: Acceptor, asked: Prepare, expected: object) -> None:
@@ -59,12 +60,12 @@
 @pytest.mark.parametrize(
     ("own", "asked", "expected"),
     [
-        (voting(), Accept(A, LOW, ONE), Accepted(C, 2, LOW)),
-        (voting(promised=LOW), Accept(A, LOW, ONE), Accepted(C, 2, LOW)),
-        (voting(promised=HIGH), Accept(A, LOW, ONE), Refusal(C, 2, LOW, HIGH)),
-        (voting(promised=LOW), Accept(B, HIGH, TWO), Accepted(C, 2, HIGH)),
-        (voting(voter=OUTSIDER), Accept(A, LOW, ONE), None),
-        (voting(view=ONE), Accept(A, LOW, ONE), None),
+        (acceptor(), Accept(A, LOW, ONE), Accepted(C, 2, LOW)),
+        (acceptor(promised=LOW), Accept(A, LOW, ONE), Accepted(C, 2, LOW)),
+        (acceptor(promised=HIGH), Accept(A, LOW, ONE), Refusal(C, 2, LOW, HIGH)),
+        (acceptor(promised=LOW), Accept(B, HIGH, TWO), Accepted(C, 2, HIGH)),
+        (acceptor(voter=OUTSIDER), Accept(A, LOW, ONE), None),
+        (acceptor(view=ONE), Accept(A, LOW, ONE), None),
     ],
 )
 def test_phase_two(own: Acceptor, asked: Accept, expected: object) -> None:
@@ -74,21 +75,21 @@
 @pytest.mark.parametrize(
     ("own", "epoch", "expected"),
     [
-        (voting(), 1, True),
-        (voting(promised=HIGH), 1, True),
-        (voting(accepted=LOW, proposal=ONE), 1, False),
-        (voting(), 2, False),
-        (voting(view=ONE), 1, False),
-        (voting(view=ONE), 2, True),
-        (voting(voter=OUTSIDER), 1, False),
+        (acceptor(), 1, True),
+        (acceptor(promised=HIGH), 1, True),
+        (acceptor(accepted=LOW, proposal=ONE), 1, False),
+        (acceptor(), 2, False),
+        (acceptor(view=ONE), 1, False),
+        (acceptor(view=ONE), 2, True),
+        (acceptor(voter=OUTSIDER), 1, False),
     ],
 )
 def test_newest(own: Acceptor, epoch: int, expected: bool) -> None:
-    assert own.newest(epoch) is expected
+    assert own.is_newest(epoch) is expected
 
 
 def test_each_change_has_a_version_and_an_answer_given_again_has_none() -> None:
-    own = voting()
+    own = acceptor()
     versions = [own.version]
     for step in (Prepare(A, 2, LOW), Prepare(A, 2, LOW), Accept(A, LOW, ONE), Accept(A, LOW, ONE)):
         _ = own.prepare(step) if isinstance(step, Prepare) else own.accept(step)
@@ -97,22 +98,22 @@
 
 
 def test_a_new_view_clears_the_votes_and_an_old_one_is_passed_over() -> None:
-    own = voting(promised=HIGH, accepted=LOW, proposal=ONE)
-    assert own.adopt(ONE)
-    assert own.record() == AcceptorState(C, ONE, None, None, None)
-    assert not own.adopt(TWO)
+    own = acceptor(promised=HIGH, accepted=LOW, proposal=ONE)
+    assert own.enter(ONE)
+    assert own.to_record() == AcceptorState(C, ONE, None, None, None)
+    assert not own.enter(TWO)
     assert own.view == ONE
 
 
 def test_an_attempt_takes_up_what_may_be_decided() -> None:
     attempt = ProposalRound(VIEW, Ballot(9, "a", 5), ONE, 0.0)
-    assert attempt.unanswered() == [A, B, C]
-    assert not attempt.promise(Promise(A, 2, attempt.ballot, None, None))
-    assert attempt.unanswered() == [B, C]
-    assert attempt.promise(Promise(C, 2, attempt.ballot, HIGH, TWO))
-    assert attempt.value == TWO and attempt.unanswered() == [A, B, C]
-    assert attempt.accepted(Accepted(A, 2, attempt.ballot)) is None
-    assert attempt.unanswered() == [B, C]
+    assert attempt.pending_voters() == [A, B, C]
+    assert not attempt.on_promise(Promise(A, 2, attempt.ballot, None, None))
+    assert attempt.pending_voters() == [B, C]
+    assert attempt.on_promise(Promise(C, 2, attempt.ballot, HIGH, TWO))
+    assert attempt.value == TWO and attempt.pending_voters() == [A, B, C]
+    assert attempt.on_accepted(Accepted(A, 2, attempt.ballot)) is None
+    assert attempt.pending_voters() == [B, C]
 
 
 @pytest.mark.parametrize(
@@ -127,8 +128,8 @@
 )
 def test_promises_that_do_not_count(answer: Promise) -> None:
     attempt = ProposalRound(VIEW, Ballot(9, "a", 5), ONE, 0.0)
-    assert not attempt.promise(Promise(A, 2, attempt.ballot, None, None))
-    assert not attempt.promise(answer)
+    assert not attempt.on_promise(Promise(A, 2, attempt.ballot, None, None))
+    assert not attempt.on_promise(answer)
     assert attempt.value is None
 
 
@@ -156,15 +157,15 @@
         if draw.random() < 0.1:
             continue
         if draw.random() < 0.1:
-            voters[to] = Acceptor.restored(voters[to].record())
+            voters[to] = Acceptor.from_record(voters[to].to_record())
         own = voters[to]
         answer = own.prepare(message) if isinstance(message, Prepare) else own.accept(message)
         if isinstance(answer, Promise):
-            if attempt.promise(answer) and attempt.value is not None:
+            if attempt.on_promise(answer) and attempt.value is not None:
                 accept = Accept(answer.sender, attempt.ballot, attempt.value)
                 flying += [(voter, attempt, accept) for voter in view.voters]
         elif isinstance(answer, Accepted):
-            value = attempt.accepted(answer)
+            value = attempt.on_accepted(answer)
             if value is not None:
                 decided.add(value)
     assert len(decided) <= 1
--- a/tests/simulation/test_days.py
+++ b/tests/simulation/test_days.py
@@ -183,7 +183,7 @@
     head = world.machines[world.seeds[0]]
     assert head.member is not None
     head.perform(head.member.leave(world.now))
-    assert world.run_until(lambda: head.member is not None and head.member.left, 0.5)
+    assert world.run_until(lambda: head.member is not None and head.member.has_left, 0.5)
     head.kill()
     began = world.now
     assert submit(world, world.up()[0], order_on(0, 5)) == ChangeCommitted(1)
--- a/tests/simulation/test_search.py
+++ b/tests/simulation/test_search.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from roselink.coordination.orders import ChangeSequencer
+from roselink.coordination.proposal_round import ProposalRound
 from roselink.coordination.reads import ReadRounds
-from roselink.coordination.votes import ProposalRound
+from roselink.coordination.sequencer import ChangeSequencer
 from roselink.simulation.search import Bounds, Found, search, walk
 from roselink.simulation.system import (
     System,
@@ -123,14 +123,14 @@
     before = self.chain.committed
     self.chain.committed = 1 << 60
     try:
-        self._judge(order)
+        self._sequence(order)
     finally:
         self.chain.committed = before
 
 
 def shows_unconfirmed(self: ReadRounds, answer: object) -> list[object]:
     """One answer confirms."""
-    confirmed, self._asking = self._asking, []
+    confirmed, self._in_flight = self._in_flight, []
     return list(confirmed)
 
 
@@ -142,8 +142,8 @@
 @pytest.mark.parametrize(
     ("start", "owner", "name", "broken"),
     [
-        ("calm", ChangeSequencer, "take", answers_at_once),
-        ("the tail is left behind", ReadRounds, "answer", shows_unconfirmed),
+        ("calm", ChangeSequencer, "submit", answers_at_once),
+        ("the tail is left behind", ReadRounds, "on_reply", shows_unconfirmed),
         ("a view is accepted", ProposalRound, "_choose", forgets_what_was_accepted),
     ],
 )
--- a/tools/core.py
+++ b/tools/core.py
@@ -77,7 +77,9 @@
         nonlocal number, size
         number += 1
         sent.clear()
-        rounds.ask(WaitingRead(voters[-1].address, number, 0), view, True, float(number))
+        rounds.request(
+            WaitingRead(voters[-1].address, number, 0), view, float(number), is_active=True
+        )
         size = 0
         for voter, effect in zip(voters, sent, strict=True):
             if not isinstance(effect, Send):
@@ -86,7 +88,7 @@
             answer = frame(NOTICE, 0, ConfirmReply(voter, 1, number, True))
             size += len(answer)
             for _, _, message in FrameReader().feed(answer):
-                rounds.answer(message)
+                rounds.on_reply(message)
 
     spent_us = processor_us(confirm, times)
     return MessageCost(count, spent_us, size)
@@ -116,11 +118,11 @@
     write = Write(Voter(make_cores(1)[0], 1), 1, 2, False, order)
     data = frame(NOTICE, 0, write)
     full = ConfigurationState(1, 1, b"", bytes(HISTORY_ENTRY * HISTORY_LIMIT))
-    payload = encode(StoredState(1, apply_change(full, order, False)))
+    payload = encode(StoredState(1, apply_change(full, order, refused=False)))
 
     def carry() -> None:
         FrameReader().feed(data)
-        encode(StoredState(1, apply_change(full, order, False)))
+        encode(StoredState(1, apply_change(full, order, refused=False)))
         frame(NOTICE, 0, write)
 
     with tempfile.TemporaryDirectory() as folder:
