--- a/roselink/dataplane/attempts.py
+++ b/roselink/dataplane/attempt_runner.py
@@ -6,9 +6,9 @@
 from typing import TYPE_CHECKING, Protocol
 
 from roselink.dataplane.exchange import AnswerMode, AttemptAnswer, Exchange
-from roselink.dataplane.requests import attempt_head
-from roselink.dataplane.upstream import FleetAttempt, FleetHost, FleetUpstream
-from roselink.routing.decisions import AttemptEnded, Event, FirstEvent, SendAttempt
+from roselink.dataplane.fleet_host_connection import FleetAttempt
+from roselink.dataplane.proxy_request import attempt_head
+from roselink.routing.events_and_actions import AttemptEnded, Event, FirstEvent, SendAttempt
 from roselink.routing.outcome import NEVER_RAN, Outcome
 
 if TYPE_CHECKING:
@@ -16,6 +16,8 @@
     from collections import Counter
     from collections.abc import Mapping
 
+    from roselink.dataplane.fleet_host_pool import FleetHost, FleetUpstream
+
 HOST_MARGIN_MS = (
     5  # hosts are told so much less: what they say at their deadline is still passed on
 )
