--- a/roselink/coordination/chain.py
+++ b/roselink/coordination/chain.py
@@ -2,9 +2,9 @@
 
 Chain replication (van Renesse and Schneider, OSDI 2004), under views that are agreed on outside the
 chain, as in Vertical Paxos (Lamport, Malkhi and Zhou, PODC 2009). An epoch begins with the head's
-state: it travels down the chain as `Sync`, each member puts it on its disk before it forwards it, and
-the tail's `Ack` travels back; from then the chain is active at each member that has the `Ack`. Writes
-travel the same way. Of this follows:
+state: it travels down the chain as `Sync`, each member puts it on its disk before it forwards it,
+and the tail's `Ack` travels back; from then the chain is active at each member that has the `Ack`.
+Writes travel the same way. Of this follows:
 
 K1. What the tail has on its disk is on every disk of the chain: it is committed. `applied` may be
     ahead of the disk; only what is durable is forwarded, acknowledged or shown.
@@ -36,7 +36,8 @@
 )
 from roselink.protocol.records import encode
 
-# A state without an acknowledgement for so long, and for the time that its bytes take, is sent again.
+# A state without an acknowledgement for so long, and for the time that its bytes take, is sent
+# again.
 SYNC_RETRY_INTERVAL_S = 0.3
 SYNC_BYTES_PER_S = 4e6
 
--- a/roselink/coordination/disk_health.py
+++ b/roselink/coordination/disk_health.py
@@ -48,7 +48,7 @@
     _saves: list[_Save] = field(default_factory=list)
 
     def save_requested(self, now: float, size: int) -> None:
-        """A save of so many bytes was requested."""
+        """A save of `size` bytes was requested."""
         self._saves.append(_Save(now, size))
 
     def save_ended(self, now: float, *, succeeded: bool) -> None:
--- a/roselink/coordination/heartbeats.py
+++ b/roselink/coordination/heartbeats.py
@@ -22,13 +22,13 @@
 # The least between a heartbeat and an early one to a machine that does not list this one yet.
 EARLY_HEARTBEAT_INTERVAL_S = 0.02
 
-# A machine that sends no heartbeats gets every so many of this member's.
+# A machine that sends no heartbeats gets one in this many of this member's.
 BEATS_PER_UNREACHABLE_PEER = 3
 
 
 @dataclass(slots=True)
 class HeartbeatSender:
-    """Tells the others about this member.
+    """Sends this member's heartbeats to the others.
 
     Attributes:
         voter: this member.
--- a/roselink/coordination/member.py
+++ b/roselink/coordination/member.py
@@ -6,18 +6,19 @@
 Paxos), K1 and K2 in `chain` (what is committed), C1 and C2 in `reads` (a confirmed read misses
 nothing), H1 in `sequencer` and S1 in `state` (a refusal lasts). What is left to this module:
 
-M1. A vote leaves only after the disk has it: `reply_gate` buffers each reply until its version of the
-    `AcceptorState` is durable.
-M2. A decided view is entered at once, before it is on this disk. A member that restarts with an older
-    view is as one that hasn't learned of the newer one; it does not participate in any chain of its
-    earlier process, as the view names another session. Its state may be of a later epoch than its
-    view, which only says how new the state is.
+M1. A vote leaves only after the disk has it: `reply_gate` buffers each reply until its version of
+    the `AcceptorState` is durable.
+M2. A decided view is entered at once, before it is on this disk. A member that restarts with an
+    older view is as one that hasn't learned of the newer one; it does not participate in any chain
+    of its earlier process, as the view names another session. Its state may be of a later epoch
+    than its view, which only says how new the state is.
 M3. From the moment at which a member enters a newer view it handles nothing of the older epoch.
-    Acceptance of a proposal alone changes nothing in its chain: the older epoch may still acknowledge
-    through it, and the new head begins with what it has when it enters the new view itself.
-M4. A process that was frozen wakes with its old view. Each write that it could still acknowledge is on
-    the disks of that whole chain, the next head's too; a read needs replies to a round, which voters
-    that accepted a newer view refuse.
+    Acceptance of a proposal alone changes nothing in its chain: the older epoch may still
+    acknowledge through it, and the new head begins with what it has when it enters the new view
+    itself.
+M4. A process that was frozen wakes with its old view. Each write that it could still acknowledge is
+    on the disks of that whole chain, the next head's too; a read needs replies to a round, which
+    voters that accepted a newer view refuse.
 M5. A member whose disk was lost has a new incarnation: it is another voter, and is let in by a view
     change.
 """
@@ -133,7 +134,17 @@
         self.reads = ReadRounds(voter, self.emit)
         self.sequencer = ChangeSequencer(self.chain, self.emit)
         self.pending_calls = PendingCalls(voter, self.emit)
-        self._messages = MessageHandler(
+        self._messages = self._message_handler()
+        self._last_number = start.session
+        self._announced = (0, False)
+        self._ticked_at = now
+        self._started_at = now
+        self._disk_tried_at = now
+        if start.state is not None and not is_new:
+            self.chain.restore(start.state)
+
+    def _message_handler(self) -> MessageHandler:
+        return MessageHandler(
             acceptor=self.acceptor,
             reply_gate=self.reply_gate,
             chain=self.chain,
@@ -147,13 +158,6 @@
             follow=self.follow,
             committed=self.committed,
         )
-        self._last_number = start.session
-        self._announced = (0, False)
-        self._ticked_at = now
-        self._started_at = now
-        self._disk_tried_at = now
-        if start.state is not None and not is_new:
-            self.chain.restore(start.state)
 
     def _identity(self, *, is_new: bool) -> Voter:
         if not is_new and self._start.acceptor_state is not None:
@@ -178,8 +182,8 @@
     def forming(self, now: float) -> bool:
         """Whether others may be waiting for this member.
 
-        They are while it is not on its disk yet, and while a majority of the voters is reachable but
-        the newest view's chain is not active here.
+        They are while it is not on its disk yet, and while a majority of the voters is reachable
+        but the newest view's chain is not active here.
         """
         if not self._is_on_disk:
             return True
@@ -372,7 +376,7 @@
             self._pending.effects.append(effect)
 
     def _flush(self, now: float) -> list[Effect]:
-        """Handle messages to this member itself, save changed acceptor state, return the effects."""
+        """Handle messages to this member itself and save acceptor state; the effects to perform."""
         while self._pending.own_messages:
             messages = self._pending.own_messages
             self._pending.own_messages = []
--- a/roselink/coordination/peer_table.py
+++ b/roselink/coordination/peer_table.py
@@ -24,7 +24,8 @@
 # A machine without a heartbeat for so long is removed from the table.
 FORGET_AFTER_S = 10.0
 
-# After the start of a new system, machines that have not sent a heartbeat yet count as live so long.
+# After the start of a new system, machines that have not sent a heartbeat yet count as live so
+# long.
 START_GRACE_S = 1.5
 
 
@@ -44,7 +45,7 @@
     _grace_until: float = 0.0
 
     def start_grace(self, now: float) -> None:
-        """Suspect no machine for a while: none may be up yet."""
+        """Suspect no machine for `START_GRACE_S`: none may be up yet."""
         self._grace_until = now + START_GRACE_S
 
     def discount_pause(self, pause_s: float, now: float) -> None:
--- a/roselink/coordination/proposer.py
+++ b/roselink/coordination/proposer.py
@@ -1,8 +1,8 @@
 """When a voter proposes the next view, and its rounds to have it decided. No I/O, no clock.
 
 A voter proposes what `views.plan` wants, after a delay by its rank, so that two rarely propose at
-once. A round that another began and did not finish is finished by whoever notices it first: while an
-accepted proposal is undecided, no read can be confirmed.
+once. A round that another began and did not finish is finished by whoever notices it first: while
+an accepted proposal is undecided, no read can be confirmed.
 """
 
 from __future__ import annotations
@@ -40,8 +40,8 @@
 # Voters that have not replied are sent the request again.
 REQUEST_RETRY_INTERVAL_S = 0.15
 
-# The random-like delay between rounds: the session's bits choose a fraction of the step, which grows
-# with the number of rounds up to the limit.
+# The random-like delay between rounds: the session's bits choose a fraction of the step, which
+# grows with the number of rounds up to the limit.
 BACKOFF_STEP_S = 0.1
 MAX_BACKOFF_STEPS = 4
 BACKOFF_VALUES = 97
--- a/roselink/coordination/reads.py
+++ b/roselink/coordination/reads.py
@@ -16,13 +16,13 @@
 
 C2. Reads don't go backwards.
 
-  Proof. A read shows what is on every disk of the chain, the next head's too, which had it before it
-  left e; each later view begins with at least that.
+  Proof. A read shows what is on every disk of the chain, the next head's too, which had it before
+  it left e; each later view begins with at least that.
 
 In chain replication (van Renesse and Schneider, OSDI 2004) the tail alone serves reads, as a
 configuration master stops every other tail. Here views are agreed as in Vertical Paxos (Lamport,
-Malkhi and Zhou, PODC 2009), and a tail may be cut off without noticing it: hence the round. No clock
-is read, and no clocks are compared.
+Malkhi and Zhou, PODC 2009), and a tail may be cut off without noticing it: hence the round. No
+clock is read, and no clocks are compared.
 """
 
 from __future__ import annotations
--- a/roselink/coordination/sequencer.py
+++ b/roselink/coordination/sequencer.py
@@ -1,8 +1,8 @@
 """Submitted changes at the head. No I/O, no clock.
 
 The head validates a change on top of everything that it has appended, and replies once the state by
-which it validated is committed. A view change drops what has had no reply; the member that submitted
-the change sends it again.
+which it validated is committed. A view change drops what has had no reply; the member that
+submitted the change sends it again.
 
 H1. A refused change never comes into force.
 
--- a/roselink/coordination/state.py
+++ b/roselink/coordination/state.py
@@ -1,8 +1,8 @@
 """The replicated configuration state and the rules by which a change alters it.
 
 Pure functions of values. The history holds the newest changes as packed entries of digest,
-generation and sequence. An entry of generation 0 is a change that was refused although a later state
-might have accepted it; it stays refused.
+generation and sequence. An entry of generation 0 is a change that was refused although a later
+state might have accepted it; it stays refused.
 
 S1. A change that was refused is refused in every state that follows.
 
@@ -30,7 +30,8 @@
 
 from roselink.protocol.chain import ConfigurationChange, ConfigurationState
 
-# How many changes' digests are kept: a change that is sent again is recognized within so many others.
+# How many changes' digests are kept: a change that is sent again is recognized within so many
+# others.
 HISTORY_LIMIT = 10_000
 
 # A SHA-256 digest.
--- a/roselink/coordination/views.py
+++ b/roselink/coordination/views.py
@@ -1,51 +1,53 @@
 """Membership views: what a member knows of its peers, and which view it would propose next.
 
-No I/O, no clock. A view lists the voters who decide its successor, and the chain. `ChainReplica.since`
-of a chain member is the epoch from which it has been in every chain. A member whose disk has a state
-written in epoch `since` or later is *intact*.
+No I/O, no clock. A view lists the voters who decide its successor, and the chain.
+`ChainReplica.since` of a chain member is the epoch from which it has been in every chain. A member
+whose disk has a state written in epoch `since` or later is *intact*.
 
-The chain is that of chain replication (van Renesse and Schneider, OSDI 2004): a write is acknowledged
-once it is on every disk of the chain. As in Vertical Paxos (Lamport, Malkhi and Zhou, PODC 2009) the
-configuration of each epoch is agreed on apart from the writes, and a new epoch begins with the state
-of a member of the epoch before. Other than there, no separate master decides on views: the voters of
-the view before do, by one instance of Paxos an epoch (`acceptor`, `proposal_round`).
+The chain is that of chain replication (van Renesse and Schneider, OSDI 2004): a write is
+acknowledged once it is on every disk of the chain. As in Vertical Paxos (Lamport, Malkhi and Zhou,
+PODC 2009) the configuration of each epoch is agreed on apart from the writes, and a new epoch
+begins with the state of a member of the epoch before. Other than there, no separate master decides
+on views: the voters of the view before do, by one instance of Paxos an epoch (`acceptor`,
+`proposal_round`).
 
-V1. The state of an intact member of the chain of epoch e, once it has stopped participating in e, has
-    every write that is ever acknowledged in an epoch up to e.
+V1. The state of an intact member of the chain of epoch e, once it has stopped participating in e,
+    has every write that is ever acknowledged in an epoch up to e.
 
   Proof, by induction over epochs. Let the state on the disk of B have been written in s, since <= s
   <= e.
 
   1. B participated in s, so its state of s began as that of the head of s, which was intact in the
      view before (V2), and has all from before s.
-  2. A write is acknowledged in s only when every member of the chain has it on its disk, B too, and B
-     had to participate in s for that, so it had it when it left.
+  2. A write is acknowledged in s only when every member of the chain has it on its disk, B too, and
+     B had to participate in s for that, so it had it when it left.
   3. For each epoch k between s and e, B is in the chain of k. If B isn't its head, no write is
      acknowledged in k before B has put the state of k on its disk, and then the state on its disk
      were of k and not of s. If B is its head, B's own state is that with which k begins, and it has
-     what it appends. B never participates in k after it has left k. So nothing is acknowledged in k,
-     ever, that B lacks.
+     what it appends. B never participates in k after it has left k. So nothing is acknowledged in
+     k, ever, that B lacks.
 
-V2. The head of a proposed view is intact in the view before. It pushes its state down the chain, and
-    nothing is acknowledged before the tail has it on its disk. This also holds when a view never
-    becomes active: its members that were in the chain before stay intact until they take over the new
-    state. Whoever is not intact can only be synced.
+V2. The head of a proposed view is intact in the view before. It pushes its state down the chain,
+    and nothing is acknowledged before the tail has it on its disk. This also holds when a view
+    never becomes active: its members that were in the chain before stay intact until they take over
+    the new state. Whoever is not intact can only be synced.
 
 V3. While a view is young, no chain is proposed that has fewer than `tolerated + 1` intact members
     while one of its members still takes over the state.
 
   Why: a member that is new to the chain is not intact before it has taken over the state. Were
-  another suspected falsely just then, a shorter chain would rest on fewer intact members than may be
-  lost, and the loss of those would leave a chain that nobody can head. The state comes from the head
-  within some hundredths of a second, whether the suspected member lives or not; so the wait is short.
-  A member whose disk does not take it in that time counts as lost itself.
-
-V4. A chain has `tolerated + 1` members at least (save that a majority of the voters are fewer), also
-    when a majority of the voters could decide a shorter one.
-
-  Why: what is acknowledged is on every disk of the chain, so it outlives the loss of any `tolerated`
-  disks. A machine that is away counts as lost until `sync_s` after its return, and within that time
-  it is back in the chain; so the disks that a shorter chain lacks are already counted.
+  another suspected falsely just then, a shorter chain would rest on fewer intact members than may
+  be lost, and the loss of those would leave a chain that nobody can head. The state comes from the
+  head within some hundredths of a second, whether the suspected member lives or not; so the wait is
+  short. A member whose disk does not take it in that time counts as lost itself.
+
+V4. A chain has `tolerated + 1` members at least (save that a majority of the voters are fewer),
+    also when a majority of the voters could decide a shorter one.
+
+  Why: what is acknowledged is on every disk of the chain, so it outlives the loss of any
+  `tolerated` disks. A machine that is away counts as lost until `sync_s` after its return, and
+  within that time it is back in the chain; so the disks that a shorter chain lacks are already
+  counted.
 """
 
 from __future__ import annotations
--- a/tests/coordination/test_chain.py
+++ b/tests/coordination/test_chain.py
@@ -35,7 +35,7 @@
 
 
 SYNC = sync(A, 3, STATE)
-WRITE = Write(A, 3, 2, False, SECOND)
+WRITE = Write(A, 3, 2, refused=False, change=SECOND)
 
 
 class Stage:
@@ -109,14 +109,15 @@
     stage.member.on_sync(sync(B, 3, STATE), 0.0)
     assert not stage.member.is_tail
     assert stage.saved() == [("b", Ack(C, 3, 1))]
-    assert stage.member.is_tail and stage.member.committed == 1
+    assert stage.member.is_tail
+    assert stage.member.committed == 1
 
 
 def test_a_write_goes_down_after_the_save_and_its_acknowledgement_up() -> None:
     stage = middle()
     stage.member.on_write(WRITE)
     assert stage.sent() == []
-    assert stage.saved() == [("c", Write(B, 3, 2, False, SECOND))]
+    assert stage.saved() == [("c", Write(B, 3, 2, refused=False, change=SECOND))]
     assert stage.member.on_ack(Ack(C, 3, 2))
     assert stage.sent() == [("a", Ack(B, 3, 2))]
     assert not stage.member.on_ack(Ack(C, 3, 2))
@@ -126,16 +127,16 @@
     stage = middle()
     third = ConfigurationChange(2, 3, b"three", digest_of(2, b"three"))
     stage.member.on_write(WRITE)
-    stage.member.on_write(Write(A, 3, 3, False, third))
-    assert stage.saved() == [("c", Write(B, 3, 2, False, SECOND))]
-    assert stage.saved() == [("c", Write(B, 3, 3, False, third))]
+    stage.member.on_write(Write(A, 3, 3, refused=False, change=third))
+    assert stage.saved() == [("c", Write(B, 3, 2, refused=False, change=SECOND))]
+    assert stage.saved() == [("c", Write(B, 3, 3, refused=False, change=third))]
 
 
 def test_a_write_given_again_is_acknowledged_again_and_a_gap_is_not_taken() -> None:
     stage = middle()
-    stage.member.on_write(Write(A, 3, 1, False, FIRST))
+    stage.member.on_write(Write(A, 3, 1, refused=False, change=FIRST))
     assert stage.sent() == [("a", Ack(B, 3, 1))]
-    stage.member.on_write(Write(A, 3, 3, False, SECOND))
+    stage.member.on_write(Write(A, 3, 3, refused=False, change=SECOND))
     assert stage.member.applied.sequence == 1
 
 
@@ -177,7 +178,9 @@
     assert not stage.member.participating
     for message in (SYNC, sync(B, 3, STATE), WRITE, Ack(B, 3, 1), Ack(C, 3, 1)):
         give(stage, message)
-    assert stage.out() == [] and not stage.member.is_head and not stage.member.is_tail
+    assert stage.out() == []
+    assert not stage.member.is_head
+    assert not stage.member.is_tail
 
 
 def test_a_member_that_was_not_synced_takes_no_write() -> None:
@@ -195,7 +198,7 @@
     stage.member.retry_save()
     assert [type(effect) for effect in stage.out()] == [Persist]
     stage.member.on_persisted(0.0)
-    assert stage.sent() == [("c", Write(B, 3, 2, False, SECOND))]
+    assert stage.sent() == [("c", Write(B, 3, 2, refused=False, change=SECOND))]
 
 
 def test_a_save_of_the_older_epoch_passes_nothing_on_in_the_newer() -> None:
@@ -219,7 +222,7 @@
     head.member.append(SECOND, refused=False)
     head.saved()
     head.member.resend(0.6)
-    assert head.sent() == [("b", Write(A, 3, 2, False, SECOND))]
+    assert head.sent() == [("b", Write(A, 3, 2, refused=False, change=SECOND))]
     head.member.on_ack(Ack(B, 3, 2))
     head.member.resend(9.0)
     assert head.sent() == []
--- a/tests/coordination/test_member.py
+++ b/tests/coordination/test_member.py
@@ -49,7 +49,16 @@
 A, B, C = VIEW.voters
 ORDER = ConfigurationChange(0, 1, b"one", digest_of(0, b"one"))
 STATE = StoredState(1, apply_change(EMPTY, ORDER, refused=False))
-FRESH = Start("b:1", SEEDS, True, 1, 40, 50, None, None)
+FRESH = Start(
+    address="b:1",
+    seeds=SEEDS,
+    bootstrap=True,
+    tolerated=1,
+    session=40,
+    fresh_incarnation=50,
+    acceptor_state=None,
+    state=None,
+)
 STORED = replace(
     FRESH, bootstrap=False, acceptor_state=AcceptorState(B, VIEW, None, None, None), state=STATE
 )
@@ -85,7 +94,18 @@
 
 
 def heartbeat_of(voter: Voter) -> Heartbeat:
-    return Heartbeat(voter, 9, 1, 1, 1, False, True, False, False, ("b:1",))
+    return Heartbeat(
+        sender=voter,
+        session=9,
+        epoch=1,
+        state_epoch=1,
+        sequence=1,
+        participating=False,
+        disk_ok=True,
+        leaving=False,
+        chain_is_complete=False,
+        reachable=("b:1",),
+    )
 
 
 def test_others_wait_for_a_member_until_its_view_is_active() -> None:
@@ -134,29 +154,31 @@
 def test_a_restarted_member_takes_no_part_but_votes() -> None:
     stage = Stage(STORED)
     assert not stage.member.chain.participating
-    assert stage.give(ConfirmRequest(C, 1, 3)) == [ConfirmReply(B, 1, 3, True)]
+    assert stage.give(ConfirmRequest(C, 1, 3)) == [ConfirmReply(B, 1, 3, is_newest=True)]
     assert stage.give(Prepare(A, 2, BALLOT)) == []
     saved = stage.save()
-    assert saved.store is Store.ACCEPTOR and decode(33, saved.payload).promised == BALLOT
+    assert saved.store is Store.ACCEPTOR
+    assert decode(33, saved.payload).promised == BALLOT
     assert stage.sent() == [Promise(B, 2, BALLOT, None, None)]
 
 
 def test_an_acceptance_leaves_after_its_save_and_ends_confirmations_at_once() -> None:
     stage = Stage(STORED)
     assert stage.give(Accept(A, BALLOT, NEXT)) == []
-    assert stage.give(ConfirmRequest(C, 1, 3)) == [ConfirmReply(B, 1, 3, False)]
+    assert stage.give(ConfirmRequest(C, 1, 3)) == [ConfirmReply(B, 1, 3, is_newest=False)]
     saved = decode(33, stage.save().payload)
     assert (saved.accepted, saved.proposal) == (BALLOT, NEXT)
     assert stage.sent() == [Accepted(B, 2, BALLOT)]
     again = Stage(replace(STORED, acceptor_state=saved))
-    assert again.give(ConfirmRequest(C, 1, 4)) == [ConfirmReply(B, 1, 4, False)]
+    assert again.give(ConfirmRequest(C, 1, 4)) == [ConfirmReply(B, 1, 4, is_newest=False)]
 
 
 def test_a_refusing_disk_lets_no_vote_out_and_is_tried_again() -> None:
     stage = Stage(STORED)
     stage.give(Prepare(A, 2, BALLOT))
     stage.out = stage.member.persist_failed(Store.ACCEPTOR, 0.0)
-    assert stage.out == [] and not stage.member.disk_is_healthy
+    assert stage.out == []
+    assert not stage.member.disk_is_healthy
     stage.out = stage.member.tick(0.25)
     assert stage.save(0.26).store is Store.ACCEPTOR
     assert stage.member.disk_is_healthy
@@ -166,7 +188,8 @@
 def test_a_decided_view_is_followed_and_given_on_to_whoever_is_behind() -> None:
     stage = Stage(STORED)
     stage.give(Decided(A, NEXT))
-    assert stage.member.view == NEXT and stage.member.chain.is_head
+    assert stage.member.view == NEXT
+    assert stage.member.chain.is_head
     stage.give(Decided(A, VIEW))
     assert stage.member.view == NEXT
     assert stage.give(beat(C, epoch=1)) == [Decided(B, NEXT)]
@@ -174,7 +197,7 @@
 
 
 @pytest.mark.parametrize(("epoch", "taken"), [(2, True), (1, False), (3, False)])
-def test_a_head_takes_orders_for_its_own_epoch_only(epoch: int, taken: bool) -> None:
+def test_a_head_takes_orders_for_its_own_epoch_only(*, epoch: int, taken: bool) -> None:
     """A late copy of an order whose caller has gone on to another head is not judged here as
     well.
     """
@@ -205,7 +228,18 @@
 
 
 def beat(sender: Voter, **changes: object) -> Heartbeat:
-    well = Heartbeat(sender, 3, 1, 1, 0, True, True, False, True, ("b:1", "a:1", "c:1"))
+    well = Heartbeat(
+        sender=sender,
+        session=3,
+        epoch=1,
+        state_epoch=1,
+        sequence=0,
+        participating=True,
+        disk_ok=True,
+        leaving=False,
+        chain_is_complete=True,
+        reachable=("b:1", "a:1", "c:1"),
+    )
     return replace(well, **changes)  # type: ignore[arg-type]
 
 
@@ -221,7 +255,9 @@
         ([(0.0, beat(A)), (0.3, beat(A, session=4))], 0.4, True, False),
     ],
 )
-def test_peers(beats: list[tuple[float, Heartbeat]], now: float, live: bool, steady: bool) -> None:
+def test_peers(
+    *, beats: list[tuple[float, Heartbeat]], now: float, live: bool, steady: bool
+) -> None:
     peers = PeerTable(B)
     for at, heartbeat in beats:
         peers.on_heartbeat(heartbeat, at)
@@ -250,7 +286,7 @@
         (16_000_000, 1.05, True),
     ],
 )
-def test_a_large_save_may_take_longer(size: int, seconds: float, healthy: bool) -> None:
+def test_a_large_save_may_take_longer(*, size: int, seconds: float, healthy: bool) -> None:
     disk = DiskHealth()
     disk.save_requested(0.0, size)
     assert disk.check(seconds) is healthy
@@ -272,7 +308,7 @@
     ],
 )
 def test_disk_health(
-    saves: list[tuple[float, float | None, bool]], now: float, healthy: bool
+    *, saves: list[tuple[float, float | None, bool]], now: float, healthy: bool
 ) -> None:
     disk = DiskHealth()
     for began, ended, succeeded in saves:
--- /dev/null
+++ b/tests/coordination/test_pending_calls.py
@@ -0,0 +1,34 @@
+"""Calls of a member's own callers."""
+
+from __future__ import annotations
+
+from roselink.coordination.effects import Confirmation, Effect, ReadDone, Send
+from roselink.coordination.pending_calls import PendingCalls
+from roselink.coordination.views import first_view
+from roselink.protocol.chain import (
+    ReadReply,
+    ReadRequest,
+    Voter,
+)
+
+A, B, C = (Voter(name, 0) for name in "abc")
+
+
+def test_a_reply_that_leaves_the_document_out_shows_the_one_of_its_own_sequence() -> None:
+    """A read that knew an older version is not shown the newer document under the older number."""
+    effects: list[Effect] = []
+    calls = PendingCalls(B, effects.append)
+    view = first_view("abc")
+    calls.read(1, view, 0.0)
+    calls.on_read_reply(ReadReply(1, 1, 4, 5, b"four"))
+    calls.read(2, view, 0.1)
+    calls.read(3, view, 0.1)
+    calls.on_read_reply(ReadReply(3, 1, 6, 7, b"six"))
+    effects.clear()
+    calls.on_read_reply(ReadReply(2, 1, 4, 5, None))
+    assert effects == []
+    calls.proceed(view, 0.5)
+    assert [e.message for e in effects if isinstance(e, Send)] == [ReadRequest(B, 2, 6)]
+    effects.clear()
+    calls.on_read_reply(ReadReply(2, 1, 6, 7, None))
+    assert effects == [ReadDone(2, Confirmation(1, 6, b"six", 7))]
--- a/tests/coordination/test_views.py
+++ b/tests/coordination/test_views.py
@@ -89,7 +89,7 @@
         pytest.param((peer("a"), peer("b"), unsteady("c")), False, id="nothing is proposed"),
     ],
 )
-def test_joiners_wait_for_each_other(peers: tuple[PeerStatus, ...], waits: bool) -> None:
+def test_joiners_wait_for_each_other(*, peers: tuple[PeerStatus, ...], waits: bool) -> None:
     pair = View(
         1,
         (Voter("a", 0), Voter("b", 0)),
@@ -317,7 +317,7 @@
     ("since", "state_epoch", "expected"),
     [(1, 1, True), (3, 3, True), (3, 5, True), (3, 2, False), (1, 0, False)],
 )
-def test_intact(since: int, state_epoch: int, expected: bool) -> None:
+def test_intact(*, since: int, state_epoch: int, expected: bool) -> None:
     voter = Voter("a", 0)
     view = View(5, (voter,), (ChainReplica(voter, since, 1),))
     assert is_intact(view, peer("a", state_epoch=state_epoch)) is expected
