--- a/tests/budgets/faults.py
+++ b/tests/budgets/faults.py
@@ -1,4 +1,4 @@
-"""Troubles of a fleet, drawn from its seed."""
+"""Faults of a simulated fleet, drawn from its seed."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 from tests.budgets.fleet import Fleet, Gateway
 
-Trouble = Callable[[Fleet, random.Random, Gateway, float], None]
+Fault = Callable[[Fleet, random.Random, Gateway, float], None]
 
 
-def make_trouble(fleet: Fleet, until: float, kinds: list[str]) -> None:
-    """Troubles of these kinds, one after the other or at once, from 4 s on."""
+def inject_faults(fleet: Fleet, until: float, kinds: list[str]) -> None:
+    """Schedule faults of these kinds, one after the other or at once, from 4 s on."""
     chance = random.Random(f"{fleet.seed} trouble")
     at = fleet.now + 4
     while at < until:
-        TROUBLES[chance.choice(kinds)](fleet, chance, chance.choice(fleet.gateways), at)
+        FAULTS[chance.choice(kinds)](fleet, chance, chance.choice(fleet.gateways), at)
         at += chance.uniform(0.5, 6)
 
 
@@ -38,7 +38,7 @@
     fleet.at(at + 2, gateway.begin)
 
 
-def _herd(fleet: Fleet, chance: random.Random, gateway: Gateway, at: float) -> None:
+def _kill_all(fleet: Fleet, chance: random.Random, gateway: Gateway, at: float) -> None:
     for each in fleet.gateways:
         _kill(fleet, chance, each, at)
 
@@ -48,21 +48,21 @@
     fleet.at(at + chance.uniform(0.3, 6), lambda: fleet.cuts.difference_update(pairs))
 
 
-def _cut_off(fleet: Fleet, chance: random.Random, gateway: Gateway, at: float) -> None:
+def _isolate(fleet: Fleet, chance: random.Random, gateway: Gateway, at: float) -> None:
     others = [index for index in range(-1, fleet.size) if index != gateway.index]
     _cut(fleet, chance, [frozenset((gateway.index, other)) for other in others], at)
 
 
-def _core_cut(fleet: Fleet, chance: random.Random, gateway: Gateway, at: float) -> None:
+def _cut_core(fleet: Fleet, chance: random.Random, gateway: Gateway, at: float) -> None:
     _cut(fleet, chance, [frozenset((index, -1)) for index in range(fleet.size)], at)
 
 
-def _link(fleet: Fleet, chance: random.Random, gateway: Gateway, at: float) -> None:
+def _cut_link(fleet: Fleet, chance: random.Random, gateway: Gateway, at: float) -> None:
     other = chance.choice([each for each in fleet.gateways if each is not gateway])
     _cut(fleet, chance, [frozenset((gateway.index, other.index))], at)
 
 
-def _half(fleet: Fleet, chance: random.Random, gateway: Gateway, at: float) -> None:
+def _partition(fleet: Fleet, chance: random.Random, gateway: Gateway, at: float) -> None:
     half = fleet.size // 2
     pairs = [frozenset((one, other)) for one in range(half) for other in range(half, fleet.size)]
     if chance.random() < 0.5:
@@ -70,13 +70,13 @@
     _cut(fleet, chance, pairs, at)
 
 
-TROUBLES: dict[str, Trouble] = {
+FAULTS: dict[str, Fault] = {
     "kill": _kill,
     "freeze": _freeze,
     "stop": _stop,
-    "herd": _herd,
-    "cut off": _cut_off,
-    "core cut": _core_cut,
-    "link": _link,
-    "half": _half,
+    "kill all": _kill_all,
+    "isolate": _isolate,
+    "cut core": _cut_core,
+    "link": _cut_link,
+    "partition": _partition,
 }
--- a/tests/budgets/fleet.py
+++ b/tests/budgets/fleet.py
@@ -99,7 +99,7 @@
     def reachable(self, one: int, other: int) -> bool:
         return frozenset((one, other)) not in self.cuts
 
-    def pull(self, member: Member, serving: bool) -> None:
+    def pull(self, member: Member, *, serving: bool) -> None:
         """The core receives a pull, and removes the gateways that have not pulled."""
         pause_s = self.now - self.last_pull
         self.last_pull = self.now
@@ -210,10 +210,10 @@
         self.quota_owner.configure(limits, self.fleet.now)
         self.perform(self.client.configure(limits))
 
-    def pull(self, again: bool = True) -> None:
+    def pull(self, *, again: bool = True) -> None:
         fleet, sent_at = self.fleet, self.fleet.now
         if fleet.reachable(self.index, -1):
-            fleet.pull(self.member, self.serving)
+            fleet.pull(self.member, serving=self.serving)
             version, roster = fleet.version, fleet.roster
             self.later(2 * LINK_S, lambda: self.pulled(version, roster, sent_at))
         if again:
@@ -254,7 +254,7 @@
         )
         if status is ReplyStatus.DECIDED:
             return self.retry_owner.decide(request, now)
-        return RetryBudgetReply(status, self.ownership.fencing_token, False)
+        return RetryBudgetReply(status, self.ownership.fencing_token, allowed=False)
 
     def request(self, tenant: str, amount: float) -> None:
         """A client's request; one that reaches a dead process is lost."""
--- a/tests/budgets/test_fleet.py
+++ b/tests/budgets/test_fleet.py
@@ -1,4 +1,4 @@
-"""Quotas and shared repeats over a fleet whose gateways die, freeze and are cut off."""
+"""Quotas and retry budgets of a fleet whose gateways crash, freeze and lose their network."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from roselink.budgets.usage import QuotaLimit, QuotaRule
 from tests.budgets.checks import admitted, largest_window, within_limit
-from tests.budgets.faults import TROUBLES, make_trouble
+from tests.budgets.faults import FAULTS, inject_faults
 from tests.budgets.fleet import Fleet
 
 RATE = BURST = 120_000.0
@@ -19,7 +19,7 @@
 
 
 def send(fleet: Fleet, tenant: str, tokens_per_s: float, until: float) -> None:
-    """Requests at random moments, at gateways with uneven shares."""
+    """Requests at random moments, at gateways with uneven load."""
     chance = random.Random(f"{fleet.seed} {tenant}")
     weights = [chance.uniform(0.3, 2.0) for _ in fleet.gateways]
     per_s = tokens_per_s * len(SIZES) / sum(SIZES)
@@ -64,39 +64,37 @@
     ) <= RATE * RULE.window_s + BURST + 0.16 * RULE.allowance(QuotaLimit(RATE, BURST))
 
 
-@pytest.mark.parametrize("trouble", [*TROUBLES, "any"])
+@pytest.mark.parametrize("fault", [*FAULTS, "any"])
 @pytest.mark.parametrize("seed", range(3))
-def test_no_trouble_passes_the_rules_bound(trouble: str, seed: int) -> None:
+def test_no_fault_exceeds_the_rules_bound(fault: str, seed: int) -> None:
     fleet = fleet_of(seed, "hot")
     until = fleet.now + PLAY_S
     send(fleet, "hot", 6 * RATE, until)
-    make_trouble(fleet, until - 3, list(TROUBLES) if trouble == "any" else [trouble])
+    inject_faults(fleet, until - 3, list(FAULTS) if fault == "any" else [fault])
     fleet.run(until + 1)
     assert largest_window(admitted(fleet.decisions, "hot"), RULE.window_s) <= BOUND
     awake = [entry for entry in fleet.decisions if fleet.gateways[entry.gateway].frozen_until == 0]
     assert max(entry.decided_at - entry.arrived_at for entry in awake) <= 0.25
 
 
-@pytest.mark.parametrize(
-    ("trouble", "most_lost"), [("stop", 0.005), ("kill", 0.03), ("link", 0.04)]
-)
-def test_a_tenant_near_its_limit_loses_little(trouble: str, most_lost: float) -> None:
+@pytest.mark.parametrize(("fault", "max_lost"), [("stop", 0.005), ("kill", 0.03), ("link", 0.04)])
+def test_a_tenant_near_its_limit_loses_little(fault: str, max_lost: float) -> None:
     lost = owed = 0.0
     for seed in range(3):
         fleet = fleet_of(seed, "near")
         until = fleet.now + PLAY_S
         send(fleet, "near", RATE / 1.3, until)
-        make_trouble(fleet, until - 3, [trouble])
+        inject_faults(fleet, until - 3, [fault])
         fleet.run(until + 1)
         passed = within_limit(fleet.decisions, "near", RATE, BURST)
         owed += sum(entry.amount for entry in passed)
         lost += sum(entry.amount for entry in passed if not entry.allowed)
-    assert lost <= most_lost * owed
+    assert lost <= max_lost * owed
 
 
-@pytest.mark.parametrize("trouble", [None, *TROUBLES, "any"])
+@pytest.mark.parametrize("fault", [None, *FAULTS, "any"])
 @pytest.mark.parametrize("seed", range(2))
-def test_shared_repeats_stay_under_the_slack(trouble: str | None, seed: int) -> None:
+def test_retry_budgets_stay_under_the_slack(fault: str | None, seed: int) -> None:
     slack, window_s = 52.0, 10.0
     fleet = Fleet(6, seed, {}, RULE, ("one", "two"), slack, window_s)
     until = fleet.now + 60
@@ -106,13 +104,13 @@
         gateway, service = chance.choice(fleet.gateways), chance.choice(("one", "two"))
         fleet.at(at, lambda gateway=gateway, service=service: gateway.retry(service))  # type: ignore[misc]
         at += chance.expovariate(60)
-    if trouble is not None:
-        make_trouble(fleet, until - 3, list(TROUBLES) if trouble == "any" else [trouble])
+    if fault is not None:
+        inject_faults(fleet, until - 3, list(FAULTS) if fault == "any" else [fault])
     fleet.run(until + 1)
     for service in ("one", "two"):
         lent = [(at, 1.0) for at, name in fleet.retries if name == service]
         assert largest_window(lent, window_s) <= slack
-        if trouble is None:
+        if fault is None:
             late = [entry for entry in lent if entry[0] > until - 30]
             assert len(late) > 2.5 * 0.8 * slack
 
--- a/tests/budgets/test_ownership.py
+++ b/tests/budgets/test_ownership.py
@@ -44,7 +44,9 @@
     again = Member(ROSTER[0].name, ROSTER[0].address, 99)
     for key in KEYS:
         before, after = rendezvous_owner(key, ROSTER), rendezvous_owner(key, (again, *ROSTER[1:]))
-        assert before is not None and after is not None and before.name == after.name
+        assert before is not None
+        assert after is not None
+        assert before.name == after.name
 
 
 def test_rosters_only_move_forward() -> None:
@@ -52,7 +54,8 @@
     assert view.update(5, ROSTER)
     assert not view.update(5, ROSTER[1:])
     assert not view.update(4, ROSTER[1:])
-    assert view.fencing_token == 5 and view.size == 6
+    assert view.fencing_token == 5
+    assert view.size == 6
     assert view.update(6, ROSTER[:2])
     assert view.size == 2
 
@@ -100,6 +103,5 @@
     assert view.confirm(10.0, 10.1) == float("inf")
     assert view.confirm(10.2, 10.3) == pytest.approx(0.3)
     assert view.confirm(10.1, 13.0) == pytest.approx(2.8)
-    assert view.is_confirmed(10.2 + CONFIRMATION_VALID_S - 0.01) and not view.is_confirmed(
-        10.2 + CONFIRMATION_VALID_S + 0.01
-    )
+    assert view.is_confirmed(10.2 + CONFIRMATION_VALID_S - 0.01)
+    assert not view.is_confirmed(10.2 + CONFIRMATION_VALID_S + 0.01)
--- a/tests/budgets/test_quota_client.py
+++ b/tests/budgets/test_quota_client.py
@@ -10,13 +10,10 @@
 from roselink.budgets.quota_client import Effect, QuotaClient, QuotaDecided, SendQuotaRequest
 from roselink.budgets.retry_budget import (
     RefreshRoster,
-    RetryBudgetClient,
-    RetryBudgetDecided,
-    SendRetryBudgetRequest,
 )
 from roselink.budgets.usage import LOCAL_FRACTION, NEWCOMER_FRACTION, QuotaLimit, QuotaRule
 from roselink.model.fleet import Member
-from roselink.protocol.budgets import QuotaReply, QuotaRequest, ReplyStatus, RetryBudgetReply
+from roselink.protocol.budgets import QuotaReply, QuotaRequest, ReplyStatus
 
 OWN, OTHER = Member("a", "10.0.0.1:7500", 1), Member("b", "10.0.0.2:7500", 2)
 LIMIT = QuotaLimit(100.0, 100.0)
@@ -45,38 +42,49 @@
 
 
 def make_reply(
-    *admitted: bool, token: int = 5, lease: float = 0.0, usage_fraction: float = 0.5
+    admitted: tuple[bool, ...] = (),
+    *,
+    token: int = 5,
+    lease: float = 0.0,
+    usage_fraction: float = 0.5,
 ) -> QuotaReply:
     return QuotaReply(OK, token, admitted, lease, 0.7, usage_fraction, 77, 42.0)
 
 
 def connected_client(amount: float = 40.0) -> tuple[QuotaClient, OwnershipView]:
-    """A client whose owner has answered once, at 10; an ask of it is due later."""
+    """A client whose owner has replied once, at 10; its next request is due later."""
     client, ownership = make_client()
-    client.handle_reply(sent(client.admit(1, "t", amount, 10.0)).call, make_reply(True), 10.003)
+    client.handle_reply(sent(client.admit(1, "t", amount, 10.0)).call, make_reply((True,)), 10.003)
     return client, ownership
 
 
 @pytest.mark.parametrize("tenant", ["free", "unknown"])
-def test_a_tenant_without_a_limit_is_never_asked_for(tenant: str) -> None:
+def test_a_tenant_without_a_limit_needs_no_owner(tenant: str) -> None:
     client, _ = make_client()
-    assert client.admit(1, tenant, 5.0, 10.0) == [QuotaDecided(1, True, 0.0)]
+    assert client.admit(1, tenant, 5.0, 10.0) == [QuotaDecided(1, allowed=True, retry_after_s=0.0)]
     assert client.next_wake_at(10.0) == float("inf")
 
 
-def test_the_first_ask_brings_a_report_and_what_arrives_meanwhile_goes_together_next() -> None:
+def test_the_first_request_has_a_report_and_what_arrives_meanwhile_goes_together_next() -> None:
     client, _ = make_client()
     first = sent(client.admit(1, "t", 40.0, 10.0))
-    assert first.address == OTHER.address and first.timeout_s == module.REQUEST_TIMEOUT_S
-    assert first.request == QuotaRequest("t", 5, "a", 1, (40.0,), 0.0, 0.0, 0.0, False, None, ())
+    assert first.address == OTHER.address
+    assert first.timeout_s == module.REQUEST_TIMEOUT_S
+    assert first.request == QuotaRequest(
+        "t", 5, "a", 1, (40.0,), 0.0, 0.0, 0.0, draining=False, last_level=None, usage_report=()
+    )
     assert client.admit(2, "t", 10.0, 10.001) == []
     assert client.admit(3, "t", 20.0, 10.002) == []
-    effects = client.handle_reply(first.call, make_reply(True), 10.003)
+    effects = client.handle_reply(first.call, make_reply((True,)), 10.003)
     assert decided(effects) == {1: True}
     second = sent(effects)
-    assert second.request.amounts == (10.0, 20.0) and second.request.usage_report is None
-    effects = client.handle_reply(second.call, make_reply(False, True), 10.006)
-    assert effects == [QuotaDecided(2, False, 0.7), QuotaDecided(3, True, 0.0)]
+    assert second.request.amounts == (10.0, 20.0)
+    assert second.request.usage_report is None
+    effects = client.handle_reply(second.call, make_reply((False, True)), 10.006)
+    assert effects == [
+        QuotaDecided(2, allowed=False, retry_after_s=0.7),
+        QuotaDecided(3, allowed=True, retry_after_s=0.0),
+    ]
 
 
 def test_an_owner_that_wants_a_report_gets_one_at_once() -> None:
@@ -86,11 +94,10 @@
         client.handle_reply(sent_request.call, QuotaReply(ReplyStatus.REPORT_WANTED, 5), 10.102)
     )
     assert again.request.amounts == (5.0,)
+    assert again.request.usage_report is not None
+    assert sum(used.amount for used in again.request.usage_report) == 40.0
+    assert again.request.last_level is not None
     assert (
-        again.request.usage_report is not None
-        and sum(used.amount for used in again.request.usage_report) == 40.0
-    )
-    assert again.request.last_level is not None and (
         again.request.last_level.term,
         again.request.last_level.level,
     ) == (
@@ -103,14 +110,16 @@
     client, ownership = connected_client()
     ownership.update(6, (OTHER,))
     sent_request = sent(client.admit(2, "t", 5.0, 10.1)).request
-    assert sent_request.fencing_token == 6 and sent_request.usage_report is not None
-    assert sent_request.last_level is not None and sent_request.last_level.age_ms in (96, 97)
+    assert sent_request.fencing_token == 6
+    assert sent_request.usage_report is not None
+    assert sent_request.last_level is not None
+    assert sent_request.last_level.age_ms in (96, 97)
 
 
 @pytest.mark.parametrize(
     "status", [ReplyStatus.STALE_TOKEN, ReplyStatus.NOT_READY, ReplyStatus.NOT_OWNER]
 )
-def test_when_rosters_differ_it_pulls_and_asks_again_soon(status: ReplyStatus) -> None:
+def test_when_rosters_differ_it_pulls_and_retries_soon(status: ReplyStatus) -> None:
     client, _ = connected_client()
     sent_request = sent(client.admit(2, "t", 5.0, 10.1))
     assert client.handle_reply(sent_request.call, QuotaReply(status, 6), 10.102) == [
@@ -118,7 +127,7 @@
     ]
     assert client.next_wake_at(10.102) == pytest.approx(10.102 + module.RETRY_INTERVAL_S)
     again = sent(client.wake(10.14))
-    assert decided(client.handle_reply(again.call, make_reply(True), 10.142)) == {2: True}
+    assert decided(client.handle_reply(again.call, make_reply((True,)), 10.142)) == {2: True}
 
 
 def test_a_request_waits_no_longer_than_the_bound() -> None:
@@ -139,7 +148,7 @@
     assert now <= 10.1 + module.MAX_WAIT_S + 0.001
 
 
-def test_a_broken_connection_is_tried_again_at_once_and_a_silent_owner_is_not() -> None:
+def test_a_broken_connection_is_retried_at_once_and_a_time_out_is_not() -> None:
     client, _ = connected_client()
     sent_request = sent(client.admit(2, "t", 5.0, 10.1))
     again = sent(client.handle_reply(sent_request.call, None, 10.103))
@@ -155,7 +164,7 @@
     client, _ = make_client()
     client.handle_reply(
         sent(client.admit(1, "t", 100.0, 10.0)).call,
-        make_reply(True, usage_fraction=usage_fraction),
+        make_reply((True,), usage_fraction=usage_fraction),
         10.003,
     )
     sent_request = sent(client.wake(10.41))
@@ -163,7 +172,7 @@
     return client
 
 
-def test_without_an_owner_it_goes_on_at_its_recent_rate_for_a_while() -> None:
+def test_without_an_owner_it_admits_at_its_recent_rate_for_a_limited_time() -> None:
     client = unreachable_owner(usage_fraction=0.0)
     rate = RECENT_RATE_FRACTION * 100 / 8
     total, now = 0.0, 10.6
@@ -178,7 +187,7 @@
     ("usage_fraction", "local_fraction"),
     [(0.5, 0.5 * LOCAL_FRACTION), (0.0, NEWCOMER_FRACTION), (1.0, LOCAL_FRACTION)],
 )
-def test_after_that_only_a_part_of_the_allowance_is_used(
+def test_after_that_only_a_fraction_of_the_allowance_is_used(
     usage_fraction: float, local_fraction: float
 ) -> None:
     client = unreachable_owner(usage_fraction)
@@ -189,26 +198,22 @@
     assert total == int(local_fraction * ALLOWANCE + 1e-9)
 
 
-def test_an_owner_that_answers_again_hears_of_all_of_it() -> None:
+def test_an_owner_that_replies_again_gets_all_local_admissions() -> None:
     client = unreachable_owner()
     effects = client.admit(2, "t", 5.0, 10.7)
     assert decided(effects) == {2: True}
     probe = sent(effects)
-    assert (
-        probe.request.amounts == ()
-        and probe.request.admitted_locally == 5.0
-        and probe.request.usage_report is not None
-    )
+    assert probe.request.amounts == ()
+    assert probe.request.admitted_locally == 5.0
+    assert probe.request.usage_report is not None
     client.handle_reply(probe.call, make_reply(), 10.703)
     sent_request = sent(client.admit(3, "t", 5.0, 10.71)).request
-    assert (
-        sent_request.amounts == (5.0,)
-        and sent_request.admitted_locally == 0.0
-        and sent_request.usage_report is None
-    )
+    assert sent_request.amounts == (5.0,)
+    assert sent_request.admitted_locally == 0.0
+    assert sent_request.usage_report is None
 
 
-def test_a_gateway_that_leaves_has_nothing_held_back() -> None:
+def test_for_a_gateway_that_drains_nothing_is_reserved() -> None:
     client, _ = connected_client()
     client.draining = True
     sent_request = sent(client.admit(2, "t", 50.0, 10.1))
@@ -216,29 +221,31 @@
     assert decided(client.handle_reply(sent_request.call, None, 10.25)) == {2: False}
 
 
-def test_a_gateway_without_a_roster_decides_by_itself() -> None:
+def test_a_gateway_without_a_roster_decides_locally() -> None:
     client, _ = make_client(token=0)
     assert decided(client.admit(1, "t", 1.0, 10.0)) == {1: True}
     assert decided(client.admit(2, "t", 50.0, 10.0)) == {2: False}
 
 
-def test_signs_of_life_go_out_while_there_was_use_lately() -> None:
+def test_keep_alives_are_sent_while_there_is_recent_usage() -> None:
     client, _ = connected_client()
-    now, signs = 10.003, 0
+    now = 10.003
+    keep_alives = 0
     while (due := client.next_wake_at(now)) < 30:
         now = due
         for effect in client.wake(now):
-            assert isinstance(effect, SendQuotaRequest) and effect.request.amounts == ()
-            signs += 1
+            assert isinstance(effect, SendQuotaRequest)
+            assert effect.request.amounts == ()
+            keep_alives += 1
             client.handle_reply(effect.call, make_reply(), now + 0.003)
-    assert signs == pytest.approx(RULE.window_s / module.KEEP_ALIVE_INTERVAL_S, abs=2)
+    assert keep_alives == pytest.approx(RULE.window_s / module.KEEP_ALIVE_INTERVAL_S, abs=2)
     assert now < 19
 
 
-def test_tokens_lent_ahead_decide_at_once_and_the_rest_goes_back() -> None:
+def test_a_lease_decides_at_once_and_its_rest_is_returned() -> None:
     client, _ = make_client()
     now = 10.0
-    for number in range(1, 400):  # many small requests: a request's worth comes ahead
+    for number in range(1, 400):  # many small requests: the lease has a request's amount
         effects = client.admit(number, "t", 1.0, now)
         requests = [each for each in effects if isinstance(each, SendQuotaRequest)]
         now += 0.01
@@ -246,10 +253,10 @@
             break
         for sent_request in requests:
             client.handle_reply(
-                sent_request.call, make_reply(*[True] * len(sent_request.request.amounts)), now
+                sent_request.call, make_reply((True,) * len(sent_request.request.amounts)), now
             )
     assert requests[0].request.lease_wanted >= 1.0
-    client.handle_reply(requests[0].call, make_reply(True, lease=2.5), now)
+    client.handle_reply(requests[0].call, make_reply((True,), lease=2.5), now)
     assert decided(client.admit(1000, "t", 1.0, now + 0.01)) == {1000: True}
     assert decided(client.admit(1001, "t", 1.0, now + 0.02)) == {1001: True}
     late = sent(client.wake(now + module.KEEP_ALIVE_INTERVAL_S + module.LEASE_DURATION_S))
@@ -264,64 +271,9 @@
     assert sent_request.returned == 40.0
 
 
-def test_requests_of_a_tenant_whose_limit_goes_are_admitted() -> None:
+def test_requests_of_a_tenant_whose_limit_is_removed_are_admitted() -> None:
     client, _ = make_client()
     client.admit(1, "t", 5.0, 10.0)
     client.admit(2, "t", 5.0, 10.0)
     assert decided(client.configure({})) == {1: True, 2: True}
-    assert client.handle_reply(1, make_reply(True), 10.02) == []
-
-
-# The shared slack of repeats
-
-
-def retry_client(slack: float = 52.0) -> RetryBudgetClient:
-    ownership = OwnershipView(OWN)
-    ownership.update(5, (OTHER,))
-    return RetryBudgetClient(ownership, slack)
-
-
-@pytest.mark.parametrize(
-    ("outcome", "effects"),
-    [
-        (None, [RetryBudgetDecided(1, False)]),
-        (RetryBudgetReply(OK, 5, True), [RetryBudgetDecided(1, True)]),
-        (RetryBudgetReply(OK, 5, False, 0.1), [RetryBudgetDecided(1, False)]),
-        (
-            RetryBudgetReply(ReplyStatus.STALE_TOKEN, 6, False),
-            [RefreshRoster(), RetryBudgetDecided(1, False)],
-        ),
-        (
-            RetryBudgetReply(ReplyStatus.NOT_READY, 4, False),
-            [RefreshRoster(), RetryBudgetDecided(1, False)],
-        ),
-    ],
-)
-def test_a_repeat_is_allowed_only_by_its_owner(
-    outcome: RetryBudgetReply | None, effects: list[object]
-) -> None:
-    client = retry_client()
-    [sent_request] = client.request(1, "s", 10.0)
-    assert (
-        isinstance(sent_request, SendRetryBudgetRequest)
-        and sent_request.address == OTHER.address
-        and sent_request.request.fencing_token == 5
-    )
-    assert client.handle_reply(1, outcome, 10.01) == effects
-    assert client.handle_reply(1, outcome, 10.01) == []
-
-
-def test_a_refusal_stands_for_a_moment() -> None:
-    client = retry_client()
-    client.request(1, "s", 10.0)
-    client.handle_reply(1, RetryBudgetReply(OK, 5, False, 0.1), 10.0)
-    assert client.request(2, "s", 10.05) == [RetryBudgetDecided(2, False)]
-    assert isinstance(client.request(3, "other", 10.05)[0], SendRetryBudgetRequest)
-    assert isinstance(client.request(4, "s", 10.11)[0], SendRetryBudgetRequest)
-
-
-def test_without_a_slack_or_a_roster_the_answer_is_no() -> None:
-    assert retry_client(0.0).request(1, "s", 10.0) == [RetryBudgetDecided(1, False)]
-    assert RetryBudgetClient(OwnershipView(OWN), 52.0).request(1, "s", 10.0) == [
-        RetryBudgetDecided(1, False)
-    ]
+    assert client.handle_reply(1, make_reply((True,)), 10.02) == []
--- a/tests/budgets/test_quota_owner.py
+++ b/tests/budgets/test_quota_owner.py
@@ -1,4 +1,4 @@
-"""The owner's decisions on quotas, and on the shared slack of repeats."""
+"""The owner's decisions on quotas."""
 
 from __future__ import annotations
 
@@ -6,12 +6,6 @@
 
 from roselink.budgets import quota_owner as module
 from roselink.budgets.quota_owner import QuotaOwner
-from roselink.budgets.retry_budget import (
-    FIRST_WINDOW_FRACTION,
-    GRANTED_FRACTION,
-    START_DELAY_S,
-    RetryBudgetOwner,
-)
 from roselink.budgets.usage import GRACE_FRACTION, START_FRACTION, QuotaLimit, QuotaRule
 from roselink.model.fleet import Member
 from roselink.protocol.budgets import (
@@ -19,7 +13,6 @@
     QuotaReply,
     QuotaRequest,
     ReplyStatus,
-    RetryBudgetRequest,
     UsageSample,
 )
 
@@ -76,7 +69,7 @@
     assert owner.decide(request(), 1.0).status is ReplyStatus.NOT_READY
 
 
-def test_an_unknown_asker_must_report_first() -> None:
+def test_an_unknown_requester_must_report_first() -> None:
     owner = full_owner()
     assert owner.decide(request(1.0, report=None), 10.0).status is ReplyStatus.REPORT_WANTED
     assert owner.decide(request(1.0, report=()), 10.0).admitted == (True,)
@@ -94,7 +87,7 @@
         ((0.0, 0.0), (True, True)),
     ],
 )
-def test_a_full_bucket_holds_its_burst(
+def test_a_full_bucket_admits_its_burst(
     amounts: tuple[float, ...], admitted: tuple[bool, ...]
 ) -> None:
     assert full_owner().decide(request(*amounts), 10.0).admitted == admitted
@@ -110,7 +103,7 @@
     assert owner.decide(request(10.0), 11.61).admitted == (True,)
 
 
-def test_a_clock_that_stands_refills_nothing() -> None:
+def test_a_clock_that_does_not_advance_refills_nothing() -> None:
     owner = full_owner()
     owner.decide(request(100.0), 10.0)
     assert owner.decide(request(1.0), 10.0).admitted == (False,)
@@ -131,7 +124,7 @@
 @pytest.mark.parametrize(
     ("at", "most"), [(0.0, 0.0), (0.5, 50 + START_FRACTION * 120 / 2), (1.0, 100.0)]
 )
-def test_a_term_that_nobody_told_anything_starts_with_nothing(at: float, most: float) -> None:
+def test_a_term_without_a_known_level_starts_empty(at: float, most: float) -> None:
     reply = make_owner(LOOSE).decide(request(), at)
     assert reply.level == pytest.approx(most)
 
@@ -147,14 +140,14 @@
         (-300.0, 1500, -150.0),
     ],
 )
-def test_a_term_counts_from_the_level_that_an_asker_heard(
+def test_a_term_counts_from_the_previous_owners_level(
     level: float, age_ms: int, starts_at: float
 ) -> None:
     reply = make_owner().decide(request(last_level=BucketLevel(7, level, 0.0, age_ms)), 0.0)
     assert reply.level == pytest.approx(starts_at)
 
 
-def test_the_newest_level_counts_whoever_tells_it_and_own_decisions_count_on_top() -> None:
+def test_the_newest_level_counts_whoever_reports_it_and_own_decisions_count_on_top() -> None:
     owner = make_owner()
     assert owner.decide(
         request(30.0, last_level=BucketLevel(7, 40.0, 0.0, 200)), 0.0
@@ -172,14 +165,14 @@
     assert again.level == pytest.approx(50.0)
 
 
-def test_what_an_asker_admitted_by_itself_is_taken_and_what_comes_back_is_given() -> None:
+def test_local_admissions_are_taken_and_returned_amounts_are_added() -> None:
     owner = full_owner()
     assert owner.decide(request(admitted_locally=70.0), 10.0).level == pytest.approx(30.0)
     assert owner.decide(request(returned=20.0), 10.0).level == pytest.approx(50.0)
     assert owner.decide(request(returned=500.0), 10.0).level == pytest.approx(100.0)
 
 
-def test_a_term_ends_with_the_role_or_with_a_lapsed_confirmation() -> None:
+def test_a_term_ends_with_the_ownership_or_with_a_lapsed_confirmation() -> None:
     owner = full_owner()
     first = owner.decide(request(50.0), 10.0)
     owner.set_owned(["t"], (A, B), 10.0)
@@ -187,10 +180,11 @@
     owner.end_terms()
     owner.set_owned(["t"], (A, B), 10.0)
     second = owner.decide(request(), 10.0)
-    assert second.term != first.term and second.level == 0.0
+    assert second.term != first.term
+    assert second.level == 0.0
 
 
-def test_a_silent_asker_with_recent_use_has_its_rate_held_back() -> None:
+def test_the_rate_of_an_unreachable_requester_with_recent_usage_is_reserved() -> None:
     owner = full_owner()
     owner.decide(request(80.0, member=B), 10.0)  # 10 a second over the window
     unreachable = module.UNREACHABLE_AFTER_S
@@ -203,10 +197,8 @@
     assert owner.decide(request(100.0), 10.0 + LOOSE.window_s + 5).admitted == (True,)
 
 
-def test_a_new_owner_holds_back_for_those_that_it_only_heard_of() -> None:
-    """All had used 120 in the window, and the one that tells it 40 of that: 10 a second are out of
-    reach.
-    """
+def test_a_new_owner_reserves_for_usage_that_it_knows_from_the_previous_owner() -> None:
+    """All had used 120 in the window, and the one that reports 40: 10 a second are unreachable."""
     owner = make_owner()
     owner.decide(
         request(report=(UsageSample(100, 40.0),), last_level=BucketLevel(7, 100.0, 120.0, 0)), 0.0
@@ -217,32 +209,32 @@
     assert owner.decide(request(91.0), later).admitted == (True,)
 
 
-def test_what_all_used_leaves_out_those_that_left() -> None:
+def test_recent_usage_leaves_out_requesters_that_drain() -> None:
     owner = full_owner()
     owner.decide(request(30.0), 10.0)
     assert owner.decide(request(20.0, member=B), 10.0).recent_usage == pytest.approx(50.0)
     assert owner.decide(request(member=B, draining=True), 10.0).recent_usage == pytest.approx(30.0)
 
 
-@pytest.mark.parametrize("how", ["leaving", "new start", "heard"])
-def test_nothing_is_held_back_for_a_process_that_admits_nothing_by_itself(how: str) -> None:
+@pytest.mark.parametrize("how", ["draining", "restarted", "reachable"])
+def test_nothing_is_reserved_for_a_process_that_admits_nothing_locally(how: str) -> None:
     owner = full_owner()
-    owner.decide(request(80.0, member=B, draining=how == "leaving"), 10.0)
-    if how == "new start":
+    owner.decide(request(80.0, member=B, draining=how == "draining"), 10.0)
+    if how == "restarted":
         owner.set_owned(["t"], (A, Member("b", B.address, 3)), 10.1)
-    if how == "heard":
+    if how == "reachable":
         owner.decide(request(member=B), 12.9)
     assert owner.decide(request(100.0), 13.0).admitted == (True,)
 
 
-def test_tokens_are_lent_ahead_only_from_a_bucket_that_is_more_than_half_full() -> None:
+def test_leases_are_granted_only_from_a_bucket_that_is_more_than_half_full() -> None:
     owner = full_owner()
     assert owner.decide(request(10.0, lease_wanted=20.0), 10.0).lease_granted == 20.0
     assert owner.decide(request(10.0, lease_wanted=20.0), 10.0).lease_granted == pytest.approx(10.0)
     assert owner.decide(request(10.0, lease_wanted=20.0), 10.0).lease_granted == 0.0
 
 
-def test_shares_tell_who_used_how_much() -> None:
+def test_usage_fractions_are_those_of_the_requesters() -> None:
     owner = full_owner()
     assert owner.decide(request(), 10.0).usage_fraction == 0.0
     assert owner.decide(request(30.0), 10.0).usage_fraction == 1.0
@@ -269,53 +261,8 @@
     assert owner.decide(request(), 10.0).level == pytest.approx(level)
 
 
-def test_a_tenant_without_a_limit_any_more_is_forgotten() -> None:
+def test_a_tenant_whose_limit_was_removed_is_forgotten() -> None:
     owner = full_owner()
     owner.configure({"t": QuotaLimit(0.0, 100.0)}, 10.0)
     owner.set_owned(["t"], (A,), 10.0)
     assert owner.decide(request(1.0), 10.0) == QuotaReply(ReplyStatus.NOT_READY, 5)
-
-
-# The shared slack of repeats
-
-
-def grant(owner: RetryBudgetOwner, at: float, times: int = 1) -> int:
-    return sum(owner.decide(RetryBudgetRequest("s", 5), at).allowed for _ in range(times))
-
-
-def test_a_term_lends_nothing_then_little_then_most_of_the_slack() -> None:
-    owner = RetryBudgetOwner(10.0, 100.0)
-    assert owner.decide(RetryBudgetRequest("s", 5), 0.0).status is ReplyStatus.NOT_READY
-    owner.set_owned(["s"], 0.0)
-    assert grant(owner, START_DELAY_S - 0.01, 5) == 0
-    assert grant(owner, START_DELAY_S, 50) == 100 * FIRST_WINDOW_FRACTION
-    assert grant(owner, 9.9, 50) == 0
-    assert grant(owner, 10.1, 200) == 100 * (GRANTED_FRACTION - FIRST_WINDOW_FRACTION)
-    assert grant(owner, 10.6, 200) == 100 * FIRST_WINDOW_FRACTION
-    assert grant(owner, 20.0, 200) == 0
-    assert grant(owner, 20.2, 200) == 100 * (GRANTED_FRACTION - FIRST_WINDOW_FRACTION)
-
-
-@pytest.mark.parametrize(("unconfirmed_s", "granted"), [(1.3, 80), (9.9, 80), (10.0, 0)])
-def test_a_lapsed_confirmation_ends_a_term_of_repeats_after_a_whole_window(
-    unconfirmed_s: float, granted: int
-) -> None:
-    owner = RetryBudgetOwner(10.0, 100.0)
-    owner.set_owned(["s"], 0.0)
-    owner.end_terms(unconfirmed_s)
-    owner.set_owned(["s"], 30.0)
-    assert grant(owner, 30.0, 200) == granted
-
-
-def test_a_service_that_moves_away_and_back_starts_a_new_term() -> None:
-    owner = RetryBudgetOwner(10.0, 100.0)
-    owner.set_owned(["s"], 0.0)
-    owner.set_owned([], 30.0)
-    owner.set_owned(["s"], 31.0)
-    assert grant(owner, 32.0, 200) == 100 * FIRST_WINDOW_FRACTION
-
-
-def test_without_a_slack_nothing_is_lent() -> None:
-    owner = RetryBudgetOwner(10.0, 0.0)
-    owner.set_owned(["s"], 0.0)
-    assert grant(owner, 50.0, 5) == 0
