--- a/roselink/router/interfaces.py
+++ b/roselink/router/interfaces.py
@@ -2,13 +2,16 @@
 
 from __future__ import annotations
 
-from typing import Protocol
+from typing import TYPE_CHECKING, Protocol
+
+if TYPE_CHECKING:
+    from collections.abc import Sequence
 
 
 class Decider(Protocol):
     """The decisions on each request: host choice, retries and hedges."""
 
-    def take_unreported_outcomes(self) -> list[tuple[str, int, int]]:
+    def take_unreported_outcomes(self) -> Sequence[tuple[str, int, int]]:
         """Return the outcomes since the last call, for the other gateways.
 
         Each entry has a host, how many attempts succeeded in time, and how many did not.
