--- a/roselink/router/app.py
+++ b/roselink/router/app.py
@@ -40,7 +40,7 @@
     # SIGHUP reloads the settings. Until the handler is there, its default would kill the process.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     path = os.environ.get(ENVIRONMENT_VARIABLE, DEFAULT_PATH)
-    from roselink.dataplane.gateway_data_plane import DataPlane as GatewayDataPlane
+    from roselink.dataplane.gateway_data_plane import GatewayDataPlane
     from roselink.routing.fleet_decider import FleetDecider
 
     try:
