--- a/roselink/balancer/__init__.py
+++ b/roselink/balancer/__init__.py
@@ -1,5 +1,6 @@
-"""Decisions of a reverse proxy that stay good when servers fail. Start at `Balancer` and
-`interface`.
+"""Decisions of a reverse proxy that stay good when servers fail.
+
+Start at `Balancer` (`decider`) and at its events and actions (`interface`).
 """
 
 from roselink.balancer.decider import Balancer
--- a/roselink/balancer/interface.py
+++ b/roselink/balancer/interface.py
@@ -1,7 +1,7 @@
-"""What goes into the balancer and what comes out: settings, events, actions. Types only, no
-decisions.
+"""What goes into the balancer and what comes out: settings, events, actions.
 
-All times are whole microseconds of one clock that the host program chooses; it only has to advance.
+Types only, no decisions. All times are integers: microseconds of one clock that the host program
+chooses; it only has to advance.
 """
 
 from __future__ import annotations
@@ -10,6 +10,8 @@
 from enum import Enum
 from typing import TYPE_CHECKING, NamedTuple
 
+from roselink.balancer.exceptions import SettingsError
+
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
@@ -33,7 +35,7 @@
 
 
 class State(Enum):
-    """What discovery says of a server."""
+    """A server's state in discovery."""
 
     GONE = 0
     READY = 1
@@ -41,7 +43,7 @@
 
 
 class ListKind(Enum):
-    """How a server list relates to the one held."""
+    """How a server list relates to the one before."""
 
     FULL = 0
     CACHED = 1
@@ -49,14 +51,27 @@
     FAILED = 3
 
 
-def _need(condition: bool, field: str, why: str) -> None:
-    if not condition:
-        raise ValueError(f"{field}: {why}")
+def _require(field: str, problem: str, *, valid: bool) -> None:
+    if not valid:
+        raise SettingsError(field, problem)
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One class of request. With no aim told, `aim_us` is None."""
+    """One class of request.
+
+    Attributes:
+        name: Its name in the settings.
+        effect: What a second run of a request would do.
+        aim_us: The latency objective; None for none.
+        deadline_us: The longest that a client waits.
+        worth: The value of an answer within the aim, against other routes.
+        late_worth: The fraction of it that an answer past the aim has.
+        group: The servers that drop each other's repeats.
+        memory_span_us: How long they do.
+        stream: Whether its answers are streamed.
+        aim_stretch: What the aim grows by, for each unit of the request's work.
+    """
 
     name: str = ""
     effect: Effect = Effect.UNSAFE
@@ -70,21 +85,51 @@
     aim_stretch: float = 0.0
 
     def __post_init__(self) -> None:
-        _need(self.aim_us is None or self.aim_us > 0, "route.aim_us", "must be above 0")
-        _need(self.deadline_us > 0, "route.deadline_us", "must be above 0")
-        _need(self.worth >= 0, "route.worth", "must not be negative")
-        _need(0 <= self.late_worth <= 1, "route.late_worth", "must lie between 0 and 1")
-        _need(self.memory_span_us >= 0, "route.memory_span_us", "must not be negative")
-        _need(self.aim_stretch >= 0, "route.aim_stretch", "must not be negative")
+        """Raises `SettingsError` for a value that cannot work."""
+        _require("route.aim_us", "must be above 0", valid=self.aim_us is None or self.aim_us > 0)
+        _require("route.deadline_us", "must be above 0", valid=self.deadline_us > 0)
+        _require("route.worth", "must not be negative", valid=self.worth >= 0)
+        _require("route.late_worth", "must lie between 0 and 1", valid=0 <= self.late_worth <= 1)
+        _require("route.memory_span_us", "must not be negative", valid=self.memory_span_us >= 0)
+        _require("route.aim_stretch", "must not be negative", valid=self.aim_stretch >= 0)
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All a balancer is told before its first event. No routes: one route, all of it unsafe."""
+    """What a balancer knows before its first event.
+
+    Attributes:
+        routes: The classes of request; none: one class, all of it unsafe.
+        balancers: How many balancers share the servers.
+        number: Which of them this is, from 0.
+        zone: The zone it runs in.
+        discovery_asks: Whether lists of servers are requested; else they are pushed.
+        tenant_quotas_per_s: Requests a second of each tenant, over all balancers.
+        over_quota_worth: The fraction of its worth that a request over quota has.
+        max_attempts: Sends of one request at most.
+        parallel_tries: Whether a request may have two attempts in flight.
+        cancelling: Whether attempts can be cancelled.
+        probing: Whether servers can be probed.
+        retry_after: Whether a refusal may carry a time to come back after.
+        max_retry_after_us: The longest such time.
+        ask_within_us: Within which a balancer with no list has one.
+        drain_grace_us: How long a draining server still takes requests.
+        cold_us: How long a server is in slow start.
+        cold_from: The fraction of its capacity that it starts with.
+        fall_multiple: The work, over its capacity, at which a cold server fails.
+        fall_window_us: The time over which that work is counted.
+        answer_slack_us: How late after its deadline a final answer may come.
+        price_cross_zone: What a request to another zone costs, in payoff.
+        warm_keys: Whether a server is quicker with keys that it has served before.
+        hints_are_sizes: Whether a server's hint is its number of cores.
+        clients_mark_repeats: Whether clients mark their retries.
+        weight_whole: The weight of all requests in the operators' objective.
+        weight_worst_class: The weight of the worst class in it.
+    """
 
     routes: tuple[Route, ...] = ()
     balancers: int = 1
-    number: int = 0  # which of them this is, from 0
+    number: int = 0
     zone: int = 0
     discovery_asks: bool = False
     tenant_quotas_per_s: tuple[float, ...] = ()
@@ -110,13 +155,16 @@
     weight_worst_class: float = 0.0
 
     def __post_init__(self) -> None:
-        _need(self.balancers >= 1, "balancers", "must be at least 1")
-        _need(0 <= self.number < self.balancers, "number", "must lie from 0 to below balancers")
-        _need(self.max_attempts >= 1, "max_attempts", "must be at least 1")
-        _need(0 < self.cold_from <= 1, "cold_from", "must lie above 0, and be 1 at most")
-        _need(self.fall_multiple > 0, "fall_multiple", "must be above 0")
-        _need(self.fall_window_us > 0, "fall_window_us", "must be above 0")
-        _need(self.ask_within_us > 0, "ask_within_us", "must be above 0")
+        """Raises `SettingsError` for a value that cannot work."""
+        _require("balancers", "must be at least 1", valid=self.balancers >= 1)
+        _require(
+            "number", "must lie from 0 to below balancers", valid=0 <= self.number < self.balancers
+        )
+        _require("max_attempts", "must be at least 1", valid=self.max_attempts >= 1)
+        _require("cold_from", "must lie above 0, and be 1 at most", valid=0 < self.cold_from <= 1)
+        _require("fall_multiple", "must be above 0", valid=self.fall_multiple > 0)
+        _require("fall_window_us", "must be above 0", valid=self.fall_window_us > 0)
+        _require("ask_within_us", "must be above 0", valid=self.ask_within_us > 0)
         for field in (
             "zone",
             "over_quota_worth",
@@ -124,16 +172,26 @@
             "drain_grace_us",
             "cold_us",
         ):
-            _need(getattr(self, field) >= 0, field, "must not be negative")
-        _need(
-            all(q >= 0 for q in self.tenant_quotas_per_s),
+            _require(field, "must not be negative", valid=getattr(self, field) >= 0)
+        _require(
             "tenant_quotas_per_s",
             "must not be negative",
+            valid=all(quota >= 0 for quota in self.tenant_quotas_per_s),
         )
 
 
 class Server(NamedTuple):
-    """One line of a server list. `started_us` None or 0: long ago."""
+    """One entry of a server list.
+
+    Attributes:
+        id: Its number, the same at every balancer.
+        state: Whether it takes new requests.
+        zone: The zone it runs in.
+        cell: The group within its zone that drops repeats.
+        kind: Its kind of machine.
+        hint: Its size, by `Settings.hints_are_sizes`.
+        started_us: When it started; None or 0: long ago.
+    """
 
     id: int
     state: State = State.READY
@@ -145,7 +203,7 @@
 
 
 class ServerList(NamedTuple):
-    """Event: the list of servers, whole or in changes; or a failed call for it."""
+    """Event: the list of servers, full or in changes; or a failed call for it."""
 
     kind: ListKind
     servers: tuple[Server, ...] = ()
@@ -208,9 +266,13 @@
 
 
 class Send(NamedTuple):
-    """Action: start an attempt. Attempts of a request count from 0. Time-out 0: until the client
-    gives up. `before_us`: once the clock shows this the attempt must not be written any more; 0 for
-    no such bound.
+    """Action: start an attempt.
+
+    Attributes:
+        request: Whose attempt it is; the attempts of a request count from 0.
+        server: The number of the server.
+        timeout_us: The attempt's time-out; 0: until the client gives up.
+        before_us: Once the clock shows this, the attempt must not be written any more; 0: no limit.
     """
 
     request: int
@@ -220,7 +282,7 @@
 
 
 class Refuse(NamedTuple):
-    """Action: final answer; tells the client that trying again is harmless."""
+    """Action: final answer; it says to the client that trying again is harmless."""
 
     request: int
     retry_after_us: int = 0
--- a/roselink/gateway/__main__.py
+++ b/roselink/gateway/__main__.py
@@ -87,7 +87,7 @@
             with self._for_reload.lent():
                 config = reload(environment)
         except ConfigError as error:
-            log.error("the old configuration stands: %s", error)
+            log.error("the old configuration stands: %s", error)  # noqa: TRY400 - one plain line
             return
         if ignored := changed_fields(self.config, config):
             log.warning("these fields change with a restart only: %s", ", ".join(ignored))
--- a/roselink/gateway/config.py
+++ b/roselink/gateway/config.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, fields
 from typing import TYPE_CHECKING, Any
 
-from roselink.balancer.simulator_adapter import read_settings
+from roselink.balancer.settings_reader import read_settings
 from roselink.gateway.exceptions import ConfigError
 
 if TYPE_CHECKING:
--- a/roselink/gateway/discovery.py
+++ b/roselink/gateway/discovery.py
@@ -30,6 +30,7 @@
 # Time-out to connect, and of a response's head, where lists are pushed: there is no queue, and a
 # change counts as known at once.
 PUSHED_TIMEOUT_S = 0.6
+CONNECT_TIMED_OUT = "no connection in time"
 # Bytes read at a time.
 READ_SIZE = 65536
 # Characters of a list that the log shows.
@@ -171,7 +172,7 @@
                     call = f"GET {target} HTTP/1.1\r\nHost: {host}\r\n\r\n"
                     await loop.sock_sendall(connection, call.encode())
             except TimeoutError:
-                raise ConnectionError("no connection in time") from None
+                raise ConnectionError(CONNECT_TIMED_OUT) from None
             expires_at = loop.time() + self._response_timeout_s
             while not response.ended:
                 async with asyncio.timeout_at(expires_at):
--- a/roselink/gateway/request_checks.py
+++ b/roselink/gateway/request_checks.py
@@ -28,6 +28,8 @@
 # Digits of the largest numbers that are read from a header.
 MAX_TIMEOUT_DIGITS = 12
 MAX_HINT_DIGITS = 11
+# Segments of the path `/class/key`, with the empty one before its first slash.
+KEYED_PATH_SEGMENTS = 3
 # Index of a tenant that the settings do not name.
 UNKNOWN_TENANT = -1
 
@@ -97,11 +99,12 @@
 
     def _route(self, segments: list[bytes]) -> int:
         """The index of the class that the path's first segment names."""
-        if len(segments) < 2 or segments[0] or not segments[1]:
+        if len(segments) < KEYED_PATH_SEGMENTS - 1 or segments[0] or not segments[1]:
             raise BadRequestError(404, "no such path")
         route = self._routes.get(unquote(segments[1].decode("latin-1")))
         if route is None:
-            raise BadRequestError(400 if len(segments) == 3 else 404, "no such class")
+            has_key = len(segments) == KEYED_PATH_SEGMENTS
+            raise BadRequestError(400 if has_key else 404, "no such class")
         return route
 
     @staticmethod
@@ -144,7 +147,7 @@
 
 def _key(segments: list[bytes]) -> str | None:
     """The last segment of a path of two segments or more."""
-    if len(segments) > 2 and segments[-1]:
+    if len(segments) >= KEYED_PATH_SEGMENTS and segments[-1]:
         return unquote(segments[-1].decode("latin-1"))
     return None
 
--- a/roselink/gateway/reserved_socket.py
+++ b/roselink/gateway/reserved_socket.py
@@ -48,7 +48,7 @@
     @staticmethod
     def _new_socket() -> socket.socket:
         new = socket.socket()
-        new.setblocking(False)
+        new.setblocking(False)  # noqa: FBT003 - the signature of `socket`
         return new
 
     def take(self) -> socket.socket:
--- a/roselink/gateway/server.py
+++ b/roselink/gateway/server.py
@@ -28,6 +28,8 @@
 log = logging.getLogger("roselink.gateway.server")
 
 MESSAGE_LIMIT = HEAD_LIMIT + 4 * BODY_LIMIT  # with a chunked body's framing
+# Statuses without a request that are not logged: those of `/up`.
+QUIET_STATUSES = (200, 503)
 # Time-out for a request to arrive, from its first byte, and for a first one to begin at all.
 RECEIVE_S = 2.0
 # Time-out for a client to read its response.
@@ -67,7 +69,7 @@
         self._serving = True
         self._keep = pending.keep
         if pending.request is None:
-            if pending.status >= 400 and pending.status != 503:
+            if pending.status not in QUIET_STATUSES:
                 log.info("%d: %s", pending.status, pending.why)
             self.answer(Reply(pending.status))
             return
--- a/tests/balancer/test_balance.py
+++ b/tests/balancer/test_balance.py
@@ -43,7 +43,13 @@
 
 ROOT = Path(__file__).parents[2]
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-NO_DECISIONS = {"__init__.py", "interface.py", "simulator_adapter.py"}
+NO_DECISIONS = {
+    "__init__.py",
+    "exceptions.py",
+    "interface.py",
+    "settings_reader.py",
+    "simulator_adapter.py",
+}
 
 
 def test_the_deploy_file_names_the_modules_that_decide() -> None:
--- a/tests/balancer/test_simulator_adapter.py
+++ b/tests/balancer/test_simulator_adapter.py
@@ -7,7 +7,7 @@
 import sys
 from typing import TYPE_CHECKING, Any
 
-from roselink.balancer.simulator_adapter import Host
+from roselink.balancer.simulator_adapter import SimulatorHost
 
 if TYPE_CHECKING:
     import pytest
@@ -86,7 +86,7 @@
 
 
 def test_a_fault_of_one_instance_is_its_own(monkeypatch: pytest.MonkeyPatch) -> None:
-    host = Host()
+    host = SimulatorHost()
     host.reply(json.loads(batch(1000, START, *LISTED)))
     host.reply(json.loads(batch(1000, START, *LISTED, gateway=1)))
 
--- a/tests/gateway/test_settings.py
+++ b/tests/gateway/test_settings.py
@@ -15,7 +15,7 @@
     Settings,
     StreamStarted,
 )
-from roselink.balancer.simulator_adapter import read_settings
+from roselink.balancer.settings_reader import read_settings
 from roselink.routing.outcome import Outcome
 from tests.support.helpers import Stage, route, settings
 
