--- a/tests/routing/builders.py
+++ b/tests/routing/builders.py
@@ -55,14 +55,14 @@
 
 
 @dataclass
-class Bench:
+class DeciderHarness:
     """A decider with its clock; keeps the timers it asked for."""
 
     decider: FleetDecider = field(default_factory=lambda: FleetDecider("z", 1, 0.2, 10.0))
     now: float = 0.0
     timers: list[tuple[float, int]] = field(default_factory=list)
 
-    def tell(self, event: Event) -> list[Action]:
+    def handle(self, event: Event) -> list[Action]:
         actions = self.decider.handle(self.now, event)
         self.timers += [
             (action.at, action.tag) for action in actions if isinstance(action, StartTimer)
@@ -70,29 +70,29 @@
         return [action for action in actions if not isinstance(action, StartTimer)]
 
     def list_hosts(self, *listed: Host) -> list[Action]:
-        return self.tell(TopologyChanged(tuple(listed), ()))
+        return self.handle(TopologyChanged(tuple(listed), ()))
 
     def arrive(self, facts: RequestFacts = FACTS, /, **changes: object) -> list[Action]:
         facts = replace(facts, **changes)  # type: ignore[arg-type]
         shifted = replace(facts, arrived_at=self.now, deadline=self.now + facts.deadline)
-        return self.tell(RequestArrived(shifted))
+        return self.handle(RequestArrived(shifted))
 
-    def end(
+    def end_attempt(
         self, outcome: Outcome, attempt: int = 0, number: int = 1, **more: bool
     ) -> list[Action]:
-        return self.tell(AttemptEnded(number, attempt, outcome, 0.01, **more))
+        return self.handle(AttemptEnded(number, attempt, outcome, 0.01, **more))
 
-    def wait(self, until: float) -> list[Action]:
+    def advance(self, until: float) -> list[Action]:
         """Fire the timers that are due by a time, each at its own."""
         actions: list[Action] = []
         while (due := min(self.timers, default=None)) is not None and due[0] <= until:
             self.timers.remove(due)
             self.now = max(self.now, due[0])
-            actions += self.tell(TimerFired(due[1]))
+            actions += self.handle(TimerFired(due[1]))
         self.now = max(self.now, until)
         return actions
 
-    def earn(self, requests: int = 60, service: str = "s") -> None:
+    def earn_tokens(self, requests: int = 60, service: str = "s") -> None:
         """First sends that succeed, so that the bucket holds tokens."""
         for number in range(10_000, 10_000 + requests):
             self.arrive(
@@ -100,7 +100,7 @@
                     FACTS, number=number, service=service, route="earning", target_latency_s=0.0
                 )
             )
-            self.end(Outcome.SUCCESS, number=number)
+            self.end_attempt(Outcome.SUCCESS, number=number)
 
 
 def only(kind: type[Kind], actions: list[Action]) -> list[Kind]:
--- a/tests/routing/test_affinity_simulation.py
+++ b/tests/routing/test_affinity_simulation.py
@@ -111,7 +111,7 @@
     return result
 
 
-def test_affinity_reads_less_again_and_serves_more_in_time() -> None:
+def test_affinity_rereads_fewer_tokens_and_serves_more_in_time() -> None:
     without, with_affinity = simulate(False), simulate(True)
     assert with_affinity.requests == without.requests > 500
     assert without.read_again / without.shared > 0.35
--- a/tests/routing/test_host_choice.py
+++ b/tests/routing/test_host_choice.py
@@ -24,14 +24,14 @@
 MODEL = replace(FACTS, affinity=True, prompt=prompt("group", "session", "own"), tokens_in=3000)
 
 
-def pool_of(*states: HostRecord) -> ReadyHosts:
-    pool = ReadyHosts()
-    pool.replace(list(states))
-    return pool
+def ready_of(*states: HostRecord) -> ReadyHosts:
+    ready = ReadyHosts()
+    ready.replace(list(states))
+    return ready
 
 
-def pool(count: int, zone: str = "z") -> ReadyHosts:
-    return pool_of(*(new_host_record(host(f"h{n}", zone=zone)) for n in range(count)))
+def ready_hosts(count: int, zone: str = "z") -> ReadyHosts:
+    return ready_of(*(new_host_record(host(f"h{n}", zone=zone)) for n in range(count)))
 
 
 def chooser(seed: int = 1, zone: str = "z", memory: PrefixMemory | None = None) -> HostChooser:
@@ -39,11 +39,11 @@
 
 
 def picked(
-    made: ReadyHosts, facts: RequestFacts, seed: int = 1, times: int = 2000
+    ready: ReadyHosts, facts: RequestFacts, seed: int = 1, times: int = 2000
 ) -> dict[str, int]:
-    choose, counts = chooser(seed), dict.fromkeys((h.spec.id for h in made.hosts), 0)
+    choose, counts = chooser(seed), dict.fromkeys((h.spec.id for h in ready.hosts), 0)
     for _ in range(times):
-        found = choose.pick(made, facts, (), 0.0)
+        found = choose.pick(ready, facts, (), 0.0)
         assert found is not None
         counts[found.spec.id] += 1
     return counts
@@ -73,7 +73,7 @@
 def test_one_in_twenty_goes_to_the_lower() -> None:
     better, worse = new_host_record(host("a")), new_host_record(host("b"))
     better.payoff, worse.payoff = 1.0, 0.2
-    counts = picked(pool_of(better, worse), PLAIN, times=20_000)
+    counts = picked(ready_of(better, worse), PLAIN, times=20_000)
     assert 0.04 < counts["b"] / 20_000 < 0.06
 
 
@@ -83,12 +83,12 @@
 
 def lower_picks(kinds: list[RequestFacts], times: int) -> list[int]:
     """How many picks of each kind of request went to a host that is not the key's home."""
-    made, choose = pool(6), chooser()
-    homes = [next(iter(made.ranked(facts.prompt[-2].id, 1))) for facts in kinds]
+    ready, choose = ready_hosts(6), chooser()
+    homes = [next(iter(ready.ranked(facts.prompt[-2].id, 1))) for facts in kinds]
     elsewhere = [0] * len(kinds)
     for turn in range(times):
         kind = turn % len(kinds)
-        elsewhere[kind] += choose.pick(made, kinds[kind], (), 0.0) is not homes[kind]
+        elsewhere[kind] += choose.pick(ready, kinds[kind], (), 0.0) is not homes[kind]
     return elsewhere
 
 
@@ -99,7 +99,7 @@
     return replace(facts, prompt=sized)
 
 
-def test_a_pick_that_would_read_much_again_leaves_its_exploration_to_a_cheaper_one() -> None:
+def test_a_pick_that_would_reread_many_tokens_defers_its_exploration_to_a_cheaper_one() -> None:
     long, short = parts(LONG, 2500, 3800, 2900), parts(SHORT, 100, 70, 200)
     expensive, cheap = lower_picks([long, short], 20_000)
     assert expensive == 0
@@ -114,31 +114,31 @@
 def test_of_two_hosts_the_busier_loses() -> None:
     idle, busy = new_host_record(host("a")), new_host_record(host("b"))
     busy.in_flight = 3
-    counts = picked(pool_of(idle, busy), PLAIN)
+    counts = picked(ready_of(idle, busy), PLAIN)
     assert counts["a"] > 0.9 * 2000
 
 
 def test_the_draw_reaches_every_host_evenly() -> None:
-    counts = picked(pool(10), PLAIN, times=20_000)
+    counts = picked(ready_hosts(10), PLAIN, times=20_000)
     assert min(counts.values()) > 1600
     assert max(counts.values()) < 2400
 
 
-def test_a_host_that_was_tried_is_not_picked_again() -> None:
-    made = pool(3)
+def test_an_excluded_host_is_not_picked() -> None:
+    ready = ready_hosts(3)
     for _ in range(200):
-        found = chooser().pick(made, PLAIN, set(made.hosts[:2]), 0.0)
-        assert found is made.hosts[2]
-    assert chooser().pick(made, PLAIN, set(made.hosts), 0.0) is None
+        found = chooser().pick(ready, PLAIN, set(ready.hosts[:2]), 0.0)
+        assert found is ready.hosts[2]
+    assert chooser().pick(ready, PLAIN, set(ready.hosts), 0.0) is None
 
 
 def test_a_full_host_is_picked_only_if_all_are() -> None:
-    made = pool(3)
-    for full in made.hosts[:2]:
+    ready = ready_hosts(3)
+    for full in ready.hosts[:2]:
         full.limit = full.in_flight = 2
-    assert {h for h, n in picked(made, PLAIN).items() if n} == {"h2"}
-    made.hosts[2].limit = made.hosts[2].in_flight = 2
-    assert all(picked(made, PLAIN).values())
+    assert {h for h, n in picked(ready, PLAIN).items() if n} == {"h2"}
+    ready.hosts[2].limit = ready.hosts[2].in_flight = 2
+    assert all(picked(ready, PLAIN).values())
 
 
 # --- the ring
@@ -153,7 +153,7 @@
         assert list(one.walk(f"{key}")) == list(other.walk(f"{key}"))
 
 
-def test_places_on_the_ring_do_not_depend_on_the_process() -> None:
+def test_positions_on_the_ring_do_not_depend_on_the_process() -> None:
     walk = list(HashRing(["a", "b", "c", "d"]).walk("5c1e07a2"))
     assert walk == FIXED_WALK
 
@@ -192,65 +192,65 @@
 # --- affinity
 
 
-def homes(made: ReadyHosts, key: str) -> list[str]:
-    return [state.spec.id for state in made.ranked(key, 4)]
+def homes(ready: ReadyHosts, key: str) -> list[str]:
+    return [state.spec.id for state in ready.ranked(key, 4)]
 
 
 def test_gateways_agree_on_a_sessions_home() -> None:
     homes_picked = set()
     for seed in range(20):
-        counts = picked(pool(6), MODEL, seed, times=200)
+        counts = picked(ready_hosts(6), MODEL, seed, times=200)
         best = max(counts, key=counts.__getitem__)
         assert counts[best] > 0.85 * 200
         homes_picked.add(best)
-        assert {h for h, n in counts.items() if n} <= set(homes(pool(6), "session")[:2])
+        assert {h for h, n in counts.items() if n} <= set(homes(ready_hosts(6), "session")[:2])
     assert len(homes_picked) == 1
 
 
 def test_the_other_of_the_pair_wins_when_the_home_is_more_loaded() -> None:
-    made = pool(6)
-    home, second = list(made.ranked("session", 2))
+    ready = ready_hosts(6)
+    home, second = list(ready.ranked("session", 2))
     home.pending_prompt_tokens = 20_000
-    counts = picked(made, MODEL, times=400)
+    counts = picked(ready, MODEL, times=400)
     assert counts[second.spec.id] > 0.85 * 400
     second.pending_prompt_tokens = 20_000
-    counts = picked(made, MODEL, times=400)
+    counts = picked(ready, MODEL, times=400)
     assert counts[home.spec.id] > 0.85 * 400
 
 
-def test_a_host_known_to_keep_the_prefix_is_worth_more_than_one_that_is_not() -> None:
-    made, memory = pool(6), PrefixMemory()
-    home, second = list(made.ranked("session", 2))
+def test_a_host_known_to_cache_the_prefix_is_preferred() -> None:
+    ready, memory = ready_hosts(6), PrefixMemory()
+    home, second = list(ready.ranked("session", 2))
     choose = chooser(memory=memory)
     home.in_flight = 32  # loads of 4 requests
-    lost = sum(choose.pick(made, MODEL, (), 0.0) is second for _ in range(200))
+    lost = sum(choose.pick(ready, MODEL, (), 0.0) is second for _ in range(200))
     home.in_flight = 4
     memory.record_read(second.spec.id, MODEL.prompt[:2], 0.0)
-    kept = sum(choose.pick(made, MODEL, (), 1.0) is second for _ in range(200))
-    forgotten = sum(choose.pick(made, MODEL, (), 60.0) is second for _ in range(200))
+    kept = sum(choose.pick(ready, MODEL, (), 1.0) is second for _ in range(200))
+    forgotten = sum(choose.pick(ready, MODEL, (), 60.0) is second for _ in range(200))
     assert lost > 170
     assert kept > 170
     assert forgotten < 30
 
 
 def test_saturated_hosts_of_the_pair_give_way_to_the_next_of_the_ring_then_to_any() -> None:
-    made = pool(8)
-    ranked = list(made.ranked("session", 8))
+    ready = ready_hosts(8)
+    ranked = list(ready.ranked("session", 8))
     for state in ranked[:2]:
         state.in_flight = 16
-    counts = picked(made, MODEL, times=400)
+    counts = picked(ready, MODEL, times=400)
     assert {h for h, n in counts.items() if n} == {ranked[2].spec.id, ranked[3].spec.id}
     for state in ranked[2:4]:
         state.in_flight = 16
-    counts = picked(made, MODEL, times=2000)
+    counts = picked(ready, MODEL, times=2000)
     assert sum(n > 0 for n in counts.values()) >= 5
 
 
-def test_a_resting_host_leaves_its_sessions_to_the_next() -> None:
-    made = pool(6)
-    home, second, third, _ = made.ranked("session", 4)
-    assert made.eject(home, 0.0, certain=True)
-    counts = picked(made, MODEL, times=400)
+def test_an_ejected_hosts_sessions_go_to_the_next() -> None:
+    ready = ready_hosts(6)
+    home, second, third, _ = ready.ranked("session", 4)
+    assert ready.eject(home, 0.0, certain=True)
+    counts = picked(ready, MODEL, times=400)
     assert {h for h, n in counts.items() if n} == {second.spec.id, third.spec.id}
 
 
@@ -283,9 +283,7 @@
         (("group", "session"), False, 0),
     ],
 )
-def test_tokens_that_a_host_would_have_to_read(
-    read: tuple[str, ...], home: bool, expected: float
-) -> None:
+def test_uncached_tokens(read: tuple[str, ...], home: bool, expected: float) -> None:
     memory = PrefixMemory()
     memory.record_read("h0", prompt(*read), 0.0)
     assert memory.uncached_tokens("h0", MODEL.prompt[:2], 1.0, is_home=home) == pytest.approx(
@@ -293,7 +291,7 @@
     )
 
 
-def test_what_is_remembered_is_bounded() -> None:
+def test_prefix_memory_is_bounded() -> None:
     memory = PrefixMemory()
     for number in range(20_000):
         facts = replace(MODEL, route=f"r{number}", prompt=prompt(f"s{number}", f"o{number}"))
--- a/tests/routing/test_invariants.py
+++ b/tests/routing/test_invariants.py
@@ -30,7 +30,7 @@
     TopologyChanged,
 )
 from roselink.routing.outcome import NEVER_RAN, Outcome
-from tests.routing.builders import FACTS, Bench, host, prompt
+from tests.routing.builders import FACTS, DeciderHarness, host, prompt
 
 if TYPE_CHECKING:
     from roselink.model.fleet import Host
@@ -39,26 +39,26 @@
 RATIO, WINDOW_S = 0.2, 10.0
 
 
-class Play:
+class SimulatedDataPlane:
     """A data plane that ends attempts as a seed tells, and checks every action it is given."""
 
     def __init__(self, seed: int, outcomes: list[Outcome], share_granted: float) -> None:
         self.draw, self.outcomes, self.share_granted = random.Random(seed), outcomes, share_granted
-        self.made = Bench()
+        self.harness = DeciderHarness()
         self.listed: set[str] = set()
         self.facts: dict[int, RequestFacts] = {}
-        self.out: dict[tuple[int, int], str] = {}
+        self.in_flight: dict[tuple[int, int], str] = {}
         self.ended: dict[int, list[Outcome]] = {}
-        self.owed: set[int] = set()  # requests that want a final answer
+        self.awaiting_response: set[int] = set()  # for the final one
         self.cancelled: set[tuple[int, int]] = set()
         self.started: set[int] = set()  # streams of which the client has a part
-        self.repeats: list[float] = []
+        self.retries: list[float] = []
         self.firsts: list[float] = []
         self.granted: set[int] = set()
         self.asked: Counter[int] = Counter()
 
-    def tell(self, event: Event) -> None:
-        self.check(self.made.tell(event))
+    def handle(self, event: Event) -> None:
+        self.check(self.harness.handle(event))
 
     def check(self, actions: list[Action]) -> None:
         asked = []
@@ -66,7 +66,7 @@
             if isinstance(action, SendAttempt):
                 self.sent(action)
             elif isinstance(action, CancelAttempt):
-                assert (action.number, action.attempt) in self.out
+                assert (action.number, action.attempt) in self.in_flight
                 self.cancelled.add((action.number, action.attempt))
             elif isinstance(action, AcquireSharedBudget):
                 self.asked[action.number] += 1
@@ -75,18 +75,18 @@
             elif isinstance(action, FinalResponse):
                 self.final(action)
         for number in asked:
-            if number in self.owed:
+            if number in self.awaiting_response:
                 allowed = self.draw.random() < self.share_granted
                 self.granted |= {number} if allowed else set()
-                self.tell(BudgetDecided(number, allowed))
+                self.handle(BudgetDecided(number, allowed))
 
     def sent(self, action: SendAttempt) -> None:
         number, facts = action.number, self.facts[action.number]
         ended = self.ended.setdefault(number, [])
-        assert number in self.owed
-        assert self.made.now < facts.deadline
+        assert number in self.awaiting_response
+        assert self.harness.now < facts.deadline
         assert action.host in self.listed
-        out = [key for key in self.out if key[0] == number]
+        out = [key for key in self.in_flight if key[0] == number]
         if not facts.repeatable:
             assert not out
             assert all(outcome in NEVER_RAN for outcome in ended)
@@ -95,38 +95,38 @@
         assert len(ended) + len(out) <= facts.max_attempts + 3
         assert action.attempt == len(ended) + len(out)
         if action.attempt == 0:
-            self.firsts.append(self.made.now)
+            self.firsts.append(self.harness.now)
         elif number in self.granted:
             self.granted.discard(number)
         else:
-            self.repeats.append(self.made.now)
-            recent = sum(at > self.made.now - WINDOW_S for at in self.firsts)
-            assert sum(at > self.made.now - WINDOW_S for at in self.repeats) <= RATIO * recent
-        self.out[(number, action.attempt)] = action.host
+            self.retries.append(self.harness.now)
+            recent = sum(at > self.harness.now - WINDOW_S for at in self.firsts)
+            assert sum(at > self.harness.now - WINDOW_S for at in self.retries) <= RATIO * recent
+        self.in_flight[(number, action.attempt)] = action.host
 
     def final(self, action: FinalResponse) -> None:
-        assert action.number in self.owed
-        self.owed.discard(action.number)
-        ran = any(number == action.number for number, _ in self.out)
+        assert action.number in self.awaiting_response
+        self.awaiting_response.discard(action.number)
+        ran = any(number == action.number for number, _ in self.in_flight)
         ran = ran or any(outcome not in NEVER_RAN for outcome in self.ended.get(action.number, []))
         assert (action.reason is FailureReason.NOT_RUN) == (not ran)
         assert 0 <= action.retry_after_s <= 0.3
 
     def step(self) -> None:
-        self.made_wait(self.made.now + self.draw.expovariate(20.0))
+        self.advance(self.harness.now + self.draw.expovariate(20.0))
         if self.draw.random() < 0.05:
             self.topology()
-        elif self.out and self.draw.random() < 0.6:
-            self.end(self.draw.choice(list(self.out)))
+        elif self.in_flight and self.draw.random() < 0.6:
+            self.end_attempt(self.draw.choice(list(self.in_flight)))
         else:
             self.arrive()
 
-    def made_wait(self, until: float) -> None:
-        while (due := min(self.made.timers, default=None)) is not None and due[0] <= until:
-            self.made.timers.remove(due)
-            self.made.now = max(self.made.now, due[0])
-            self.tell(TimerFired(due[1]))
-        self.made.now = max(self.made.now, until)
+    def advance(self, until: float) -> None:
+        while (due := min(self.harness.timers, default=None)) is not None and due[0] <= until:
+            self.harness.timers.remove(due)
+            self.harness.now = max(self.harness.now, due[0])
+            self.handle(TimerFired(due[1]))
+        self.harness.now = max(self.harness.now, until)
 
     def topology(self) -> None:
         hosts: list[Host] = [
@@ -135,10 +135,10 @@
             if self.draw.random() < 0.8
         ]
         self.listed = {h.id for h in hosts if h.state == 1}
-        self.tell(TopologyChanged(tuple(hosts), ()))
+        self.handle(TopologyChanged(tuple(hosts), ()))
 
     def arrive(self) -> None:
-        number, now = len(self.facts) + 1, self.made.now
+        number, now = len(self.facts) + 1, self.harness.now
         facts = replace(
             FACTS,
             number=number,
@@ -155,35 +155,35 @@
             tokens_in=3000,
         )
         self.facts[number] = facts
-        self.owed.add(number)
-        self.tell(RequestArrived(facts))
+        self.awaiting_response.add(number)
+        self.handle(RequestArrived(facts))
 
-    def end(self, key: tuple[int, int]) -> None:
+    def end_attempt(self, key: tuple[int, int]) -> None:
         number, attempt = key
         if self.facts[number].streaming and self.draw.random() < 0.3:
             self.started.add(number)
-            return self.tell(FirstEvent(number, attempt))
+            return self.handle(FirstEvent(number, attempt))
         if self.draw.random() < 0.05:
-            self.owed.discard(number)
-            return self.tell(RequestClosed(number))
+            self.awaiting_response.discard(number)
+            return self.handle(RequestClosed(number))
         outcome = Outcome.CANCELLED if key in self.cancelled else self.draw.choice(self.outcomes)
-        del self.out[key]
+        del self.in_flight[key]
         self.ended.setdefault(number, []).append(outcome)
         if outcome is Outcome.SUCCESS:
-            self.owed.discard(number)
-        self.tell(AttemptEnded(number, attempt, outcome, 0.1))
+            self.awaiting_response.discard(number)
+        self.handle(AttemptEnded(number, attempt, outcome, 0.1))
 
     def finish(self) -> None:
         """Let every time run out, then answer for what is still out."""
-        self.made_wait(self.made.now + 20.0)
-        assert self.owed <= self.started  # the data plane ends these
-        for key in list(self.out):
-            del self.out[key]
+        self.advance(self.harness.now + 20.0)
+        assert self.awaiting_response <= self.started  # the data plane ends these
+        for key in list(self.in_flight):
+            del self.in_flight[key]
             outcome = Outcome.CANCELLED if key in self.cancelled else Outcome.TIMEOUT
             self.ended.setdefault(key[0], []).append(outcome)
-            self.tell(AttemptEnded(*key, outcome, 0.1, progressed=key[0] in self.started))
-        assert not self.owed
-        decider = self.made.decider
+            self.handle(AttemptEnded(*key, outcome, 0.1, progressed=key[0] in self.started))
+        assert not self.awaiting_response
+        decider = self.harness.decider
         assert decider._lifecycle.requests == decider._lifecycle.awaiting_host == {}
         for known in decider._topology._hosts.values():
             assert (known.in_flight, known.pending_prompt_tokens) == (0, 0)
@@ -200,7 +200,7 @@
 def test_any_order_of_events(
     seed: int, outcomes: list[Outcome], share_granted: float, steps: int
 ) -> None:
-    play = Play(seed, outcomes, share_granted)
+    play = SimulatedDataPlane(seed, outcomes, share_granted)
     play.topology()
     for _ in range(steps):
         play.step()
--- a/tests/routing/test_recorded_decisions.py
+++ b/tests/routing/test_recorded_decisions.py
@@ -25,7 +25,7 @@
     StartTimer,
 )
 from roselink.routing.outcome import Outcome
-from tests.routing.test_invariants import Play
+from tests.routing.test_invariants import SimulatedDataPlane
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -53,47 +53,47 @@
 }
 
 
-class Recording(Play):
-    """A play that takes down every action, and tells payoffs over all gateways now and then."""
+class Recording(SimulatedDataPlane):
+    """A play that takes down every action, and tells payoffs over all gateways sometimes."""
 
     def __init__(self, seed: int, outcomes: list[Outcome]) -> None:
         super().__init__(seed, outcomes, share_granted=0.5)
         self.record = sha256()
         self.count = 0
-        decide = self.made.decider.handle
+        decide = self.harness.decider.handle
 
         def handle(now: float, event: Event) -> list[Action]:
             actions = decide(now, event)
-            self.take_down(actions)
+            self.record_actions(actions)
             return actions
 
-        self.made.decider.handle = handle  # type: ignore[method-assign]
+        self.harness.decider.handle = handle  # type: ignore[method-assign]
 
-    def take_down(self, actions: Iterable[Action]) -> None:
+    def record_actions(self, actions: Iterable[Action]) -> None:
         for action in actions:
             self.count += 1
             values = [getattr(action, field.name) for field in fields(action)]
             plain = [value.value if isinstance(value, Enum) else value for value in values]
             self.record.update(f"{KINDS[type(action)]} {plain!r}\n".encode())
 
-    def tell(self, event: Event) -> None:
+    def handle(self, event: Event) -> None:
         """Besides the outcomes of a play: hosts at the wrong address, failures passed on."""
         if isinstance(event, AttemptEnded) and self.draw.random() < 0.2:
             if event.outcome is Outcome.FULL:
                 event = replace(event, wrong_host=True)
-            elif event.outcome is Outcome.ERROR and event.number in self.owed:
+            elif event.outcome is Outcome.ERROR and event.number in self.awaiting_response:
                 event = replace(event, relayed=True)
-                self.owed.discard(event.number)
-        super().tell(event)
+                self.awaiting_response.discard(event.number)
+        super().handle(event)
 
     def step(self) -> None:
         super().step()
         chance = self.draw.random()
         if chance < 0.02:
             hosts = tuple((f"h{n}", self.draw.random()) for n in range(5) if n % 2)
-            self.tell(PooledPayoffs(hosts))
+            self.handle(PooledPayoffs(hosts))
         elif chance < 0.04:
-            unreported = [tuple(each) for each in self.made.decider.take_unreported_outcomes()]
+            unreported = [tuple(each) for each in self.harness.decider.take_unreported_outcomes()]
             self.record.update(f"untold {unreported!r}\n".encode())
 
 
--- a/tests/routing/test_retry_budget.py
+++ b/tests/routing/test_retry_budget.py
@@ -16,7 +16,7 @@
 
 @settings(max_examples=300, deadline=None)
 @given(STEPS, st.floats(0, 1e7), st.sampled_from([0.05, 0.2, 0.5, 1.0]))
-def test_repeats_of_a_window_stay_within_the_ratio_of_its_first_sends(
+def test_retries_of_a_window_stay_within_the_ratio_of_its_first_sends(
     steps: list[tuple[str, float, int]], start: float, ratio: float
 ) -> None:
     budget, now = LocalRetryBudget(ratio, WINDOW_S), start
@@ -53,7 +53,7 @@
     assert sum(budget.spend(100.0 + pause_s) for _ in range(1000)) == granted
 
 
-def test_a_long_calm_stretch_saves_up_no_more_than_one_window() -> None:
+def test_a_long_time_without_retries_earns_no_more_than_one_window() -> None:
     budget = LocalRetryBudget(RATIO, WINDOW_S)
     for step in range(10_000):  # 10 a second
         budget.record_first_send(step * 0.1)
@@ -61,7 +61,7 @@
     assert 15 <= granted <= RATIO * 10 * WINDOW_S
 
 
-def test_rich_needs_most_of_the_window_unspent() -> None:
+def test_hedges_need_half_of_the_window_unspent() -> None:
     budget = LocalRetryBudget(RATIO, WINDOW_S)
     assert not budget.allows_hedge(0.0)
     for _ in range(100):
