--- a/tests/routing/builders.py
+++ b/tests/routing/builders.py
@@ -10,9 +10,11 @@
     Action,
     AttemptEnded,
     Event,
+    FinalResponse,
     PromptPart,
     RequestArrived,
     RequestFacts,
+    SendAttempt,
     StartTimer,
     TimerFired,
     TopologyChanged,
@@ -40,7 +42,7 @@
 
 
 def host(
-    name: str, service: str = "s", zone: str = "z", capacity: int = 64, ready: bool = True
+    name: str, service: str = "s", zone: str = "z", capacity: int = 64, *, ready: bool = True
 ) -> Host:
     state = HostState.READY if ready else HostState.DRAINING
     return Host(name, service, "10.0.0.1:8000", zone, "v1", capacity, state, 0.0, ())
@@ -105,3 +107,35 @@
 
 def only(kind: type[Kind], actions: list[Action]) -> list[Kind]:
     return [action for action in actions if isinstance(action, kind)]
+
+
+# What `result_of` finds in actions.
+AGAIN = "again"
+NOT_RUN = "not_run"
+MAY_HAVE_RUN = "may_have_run"
+NOTHING = "nothing"
+
+
+def new_harness(count: int = 3, *, tokens: bool = True) -> DeciderHarness:
+    """A decider with hosts h0, h1 and so on, and with or without tokens in the retry budget."""
+    harness = DeciderHarness()
+    harness.list_hosts(*hosts(count))
+    if tokens:
+        harness.earn_tokens()
+    return harness
+
+
+def with_backoff(
+    harness: DeciderHarness, actions: list[Action], until: float = 1.0
+) -> list[Action]:
+    """These actions and those of the backoff that follows."""
+    if only(FinalResponse, actions):
+        return actions
+    return actions + harness.advance(harness.now + until)
+
+
+def result_of(actions: list[Action]) -> str:
+    """The final response's reason, else whether anything was sent."""
+    if finals := only(FinalResponse, actions):
+        return finals[0].reason.value
+    return AGAIN if only(SendAttempt, actions) else NOTHING
--- a/tests/routing/test_affinity_simulation.py
+++ b/tests/routing/test_affinity_simulation.py
@@ -1,5 +1,6 @@
-"""A closed simulation of gateways that share hosts with prompt caches: what affinity saves. A fixed
-seed.
+"""A simulation of gateways that share hosts with prompt caches: what affinity saves.
+
+It is closed, with a fixed seed.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
 GATEWAYS, HOSTS, SECONDS, PER_SECOND = 4, 6, 20.0, 60.0
 TOKENS_PER_S, CACHE_TOKENS = 50_000.0, 300_000
 GROUP, SESSION, OWN = 2500, 3500, 1500
-AIM_S = 0.25
+TARGET_LATENCY_S = 0.25
 
 
 @dataclass
@@ -61,7 +62,7 @@
     in_time: int = 0
 
 
-def simulate(affinity: bool) -> Result:
+def simulate(*, affinity: bool) -> Result:
     draw, result = random.Random(5), Result()
     engines = {spec.id: Engine() for spec in hosts(HOSTS)}
     gateways = [FleetDecider("z", number, 0.2, 10.0) for number in range(GATEWAYS)]
@@ -76,26 +77,26 @@
         sizes = ((f"g{session % 4}", GROUP), (f"s{session}", SESSION), (f"o{number}", OWN))
         prompts[number] = now, tuple(PromptPart(*size) for size in sizes)
         facts = RequestFacts(
-            number,
-            "r",
-            "s",
-            False,
-            True,
-            now,
-            now + 4.0,
-            AIM_S,
-            1,
-            0,
-            affinity,
-            prompts[number][1],
-            GROUP + SESSION + OWN,
-            60,
+            number=number,
+            route="r",
+            service="s",
+            repeatable=False,
+            streaming=True,
+            arrived_at=now,
+            deadline=now + 4.0,
+            target_latency_s=TARGET_LATENCY_S,
+            max_attempts=1,
+            priority=0,
+            affinity=affinity,
+            prompt=prompts[number][1],
+            tokens_in=GROUP + SESSION + OWN,
+            tokens_out=60,
         )
         heapq.heappush(queue, (now, next(order), draw.choice(gateways), RequestArrived(facts)))
     while queue:
         now, _, gateway, event = heapq.heappop(queue)
         if isinstance(event, FirstEvent):
-            result.in_time += now - prompts[event.number][0] <= AIM_S
+            result.in_time += now - prompts[event.number][0] <= TARGET_LATENCY_S
             done = AttemptEnded(event.number, 0, Outcome.SUCCESS, 0.0)
             heapq.heappush(queue, (now + 0.3, next(order), gateway, done))
         actions = gateway.handle(now, event)
@@ -112,7 +113,8 @@
 
 
 def test_affinity_rereads_fewer_tokens_and_serves_more_in_time() -> None:
-    without, with_affinity = simulate(False), simulate(True)
+    without = simulate(affinity=False)
+    with_affinity = simulate(affinity=True)
     assert with_affinity.requests == without.requests > 500
     assert without.read_again / without.shared > 0.35
     assert with_affinity.read_again / with_affinity.shared < 0.25
--- /dev/null
+++ b/tests/routing/test_hedges.py
@@ -0,0 +1,104 @@
+"""When a slow request is hedged, and which attempt then wins."""
+
+from __future__ import annotations
+
+import pytest
+
+from roselink.routing.events_and_actions import (
+    CancelAttempt,
+    FirstEvent,
+    SendAttempt,
+)
+from roselink.routing.outcome import Outcome
+from tests.routing.builders import (
+    DeciderHarness,
+    new_harness,
+    only,
+)
+
+
+def slow_route(harness: DeciderHarness, **changes: object) -> None:
+    """Teach the route a latency of 10 ms."""
+    for number in range(100, 200):
+        harness.arrive(number=number, **changes)
+        harness.now += 0.01
+        harness.end_attempt(Outcome.SUCCESS, number=number)
+
+
+def test_a_slow_repeatable_request_is_hedged_and_the_first_success_cancels_the_other() -> None:
+    harness = new_harness()
+    slow_route(harness)
+    first = only(SendAttempt, harness.arrive(number=1))[0]
+    (hedge,) = only(SendAttempt, harness.advance(harness.now + 0.3))
+    assert (hedge.attempt, hedge.resume) == (1, False)
+    assert hedge.host != first.host
+    assert harness.end_attempt(Outcome.SUCCESS, 1) == [CancelAttempt(1, 0)]
+    assert harness.end_attempt(Outcome.CANCELLED, 0) == []
+    assert harness.advance(harness.now + 10.0) == []
+
+
+def test_a_failed_hedge_leaves_the_other_attempt_running() -> None:
+    harness = new_harness()
+    slow_route(harness)
+    harness.arrive(number=1)
+    harness.advance(harness.now + 0.3)
+    assert harness.end_attempt(Outcome.RESET, 1) == []
+    assert harness.end_attempt(Outcome.SUCCESS, 0) == []
+
+
+@pytest.mark.parametrize(
+    "changes", [{"repeatable": False}, {"max_attempts": 1}], ids=["may not run twice", "one host"]
+)
+def test_no_hedge_of_what_may_not_run_twice(changes: dict[str, object]) -> None:
+    harness = new_harness()
+    slow_route(harness, **changes)
+    harness.arrive(number=1, **changes)
+    assert harness.advance(harness.now + 3.0) == []
+
+
+def test_no_hedge_without_plenty_of_budget() -> None:
+    harness = new_harness(tokens=False)
+    harness.arrive(streaming=True)
+    assert harness.advance(harness.now + 3.0) == []
+
+
+def send_streams(harness: DeciderHarness, numbers: range) -> list[SendAttempt]:
+    """Streams, of which h0 serves none and the others all; returns those that went to h0."""
+    unresponsive: list[SendAttempt] = []
+    for number in numbers:
+        sent = only(SendAttempt, harness.arrive(number=number, streaming=True))[0]
+        if sent.host == "h0":
+            unresponsive.append(sent)
+        else:
+            harness.end_attempt(Outcome.SUCCESS, number=number)
+    return unresponsive
+
+
+def test_a_stream_is_hedged_when_its_host_is_unresponsive_and_the_first_event_wins() -> None:
+    harness = new_harness()
+    unresponsive = send_streams(harness, range(100, 300))
+    assert len(unresponsive) >= 2
+    hedges = only(SendAttempt, harness.advance(0.7))
+    assert hedges
+    number = hedges[0].number
+    assert hedges[0].host != "h0"
+    assert (hedges[0].attempt, hedges[0].resume) == (1, False)
+    assert harness.handle(FirstEvent(number, 1)) == [CancelAttempt(number, 0)]
+    assert harness.handle(FirstEvent(number, 0)) == [CancelAttempt(number, 0)]  # too late: it lost
+    assert harness.end_attempt(Outcome.CANCELLED, 0, number) == []
+    assert harness.end_attempt(Outcome.SUCCESS, 1, number) == []
+
+
+def test_a_stream_is_not_hedged_when_its_host_has_responded() -> None:
+    harness = new_harness()
+    unresponsive = send_streams(harness, range(100, 300))
+    harness.now = 0.5
+    harness.handle(FirstEvent(unresponsive[0].number, 0))
+    assert only(SendAttempt, harness.advance(3.0)) == []
+
+
+def test_no_hedge_after_the_first_event() -> None:
+    harness = new_harness()
+    harness.arrive(streaming=True)
+    harness.handle(FirstEvent(1, 0))
+    assert harness.advance(3.9) == []
--- a/tests/routing/test_host_choice.py
+++ b/tests/routing/test_host_choice.py
@@ -264,7 +264,7 @@
     ],
 )
 def test_the_key_is_the_last_shared_part(
-    parts: tuple[str, ...], comes_again: bool, key: str
+    parts: tuple[str, ...], *, comes_again: bool, key: str
 ) -> None:
     memory = PrefixMemory()
     for number in range(100):
@@ -283,7 +283,7 @@
         (("group", "session"), False, 0),
     ],
 )
-def test_uncached_tokens(read: tuple[str, ...], home: bool, expected: float) -> None:
+def test_uncached_tokens(read: tuple[str, ...], *, home: bool, expected: float) -> None:
     memory = PrefixMemory()
     memory.record_read("h0", prompt(*read), 0.0)
     assert memory.uncached_tokens("h0", MODEL.prompt[:2], 1.0, is_home=home) == pytest.approx(
--- a/tests/routing/test_invariants.py
+++ b/tests/routing/test_invariants.py
@@ -78,7 +78,7 @@
             if number in self.awaiting_response:
                 allowed = self.draw.random() < self.share_granted
                 self.granted |= {number} if allowed else set()
-                self.handle(BudgetDecided(number, allowed))
+                self.handle(BudgetDecided(number, allowed=allowed))
 
     def sent(self, action: SendAttempt) -> None:
         number, facts = action.number, self.facts[action.number]
@@ -162,10 +162,12 @@
         number, attempt = key
         if self.facts[number].streaming and self.draw.random() < 0.3:
             self.started.add(number)
-            return self.handle(FirstEvent(number, attempt))
+            self.handle(FirstEvent(number, attempt))
+            return
         if self.draw.random() < 0.05:
             self.awaiting_response.discard(number)
-            return self.handle(RequestClosed(number))
+            self.handle(RequestClosed(number))
+            return
         outcome = Outcome.CANCELLED if key in self.cancelled else self.draw.choice(self.outcomes)
         del self.in_flight[key]
         self.ended.setdefault(number, []).append(outcome)
--- a/tests/routing/test_pooled_payoffs.py
+++ b/tests/routing/test_pooled_payoffs.py
@@ -16,7 +16,7 @@
 
 
 def homes(
-    harness: DeciderHarness, first: int, affinity: bool, requests: int = 60
+    harness: DeciderHarness, first: int, *, affinity: bool, requests: int = 60
 ) -> dict[str, int]:
     """Where requests of one session go when each is served before the next."""
     counts: dict[str, int] = {}
@@ -35,31 +35,31 @@
 
 
 @pytest.mark.parametrize("affinity", [True, False])
-def test_a_host_that_fails_the_other_gateways_gets_little_from_this_one(affinity: bool) -> None:
+def test_a_host_that_fails_the_other_gateways_gets_little_from_this_one(*, affinity: bool) -> None:
     harness = new_harness()
-    before = homes(harness, 1, affinity)
+    before = homes(harness, 1, affinity=affinity)
     home = max(before, key=before.__getitem__)
     harness.handle(PooledPayoffs(((home, 0.1),)))
-    assert homes(harness, 100, affinity).get(home, 0) <= 0.15 * 60
+    assert homes(harness, 100, affinity=affinity).get(home, 0) <= 0.15 * 60
 
 
 @pytest.mark.parametrize("ended_by", ["news", "time"])
 def test_pooled_payoffs_end(ended_by: str) -> None:
     harness = new_harness()
-    before = homes(harness, 1, True)
+    before = homes(harness, 1, affinity=True)
     home = max(before, key=before.__getitem__)
     harness.handle(PooledPayoffs(((home, 0.0),)))
     if ended_by == "news":
         harness.handle(PooledPayoffs(()))
     else:
         harness.now += POOLED_PAYOFFS_S + 0.1
-    assert homes(harness, 100, True)[home] > 0.8 * 60
+    assert homes(harness, 100, affinity=True)[home] > 0.8 * 60
 
 
 def test_pooled_payoffs_of_unlisted_hosts_are_ignored() -> None:
     harness = new_harness()
     harness.handle(PooledPayoffs((("gone", 0.0),)))
-    assert homes(harness, 1, False)
+    assert homes(harness, 1, affinity=False)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_mutations.py
+++ b/tests/test_mutations.py
@@ -41,7 +41,7 @@
     monkeypatch: pytest.MonkeyPatch, instead: str, caught: bool
 ) -> None:
     guard = "return RetryDecision.RETRY if outcome in NEVER_RAN or repeatable"
-    tests = ("tests/routing/test_fleet_decider.py",)
+    tests = ("tests/routing/test_retries.py",)
     assert (
         run_tests(Mutation("any", "routing/classifier.py", guard, instead, tests)).caught is caught
     )
