--- a/roselink/budgets/budget_service.py
+++ b/roselink/budgets/budget_service.py
@@ -38,7 +38,8 @@
     from roselink.model.configuration import Tenant
     from roselink.model.fleet import Member, Snapshot
     from roselink.model.settings import Thresholds
-    from roselink.protocol.peers import Address, PeerPool, Reply
+    from roselink.protocol.peer_connection import Address, SendReply
+    from roselink.protocol.peer_pool import PeerPool
 
 log = logging.getLogger("roselink.budgets")
 
@@ -130,7 +131,7 @@
         self._repeat_waits[number] = decide
         self._perform(self._repeat_client.ask(number, service, self._clock()))
 
-    def handle(self, message: object, reply: Reply) -> bool:
+    def handle(self, message: object, reply: SendReply) -> bool:
         """Answer a peer's ask; False for records of other kinds."""
         if isinstance(message, QuotaRequest):
             reply(self._own_quota(message))
--- a/roselink/controller/app.py
+++ b/roselink/controller/app.py
@@ -30,7 +30,8 @@
     SettingsError,
     load_settings,
 )
-from roselink.protocol.peers import PeerPool, PeerServer
+from roselink.protocol.peer_pool import PeerPool
+from roselink.protocol.peer_server import PeerServer
 
 if TYPE_CHECKING:
     from roselink.controller.api import AdminApi
--- a/roselink/controller/chain_driver.py
+++ b/roselink/controller/chain_driver.py
@@ -31,7 +31,8 @@
 
 if TYPE_CHECKING:
     from roselink.model.settings import ProcessSettings
-    from roselink.protocol.peers import Address, PeerPool, Reply
+    from roselink.protocol.peer_connection import Address, SendReply
+    from roselink.protocol.peer_pool import PeerPool
 
 LEAVE_S = 1.0
 LOAD_AGAIN_S = 0.2
@@ -97,7 +98,7 @@
 
     # --- calls
 
-    def handle(self, peer: Address, message: object, reply: Reply) -> bool:
+    def handle(self, peer: Address, message: object, reply: SendReply) -> bool:
         """Take a record from a peer; False if it is none of the chain's."""
         if type(message) not in HANDLED:
             return False
--- a/roselink/controller/chain_interface.py
+++ b/roselink/controller/chain_interface.py
@@ -17,7 +17,7 @@
     Unsettled,
 )
 from roselink.protocol.chain import ConfigurationOrder
-from roselink.protocol.peers import Address
+from roselink.protocol.peer_connection import Address
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/roselink/controller/storage.py
+++ b/roselink/controller/storage.py
@@ -20,7 +20,8 @@
 
 from roselink.coordination.effects import Store
 from roselink.protocol.chain import StoredState, Votes
-from roselink.protocol.records import RecordError, decode
+from roselink.protocol.exceptions import RecordError
+from roselink.protocol.records import decode
 
 _KEY = b"record"
 _HEAD = struct.Struct("!QH16s")  # number of the generation, number of the record, checksum
--- a/roselink/coordination/ballots.py
+++ b/roselink/coordination/ballots.py
@@ -12,6 +12,7 @@
 
 if TYPE_CHECKING:
     from roselink.coordination.votes import Voting
+    from roselink.protocol.records import Record
 
 
 @dataclass(slots=True)
@@ -28,7 +29,7 @@
         """The votes are as they were on the disk."""
         self.voting.version = self._durable = 1
 
-    def answer(self, to: str, answer: object) -> None:
+    def answer(self, to: str, answer: Record | None) -> None:
         """Take a voter's answer."""
         if answer is not None:
             self._held.append((self.voting.version, Send(to, answer)))
--- a/roselink/coordination/effects.py
+++ b/roselink/coordination/effects.py
@@ -9,6 +9,7 @@
 
 if TYPE_CHECKING:
     from roselink.protocol.chain import View
+    from roselink.protocol.records import Record
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,7 +70,7 @@
     """Send a notice to a peer address ("ip:port")."""
 
     to: str
-    message: object
+    message: Record
 
 
 @dataclass(frozen=True, slots=True)
--- a/roselink/distribution/host_changes.py
+++ b/roselink/distribution/host_changes.py
@@ -1,51 +1,66 @@
-"""A gateway's configuration and list of hosts out of what a `DeltaPullReply` brings."""
+"""A gateway's configuration and list of hosts, out of what a `DeltaPullReply` brings."""
 
 from __future__ import annotations
 
 import zlib
 from typing import TYPE_CHECKING
 
+from roselink.protocol.exceptions import RecordError
 from roselink.protocol.pull import DeltaPullReply, HostChanges, HostList, PullReply
-from roselink.protocol.records import RecordError, decode, record_number_of
+from roselink.protocol.records import decode_as
 
 if TYPE_CHECKING:
     from roselink.model.fleet import Host
 
-_LIST = record_number_of(HostList(()))
-_CHANGES = record_number_of(HostChanges(0, (), ()))
 
+def expand_reply(
+    reply: DeltaPullReply, hosts_version: int, hosts: tuple[Host, ...]
+) -> PullReply | None:
+    """The reply with its whole document and its whole list of hosts.
 
-def expand_reply(reply: DeltaPullReply, held: int, hosts: tuple[Host, ...]) -> PullReply | None:
-    """The reply with its whole document, and its whole list from the list held under a version;
-    None if it can't be read, or its changes are from another version.
+    Args:
+        reply: as it came from the core.
+        hosts_version: the version of the gateway's list.
+        hosts: that list, to which the reply's changes are applied.
+
+    Returns:
+        None if the reply can't be decoded, or its changes are from another version.
     """
     try:
-        listed = _listed(reply, held, hosts)
+        new_hosts = _new_hosts(reply, hosts_version, hosts)
         configuration = (
             None if reply.configuration is None else zlib.decompress(reply.configuration)
         )
     except (RecordError, zlib.error):
         return None
-    if listed is None and reply.host_changes is not None:
+    if new_hosts is None and reply.host_changes is not None:
         return None
-    known = configuration, listed, reply.roster, reply.cores, reply.payoffs
-    return PullReply(reply.confirmed, reply.vector, *known)
+    return PullReply(
+        reply.confirmed,
+        reply.vector,
+        configuration,
+        new_hosts,
+        reply.roster,
+        reply.cores,
+        reply.payoffs,
+    )
 
 
-def _listed(reply: DeltaPullReply, held: int, hosts: tuple[Host, ...]) -> tuple[Host, ...] | None:
+def _new_hosts(
+    reply: DeltaPullReply, hosts_version: int, hosts: tuple[Host, ...]
+) -> tuple[Host, ...] | None:
     if reply.host_list is not None:
-        whole: HostList = decode(_LIST, reply.host_list)
-        return whole.hosts
+        return decode_as(HostList, reply.host_list).hosts
     if reply.host_changes is None:
         return None
-    changes: HostChanges = decode(_CHANGES, reply.host_changes)
-    return changed(hosts, changes) if changes.base == held else None
+    changes = decode_as(HostChanges, reply.host_changes)
+    return apply_host_changes(hosts, changes) if changes.base == hosts_version else None
 
 
-def changed(hosts: tuple[Host, ...], changes: HostChanges) -> tuple[Host, ...]:
+def apply_host_changes(hosts: tuple[Host, ...], changes: HostChanges) -> tuple[Host, ...]:
     """The list after the changes, by id."""
     by_id = {host.id: host for host in hosts}
-    for name in changes.removed:
-        by_id.pop(name, None)
+    for host_id in changes.removed:
+        by_id.pop(host_id, None)
     by_id.update((host.id, host) for host in changes.updated)
     return tuple(sorted(by_id.values(), key=lambda host: host.id))
--- a/roselink/distribution/pull_client.py
+++ b/roselink/distribution/pull_client.py
@@ -26,7 +26,7 @@
 if TYPE_CHECKING:
     from roselink.model.fleet import Member, Snapshot
     from roselink.protocol.payoffs import HostOutcomes
-    from roselink.protocol.peers import PeerPool
+    from roselink.protocol.peer_pool import PeerPool
 
 log = logging.getLogger("roselink.distribution")
 
--- a/roselink/distribution/pull_state_machine.py
+++ b/roselink/distribution/pull_state_machine.py
@@ -17,9 +17,10 @@
 from roselink.distribution.host_changes import expand_reply
 from roselink.model.configuration import Configuration, Limits
 from roselink.model.fleet import Member, Snapshot, VersionVector
+from roselink.protocol.exceptions import RecordError
 from roselink.protocol.payoffs import HostOutcomes, PooledPayoffs
 from roselink.protocol.pull import DeltaPullReply, PullReply, PullRequest
-from roselink.protocol.records import RecordError, decode, record_number_of_class
+from roselink.protocol.records import decode_as
 
 if TYPE_CHECKING:
     import random
@@ -258,7 +259,7 @@
 def _read_payoffs(told: bytes) -> tuple[tuple[str, float], ...]:
     """Advice only: what can't be read speaks against no host."""
     try:
-        pooled = decode(record_number_of_class(PooledPayoffs), told) if told else PooledPayoffs(())
+        pooled = decode_as(PooledPayoffs, told) if told else PooledPayoffs(())
     except RecordError:
         return ()
     return tuple((entry.host, min(1.0, max(0.0, entry.percent / 100))) for entry in pooled.hosts)
--- a/roselink/gossip/peer_sampling_service.py
+++ b/roselink/gossip/peer_sampling_service.py
@@ -22,7 +22,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-    from roselink.protocol.peers import PeerPool, Reply
+    from roselink.protocol.peer_connection import SendReply
+    from roselink.protocol.peer_pool import PeerPool
 
 LOOK_S = 0.5  # between looks at whether an exchange is due
 
@@ -69,7 +70,7 @@
         """A pull that was sent at `at` confirmed what is in force, and named the core's members."""
         self._machine.pull_confirmed(self._vector, tuple(cores), at)
 
-    def handle(self, message: object, reply: Reply) -> bool:
+    def handle(self, message: object, reply: SendReply) -> bool:
         """Answer a peer's exchange; False for records of other kinds."""
         if not isinstance(message, ShuffleRequest):
             return False
--- /dev/null
+++ b/roselink/protocol/exceptions.py
@@ -0,0 +1,80 @@
+"""Errors of the internal protocol: registration of records, their encoding, and framing."""
+
+from __future__ import annotations
+
+from roselink.exceptions import RoselinkError
+
+
+class ProtocolError(RoselinkError):
+    """Base class of this package's errors."""
+
+
+class RecordNumberTakenError(ProtocolError, ValueError):
+    """Two classes ask for one record number."""
+
+    def __init__(self, number: int, registered: str) -> None:
+        """`registered` is the name of the class that has the number."""
+        super().__init__(f"record number {number} is taken by {registered}")
+        self.number = number
+        self.registered = registered
+
+
+class UnsupportedFieldTypeError(ProtocolError, TypeError):
+    """A field is annotated with a type that has no codec."""
+
+    def __init__(self, field_type: object, supported: str) -> None:
+        """`supported` says what is allowed in its place."""
+        super().__init__(f"a record can't hold {field_type!r}: {supported}")
+        self.field_type = field_type
+        self.supported = supported
+
+
+class RecordError(ProtocolError, ValueError):
+    """The bytes are no record of the type that they claim to be."""
+
+
+class UnknownRecordError(RecordError):
+    """No class is registered under the number."""
+
+    def __init__(self, number: int) -> None:
+        """`number` is the record number that came with the bytes."""
+        super().__init__(f"unknown record {number}")
+        self.number = number
+
+
+class MalformedRecordError(RecordError):
+    """The bytes can't be decoded as a record of the class."""
+
+    def __init__(self, record: str, reason: str) -> None:
+        """`record` is the name of the class."""
+        super().__init__(f"{record}: {reason}")
+        self.record = record
+        self.reason = reason
+
+
+class TruncatedFieldError(RecordError):
+    """A field is longer than the rest of its record."""
+
+    def __init__(self, size: int, available: int) -> None:
+        """`size` is the length that the field announces, `available` what is left, in bytes."""
+        super().__init__("cut short")
+        self.size = size
+        self.available = available
+
+
+class TooManyItemsError(RecordError):
+    """A tuple announces more items than a record may hold."""
+
+    def __init__(self, count: int) -> None:
+        """`count` is the announced number of items."""
+        super().__init__("too many items")
+        self.count = count
+
+
+class FrameError(ProtocolError, ValueError):
+    """The stream holds no frame at this position."""
+
+    def __init__(self, reason: str) -> None:
+        """`reason` is what the log shows."""
+        super().__init__(reason)
+        self.reason = reason
--- /dev/null
+++ b/roselink/protocol/framing.py
@@ -0,0 +1,81 @@
+"""Frames: records with a header, as they follow each other on a TCP connection.
+
+A header holds the payload's length and CRC-32, the kind of frame, the record number and the call
+number, in network byte order.
+"""
+
+from __future__ import annotations
+
+import struct
+import zlib
+from enum import IntEnum
+from typing import Any, NamedTuple
+
+from roselink.protocol.exceptions import FrameError, RecordError
+from roselink.protocol.records import Record, decode, encode, record_number_of
+
+# Payload bytes, checksum, kind, record number, call number.
+_HEADER = struct.Struct("!IIBHQ")
+MAX_FRAME_BYTES = 32 * 1024 * 1024
+
+
+class FrameKind(IntEnum):
+    """What a frame is for."""
+
+    CALL = 0
+    REPLY = 1
+    NOTICE = 2
+
+
+_HIGHEST_KIND = max(FrameKind)
+
+
+class Frame(NamedTuple):
+    """One decoded frame; `call` is 0 for a notice."""
+
+    kind: FrameKind
+    call: int
+    message: Any
+
+
+def encode_frame(kind: FrameKind, call: int, message: Record) -> bytes:
+    """One message as it goes on the wire."""
+    payload = encode(message)
+    number = record_number_of(message)
+    return _HEADER.pack(len(payload), zlib.crc32(payload), kind, number, call) + payload
+
+
+class FrameDecoder:
+    """Cuts a stream into frames."""
+
+    def __init__(self) -> None:
+        """Start at the beginning of a stream."""
+        self._buffered = bytearray()
+
+    def feed(self, data: bytes) -> list[Frame]:
+        """The frames that `data` completes.
+
+        Raises:
+            FrameError: the stream is broken; the decoder is of no more use.
+        """
+        self._buffered += data
+        frames = []
+        position = 0
+        while len(self._buffered) - position >= _HEADER.size:
+            size, checksum, kind, number, call = _HEADER.unpack_from(self._buffered, position)
+            if size > MAX_FRAME_BYTES or kind > _HIGHEST_KIND:
+                raise FrameError("no frame")
+            end = position + _HEADER.size + size
+            if end > len(self._buffered):
+                break
+            payload = bytes(self._buffered[position + _HEADER.size : end])
+            if zlib.crc32(payload) != checksum:
+                raise FrameError("checksum")
+            try:
+                message = decode(number, payload)
+            except RecordError as error:
+                raise FrameError(str(error)) from None
+            frames.append(Frame(FrameKind(kind), call, message))
+            position = end
+        del self._buffered[:position]
+        return frames
--- /dev/null
+++ b/roselink/protocol/peer_pool.py
@@ -0,0 +1,174 @@
+"""The calling side: calls with one reply and one-way notices, over one connection to each peer.
+
+A call ends with exactly one outcome: the reply, or None when none came in time or the connection
+broke; None says nothing about whether the other side acted.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import itertools
+from typing import NamedTuple
+
+from roselink.protocol.framing import FrameKind, encode_frame
+from roselink.protocol.peer_connection import (
+    Address,
+    MessageHandler,
+    PeerConnection,
+    ReplyCallback,
+)
+from roselink.protocol.records import Record
+
+CONNECT_TIMEOUT_S = 0.6
+
+
+class _QueuedMessage(NamedTuple):
+    """A message that is sent as soon as the connection stands."""
+
+    kind: FrameKind
+    call: int
+    message: Record
+
+
+class _Peer:
+    """The connection to one address, made when first needed, and what is queued for it."""
+
+    def __init__(self, handler: MessageHandler, address: Address) -> None:
+        self._handler = handler
+        self._address = address
+        self._connection: PeerConnection | None = None
+        self._queue: list[_QueuedMessage] = []
+        # Calls that are queued; the connection has those that are sent.
+        self._queued_calls: dict[int, ReplyCallback] = {}
+        self._connecting: asyncio.Task[None] | None = None
+
+    def send(
+        self, kind: FrameKind, call: int, message: Record, on_reply: ReplyCallback | None
+    ) -> None:
+        if self._connection is not None and self._connection.transport is not None:
+            if on_reply is not None:
+                self._connection.pending_calls[call] = on_reply
+            self._connection.write(encode_frame(kind, call, message))
+            return
+        self._queue.append(_QueuedMessage(kind, call, message))
+        if on_reply is not None:
+            self._queued_calls[call] = on_reply
+        if self._connecting is None:
+            self._connecting = asyncio.get_running_loop().create_task(self._connect())
+
+    async def _connect(self) -> None:
+        connection = PeerConnection(self._handler, self._connection_closed)
+        try:
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                await asyncio.get_running_loop().create_connection(
+                    lambda: connection, *self._address
+                )
+        except (OSError, TimeoutError):
+            connection.abort()
+            self._connecting = None
+            self._fail_queued()
+            return
+        self._connecting = None
+        if connection.transport is None:
+            self._fail_queued()
+            return
+        self._connection = connection
+        connection.pending_calls.update(self._queued_calls)
+        self._queued_calls = {}
+        queue = self._queue
+        self._queue = []
+        for queued in queue:
+            connection.write(encode_frame(queued.kind, queued.call, queued.message))
+
+    def _fail_queued(self) -> None:
+        callbacks = list(self._queued_calls.values())
+        self._queued_calls = {}
+        self._queue = []
+        for on_reply in callbacks:
+            on_reply(None)
+
+    def _connection_closed(self, connection: PeerConnection) -> None:
+        if self._connection is connection:
+            self._connection = None
+
+    def expire(self, call: int, started_at: float) -> None:
+        """End a call whose time-out has passed.
+
+        A connection on which nothing arrived since the call started may be dead: it ends too.
+        """
+        on_reply = self._queued_calls.pop(call, None)
+        connection = self._connection
+        if on_reply is None and connection is not None:
+            on_reply = connection.pending_calls.pop(call, None)
+            if on_reply is not None and connection.last_received_at < started_at:
+                connection.abort()
+        if on_reply is not None:
+            on_reply(None)
+
+    def close(self) -> None:
+        if self._connecting is not None:
+            self._connecting.cancel()
+            self._connecting = None
+        if self._connection is not None:
+            self._connection.abort()
+        self._fail_queued()
+
+
+class PeerPool:
+    """Calls and notices to any number of addresses, one connection each."""
+
+    def __init__(self, handler: MessageHandler) -> None:
+        """`handler` takes what peers send on their side of these connections."""
+        self._handler = handler
+        self._peers: dict[Address, _Peer] = {}
+        self._call_numbers = itertools.count(1)
+
+    def call(
+        self, address: Address, message: Record, timeout_s: float, on_reply: ReplyCallback
+    ) -> None:
+        """Send a call; `on_reply` gets the reply, or None if none came within `timeout_s`."""
+        loop = asyncio.get_running_loop()
+        number = next(self._call_numbers)
+        peer = self._peer(address)
+        timer: asyncio.TimerHandle | None = None
+
+        def finish(reply: Record | None) -> None:
+            if timer is not None:
+                timer.cancel()
+            on_reply(reply)
+
+        timer = loop.call_later(timeout_s, peer.expire, number, loop.time())
+        peer.send(FrameKind.CALL, number, message, finish)
+
+    async def request(self, address: Address, message: Record, timeout_s: float) -> Record | None:
+        """`call` for coroutines: the reply, or None."""
+        outcome: asyncio.Future[Record | None] = asyncio.get_running_loop().create_future()
+
+        def resolve(reply: Record | None) -> None:
+            if not outcome.done():
+                outcome.set_result(reply)
+
+        self.call(address, message, timeout_s, resolve)
+        return await outcome
+
+    def notify(self, address: Address, message: Record) -> None:
+        """Send a notice; it may be lost."""
+        self._peer(address).send(FrameKind.NOTICE, 0, message, None)
+
+    def disconnect(self, address: Address) -> None:
+        """End the connection to an address that is not needed any more."""
+        peer = self._peers.pop(address, None)
+        if peer is not None:
+            peer.close()
+
+    def close(self) -> None:
+        """End every connection; calls without a reply get None."""
+        for address in list(self._peers):
+            self.disconnect(address)
+
+    def _peer(self, address: Address) -> _Peer:
+        peer = self._peers.get(address)
+        if peer is None:
+            peer = _Peer(self._handler, address)
+            self._peers[address] = peer
+        return peer
--- a/roselink/protocol/records.py
+++ b/roselink/protocol/records.py
@@ -2,7 +2,8 @@
 
 A message is a frozen dataclass marked with `@record(number)`. Its fields may be int (64 bits,
 signed), float, bool, str, bytes, an IntEnum, another dataclass, `tuple[X, ...]` of these, or `X |
-None`. The codec of each class is built once, from its annotations.
+None`. The codec of each class is built once, from its annotations, which are resolved at run time:
+a module of records can't import the types of its fields under `TYPE_CHECKING`.
 
 >>> from dataclasses import dataclass
 >>> @record(0xFFF0)
@@ -19,187 +20,269 @@
 import struct
 import types
 import typing
-from collections.abc import Callable
-from dataclasses import fields, is_dataclass
+from dataclasses import Field, dataclass, fields, is_dataclass
 from enum import IntEnum
-from typing import Any, TypeVar
+from typing import Any, ClassVar, Generic, Protocol, TypeAlias, TypeVar
 
-MAX_ITEMS = 1_000_000  # items of one tuple; more is a torn or hostile record
+from roselink.protocol.exceptions import (
+    MalformedRecordError,
+    RecordNumberTakenError,
+    TooManyItemsError,
+    TruncatedFieldError,
+    UnknownRecordError,
+    UnsupportedFieldTypeError,
+)
+
+if typing.TYPE_CHECKING:
+    from collections.abc import Callable
+
+# Items of one tuple; a larger count is the mark of a torn or hostile record.
+MAX_ITEMS = 1_000_000
 
 _INT = struct.Struct("!q")
 _FLOAT = struct.Struct("!d")
 _SIZE = struct.Struct("!I")
 _FLAG = struct.Struct("!?")
 
-Message = TypeVar("Message")
-Packer = Callable[[Any, bytearray], None]
-Unpacker = Callable[["_Reader"], Any]
 
-_by_number: dict[int, type[Any]] = {}
-_numbers: dict[type[Any], int] = {}
-_codecs: dict[Any, tuple[Packer, Unpacker]] = {}
+class Record(Protocol):
+    """An instance of a dataclass that is registered with `@record`, or a field of one."""
+
+    __dataclass_fields__: ClassVar[dict[str, Field[Any]]]
+
+
+RecordType = TypeVar("RecordType", bound=Record)
+Value = TypeVar("Value")
+# An annotation of a field, as `typing.get_type_hints` resolves it.
+FieldType: TypeAlias = type[Any] | types.GenericAlias | types.UnionType
+
+
+class _Cursor:
+    """A position in the bytes of a record."""
 
+    __slots__ = ("data", "position")
 
-class RecordError(ValueError):
-    """The bytes are no record of the type that they claim to be."""
+    def __init__(self, data: bytes) -> None:
+        self.data = data
+        self.position = 0
+
+    def take(self, layout: struct.Struct) -> Any:
+        """The one value that `layout` describes; its type is the layout's."""
+        value = layout.unpack_from(self.data, self.position)[0]
+        self.position += layout.size
+        return value
 
+    def take_bytes(self) -> bytes:
+        size = self.take(_SIZE)
+        end = self.position + size
+        if end > len(self.data):
+            raise TruncatedFieldError(size, len(self.data) - self.position)
+        value = self.data[self.position : end]
+        self.position = end
+        return value
 
-def record(number: int) -> Callable[[type[Message]], type[Message]]:
-    """Register a dataclass under a number that is unique in the whole project (0 to 65535)."""
 
-    def register(message: type[Message]) -> type[Message]:
-        taken = _by_number.get(number)
-        if taken is not None and taken.__qualname__ != message.__qualname__:
-            raise ValueError(f"record number {number} is taken by {taken.__qualname__}")
-        _by_number[number] = message
-        _numbers[message] = number
-        return message
+@dataclass(frozen=True, slots=True)
+class _Codec(Generic[Value]):
+    """How values of one type are appended to a record, and read from one."""
+
+    pack: Callable[[Value, bytearray], None]
+    unpack: Callable[[_Cursor], Value]
+
+
+def record(number: int) -> Callable[[type[RecordType]], type[RecordType]]:
+    """Register a dataclass under a number that is unique in the whole project.
+
+    Args:
+        number: from 0 to 65535.
+
+    Raises:
+        RecordNumberTakenError: the number belongs to another class.
+    """
+
+    def register(record_class: type[RecordType]) -> type[RecordType]:
+        registered = _classes_by_number.get(number)
+        if registered is not None and registered.__qualname__ != record_class.__qualname__:
+            raise RecordNumberTakenError(number, registered.__qualname__)
+        _classes_by_number[number] = record_class
+        _numbers_by_class[record_class] = number
+        return record_class
 
     return register
 
 
-def record_number_of(message: object) -> int:
-    """The number under which the message's class is registered; raises KeyError for any other
-    class.
+def record_number_of(message: Record) -> int:
+    """The number under which the message's class is registered.
+
+    Raises:
+        KeyError: the class is not registered.
     """
-    return _numbers[type(message)]
+    return _numbers_by_class[type(message)]
+
+
+def record_number_of_class(record_class: type[Record]) -> int:
+    """The number under which the class is registered.
 
+    Raises:
+        KeyError: the class is not registered.
+    """
+    return _numbers_by_class[record_class]
 
-def record_number_of_class(message: type[Any]) -> int:
-    """The same for a class."""
-    return _numbers[message]
 
+def encode(message: Record) -> bytes:
+    """The message's fields as bytes; its record number travels beside them.
 
-def encode(message: object) -> bytes:
-    """The message's fields as bytes; its number goes beside them."""
+    Raises:
+        UnsupportedFieldTypeError: a field of the class is of a type that has no codec.
+    """
     packed = bytearray()
-    _codec(type(message))[0](message, packed)
+    _codec_of(type(message)).pack(message, packed)
     return bytes(packed)
 
 
 def decode(number: int, data: bytes) -> Any:
-    """The message of that number; raises `RecordError` when the bytes are not exactly one."""
-    message = _by_number.get(number)
-    if message is None:
-        raise RecordError(f"unknown record {number}")
-    reader = _Reader(data)
+    """The message of that record number; its class is the one registered under the number.
+
+    Raises:
+        RecordError: the number is unknown, or the bytes are not exactly one record of its class.
+    """
+    record_class = _classes_by_number.get(number)
+    if record_class is None:
+        raise UnknownRecordError(number)
+    return decode_as(record_class, data)
+
+
+def decode_as(record_class: type[RecordType], data: bytes) -> RecordType:
+    """The message of that class.
+
+    Raises:
+        RecordError: the bytes are not exactly one record of the class.
+    """
+    cursor = _Cursor(data)
     try:
-        value = _codec(message)[1](reader)
+        message: RecordType = _codec_of(record_class).unpack(cursor)
     except (struct.error, ValueError) as error:
-        raise RecordError(f"{message.__name__}: {error}") from None
-    if reader.at != len(data):
-        raise RecordError(f"{message.__name__}: {len(data) - reader.at} bytes too many")
-    return value
+        raise MalformedRecordError(record_class.__name__, str(error)) from None
+    if cursor.position != len(data):
+        surplus = len(data) - cursor.position
+        raise MalformedRecordError(record_class.__name__, f"{surplus} bytes too many")
+    return message
 
 
-class _Reader:
-    """A place in the bytes of a record."""
+def _codec_of(field_type: FieldType) -> _Codec[Any]:
+    codec = _codecs.get(field_type)
+    if codec is None:
+        codec = _build_codec(field_type)
+        _codecs[field_type] = codec
+    return codec
 
-    __slots__ = ("at", "data")
 
-    def __init__(self, data: bytes) -> None:
-        self.data, self.at = data, 0
+def _build_codec(field_type: FieldType) -> _Codec[Any]:
+    origin = typing.get_origin(field_type)
+    if origin is tuple:
+        return _tuple_codec(field_type)
+    if origin in (types.UnionType, typing.Union):
+        return _optional_codec(field_type)
+    if isinstance(field_type, type) and issubclass(field_type, IntEnum):
+        return _enum_codec(field_type)
+    if isinstance(field_type, type) and is_dataclass(field_type):
+        return _dataclass_codec(field_type)
+    raise UnsupportedFieldTypeError(field_type, "no codec for this type")
 
-    def take(self, shape: struct.Struct) -> Any:
-        value = shape.unpack_from(self.data, self.at)[0]
-        self.at += shape.size
-        return value
 
-    def take_bytes(self) -> bytes:
-        size = self.take(_SIZE)
-        end = self.at + size
-        if end > len(self.data):
-            raise RecordError("cut short")
-        value = self.data[self.at : end]
-        self.at = end
-        return value
+def _pack_bytes(value: bytes, packed: bytearray) -> None:
+    packed.extend(_SIZE.pack(len(value)))
+    packed.extend(value)
 
 
-def _codec(kind: Any) -> tuple[Packer, Unpacker]:
-    known = _codecs.get(kind)
-    if known is None:
-        known = _codecs[kind] = _build(kind)
-    return known
+def _pack_text(value: str, packed: bytearray) -> None:
+    _pack_bytes(value.encode(), packed)
 
 
-def _build(kind: Any) -> tuple[Packer, Unpacker]:
-    origin = typing.get_origin(kind)
-    if origin is tuple:
-        return _tuple_codec(typing.get_args(kind))
-    if origin in (types.UnionType, typing.Union):
-        return _optional_codec(typing.get_args(kind))
-    if kind is bool:
-        return _scalar_codec(_FLAG)
-    if kind is int:
-        return _scalar_codec(_INT)
-    if kind is float:
-        return _scalar_codec(_FLOAT)
-    if kind is bytes:
-        return _pack_bytes, _Reader.take_bytes
-    if kind is str:
-        return (lambda value, out: _pack_bytes(value.encode(), out)), (
-            lambda reader: reader.take_bytes().decode()
-        )
-    if isinstance(kind, type) and issubclass(kind, IntEnum):
-        return (lambda value, out: out.extend(_INT.pack(value))), (
-            lambda reader: kind(reader.take(_INT))
-        )
-    if is_dataclass(kind):
-        return _dataclass_codec(kind)
-    raise TypeError(f"a record can't hold {kind!r}")
-
-
-def _pack_bytes(value: bytes, out: bytearray) -> None:
-    out.extend(_SIZE.pack(len(value)))
-    out.extend(value)
-
-
-def _scalar_codec(shape: struct.Struct) -> tuple[Packer, Unpacker]:
-    return (lambda value, out: out.extend(shape.pack(value))), (lambda reader: reader.take(shape))
-
-
-def _optional_codec(choices: tuple[Any, ...]) -> tuple[Packer, Unpacker]:
+def _unpack_text(cursor: _Cursor) -> str:
+    return cursor.take_bytes().decode()
+
+
+def _scalar_codec(layout: struct.Struct) -> _Codec[float]:
+    return _Codec(
+        lambda value, packed: packed.extend(layout.pack(value)),
+        lambda cursor: cursor.take(layout),
+    )
+
+
+def _enum_codec(enum_class: type[IntEnum]) -> _Codec[IntEnum]:
+    return _Codec(
+        lambda value, packed: packed.extend(_INT.pack(value)),
+        lambda cursor: enum_class(cursor.take(_INT)),
+    )
+
+
+def _optional_codec(field_type: FieldType) -> _Codec[Any]:
+    choices = typing.get_args(field_type)
     inner = [choice for choice in choices if choice is not types.NoneType]
     if len(inner) != 1 or len(choices) != 2:
-        raise TypeError("a union in a record is `X | None`")
-    pack, unpack = _codec(inner[0])
+        raise UnsupportedFieldTypeError(field_type, "a union in a record is `X | None`")
+    return _nullable(_codec_of(inner[0]))
 
-    def pack_optional(value: Any, out: bytearray) -> None:
-        out.extend(_FLAG.pack(value is not None))
+
+def _nullable(codec: _Codec[Value]) -> _Codec[Value | None]:
+    pack, unpack = codec.pack, codec.unpack
+
+    def pack_optional(value: Value | None, packed: bytearray) -> None:
+        packed.extend(_FLAG.pack(value is not None))
         if value is not None:
-            pack(value, out)
+            pack(value, packed)
 
-    return pack_optional, lambda reader: unpack(reader) if reader.take(_FLAG) else None
+    return _Codec(pack_optional, lambda cursor: unpack(cursor) if cursor.take(_FLAG) else None)
 
 
-def _tuple_codec(choices: tuple[Any, ...]) -> tuple[Packer, Unpacker]:
+def _tuple_codec(field_type: FieldType) -> _Codec[Any]:
+    choices = typing.get_args(field_type)
     if len(choices) != 2 or choices[1] is not Ellipsis:
-        raise TypeError("a tuple in a record is `tuple[X, ...]`")
-    pack, unpack = _codec(choices[0])
+        raise UnsupportedFieldTypeError(field_type, "a tuple in a record is `tuple[X, ...]`")
+    return _sequence(_codec_of(choices[0]))
+
 
-    def pack_items(value: Any, out: bytearray) -> None:
-        out.extend(_SIZE.pack(len(value)))
-        for item in value:
-            pack(item, out)
+def _sequence(codec: _Codec[Value]) -> _Codec[tuple[Value, ...]]:
+    pack, unpack = codec.pack, codec.unpack
 
-    def unpack_items(reader: _Reader) -> tuple[Any, ...]:
-        count = reader.take(_SIZE)
+    def pack_items(items: tuple[Value, ...], packed: bytearray) -> None:
+        packed.extend(_SIZE.pack(len(items)))
+        for item in items:
+            pack(item, packed)
+
+    def unpack_items(cursor: _Cursor) -> tuple[Value, ...]:
+        count = cursor.take(_SIZE)
         if count > MAX_ITEMS:
-            raise RecordError("too many items")
-        return tuple([unpack(reader) for _ in range(count)])
+            raise TooManyItemsError(count)
+        return tuple([unpack(cursor) for _ in range(count)])
+
+    return _Codec(pack_items, unpack_items)
+
 
-    return pack_items, unpack_items
+def _dataclass_codec(record_class: type[RecordType]) -> _Codec[RecordType]:
+    hints = typing.get_type_hints(record_class)
+    codecs = [(field.name, _codec_of(hints[field.name])) for field in fields(record_class)]
+    packers = [(name, codec.pack) for name, codec in codecs]
+    unpackers = [codec.unpack for _, codec in codecs]
 
+    def pack(message: RecordType, packed: bytearray) -> None:
+        for name, pack_field in packers:
+            pack_field(getattr(message, name), packed)
 
-def _dataclass_codec(kind: Any) -> tuple[Packer, Unpacker]:
-    hints = typing.get_type_hints(kind)
-    parts = [(field.name, *_codec(hints[field.name])) for field in fields(kind)]
+    def unpack(cursor: _Cursor) -> RecordType:
+        return record_class(*[unpack_field(cursor) for unpack_field in unpackers])
 
-    def pack(value: Any, out: bytearray) -> None:
-        for name, pack_field, _ in parts:
-            pack_field(getattr(value, name), out)
+    return _Codec(pack, unpack)
 
-    def unpack(reader: _Reader) -> Any:
-        return kind(*[unpack_field(reader) for _, _, unpack_field in parts])
 
-    return pack, unpack
+_classes_by_number: dict[int, type[Record]] = {}
+_numbers_by_class: dict[type[Record], int] = {}
+# `_Codec[Any]`: the codecs of unrelated types side by side.
+_codecs: dict[FieldType, _Codec[Any]] = {
+    bool: _scalar_codec(_FLAG),
+    int: _scalar_codec(_INT),
+    float: _scalar_codec(_FLOAT),
+    bytes: _Codec(_pack_bytes, _Cursor.take_bytes),
+    str: _Codec(_pack_text, _unpack_text),
+}
--- a/roselink/router/app.py
+++ b/roselink/router/app.py
@@ -10,7 +10,7 @@
 import signal
 import sys
 from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import uvloop
 
@@ -21,10 +21,14 @@
 from roselink.model.fleet import Member
 from roselink.model.settings import DEFAULT_PATH, ENVIRONMENT_VARIABLE, ProcessSettings
 from roselink.protocol.payoffs import HostOutcomes
-from roselink.protocol.peers import Address, PeerPool, PeerServer, Reply
+from roselink.protocol.peer_pool import PeerPool
+from roselink.protocol.peer_server import PeerServer
 from roselink.router.interfaces import DataPlane
 from roselink.router.status_log import StatusLog
 
+if TYPE_CHECKING:
+    from roselink.protocol.peer_connection import Address, SendReply
+
 log = logging.getLogger("roselink.router")
 
 EXIT_START_FAILED = 3
@@ -134,6 +138,6 @@
         self.budgets.confirm(at)
         self.peer_sampling.confirm(at, self.pull_client.cores())
 
-    def _handle(self, peer: Address, message: Any, reply: Reply) -> None:
+    def _handle(self, peer: Address, message: Any, reply: SendReply) -> None:
         if not (self.budgets.handle(message, reply) or self.peer_sampling.handle(message, reply)):
             log.warning("record_unknown peer=%s record=%s", peer[0], type(message).__name__)
--- a/roselink/simulation/system.py
+++ b/roselink/simulation/system.py
@@ -39,7 +39,13 @@
     View,
     Votes,
 )
-from roselink.protocol.records import decode, encode, record_number_of, record_number_of_class
+from roselink.protocol.records import (
+    Record,
+    decode,
+    encode,
+    record_number_of,
+    record_number_of_class,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -390,7 +396,7 @@
     return system
 
 
-def settle_only(system: System, *records: type[object]) -> None:
+def settle_only(system: System, *records: type[Record]) -> None:
     """The same, but all messages of other records stay under way."""
     numbers = {record_number_of_class(record) for record in records}
     while True:
--- a/roselink/simulation/world.py
+++ b/roselink/simulation/world.py
@@ -33,7 +33,7 @@
 )
 from roselink.coordination.member import TICK_S, Member, Start
 from roselink.model.fleet import Host, HostState
-from roselink.protocol.records import decode, encode, record_number_of
+from roselink.protocol.records import Record, decode, encode, record_number_of
 from roselink.simulation.disk import FOLDER, Broken, MemoryFiles
 from roselink.simulation.history import Change, History
 from roselink.simulation.timeline import Timeline
@@ -360,7 +360,7 @@
         self,
         sender: str,
         to: str,
-        message: object,
+        message: Record,
         timeout_s: float,
         done: Replied,
     ) -> None:
--- a/tests/controller/single_member_core.py
+++ b/tests/controller/single_member_core.py
@@ -21,7 +21,7 @@
     import asyncio
     from collections.abc import Callable
 
-    from roselink.protocol.peers import PeerPool
+    from roselink.protocol.peer_pool import PeerPool
 
 START = sys.argv[2] if len(sys.argv) > 2 else "succeeds"
 
--- a/tests/controller/test_app.py
+++ b/tests/controller/test_app.py
@@ -13,7 +13,7 @@
 
 from roselink.model.fleet import Member, VersionVector
 from roselink.model.settings import ENVIRONMENT_VARIABLE
-from roselink.protocol.peers import PeerPool
+from roselink.protocol.peer_pool import PeerPool
 from roselink.protocol.pull import PullReply, PullRequest
 from tests.controller.reactor import play
 from tests.controller.test_api import Answered, Caller
@@ -92,7 +92,9 @@
             caller.writer.close()
 
     async def pull(self, held: VersionVector) -> PullReply:
-        reply = await self.pool.ask(("127.0.0.1", self.peer), PullRequest(GATEWAY, held, True), 5.0)
+        reply = await self.pool.request(
+            ("127.0.0.1", self.peer), PullRequest(GATEWAY, held, True), 5.0
+        )
         assert isinstance(reply, PullReply)
         return reply
 
--- a/tests/controller/test_chain_driver.py
+++ b/tests/controller/test_chain_driver.py
@@ -14,11 +14,14 @@
 from roselink.coordination.state import digest_of
 from roselink.model.settings import ProcessSettings, read_settings
 from roselink.protocol.chain import ConfigurationOrder
-from roselink.protocol.peers import Address, PeerPool, PeerServer, Reply
+from roselink.protocol.peer_pool import PeerPool
+from roselink.protocol.peer_server import PeerServer
 
 if TYPE_CHECKING:
     from pathlib import Path
 
+    from roselink.protocol.peer_connection import Address, SendReply
+
 HOSTS = ("127.0.31.1", "127.0.31.2", "127.0.31.3")
 
 
@@ -53,7 +56,7 @@
         settings = settings_of(host, port, folder, bootstrap)
         self.node = ChainDriver(settings, self.pool, asyncio.get_running_loop())
 
-    def _handle(self, peer: Address, message: object, reply: Reply) -> None:
+    def _handle(self, peer: Address, message: object, reply: SendReply) -> None:
         assert self.node.handle(peer, message, reply)
 
     async def begin(self) -> None:
--- a/tests/coordination/test_member.py
+++ b/tests/coordination/test_member.py
@@ -64,7 +64,7 @@
 
     def sent(self) -> list[object]:
         """What was sent, save heartbeats; saves stay waiting."""
-        sent = [
+        sent: list[object] = [
             e.message
             for e in self.out
             if isinstance(e, Send) and not isinstance(e.message, Heartbeat)
--- a/tests/distribution/test_host_changes.py
+++ b/tests/distribution/test_host_changes.py
@@ -21,7 +21,7 @@
     SnapshotConfirmed,
 )
 from roselink.model.fleet import Host, HostState, Member, VersionVector
-from roselink.protocol.peers import FrameReader, frame
+from roselink.protocol.framing import FrameDecoder, FrameKind, encode_frame
 from roselink.protocol.pull import (
     DeltaPullReply,
     DeltaPullRequest,
@@ -123,13 +123,13 @@
         return self.machine.reply_received(send.call, None if lost else answer, self.now)
 
     def answer(self, asked: DeltaPullRequest) -> DeltaPullReply:
-        ((_, number, received),) = FrameReader().feed(frame(0, 1, asked))
+        ((_, number, received),) = FrameDecoder().feed(encode_frame(FrameKind.CALL, 1, asked))
         assert self.desk.pull(self.now, number, received.pull, changes=True) == [Confirm(1)]
         (effect,) = self.desk.confirmed(self.now, number, Confirmation(self.epoch, 1, DOCUMENT, 1))
         assert isinstance(effect, AnswerChanges)
         self.lists += effect.reply.host_list is not None
         self.changes += effect.reply.host_changes is not None
-        ((_, _, answer),) = FrameReader().feed(frame(1, 1, effect.reply))
+        ((_, _, answer),) = FrameDecoder().feed(encode_frame(FrameKind.REPLY, 1, effect.reply))
         assert isinstance(answer, DeltaPullReply)
         return answer
 
--- a/tests/distribution/test_pull_state_machine.py
+++ b/tests/distribution/test_pull_state_machine.py
@@ -18,7 +18,7 @@
     SnapshotConfirmed,
 )
 from roselink.model.fleet import Host, HostState, Member, VersionVector
-from roselink.protocol.peers import frame
+from roselink.protocol.framing import FrameKind, encode_frame
 from roselink.protocol.pull import PullReply, PullRequest
 
 MEMBER = Member("edge-a-1", "10.1.0.16:7500", 7)
@@ -277,9 +277,9 @@
 
 def test_a_pull_with_nothing_new_is_small() -> None:
     vector = VersionVector(7, 1 << 33, 1 << 33)
-    question = frame(0, 1, PullRequest(MEMBER, vector, True))
-    answer = frame(
-        1,
+    question = encode_frame(FrameKind.CALL, 1, PullRequest(MEMBER, vector, True))
+    answer = encode_frame(
+        FrameKind.REPLY,
         1,
         PullReply(True, vector, None, None, None, tuple(f"10.{n}.0.26:7500" for n in (1, 2, 3))),
     )
--- a/tests/gossip/test_peer_sampling.py
+++ b/tests/gossip/test_peer_sampling.py
@@ -14,8 +14,8 @@
     SendShuffleRequest,
 )
 from roselink.model.fleet import Member, VersionVector
+from roselink.protocol.framing import FrameKind, encode_frame
 from roselink.protocol.gossip import GossipDigest, ShuffleReply, ShuffleRequest, ViewEntry
-from roselink.protocol.peers import frame
 
 OWN = Member("own", "10.0.0.1:7500", 1)
 OTHERS = [Member(f"edge-{number}", f"10.0.1.{number}:7500", number) for number in range(30)]
@@ -161,8 +161,8 @@
         ViewEntry(Member("edge-zg-maksimir-1", "10.1.0.16:7500", 2**55), 3) for _ in range(4)
     )
     news = GossipDigest(VersionVector(9, 9, 9), tuple(f"10.{n}.0.26:7500" for n in (1, 2, 3)), 100)
-    size = len(frame(0, 1, ShuffleRequest(entries, news))) + len(
-        frame(1, 1, ShuffleReply(entries, news))
+    size = len(encode_frame(FrameKind.CALL, 1, ShuffleRequest(entries, news))) + len(
+        encode_frame(FrameKind.REPLY, 1, ShuffleReply(entries, news))
     )
     assert (
         2 * size / module.CALM_EVERY_S < 200
--- a/tests/mutations/distribution.py
+++ b/tests/mutations/distribution.py
@@ -46,6 +46,10 @@
     *mutations_of(
         "distribution/host_changes.py",
         PULLER,
-        ("changes from another version are taken", "if changes.base == held else None", ""),
+        (
+            "changes from another version are taken",
+            "if changes.base == hosts_version else None",
+            "",
+        ),
     ),
 )
--- a/tests/mutations/protocol.py
+++ b/tests/mutations/protocol.py
@@ -8,13 +8,17 @@
 
 MUTATIONS: tuple[Mutation, ...] = (
     *mutations_of(
-        "protocol/peers.py",
+        "protocol/peer_pool.py",
         PEERS,
         (
             "an answer after its time-out is taken",
-            "            done = connection.calls.pop(call, None)\n",
-            "            done = connection.calls.get(call)\n",
+            "            on_reply = connection.pending_calls.pop(call, None)\n",
+            "            on_reply = connection.pending_calls.get(call)\n",
         ),
+    ),
+    *mutations_of(
+        "protocol/framing.py",
+        PEERS,
         ("a frame that is spoilt is taken", "if zlib.crc32(payload) != checksum:", "if False:"),
     ),
 )
--- a/tests/protocol/test_peers.py
+++ b/tests/protocol/test_peers.py
@@ -6,15 +6,21 @@
 import contextlib
 import struct
 from dataclasses import dataclass
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
-from roselink.protocol import peers
-from roselink.protocol.peers import FrameError, FrameReader, PeerPool, PeerServer, frame
+from roselink.protocol import framing
+from roselink.protocol.exceptions import FrameError
+from roselink.protocol.framing import FrameDecoder, FrameKind, encode_frame
+from roselink.protocol.peer_pool import PeerPool
+from roselink.protocol.peer_server import PeerServer
 from roselink.protocol.records import record
 from tests.support.net import on_loop
 
+if TYPE_CHECKING:
+    from roselink.protocol.peer_connection import Address, SendReply
+
 
 @record(0xFF10)
 @dataclass(frozen=True, slots=True)
@@ -32,26 +38,32 @@
     text: str
 
 
-def ignore(peer: peers.Address, message: Any, reply: peers.Reply) -> None:
+def ignore(peer: Address, message: Any, reply: SendReply) -> None:
     """A pool that takes no calls."""
 
 
-def echo(peer: peers.Address, message: Any, reply: peers.Reply) -> None:
+def echo(peer: Address, message: Any, reply: SendReply) -> None:
     reply(Answer(message.text))
 
 
 @on_loop
 async def test_calls_get_their_own_answers() -> None:
-    held: list[tuple[str, peers.Reply]] = []
-    server = PeerServer(lambda _, message, reply: held.append((message.text, reply)))
+    held: list[tuple[str, SendReply]] = []
+
+    def hold(_: Address, message: Any, reply: SendReply) -> None:
+        held.append((message.text, reply))
+
+    server = PeerServer(hold)
     port = await server.listen("127.0.0.1", 0)
     pool = PeerPool(ignore)
-    asked = [asyncio.ensure_future(pool.ask(("127.0.0.1", port), Question(t), 5.0)) for t in "abc"]
+    asked = [
+        asyncio.ensure_future(pool.request(("127.0.0.1", port), Question(t), 5.0)) for t in "abc"
+    ]
     while len(held) < 3:
         await asyncio.sleep(0)
     for text, reply in reversed(held):
         reply(Answer(text))
-    assert [answer.text for answer in await asyncio.gather(*asked)] == ["a", "b", "c"]
+    assert await asyncio.gather(*asked) == [Answer("a"), Answer("b"), Answer("c")]
     pool.close()
     server.close()
 
@@ -62,7 +74,7 @@
     port = await server.listen("127.0.0.1", 0)
     server.close()
     pool = PeerPool(ignore)
-    assert await pool.ask(("127.0.0.1", port), Question("x"), 5.0) is None
+    assert await pool.request(("127.0.0.1", port), Question("x"), 5.0) is None
 
 
 @on_loop
@@ -70,14 +82,14 @@
     server = PeerServer(lambda _, message, reply: None)
     port = await server.listen("127.0.0.1", 0)
     pool = PeerPool(ignore)
-    asked = asyncio.ensure_future(pool.ask(("127.0.0.1", port), Question("x"), 5.0))
+    asked = asyncio.ensure_future(pool.request(("127.0.0.1", port), Question("x"), 5.0))
     while not server._connections:
         await asyncio.sleep(0)
     server.close()
     assert await asked is None
     again = PeerServer(echo)
     await again.listen("127.0.0.1", port)
-    assert await pool.ask(("127.0.0.1", port), Question("y"), 5.0) == Answer("y")
+    assert await pool.request(("127.0.0.1", port), Question("y"), 5.0) == Answer("y")
     pool.close()
     again.close()
 
@@ -87,7 +99,7 @@
     server = PeerServer(lambda _, message, reply: None)
     port = await server.listen("127.0.0.1", 0)
     pool = PeerPool(ignore)
-    assert await pool.ask(("127.0.0.1", port), Question("x"), 0.05) is None
+    assert await pool.request(("127.0.0.1", port), Question("x"), 0.05) is None
     while server._connections:
         await asyncio.sleep(0)
     pool.close()
@@ -97,9 +109,9 @@
 @on_loop
 async def test_an_answer_after_its_time_reaches_nobody() -> None:
     """The connection lives, as another call was answered on it meanwhile."""
-    held: list[peers.Reply] = []
+    held: list[SendReply] = []
 
-    def answers_late(_: peers.Address, message: Any, reply: peers.Reply) -> None:
+    def answers_late(_: Address, message: Any, reply: SendReply) -> None:
         if message.text == "late":
             held.append(reply)
         else:
@@ -113,34 +125,36 @@
     pool.call(address, Question("late"), 0.1, got.append)
     while not held:
         await asyncio.sleep(0.001)
-    assert await pool.ask(address, Question("soon"), 5.0) == Answer("soon")
+    assert await pool.request(address, Question("soon"), 5.0) == Answer("soon")
     while not got:
         await asyncio.sleep(0.001)
     held[0](Answer("late"))
-    assert await pool.ask(address, Question("soon"), 5.0) == Answer("soon")
+    assert await pool.request(address, Question("soon"), 5.0) == Answer("soon")
     assert got == [None]
     pool.close()
     server.close()
 
 
 def test_frames_are_found_in_any_pieces() -> None:
-    whole = frame(0, 7, Question("a")) + frame(1, 8, Answer("b"))
+    whole = encode_frame(FrameKind.CALL, 7, Question("a")) + encode_frame(
+        FrameKind.REPLY, 8, Answer("b")
+    )
     for size in (1, 3, 50):
-        reader = FrameReader()
+        decoder = FrameDecoder()
         found = []
         for at in range(0, len(whole), size):
-            found += reader.feed(whole[at : at + size])
+            found += decoder.feed(whole[at : at + size])
         assert found == [(0, 7, Question("a")), (1, 8, Answer("b"))]
 
 
 def broken_frames() -> list[bytes]:
-    good = frame(0, 1, Question("abc"))
+    good = encode_frame(FrameKind.CALL, 1, Question("abc"))
     flipped = bytearray(good)
     flipped[-1] ^= 1
     return [
         bytes(flipped),
         b"GET / HTTP/1.1\r\nHost: a.example\r\n\r\n",
-        struct.pack("!IIBHQ", peers.MAX_FRAME + 1, 0, 0, 0xFF10, 1),
+        struct.pack("!IIBHQ", framing.MAX_FRAME_BYTES + 1, 0, 0, 0xFF10, 1),
         struct.pack("!IIBHQ", 0, 0, 9, 0xFF10, 1),
         struct.pack("!IIBHQ", 0, 0, 0, 0xFF7E, 1),
     ]
@@ -149,7 +163,7 @@
 @pytest.mark.parametrize("data", broken_frames())
 def test_what_is_no_frame_is_refused(data: bytes) -> None:
     with pytest.raises(FrameError):
-        FrameReader().feed(data)
+        FrameDecoder().feed(data)
 
 
 @on_loop
@@ -162,6 +176,6 @@
         assert await reader.read() == b""
     writer.close()
     pool = PeerPool(ignore)
-    assert await pool.ask(("127.0.0.1", port), Question("x"), 5.0) == Answer("x")
+    assert await pool.request(("127.0.0.1", port), Question("x"), 5.0) == Answer("x")
     pool.close()
     server.close()
--- a/tests/protocol/test_records.py
+++ b/tests/protocol/test_records.py
@@ -11,7 +11,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from roselink.protocol.records import RecordError, decode, encode, record, record_number_of
+from roselink.protocol.exceptions import RecordError
+from roselink.protocol.records import decode, encode, record, record_number_of
 
 
 class Colour(IntEnum):
--- a/tests/router/test_app.py
+++ b/tests/router/test_app.py
@@ -17,7 +17,7 @@
 from roselink.model.configuration import Tenant
 from roselink.model.fleet import Member, Snapshot, VersionVector
 from roselink.model.settings import ProcessSettings, load_settings
-from roselink.protocol.peers import Address, PeerServer, Reply
+from roselink.protocol.peer_server import PeerServer
 from roselink.protocol.pull import DeltaPullRequest, PullReply, PullRequest
 from roselink.router.app import Control, serve
 
@@ -25,6 +25,8 @@
     from collections.abc import Awaitable, Callable
     from pathlib import Path
 
+    from roselink.protocol.peer_connection import Address, SendReply
+
 HOST = "127.0.0.1"
 TENANT = Tenant("t", ("key",), 0, "requests", 1, 1000.0, 500.0)
 DOCUMENT = {
@@ -51,7 +53,7 @@
         self.port = await self.server.listen(HOST, 0)
         return self
 
-    def handle(self, peer: Address, message: Any, reply: Reply) -> None:
+    def handle(self, peer: Address, message: Any, reply: SendReply) -> None:
         if isinstance(message, DeltaPullRequest):
             message = message.pull
         assert isinstance(message, PullRequest)
@@ -188,7 +190,7 @@
         enough = asyncio.get_running_loop().create_future()
         handle = core.server._handler
 
-        def count(peer: Address, message: Any, reply: Reply) -> None:
+        def count(peer: Address, message: Any, reply: SendReply) -> None:
             handle(peer, message, reply)
             if len(core.pulls) > seen + 6 and not enough.done():
                 enough.set_result(None)
--- a/tools/asks.py
+++ b/tools/asks.py
@@ -18,7 +18,7 @@
 from roselink.budgets.quota_owner import QuotaLedger
 from roselink.budgets.usage import Limit, QuotaRule
 from roselink.protocol.budgets import QuotaReply, QuotaRequest, ReplyStatus
-from roselink.protocol.peers import FrameReader, frame
+from roselink.protocol.framing import FrameDecoder, FrameKind, encode_frame
 from tools.measure import machine, processor_us, show, show_line
 from tools.shapes import make_member, make_roster
 
@@ -81,9 +81,14 @@
 
     make_us = processor_us(make, asks)
     decide_us = processor_us(ask, asks) - make_us
-    ask_frame, answer_frame = frame(0, 1, make()), frame(1, 1, ask())
+    ask_frame, answer_frame = (
+        encode_frame(FrameKind.CALL, 1, make()),
+        encode_frame(FrameKind.REPLY, 1, ask()),
+    )
     answer = QuotaReply(ReplyStatus.DECIDED, 1, (True,), 0.0, 0.0, 0.5, 7, 1000.0)
-    codec_us = processor_us(lambda: (FrameReader().feed(ask_frame), frame(1, 1, answer)), asks)
+    codec_us = processor_us(
+        lambda: (FrameDecoder().feed(ask_frame), encode_frame(FrameKind.REPLY, 1, answer)), asks
+    )
     return OwnerCost(askers, decide_us, codec_us, len(ask_frame), len(answer_frame))
 
 
--- a/tools/core.py
+++ b/tools/core.py
@@ -26,7 +26,7 @@
     Voter,
     Write,
 )
-from roselink.protocol.peers import FrameReader, frame
+from roselink.protocol.framing import FrameDecoder, FrameKind, encode_frame
 from roselink.protocol.records import encode
 from tools.measure import machine, processor_us, show, show_line
 from tools.shapes import make_cores
@@ -40,7 +40,6 @@
 HISTORY_ENTRY = 48  # bytes
 TIMES = 100
 SAVES = 3
-NOTICE = 2
 
 
 @dataclass(frozen=True, slots=True)
@@ -82,10 +81,10 @@
         for voter, effect in zip(voters, sent, strict=True):
             if not isinstance(effect, Send):
                 raise RuntimeError("a round only sends")
-            size += len(frame(NOTICE, 0, effect.message))
-            answer = frame(NOTICE, 0, ConfirmAnswer(voter, 1, number, True))
+            size += len(encode_frame(FrameKind.NOTICE, 0, effect.message))
+            answer = encode_frame(FrameKind.NOTICE, 0, ConfirmAnswer(voter, 1, number, True))
             size += len(answer)
-            for _, _, message in FrameReader().feed(answer):
+            for _, _, message in FrameDecoder().feed(answer):
                 rounds.answer(message)
 
     spent_us = processor_us(confirm, times)
@@ -99,12 +98,12 @@
     beat = Heartbeat(
         Voter(make_cores(1)[0], 1), 1, 1, 1, 1, True, True, False, True, make_cores(count)
     )
-    data = frame(NOTICE, 0, beat)
+    data = encode_frame(FrameKind.NOTICE, 0, beat)
 
     def beats() -> None:
         for _ in range(count - 1):
-            frame(NOTICE, 0, beat)
-            FrameReader().feed(data)
+            encode_frame(FrameKind.NOTICE, 0, beat)
+            FrameDecoder().feed(data)
 
     return MessageCost(count, processor_us(beats, times), (count - 1) * len(data))
 
@@ -114,14 +113,14 @@
     body = b"x" * document
     order = ConfigurationOrder(0, 5, body, digest_of(0, body))
     write = Write(Voter(make_cores(1)[0], 1), 1, 2, False, order)
-    data = frame(NOTICE, 0, write)
+    data = encode_frame(FrameKind.NOTICE, 0, write)
     full = ConfigurationState(1, 1, b"", bytes(HISTORY_ENTRY * HISTORY_LIMIT))
     payload = encode(StoredState(1, apply(full, order, False)))
 
     def carry() -> None:
-        FrameReader().feed(data)
+        FrameDecoder().feed(data)
         encode(StoredState(1, apply(full, order, False)))
-        frame(NOTICE, 0, write)
+        encode_frame(FrameKind.NOTICE, 0, write)
 
     with tempfile.TemporaryDirectory() as folder:
         storage = Storage(folder)
--- a/tools/pulls.py
+++ b/tools/pulls.py
@@ -22,7 +22,7 @@
 from roselink.distribution.pull_state_machine import PULL_EVERY_S, PullStateMachine, SendPull
 from roselink.http.descriptors import Descriptors
 from roselink.model.fleet import Host, Member, Snapshot, VersionVector
-from roselink.protocol.peers import FrameReader, frame
+from roselink.protocol.framing import FrameDecoder, FrameKind, encode_frame
 from roselink.protocol.pull import DeltaPullReply, PullReply, PullRequest
 from tools.measure import heap_bytes, machine, processor_us, show, show_line
 from tools.shapes import (
@@ -42,7 +42,6 @@
 CORES = (3, 9, 54)
 PULLS = 500
 CHANGES = 3
-CALL, ANSWER = 0, 1
 EPOCH = 1
 
 
@@ -104,9 +103,11 @@
     """One gateway against a core that has nothing new."""
     machine_ = PullStateMachine(make_member(1), [("10.2.0.1", 7500)], random.Random(1))
     vector = VersionVector(1, EPOCH << 32 | 1, EPOCH << 32 | 1)
-    reply = frame(ANSWER, 1, PullReply(True, vector, None, None, None, make_cores(cores)))
-    pull_bytes = len(frame(CALL, 1, PullRequest(make_member(1), vector, True)))
-    reader = FrameReader()
+    reply = encode_frame(
+        FrameKind.REPLY, 1, PullReply(True, vector, None, None, None, make_cores(cores))
+    )
+    pull_bytes = len(encode_frame(FrameKind.CALL, 1, PullRequest(make_member(1), vector, True)))
+    reader = FrameDecoder()
     now = 0.0
 
     def pull() -> None:
@@ -114,7 +115,7 @@
         now = max(now + PULL_EVERY_S, machine_.due_at)
         for effect in machine_.wake(now):
             if isinstance(effect, SendPull):
-                frame(CALL, effect.call, effect.pull)
+                encode_frame(FrameKind.CALL, effect.call, effect.pull)
                 for _, _, answer in reader.feed(reply):
                     machine_.reply_received(effect.call, answer, now + 0.003)
 
@@ -133,12 +134,12 @@
         nonlocal number
         number += 1
         held = VersionVector(1, desk.versions.hosts, desk.versions.roster)
-        data = frame(CALL, number, PullRequest(member, held, True))
-        for _, _, message in FrameReader().feed(data):
+        data = encode_frame(FrameKind.CALL, number, PullRequest(member, held, True))
+        for _, _, message in FrameDecoder().feed(data):
             desk.pull(now, number, message)
         for effect in desk.confirmed(now, number, confirmation):
             if isinstance(effect, Answer):
-                frame(ANSWER, effect.number, effect.reply)
+                encode_frame(FrameKind.REPLY, effect.number, effect.reply)
                 return effect.reply
         return None
 
@@ -152,7 +153,9 @@
 
     tail_us = processor_us(pull, pulls)
     vector = VersionVector(1, 1, desk.versions.roster)
-    roster = frame(ANSWER, 1, PullReply(True, vector, None, None, members, make_cores(cores)))
+    roster = encode_frame(
+        FrameKind.REPLY, 1, PullReply(True, vector, None, None, members, make_cores(cores))
+    )
     return DeskPull(gateways, tail_us, len(roster))
 
 
@@ -162,7 +165,7 @@
     desk = PullServer()
     desk.view_changed(0.0, EPOCH, True, None, make_cores(cores))
     reply = PullReply(True, VersionVector(1, 1, 1), None, hosts, None, make_cores(cores))
-    data = frame(ANSWER, 1, reply)
+    data = encode_frame(FrameKind.REPLY, 1, reply)
     loop = asyncio.new_event_loop()
     try:
         directory_us = processor_us(_Directory(loop, hosts, make_hosts(count)), times)
@@ -173,8 +176,8 @@
     return HostList(
         count,
         processor_us(lambda: desk.hosts_listed(1.0, EPOCH, hosts), times),
-        processor_us(lambda: frame(ANSWER, 1, reply), times),
-        processor_us(lambda: FrameReader().feed(data), times),
+        processor_us(lambda: encode_frame(FrameKind.REPLY, 1, reply), times),
+        processor_us(lambda: FrameDecoder().feed(data), times),
         directory_us,
         one_us,
         len(data),
@@ -196,16 +199,16 @@
         desk.pull(0.0, 1, PullRequest(members[0], vector, True), changes=True)
         for effect in desk.confirmed(0.0, 1, confirmation):
             if isinstance(effect, AnswerChanges):
-                return frame(ANSWER, 1, effect.reply)
+                return encode_frame(FrameKind.REPLY, 1, effect.reply)
         raise RuntimeError("no answer")
 
     data = answer(held)
-    reply: DeltaPullReply = FrameReader().feed(data)[0][2]
+    reply: DeltaPullReply = FrameDecoder().feed(data)[0][2]
     if reply.host_changes is None:
         raise RuntimeError("the whole list came")
 
     def take() -> None:
-        FrameReader().feed(data)
+        FrameDecoder().feed(data)
         expand_reply(reply, held.hosts, hosts)
 
     return HostDifference(
@@ -232,7 +235,7 @@
 
 
 def _received(loop: asyncio.AbstractEventLoop, data: bytes) -> _Directory:
-    reply = FrameReader().feed(data)[0][2]
+    reply = FrameDecoder().feed(data)[0][2]
     return _Directory(loop, reply.hosts)
 
 
