--- a/roselink/controller/chain_driver.py
+++ b/roselink/controller/chain_driver.py
@@ -31,7 +31,7 @@
 
 if TYPE_CHECKING:
     from roselink.model.settings import ProcessSettings
-    from roselink.protocol.peer_connection import Address, SendReply
+    from roselink.protocol.peer_connection import Address, ReplySender
     from roselink.protocol.peer_pool import PeerPool
 
 LEAVE_S = 1.0
@@ -98,7 +98,7 @@
 
     # --- calls
 
-    def handle(self, peer: Address, message: object, reply: SendReply) -> bool:
+    def handle(self, peer: Address, message: object, reply: ReplySender) -> bool:
         """Take a record from a peer; False if it is none of the chain's."""
         if type(message) not in HANDLED:
             return False
--- a/roselink/protocol/peer_connection.py
+++ b/roselink/protocol/peer_connection.py
@@ -23,9 +23,9 @@
 # Called once for a call: with the reply, or with None when there is none.
 ReplyCallback = Callable[[Record | None], None]
 # Sends the reply to a call, once; for a notice it does nothing.
-SendReply = Callable[[Record], None]
+ReplySender = Callable[[Record], None]
 # Takes a call or a notice: the peer's address, the message, and the way to reply.
-MessageHandler = Callable[[Address, Record, SendReply], None]
+MessageHandler = Callable[[Address, Record, ReplySender], None]
 
 # A peer that doesn't read may leave so much unsent here before its connection ends.
 MAX_UNSENT_BYTES = 8 * 1024 * 1024
--- a/roselink/router/app.py
+++ b/roselink/router/app.py
@@ -26,7 +26,7 @@
 from roselink.router.status_log import StatusLog
 
 if TYPE_CHECKING:
-    from roselink.protocol.peer_connection import Address, SendReply
+    from roselink.protocol.peer_connection import Address, ReplySender
 
 log = logging.getLogger("roselink.router")
 
@@ -45,7 +45,7 @@
     # SIGHUP reloads the settings. Until the handler is there, its default would kill the process.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     path = os.environ.get(ENVIRONMENT_VARIABLE, DEFAULT_PATH)
-    from roselink.dataplane.gateway_data_plane import DataPlane as GatewayDataPlane
+    from roselink.dataplane.gateway_data_plane import GatewayDataPlane
     from roselink.routing.fleet_decider import FleetDecider
 
     try:
@@ -155,6 +155,6 @@
         self.budgets.confirm(at)
         self.peer_sampling.confirm(at, self.pull_client.cores())
 
-    def _handle(self, peer: Address, message: object, reply: SendReply) -> None:
+    def _handle(self, peer: Address, message: object, reply: ReplySender) -> None:
         if not (self.budgets.handle(message, reply) or self.peer_sampling.handle(message, reply)):
             log.warning("record_unknown peer=%s record=%s", peer[0], type(message).__name__)
--- a/tests/controller/test_chain_driver.py
+++ b/tests/controller/test_chain_driver.py
@@ -14,14 +14,14 @@
 from roselink.coordination.state import digest_of
 from roselink.model.settings import ProcessSettings, read_settings
 from roselink.protocol.chain import ConfigurationChange
-from roselink.protocol.peer_connection import Address, SendReply
+from roselink.protocol.peer_connection import Address, ReplySender
 from roselink.protocol.peer_pool import PeerPool
 from roselink.protocol.peer_server import PeerServer
 
 if TYPE_CHECKING:
     from pathlib import Path
 
-    from roselink.protocol.peer_connection import Address, SendReply
+    from roselink.protocol.peer_connection import Address, ReplySender
 
 HOSTS = ("127.0.31.1", "127.0.31.2", "127.0.31.3")
 
@@ -57,7 +57,7 @@
         settings = settings_of(host, port, folder, bootstrap)
         self.node = ChainDriver(settings, self.pool, asyncio.get_running_loop())
 
-    def _handle(self, peer: Address, message: object, reply: SendReply) -> None:
+    def _handle(self, peer: Address, message: object, reply: ReplySender) -> None:
         assert self.node.handle(peer, message, reply)
 
     async def begin(self) -> None:
--- a/tests/protocol/test_peers.py
+++ b/tests/protocol/test_peers.py
@@ -19,7 +19,7 @@
 from tests.support.net import on_loop
 
 if TYPE_CHECKING:
-    from roselink.protocol.peer_connection import Address, SendReply
+    from roselink.protocol.peer_connection import Address, ReplySender
 
 
 @record(0xFF10)
@@ -38,19 +38,19 @@
     text: str
 
 
-def ignore(peer: Address, message: Any, reply: SendReply) -> None:
+def ignore(peer: Address, message: Any, reply: ReplySender) -> None:
     """A pool that takes no calls."""
 
 
-def echo(peer: Address, message: Any, reply: SendReply) -> None:
+def echo(peer: Address, message: Any, reply: ReplySender) -> None:
     reply(Answer(message.text))
 
 
 @on_loop
 async def test_calls_get_their_own_answers() -> None:
-    held: list[tuple[str, SendReply]] = []
+    held: list[tuple[str, ReplySender]] = []
 
-    def hold(_: Address, message: Any, reply: SendReply) -> None:
+    def hold(_: Address, message: Any, reply: ReplySender) -> None:
         held.append((message.text, reply))
 
     server = PeerServer(hold)
@@ -109,9 +109,9 @@
 @on_loop
 async def test_an_answer_after_its_time_reaches_nobody() -> None:
     """The connection lives, as another call was answered on it meanwhile."""
-    held: list[SendReply] = []
+    held: list[ReplySender] = []
 
-    def answers_late(_: Address, message: Any, reply: SendReply) -> None:
+    def answers_late(_: Address, message: Any, reply: ReplySender) -> None:
         if message.text == "late":
             held.append(reply)
         else:
--- a/tests/router/test_app.py
+++ b/tests/router/test_app.py
@@ -25,7 +25,7 @@
     from collections.abc import Awaitable, Callable
     from pathlib import Path
 
-    from roselink.protocol.peer_connection import Address, SendReply
+    from roselink.protocol.peer_connection import Address, ReplySender
 
 HOST = "127.0.0.1"
 TENANT = Tenant("t", ("key",), 0, "requests", 1, 1000.0, 500.0)
@@ -53,7 +53,7 @@
         self.port = await self.server.listen(HOST, 0)
         return self
 
-    def handle(self, peer: Address, message: Any, reply: SendReply) -> None:
+    def handle(self, peer: Address, message: Any, reply: ReplySender) -> None:
         if isinstance(message, DeltaPullRequest):
             message = message.pull
         assert isinstance(message, PullRequest)
@@ -190,7 +190,7 @@
         enough = asyncio.get_running_loop().create_future()
         handle = core.server._handler
 
-        def count(peer: Address, message: Any, reply: SendReply) -> None:
+        def count(peer: Address, message: Any, reply: ReplySender) -> None:
             handle(peer, message, reply)
             if len(core.pulls) > seen + 6 and not enough.done():
                 enough.set_result(None)
