--- a/roselink/budgets/budget_service.py
+++ b/roselink/budgets/budget_service.py
@@ -203,7 +203,7 @@
                     self._perform_one(effect)
                 # A fault of one request must not keep the others from their decisions.
                 except Exception:
-                    log.exception("decision_not_taken")
+                    log.exception("decision_failed")
         finally:
             self._performing = False
         self._schedule()
--- a/tests/cli/test_simulate.py
+++ b/tests/cli/test_simulate.py
@@ -17,9 +17,9 @@
     assert "1 days, 0 failed" in capsys.readouterr().out
 
 
-def test_a_failing_seed_is_told(monkeypatch: pytest.MonkeyPatch) -> None:
-    def fails(seed: int) -> Played:
-        raise DayFailed("no explanation", (Violation("an old configuration was shown", "3 at 7"),))
+def test_a_failing_seed_is_explained(monkeypatch: pytest.MonkeyPatch) -> None:
+    def fails(_: int) -> Played:
+        raise DayFailed("unexplained", (Violation("an old configuration was shown", "3 at 7"),))
 
     monkeypatch.setattr(command, "day_of_seed", fails)
     outcome = play(Order(7, None))
@@ -27,19 +27,17 @@
     assert "an old configuration was shown: 3 at 7" in outcome.why
 
 
-def test_failures_decide_the_exit_status(
-    monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
-) -> None:
-    monkeypatch.setattr(command, "play_days", lambda seed, days, machines, jobs, say: 1)
+def test_failures_decide_the_exit_status(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(command, "play_days", lambda *_: 1)
     assert main(["simulate", "--days", "2"]) == EXIT_UNAVAILABLE
 
 
 @pytest.mark.parametrize("arguments", [["--days", "0"], ["--jobs", "0"], ["--machines", "10"]])
-def test_what_can_not_be_played(arguments: list[str]) -> None:
+def test_what_can_not_be_simulated_is_refused(arguments: list[str]) -> None:
     assert main(["simulate", *arguments]) == EXIT_FAULTS
 
 
 @pytest.mark.parametrize(("seed", "machines"), [(2, 4), (5, 3)])
-def test_the_size_may_be_told(seed: int, machines: int) -> None:
+def test_the_size_may_be_given(seed: int, machines: int) -> None:
     outcome = play(Order(seed, machines))
     assert outcome == Outcome(seed, outcome.played, None)
--- a/tests/router/test_app.py
+++ b/tests/router/test_app.py
@@ -1,6 +1,4 @@
-"""The drivers on real sockets: a made-up core, gateways' control sides, and the process's own
-steps.
-"""
+"""The gateway process on real sockets: control services against a simulated core, and its steps."""
 
 from __future__ import annotations
 
@@ -36,7 +34,7 @@
 
 
 class Core:
-    """Answers pulls; the roster is all that pulled and serve."""
+    """Replies to pulls; the roster is all gateways that have pulled and serve."""
 
     def __init__(self) -> None:
         self.server = PeerServer(self.handle)
@@ -51,7 +49,7 @@
         self.port = await self.server.listen(HOST, 0)
         return self
 
-    def handle(self, peer: Address, message: Any, reply: Reply) -> None:
+    def handle(self, _: Address, message: Any, reply: Reply) -> None:
         if isinstance(message, DeltaPullRequest):
             message = message.pull
         assert isinstance(message, PullRequest)
@@ -63,15 +61,15 @@
             self.members.pop(message.member.name, None)
         self.roster_version += before != self.members
         vector = VersionVector(self.configuration, 0, self.roster_version)
-        held = message.vector
+        known = message.vector
         document = {**DOCUMENT, "generation": self.configuration}
         reply(
             PullReply(
                 self.confirmed,
                 vector,
-                json.dumps(document).encode() if held.configuration < self.configuration else None,
+                json.dumps(document).encode() if known.configuration < self.configuration else None,
                 None,
-                tuple(self.members.values()) if held.roster < self.roster_version else None,
+                tuple(self.members.values()) if known.roster < self.roster_version else None,
                 (f"{HOST}:{self.port}",),
             )
         )
@@ -98,56 +96,54 @@
 
 
 class Gateways:
-    """Controls that find a core by way of hints, for on one machine it has another port than
-    they.
-    """
+    """Control services that find the core by hints: on one machine its port differs from theirs."""
 
     def __init__(self, core: Core, folder: Path, count: int) -> None:
-        self.controls = []
+        self.members = []
         for index in range(count):
             path = folder / f"{index}.json"
-            control = ControlServices(write_settings(path, f"edge-{index}", free_port()), str(path))
-            control.pull_client.add_core_hints([f"{HOST}:{core.port}"])
-            self.controls.append(control)
+            gateway = ControlServices(write_settings(path, f"edge-{index}", free_port()), str(path))
+            gateway.pull_client.add_core_hints([f"{HOST}:{core.port}"])
+            self.members.append(gateway)
 
     async def start(self) -> None:
-        for control in self.controls:
-            await control.start()
-            control.pull_client.set_serving(True)
+        for gateway in self.members:
+            await gateway.start()
+            gateway.pull_client.set_serving(True)
 
     async def until(self, reached: Callable[[Snapshot], bool]) -> None:
         """Until each has a snapshot in force that satisfies `reached`."""
         waits = []
-        for control in self.controls:
+        for gateway in self.members:
             seen: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
-            def look(snapshot: Snapshot, seen: asyncio.Future[None] = seen) -> None:
+            def check(snapshot: Snapshot, seen: asyncio.Future[None] = seen) -> None:
                 if reached(snapshot) and not seen.done():
                     seen.set_result(None)
 
-            control.pull_client.subscribe(look)
+            gateway.pull_client.subscribe(check)
             waits.append(seen)
         await asyncio.wait_for(asyncio.gather(*waits), 10)
 
     def stop(self) -> None:
-        for control in self.controls:
-            control.stop()
+        for gateway in self.members:
+            gateway.stop()
 
 
 def play(scene: Callable[[], Awaitable[None]]) -> None:
     asyncio.run(asyncio.wait_for(scene(), 20))
 
 
-async def admit(control: ControlServices, amount: float) -> bool:
-    answered: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
-    control.budgets.admit(TENANT, amount, lambda allowed, _: answered.set_result(allowed))
-    return await answered
+async def admit(gateway: ControlServices, amount: float) -> bool:
+    decided: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
+    gateway.budgets.admit(TENANT, amount, lambda allowed, _: decided.set_result(allowed))
+    return await decided
 
 
-async def repeat(control: ControlServices) -> bool:
-    answered: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
-    control.budgets.ask("llm", answered.set_result)
-    return await answered
+async def retry(gateway: ControlServices) -> bool:
+    decided: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
+    gateway.budgets.ask("llm", decided.set_result)
+    return await decided
 
 
 def test_gateways_find_the_core_and_share_a_quota(tmp_path: Path) -> None:
@@ -156,18 +152,19 @@
         gateways = Gateways(core, tmp_path, 3)
         await gateways.start()
         await gateways.until(lambda snapshot: len(snapshot.roster) == 3)
-        assert all(control.pull_client.may_use_keys() for control in gateways.controls)
-        first = gateways.controls[0]
+        assert all(gateway.pull_client.may_use_keys() for gateway in gateways.members)
+        first = gateways.members[0]
         free = Tenant("free", (), 0, "requests", 1, 0.0, 0.0)
         undecided: list[bool] = []
         first.budgets.admit(free, 1e9, lambda allowed, _: undecided.append(allowed))
         assert undecided == [True]
-        results = [await admit(control, 100.0) for control in gateways.controls * 20]
+        results = [await admit(gateway, 100.0) for gateway in gateways.members * 20]
         # the burst, its grace, and what a second or so refills; each gateway got some
-        assert any(results) and not all(results)
-        repeats = [await repeat(control) for control in gateways.controls * 4]
+        assert any(results)
+        assert not all(results)
+        retries = [await retry(gateway) for gateway in gateways.members * 4]
         assert (
-            sum(repeats) <= FIRST_WINDOW_FRACTION * 50
+            sum(retries) <= FIRST_WINDOW_FRACTION * 50
         )  # of a term's first window, however slow the machine is
         gateways.stop()
         core.server.close()
@@ -196,9 +193,10 @@
         for connection in core.server._connections:
             connection._handler = count
         await enough
-        for control in gateways.controls:
-            snapshot = control.pull_client.snapshot()
-            assert snapshot is not None and snapshot.configuration.generation == 7
+        for gateway in gateways.members:
+            snapshot = gateway.pull_client.snapshot()
+            assert snapshot is not None
+            assert snapshot.configuration.generation == 7
         gateways.stop()
         core.server.close()
 
@@ -210,21 +208,21 @@
         core = await Core().start()
         path = tmp_path / "boot.json"
         dead = free_port()
-        control = ControlServices(write_settings(path, "edge", dead), str(path))
-        await control.start()
+        gateway = ControlServices(write_settings(path, "edge", dead), str(path))
+        await gateway.start()
         path.write_text("{ half a file")
-        control.pull_client.reload()
-        assert control.pull_client.snapshot() is None
+        gateway.pull_client.reload()
+        assert gateway.pull_client.snapshot() is None
         moved = json.dumps(
             {**json.loads(settings_text(dead)), "port_range": [core.port, core.port]}
         )
         path.write_text(moved)
         reached = asyncio.get_running_loop().create_future()
-        control.pull_client.subscribe(
-            lambda snapshot: None if reached.done() else reached.set_result(None)
+        gateway.pull_client.subscribe(
+            lambda _: None if reached.done() else reached.set_result(None)
         )
         await asyncio.wait_for(reached, 10)
-        control.stop()
+        gateway.stop()
         core.server.close()
 
     play(scene)
@@ -256,11 +254,9 @@
 class FakeDataPlane:
     """Records what the assembly calls."""
 
-    def __init__(
-        self, settings: Any, loop: Any, decider: Any, authority: Any, quotas: Any, shared: Any
-    ) -> None:
+    def __init__(self, settings: Any, loop: Any, decider: FakeDecider, *others: Any) -> None:
+        self.arguments = (settings, loop, decider, *others)
         self.calls: list[str] = []
-        self.authority = authority
         self.decider = decider
         DATA_PLANES.append(self)
 
@@ -281,7 +277,7 @@
         return "open=0"
 
     def pool_payoffs(self, payoffs: tuple[tuple[str, float], ...]) -> None:
-        self.calls.append("pool_payoffs")
+        self.calls.append(f"pool_payoffs {len(payoffs)}")
 
 
 DECIDERS: list[FakeDecider] = []
--- a/tests/router/test_status_log.py
+++ b/tests/router/test_status_log.py
@@ -1,4 +1,4 @@
-"""A gateway's status line: at most one a stretch of time, none while nothing changes."""
+"""A gateway's status line: at most one an interval, none while nothing changes."""
 
 from __future__ import annotations
 
@@ -16,19 +16,20 @@
 
 class Timer:
     def __init__(self, work: Callable[[], None]) -> None:
-        self.work, self.cancelled = work, False
+        self.work = work
+        self.cancelled = False
 
     def cancel(self) -> None:
         self.cancelled = True
 
 
 class Loop:
-    """Only what the status log asks of an event loop."""
+    """What the status log uses of an event loop."""
 
     def __init__(self) -> None:
         self.timers: list[Timer] = []
 
-    def call_later(self, delay_s: float, work: Callable[[], None], *args: Any) -> Timer:
+    def call_later(self, delay_s: float, work: Callable[[], None], *_: Any) -> Timer:
         assert delay_s == INTERVAL_S
         self.timers.append(Timer(work))
         return self.timers[-1]
@@ -46,8 +47,9 @@
 def test_only_what_changed_is_written(
     caplog: pytest.LogCaptureFixture, states: list[str], written: list[str]
 ) -> None:
-    loop, left = Loop(), iter(states)
-    status_log = StatusLog(cast("asyncio.AbstractEventLoop", loop), lambda: next(left))
+    loop = Loop()
+    remaining = iter(states)
+    status_log = StatusLog(cast("asyncio.AbstractEventLoop", loop), lambda: next(remaining))
     with caplog.at_level(logging.INFO, "roselink.router"):
         status_log.start()
         for number in range(len(states)):
@@ -65,7 +67,7 @@
     status_log = StatusLog(cast("asyncio.AbstractEventLoop", loop), lambda: "a")
     with caplog.at_level(logging.INFO, "roselink.router"):
         status_log.stop()
-        assert caplog.records == []  # it had not begun
+        assert caplog.records == []  # it had not started
         status_log.start()
         status_log.stop()
         status_log.stop()
