--- a/roselink/controller/api.py
+++ b/roselink/controller/api.py
@@ -38,6 +38,7 @@
     from collections.abc import Callable
 
     from roselink.controller.gateway_roster import GatewayLag
+    from roselink.controller.twisted_reactor import Clock
     from roselink.model.fleet import VersionVector
 
 MAX_BODY_BYTES = 16 * 1024 * 1024
@@ -105,8 +106,10 @@
 class AdminApi:
     """The routes of the interface."""
 
-    def __init__(self, node: ReplicatedChain, published: Published, reactor: Any) -> None:
-        self._node, self._published, self._reactor = node, published, reactor
+    def __init__(self, node: ReplicatedChain, published: Published, clock: Clock) -> None:
+        self._node = node
+        self._published = published
+        self._clock = clock
         self._stopping = False
         self._open = 0
         app = Klein()
@@ -130,7 +133,7 @@
         self._stopping = True
 
     @property
-    def under_way(self) -> int:
+    def in_flight(self) -> int:
         """How many orders wait for their end."""
         return self._open
 
@@ -276,7 +279,7 @@
         def expire() -> None:
             waiting.callback(otherwise)
 
-        timer = self._reactor.callLater(timeout_s, expire)
+        timer = self._clock.callLater(timeout_s, expire)
         begin(settle)
         return waiting
 
--- a/roselink/controller/app.py
+++ b/roselink/controller/app.py
@@ -1,13 +1,10 @@
-"""One core process: the chain, the pull service, the list reader and the operator's interface,
-assembled.
+"""One core process: the chain, the pull service, the host list's reader and the HTTP interface.
 
 The chain takes part before the HTTP libraries are loaded: their imports are most of a start's
 processor time, and while the core waits for a view the gateways wait for the core. So they are
-imported in short steps beside the running chain, with a turn of the loop after each, and not at all
-while the members are agreeing on a view: each of a view's messages would wait for a step at every
-member on its way. The platform's client comes first, as gateways need hosts before the operator is
-heard. The order matters for one more reason: Twisted's reactor must be installed on the event loop
-before anything else imports it.
+imported in short steps beside the running chain (`stepwise_imports`). The platform's client comes
+first, as gateways need hosts before the operator's requests matter. The order matters for one more
+reason: Twisted's reactor must be installed on the event loop before anything else imports it.
 """
 
 from __future__ import annotations
@@ -17,11 +14,8 @@
 import importlib
 import os
 import signal
-import sys
-from collections.abc import Callable, Coroutine
-from typing import TYPE_CHECKING, Any, Protocol
+from typing import TYPE_CHECKING
 
-from roselink.controller.chain_interface import Address, ReplicatedChain
 from roselink.controller.startup_log import log
 from roselink.model.settings import (
     DEFAULT_PATH,
@@ -33,180 +27,96 @@
 from roselink.protocol.peers import PeerPool, PeerServer
 
 if TYPE_CHECKING:
+    from collections.abc import Callable, Coroutine
+
     from roselink.controller.api import AdminApi
+    from roselink.controller.chain_interface import Address, RunnableChain
     from roselink.controller.host_list_client import HostListClient
     from roselink.controller.pull_driver import PullDriver
+    from roselink.controller.twisted_reactor import ListeningPort, Reactor
+    from roselink.protocol.peers import Reply
 
-STOP_SHARE = 0.25  # of `grace_s`: how long orders under way may take to end after SIGTERM
-MOST_STOP_S = 1.5
-STOP_STEP_S = 0.05
-REACTOR_MODULES = (  # each of these imports takes a hundredth of a second or two at most
-    "zope.interface.interfaces",
-    "attr._make",
-    "attr",
-    "email.message",
-    "http.cookiejar",
-    "twisted.internet.interfaces",
-    "twisted.python.log",
-    "twisted.internet.protocol",
-    "twisted.internet.tcp",
-    "twisted.internet.asyncioreactor",
-)
-CLIENT_MODULES = (  # the same, behind the reactor: the platform's client
-    "twisted.internet.endpoints",
-    "twisted.web.http",
-    "twisted.web.client",
-    "structlog.processors",
-    "structlog",
-    "roselink.controller.logging_setup",
-    "treq.api",
-    "treq.client",
-    "roselink.controller.host_list_client",
-)
-SERVER_MODULES = (  # and the operator's interface
-    "twisted.cred.checkers",
-    "twisted.spread.pb",
-    "twisted.web.server",
-    "werkzeug.datastructures",
-    "werkzeug.http",
-    "werkzeug.sansio.response",
-    "werkzeug.routing",
-    "klein._form",
-    "klein",
-    "voluptuous",
-    "roselink.controller.validation",
-    "roselink.controller.updates",
-    "roselink.controller.api",
-)
-FORMING_STEP_S = 0.02
-FORMING_MOST_S = 1.5  # so long in all imports wait for the members to agree on a view
-LISTEN_TRIES = 50
-LISTEN_PAUSE_S = 0.1
-
-Reply = Callable[[Any], None]
-
-
-class RunnableChain(ReplicatedChain, Protocol):
-    """The chain's driver, with what only the assembly needs."""
-
-    def start(self) -> None:
-        """Begin to read the disk and to join the core."""
-
-    async def stop(self) -> None:
-        """Leave in order; what is acknowledged is on disk."""
-
-    def handle(self, peer: Address, message: object, reply: Reply) -> bool:
-        """Take a record of the chain; False for any other."""
-
-    def seeds_changed(self, settings: ProcessSettings) -> None:
-        """The settings name other seeds: members that may be asked for the core's state."""
-
-    @property
-    def forming(self) -> bool:
-        """Whether enough members are there to agree on a view, and none is active here yet."""
+# Of `grace_s`: how long changes in flight may take to end after SIGTERM.
+STOP_GRACE_FRACTION = 0.25
+MAX_STOP_S = 1.5
+STOP_CHECK_INTERVAL_S = 0.05
+MAX_LISTEN_ATTEMPTS = 50
+LISTEN_RETRY_INTERVAL_S = 0.1
 
 
 def run(settings: ProcessSettings) -> None:
-    """Run a core process until SIGTERM. Returns when it has ended in order."""
+    """Run a core process until SIGTERM; it has shut down in order when this returns."""
     loop = asyncio.new_event_loop()
     asyncio.set_event_loop(loop)
-    process = CoreProcess(settings, loop, _make_node)
+    process = CoreProcess(settings, loop, _make_chain)
     loop.call_soon(process.begin)
     loop.run_forever()
     if process.failure is not None:
         raise process.failure
 
 
-def load_reactor() -> None:
-    """Import what `install_reactor` needs. No TLS is spoken: its libraries stay unloaded."""
-    sys.modules.setdefault("OpenSSL", None)  # type: ignore[arg-type]
-    importlib.import_module("twisted.internet.asyncioreactor")
+def _make_chain(settings: ProcessSettings, pool: PeerPool) -> RunnableChain:
+    module = importlib.import_module("roselink.controller.chain_driver")
+    chain: RunnableChain = module.ChainDriver(settings, pool, asyncio.get_running_loop())
+    return chain
 
 
-def install_reactor(loop: asyncio.AbstractEventLoop) -> Any:
-    """Put Twisted on the event loop and return its reactor."""
-    load_reactor()
-    from twisted.internet import asyncioreactor
-
-    asyncioreactor.install(loop)  # type: ignore[no-untyped-call]
-    from twisted.internet import reactor
-
-    return reactor
-
+class CoreProcess:
+    """The components of one process, their start and their shutdown.
 
-class StepwiseImporter:
-    """Imports modules in order; between two of them the loop serves what came, and a view may be
-    agreed.
+    Attributes:
+        failure: why the process must end with an error, if it must.
     """
 
-    def __init__(self, forming: Callable[[], bool], clock: Callable[[], float]) -> None:
-        self._forming, self._clock = forming, clock
-        self._patience_s = FORMING_MOST_S
-
-    async def load(self, names: tuple[str, ...]) -> None:
-        """Import these modules."""
-        for name in names:
-            await asyncio.sleep(0)
-            await self._formed()
-            importlib.import_module(name)
-
-    async def _formed(self) -> None:
-        """Wait while a view is being agreed, as long as there is patience left."""
-        while self._patience_s > 0 and self._forming():
-            began = self._clock()
-            await asyncio.sleep(FORMING_STEP_S)
-            self._patience_s -= self._clock() - began
-
-
-def _make_node(settings: ProcessSettings, pool: PeerPool) -> RunnableChain:
-    node = importlib.import_module("roselink.controller.chain_driver")
-    made: RunnableChain = node.ChainDriver(settings, pool, asyncio.get_running_loop())
-    return made
-
-
-class CoreProcess:
-    """The parts of one process, and their start and end."""
-
     def __init__(
         self,
         settings: ProcessSettings,
         loop: asyncio.AbstractEventLoop,
-        make_node: Callable[[ProcessSettings, PeerPool], RunnableChain],
+        make_chain: Callable[[ProcessSettings, PeerPool], RunnableChain],
     ) -> None:
-        self._settings, self._loop, self._make_node = settings, loop, make_node
+        """Make the process; `begin` starts it on the running loop.
+
+        Args:
+            settings: the process's settings.
+            loop: the event loop that the process runs on.
+            make_chain: makes the driver of the replicated chain.
+        """
+        self._settings = settings
+        self._loop = loop
+        self._make_chain = make_chain
         self._stopping = False
         self._halted = False
         self._starting: asyncio.Task[None] | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self.failure: BaseException | None = None
-        self._node: RunnableChain | None = None
+        self._chain: RunnableChain | None = None
         self._pulls: PullDriver | None = None
         self._api: AdminApi | None = None
         self._client: HostListClient | None = None
-        self._listening: Any = None
+        self._admin_port: ListeningPort | None = None
         self._pool = PeerPool(self._handle)
         self._server = PeerServer(self._handle)
 
     def begin(self) -> None:
-        """Start all parts; the signals are taken from here on."""
+        """Start all components; signals are handled from here on."""
         self._loop.add_signal_handler(signal.SIGTERM, self.stop)
         self._loop.add_signal_handler(signal.SIGINT, self.stop)
         self._loop.add_signal_handler(signal.SIGHUP, self._reload)
-        self._starting = self._spawn(self._start())
+        self._starting = self._start_task(self._start())
 
     def stop(self) -> None:
-        """End in order, soon."""
+        """Shut down in order."""
         if not self._stopping:
             self._stopping = True
-            self._spawn(self._stop())
+            self._start_task(self._stop())
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        task = self._loop.create_task(work)
+    def _start_task(self, coroutine: Coroutine[None, None, None]) -> asyncio.Task[None]:
+        task = self._loop.create_task(coroutine)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._task_ended)
         return task
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _task_ended(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if task.cancelled() or task.exception() is None:
             return
@@ -221,78 +131,86 @@
 
     async def _start(self) -> None:
         settings = self._settings
-        log.name(settings.node_name)
-        self._node = node = self._make_node(settings, self._pool)
+        log.set_node_name(settings.node_name)
+        self._chain = chain = self._make_chain(settings, self._pool)
         self._pulls = importlib.import_module("roselink.controller.pull_driver").PullDriver(
-            node, self._pool
+            chain, self._pool
         )
         await self._listen(settings.ip, settings.peer_port)
-        node.start()
+        chain.start()
         self._pulls.start()
-        await self._start_http(node, self._pulls)
+        await self._start_http(chain, self._pulls)
         gc.collect()
         gc.freeze()
-        log.info("core_started", peer_port=settings.peer_port, epoch=node.epoch)
+        log.info("core_started", peer_port=settings.peer_port, epoch=chain.epoch)
+
+    async def _start_http(self, chain: RunnableChain, pulls: PullDriver) -> None:
+        """Load the HTTP libraries beside the chain: the platform's client, then the interface."""
+        from roselink.controller.stepwise_imports import (
+            CLIENT_MODULES,
+            REACTOR_MODULES,
+            SERVER_MODULES,
+            StepwiseImporter,
+        )
+        from roselink.controller.twisted_reactor import install_reactor
 
-    async def _start_http(self, node: RunnableChain, pulls: PullDriver) -> None:
-        """Load the HTTP libraries beside the chain; read the platform, then listen to the
-        operator.
-        """
-        imports = StepwiseImporter(lambda: node.forming, self._loop.time)
+        imports = StepwiseImporter(lambda: chain.forming, self._loop.time)
         await imports.load(REACTOR_MODULES)
         reactor = install_reactor(self._loop)
         await imports.load(CLIENT_MODULES)
-        self._start_client(node, pulls, reactor)
+        self._start_client(chain, pulls, reactor)
         await imports.load(SERVER_MODULES)
-        self._start_api(node, pulls, reactor)
+        self._start_api(chain, pulls, reactor)
 
-    def _start_client(self, node: RunnableChain, pulls: PullDriver, reactor: Any) -> None:
-        """Log as the libraries do, and read the platform's list when this member is the tail."""
+    def _start_client(self, chain: RunnableChain, pulls: PullDriver, reactor: Reactor) -> None:
+        """Log through structlog, and read the platform's list while this member is the tail."""
         import structlog
 
         from roselink.controller.host_list_client import HostListClient
         from roselink.controller.logging_setup import configure_logging
 
         configure_logging(self._settings.node_name)
-        log.begin(structlog.get_logger("roselink.core"))
+        log.use_logger(structlog.get_logger("roselink.core"))
         reactor.startRunning(installSignalHandlers=False)
         if self._settings.platform is not None:
             self._client = HostListClient(reactor, self._settings.platform, pulls.hosts_listed)
-            node.on_view(self._role_changed)
+            chain.on_view(self._role_changed)
             self._role_changed()
 
-    def _start_api(self, node: RunnableChain, pulls: PullDriver, reactor: Any) -> None:
-        """Listen to the operator."""
+    def _start_api(self, chain: RunnableChain, pulls: PullDriver, reactor: Reactor) -> None:
+        """Serve the operator's HTTP interface."""
         from roselink.controller.api import AdminApi
 
-        self._api = AdminApi(node, pulls, reactor)
+        self._api = AdminApi(chain, pulls, reactor)
         admin = self._settings.bind.get("admin")
         if admin is not None:
-            self._listening = reactor.listenTCP(
+            self._admin_port = reactor.listenTCP(
                 admin[1], self._api.site(), backlog=128, interface=admin[0]
             )
 
     async def _listen(self, host: str, port: int) -> None:
-        """Take the port for peers; a former process may hold it for a moment."""
-        for left in reversed(range(LISTEN_TRIES)):
+        """Listen on the port for peers, which a former process may still have for a moment."""
+        for attempt in range(1, MAX_LISTEN_ATTEMPTS + 1):
             try:
                 await self._server.listen(host, port)
-                return
             except OSError:
-                if not left:
+                if attempt == MAX_LISTEN_ATTEMPTS:
                     raise
-                if left == LISTEN_TRIES - 1:
+                if attempt == 1:
                     log.warning("port_taken", port=port)
-                await asyncio.sleep(LISTEN_PAUSE_S)
+                await asyncio.sleep(LISTEN_RETRY_INTERVAL_S)
+            else:
+                return
 
     def _role_changed(self) -> None:
         """The tail of the active view reads the platform's list."""
-        if self._client is not None and self._node is not None and not self._stopping:
-            self._client.hold(self._node.epoch if self._node.is_tail else None)
+        if self._client is not None and self._chain is not None and not self._stopping:
+            self._client.set_role(self._chain.epoch if self._chain.is_tail else None)
 
-    def _handle(self, peer: Address, message: Any, reply: Reply) -> None:
-        node, pulls = self._node, self._pulls
-        if node is None or node.handle(peer, message, reply):
+    def _handle(self, peer: Address, message: object, reply: Reply) -> None:
+        chain = self._chain
+        pulls = self._pulls
+        if chain is None or chain.handle(peer, message, reply):
             return
         if pulls is not None and not pulls.handle(peer, message, reply):
             log.warning("record_unknown", record=type(message).__name__, peer=peer)
@@ -304,8 +222,8 @@
         except SettingsError as error:
             log.error("settings_rejected", faults=error.faults)
             return
-        if self._node is not None and settings.seeds != self._settings.seeds:
-            self._node.seeds_changed(settings)
+        if self._chain is not None and settings.seeds != self._settings.seeds:
+            self._chain.seeds_changed(settings)
         self._settings = settings
         log.info("settings_read", seeds=len(settings.seeds))
 
@@ -313,20 +231,20 @@
         log.info("core_stopping")
         if self._starting is not None:
             self._starting.cancel()
-        if self._listening is not None:
-            self._listening.stopListening()
+        if self._admin_port is not None:
+            self._admin_port.stopListening()
         if self._api is not None:
             self._api.stop()
         if self._client is not None:
             self._client.close()
-        bound = min(MOST_STOP_S, self._settings.thresholds.grace_s * STOP_SHARE)
-        ends = self._loop.time() + bound
-        while self._api is not None and self._api.under_way and self._loop.time() < ends:
-            await asyncio.sleep(STOP_STEP_S)
-        if self._node is not None:
+        bound_s = min(MAX_STOP_S, self._settings.thresholds.grace_s * STOP_GRACE_FRACTION)
+        deadline = self._loop.time() + bound_s
+        while self._api is not None and self._api.in_flight and self._loop.time() < deadline:
+            await asyncio.sleep(STOP_CHECK_INTERVAL_S)
+        if self._chain is not None:
             try:
-                async with asyncio.timeout(bound):
-                    await self._node.stop()
+                async with asyncio.timeout(bound_s):
+                    await self._chain.stop()
             except TimeoutError:
                 log.warning("chain_leave_timed_out")
         self._server.close()
--- a/roselink/controller/chain_interface.py
+++ b/roselink/controller/chain_interface.py
@@ -1,7 +1,7 @@
-"""What the operator's interface and the replicated chain say to each other.
+"""The replicated chain as the rest of a core process sees it.
 
-An order ends with exactly one outcome. `OutcomeUnknown` says nothing about whether the order
-was or will be taken: the caller may send it again unchanged, to any member.
+A configuration change ends with exactly one outcome. After `OutcomeUnknown` the change may or may
+not be committed, now or later: the caller may send it again unchanged, to any member.
 """
 
 from __future__ import annotations
@@ -22,6 +22,9 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+    from roselink.model.settings import ProcessSettings
+    from roselink.protocol.peers import Reply
+
 __all__ = [
     "Address",
     "ChangeCommitted",
@@ -30,6 +33,7 @@
     "Conflict",
     "OutcomeUnknown",
     "ReplicatedChain",
+    "RunnableChain",
     "StaleGeneration",
     "SubmitOutcome",
 ]
@@ -56,13 +60,34 @@
     def chain_addresses(self) -> tuple[str, ...]:
         """The peer addresses of the newest known view's chain, from head to tail."""
 
-    def submit(self, order: ConfigurationChange, done: Callable[[SubmitOutcome], None]) -> None:
-        """Have an order decided; `done` is called once."""
+    def submit(self, change: ConfigurationChange, done: Callable[[SubmitOutcome], None]) -> None:
+        """Have a configuration change decided; `done` is called once."""
 
     def confirm(self, done: Callable[[Confirmation | None], None]) -> None:
-        """Read linearizably, begun after this call; `done` gets None when nothing could be
-        confirmed.
+        """Read linearizably, begun after this call.
+
+        `done` gets None when nothing could be confirmed.
         """
 
     def on_view(self, callback: Callable[[], None]) -> None:
         """Have `callback` called after each change of the active view."""
+
+
+class RunnableChain(ReplicatedChain, Protocol):
+    """The chain's driver as the process's assembly sees it."""
+
+    def start(self) -> None:
+        """Read the disk and begin to join the core."""
+
+    async def stop(self) -> None:
+        """Leave the chain in order; what is acknowledged is on disk."""
+
+    def handle(self, peer: Address, message: object, reply: Reply) -> bool:
+        """Handle a record of the chain; False for any other."""
+
+    def seeds_changed(self, settings: ProcessSettings) -> None:
+        """The settings name other seeds: members that may be queried for the core's state."""
+
+    @property
+    def forming(self) -> bool:
+        """Whether enough members are there to agree on a view, and none is active here yet."""
--- a/roselink/controller/host_list_client.py
+++ b/roselink/controller/host_list_client.py
@@ -83,7 +83,7 @@
         self._wake: Any = None
         self._call: Deferred[Any] | None = None
 
-    def hold(self, epoch: int | None) -> None:
+    def set_role(self, epoch: int | None) -> None:
         """Hold the reader's role in a view; None: not at all."""
         if epoch is None:
             self._apply(self._reader.stop())
@@ -93,7 +93,7 @@
 
     def close(self) -> Deferred[None]:
         """Stop, and end the connection."""
-        self.hold(None)
+        self.set_role(None)
         closed: Deferred[None] = self._pool.closeCachedConnections()  # type: ignore[no-untyped-call]
         return closed
 
--- a/roselink/controller/startup_log.py
+++ b/roselink/controller/startup_log.py
@@ -1,7 +1,7 @@
 """Events of a core process as JSON lines on standard error, from its first moment on.
 
 The logging library takes a tenth of a second to load, while the chain should be running. Until
-`begin` names its logger, events are written here in the same form.
+`use_logger` names its logger, events are written here in the same form.
 """
 
 from __future__ import annotations
@@ -13,39 +13,40 @@
 
 
 class StartupLog:
-    """One line an event: plainly until the logging library is loaded, then through it."""
+    """Logs events: as plain JSON until the logging library is loaded, then through it."""
 
     def __init__(self) -> None:
+        """Begin without a name and without the library."""
         self._node_name = ""
         self._logger: Any = None
 
-    def name(self, node_name: str) -> None:
-        """The process's name, which stands in each line."""
+    def set_node_name(self, node_name: str) -> None:
+        """Set the process's name, which is in each line."""
         self._node_name = node_name
 
-    def begin(self, logger: Any) -> None:
-        """The library is loaded: write through its logger."""
+    def use_logger(self, logger: Any) -> None:
+        """Write through the library's logger from now on."""
         self._logger = logger
 
     def info(self, event: str, **fields: Any) -> None:
-        """Something that is as it should be."""
+        """Log a normal event."""
         self._write("info", event, fields)
 
     def warning(self, event: str, **fields: Any) -> None:
-        """Something that people may have to look at."""
+        """Log an event that may need attention."""
         self._write("warning", event, fields)
 
     def error(self, event: str, **fields: Any) -> None:
-        """Something that keeps the process from its work."""
+        """Log a fault that keeps the process from its work."""
         self._write("error", event, fields)
 
     def _write(self, level: str, event: str, fields: dict[str, Any]) -> None:
         if self._logger is not None:
             getattr(self._logger, level)(event, **fields)
             return
-        told = {"event": event, "level": level, "node": self._node_name}
+        common = {"event": event, "level": level, "node": self._node_name}
         now = datetime.now(UTC).isoformat().replace("+00:00", "Z")
-        sys.stderr.write(json.dumps({**fields, **told, "timestamp": now}, default=str) + "\n")
+        sys.stderr.write(json.dumps({**fields, **common, "timestamp": now}, default=str) + "\n")
 
 
 log = StartupLog()
--- a/tests/controller/reactor.py
+++ b/tests/controller/reactor.py
@@ -7,7 +7,7 @@
 import asyncio
 from typing import TYPE_CHECKING, Any, TypeVar
 
-from roselink.controller.app import install_reactor
+from roselink.controller.twisted_reactor import install_reactor
 
 if TYPE_CHECKING:
     from collections.abc import Coroutine
--- a/tests/controller/test_api.py
+++ b/tests/controller/test_api.py
@@ -146,12 +146,12 @@
         order, done = await serving.node.orders.get()
         assert (order.base, order.generation, order.document) == (base, 7, ORDER)
         assert order.digest == digest_of(base, ORDER)
-        assert serving.api.under_way == 1
+        assert serving.api.in_flight == 1
         done(outcome)
         answer = await caller.receive()
         assert (answer.status, answer.json()) == (status, said)
         assert ("retry-after" in answer.headers) == (status == 503)
-        assert serving.api.under_way == 0
+        assert serving.api.in_flight == 0
 
     with_interface(work)
 
@@ -167,11 +167,11 @@
         order, done = await serving.node.orders.get()
         assert (order.base, order.generation, order.digest) == (7, 9, digest_of_update(7, UPDATE))
         assert [route["name"] for route in json.loads(order.document)["routes"]] == ["r-1"]
-        assert serving.api.under_way == 1
+        assert serving.api.in_flight == 1
         done(ChangeCommitted(6))
         answer = await caller.receive()
         assert (answer.status, answer.json()) == (200, {"generation": 9, "sequence": 6})
-        assert serving.api.under_way == 0
+        assert serving.api.in_flight == 0
 
     with_interface(work)
 
@@ -247,7 +247,7 @@
         leaving.send("POST", "/config/replace", ORDER, X_Base_Version="0")
         _, done = await serving.node.orders.get()
         leaving.writer.transport.abort()
-        while serving.api.under_way:
+        while serving.api.in_flight:
             await asyncio.sleep(0)
         done(ChangeCommitted(1))
         serving.clock.advance(SUBMIT_TIMEOUT_S)
--- a/tests/controller/test_host_list.py
+++ b/tests/controller/test_host_list.py
@@ -375,7 +375,7 @@
         lambda epoch, hosts: lists.put_nowait((epoch, hosts)),
         times=ReaderTimes(interval_s=0.005, backoff_s=0.001, most_backoff_s=0.01, call_s=call_s),
     )
-    client.hold(3)
+    client.set_role(3)
     then(client)
     try:
         seen = [await lists.get() for _ in range(count)]
@@ -412,7 +412,7 @@
 
 def test_driver_takes_the_role_in_another_view() -> None:
     stand_in = StandIn({"": body(entry())})
-    lists = play(read_lists(stand_in, 2, lambda client: client.hold(4)))
+    lists = play(read_lists(stand_in, 2, lambda client: client.set_role(4)))
     assert lists == [(4, ["i-1"])] * 2
 
 
@@ -422,8 +422,8 @@
 
         platform = Platform(await stand_in.start(), 10_000.0, 0.0)
         client = HostListClient(REACTOR, platform, lambda epoch, hosts: None)
-        client.hold(3)
-        client.hold(None)
+        client.set_role(3)
+        client.set_role(None)
         await client.close().asFuture(asyncio.get_running_loop())
         stand_in.stop()
 
--- a/tests/controller/test_imports.py
+++ b/tests/controller/test_imports.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from roselink.controller.app import FORMING_MOST_S, StepwiseImporter
+from roselink.controller.stepwise_imports import MAX_VIEW_WAIT_S, StepwiseImporter
 
 MODULE = "this"  # of the standard library, and imported by nothing else
 
@@ -35,7 +35,7 @@
     [
         pytest.param(0, 0.02, 1, id="no view is being agreed"),
         pytest.param(3, 0.02, 4, id="until one is agreed"),
-        pytest.param(99, FORMING_MOST_S / 2, 2, id="no longer than there is patience"),
+        pytest.param(99, MAX_VIEW_WAIT_S / 2, 2, id="no longer than there is patience"),
     ],
 )
 def test_an_import_waits_while_a_view_is_agreed(
--- a/tests/mutations/controller.py
+++ b/tests/mutations/controller.py
@@ -64,9 +64,9 @@
         ),
     ),
     *mutations_of(
-        "controller/app.py",
+        "controller/stepwise_imports.py",
         ("tests/controller/test_imports.py",),
-        ("imports go on while a view is agreed", "            await self._formed()\n", ""),
+        ("imports go on while a view is agreed", "            await self._wait_for_view()\n", ""),
     ),
     *mutations_of(
         "controller/updates.py",
