--- a/roselink/dataplane/attempt_runner.py
+++ b/roselink/dataplane/attempt_runner.py
@@ -72,7 +72,7 @@
             exchange.expires_at + OVER_S - now,
             answer,
             partial(self._wanted, exchange),
-            once=not exchange.route.repeatable,
+            single_run=not exchange.route.repeatable,
         )
         exchange.attempts[action.attempt] = answer
         self._owner.counts["resumed" if resume else "attempts"] += 1
--- a/roselink/dataplane/client_connection.py
+++ b/roselink/dataplane/client_connection.py
@@ -33,7 +33,7 @@
         self._head_only = self._chunked = self._kept = False
         self._unwritten = b""
 
-    def _departed(self) -> None:
+    def _client_left(self) -> None:
         if self._exchange is not None:
             exchange, self._exchange = self._exchange, None
             self._owner.engine.depart(exchange)
@@ -48,10 +48,10 @@
         asked = any(
             n.lower() == b"expect" and v.lower() == b"100-continue" for n, v in self._headers
         )
-        if asked and not (self._serving or self._backlog):
+        if asked and not (self._serving or self._pending):
             self._write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
-    def _read(self, method: bytes, keep: bool) -> PendingRequest:
+    def _read_request(self, method: bytes, keep: bool) -> PendingRequest:
         assert self._parser is not None
         request = read_request(
             method, self._url, self._headers, b"".join(self._body), self._read_at
@@ -59,8 +59,8 @@
         request.version = self._parser.get_http_version()
         return PendingRequest(request, 200, keep)
 
-    def _serve(self, pending: PendingRequest) -> None:
-        self._serving, self._keep = True, pending.keep
+    def _serve_request(self, pending: PendingRequest) -> None:
+        self._serving, self._keep_alive = True, pending.keep
         request = pending.request
         if not isinstance(request, ProxyRequest):
             log.info("request_invalid status=%d why=%s", pending.status, pending.why)
@@ -68,7 +68,7 @@
             self.own(pending.status)
             return
         self._head_only, self._version = request.method == b"HEAD", request.version
-        if self._owner.crowded():
+        if self._owner.is_overloaded():
             self.own(503, NOT_CONFIRMED_RETRY_S)
             return
         try:
@@ -107,7 +107,7 @@
         elif self._chunked:
             framing = [b"Transfer-Encoding: chunked"]
         else:
-            framing, self._keep = [], False  # the end of the connection is that of the answer
+            framing, self._keep_alive = [], False  # the end of the connection is that of the answer
         self._unwritten = self._head_of(status, headers, framing)  # goes out with the first part
 
     def part(self, data: bytes) -> None:
@@ -131,10 +131,10 @@
 
     def waits(self) -> bool:
         """Whether parts pile up, as the client does not take them."""
-        return self._unread
+        return self._writing_paused
 
     def _head_of(self, status: int, headers: Headers, framing: list[bytes]) -> bytes:
-        self._kept = self._may_keep()
+        self._kept = self._may_keep_alive()
         lines = [b"HTTP/1.1 %d %b" % (status, REASON_PHRASES.get(status, b""))]
         lines += [b"%b: %b" % header for header in headers]
         lines += framing
@@ -143,4 +143,4 @@
 
     def _end(self) -> None:
         self._exchange = None
-        self._finish(self._kept)
+        self._response_finished(self._kept)
--- a/roselink/dataplane/client_server.py
+++ b/roselink/dataplane/client_server.py
@@ -53,7 +53,7 @@
         self._told = True
 
     def _apply(self) -> None:
-        self.sizes = _sizes(
+        self.size_limits = _sizes(
             max(limits.max_header_bytes for limits in self._limits),
             max(limits.max_body_bytes for limits in self._limits),
         )
@@ -61,14 +61,14 @@
         idle_s = max(limits.idle_timeout_ms for limits in self._limits) / 1000
         self._times = TimeLimits(head_s, head_s + BODY_S, UNREAD_S, (idle_s + IDLE_OVER_S,))
 
-    def times(self) -> TimeLimits:
+    def time_limits(self) -> TimeLimits:
         return self._times
 
-    def connection(self) -> ServerConnection:
+    def make_connection(self) -> ServerConnection:
         return FleetClientConnection(self)
 
-    def crowded(self) -> bool:
-        return super().crowded() or self.engine.body_bytes > BODIES_LIMIT
+    def is_overloaded(self) -> bool:
+        return super().is_overloaded() or self.engine.body_bytes > BODIES_LIMIT
 
 
 def _sizes(head: int, body: int) -> SizeLimits:
--- a/roselink/dataplane/exchange.py
+++ b/roselink/dataplane/exchange.py
@@ -262,7 +262,7 @@
         stream = self._filter
         if stream is None:
             return True
-        by_close = self.attempt is not None and self.attempt.by_close
+        by_close = self.attempt is not None and self.attempt.ended_by_close
         if (by_close and stream.half) or not self._claim(None):
             return False
         rest = stream.finish()
--- a/roselink/dataplane/fleet_host_connection.py
+++ b/roselink/dataplane/fleet_host_connection.py
@@ -16,9 +16,9 @@
     HEAD_LIMIT,
     INTERIM_LIMIT,
     Attempt,
-    Host,
     HostConnection,
-    Wanted,
+    PooledHost,
+    StillWanted,
 )
 from roselink.routing.outcome import Outcome
 
@@ -57,24 +57,32 @@
 
 
 class FleetAttempt(Attempt):
-    """One attempt. `sent`: bytes of it may have reached the host. `once`: it can't be repeated."""
+    """One attempt.
+
+    Attributes:
+        sent: bytes of it may have reached the host.
+        single_run: its request must not run twice.
+        ended_by_close: its response stated no length, the connection's end was its end.
+    """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        host: Host,
+        host: PooledHost,
         request_id: bytes,
-        bodiless: bool,
+        has_no_body: bool,
         timeout_s: float,
         receiver: ResponseReceiver,
-        wanted: Wanted,
-        once: bool = False,
+        still_wanted: StillWanted,
+        single_run: bool = False,
     ) -> None:
-        super().__init__(loop, host, timeout_s, lambda outcome, _: receiver.done(outcome), wanted)
-        self.once = once
-        self.request_id, self.bodiless, self.receiver = request_id, bodiless, receiver
+        super().__init__(
+            loop, host, timeout_s, lambda outcome, _: receiver.done(outcome), still_wanted
+        )
+        self.single_run = single_run
+        self.request_id, self.has_no_body, self.receiver = request_id, has_no_body, receiver
         self.sent = False
-        self.by_close = False  # its answer told no length: the connection's end was its end
+        self.ended_by_close = False  # its answer told no length: the connection's end was its end
 
     def end(self, outcome: Outcome) -> None:
         """Give it up from this side."""
@@ -94,12 +102,12 @@
 class FleetHostConnection(HostConnection):
     """One connection to a host; bodies go on to the attempt's receiver."""
 
-    def __init__(self, upstream: HostPool, host: Host) -> None:
-        self._raw: Headers = []
-        self._parts: list[bytes] = []
-        self._silent = self._surplus = self._sent_bytes = 0
-        self._skipping = self._headed = self._waits = False
-        self._keep_s = DEFAULT_IDLE_S
+    def __init__(self, upstream: HostPool, host: PooledHost) -> None:
+        self._raw_headers: Headers = []
+        self._body_pieces: list[bytes] = []
+        self._bytes_since_progress = self._surplus_count = self._sent_bytes = 0
+        self._in_surplus = self._head_is_new = self._reading_paused = False
+        self._idle_limit_s = DEFAULT_IDLE_S
         super().__init__(upstream, host)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -118,63 +126,68 @@
     def send(self, attempt: Attempt, request: bytes) -> None:
         assert isinstance(attempt, FleetAttempt)
         attempt.sent = True
-        self._surplus, self._silent, self._headed, self._sent_bytes = 0, 0, False, len(request)
+        self._surplus_count, self._bytes_since_progress, self._head_is_new, self._sent_bytes = (
+            0,
+            0,
+            False,
+            len(request),
+        )
         super().send(attempt, request)
 
     def connection_lost(self, exc: Exception | None) -> None:
         if self._sent_bytes > PROVEN_LIMIT:
-            self._unsent = False
+            self._has_unsent = False
         super().connection_lost(exc)
 
     def pause_reading(self) -> None:
-        if not self._waits and not self.closing() and self.transport is not None:
-            self._waits = True
+        if not self._reading_paused and not self.closing() and self.transport is not None:
+            self._reading_paused = True
             self.transport.pause_reading()
 
     def resume_reading(self) -> None:
-        if self._waits:
-            self._waits = False
+        if self._reading_paused:
+            self._reading_paused = False
             if not self.closing() and self.transport is not None:
                 self.transport.resume_reading()
 
     def stale(self) -> bool:
-        return self.upstream.now() - self.idle_since > self._keep_s
+        return self.upstream.now() - self.idle_since > self._idle_limit_s
 
     def data_received(self, data: bytes) -> None:
         attempt = self.attempt
         if not isinstance(attempt, FleetAttempt) or self._parser is None:
             self.drop()  # bytes that no request asked for
             return
-        self.host.heard = self.upstream.now()
-        self._silent += len(data)
+        self.host.last_byte_at = self.upstream.now()
+        self._bytes_since_progress += len(data)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._excess = True
+            self._has_excess = True
         self._deliver(attempt)
         if self.attempt is not attempt:
             return  # given up by what took the bytes
-        if self._complete:
+        if self._is_complete:
             self.resume_reading()
-            self._answered(attempt)
-        elif self._excess or self._silent > HEAD_LIMIT:
-            self._spoilt()
+            self._response_complete(attempt)
+        elif self._has_excess or self._bytes_since_progress > HEAD_LIMIT:
+            self._fail_unreadable()
 
     def _deliver(self, attempt: FleetAttempt) -> None:
-        if self._headed:
-            self._headed = False
-            attempt.receiver.head(self._status, self._raw)
-        if self._parts and self.attempt is attempt:
-            data, self._parts = b"".join(self._parts), []
+        if self._head_is_new:
+            self._head_is_new = False
+            attempt.receiver.head(self._status, self._raw_headers)
+        if self._body_pieces and self.attempt is attempt:
+            data, self._body_pieces = b"".join(self._body_pieces), []
             attempt.receiver.body(data)
 
     def eof_received(self) -> bool:
-        if not self._skipping and isinstance(self.attempt, FleetAttempt):
-            self.attempt.by_close = True
+        if not self._in_surplus and isinstance(self.attempt, FleetAttempt):
+            self.attempt.ended_by_close = True
             super().eof_received()
         return False
 
-    def _spoilt(self) -> None:
+    def _fail_unreadable(self) -> None:
         """No answer, or not the one to this request: it may have run."""
         if self.attempt is not None:
             self.attempt.finish(Outcome.RESET)
@@ -185,56 +198,60 @@
 
     # Callbacks of the parser.
 
-    def _begin(self) -> None:
-        super()._begin()
-        self._raw, self._parts, self._skipping = [], [], False
+    def _start_message(self) -> None:
+        super()._start_message()
+        self._raw_headers, self._body_pieces, self._in_surplus = [], [], False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if self._complete or not self._head:
+        if self._is_complete or not self._in_head:
             return
         super().on_header(name, value)
-        self._raw.append((name, value.strip()))
-        self._silent = 0
+        self._raw_headers.append((name, value.strip()))
+        self._bytes_since_progress = 0
 
     def on_headers_complete(self) -> None:
-        if self._complete or self._parser is None:
+        if self._is_complete or self._parser is None:
             return
-        self._status, self._head, self._silent = self._parser.get_status_code(), False, 0
+        self._status, self._in_head, self._bytes_since_progress = (
+            self._parser.get_status_code(),
+            False,
+            0,
+        )
         attempt = self.attempt
         if 100 <= self._status < 200 or not isinstance(attempt, FleetAttempt):
             return
-        answered = self._headers.get(b"x-request-id")
+        response_id = self._headers.get(b"x-request-id")
         # A surplus answer has the id of its own request. What has none is a rejection, or nobody's.
-        rejected = not answered and self._outcome() is Outcome.FULL
-        if answered != attempt.request_id and not rejected:
-            self._surplus += 1
-            if not answered or self._surplus > SURPLUS_LIMIT:
+        rejected = not response_id and self._outcome() is Outcome.FULL
+        if response_id != attempt.request_id and not rejected:
+            self._surplus_count += 1
+            if not response_id or self._surplus_count > SURPLUS_LIMIT:
                 raise ValueError("an answer to no request of ours")
-            self._skipping = True
+            self._in_surplus = True
             return
-        self._keep_s = _idle_s(self._headers.get(b"keep-alive", b""))
-        self._headed = True
-        if attempt.bodiless:
-            self._complete, self._keep = True, False
+        self._idle_limit_s = _idle_s(self._headers.get(b"keep-alive", b""))
+        self._head_is_new = True
+        if attempt.has_no_body:
+            self._is_complete, self._keep_alive = True, False
 
     def on_body(self, body: bytes) -> None:
-        self._silent = 0
-        if not (self._complete or self._skipping):
-            self._parts.append(body)
+        self._bytes_since_progress = 0
+        if not (self._is_complete or self._in_surplus):
+            self._body_pieces.append(body)
 
     def on_message_complete(self) -> None:
-        if self._complete or self._parser is None:
+        if self._is_complete or self._parser is None:
             return
-        self._partial, self._silent = False, 0
-        if self._skipping:
+        self._in_message, self._bytes_since_progress = False, 0
+        if self._in_surplus:
             return
         if 100 <= self._status < 200:
-            self._head, self._interim = True, self._interim + 1
-            if self._interim > INTERIM_LIMIT:
+            self._in_head, self._interim_count = True, self._interim_count + 1
+            if self._interim_count > INTERIM_LIMIT:
                 raise ValueError("interim answers without end")
             return
-        self._complete = True
-        self._keep = self._parser.should_keep_alive() and not self._surplus
+        self._is_complete = True
+        self._keep_alive = self._parser.should_keep_alive() and not self._surplus_count
 
 
 def outcome_of(status: int, headers: dict[bytes, bytes]) -> Outcome:
@@ -251,6 +268,6 @@
     for part in keep_alive.split(b","):
         name, _, value = part.strip().partition(b"=")
         if name.strip().lower() == b"timeout" and value.strip().isdigit() and len(value) < 8:
-            told = int(value)
-            return max(0.1, min(told - 0.5, 0.75 * told))
+            stated_s = int(value)
+            return max(0.1, min(stated_s - 0.5, 0.75 * stated_s))
     return DEFAULT_IDLE_S
--- a/roselink/dataplane/fleet_host_pool.py
+++ b/roselink/dataplane/fleet_host_pool.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from roselink.dataplane.fleet_host_connection import FleetAttempt, FleetHostConnection
-from roselink.http.host_connection import Attempt, Host, HostConnection
+from roselink.http.host_connection import Attempt, HostConnection, PooledHost
 from roselink.http.host_pool import HostPool
 
 if TYPE_CHECKING:
@@ -20,12 +20,17 @@
 ONCE_IDLE_S = 0.15
 
 
-class FleetHost(Host):
-    """One host of the snapshot. `most`: connections that this gateway may hold to it."""
+class FleetHost(PooledHost):
+    """One host of the snapshot.
 
-    def __init__(self, name: str, service: str, address: Address, most: int) -> None:
+    Attributes:
+        service: the service that it belongs to.
+        connection_limit: the most connections that this gateway may have to it.
+    """
+
+    def __init__(self, name: str, service: str, address: Address, connection_limit: int) -> None:
         super().__init__(name, address)
-        self.service, self.most = service, most
+        self.service, self.connection_limit = service, connection_limit
 
 
 class FleetHostPool(HostPool):
@@ -34,21 +39,21 @@
     def __init__(self, loop: asyncio.AbstractEventLoop, descriptors: Descriptors) -> None:
         super().__init__(loop, descriptors, CONNECT_TIMEOUT_S, 0.0)
 
-    def _new_connection(self, host: Host) -> HostConnection:
+    def _new_connection(self, host: PooledHost) -> HostConnection:
         return FleetHostConnection(self, host)
 
-    def _suits(self, attempt: Attempt, connection: HostConnection) -> bool:
-        once = isinstance(attempt, FleetAttempt) and attempt.once
+    def _may_carry(self, attempt: Attempt, connection: HostConnection) -> bool:
+        single_run = isinstance(attempt, FleetAttempt) and attempt.single_run
         fresh = self.now() - connection.idle_since <= ONCE_IDLE_S
-        return not once or fresh or connection.stale()  # a stale one is taken out and dropped
+        return not single_run or fresh or connection.stale()  # a stale one is taken out and dropped
 
-    def _may_connect(self, host: Host) -> bool:
+    def _may_connect(self, host: PooledHost) -> bool:
         assert isinstance(host, FleetHost)
-        if host.open >= host.most and host.idle:
+        if host.open_count >= host.connection_limit and host.idle:
             connection = host.idle[0]  # not settled yet, or it would have been used
             connection.drop()
             self.forget(connection)
-        return host.open < host.most
+        return host.open_count < host.connection_limit
 
     def begin(self, attempt: FleetAttempt, request: Callable[[], bytes]) -> None:
         """Start an attempt; `request` is asked right before the write."""
--- a/roselink/dataplane/gateway_data_plane.py
+++ b/roselink/dataplane/gateway_data_plane.py
@@ -124,7 +124,7 @@
 
     async def _drain(self) -> None:
         await asyncio.sleep(ACCEPT_S)
-        await self.server.stop_taking()
+        await self.server.stop_accepting()
         while self.server.connections and self._loop.time() < self._drain_ends_at + 2 * CLOSE_S:
             self.server.close_idle()
             await asyncio.sleep(CLOSE_S)
--- a/roselink/dataplane/host_directory.py
+++ b/roselink/dataplane/host_directory.py
@@ -48,7 +48,7 @@
             current = self.hosts[line.id] = FleetHost(
                 line.id, line.service, _address(line.address), most
             )
-        current.most = most
+        current.connection_limit = most
         if line.state is HostState.READY:
             current.ready = True
         elif current.ready:
--- a/roselink/dataplane/readiness_server.py
+++ b/roselink/dataplane/readiness_server.py
@@ -24,23 +24,23 @@
         super().__init__(server)
         self._owner = server
 
-    def _read(self, method: bytes, keep: bool) -> PendingRequest:
+    def _read_request(self, method: bytes, keep: bool) -> PendingRequest:
         known = method in (b"GET", b"HEAD") and self._url.partition(b"?")[0] == b"/readyz"
         if not known:
             raise BadRequestError(404, "no such page")
         return PendingRequest(None, 200, keep)
 
-    def _serve(self, pending: PendingRequest) -> None:
-        self._serving, self._keep = True, pending.keep
+    def _serve_request(self, pending: PendingRequest) -> None:
+        self._serving, self._keep_alive = True, pending.keep
         status = pending.status
         if status == 200 and not self._owner.ready():
             status = 503
-        keep = self._may_keep()
+        keep = self._may_keep_alive()
         self._write(
             b"HTTP/1.1 %d %b\r\nContent-Length: 0\r\nConnection: %b\r\n\r\n"
             % (status, REASON_PHRASES[status], b"keep-alive" if keep else b"close")
         )
-        self._finish(keep)
+        self._response_finished(keep)
 
 
 class ReadinessServer(HttpServer):
@@ -56,8 +56,8 @@
         super().__init__(loop, descriptors, make_room, SizeLimits(8192, 8192, 65536))
         self.ready = ready
 
-    def times(self) -> TimeLimits:
+    def time_limits(self) -> TimeLimits:
         return TimeLimits(3.0, 3.0, 3.0, (30.0,))
 
-    def connection(self) -> ServerConnection:
+    def make_connection(self) -> ServerConnection:
         return ReadinessConnection(self)
--- a/roselink/gateway/__main__.py
+++ b/roselink/gateway/__main__.py
@@ -99,7 +99,7 @@
         )
         self.server.drain(ACCEPT_S, ACCEPT_S + min(longest_s, KILL_S))
         await asyncio.sleep(ACCEPT_S)
-        await self.server.stop_taking()
+        await self.server.stop_accepting()
         end = self.loop.time() + longest_s + FLUSH_S
         while self.server.connections and self.loop.time() < end:
             self.server.close_idle()
--- a/roselink/gateway/engine.py
+++ b/roselink/gateway/engine.py
@@ -33,7 +33,7 @@
     State,
     StreamStarted,
 )
-from roselink.http.host_connection import Answer, Attempt, Host
+from roselink.http.host_connection import Attempt, HostResponse, PooledHost
 from roselink.routing.outcome import Outcome
 
 if TYPE_CHECKING:
@@ -60,7 +60,7 @@
     """The one final answer to a client."""
 
     status: int
-    answer: Answer | None = None
+    answer: HostResponse | None = None
     retry_after_us: int = 0
 
 
@@ -118,7 +118,7 @@
         self._ids: set[str] = set()  # ids of the requests that still wait for their answer
         self._events: deque[Event] = deque()
         self._busy = False
-        self.hosts: dict[int, Host] = {}
+        self.hosts: dict[int, PooledHost] = {}
 
     def now_us(self) -> int:
         return self._epoch_us + int(self._loop.time() * 1e6)
@@ -216,7 +216,7 @@
                 del self.hosts[number]
                 self._upstream.retire(host)
         for number, server in told.items():
-            current = self.hosts.get(number) or Host(names[number], addresses[number])
+            current = self.hosts.get(number) or PooledHost(names[number], addresses[number])
             self.hosts[number] = current
             if current.started_us != server.started_us:
                 current.started_us = server.started_us
@@ -334,7 +334,7 @@
         number: int,
         started: float,
         outcome: Outcome,
-        answer: Answer | None,
+        answer: HostResponse | None,
     ) -> None:
         opened.out -= 1
         opened.attempts[number] = None
--- a/roselink/gateway/server.py
+++ b/roselink/gateway/server.py
@@ -49,12 +49,12 @@
         self._owner = server
         self._opened: OpenRequest | None = None
 
-    def _departed(self) -> None:
+    def _client_left(self) -> None:
         if self._opened is not None:
             opened, self._opened = self._opened, None
             self._owner.engine.depart(opened)
 
-    def _read(self, method: bytes, keep: bool) -> PendingRequest:
+    def _read_request(self, method: bytes, keep: bool) -> PendingRequest:
         path = self._url.partition(b"?")[0]
         if path == b"/up" and method == b"GET":
             return PendingRequest(None, self._owner.up_status(), keep)
@@ -63,8 +63,8 @@
         )
         return PendingRequest(request, 200, keep)
 
-    def _serve(self, pending: PendingRequest) -> None:
-        self._serving, self._keep = True, pending.keep
+    def _serve_request(self, pending: PendingRequest) -> None:
+        self._serving, self._keep_alive = True, pending.keep
         if pending.request is None:
             if pending.status >= 400 and pending.status != 503:
                 log.info("%d: %s", pending.status, pending.why)
@@ -78,7 +78,7 @@
         late = (
             self._owner.loop.time() >= pending.request.expires
         )  # it waited for the answers before it
-        if late or self._owner.crowded():
+        if late or self._owner.is_overloaded():
             self.answer(Reply(503, None, self._owner.retry_after_us))
             return
         try:
@@ -94,10 +94,10 @@
     def answer(self, reply: Reply) -> None:
         """The one place that writes to a client."""
         self._opened, self._serving = None, False
-        self.last_change = self._owner.loop.time()
+        self.last_progress_at = self._owner.loop.time()
         if self._transport is None:
             return
-        keep = self._may_keep()
+        keep = self._may_keep_alive()
         lines = [b"HTTP/1.1 %d %b" % (reply.status, REASON_PHRASES[reply.status])]
         body = b""
         if reply.answer is not None:
@@ -109,7 +109,7 @@
         lines.append(b"Content-Length: %d" % len(body))
         lines.append(b"Connection: keep-alive" if keep else b"Connection: close")
         self._write(b"\r\n".join(lines) + b"\r\n\r\n" + body)
-        self._finish(keep)
+        self._response_finished(keep)
 
 
 class Server(HttpServer):
@@ -136,10 +136,10 @@
         )
         self._tenants = {name: i for i, name in enumerate(config.tenants)}
 
-    def connection(self) -> ServerConnection:
+    def make_connection(self) -> ServerConnection:
         return ClientConnection(self)
 
-    def times(self) -> TimeLimits:
+    def time_limits(self) -> TimeLimits:
         return TimeLimits(RECEIVE_S, RECEIVE_S, UNREAD_S, (RECEIVE_S, IDLE_ONCE_S, IDLE_S))
 
     def drain(self, taken_s: float, most_s: float) -> None:
--- a/roselink/http/host_connection.py
+++ b/roselink/http/host_connection.py
@@ -26,58 +26,65 @@
 BODY_LIMIT = 64 * 1024
 HEAD_LIMIT = 16 * 1024
 # all bytes of an answer: a chunk's extension reaches no callback
-ANSWER_LIMIT = HEAD_LIMIT + 4 * BODY_LIMIT
+RESPONSE_LIMIT = HEAD_LIMIT + 4 * BODY_LIMIT
 INTERIM_LIMIT = 8  # 1xx answers ahead of the one that counts; none or one is usual
 
 
-class Answer(NamedTuple):
+class HostResponse(NamedTuple):
     """A host's whole answer of status 200."""
 
     body: bytes
     content_type: bytes | None
 
 
-class Host:
+class PooledHost:
     """One host as the list has it, and this gateway's connections to it."""
 
     def __init__(self, name: str, address: Address) -> None:
         self.name, self.address, self.ready = name, address, True
         self.started_us: int | None = None
-        self.heard = 0.0  # loop time of its last byte
+        self.last_byte_at = 0.0  # loop time of its last byte
         self.idle: list[HostConnection] = []  # the most recently used last
         self.connecting: set[Attempt] = set()
-        self.open = 0  # connections that hold a descriptor
+        self.open_count = 0  # connections that hold a descriptor
 
     def drop_idle(self) -> None:
         for connection in list(self.idle):
             connection.drop()
 
 
-Done = Callable[[Outcome, Answer | None], None]
-Wanted = Callable[[], bool]
+OnEnd = Callable[[Outcome, HostResponse | None], None]
+StillWanted = Callable[[], bool]
 
 
 class Attempt:
-    """One copy of a request on its way to one host. `done` is called exactly once, never from
-    `start`; `wanted` is asked once a connection is up: whether someone still waits for the answer.
-    """
+    """One copy of a request on its way to one host."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        host: Host,
+        host: PooledHost,
         timeout_s: float,
-        done: Done,
-        wanted: Wanted,
+        done: OnEnd,
+        still_wanted: StillWanted,
     ) -> None:
-        self.host, self.began, self.wanted = host, loop.time(), wanted
-        self._done: Done | None = done
+        """Start the time-out.
+
+        Args:
+            loop: the event loop.
+            host: the host that gets the request.
+            timeout_s: time until the attempt ends by itself, in seconds.
+            done: called exactly once with the outcome, never from `HostPool.start`.
+            still_wanted: called once a connection is up: whether someone waits for the response.
+        """
+        self.host, self.started_at, self.still_wanted = host, loop.time(), still_wanted
+        self._done: OnEnd | None = done
         self._timer = loop.call_later(max(0.0, timeout_s), self._end, Outcome.TIMEOUT)
         self.connection: HostConnection | None = None
         self.task: asyncio.Task[bool] | None = None
 
     @property
-    def over(self) -> bool:
+    def is_over(self) -> bool:
         return self._done is None
 
     def cancel(self) -> None:
@@ -94,7 +101,7 @@
         self.finish(outcome)
         if connection is not None:
             connection.drop()
-            if self.host.heard < self.began:
+            if self.host.last_byte_at < self.started_at:
                 # Not a byte from it in all that time: it may have vanished, and then every
                 # connection kept to it would hang as long again. A new one tells within the limit
                 # for connects.
@@ -106,7 +113,7 @@
         """The host has left service while the connection was coming up: nothing was sent."""
         self._end(Outcome.MOOT)
 
-    def finish(self, outcome: Outcome, answer: Answer | None = None) -> None:
+    def finish(self, outcome: Outcome, answer: HostResponse | None = None) -> None:
         done, self._done = self._done, None
         if done is None:
             return
@@ -121,28 +128,28 @@
 class HostConnection(asyncio.Protocol):
     """One connection to a host: carries one attempt at a time, or is idle."""
 
-    def __init__(self, upstream: HostPool, host: Host) -> None:
+    def __init__(self, upstream: HostPool, host: PooledHost) -> None:
         self.upstream, self.host = upstream, host
         self.attempt: Attempt | None = None
         self.transport: asyncio.Transport | None = None
         self.idle_since = 0.0
-        self.counted = True  # holds a descriptor, from the connect on
-        self._unsent = False
+        self.holds_descriptor = True  # holds a descriptor, from the connect on
+        self._has_unsent = False
         self._parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
-        self._look: SocketProbe | None = None
-        self._stall: asyncio.TimerHandle | None = None
-        self._clear()
+        self._probe: SocketProbe | None = None
+        self._overdue_timer: asyncio.TimerHandle | None = None
+        self._start_exchange()
 
-    def _clear(self) -> None:
-        self._received = self._interim = 0
-        self._begin()
+    def _start_exchange(self) -> None:
+        self._response_bytes = self._interim_count = 0
+        self._start_message()
 
-    def _begin(self) -> None:
+    def _start_message(self) -> None:
         self._headers: dict[bytes, bytes] = {}
-        self._size = 0
+        self._section_bytes = 0
         self._body: list[bytes] = []
-        self._head = True
-        self._partial = self._complete = self._excess = self._keep = False
+        self._in_head = True
+        self._in_message = self._is_complete = self._has_excess = self._keep_alive = False
         self._status = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -151,17 +158,17 @@
         # `resume_writing` for "the kernel has the last byte": what parts a failed connection from a
         # reset.
         self.transport.set_write_buffer_limits(high=0)
-        self._look = SocketProbe(transport)
+        self._probe = SocketProbe(transport)
 
     def pause_writing(self) -> None:
-        self._unsent = True
+        self._has_unsent = True
 
     def resume_writing(self) -> None:
-        self._unsent = False
+        self._has_unsent = False
 
     def send(self, attempt: Attempt, request: bytes) -> None:
         assert self.transport is not None
-        self._clear()
+        self._start_exchange()
         self.attempt, attempt.connection = attempt, self
         self.transport.write(request)
 
@@ -177,18 +184,18 @@
         """Whether it has been idle for longer than its host may keep it."""
         return False  # `HostPool.sweep` ends those
 
-    def unread(self) -> bool:
+    def has_unread(self) -> bool:
         """Whether bytes, or the end, have come that this process has not read yet: a close, or more
         than belonged to the last answer, which would be taken for the next one's.
         """
-        return self._look is not None and self._look.unread()
+        return self._probe is not None and self._probe.has_unread()
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.upstream.forget(self)
-        self._quiet()
+        self._cancel_overdue_timer()
         self._parser = None  # it refers back to this: a cycle would wait for the collector
         if self.attempt is not None:
-            self.attempt.finish(Outcome.CONNECT_FAILED if self._unsent else Outcome.RESET)
+            self.attempt.finish(Outcome.CONNECT_FAILED if self._has_unsent else Outcome.RESET)
 
     def data_received(self, data: bytes) -> None:
         attempt = self.attempt
@@ -196,69 +203,71 @@
             # bytes that no request asked for: the next answer could not be told from them
             self.drop()
             return
-        self.host.heard = self.upstream.now()
-        self._received += len(data)
+        self.host.last_byte_at = self.upstream.now()
+        self._response_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._excess = True
-        if self._complete:
-            self._answered(attempt)
-        elif self._excess or self._received > (HEAD_LIMIT if self._head else ANSWER_LIMIT):
-            self._spoilt()
-        elif self._partial and self._stall is None:
-            self._stall = self.upstream.later(self._stalled)
+            self._has_excess = True
+        if self._is_complete:
+            self._response_complete(attempt)
+        elif self._has_excess or self._response_bytes > (
+            HEAD_LIMIT if self._in_head else RESPONSE_LIMIT
+        ):
+            self._fail_unreadable()
+        elif self._in_message and self._overdue_timer is None:
+            self._overdue_timer = self.upstream.call_when_overdue(self._response_overdue)
 
     def eof_received(self) -> bool:
         """The host's end is that of an answer that tells no length. A reset is no end: it comes
         with `connection_lost` alone, unless the loop has read only that the connection is gone.
         """
-        told = b"content-length" in self._headers or b"transfer-encoding" in self._headers
-        endless = self._partial and not (self._head or self._excess or told)
+        has_length = b"content-length" in self._headers or b"transfer-encoding" in self._headers
+        ends_by_close = self._in_message and not (self._in_head or self._has_excess or has_length)
         if (
             self.attempt is not None
-            and endless
-            and self._look is not None
-            and not self._look.reset()
+            and ends_by_close
+            and self._probe is not None
+            and not self._probe.was_reset()
         ):
-            self._keep = False
-            self._answered(self.attempt)
+            self._keep_alive = False
+            self._response_complete(self.attempt)
         return False  # the transport closes
 
-    def _answered(self, attempt: Attempt) -> None:
-        self._quiet()
+    def _response_complete(self, attempt: Attempt) -> None:
+        self._cancel_overdue_timer()
         outcome = self._outcome()
         answer = None
         if outcome is Outcome.SUCCESS:
-            answer = Answer(b"".join(self._body), self._headers.get(b"content-type"))
+            answer = HostResponse(b"".join(self._body), self._headers.get(b"content-type"))
         self.attempt = attempt.connection = None
-        if self._keep and not self._excess and not self._unsent:
+        if self._keep_alive and not self._has_excess and not self._has_unsent:
             self.upstream.release(self)
         else:
             self.drop()
         attempt.finish(outcome, answer)
 
-    def _stalled(self) -> None:
+    def _response_overdue(self) -> None:
         """The rest of an answer is overdue, unless it waits for a loop that runs late."""
-        if self.unread():
-            self._stall = self.upstream.later(self._stalled)
+        if self.has_unread():
+            self._overdue_timer = self.upstream.call_when_overdue(self._response_overdue)
         else:
-            self._spoilt()
+            self._fail_unreadable()
 
-    def _spoilt(self) -> None:
+    def _fail_unreadable(self) -> None:
         """The answer cannot be read, or does not end: it may have run, and nothing later on this
         connection can be trusted. Hosts write an answer at once; a rest that does not follow never
         will.
         """
-        self._quiet()
+        self._cancel_overdue_timer()
         if self.attempt is not None:
             self.attempt.finish(Outcome.ERROR)
         self.drop()
 
-    def _quiet(self) -> None:
-        if self._stall is not None:
-            self._stall.cancel()
-            self._stall = None
+    def _cancel_overdue_timer(self) -> None:
+        if self._overdue_timer is not None:
+            self._overdue_timer.cancel()
+            self._overdue_timer = None
 
     def _outcome(self) -> Outcome:
         if self._status == 200:
@@ -270,42 +279,42 @@
     # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        if self._complete:
-            self._excess = True
+        if self._is_complete:
+            self._has_excess = True
         else:
-            self._begin()
-            self._partial = True
+            self._start_message()
+            self._in_message = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if self._complete or not self._head:
+        if self._is_complete or not self._in_head:
             return  # more than the answer, or a trailer
-        self._size += len(name) + len(value)
-        if self._size > HEAD_LIMIT:
+        self._section_bytes += len(name) + len(value)
+        if self._section_bytes > HEAD_LIMIT:
             raise ValueError("head too long")
         self._headers[name.lower()] = value.strip()
 
     def on_headers_complete(self) -> None:
-        if self._complete or self._parser is None:
+        if self._is_complete or self._parser is None:
             return
-        self._status, self._size, self._head = self._parser.get_status_code(), 0, False
+        self._status, self._section_bytes, self._in_head = self._parser.get_status_code(), 0, False
         if int(self._headers.get(b"content-length", b"0")) > BODY_LIMIT:
             raise ValueError("body too long")  # known from the head: not a byte of it is waited for
 
     def on_body(self, body: bytes) -> None:
-        if self._complete:
+        if self._is_complete:
             return
-        self._size += len(body)
-        if self._size > BODY_LIMIT:
+        self._section_bytes += len(body)
+        if self._section_bytes > BODY_LIMIT:
             raise ValueError("body too long")
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        if self._complete or self._parser is None:
+        if self._is_complete or self._parser is None:
             return
-        self._partial = False
+        self._in_message = False
         if 100 <= self._status < 200:  # an interim answer: the one that counts follows
-            self._head, self._interim = True, self._interim + 1
-            if self._interim > INTERIM_LIMIT:
+            self._in_head, self._interim_count = True, self._interim_count + 1
+            if self._interim_count > INTERIM_LIMIT:
                 raise ValueError("interim answers without end")
             return
-        self._complete, self._keep = True, self._parser.should_keep_alive()
+        self._is_complete, self._keep_alive = True, self._parser.should_keep_alive()
--- a/roselink/http/host_pool.py
+++ b/roselink/http/host_pool.py
@@ -6,7 +6,7 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from roselink.http.host_connection import Attempt, Done, Host, HostConnection, Wanted
+from roselink.http.host_connection import Attempt, HostConnection, OnEnd, PooledHost, StillWanted
 from roselink.routing.outcome import Outcome
 
 if TYPE_CHECKING:
@@ -15,9 +15,9 @@
     from roselink.http.descriptors import Descriptors
 
 # after an answer, before its connection is used again: time for what comes right behind it
-SETTLE_S = 0.02
+REUSE_DELAY_S = 0.02
 # part of the hosts' idle time after which a connection is dropped: they must never be first
-IDLE_PART = 0.5
+IDLE_FRACTION = 0.5
 
 
 class HostPool:
@@ -31,68 +31,73 @@
         idle_s: float,
     ) -> None:
         self._loop, self._descriptors = loop, descriptors
-        self._connect_timeout_s, self._idle_s = connect_timeout_s, idle_s * IDLE_PART
+        self._connect_timeout_s, self._idle_s = connect_timeout_s, idle_s * IDLE_FRACTION
         self._tasks: set[asyncio.Task[bool]] = set()
         self._idle: dict[HostConnection, None] = {}  # all hosts' idle ones, the longest idle first
 
     def start(
-        self, host: Host, request: bytes, timeout_s: float, done: Done, wanted: Wanted
+        self,
+        host: PooledHost,
+        request: bytes,
+        timeout_s: float,
+        done: OnEnd,
+        still_wanted: StillWanted,
     ) -> Attempt:
         """Begin an attempt on the connection used last that has settled, which is the least likely
         to be closing and brings nothing that belongs to the answer before.
         """
-        attempt = Attempt(self._loop, host, timeout_s, done, wanted)
+        attempt = Attempt(self._loop, host, timeout_s, done, still_wanted)
         self.launch(attempt, lambda: request)
         return attempt
 
     def launch(self, attempt: Attempt, request: Callable[[], bytes]) -> None:
         """Send what `request` returns right before the write."""
         host = attempt.host
-        settled = attempt.began - SETTLE_S
+        reusable_before = attempt.started_at - REUSE_DELAY_S
         for connection in reversed(host.idle.copy()):
-            if connection.idle_since > settled or not self._suits(attempt, connection):
+            if connection.idle_since > reusable_before or not self._may_carry(attempt, connection):
                 continue
             host.idle.remove(connection)
             self._idle.pop(connection, None)
             if connection.closing():
                 continue
-            if connection.stale() or connection.unread():
+            if connection.stale() or connection.has_unread():
                 connection.drop()
                 continue
             connection.send(attempt, request())
             return
-        if not host.ready or not self._may_connect(host) or not self._room():
+        if not host.ready or not self._may_connect(host) or not self._make_room():
             self._loop.call_soon(attempt.withdraw)
             return
         host.connecting.add(attempt)
         self._descriptors.used += 1
-        host.open += 1
+        host.open_count += 1
         connection = self._new_connection(host)
         attempt.task = self._loop.create_task(self._connect(attempt, connection, request))
         self._tasks.add(attempt.task)
-        attempt.task.add_done_callback(partial(self._connected, connection))
+        attempt.task.add_done_callback(partial(self._connect_ended, connection))
 
-    def _new_connection(self, host: Host) -> HostConnection:
+    def _new_connection(self, host: PooledHost) -> HostConnection:
         return HostConnection(self, host)
 
-    def _suits(self, attempt: Attempt, connection: HostConnection) -> bool:
+    def _may_carry(self, attempt: Attempt, connection: HostConnection) -> bool:
         """Whether an idle connection may carry this attempt."""
         return True
 
-    def _may_connect(self, host: Host) -> bool:
+    def _may_connect(self, host: PooledHost) -> bool:
         """Whether the host takes one more connection from here."""
         return True
 
     def now(self) -> float:
         return self._loop.time()
 
-    def later(self, act: Callable[[], None]) -> asyncio.TimerHandle:
+    def call_when_overdue(self, act: Callable[[], None]) -> asyncio.TimerHandle:
         """After the time that a connect may take: the settings' own measure of a network that is
         stuck.
         """
         return self._loop.call_later(self._connect_timeout_s, act)
 
-    def _connected(self, connection: HostConnection, task: asyncio.Task[bool]) -> None:
+    def _connect_ended(self, connection: HostConnection, task: asyncio.Task[bool]) -> None:
         """The connect is over. In a callback, since a task cancelled before its first step runs no
         line of its own, and its descriptor would count for ever. One that came up in the turn in
         which its time was up, or it was called off, has a transport that nobody else would close.
@@ -102,7 +107,7 @@
             connection.drop()
             self.forget(connection)
 
-    def _room(self) -> bool:
+    def _make_room(self) -> bool:
         if self._descriptors.spare() <= 0:
             self.drop_oldest_idle()
         return self._descriptors.spare() > 0
@@ -126,10 +131,10 @@
         except (OSError, TimeoutError):
             attempt.finish(Outcome.CONNECT_FAILED)
             return False
-        wanted = not attempt.over and host.ready and attempt.wanted()
+        still_wanted = not attempt.is_over and host.ready and attempt.still_wanted()
         host.connecting.discard(attempt)
-        if not wanted or connection.closing():
-            attempt.finish(Outcome.CONNECT_FAILED if wanted else Outcome.MOOT)
+        if not still_wanted or connection.closing():
+            attempt.finish(Outcome.CONNECT_FAILED if still_wanted else Outcome.MOOT)
             return False
         connection.send(attempt, request())
         return True
@@ -146,14 +151,14 @@
     def forget(self, connection: HostConnection) -> None:
         """A connection has ended. Its descriptor counts until then, once."""
         connection.transport = None
-        if connection.counted:
-            connection.counted = False
+        if connection.holds_descriptor:
+            connection.holds_descriptor = False
             self._descriptors.used -= 1
-            connection.host.open -= 1
+            connection.host.open_count -= 1
         if self._idle.pop(connection, connection) is None:
             connection.host.idle.remove(connection)
 
-    def retire(self, host: Host) -> None:
+    def retire(self, host: PooledHost) -> None:
         """The host drains or is gone: attempts whose first byte has not gone out are called
         back.
         """
--- a/roselink/http/server.py
+++ b/roselink/http/server.py
@@ -19,22 +19,22 @@
 
 BACKLOG = 1024  # connections that may wait in the kernel to be accepted
 # after which a first request would have been read here, or a last answer by the client
-UNHEARD_S = 0.2
+READ_DELAY_S = 0.2
 # for connections that wait to be accepted when the listener closes, however many still come
-TAKE_S = 0.2
+ACCEPT_WAITING_S = 0.2
 # of the descriptors: past it the longest idle client connection ends, for new ones to come
-HEARD_PART = 0.25
-END_TRIES = 8  # connections looked at to make room for one: each look costs a system call
+USED_FRACTION = 0.25
+END_ATTEMPTS = 8  # connections looked at to make room for one: each look costs a system call
 
 
-def _end_one(
+def _end_oldest(
     connections: dict[ServerConnection, None],
     end: Callable[[ServerConnection], bool],
     changed_before: float = math.inf,
 ) -> bool:
     """End one of the first few, the oldest that can be ended; whether there was one."""
-    for connection in list(itertools.islice(connections, END_TRIES)):
-        if connection.last_change >= changed_before:
+    for connection in list(itertools.islice(connections, END_ATTEMPTS)):
+        if connection.last_progress_at >= changed_before:
             return False
         if end(connection):
             return True
@@ -49,20 +49,20 @@
         loop: asyncio.AbstractEventLoop,
         descriptors: Descriptors,
         make_room: Callable[[], bool],
-        sizes: SizeLimits,
+        size_limits: SizeLimits,
     ) -> None:
-        self.loop, self.sizes = loop, sizes
+        self.loop, self.size_limits = loop, size_limits
         self._descriptors, self._make_room = descriptors, make_room
-        self._heard_most = int(descriptors.limit * HEARD_PART)
-        self._most = (
+        self._used_limit = int(descriptors.limit * USED_FRACTION)
+        self._connection_limit = (
             descriptors.limit // 2
         )  # the other half is the hosts': each request needs one there
         self.connections: dict[ServerConnection, None] = {}
-        self._unheard: dict[
+        self._unused: dict[
             ServerConnection, None
         ] = {}  # no byte of a request yet, the oldest first
-        self._resting: dict[ServerConnection, None] = {}  # between requests, the longest idle first
-        self._leaving: dict[
+        self._idle: dict[ServerConnection, None] = {}  # between requests, the longest idle first
+        self._finishing: dict[
             ServerConnection, None
         ] = {}  # have their last answer, the longest first
         self.draining = False
@@ -70,10 +70,10 @@
 
     # What a subclass says.
 
-    def times(self) -> TimeLimits:
+    def time_limits(self) -> TimeLimits:
         raise NotImplementedError
 
-    def connection(self) -> ServerConnection:
+    def make_connection(self) -> ServerConnection:
         """A new client connection."""
         raise NotImplementedError
 
@@ -83,76 +83,78 @@
         # Bound here: for a host's name the loop starts threads that resolve it, and imports what
         # encodes it.
         bound = socket.create_server((host, port), backlog=BACKLOG)
-        self._listener = await self.loop.create_server(self.connection, sock=bound, backlog=BACKLOG)
+        self._listener = await self.loop.create_server(
+            self.make_connection, sock=bound, backlog=BACKLOG
+        )
         port_used: int = self._listener.sockets[0].getsockname()[1]
         return port_used
 
-    def joined(self, connection: ServerConnection) -> None:
+    def connection_opened(self, connection: ServerConnection) -> None:
         """Past the clients' part of the descriptors each new connection ends another. Guards
         against floods: first go those that have their last answer and those that never said
         anything, then those between two requests, never one with a request.
         """
         self._descriptors.used += 1
-        self.connections[connection] = self._unheard[connection] = None
-        if len(self.connections) > self._most:
+        self.connections[connection] = self._unused[connection] = None
+        if len(self.connections) > self._connection_limit:
             self._end_another(connection)
         if self._descriptors.spare() <= -LENT and not self._make_room():
             connection.abort()
 
     def _end_another(self, newest: ServerConnection) -> None:
-        settled = self.loop.time() - UNHEARD_S
+        read_before = self.loop.time() - READ_DELAY_S
         if (
-            _end_one(self._leaving, ServerConnection.close_left, settled)
-            or _end_one(self._unheard, ServerConnection.close_idle, settled)
-            or _end_one(self._resting, ServerConnection.close_idle)
+            _end_oldest(self._finishing, ServerConnection.close_finished, read_before)
+            or _end_oldest(self._unused, ServerConnection.close_idle, read_before)
+            or _end_oldest(self._idle, ServerConnection.close_idle)
         ):
             return
-        flooded = len(self.connections) > self._most + self._most // 4
-        if flooded and next(iter(self._unheard)) is not newest:
-            _end_one(self._unheard, ServerConnection.close_idle)
+        flooded = len(self.connections) > self._connection_limit + self._connection_limit // 4
+        if flooded and next(iter(self._unused)) is not newest:
+            _end_oldest(self._unused, ServerConnection.close_idle)
 
-    def awake(self, connection: ServerConnection) -> None:
+    def request_started(self, connection: ServerConnection) -> None:
         """A request has begun: the connection is not ended to make room."""
-        self._unheard.pop(connection, None)
-        self._resting.pop(connection, None)
+        self._unused.pop(connection, None)
+        self._idle.pop(connection, None)
 
-    def rests(self, connection: ServerConnection) -> None:
+    def connection_idle(self, connection: ServerConnection) -> None:
         """It is between two requests. Clients may hold so many connections here and no more: guards
         against those that ask once and stay, which would take the places of all others for as long
         as they may.
         """
-        self._resting[connection] = None
-        heard = len(self.connections) - len(self._unheard) - len(self._leaving)
-        if heard > self._heard_most and len(self._resting) > 1:
-            _end_one(self._resting, ServerConnection.close_idle)
+        self._idle[connection] = None
+        heard = len(self.connections) - len(self._unused) - len(self._finishing)
+        if heard > self._used_limit and len(self._idle) > 1:
+            _end_oldest(self._idle, ServerConnection.close_idle)
 
-    def leaves(self, connection: ServerConnection) -> None:
+    def connection_finishing(self, connection: ServerConnection) -> None:
         """It has its last answer, and needs no more than time to read it."""
-        self._leaving[connection] = None
+        self._finishing[connection] = None
 
-    def closes(self, connection: ServerConnection) -> None:
+    def connection_closing(self, connection: ServerConnection) -> None:
         """Ended, though its descriptor is in use until the loop comes round to it."""
         self.connections.pop(connection, None)
-        self._leaving.pop(connection, None)
-        self.awake(connection)
+        self._finishing.pop(connection, None)
+        self.request_started(connection)
 
-    def left(self, connection: ServerConnection) -> None:
+    def connection_ended(self, connection: ServerConnection) -> None:
         self._descriptors.used -= 1
-        self.closes(connection)
+        self.connection_closing(connection)
 
-    def crowded(self) -> bool:
+    def is_overloaded(self) -> bool:
         """Whether there are no descriptors left to serve one more: then it is turned away, not
         started. Part of the reserved ones serves to tell those clients.
         """
-        quiet = len(self._unheard) + len(self._resting) + len(self._leaving)
-        return len(self.connections) - quiet > self._most
+        without_request = len(self._unused) + len(self._idle) + len(self._finishing)
+        return len(self.connections) - without_request > self._connection_limit
 
     def sweep(self) -> None:
-        now, times = self.loop.time(), self.times()
+        now, times = self.loop.time(), self.time_limits()
         for connection in list(self.connections):
             connection.sweep(now, times)
 
-    async def stop_taking(self) -> None:
+    async def stop_accepting(self) -> None:
         """The front has stopped sending connections: no more are taken. Those that wait in the
         kernel have been accepted by this machine, and are taken first: the close would reset them.
         """
@@ -160,7 +162,7 @@
             return
         poll = select.poll()
         poll.register(self._listener.sockets[0].fileno(), select.POLLIN)
-        end = self.loop.time() + TAKE_S
+        end = self.loop.time() + ACCEPT_WAITING_S
         while poll.poll(0) and self.loop.time() < end:
             await asyncio.sleep(0)
         self.stop_listening()
@@ -174,9 +176,9 @@
         """While draining: end those between two requests, and those of which none came in the time
         that a first one takes.
         """
-        settled = self.loop.time() - UNHEARD_S
+        read_before = self.loop.time() - READ_DELAY_S
         for connection in list(self.connections):
             if connection.idle() and (
-                connection not in self._unheard or connection.last_change < settled
+                connection not in self._unused or connection.last_progress_at < read_before
             ):
                 connection.close_idle()
--- a/roselink/http/server_connection.py
+++ b/roselink/http/server_connection.py
@@ -21,8 +21,8 @@
     from roselink.http.limits import TimeLimits
     from roselink.http.server import HttpServer
 
-AHEAD = 2  # requests parsed ahead on one connection: clients send one at a time
-SLICE = 2048  # bytes parsed at a time, a few requests: one read can hold hundreds
+PIPELINE_LIMIT = 2  # requests parsed ahead on one connection: clients send one at a time
+PARSE_BYTES = 2048  # bytes parsed at a time, a few requests: one read can hold hundreds
 # after an error, so that a client still sending can read why
 LINGER_S = 1.0
 LINGER_BYTES = 1024 * 1024
@@ -38,206 +38,214 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """One client connection: one request at a time, those sent ahead in order.
+    """One client connection: one request at a time, pipelined ones in order.
 
-    A subclass says what a whole request is (`_read`), begins its answer (`_serve`), writes it
-    (`_write`) and calls `_finish` behind its last byte.
+    A subclass reads a complete request (`_read_request`), begins its response (`_serve_request`),
+    writes it (`_write`) and calls `_response_finished` behind its last byte.
     """
 
     def __init__(self, server: HttpServer) -> None:
         self._server = server
         self._transport: asyncio.Transport | None = None
-        self._look: SocketProbe | None = None
+        self._probe: SocketProbe | None = None
         self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
-        self._unfed = b""  # read, not parsed yet
+        self._unparsed = b""  # read, not parsed yet
         self._read_at = (
             server.loop.time()
         )  # when it was read, which a client's deadline counts from
-        self._empty_at = (
+        self._last_empty_at = (
             math.inf
         )  # with reading paused: when the kernel was last seen to hold nothing
-        self._backlog: deque[PendingRequest] = deque()
+        self._pending: deque[PendingRequest] = deque()
         self._serving = False
-        self._keep = True
-        self._advancing = self._paused = self._unread = self._ended = self._partial = False
-        self._discarded = self._complete = 0
-        self._bad: BadRequestError | None = None
-        self.last_change = server.loop.time()  # what the limits on time count from
-        self._begin()
-
-    def _begin(self) -> None:
+        self._keep_alive = True
+        self._is_advancing = self._reading_paused = self._writing_paused = self._input_ended = (
+            self._in_request
+        ) = False
+        self._discarded_bytes = self._completed_requests = 0
+        self._parse_error: BadRequestError | None = None
+        self.last_progress_at = server.loop.time()  # what the limits on time count from
+        self._start_request()
+
+    def _start_request(self) -> None:
         self._url = b""
         self._headers: list[tuple[bytes, bytes]] = []
-        self._size = self._received = 0
+        self._section_bytes = self._request_bytes = 0
         self._body: list[bytes] = []
-        self._head = True
+        self._in_head = True
 
     # The transport's side.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast("asyncio.Transport", transport)  # uvloop's are no subclass of it
-        # With the marks at 0 `_unread` stands for "bytes of an answer left in this process".
+        # With the marks at 0 `_writing_paused` stands for "bytes of a response are left in this
+        # process".
         self._transport.set_write_buffer_limits(high=0)
-        self._look = SocketProbe(transport)
-        self._server.joined(self)
+        self._probe = SocketProbe(transport)
+        self._server.connection_opened(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._transport = self._look = None
-        self._ended = True
-        self._backlog.clear()
-        self._unfed, self._parser = (
+        self._transport = self._probe = None
+        self._input_ended = True
+        self._pending.clear()
+        self._unparsed, self._parser = (
             b"",
             None,
         )  # the parser refers back: a cycle would wait for the collector
-        self._server.left(self)
-        self._departed()
+        self._server.connection_ended(self)
+        self._client_left()
 
     def pause_writing(self) -> None:
-        self._unread = True
-        self.last_change = self._server.loop.time()
+        self._writing_paused = True
+        self.last_progress_at = self._server.loop.time()
 
     def resume_writing(self) -> None:
-        self._unread = False
+        self._writing_paused = False
         self._advance()
         if self.idle():
-            self._server.rests(self)
+            self._server.connection_idle(self)
 
     def data_received(self, data: bytes) -> None:
-        if self._ended:
-            self._discarded += len(data)
-            if self._discarded > LINGER_BYTES:
+        if self._input_ended:
+            self._discarded_bytes += len(data)
+            if self._discarded_bytes > LINGER_BYTES:
                 self.abort()
             return
-        if not self._unfed:
+        if not self._unparsed:
             # What lay unread for a while may have come at any time in it: its client counts from
             # then on.
-            self._read_at, self._empty_at = min(self._server.loop.time(), self._empty_at), math.inf
-        self._unfed += data
+            self._read_at, self._last_empty_at = (
+                min(self._server.loop.time(), self._last_empty_at),
+                math.inf,
+            )
+        self._unparsed += data
         self._advance()
 
-    def _feed(self) -> None:
+    def _parse(self) -> None:
         """Parse what was read, no further ahead than a client needs; the rest waits, as the client
         must.
         """
         while (
-            self._unfed
-            and len(self._backlog) < AHEAD
-            and not self._ended
+            self._unparsed
+            and len(self._pending) < PIPELINE_LIMIT
+            and not self._input_ended
             and self._parser is not None
         ):
-            data, self._unfed = self._unfed[:SLICE], self._unfed[SLICE:]
-            complete = self._complete
+            data, self._unparsed = self._unparsed[:PARSE_BYTES], self._unparsed[PARSE_BYTES:]
+            complete = self._completed_requests
             try:
                 self._parser.feed_data(data)
-                if self._partial and complete == self._complete:
+                if self._in_request and complete == self._completed_requests:
                     # A header without end, or an endless extension of a chunk, reaches no callback.
-                    self._received += len(data)
-                    if self._head and self._received > self._server.sizes.head:
+                    self._request_bytes += len(data)
+                    if self._in_head and self._request_bytes > self._server.size_limits.head:
                         raise BadRequestError(431, "head too long")
-                    if self._received > self._server.sizes.message:
+                    if self._request_bytes > self._server.size_limits.message:
                         raise BadRequestError(413, "request too long")
             except httptools.HttpParserUpgrade:
                 # The offer is not taken up: the request is served, and what follows is not HTTP any
                 # more.
-                self._ended, self._backlog[-1].keep = True, False
+                self._input_ended, self._pending[-1].keep = True, False
             except (httptools.HttpParserError, BadRequestError) as error:
                 bad = (
                     error
                     if isinstance(error, BadRequestError)
-                    else self._bad or BadRequestError(400, f"not HTTP: {error}")
+                    else self._parse_error or BadRequestError(400, f"not HTTP: {error}")
                 )
-                self._ended = True
-                self._backlog.append(PendingRequest(None, bad.status, False, str(bad)))
-        if self._ended:
-            self._unfed = b""
-        wait = bool(self._unfed) and not self._ended
-        if self._transport is None or self._look is None or not (wait or self._paused):
+                self._input_ended = True
+                self._pending.append(PendingRequest(None, bad.status, False, str(bad)))
+        if self._input_ended:
+            self._unparsed = b""
+        wait = bool(self._unparsed) and not self._input_ended
+        if self._transport is None or self._probe is None or not (wait or self._reading_paused):
             return
-        if not self._paused:
-            self._empty_at = self._read_at
+        if not self._reading_paused:
+            self._last_empty_at = self._read_at
             self._transport.pause_reading()
-        elif not self._look.unread():
-            self._empty_at = self._server.loop.time() if wait else math.inf
+        elif not self._probe.has_unread():
+            self._last_empty_at = self._server.loop.time() if wait else math.inf
         if not wait:
             self._transport.resume_reading()
-        self._paused = wait
+        self._reading_paused = wait
 
     # The parser's side.
 
     def on_message_begin(self) -> None:
-        self._begin()
-        self._partial = True
+        self._start_request()
+        self._in_request = True
         if not self._serving:
-            self.last_change = self._server.loop.time()
-        self._server.awake(self)
+            self.last_progress_at = self._server.loop.time()
+        self._server.request_started(self)
 
     def on_url(self, url: bytes) -> None:
         self._url += url
-        self._grow(len(url))
+        self._count_head_bytes(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if not self._head:
+        if not self._in_head:
             return  # a trailer: it must not stand in for a header that was checked
         self._headers.append((name, value.strip()))
-        self._grow(len(name) + len(value) + 4)
+        self._count_head_bytes(len(name) + len(value) + 4)
 
-    def _grow(self, size: int) -> None:
-        self._size += size
-        if self._size > self._server.sizes.head:
+    def _count_head_bytes(self, size: int) -> None:
+        self._section_bytes += size
+        if self._section_bytes > self._server.size_limits.head:
             self._reject(431, "head too long")
 
     def _reject(self, status: int, why: str) -> None:
         """End the parsing from inside a callback; the parser wraps what is raised here."""
-        self._bad = BadRequestError(status, why)
-        raise self._bad
+        self._parse_error = BadRequestError(status, why)
+        raise self._parse_error
 
     def on_headers_complete(self) -> None:
-        self._head, self._size = False, 0
+        self._in_head, self._section_bytes = False, 0
         assert self._parser is not None
         try:
-            check_framing(self._parser.get_http_version(), self._headers, self._server.sizes.body)
+            check_framing(
+                self._parser.get_http_version(), self._headers, self._server.size_limits.body
+            )
         except BadRequestError as bad:
             self._reject(bad.status, str(bad))
 
     def on_body(self, body: bytes) -> None:
-        self._size += len(body)
-        if self._size > self._server.sizes.body:
+        self._section_bytes += len(body)
+        if self._section_bytes > self._server.size_limits.body:
             self._reject(413, "body too long")
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        self._partial, self._complete = False, self._complete + 1
+        self._in_request, self._completed_requests = False, self._completed_requests + 1
         assert self._parser is not None
         keep = self._parser.should_keep_alive()
         try:
-            pending = self._read(self._parser.get_method(), keep)
+            pending = self._read_request(self._parser.get_method(), keep)
         except BadRequestError as bad:
             pending = PendingRequest(None, bad.status, keep, str(bad))
-        self._backlog.append(pending)
+        self._pending.append(pending)
 
     # One request after another.
 
     def _advance(self) -> None:
         """Begin the next request, once the answer before it is on its way and was read."""
-        if self._advancing:
+        if self._is_advancing:
             return
-        self._advancing = True
+        self._is_advancing = True
         try:
-            self._feed()
+            self._parse()
             while (
-                self._backlog
+                self._pending
                 and not self._serving
-                and not self._unread
+                and not self._writing_paused
                 and self._transport is not None
             ):
-                self._serve(self._backlog.popleft())
-                self._feed()
+                self._serve_request(self._pending.popleft())
+                self._parse()
         finally:
-            self._advancing = False
+            self._is_advancing = False
 
     # What a subclass says.
 
-    def _read(self, method: bytes, keep: bool) -> PendingRequest:
+    def _read_request(self, method: bytes, keep: bool) -> PendingRequest:
         """Read the request that has just become complete.
 
         Args:
@@ -249,39 +257,39 @@
         """
         raise NotImplementedError
 
-    def _serve(self, pending: PendingRequest) -> None:
+    def _serve_request(self, pending: PendingRequest) -> None:
         """Answer one, at once or later; `begin_answer` first."""
         raise NotImplementedError
 
-    def _departed(self) -> None:
+    def _client_left(self) -> None:
         """The client has gone, also in the middle of an answer."""
 
     # An answer.
 
-    def _may_keep(self) -> bool:
+    def _may_keep_alive(self) -> bool:
         """Whether the connection stays open behind this answer. What was sent ahead has been taken
         and is owed an answer, also where it lies in the kernel: the last answer says `close`.
         """
-        ahead = bool(self._backlog) or bool(self._unfed) or self._partial
-        if ahead or not self._server.draining or not self._keep:
-            return self._keep
-        return self._look is not None and self._look.unread()
+        ahead = bool(self._pending) or bool(self._unparsed) or self._in_request
+        if ahead or not self._server.draining or not self._keep_alive:
+            return self._keep_alive
+        return self._probe is not None and self._probe.has_unread()
 
     def _write(self, data: bytes) -> None:
         if self._transport is not None:
             self._transport.write(data)
 
-    def _finish(self, keep: bool) -> None:
+    def _response_finished(self, keep: bool) -> None:
         """The last byte of an answer is on its way."""
         self._serving = False
-        self.last_change = self._server.loop.time()
+        self.last_progress_at = self._server.loop.time()
         if self._transport is None:
             return
         if keep:
-            if self._backlog or self._unfed or self._partial:
+            if self._pending or self._unparsed or self._in_request:
                 self._server.loop.call_soon(self._advance)
-            elif not self._unread:
-                self._server.rests(self)
+            elif not self._writing_paused:
+                self._server.connection_idle(self)
         else:
             self._close()
 
@@ -290,30 +298,30 @@
         could take the answer along, so the sending side ends first and what still comes is thrown
         away for a while.
         """
-        self._ended = True
-        self._backlog.clear()
-        self._unfed = b""
+        self._input_ended = True
+        self._pending.clear()
+        self._unparsed = b""
         if self._transport is not None:
-            if self._paused:
-                self._paused = False
+            if self._reading_paused:
+                self._reading_paused = False
                 self._transport.resume_reading()
-            self._server.leaves(self)
+            self._server.connection_finishing(self)
             if self._transport.can_write_eof():
                 self._transport.write_eof()
-            self._server.loop.call_later(LINGER_S, self._lingered)
+            self._server.loop.call_later(LINGER_S, self._end_linger)
 
-    def _lingered(self) -> None:
+    def _end_linger(self) -> None:
         """The end of the time that a last answer has. (`sweep` ends a connection whose client does
         not take it.)
         """
-        if self._transport is not None and not self.close_left():
-            self._server.loop.call_later(LINGER_S, self._lingered)
+        if self._transport is not None and not self.close_finished():
+            self._server.loop.call_later(LINGER_S, self._end_linger)
 
     def eof_received(self) -> bool:
         return False  # the client has closed: the transport closes too, and an open request departs
 
     def abort(self) -> None:
-        self._server.closes(self)
+        self._server.connection_closing(self)
         if self._transport is not None:
             self._transport.abort()
 
@@ -321,7 +329,7 @@
         """Whether the client has left. Not read any further, its connection would stay: it ends
         here.
         """
-        if self._look is not None and self._look.left():
+        if self._probe is not None and self._probe.peer_closed():
             self.abort()
             return True
         return self._transport is None
@@ -332,24 +340,30 @@
         """Whether it is between two requests, as far as this process has read, with all answers
         gone out.
         """
-        busy = self._serving or self._backlog or self._unfed or self._partial or self._unread
-        return not (busy or self._ended)
+        busy = (
+            self._serving
+            or self._pending
+            or self._unparsed
+            or self._in_request
+            or self._writing_paused
+        )
+        return not (busy or self._input_ended)
 
     def close_idle(self) -> bool:
         """End it between two requests, by our choice; whether it ended. A request that lies unread
         in the kernel has been taken and is owed an answer, and a close on it would be a reset.
         """
-        if self._look is None or self._look.unread():
+        if self._probe is None or self._probe.has_unread():
             return False
         self.abort()
         return True
 
-    def close_left(self) -> bool:
+    def close_finished(self) -> bool:
         """End it after its last answer, once the kernel has that; whether it ended. What comes
         meanwhile is read first: a close on it would be a reset, which takes along what the client's
         kernel has not got.
         """
-        if self._unread or self._look is None or self._look.unread():
+        if self._writing_paused or self._probe is None or self._probe.has_unread():
             return False
         self.abort()
         return True
@@ -358,13 +372,15 @@
         """Ends what takes too long. Guards the descriptors against clients that come and say
         nothing.
         """
-        waited = now - self.last_change
-        if self._unread and waited > times.unread:
+        waited = now - self.last_progress_at
+        if self._writing_paused and waited > times.unread:
             self.abort()
-        elif self._partial and not self._serving and not self._ended:
-            if waited > (times.head if self._head else times.body):
-                self._ended = True
-                self._backlog.append(PendingRequest(None, 408, False, "request not whole in time"))
+        elif self._in_request and not self._serving and not self._input_ended:
+            if waited > (times.head if self._in_head else times.body):
+                self._input_ended = True
+                self._pending.append(PendingRequest(None, 408, False, "request not whole in time"))
                 self._advance()
-        elif self.idle() and waited > times.idle[min(self._complete, len(times.idle) - 1)]:
+        elif (
+            self.idle() and waited > times.idle[min(self._completed_requests, len(times.idle) - 1)]
+        ):
             self.close_idle()
--- a/roselink/http/socket_probe.py
+++ b/roselink/http/socket_probe.py
@@ -27,17 +27,17 @@
     def _events(self) -> int:
         return next((events for _, events in self._poll.poll(0)), 0)
 
-    def unread(self) -> bool:
+    def has_unread(self) -> bool:
         """Whether bytes, or the end, have come that this process has not read yet."""
         return bool(self._events())
 
-    def left(self) -> bool:
+    def peer_closed(self) -> bool:
         """Whether the other side has ended its sending or is gone, however much of it is still
         unread.
         """
         return bool(self._events() & _LEFT)
 
-    def reset(self) -> bool:
+    def was_reset(self) -> bool:
         """Whether the connection is gone in both directions, as a reset leaves it and an end does
         not.
         """
--- a/tests/dataplane/test_clients.py
+++ b/tests/dataplane/test_clients.py
@@ -110,10 +110,10 @@
 async def test_half_a_head_is_answered_once_its_time_is_up() -> None:
     async with running_data_plane(plain(), limits=LIMITS) as harness, harness.client() as client:
         client.writer.write(request("/once/x")[:-6])
-        await until(lambda: any(c._partial for c in harness.plane.server.connections))
+        await until(lambda: any(c._in_request for c in harness.plane.server.connections))
         [connection] = harness.plane.server.connections
         harness.plane.server.sweep()
-        connection.last_change -= 1.0
+        connection.last_progress_at -= 1.0
         harness.plane.server.sweep()
         assert (await client.answer()).status == 408
         assert not harness.hosts[0].seen
@@ -124,10 +124,10 @@
     async with running_data_plane(plain(), limits=LIMITS) as harness, harness.client() as client:
         assert (await client.ask("/once/x")).status == 200
         [connection] = harness.plane.server.connections
-        connection.last_change -= 4.9
+        connection.last_progress_at -= 4.9
         harness.plane.server.sweep()
         assert (await client.ask("/once/x")).status == 200
-        connection.last_change -= 5.0 + IDLE_OVER_S
+        connection.last_progress_at -= 5.0 + IDLE_OVER_S
         harness.plane.server.sweep()
         assert await client.ended()
 
@@ -148,7 +148,7 @@
             told = LIMITS | {"idle_timeout_ms": idle_ms, "max_body_bytes": 10}
             harness.authority.tell(harness.snapshot(*lines, limits=told))
         [connection] = harness.plane.server.connections
-        connection.last_change -= rested
+        connection.last_progress_at -= rested
         harness.plane.server.sweep()
         if kept:
             assert (await client.ask("/once/x", body=b"x" * 3000)).status == 200
@@ -162,7 +162,7 @@
     async with running_data_plane(plain(), limits=LIMITS) as harness, harness.client() as client:
         assert (await client.ask("/once/x")).status == 200
         [connection] = harness.plane.server.connections
-        connection.last_change -= 60.0
+        connection.last_progress_at -= 60.0
         harness.plane._swept_at -= 60.0
         harness.plane._sweep()
         assert (await client.ask("/once/x")).status == 200
--- a/tests/dataplane/test_data_plane.py
+++ b/tests/dataplane/test_data_plane.py
@@ -332,7 +332,7 @@
 
 @on_loop
 async def test_a_surplus_answer_reaches_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(host_pool, "SETTLE_S", -1.0)
+    monkeypatch.setattr(host_pool, "REUSE_DELAY_S", -1.0)
 
     async def late(message: Message, writer: asyncio.StreamWriter) -> None:
         if len(harness.hosts[0].seen) > 1:
--- a/tests/dataplane/test_guards.py
+++ b/tests/dataplane/test_guards.py
@@ -278,7 +278,7 @@
 async def test_bytes_that_come_right_behind_an_answer_reach_nobody(
     settle: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(host_pool, "SETTLE_S", settle)
+    monkeypatch.setattr(host_pool, "REUSE_DELAY_S", settle)
     monkeypatch.setattr(fleet_host_pool, "ONCE_IDLE_S", 1.0)
 
     async def doubled(message: Message, writer: asyncio.StreamWriter) -> None:
@@ -332,7 +332,7 @@
 async def test_no_other_request_goes_where_the_rest_of_a_long_body_is_due(
     size: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(host_pool, "SETTLE_S", -1.0)
+    monkeypatch.setattr(host_pool, "REUSE_DELAY_S", -1.0)
     monkeypatch.setattr(fleet_host_pool, "ONCE_IDLE_S", 1.0)
     early = await EarlyHost("i-early").start()
     assert isinstance(early, EarlyHost)
@@ -395,7 +395,7 @@
     """The connection to the second host is there already: a send would be a matter of no time at
     all.
     """
-    monkeypatch.setattr(host_pool, "SETTLE_S", -1.0)
+    monkeypatch.setattr(host_pool, "REUSE_DELAY_S", -1.0)
     decider = Slow()
     keeps = plain(b"ok", "200 OK", "Keep-Alive: timeout=9")
     async with (
@@ -484,7 +484,7 @@
 async def test_no_request_waits_behind_a_body_that_its_host_does_not_read(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(host_pool, "SETTLE_S", -1.0)
+    monkeypatch.setattr(host_pool, "REUSE_DELAY_S", -1.0)
     stuck = await StuckHost("i-stuck").start()
     limits = {"max_body_bytes": 200 * PROVEN_LIMIT}
     async with running_data_plane(plain(), limits=limits) as harness:
--- a/tests/dataplane/test_host_directory.py
+++ b/tests/dataplane/test_host_directory.py
@@ -45,7 +45,8 @@
 
 def state(of: HostDirectory) -> dict[str, tuple[object, ...]]:
     return {
-        name: (host.address, host.service, host.most, host.ready) for name, host in of.hosts.items()
+        name: (host.address, host.service, host.connection_limit, host.ready)
+        for name, host in of.hosts.items()
     }
 
 
@@ -73,7 +74,7 @@
     made, _ = directory()
     made.update(snapshot((HOST,)))
     made.update(snapshot((HOST,), gateways, connections))
-    assert made.hosts["h"].most == most
+    assert made.hosts["h"].connection_limit == most
 
 
 @pytest.mark.parametrize("seed", range(20))
--- a/tests/dataplane/test_host_pool.py
+++ b/tests/dataplane/test_host_pool.py
@@ -36,7 +36,7 @@
 @pytest.fixture(autouse=True)
 def settled(monkeypatch: pytest.MonkeyPatch) -> None:
     """Connections are taken for settled at once."""
-    monkeypatch.setattr(host_pool, "SETTLE_S", -1.0)
+    monkeypatch.setattr(host_pool, "REUSE_DELAY_S", -1.0)
 
 
 async def ask_in_turn(harness: DataPlaneHarness, count: int, path: str = "/once/x") -> None:
@@ -216,7 +216,7 @@
         assert len(harness.hosts[0].seen) == CONNECTIONS_LEAST
         for client in clients:
             await client.__aexit__()
-        await until(lambda: harness.plane.engine.hosts["i-0"].open == 0)
+        await until(lambda: harness.plane.engine.hosts["i-0"].open_count == 0)
 
 
 @on_loop
@@ -383,7 +383,7 @@
             "127.0.0.1", harness.plane.port, limit=4096
         )
         client.writer.write(request("/plan/x", X_Request_Deadline="20000"))
-        await until(lambda: any(c._unread for c in harness.plane.server.connections))
+        await until(lambda: any(c._writing_paused for c in harness.plane.server.connections))
         stopped = -1
         while stopped != written:
             stopped = written
@@ -412,7 +412,7 @@
         await until(lambda: not harness.plane.server.connections and not harness.plane.engine.open)
         idle = sum(len(host.idle) for host in harness.plane.engine.hosts.values())
         await until(lambda: harness.plane.upstream._descriptors.used == idle)
-        assert sum(host.open for host in harness.plane.engine.hosts.values()) == idle
+        assert sum(host.open_count for host in harness.plane.engine.hosts.values()) == idle
 
 
 @on_loop
--- a/tests/gateway/test_closes.py
+++ b/tests/gateway/test_closes.py
@@ -36,9 +36,9 @@
     """A client that has had an answer, and its connection, which rests."""
     client = SuddenClient(w.gateway.port)
     client.send()
-    await until(lambda: bool(w.gateway.server._resting))
+    await until(lambda: bool(w.gateway.server._idle))
     assert client.socket.recv(65536).startswith(b"HTTP/1.1 200")
-    return client, next(iter(w.gateway.server._resting))
+    return client, next(iter(w.gateway.server._idle))
 
 
 async def received(client: SuddenClient) -> bytes:
@@ -51,13 +51,13 @@
 
 
 def sweep(to: Server, connection: ServerConnection) -> None:
-    connection.last_change -= 1000.0
+    connection.last_progress_at -= 1000.0
     to.sweep()
 
 
 def rest_of_others(to: Server, connection: ServerConnection) -> None:
-    to._heard_most = -1
-    to.rests(next(other for other in to.connections if other is not connection))
+    to._used_limit = -1
+    to.connection_idle(next(other for other in to.connections if other is not connection))
 
 
 def room(to: Server, connection: ServerConnection) -> None:
@@ -91,7 +91,7 @@
         for client in clients:
             client.send()
         w.gateway.server.drain(1000.0, 1000.0)
-        await w.gateway.server.stop_taking()
+        await w.gateway.server.stop_accepting()
         for client in clients:
             assert (await received(client)).startswith(b"HTTP/1.1 200")
         with pytest.raises(ConnectionRefusedError):
@@ -102,7 +102,7 @@
 async def test_a_drain_leaves_a_new_connection_the_time_for_its_first_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(http_server, "UNHEARD_S", 1000.0)
+    monkeypatch.setattr(http_server, "READ_DELAY_S", 1000.0)
     async with world(serve_ok) as w:
         client = SuddenClient(w.gateway.port)
         await until(lambda: bool(w.gateway.server.connections))
@@ -123,7 +123,7 @@
     assert transport is not None
     transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     client.send()
-    await until(lambda: connection._unread)
+    await until(lambda: connection._writing_paused)
     assert transport.get_write_buffer_size() > BODY_LIMIT // 2
     return client, connection
 
@@ -144,17 +144,17 @@
 @on_loop
 async def test_a_last_answer_is_read_whole_however_slowly(monkeypatch: pytest.MonkeyPatch) -> None:
     looks: list[ServerConnection] = []
-    lingered = ServerConnection._lingered
+    lingered = ServerConnection._end_linger
 
     def look(connection: ServerConnection) -> None:
         looks.append(connection)
         lingered(connection)
 
     monkeypatch.setattr(server_connection, "LINGER_S", 0.001)
-    monkeypatch.setattr(ServerConnection, "_lingered", look)
+    monkeypatch.setattr(ServerConnection, "_end_linger", look)
     async with world(say(answer(b"x" * BODY_LIMIT))) as w:
         client, connection = await unread(w)
-        connection._keep = False
+        connection._keep_alive = False
         connection._close()
         await until(lambda: len(looks) >= 3 or connection._transport is None)  # over each time
         data = b""
@@ -163,7 +163,7 @@
         assert data.count(b"x") == BODY_LIMIT
 
 
-@pytest.mark.parametrize("close", [ServerConnection._lingered, ServerConnection.close_left])
+@pytest.mark.parametrize("close", [ServerConnection._end_linger, ServerConnection.close_finished])
 @on_loop
 async def test_a_last_answer_is_not_reset_by_what_still_comes(
     close: Callable[[ServerConnection], object], monkeypatch: pytest.MonkeyPatch
@@ -176,9 +176,9 @@
         client = SuddenClient(w.gateway.port, receive_buffer=4096)
         w.gateway.server.draining = True
         client.send()
-        await until(lambda: bool(w.gateway.server._leaving))
-        [connection] = w.gateway.server._leaving
-        assert not connection._unread
+        await until(lambda: bool(w.gateway.server._finishing))
+        [connection] = w.gateway.server._finishing
+        assert not connection._writing_paused
         client.send()
         close(connection)
         got = b""
@@ -220,10 +220,10 @@
         asked, client = taken(w), SuddenClient(w.gateway.port)
         w.gateway.server.draining = True
         client.send()
-        await until(lambda: bool(w.gateway.server._leaving))
-        [connection] = w.gateway.server._leaving
+        await until(lambda: bool(w.gateway.server._finishing))
+        [connection] = w.gateway.server._finishing
         client.send()
-        await until(lambda: connection._discarded > 0)
+        await until(lambda: connection._discarded_bytes > 0)
         assert b"Connection: close" in await received(client)
         assert await received(client) == b""
         assert len(asked) == len(w.hosts[0].seen) == 1
--- a/tests/gateway/test_departures.py
+++ b/tests/gateway/test_departures.py
@@ -38,7 +38,7 @@
 @pytest.fixture(autouse=True)
 def connections_settle_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """With a connection at hand a send is written in the turn in which it comes due."""
-    monkeypatch.setattr(host_pool, "SETTLE_S", -1.0)
+    monkeypatch.setattr(host_pool, "REUSE_DELAY_S", -1.0)
 
 
 @pytest.fixture(
@@ -167,7 +167,7 @@
         first, *others = client.send(count=60)
         await w.hosts[0].came.get()
         [connection] = w.gateway.server.connections
-        assert connection._paused
+        assert connection._reading_paused
         client.leave()
         w.hosts[0].writers[0].write(answer())
         await until(lambda: not w.gateway.server.connections)
@@ -215,7 +215,7 @@
         asked, client, (number, data) = taken(w), SuddenClient(w.gateway.port), client_request()
         if pieces == 2:
             client.socket.sendall(data[:20])
-            await until(lambda: any(c._partial for c in w.gateway.server.connections))
+            await until(lambda: any(c._in_request for c in w.gateway.server.connections))
         client.socket.sendall(data[20 * (pieces - 1) :])
         client.leave()
         await until(lambda: bool(asked))
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -653,9 +653,9 @@
 async def test_a_request_that_never_gets_whole_is_ended() -> None:
     async with world(serve_ok) as w, w.client() as client:
         client.writer.write(b"GET /status-check/k HTTP/1.1\r\nX:")
-        await until(lambda: any(c._partial for c in w.gateway.server.connections))
+        await until(lambda: any(c._in_request for c in w.gateway.server.connections))
         for connection in w.gateway.server.connections:
-            connection.last_change -= RECEIVE_S + 1
+            connection.last_progress_at -= RECEIVE_S + 1
         assert (await client.receive()).status == 408
         assert await at_end(client) == b""
 
@@ -666,11 +666,11 @@
     async with world(say(answer(b"x" * 60_000))) as w, w.client() as client:
         client.writer.transport.pause_reading()  # type: ignore[attr-defined]
         connections = w.gateway.server.connections
-        while not any(c._unread for c in connections):
+        while not any(c._writing_paused for c in connections):
             client.send()
             await asyncio.sleep(0)
         for connection in connections:
-            connection.last_change -= UNREAD_S + 1
+            connection.last_progress_at -= UNREAD_S + 1
         await until(lambda: not connections)
 
 
@@ -701,7 +701,7 @@
     """Connections between two requests belong to usual clients: the never-heard go before them."""
     async with world(serve_ok, limits={"sockets": RESERVED + 16}) as w, w.client() as usual:
         assert (await usual.ask()).status == 200
-        monkeypatch.setattr(http_server, "UNHEARD_S", -1.0)
+        monkeypatch.setattr(http_server, "READ_DELAY_S", -1.0)
         silent = [await w.client().__aenter__() for _ in range(30)]
         assert await at_end(silent[0]) == b""
         assert (await usual.ask()).status == 200
@@ -733,10 +733,10 @@
         for _ in range(300):
             client.send()
         await w.hosts[0].came.get()
-        await until(lambda: all(c._paused for c in w.gateway.server.connections))
+        await until(lambda: all(c._reading_paused for c in w.gateway.server.connections))
         (connection,) = w.gateway.server.connections
-        assert len(connection._backlog) < 20
-        assert connection._unfed
+        assert len(connection._pending) < 20
+        assert connection._unparsed
 
 
 @pytest.mark.parametrize("start", [b"GET /status-check/k HTTP/1.1\r\nX:", b"G", b"\r\n", b""])
@@ -816,7 +816,7 @@
     them.
     """
     monkeypatch.setattr(server_connection, "LINGER_S", 1000.0)
-    monkeypatch.setattr(http_server, "UNHEARD_S", -1.0)
+    monkeypatch.setattr(http_server, "READ_DELAY_S", -1.0)
     async with world(serve_ok, limits={"sockets": RESERVED + 16}) as w:
         bad = [await w.client().__aenter__() for _ in range(8)]
         for client in bad:
@@ -871,7 +871,7 @@
         assert set(w.gateway.upstream._idle) == set(idle)
         await until(lambda: w.gateway.server._descriptors.used == len(w.gateway.upstream._idle))
         assert not (
-            w.gateway.server._unheard or w.gateway.server._resting or w.gateway.server._leaving
+            w.gateway.server._unused or w.gateway.server._idle or w.gateway.server._finishing
         )
 
 
@@ -900,13 +900,13 @@
     async with world(say(answer(b"x" * 60_000))) as w, w.client() as client:
         client.writer.transport.pause_reading()  # type: ignore[attr-defined]
         connection = await joined(w)
-        while not connection._unread:
+        while not connection._writing_paused:
             client.send()
             await asyncio.sleep(0)
-        assert connection not in w.gateway.server._resting
+        assert connection not in w.gateway.server._idle
         client.writer.transport.resume_reading()  # type: ignore[attr-defined]
         taken = asyncio.ensure_future(at_end(client))
-        await until(lambda: connection in w.gateway.server._resting)
+        await until(lambda: connection in w.gateway.server._idle)
         taken.cancel()
 
 
@@ -938,7 +938,7 @@
         asked, client, host = taken(w), SuddenClient(w.gateway.port), w.hosts[0]
         client.send(count=60)
         await host.came.get()
-        assert (await joined(w))._paused
+        assert (await joined(w))._reading_paused
         earliest = await tick()
         host.writers[-1].write(answer())
         await host.came.get()
@@ -960,7 +960,7 @@
         asked, (_, data) = taken(w), client_request()
         client.writer.write(data[:-2])
         connection = await joined(w)
-        await until(lambda: connection._partial)
+        await until(lambda: connection._in_request)
         began = loop.time()
         await until(lambda: loop.time() > began + 0.01)
         client.writer.write(data[-2:])
--- a/tests/gateway/test_host_pool.py
+++ b/tests/gateway/test_host_pool.py
@@ -14,7 +14,7 @@
 
 from roselink.http import host_pool
 from roselink.http.descriptors import RESERVED, Descriptors
-from roselink.http.host_connection import Answer, Attempt, Host, HostConnection
+from roselink.http.host_connection import Attempt, HostConnection, HostResponse, PooledHost
 from roselink.http.host_pool import HostPool
 from roselink.routing.outcome import Outcome
 from tests.support.net import (
@@ -48,8 +48,8 @@
     def __init__(self, address: Address, connect_s: float = LONG_S, sockets: int = 100) -> None:
         self.descriptors = Descriptors(RESERVED + sockets)
         self.upstream = HostPool(asyncio.get_running_loop(), self.descriptors, connect_s, 15.0)
-        self.host = Host("s-1", address)
-        self.results: list[tuple[Outcome, Answer | None]] = []
+        self.host = PooledHost("s-1", address)
+        self.results: list[tuple[Outcome, HostResponse | None]] = []
         self.wanted = True
 
     def start(self, request: bytes = REQUEST, timeout_s: float = LONG_S) -> Attempt:
@@ -63,7 +63,7 @@
 
     async def run(
         self, request: bytes = REQUEST, timeout_s: float = LONG_S
-    ) -> tuple[Outcome, Answer | None]:
+    ) -> tuple[Outcome, HostResponse | None]:
         before = len(self.results)
         self.start(request, timeout_s)
         await until(lambda: len(self.results) > before)
@@ -158,7 +158,7 @@
     connection, (host, _) = attempt.connection, listener.accept()
     assert connection is not None
     host.sendall(b"HTTP/1.1 200 OK\r\n\r\nhalf")
-    await until(lambda: connection._stall is not None)
+    await until(lambda: connection._overdue_timer is not None)
     close_resets(host)
     host.close()
     if taken_for_an_end:
@@ -199,9 +199,9 @@
         await until(lambda number=number: len(host.seen) == number + 1)  # type: ignore[misc]
     host.writers[0].write(answer())
     await until(lambda: len(bench.results) == 1)
-    bench.host.heard -= 1.0
+    bench.host.last_byte_at -= 1.0
     attempt = bench.start(timeout_s=0.05)
-    await until(lambda: attempt.over)
+    await until(lambda: attempt.is_over)
     assert not bench.host.idle or all(c.closing() for c in bench.host.idle)
 
 
@@ -278,7 +278,7 @@
 @on_loop
 async def test_the_most_recent_connection_is_used_again(monkeypatch: pytest.MonkeyPatch) -> None:
     """New connections cost the host work; the least used ones are let go idle."""
-    monkeypatch.setattr(host_pool, "SETTLE_S", -1.0)
+    monkeypatch.setattr(host_pool, "REUSE_DELAY_S", -1.0)
     host = await FakeHost(behave=hang).start()
     bench = Bench(host.address)
     for number in range(2):
@@ -338,13 +338,13 @@
     give it to another client. With no time to settle, only the look at the socket guards against
     that.
     """
-    monkeypatch.setattr(host_pool, "SETTLE_S", -1.0)
+    monkeypatch.setattr(host_pool, "REUSE_DELAY_S", -1.0)
     host = await FakeHost(behave=say(answer(b"first"))).start()
     bench = Bench(host.address)
     await bench.run()
     waiting = bench.host.idle[0]
     host.writers[0].write(answer(b"copy"))  # leaves at once; this loop has not read it yet
-    while not waiting.unread():
+    while not waiting.has_unread():
         pass
     host.behave = say(answer(b"second"))
     outcome, reply = await bench.run()
@@ -359,7 +359,7 @@
     """What comes a moment behind an answer must find the connection idle, not in use by another
     request.
     """
-    monkeypatch.setattr(host_pool, "SETTLE_S", 1000.0)
+    monkeypatch.setattr(host_pool, "REUSE_DELAY_S", 1000.0)
     host = await FakeHost().start()
     bench = Bench(host.address)
     for number in (1, 2):
@@ -440,7 +440,7 @@
     one, other = await FakeHost().start(), await FakeHost().start()
     bench = Bench(one.address, sockets=1)
     await bench.run()
-    bench.host = Host("s-2", other.address)
+    bench.host = PooledHost("s-2", other.address)
     assert (await bench.run())[0] is Outcome.SUCCESS
     assert await one.closed.get() == 0
 
@@ -486,9 +486,11 @@
     bench = Bench(host.address)
     attempt = bench.start()
     await host.came.get()
-    await until(lambda: attempt.connection is not None and attempt.connection._stall is not None)
+    await until(
+        lambda: attempt.connection is not None and attempt.connection._overdue_timer is not None
+    )
     assert attempt.connection is not None
     os.write(host.writers[0].get_extra_info("socket").fileno(), b"ole")
-    attempt.connection._stalled()
+    attempt.connection._response_overdue()
     await until(lambda: bool(bench.results))
-    assert bench.results == [(Outcome.SUCCESS, Answer(b"whole", None))]
+    assert bench.results == [(Outcome.SUCCESS, HostResponse(b"whole", None))]
--- a/tests/mutations/dataplane.py
+++ b/tests/mutations/dataplane.py
@@ -177,18 +177,18 @@
         DATAPLANE,
         (
             "an answer to another request is taken",
-            "if answered != attempt.request_id and not rejected:",
-            "if not answered and not rejected:",
+            "if response_id != attempt.request_id and not rejected:",
+            "if not response_id and not rejected:",
         ),
         ("a long request counts as never sent", "if self._sent_bytes > PROVEN_LIMIT:", "if False:"),
         (
             "a connection is kept behind a surplus answer",
-            "should_keep_alive() and not self._surplus",
+            "should_keep_alive() and not self._surplus_count",
             "should_keep_alive()",
         ),
         (
             "a connection that its host may have ended",
-            "return self.upstream.now() - self.idle_since > self._keep_s",
+            "return self.upstream.now() - self.idle_since > self._idle_limit_s",
             "return False",
         ),
         (
@@ -208,8 +208,8 @@
         ),
         (
             "surplus answers without end",
-            "if not answered or self._surplus > SURPLUS_LIMIT:",
-            "if not answered:",
+            "if not response_id or self._surplus_count > SURPLUS_LIMIT:",
+            "if not response_id:",
         ),
     ),
     *mutations_of(
@@ -217,10 +217,14 @@
         DATAPLANE,
         (
             "an old connection for what runs once",
-            "return not once or fresh or connection.stale()",
+            "return not single_run or fresh or connection.stale()",
+            "return True",
+        ),
+        (
+            "more connections than a host takes",
+            "return host.open_count < host.connection_limit",
             "return True",
         ),
-        ("more connections than a host takes", "return host.open < host.most", "return True"),
     ),
     *mutations_of(
         "dataplane/event_streams.py",
--- a/tests/mutations/http.py
+++ b/tests/mutations/http.py
@@ -16,13 +16,13 @@
         CONNECTION_POOL,
         (
             "a connection that is closing is used",
-            "            if connection.stale() or connection.unread():\n",
+            "            if connection.stale() or connection.has_unread():\n",
             "            if connection.stale():\n",
         ),
         (
             "bytes right behind an answer meet the next",
-            "        settled = attempt.began - SETTLE_S\n",
-            "        settled = attempt.began\n",
+            "        reusable_before = attempt.started_at - REUSE_DELAY_S\n",
+            "        reusable_before = attempt.started_at\n",
         ),
     ),
     *mutations_of(
@@ -30,23 +30,23 @@
         CONNECTION_POOL,
         (
             "a connection is kept where a body is still due",
-            "if self._keep and not self._excess and not self._unsent:",
-            "if self._keep and not self._excess:",
+            "if self._keep_alive and not self._has_excess and not self._has_unsent:",
+            "if self._keep_alive and not self._has_excess:",
         ),
         (
             "a reset counts as the end",
-            "endless\n            and self._look is not None\n"
-            "            and not self._look.reset()",
-            "endless and self._look is not None",
+            "ends_by_close\n            and self._probe is not None\n"
+            "            and not self._probe.was_reset()",
+            "ends_by_close and self._probe is not None",
         ),
         (
             "unsent bytes count as sent",
-            "Outcome.CONNECT_FAILED if self._unsent else Outcome.RESET",
+            "Outcome.CONNECT_FAILED if self._has_unsent else Outcome.RESET",
             "Outcome.RESET",
         ),
         (
             "sent bytes count as unsent",
-            "Outcome.CONNECT_FAILED if self._unsent else Outcome.RESET",
+            "Outcome.CONNECT_FAILED if self._has_unsent else Outcome.RESET",
             "Outcome.CONNECT_FAILED",
         ),
     ),
