--- a/roselink/gateway/server.py
+++ b/roselink/gateway/server.py
@@ -50,13 +50,13 @@
         self._owner = server
         self._opened: OpenRequest | None = None
 
-    def _departed(self) -> None:
+    def _client_left(self) -> None:
         if self._opened is not None:
             opened = self._opened
             self._opened = None
             self._owner.engine.depart(opened)
 
-    def _read(self, method: bytes, keep: bool) -> PendingRequest:
+    def _read_request(self, method: bytes, keep: bool) -> PendingRequest:
         path = self._url.partition(b"?")[0]
         if path == b"/up" and method == b"GET":
             return PendingRequest(None, self._owner.up_status(), keep)
@@ -65,9 +65,9 @@
         )
         return PendingRequest(request, 200, keep)
 
-    def _serve(self, pending: PendingRequest) -> None:
+    def _serve_request(self, pending: PendingRequest) -> None:
         self._serving = True
-        self._keep = pending.keep
+        self._keep_alive = pending.keep
         if pending.request is None:
             if pending.status not in QUIET_STATUSES:
                 log.info("%d: %s", pending.status, pending.why)
@@ -80,7 +80,7 @@
             return
         # It may have waited for the responses before it.
         expired = self._owner.loop.time() >= pending.request.expires
-        if expired or self._owner.crowded():
+        if expired or self._owner.is_overloaded():
             self.answer(Reply(503, None, self._owner.retry_after_us))
             return
         try:
@@ -98,10 +98,10 @@
         """Writes the response to a client; nothing else writes to it."""
         self._opened = None
         self._serving = False
-        self.last_change = self._owner.loop.time()
+        self.last_progress_at = self._owner.loop.time()
         if self._transport is None:
             return
-        keep = self._may_keep()
+        keep = self._may_keep_alive()
         lines = [b"HTTP/1.1 %d %b" % (reply.status, REASON_PHRASES[reply.status])]
         body = b""
         if reply.answer is not None:
@@ -113,7 +113,7 @@
         lines.append(b"Content-Length: %d" % len(body))
         lines.append(b"Connection: keep-alive" if keep else b"Connection: close")
         self._write(b"\r\n".join(lines) + b"\r\n\r\n" + body)
-        self._finish(keep)
+        self._response_finished(keep)
 
 
 class Server(HttpServer):
@@ -144,11 +144,11 @@
         settings = config.settings
         self.retry_after_us = settings.max_retry_after_us if settings.retry_after else 0
 
-    def connection(self) -> ServerConnection:
+    def make_connection(self) -> ServerConnection:
         """A new client connection."""
         return ClientConnection(self)
 
-    def times(self) -> TimeLimits:
+    def time_limits(self) -> TimeLimits:
         """The time-outs of client connections."""
         return TimeLimits(RECEIVE_S, RECEIVE_S, UNREAD_S, (RECEIVE_S, IDLE_ONCE_S, IDLE_S))
 
