--- a/tests/routing/builders.py
+++ b/tests/routing/builders.py
@@ -58,7 +58,7 @@
 
 @dataclass
 class DeciderHarness:
-    """A decider with its clock; keeps the timers it asked for."""
+    """A decider with its clock; keeps the timers that it requested."""
 
     decider: FleetDecider = field(default_factory=lambda: FleetDecider("z", 1, 0.2, 10.0))
     now: float = 0.0
--- a/tests/routing/test_affinity_simulation.py
+++ b/tests/routing/test_affinity_simulation.py
@@ -27,9 +27,15 @@
 from roselink.routing.outcome import Outcome
 from tests.routing.builders import hosts, only
 
-GATEWAYS, HOSTS, SECONDS, PER_SECOND = 4, 6, 20.0, 60.0
-TOKENS_PER_S, CACHE_TOKENS = 50_000.0, 300_000
-GROUP, SESSION, OWN = 2500, 3500, 1500
+GATEWAYS = 4
+HOSTS = 6
+SECONDS = 20.0
+PER_SECOND = 60.0
+TOKENS_PER_S = 50_000.0
+CACHE_TOKENS = 300_000
+GROUP = 2500
+SESSION = 3500
+OWN = 1500
 TARGET_LATENCY_S = 0.25
 
 
@@ -42,7 +48,8 @@
 
     def read(self, parts: tuple[PromptPart, ...], now: float) -> tuple[int, float]:
         """Tokens that had to be read, and when that is done."""
-        missing, leading = 0, True
+        missing = 0
+        leading = True
         for part in parts:
             leading = leading and part.id in self.kept
             missing += 0 if leading else part.tokens
@@ -63,7 +70,8 @@
 
 
 def simulate(*, affinity: bool) -> Result:
-    draw, result = random.Random(5), Result()
+    draw = random.Random(5)
+    result = Result()
     engines = {spec.id: Engine() for spec in hosts(HOSTS)}
     gateways = [FleetDecider("z", number, 0.2, 10.0) for number in range(GATEWAYS)]
     order = count()
@@ -73,7 +81,8 @@
         gateway.handle(0.0, TopologyChanged(hosts(HOSTS), ()))
     now = 0.0
     while (now := now + draw.expovariate(PER_SECOND)) < SECONDS:
-        number, session = len(prompts), draw.randrange(120)
+        number = len(prompts)
+        session = draw.randrange(120)
         sizes = ((f"g{session % 4}", GROUP), (f"s{session}", SESSION), (f"o{number}", OWN))
         prompts[number] = now, tuple(PromptPart(*size) for size in sizes)
         facts = RequestFacts(
--- a/tests/routing/test_fleet_decider.py
+++ b/tests/routing/test_fleet_decider.py
@@ -26,7 +26,9 @@
 
 def test_the_same_seed_and_events_bring_the_same_actions() -> None:
     def play(seed: int) -> list[list[Action]]:
-        decider, draw, log = FleetDecider("z", seed, 0.2, 10.0), random.Random(7), []
+        decider = FleetDecider("z", seed, 0.2, 10.0)
+        draw = random.Random(7)
+        log = []
         log.append(decider.handle(0.0, TopologyChanged(hosts(5), ())))
         for number in range(300):
             now = number * 0.02
--- a/tests/routing/test_host_choice.py
+++ b/tests/routing/test_host_choice.py
@@ -41,7 +41,8 @@
 def picked(
     ready: ReadyHosts, facts: RequestFacts, seed: int = 1, times: int = 2000
 ) -> dict[str, int]:
-    choose, counts = chooser(seed), dict.fromkeys((h.spec.id for h in ready.hosts), 0)
+    choose = chooser(seed)
+    counts = dict.fromkeys((h.spec.id for h in ready.hosts), 0)
     for _ in range(times):
         found = choose.pick(ready, facts, (), 0.0)
         assert found is not None
@@ -71,8 +72,10 @@
 
 
 def test_one_in_twenty_goes_to_the_lower() -> None:
-    better, worse = new_host_record(host("a")), new_host_record(host("b"))
-    better.payoff, worse.payoff = 1.0, 0.2
+    better = new_host_record(host("a"))
+    worse = new_host_record(host("b"))
+    better.payoff = 1.0
+    worse.payoff = 0.2
     counts = picked(ready_of(better, worse), PLAIN, times=20_000)
     assert 0.04 < counts["b"] / 20_000 < 0.06
 
@@ -83,7 +86,8 @@
 
 def lower_picks(kinds: list[RequestFacts], times: int) -> list[int]:
     """How many picks of each kind of request went to a host that is not the key's home."""
-    ready, choose = ready_hosts(6), chooser()
+    ready = ready_hosts(6)
+    choose = chooser()
     homes = [next(iter(ready.ranked(facts.prompt[-2].id, 1))) for facts in kinds]
     elsewhere = [0] * len(kinds)
     for turn in range(times):
@@ -100,7 +104,8 @@
 
 
 def test_a_pick_that_would_reread_many_tokens_defers_its_exploration_to_a_cheaper_one() -> None:
-    long, short = parts(LONG, 2500, 3800, 2900), parts(SHORT, 100, 70, 200)
+    long = parts(LONG, 2500, 3800, 2900)
+    short = parts(SHORT, 100, 70, 200)
     expensive, cheap = lower_picks([long, short], 20_000)
     assert expensive == 0
     assert 0.045 < cheap / 20_000 < 0.055  # of all picks, as ever
@@ -112,7 +117,8 @@
 
 
 def test_of_two_hosts_the_busier_loses() -> None:
-    idle, busy = new_host_record(host("a")), new_host_record(host("b"))
+    idle = new_host_record(host("a"))
+    busy = new_host_record(host("b"))
     busy.in_flight = 3
     counts = picked(ready_of(idle, busy), PLAIN)
     assert counts["a"] > 0.9 * 2000
@@ -148,7 +154,8 @@
     names = [f"i-{n:08x}" for n in range(50)]
     shuffled = names[:]
     random.Random(3).shuffle(shuffled)
-    one, other = HashRing(names), HashRing(shuffled)
+    one = HashRing(names)
+    other = HashRing(shuffled)
     for key in range(200):
         assert list(one.walk(f"{key}")) == list(other.walk(f"{key}"))
 
@@ -164,7 +171,8 @@
 @pytest.mark.parametrize("count", [2, 6, 9, 70, 1100])
 def test_only_the_lost_hosts_sessions_move(count: int) -> None:
     names = [f"i-{n:08x}" for n in range(count)]
-    before, after = HashRing(names), HashRing(names[1:])
+    before = HashRing(names)
+    after = HashRing(names[1:])
     for key in range(500):
         first, second = list(before.walk(f"{key}"))[:2]
         (now, *_) = after.walk(f"{key}")
@@ -219,7 +227,8 @@
 
 
 def test_a_host_known_to_cache_the_prefix_is_preferred() -> None:
-    ready, memory = ready_hosts(6), PrefixMemory()
+    ready = ready_hosts(6)
+    memory = PrefixMemory()
     home, second = list(ready.ranked("session", 2))
     choose = chooser(memory=memory)
     home.in_flight = 32  # loads of 4 requests
--- a/tests/routing/test_invariants.py
+++ b/tests/routing/test_invariants.py
@@ -1,6 +1,4 @@
-"""Whatever the order of events: bounds on attempts, one final answer, listed hosts only, no second
-run.
-"""
+"""Any order of events: bounded attempts, one final response, listed hosts, no unsafe repeat."""
 
 from __future__ import annotations
 
@@ -36,14 +34,17 @@
     from roselink.model.fleet import Host
 
 UNSENT = {Outcome.CONNECT_FAILED, Outcome.MOOT}
-RATIO, WINDOW_S = 0.2, 10.0
+RATIO = 0.2
+WINDOW_S = 10.0
 
 
 class SimulatedDataPlane:
-    """A data plane that ends attempts as a seed tells, and checks every action it is given."""
+    """A data plane that ends attempts as a seed determines, and checks every action."""
 
-    def __init__(self, seed: int, outcomes: list[Outcome], share_granted: float) -> None:
-        self.draw, self.outcomes, self.share_granted = random.Random(seed), outcomes, share_granted
+    def __init__(self, seed: int, outcomes: list[Outcome], granted_fraction: float) -> None:
+        self.draw = random.Random(seed)
+        self.outcomes = outcomes
+        self.granted_fraction = granted_fraction
         self.harness = DeciderHarness()
         self.listed: set[str] = set()
         self.facts: dict[int, RequestFacts] = {}
@@ -55,13 +56,13 @@
         self.retries: list[float] = []
         self.firsts: list[float] = []
         self.granted: set[int] = set()
-        self.asked: Counter[int] = Counter()
+        self.requested: Counter[int] = Counter()
 
     def handle(self, event: Event) -> None:
         self.check(self.harness.handle(event))
 
     def check(self, actions: list[Action]) -> None:
-        asked = []
+        requested = []
         for action in actions:
             if isinstance(action, SendAttempt):
                 self.sent(action)
@@ -69,19 +70,20 @@
                 assert (action.number, action.attempt) in self.in_flight
                 self.cancelled.add((action.number, action.attempt))
             elif isinstance(action, AcquireSharedBudget):
-                self.asked[action.number] += 1
-                assert self.asked[action.number] <= self.facts[action.number].max_attempts + 3
-                asked.append(action.number)
+                self.requested[action.number] += 1
+                assert self.requested[action.number] <= self.facts[action.number].max_attempts + 3
+                requested.append(action.number)
             elif isinstance(action, FinalResponse):
                 self.final(action)
-        for number in asked:
+        for number in requested:
             if number in self.awaiting_response:
-                allowed = self.draw.random() < self.share_granted
+                allowed = self.draw.random() < self.granted_fraction
                 self.granted |= {number} if allowed else set()
                 self.handle(BudgetDecided(number, allowed=allowed))
 
     def sent(self, action: SendAttempt) -> None:
-        number, facts = action.number, self.facts[action.number]
+        number = action.number
+        facts = self.facts[action.number]
         ended = self.ended.setdefault(number, [])
         assert number in self.awaiting_response
         assert self.harness.now < facts.deadline
@@ -138,7 +140,8 @@
         self.handle(TopologyChanged(tuple(hosts), ()))
 
     def arrive(self) -> None:
-        number, now = len(self.facts) + 1, self.harness.now
+        number = len(self.facts) + 1
+        now = self.harness.now
         facts = replace(
             FACTS,
             number=number,
@@ -176,7 +179,7 @@
         self.handle(AttemptEnded(number, attempt, outcome, 0.1))
 
     def finish(self) -> None:
-        """Let every time run out, then answer for what is still out."""
+        """Pass every deadline, then end what is still in flight."""
         self.advance(self.harness.now + 20.0)
         assert self.awaiting_response <= self.started  # the data plane ends these
         for key in list(self.in_flight):
@@ -199,11 +202,11 @@
 
 @settings(max_examples=120, deadline=None)
 @given(st.integers(0, 2**32), OUTCOMES, st.sampled_from([0.0, 0.5, 1.0]), st.integers(20, 250))
-def test_any_order_of_events(
-    seed: int, outcomes: list[Outcome], share_granted: float, steps: int
+def test_invariants_hold_in_any_order_of_events(
+    seed: int, outcomes: list[Outcome], granted_fraction: float, steps: int
 ) -> None:
-    play = SimulatedDataPlane(seed, outcomes, share_granted)
-    play.topology()
+    data_plane = SimulatedDataPlane(seed, outcomes, granted_fraction)
+    data_plane.topology()
     for _ in range(steps):
-        play.step()
-    play.finish()
+        data_plane.step()
+    data_plane.finish()
--- a/tests/routing/test_recorded_decisions.py
+++ b/tests/routing/test_recorded_decisions.py
@@ -54,10 +54,10 @@
 
 
 class Recording(SimulatedDataPlane):
-    """A play that takes down every action, and tells payoffs over all gateways sometimes."""
+    """Records every action, and sometimes sends payoffs over all gateways."""
 
     def __init__(self, seed: int, outcomes: list[Outcome]) -> None:
-        super().__init__(seed, outcomes, share_granted=0.5)
+        super().__init__(seed, outcomes, granted_fraction=0.5)
         self.record = sha256()
         self.count = 0
         decide = self.harness.decider.handle
@@ -77,7 +77,7 @@
             self.record.update(f"{KINDS[type(action)]} {plain!r}\n".encode())
 
     def handle(self, event: Event) -> None:
-        """Besides the outcomes of a play: hosts at the wrong address, failures passed on."""
+        """Change some outcomes: hosts at the wrong address, failures relayed to the client."""
         if isinstance(event, AttemptEnded) and self.draw.random() < 0.2:
             if event.outcome is Outcome.FULL:
                 event = replace(event, wrong_host=True)
@@ -99,10 +99,10 @@
 
 @pytest.mark.parametrize(("seed", "kind"), RECORDED, ids=str)
 def test_actions_are_those_recorded(seed: int, kind: str) -> None:
-    play = Recording(seed, MOSTLY_GOOD if kind == "good" else ENDINGS)
-    play.topology()
+    data_plane = Recording(seed, MOSTLY_GOOD if kind == "good" else ENDINGS)
+    data_plane.topology()
     for _ in range(STEPS):
-        play.step()
-    play.finish()
-    assert play.count > STEPS
-    assert play.record.hexdigest() == RECORDED[seed, kind]
+        data_plane.step()
+    data_plane.finish()
+    assert data_plane.count > STEPS
+    assert data_plane.record.hexdigest() == RECORDED[seed, kind]
--- a/tests/routing/test_retry_budget.py
+++ b/tests/routing/test_retry_budget.py
@@ -8,7 +8,8 @@
 
 from roselink.routing.retry_budget import LocalRetryBudget
 
-WINDOW_S, RATIO = 10.0, 0.2
+WINDOW_S = 10.0
+RATIO = 0.2
 STEPS = st.lists(
     st.tuples(st.sampled_from("ffffr"), st.floats(0, 3), st.integers(1, 40)), max_size=80
 )
@@ -19,7 +20,8 @@
 def test_retries_of_a_window_stay_within_the_ratio_of_its_first_sends(
     steps: list[tuple[str, float, int]], start: float, ratio: float
 ) -> None:
-    budget, now = LocalRetryBudget(ratio, WINDOW_S), start
+    budget = LocalRetryBudget(ratio, WINDOW_S)
+    now = start
     firsts: list[float] = []
     repeats: list[float] = []
     for kind, gap, count in steps:
