--- a/tests/budgets/fleet.py
+++ b/tests/budgets/fleet.py
@@ -1,9 +1,8 @@
-"""A fleet of gateways in one process, on a made-up clock: the real machines, and a network that
-fails.
+"""A simulated fleet of gateways: the real state machines on a simulated clock and network.
 
-The core is played by its outcome: whoever has not pulled for `CORE_MISSES_S` leaves the roster, but
-a time in which the core received no pull at all for longer than `CORE_PAUSE_S` counts against none.
-What requests were admitted is kept for checkers, which share no code with the machines.
+Of the core only the roster is simulated: a gateway that has not pulled for `CORE_TIMEOUT_S` leaves
+it, but a time longer than `CORE_PAUSE_S` in which the core received no pull at all counts against
+none. Which requests were admitted is recorded for checkers, which share no code with the machines.
 """
 
 from __future__ import annotations
@@ -38,7 +37,7 @@
     from roselink.budgets.usage import QuotaLimit, QuotaRule
 
 PULL_S = 0.2
-CORE_MISSES_S = 1.2
+CORE_TIMEOUT_S = 1.2
 CORE_PAUSE_S = 0.6
 LINK_S = 0.0014
 Step = Callable[[], None]
@@ -59,7 +58,7 @@
 
 @dataclass
 class Fleet:
-    """The network, the core, the gateways, and what they decided."""
+    """The network, the core, the gateways, and their decisions."""
 
     size: int
     seed: int
@@ -106,11 +105,12 @@
         if pause_s > CORE_PAUSE_S:
             self.last_pulls = {known: at + pause_s for known, at in self.last_pulls.items()}
         self.last_pulls[member] = self.now if serving else float("-inf")
-        live = [known for known, at in self.last_pulls.items() if self.now - at < CORE_MISSES_S]
+        live = [known for known, at in self.last_pulls.items() if self.now - at < CORE_TIMEOUT_S]
         newest: dict[str, Member] = {known.name: known for known in live}
         roster = tuple(sorted(newest.values(), key=lambda known: known.name))
         if roster != self.roster:
-            self.version, self.roster = self.version + 1, roster
+            self.version += 1
+            self.roster = roster
 
     def call(
         self,
@@ -122,12 +122,14 @@
     ) -> None:
         """As `PeerPool.call` has it: `done` runs once, at the caller."""
         self.requests_sent += 1
-        incarnation, callee = caller.incarnation, self.gateways[int(address)]
-        open_call = [True]
+        incarnation = caller.incarnation
+        callee = self.gateways[int(address)]
+        in_flight = True
 
         def complete(reply: Any) -> None:
-            if open_call[0] and caller.incarnation == incarnation:
-                open_call[0] = False
+            nonlocal in_flight
+            if in_flight and caller.incarnation == incarnation:
+                in_flight = False
                 done(reply)
 
         def back(reply: Any) -> None:
@@ -148,10 +150,11 @@
 
 
 class Gateway:
-    """One gateway: its machines, and whether it runs."""
+    """One gateway: its state machines, and whether it runs."""
 
     def __init__(self, fleet: Fleet, index: int) -> None:
-        self.fleet, self.index = fleet, index
+        self.fleet = fleet
+        self.index = index
         self.incarnation = 0
         self.alive = False
         self.frozen_until = 0.0
@@ -160,15 +163,14 @@
     def begin(self) -> None:
         fleet = self.fleet
         self.incarnation += 1
-        self.alive, self.serving = True, True
+        self.alive = True
+        self.serving = True
         self.member = Member(
             f"edge-{self.index}", str(self.index), 1_000_000 * (100 * self.incarnation + self.index)
         )
         self.ownership = OwnershipView(self.member)
-        self.quota_owner, self.client = (
-            QuotaOwner(fleet.rule, self.member.incarnation),
-            QuotaClient(self.ownership, fleet.rule),
-        )
+        self.quota_owner = QuotaOwner(fleet.rule, self.member.incarnation)
+        self.client = QuotaClient(self.ownership, fleet.rule)
         self.retry_owner = RetryBudgetOwner(fleet.retry_window_s, fleet.slack)
         self.retry_client = RetryBudgetClient(self.ownership, fleet.slack)
         self._requests: dict[int, tuple[str, float, float]] = {}
@@ -179,12 +181,13 @@
         self.later(fleet.chance.random() * 0.05, self.pull)
 
     def leave(self) -> None:
-        """SIGTERM: no roles any more, and soon the end."""
-        self.serving, self.client.draining = False, True
+        """Drain, as after SIGTERM: own no keys any more."""
+        self.serving = False
+        self.client.draining = True
         self.pull(again=False)
 
     def end(self) -> None:
-        """A kill: all that it knew is gone."""
+        """Crash: all state is lost."""
         self.alive = False
         self.incarnation += 1
 
@@ -211,7 +214,8 @@
         self.perform(self.client.configure(limits))
 
     def pull(self, *, again: bool = True) -> None:
-        fleet, sent_at = self.fleet, self.fleet.now
+        fleet = self.fleet
+        sent_at = fleet.now
         if fleet.reachable(self.index, -1):
             fleet.pull(self.member, serving=self.serving)
             version, roster = fleet.version, fleet.roster
@@ -258,7 +262,8 @@
 
     def request(self, tenant: str, amount: float) -> None:
         """A client's request; one that reaches a dead process is lost."""
-        incarnation, arrived_at = self.incarnation, self.fleet.now
+        incarnation = self.incarnation
+        arrived_at = self.fleet.now
 
         def arrive() -> None:
             if self.incarnation == incarnation and self.alive:
