--- a/tests/coordination/test_docs.py
+++ b/tests/coordination/test_docs.py
@@ -40,12 +40,12 @@
     text = PAGE.read_text()
     example = re.findall(r"```python\n(.*?)```", text, re.DOTALL)
     assert len(example) == 1
-    told = re.search(r"It prints `(.*)`\.", text)
-    assert told is not None
+    expected = re.search(r"It prints `(.*)`\.", text)
+    assert expected is not None
     printed = io.StringIO()
     with contextlib.redirect_stdout(printed):
         exec(compile(example[0], str(PAGE), "exec"), {"__name__": "example"})
-    assert printed.getvalue().strip() == told.group(1)
+    assert printed.getvalue().strip() == expected.group(1)
 
 
 @pytest.mark.parametrize("package", ALLOWED)
--- a/tests/coordination/test_member.py
+++ b/tests/coordination/test_member.py
@@ -66,30 +66,30 @@
 NEXT = View(2, VIEW.voters, tuple(ChainReplica(voter, 1, 40) for voter in (B, C)))
 
 
-class Stage:
+class Harness:
     def __init__(self, start: Start) -> None:
         self.member = Member(start, 0.0)
-        self.out: list[Effect] = self.member.begin(0.0)
+        self.effects: list[Effect] = self.member.begin(0.0)
 
-    def give(self, message: ChainMessage, now: float = 0.0) -> list[ChainMessage]:
-        self.out += self.member.receive(message, now)
+    def deliver(self, message: ChainMessage, now: float = 0.0) -> list[ChainMessage]:
+        self.effects += self.member.receive(message, now)
         return self.sent()
 
     def sent(self) -> list[ChainMessage]:
         """What was sent, save heartbeats; saves stay waiting."""
         sent: list[ChainMessage] = [
             e.message
-            for e in self.out
+            for e in self.effects
             if isinstance(e, Send) and not isinstance(e.message, Heartbeat)
         ]
-        self.out = [e for e in self.out if isinstance(e, Persist)]
+        self.effects = [e for e in self.effects if isinstance(e, Persist)]
         return sent
 
     def save(self, now: float = 0.0) -> Persist:
         """The oldest save is done."""
-        oldest = next(e for e in self.out if isinstance(e, Persist))
-        self.out.remove(oldest)
-        self.out += self.member.persisted(oldest.store, now)
+        oldest = next(e for e in self.effects if isinstance(e, Persist))
+        self.effects.remove(oldest)
+        self.effects += self.member.persisted(oldest.store, now)
         return oldest
 
 
@@ -109,14 +109,14 @@
 
 
 def test_others_wait_for_a_member_until_its_view_is_active() -> None:
-    new = Stage(FRESH)
+    new = Harness(FRESH)
     assert new.member.forming(0.0)  # not on its disk yet
-    while any(isinstance(effect, Persist) for effect in new.out):
+    while any(isinstance(effect, Persist) for effect in new.effects):
         new.save()
     assert not new.member.forming(0.0)  # nobody is heard
-    stored = Stage(STORED)
+    stored = Harness(STORED)
     assert not stored.member.forming(0.0)
-    stored.give(heartbeat_of(A))
+    stored.deliver(heartbeat_of(A))
     assert stored.member.forming(0.1)
     assert not stored.member.forming(9.0)  # silent since
     stored.member.chain.active = True
@@ -136,98 +136,98 @@
     ],
 )
 def test_identity(start: Start, voter: Voter, epoch: int) -> None:
-    member = Stage(start).member
+    member = Harness(start).member
     assert member.voter == voter
     assert (member.view.epoch if member.view else 0) == epoch
 
 
-def test_a_new_member_says_nothing_before_its_identity_is_saved() -> None:
-    stage = Stage(FRESH)
-    assert stage.give(Prepare(A, 2, BALLOT)) == []
-    stage.out += stage.member.tick(0.1)
-    assert all(isinstance(effect, Persist) for effect in stage.out)
-    assert decode(36, stage.save().payload) == StoredState(1, EMPTY)
-    assert decode(33, stage.save().payload) == AcceptorState(B, VIEW, None, None, None)
-    assert stage.member.chain.participating
+def test_a_new_member_sends_nothing_before_its_identity_is_saved() -> None:
+    harness = Harness(FRESH)
+    assert harness.deliver(Prepare(A, 2, BALLOT)) == []
+    harness.effects += harness.member.tick(0.1)
+    assert all(isinstance(effect, Persist) for effect in harness.effects)
+    assert decode(36, harness.save().payload) == StoredState(1, EMPTY)
+    assert decode(33, harness.save().payload) == AcceptorState(B, VIEW, None, None, None)
+    assert harness.member.chain.participating
 
 
-def test_a_restarted_member_takes_no_part_but_votes() -> None:
-    stage = Stage(STORED)
-    assert not stage.member.chain.participating
-    assert stage.give(ConfirmRequest(C, 1, 3)) == [ConfirmReply(B, 1, 3, is_newest=True)]
-    assert stage.give(Prepare(A, 2, BALLOT)) == []
-    saved = stage.save()
+def test_a_restarted_member_does_not_participate_but_votes() -> None:
+    harness = Harness(STORED)
+    assert not harness.member.chain.participating
+    assert harness.deliver(ConfirmRequest(C, 1, 3)) == [ConfirmReply(B, 1, 3, is_newest=True)]
+    assert harness.deliver(Prepare(A, 2, BALLOT)) == []
+    saved = harness.save()
     assert saved.store is Store.ACCEPTOR
     assert decode(33, saved.payload).promised == BALLOT
-    assert stage.sent() == [Promise(B, 2, BALLOT, None, None)]
+    assert harness.sent() == [Promise(B, 2, BALLOT, None, None)]
 
 
-def test_an_acceptance_leaves_after_its_save_and_ends_confirmations_at_once() -> None:
-    stage = Stage(STORED)
-    assert stage.give(Accept(A, BALLOT, NEXT)) == []
-    assert stage.give(ConfirmRequest(C, 1, 3)) == [ConfirmReply(B, 1, 3, is_newest=False)]
-    saved = decode(33, stage.save().payload)
+def test_an_acceptance_is_sent_after_its_save_and_ends_confirmations_at_once() -> None:
+    harness = Harness(STORED)
+    assert harness.deliver(Accept(A, BALLOT, NEXT)) == []
+    assert harness.deliver(ConfirmRequest(C, 1, 3)) == [ConfirmReply(B, 1, 3, is_newest=False)]
+    saved = decode(33, harness.save().payload)
     assert (saved.accepted, saved.proposal) == (BALLOT, NEXT)
-    assert stage.sent() == [Accepted(B, 2, BALLOT)]
-    again = Stage(replace(STORED, acceptor_state=saved))
-    assert again.give(ConfirmRequest(C, 1, 4)) == [ConfirmReply(B, 1, 4, is_newest=False)]
-
-
-def test_a_refusing_disk_lets_no_vote_out_and_is_tried_again() -> None:
-    stage = Stage(STORED)
-    stage.give(Prepare(A, 2, BALLOT))
-    stage.out = stage.member.persist_failed(Store.ACCEPTOR, 0.0)
-    assert stage.out == []
-    assert not stage.member.disk_is_healthy
-    stage.out = stage.member.tick(0.25)
-    assert stage.save(0.26).store is Store.ACCEPTOR
-    assert stage.member.disk_is_healthy
-    assert stage.sent() == [Promise(B, 2, BALLOT, None, None)]
-
-
-def test_a_decided_view_is_followed_and_given_on_to_whoever_is_behind() -> None:
-    stage = Stage(STORED)
-    stage.give(Decided(A, NEXT))
-    assert stage.member.view == NEXT
-    assert stage.member.chain.is_head
-    stage.give(Decided(A, VIEW))
-    assert stage.member.view == NEXT
-    assert stage.give(beat(C, epoch=1)) == [Decided(B, NEXT)]
-    assert stage.give(beat(C, epoch=2)) == []
-
-
-@pytest.mark.parametrize(("epoch", "taken"), [(2, True), (1, False), (3, False)])
-def test_a_head_takes_orders_for_its_own_epoch_only(*, epoch: int, taken: bool) -> None:
+    assert harness.sent() == [Accepted(B, 2, BALLOT)]
+    again = Harness(replace(STORED, acceptor_state=saved))
+    assert again.deliver(ConfirmRequest(C, 1, 4)) == [ConfirmReply(B, 1, 4, is_newest=False)]
+
+
+def test_with_a_refusing_disk_no_vote_is_sent_and_it_is_retried() -> None:
+    harness = Harness(STORED)
+    harness.deliver(Prepare(A, 2, BALLOT))
+    harness.effects = harness.member.persist_failed(Store.ACCEPTOR, 0.0)
+    assert harness.effects == []
+    assert not harness.member.disk_is_healthy
+    harness.effects = harness.member.tick(0.25)
+    assert harness.save(0.26).store is Store.ACCEPTOR
+    assert harness.member.disk_is_healthy
+    assert harness.sent() == [Promise(B, 2, BALLOT, None, None)]
+
+
+def test_a_decided_view_is_entered_and_sent_to_whoever_is_behind() -> None:
+    harness = Harness(STORED)
+    harness.deliver(Decided(A, NEXT))
+    assert harness.member.view == NEXT
+    assert harness.member.chain.is_head
+    harness.deliver(Decided(A, VIEW))
+    assert harness.member.view == NEXT
+    assert harness.deliver(heartbeat_from(C, epoch=1)) == [Decided(B, NEXT)]
+    assert harness.deliver(heartbeat_from(C, epoch=2)) == []
+
+
+@pytest.mark.parametrize(("epoch", "accepted"), [(2, True), (1, False), (3, False)])
+def test_a_head_accepts_changes_for_its_own_epoch_only(*, epoch: int, accepted: bool) -> None:
     """A late copy of an order whose caller has gone on to another head is not judged here as
     well.
     """
-    stage = Stage(STORED)
-    stage.give(Decided(A, NEXT))
-    assert stage.member.chain.is_head
-    stage.member.chain.on_ack(Ack(C, 2, 1))
-    stage.sent()
+    harness = Harness(STORED)
+    harness.deliver(Decided(A, NEXT))
+    assert harness.member.chain.is_head
+    harness.member.chain.on_ack(Ack(C, 2, 1))
+    harness.sent()
     newer = ConfigurationChange(1, 2, b"two", digest_of(1, b"two"))
-    stage.give(SubmitRequest(C, epoch, 9, newer))
-    assert (stage.member.chain.applied.sequence == 2) is taken
+    harness.deliver(SubmitRequest(C, epoch, 9, newer))
+    assert (harness.member.chain.applied.sequence == 2) is accepted
 
 
 def test_calls_end_in_time_without_a_core() -> None:
-    stage = Stage(STORED)
-    order, _ = stage.member.submit(ORDER, 0.0)
-    read, _ = stage.member.read(0.0)
+    harness = Harness(STORED)
+    change, _ = harness.member.submit(ORDER, 0.0)
+    read, _ = harness.member.read(0.0)
     ends: list[tuple[float, Effect]] = []
     for step in range(1, 60):
         now = step * 0.05
-        done = [e for e in stage.member.tick(now) if isinstance(e, SubmitDone | ReadDone)]
+        done = [e for e in harness.member.tick(now) if isinstance(e, SubmitDone | ReadDone)]
         ends += [(now, effect) for effect in done]
     assert [effect for _, effect in ends] == [
         ReadDone(read, None),
-        SubmitDone(order, OutcomeUnknown()),
+        SubmitDone(change, OutcomeUnknown()),
     ]
     assert [at for at, _ in ends] == pytest.approx([1.5, 2.5])
 
 
-def beat(sender: Voter, **changes: object) -> Heartbeat:
+def heartbeat_from(sender: Voter, **changes: object) -> Heartbeat:
     well = Heartbeat(
         sender=sender,
         session=3,
@@ -244,31 +244,40 @@
 
 
 @pytest.mark.parametrize(
-    ("beats", "now", "live", "steady"),
+    ("heartbeats", "now", "live", "steady"),
     [
-        ([(0.0, beat(A))], 0.1, True, False),
-        ([(0.0, beat(A)), (0.3, beat(A))], 0.35, True, True),
-        ([(0.0, beat(A)), (0.3, beat(A))], 0.8, False, True),
-        ([(0.0, beat(A, reachable=("c:1",)))], 0.1, False, False),
-        ([(0.0, beat(A)), (0.2, beat(A, disk_ok=False)), (0.3, beat(A))], 0.4, True, False),
-        ([(0.0, beat(A)), (1.0, beat(A))], 1.1, True, False),
-        ([(0.0, beat(A)), (0.3, beat(A, session=4))], 0.4, True, False),
+        ([(0.0, heartbeat_from(A))], 0.1, True, False),
+        ([(0.0, heartbeat_from(A)), (0.3, heartbeat_from(A))], 0.35, True, True),
+        ([(0.0, heartbeat_from(A)), (0.3, heartbeat_from(A))], 0.8, False, True),
+        ([(0.0, heartbeat_from(A, reachable=("c:1",)))], 0.1, False, False),
+        (
+            [
+                (0.0, heartbeat_from(A)),
+                (0.2, heartbeat_from(A, disk_ok=False)),
+                (0.3, heartbeat_from(A)),
+            ],
+            0.4,
+            True,
+            False,
+        ),
+        ([(0.0, heartbeat_from(A)), (1.0, heartbeat_from(A))], 1.1, True, False),
+        ([(0.0, heartbeat_from(A)), (0.3, heartbeat_from(A, session=4))], 0.4, True, False),
     ],
 )
 def test_peers(
-    *, beats: list[tuple[float, Heartbeat]], now: float, live: bool, steady: bool
+    *, heartbeats: list[tuple[float, Heartbeat]], now: float, live: bool, steady: bool
 ) -> None:
     peers = PeerTable(B)
-    for at, heartbeat in beats:
+    for at, heartbeat in heartbeats:
         peers.on_heartbeat(heartbeat, at)
-    own = Stage(STORED).member.heartbeats.own_status(None, now)
+    own = Harness(STORED).member.heartbeats.own_status(None, now)
     seen = peers.snapshot(now, own, ())["a:1"]
     assert (seen.live, seen.steady) == (live, steady)
 
 
-def test_own_sleep_is_no_silence_of_others() -> None:
+def test_an_own_pause_is_not_counted_as_silence_of_others() -> None:
     peers = PeerTable(B)
-    peers.on_heartbeat(beat(A), 0.0)
+    peers.on_heartbeat(heartbeat_from(A), 0.0)
     assert peers.reachable(5.0) == ()
     peers.discount_pause(4.9, 5.0)
     assert peers.reachable(5.0) == ("a:1",)
--- a/tests/coordination/test_reads.py
+++ b/tests/coordination/test_reads.py
@@ -20,10 +20,10 @@
         self.reads = ReadRounds(B, self.effects.append)
         self.view = first_view("abc")
 
-    def ask(self, number: int) -> None:
+    def request(self, number: int) -> None:
         self.reads.request(WaitingRead("c", number, -1), self.view, 0.0, is_active=True)
 
-    def asked(self) -> list[int]:
+    def requested_rounds(self) -> list[int]:
         effects = list(self.effects)
         self.effects.clear()
         return [
@@ -32,9 +32,7 @@
             if isinstance(e, Send) and isinstance(e.message, ConfirmRequest)
         ]
 
-    def answer(
-        self, voter: Voter, number: int, *, newest: bool = True, epoch: int = 1
-    ) -> list[int]:
+    def reply(self, voter: Voter, number: int, *, newest: bool = True, epoch: int = 1) -> list[int]:
         return [
             read.number for read in self.reads.on_reply(ConfirmReply(voter, epoch, number, newest))
         ]
@@ -42,29 +40,29 @@
 
 def test_a_majority_confirms_the_reads_of_the_round() -> None:
     rounds = Rounds()
-    rounds.ask(1)
-    assert rounds.asked() == [1, 1, 1]
-    rounds.ask(2)
-    assert rounds.asked() == []
-    assert rounds.answer(A, 1) == rounds.answer(A, 1) == []
-    assert rounds.answer(C, 1, newest=False) == rounds.answer(Voter("c", 5), 1) == []
-    assert rounds.answer(C, 1, epoch=2) == rounds.answer(C, 9) == []
-    assert rounds.answer(C, 1) == [1]
+    rounds.request(1)
+    assert rounds.requested_rounds() == [1, 1, 1]
+    rounds.request(2)
+    assert rounds.requested_rounds() == []
+    assert rounds.reply(A, 1) == rounds.reply(A, 1) == []
+    assert rounds.reply(C, 1, newest=False) == rounds.reply(Voter("c", 5), 1) == []
+    assert rounds.reply(C, 1, epoch=2) == rounds.reply(C, 9) == []
+    assert rounds.reply(C, 1) == [1]
     rounds.reads.proceed(rounds.view, 0.0)
-    assert rounds.asked() == [2, 2, 2]
-    assert rounds.answer(A, 1) == rounds.answer(C, 1) == rounds.answer(A, 2) == []
-    assert rounds.answer(B, 2) == [2]
+    assert rounds.requested_rounds() == [2, 2, 2]
+    assert rounds.reply(A, 1) == rounds.reply(C, 1) == rounds.reply(A, 2) == []
+    assert rounds.reply(B, 2) == [2]
 
 
 def test_a_round_without_a_majority_is_retried_and_a_new_view_drops_it() -> None:
     rounds = Rounds()
-    rounds.ask(1)
-    rounds.answer(A, 1)
-    rounds.asked()
+    rounds.request(1)
+    rounds.reply(A, 1)
+    rounds.requested_rounds()
     rounds.reads.proceed(rounds.view, 0.1)
-    assert rounds.asked() == []
+    assert rounds.requested_rounds() == []
     rounds.reads.proceed(rounds.view, 0.2)
-    assert rounds.asked() == [2, 2, 2]
-    assert rounds.answer(C, 1) == rounds.answer(C, 2) == []
+    assert rounds.requested_rounds() == [2, 2, 2]
+    assert rounds.reply(C, 1) == rounds.reply(C, 2) == []
     rounds.reads.drop()
-    assert rounds.answer(A, 2) == []
+    assert rounds.reply(A, 2) == []
--- a/tests/coordination/test_sequencer.py
+++ b/tests/coordination/test_sequencer.py
@@ -49,7 +49,7 @@
         self.chain.on_ack(Ack(B, 3, self.chain.applied.sequence))
         self.sequencer.on_committed()
 
-    def ask(self, change: ConfigurationChange, number: int = 1) -> list[SubmitReply]:
+    def submit(self, change: ConfigurationChange, number: int = 1) -> list[SubmitReply]:
         self.sequencer.submit(SubmitRequest(C, 3, number, change))
         return self.replies()
 
@@ -60,7 +60,7 @@
             e.message for e in effects if isinstance(e, Send) and isinstance(e.message, SubmitReply)
         ]
 
-    def committed(self, sequence: int) -> list[SubmitReply]:
+    def commit(self, sequence: int) -> list[SubmitReply]:
         self.chain.on_ack(Ack(B, 3, sequence))
         self.sequencer.on_committed()
         return self.replies()
@@ -68,7 +68,7 @@
 
 def test_changes_wait_for_an_active_chain() -> None:
     head = Head()
-    assert head.ask(FIRST) == head.ask(FIRST) == []
+    assert head.submit(FIRST) == head.submit(FIRST) == []
     head.activate()
     assert head.replies() == [SubmitReply(1, OutcomeKind.COMMITTED, 1)]
 
@@ -76,30 +76,30 @@
 def test_a_reply_waits_for_what_it_rests_on() -> None:
     head = Head()
     head.activate()
-    assert head.ask(change_on(5, 9), 1) == []
-    assert head.ask(change_on(5, 9), 2) == []
-    assert head.ask(change_on(5, 8, "other"), 3) == []
-    assert head.ask(change_on(9, 20), 4) == []
-    assert head.ask(change_on(9, 20), 4) == []
-    assert head.committed(3) == [
+    assert head.submit(change_on(5, 9), 1) == []
+    assert head.submit(change_on(5, 9), 2) == []
+    assert head.submit(change_on(5, 8, "other"), 3) == []
+    assert head.submit(change_on(9, 20), 4) == []
+    assert head.submit(change_on(9, 20), 4) == []
+    assert head.commit(3) == [
         SubmitReply(1, OutcomeKind.COMMITTED, 3),
         SubmitReply(2, OutcomeKind.COMMITTED, 3),
         SubmitReply(3, OutcomeKind.STALE_GENERATION, 9),
     ]
-    assert head.committed(4) == [SubmitReply(4, OutcomeKind.COMMITTED, 4)]
-    assert head.ask(change_on(5, 30, "late"), 5) == [SubmitReply(5, OutcomeKind.CONFLICT, 20)]
+    assert head.commit(4) == [SubmitReply(4, OutcomeKind.COMMITTED, 4)]
+    assert head.submit(change_on(5, 30, "late"), 5) == [SubmitReply(5, OutcomeKind.CONFLICT, 20)]
 
 
 def test_a_refusal_that_could_turn_false_is_committed_first() -> None:
     head = Head()
     head.activate()
-    assert head.ask(change_on(50, 60)) == []
-    assert head.committed(3) == [SubmitReply(1, OutcomeKind.CONFLICT, 5)]
+    assert head.submit(change_on(50, 60)) == []
+    assert head.commit(3) == [SubmitReply(1, OutcomeKind.CONFLICT, 5)]
 
 
 def test_a_new_view_drops_what_had_no_reply() -> None:
     head = Head()
     head.activate()
-    head.ask(change_on(5, 9))
+    head.submit(change_on(5, 9))
     head.sequencer.drop()
-    assert head.committed(3) == []
+    assert head.commit(3) == []
