--- a/roselink/budgets/budget_service.py
+++ b/roselink/budgets/budget_service.py
@@ -38,7 +38,8 @@
     from roselink.model.configuration import Tenant
     from roselink.model.fleet import Member, Snapshot
     from roselink.model.settings import Thresholds
-    from roselink.protocol.peers import Address, PeerPool, Reply
+    from roselink.protocol.peer_connection import Address, ReplySender
+    from roselink.protocol.peer_pool import PeerPool
 
 log = logging.getLogger("roselink.budgets")
 
@@ -141,7 +142,7 @@
         self._retry_callbacks[number] = decide
         self._perform(self._retry_client.request(number, service, self._clock()))
 
-    def handle(self, message: object, reply: Reply) -> bool:
+    def handle(self, message: object, reply: ReplySender) -> bool:
         """Reply to a peer's request; return False for records of other kinds."""
         if isinstance(message, QuotaRequest):
             reply(self._decide_quota(message))
@@ -203,7 +204,7 @@
                     self._perform_one(effect)
                 # A fault of one request must not keep the others from their decisions.
                 except Exception:
-                    log.exception("decision_not_taken")
+                    log.exception("decision_failed")
         finally:
             self._performing = False
         self._schedule()
