--- a/roselink/controller/app.py
+++ b/roselink/controller/app.py
@@ -35,7 +35,7 @@
     from roselink.controller.host_list_client import HostListClient
     from roselink.controller.pull_driver import PullDriver
     from roselink.controller.twisted_reactor import ListeningPort, Reactor
-    from roselink.protocol.peer_connection import SendReply
+    from roselink.protocol.peer_connection import ReplySender
 
 # Of `grace_s`: how long changes in flight may take to end after SIGTERM.
 STOP_GRACE_FRACTION = 0.25
@@ -208,7 +208,7 @@
         if self._client is not None and self._chain is not None and not self._stopping:
             self._client.set_role(self._chain.epoch if self._chain.is_tail else None)
 
-    def _handle(self, peer: Address, message: object, reply: SendReply) -> None:
+    def _handle(self, peer: Address, message: object, reply: ReplySender) -> None:
         chain = self._chain
         pulls = self._pulls
         if chain is None or chain.handle(peer, message, reply):
--- a/roselink/controller/chain_interface.py
+++ b/roselink/controller/chain_interface.py
@@ -23,7 +23,7 @@
     from collections.abc import Callable
 
     from roselink.model.settings import ProcessSettings
-    from roselink.protocol.peer_connection import SendReply
+    from roselink.protocol.peer_connection import ReplySender
 
 __all__ = [
     "Address",
@@ -82,7 +82,7 @@
     async def stop(self) -> None:
         """Leave the chain in order; what is acknowledged is on disk."""
 
-    def handle(self, peer: Address, message: object, reply: SendReply) -> bool:
+    def handle(self, peer: Address, message: object, reply: ReplySender) -> bool:
         """Handle a record of the chain; False for any other."""
 
     def seeds_changed(self, settings: ProcessSettings) -> None:
