--- a/roselink/controller/app.py
+++ b/roselink/controller/app.py
@@ -24,7 +24,8 @@
     SettingsError,
     load_settings,
 )
-from roselink.protocol.peers import PeerPool, PeerServer
+from roselink.protocol.peer_pool import PeerPool
+from roselink.protocol.peer_server import PeerServer
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Coroutine
@@ -34,7 +35,7 @@
     from roselink.controller.host_list_client import HostListClient
     from roselink.controller.pull_driver import PullDriver
     from roselink.controller.twisted_reactor import ListeningPort, Reactor
-    from roselink.protocol.peers import Reply
+    from roselink.protocol.peer_connection import ReplySender
 
 # Of `grace_s`: how long changes in flight may take to end after SIGTERM.
 STOP_GRACE_FRACTION = 0.25
@@ -207,7 +208,7 @@
         if self._client is not None and self._chain is not None and not self._stopping:
             self._client.set_role(self._chain.epoch if self._chain.is_tail else None)
 
-    def _handle(self, peer: Address, message: object, reply: Reply) -> None:
+    def _handle(self, peer: Address, message: object, reply: ReplySender) -> None:
         chain = self._chain
         pulls = self._pulls
         if chain is None or chain.handle(peer, message, reply):
--- a/roselink/gateway/engine.py
+++ b/roselink/gateway/engine.py
@@ -33,7 +33,7 @@
     State,
     StreamStarted,
 )
-from roselink.http.host_connection import Answer, Attempt, Host
+from roselink.http.host_connection import Attempt, HostResponse, PooledHost
 from roselink.routing.outcome import Outcome
 
 if TYPE_CHECKING:
@@ -66,7 +66,7 @@
     """The one response to a client: a status, and where a host has served it, the host's."""
 
     status: int
-    answer: Answer | None = None
+    answer: HostResponse | None = None
     retry_after_us: int = 0
 
 
@@ -144,7 +144,7 @@
         self._ids: set[str] = set()
         self._events: deque[Event] = deque()
         self._busy = False
-        self.hosts: dict[int, Host] = {}
+        self.hosts: dict[int, PooledHost] = {}
 
     def now_us(self) -> int:
         """The time in microseconds on the engine's clock."""
@@ -259,7 +259,7 @@
                 del self.hosts[number]
                 self._upstream.retire(host)
         for number, server in listed.items():
-            current = self.hosts.get(number) or Host(names[number], addresses[number])
+            current = self.hosts.get(number) or PooledHost(names[number], addresses[number])
             self.hosts[number] = current
             if current.started_us != server.started_us:
                 current.started_us = server.started_us
@@ -384,7 +384,7 @@
         number: int,
         started: float,
         outcome: Outcome,
-        answer: Answer | None,
+        answer: HostResponse | None,
     ) -> None:
         opened.in_flight -= 1
         opened.attempts[number] = None
