--- a/roselink/controller/api.py
+++ b/roselink/controller/api.py
@@ -29,7 +29,7 @@
     StaleGeneration,
     SubmitOutcome,
 )
-from roselink.controller.field_validators import MOST_NUMBER
+from roselink.controller.field_validators import MAX_INTEGER
 from roselink.controller.updates import parse_update_request, submit_update
 from roselink.controller.validation import ValidationFailure, ValidationFault, validate
 from roselink.coordination.state import digest_of
@@ -80,7 +80,7 @@
     if not (text.isascii() and text.isdigit() and len(text) <= 19):
         return None
     base = int(text)
-    return base if base <= MOST_NUMBER else None
+    return base if base <= MAX_INTEGER else None
 
 
 class ApiRequest(Request):
--- a/roselink/controller/field_validators.py
+++ b/roselink/controller/field_validators.py
@@ -1,23 +1,30 @@
-"""Checks of single values, lists and objects of a document: each returns the value, or raises
-`Invalid`.
+"""Validators of a document's single values, lists and objects, for voluptuous schemas.
+
+Each validator returns the value, or raises `voluptuous.Invalid` with a reason for the operator.
 """
 
 from __future__ import annotations
 
 import math
-from typing import TYPE_CHECKING, Any
+from collections.abc import Callable, Mapping
+from typing import Any, TypeAlias
 
-from voluptuous import ALLOW_EXTRA, Invalid, MultipleInvalid, Optional, Schema
+from voluptuous import ALLOW_EXTRA, In, Invalid, Marker, MultipleInvalid, Optional, Schema
 
-if TYPE_CHECKING:
-    from collections.abc import Callable
+JsonValue: TypeAlias = "bool | int | float | str | list[JsonValue] | dict[str, JsonValue] | None"
+# An object that is indexed by a shape that the schema has checked.
+JsonObject: TypeAlias = Mapping[str, Any]
+Validator: TypeAlias = Callable[[JsonValue], JsonValue]
+Fields: TypeAlias = dict[Marker, Validator | In]
 
-MOST_NUMBER = 2**63 - 1  # what a record's whole number holds
-MOST_ERRORS = 100  # collected of one list
+# The largest integer of a record's field (signed, 64 bits).
+MAX_INTEGER = 2**63 - 1
+# Collected of one list.
+MAX_ERRORS = 100
 
 
-def text(value: object) -> object:
-    """Text of at least one character, each of them whole."""
+def non_empty_text(value: JsonValue) -> JsonValue:
+    """Text of at least one character, without lone surrogates."""
     if not isinstance(value, str) or not value:
         raise Invalid("must be text")
     if not value.isascii():
@@ -28,85 +35,80 @@
     return value
 
 
-def any_text(value: object) -> object:
+def any_text(value: JsonValue) -> JsonValue:
     """Text, also empty."""
-    return text(value) if value != "" else value
+    return non_empty_text(value) if value != "" else value
 
 
-def number(value: object) -> object:
-    """A finite number that a record can hold; true and false are none."""
+def _require_number(value: JsonValue) -> float:
+    """The value as a finite number that a record can hold; true and false are none."""
     if isinstance(value, bool) or not isinstance(value, int | float):
         raise Invalid("must be a number")
-    if not -MOST_NUMBER <= value <= MOST_NUMBER:  # also infinite
+    if not -MAX_INTEGER <= value <= MAX_INTEGER:  # also infinite
         raise Invalid("is out of range")
     return value
 
 
-def amount(value: Any) -> object:
+def non_negative_number(value: JsonValue) -> JsonValue:
     """A number of at least 0."""
-    number(value)
-    if value < 0:
+    if _require_number(value) < 0:
         raise Invalid("must not be below 0")
     return value
 
 
-def whole(value: Any) -> object:
+def integer(value: JsonValue) -> JsonValue:
     """A number without a fraction."""
-    number(value)
-    if value != math.floor(value):
+    number = _require_number(value)
+    if number != math.floor(number):
         raise Invalid("must be a whole number")
     return value
 
 
-def count(value: Any) -> object:
-    """A whole number of at least 0."""
-    return amount(whole(value))
+def non_negative_integer(value: JsonValue) -> JsonValue:
+    """An integer of at least 0."""
+    return non_negative_number(integer(value))
 
 
-def positive_whole(value: Any) -> object:
-    """A whole number above 0."""
-    whole(value)
-    if value <= 0:
-        raise Invalid("must be above 0")
-    return value
+def positive_integer(value: JsonValue) -> JsonValue:
+    """An integer above 0."""
+    return positive_number(integer(value))
 
 
-def positive(value: Any) -> object:
+def positive_number(value: JsonValue) -> JsonValue:
     """A number above 0."""
-    number(value)
-    if value <= 0:
+    if _require_number(value) <= 0:
         raise Invalid("must be above 0")
     return value
 
 
-def prefix(value: object) -> object:
+def path_prefix(value: JsonValue) -> JsonValue:
     """A path prefix: a slash at each end."""
-    text(value)
+    non_empty_text(value)
     if not (str(value).startswith("/") and str(value).endswith("/")):
         raise Invalid("must begin and end with a slash")
     return value
 
 
-def flag(value: object) -> object:
+def boolean(value: JsonValue) -> JsonValue:
     """True or false."""
     if not isinstance(value, bool):
         raise Invalid("must be true or false")
     return value
 
 
-def or_absent(inner: Callable[[Any], object]) -> Callable[[Any], object]:
-    """The same check, with null for what is absent."""
+def or_null(validator: Validator) -> Validator:
+    """The same validator, which also accepts null: the field counts as absent."""
 
-    def validate(value: Any) -> object:
-        return None if value is None else inner(value)
+    def validate(value: JsonValue) -> JsonValue:
+        return None if value is None else validator(value)
 
     return validate
 
 
-def list_of(entry: Callable[[Any], object]) -> Callable[[Any], object]:
-    """A list whose entries each pass; all their faults are collected, up to a bound."""
+def list_of(entry: Validator) -> Validator:
+    """A list whose entries are all valid; the errors of all are collected, up to `MAX_ERRORS`."""
 
-    def validate(value: Any) -> object:
+    def validate(value: JsonValue) -> JsonValue:
         if not isinstance(value, list):
             raise Invalid("must be a list")
         errors: list[Invalid] = []
@@ -116,7 +118,7 @@
             except Invalid as invalid:
                 invalid.prepend([index])
                 errors.extend(invalid.errors if isinstance(invalid, MultipleInvalid) else [invalid])
-                if len(errors) >= MOST_ERRORS:
+                if len(errors) >= MAX_ERRORS:
                     break
         if errors:
             raise MultipleInvalid(errors)
@@ -125,18 +127,19 @@
     return validate
 
 
-def mapping(fields: dict[Any, Any]) -> Callable[[Any], object]:
-    """An object with these fields; others are passed over."""
+def object_with(fields: Fields) -> Validator:
+    """An object with these fields; unknown fields are ignored."""
     schema = Schema(fields, extra=ALLOW_EXTRA)
 
-    def validate(value: Any) -> object:
+    def validate(value: JsonValue) -> JsonValue:
         if not isinstance(value, dict):
             raise Invalid("must be an object")
-        return schema(value)
+        validated: JsonValue = schema(value)
+        return validated
 
     return validate
 
 
-def may(name: str, validator: Callable[[Any], object]) -> dict[Any, Any]:
-    """A field that may be absent, for use in `mapping`."""
-    return {Optional(name): or_absent(validator)}
+def optional_field(name: str, validator: Validator) -> Fields:
+    """A field that may be absent or null, for use in `object_with`."""
+    return {Optional(name): or_null(validator)}
--- a/roselink/controller/updates.py
+++ b/roselink/controller/updates.py
@@ -1,16 +1,16 @@
-"""Updates of single items: how one is read, merged onto its base, and made an order of the chain.
+"""Updates of single items: parsed, merged onto their base, and proposed to the chain.
 
-An update names a section's items by `name`. What it adds or replaces stands under `upsert`, what it
-takes away under `remove`; all else of the document it builds on stays, also fields that are not
-known here. The merged document goes down the chain as any whole document does, so nothing behind
-the operator's interface knows of updates. Decisions on what the interface's page leaves open:
+An update names a section's items by `name`. Items to add or replace are under `upsert`, names to
+remove under `remove`; everything else of the document that it builds on stays, also unknown fields.
+The merged document goes down the chain as any complete document does, so nothing behind the
+operator's interface knows of updates. Decisions on what the interface's page leaves open:
 
-- a section that is an object (`limits`) is replaced whole; it can't be removed;
+- a section that is an object (`limits`) is replaced as one; it can't be removed;
 - a section that the document has not yet begins empty, known or not; an update on base 0 builds on
   nothing;
-- an item without a name, one that stands twice, or one that is both upserted and removed is a
+- an item without a name, one that occurs twice, or one that is both upserted and removed is a
   fault;
-- a name to remove that is not there is none: what is asked for holds.
+- a name to remove that does not exist is no fault: the requested state already holds.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
     OutcomeUnknown,
     SubmitOutcome,
 )
-from roselink.controller.field_validators import positive_whole
+from roselink.controller.field_validators import JsonObject, JsonValue, positive_integer
 from roselink.controller.validation import (
     ValidationFailure,
     ValidationFault,
@@ -39,27 +39,38 @@
 )
 
 if TYPE_CHECKING:
-    from collections.abc import Callable, Iterable, Mapping
+    from collections.abc import Callable, Iterable, Mapping, Sequence
 
-UPSERT, REMOVE, GENERATION = "upsert", "remove", "generation"
-_DIGEST_PREFIX = b"config/update\0"  # no whole document's digest begins with these bytes
+UPSERT = "upsert"
+REMOVE = "remove"
+GENERATION = "generation"
+# No complete document's digest begins with these bytes.
+_DIGEST_PREFIX = b"config/update\0"
 
 
 @dataclass(frozen=True, slots=True)
 class Update:
-    """An update whose own shape is right. `upsert` maps a section to its items, or to its new
-    object.
+    """An update whose own shape is valid.
+
+    Attributes:
+        generation: the operator's number for the document after the update.
+        upsert: the items by section, or a section's new object.
+        remove: the names to remove by section.
     """
 
     generation: int
-    upsert: Mapping[str, Any]
+    upsert: JsonObject
     remove: Mapping[str, frozenset[str]]
 
 
 @dataclass(frozen=True, slots=True)
 class UpdateRequest:
-    """An update that an operator has sent: the version it builds on, and its name when it comes
-    again.
+    """An update as an operator sent it.
+
+    Attributes:
+        base: the generation that it builds on.
+        update: the update.
+        digest: identifies it when it is sent again.
     """
 
     base: int
@@ -68,48 +79,47 @@
 
 
 def parse_update_request(base: int, body: bytes) -> UpdateRequest | ValidationFailure:
-    """The update with this base and these bytes, or why it can't be read."""
-    update = read_update(body)
-    return (
-        update
-        if isinstance(update, ValidationFailure)
-        else UpdateRequest(base, update, digest_of_update(base, body))
-    )
+    """Parse the update with this base and these bytes."""
+    update = parse_update(body)
+    if isinstance(update, ValidationFailure):
+        return update
+    return UpdateRequest(base, update, digest_of_update(base, body))
 
 
 def digest_of_update(base: int, body: bytes) -> bytes:
-    """The name of the update with this base and these bytes; no whole document has the same."""
+    """The digest of this update on this base, which no complete document has."""
     return hashlib.sha256(_DIGEST_PREFIX + struct.pack("!q", base) + body).digest()
 
 
-def read_update(body: bytes) -> Update | ValidationFailure:
-    """Check an update by itself."""
+def parse_update(body: bytes) -> Update | ValidationFailure:
+    """Parse an update and validate it by itself."""
     value = parse_json(body)
     if isinstance(value, ValidationFailure):
         return value
     if not isinstance(value, dict):
         return ValidationFailure((ValidationFault("", "must be an object"),))
-    faults = tuple(_shape_faults(value))
+    shape: JsonObject = value
+    faults = tuple(_shape_faults(shape))
     if faults:
         return ValidationFailure(faults)
-    removed = {section: frozenset(names) for section, names in (value.get(REMOVE) or {}).items()}
-    return Update(int(value[GENERATION]), value.get(UPSERT) or {}, removed)
+    removed = {section: frozenset(names) for section, names in (shape.get(REMOVE) or {}).items()}
+    return Update(int(shape[GENERATION]), shape.get(UPSERT) or {}, removed)
 
 
-def merge(document: Mapping[str, Any], update: Update) -> dict[str, Any]:
-    """The document after the update. Items keep their places; new ones follow in the order given.
+def merge(document: JsonObject, update: Update) -> dict[str, Any]:
+    """The document after the update; items keep their positions, and new ones follow as given.
 
-    The sections of `document` that the update names are lists of objects, or absent, or, where the
-    update brings an object, anything.
+    The sections of `document` that the update names must be lists of objects or absent; only where
+    the update has an object may they be anything.
     """
     merged = dict(document)
     for section in (*update.remove, *update.upsert):
-        brought = update.upsert.get(section, [])
-        if isinstance(brought, dict):
-            merged[section] = brought
+        upserted = update.upsert.get(section, [])
+        if isinstance(upserted, dict):
+            merged[section] = upserted
         else:
             merged[section] = _merged_items(
-                document.get(section) or [], brought, update.remove.get(section, frozenset())
+                document.get(section) or [], upserted, update.remove.get(section, frozenset())
             )
     merged[GENERATION] = update.generation
     return merged
@@ -118,64 +128,70 @@
 def proposal_from_update(
     base: int, update: Update, digest: bytes, confirmed: Confirmation
 ) -> ConfigurationChange | ValidationFailure:
-    """The order that brings an update about, on a state confirmed after the update was read.
+    """The change that an update proposes, on a state confirmed after the update was parsed.
 
-    Where the base is not in place the order has no document: the head then only looks for its
-    digest, and refuses it otherwise. Where it is, all states of that generation hold the same
-    document, so an order that is sent again, or taken by two members at once, brings the same
-    result.
+    Where the base is not the current generation the change has no document: the chain's head then
+    only looks its digest up, and rejects it if that is unknown. Where it is, all states of that
+    generation have the same document, so a change that is sent again, or proposed by two members at
+    once, has the same result.
     """
     if base != confirmed.generation:
         return ConfigurationChange(base, update.generation, b"", digest)
-    document = json.loads(confirmed.document) if confirmed.document is not None else _nothing()
+    document = (
+        json.loads(confirmed.document) if confirmed.document is not None else _empty_document()
+    )
     faults = tuple(_section_faults(document, update))
     if faults:
         return ValidationFailure(faults)
     merged = merge(document, update)
-    checked = validate_document(merged)
-    if isinstance(checked, ValidationFailure):
-        return checked
-    return _order(base, checked, digest)
+    valid = validate_document(merged)
+    if isinstance(valid, ValidationFailure):
+        return valid
+    return _change(base, valid, digest)
 
 
 def submit_update(
-    call: UpdateRequest,
+    request: UpdateRequest,
     confirm: Callable[[Callable[[Confirmation | None], None]], None],
     submit: Callable[[ConfigurationChange, Callable[[SubmitOutcome], None]], None],
     done: Callable[[SubmitOutcome | ValidationFailure], None],
 ) -> None:
-    """Confirm the state, merge the update onto it, and have the order decided. `done` gets one
-    outcome.
+    """Confirm the state, merge the update onto it, and have the change decided.
+
+    Args:
+        request: the update.
+        confirm: reads the confirmed state; None when nothing could be confirmed.
+        submit: has a change decided.
+        done: gets the one outcome.
     """
 
     def on_state(confirmed: Confirmation | None) -> None:
         if confirmed is None:
             done(OutcomeUnknown())
             return
-        order = proposal_from_update(call.base, call.update, call.digest, confirmed)
-        if isinstance(order, ValidationFailure):
-            done(order)
+        change = proposal_from_update(request.base, request.update, request.digest, confirmed)
+        if isinstance(change, ValidationFailure):
+            done(change)
         else:
-            submit(order, done)
+            submit(change, done)
 
     confirm(on_state)
 
 
-def _order(base: int, checked: ValidDocument, digest: bytes) -> ConfigurationChange:
-    # In ASCII: half a character, which JSON allows in fields that are passed over, has no bytes of
-    # its own.
-    document = json.dumps(checked.document, separators=(",", ":")).encode()
-    return ConfigurationChange(base, checked.generation, document, digest)
+def _change(base: int, valid: ValidDocument, digest: bytes) -> ConfigurationChange:
+    # In ASCII: a lone surrogate, which JSON allows in fields that are ignored, can't be encoded.
+    document = json.dumps(valid.document, separators=(",", ":")).encode()
+    return ConfigurationChange(base, valid.generation, document, digest)
 
 
-def _nothing() -> dict[str, Any]:
+def _empty_document() -> JsonObject:
     return {"routes": [], "services": []}
 
 
 def _merged_items(
-    present: list[dict[str, Any]], brought: list[dict[str, Any]], removed: frozenset[str]
-) -> list[dict[str, Any]]:
-    newest = {item["name"]: item for item in brought}
+    present: Sequence[JsonObject], upserted: Sequence[JsonObject], removed: frozenset[str]
+) -> list[JsonObject]:
+    newest = {item["name"]: item for item in upserted}
     items = []
     for item in present:
         name = item.get("name")
@@ -186,26 +202,26 @@
     return items + list(newest.values())
 
 
-def _shape_faults(value: Mapping[str, Any]) -> Iterable[ValidationFault]:
+def _shape_faults(value: JsonObject) -> Iterable[ValidationFault]:
     try:
-        positive_whole(value.get(GENERATION))
+        positive_integer(value.get(GENERATION))
     except Invalid as invalid:
         yield ValidationFault(GENERATION, invalid.msg)
     sections = {}
-    for part in (UPSERT, REMOVE):
-        sections[part] = value.get(part) or {}
-        if not isinstance(sections[part], dict):
-            yield ValidationFault(part, "must be an object")
+    for field in (UPSERT, REMOVE):
+        sections[field] = value.get(field) or {}
+        if not isinstance(sections[field], dict):
+            yield ValidationFault(field, "must be an object")
             return
-        if GENERATION in sections[part]:
-            yield ValidationFault(f"{part}.{GENERATION}", "is no section")
+        if GENERATION in sections[field]:
+            yield ValidationFault(f"{field}.{GENERATION}", "is no section")
     for section, items in sections[UPSERT].items():
         yield from _upsert_faults(section, items, sections[REMOVE].get(section))
     for section, names in sections[REMOVE].items():
         yield from _remove_faults(section, names)
 
 
-def _upsert_faults(section: str, items: Any, removed: Any) -> Iterable[ValidationFault]:
+def _upsert_faults(section: str, items: JsonValue, removed: JsonValue) -> Iterable[ValidationFault]:
     path = f"{UPSERT}.{section}"
     if isinstance(items, dict):
         if removed:
@@ -229,7 +245,7 @@
             seen.add(name)
 
 
-def _remove_faults(section: str, names: Any) -> Iterable[ValidationFault]:
+def _remove_faults(section: str, names: JsonValue) -> Iterable[ValidationFault]:
     if not isinstance(names, list):
         yield ValidationFault(f"{REMOVE}.{section}", "must be a list of names")
         return
@@ -238,8 +254,8 @@
             yield ValidationFault(f"{REMOVE}.{section}[{index}]", "must be a name")
 
 
-def _section_faults(document: Mapping[str, Any], update: Update) -> Iterable[ValidationFault]:
-    """Sections that the update takes for lists, and that are something else in its base."""
+def _section_faults(document: JsonObject, update: Update) -> Iterable[ValidationFault]:
+    """Sections that are lists in the update and something else in its base."""
     for section in {*update.remove, *update.upsert}:
         if isinstance(update.upsert.get(section), dict):
             continue
@@ -248,5 +264,5 @@
             yield ValidationFault(section, "is no list of items")
 
 
-def _is_items(value: object) -> bool:
+def _is_items(value: JsonValue) -> bool:
     return isinstance(value, list) and all(isinstance(item, dict) for item in value)
--- a/roselink/controller/validation.py
+++ b/roselink/controller/validation.py
@@ -1,98 +1,108 @@
-"""The check of an operator's configuration document: shape by voluptuous, then what ties its parts
-together.
+"""Validation of an operator's configuration document.
 
-Fields that are not known here are passed over. What is absent and has a default is not a fault;
-null counts as absent. Whatever passes can be read by `Configuration.from_document`.
+Its shape is validated by a voluptuous schema, then the references between its sections. Unknown
+fields are ignored. What is absent and has a default is not a fault; null counts as absent. Whatever
+is valid can be read by `Configuration.from_document`.
 """
 
 from __future__ import annotations
 
 import json
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any, NoReturn
+from typing import TYPE_CHECKING, NoReturn
 
 from voluptuous import In, Invalid, MultipleInvalid, Required, Schema
 
 from roselink.controller.field_validators import (
-    amount,
+    Fields,
+    JsonObject,
+    JsonValue,
     any_text,
-    count,
-    flag,
+    boolean,
+    integer,
     list_of,
-    mapping,
-    may,
-    positive,
-    positive_whole,
-    prefix,
-    text,
-    whole,
+    non_empty_text,
+    non_negative_integer,
+    non_negative_number,
+    object_with,
+    optional_field,
+    path_prefix,
+    positive_integer,
+    positive_number,
 )
 from roselink.model.configuration import RouteKind
 
 if TYPE_CHECKING:
-    from collections.abc import Callable, Iterable, Mapping
+    from collections.abc import Callable, Hashable, Iterable, Sequence
 
-MOST_FAULTS = 100  # faults reported of one document
+# Reported of one document.
+MAX_FAULTS = 100
 
 
 @dataclass(frozen=True, slots=True)
 class ValidationFault:
-    """One thing that is wrong: where (as in `routes[2].timeout_ms`; empty: the whole document), and
-    why.
+    """One fault of a document, as the operator gets it (JSON with these field names).
+
+    Attributes:
+        path: where, as in `routes[2].timeout_ms`; empty: the document as a whole.
+        reason: why, for people.
     """
 
     path: str
     reason: str
 
     def __str__(self) -> str:
+        """The fault in one line."""
         return f"{self.path}: {self.reason}" if self.path else self.reason
 
 
 @dataclass(frozen=True, slots=True)
 class ValidDocument:
-    """A document without faults, and its number."""
+    """A document without faults, and the operator's number for it."""
 
     generation: int
-    document: Mapping[str, Any]
+    document: JsonObject
 
 
 @dataclass(frozen=True, slots=True)
 class ValidationFailure:
-    """Why a document is invalid: at least one fault."""
+    """Why a document or an update is invalid: at least one fault."""
 
     faults: tuple[ValidationFault, ...]
 
 
 def validate(body: bytes) -> ValidDocument | ValidationFailure:
-    """Check the bytes of a document."""
+    """Validate the bytes of a document."""
     document = parse_json(body)
     return document if isinstance(document, ValidationFailure) else validate_document(document)
 
 
-def parse_json(body: bytes) -> Any | ValidationFailure:
-    """Read bytes as JSON."""
+def parse_json(body: bytes) -> JsonValue | ValidationFailure:
+    """Parse bytes as JSON (RFC 8259: UTF-8, no NaN and no infinities)."""
     try:
-        return json.loads(body.decode("utf-8"), parse_constant=_no_constant)
+        document: JsonValue = json.loads(body.decode("utf-8"), parse_constant=_reject_constant)
     except (ValueError, RecursionError) as error:
         return ValidationFailure((ValidationFault("", f"is not JSON: {error}"),))
+    return document
 
 
-def validate_document(document: object) -> ValidDocument | ValidationFailure:
-    """Check a document that has been read from JSON."""
+def validate_document(document: JsonValue) -> ValidDocument | ValidationFailure:
+    """Validate a document that has been parsed from JSON."""
     try:
         _SCHEMA(document)
     except MultipleInvalid as invalid:
-        return ValidationFailure(tuple(_fault(error) for error in invalid.errors[:MOST_FAULTS]))
+        return ValidationFailure(tuple(_fault(error) for error in invalid.errors[:MAX_FAULTS]))
     except RecursionError:
         return ValidationFailure((ValidationFault("", "is nested too deeply"),))
     assert isinstance(document, dict)
-    faults = list(_relations(document))
+    valid: JsonObject = document
+    faults = list(_reference_faults(valid))
     if faults:
-        return ValidationFailure(tuple(faults[:MOST_FAULTS]))
-    return ValidDocument(int(document["generation"]), document)
+        return ValidationFailure(tuple(faults[:MAX_FAULTS]))
+    return ValidDocument(int(valid["generation"]), valid)
 
 
-def _no_constant(name: str) -> NoReturn:
+def _reject_constant(name: str) -> NoReturn:
     raise ValueError(f"{name} is no number")
 
 
@@ -101,114 +111,125 @@
     for step in error.path:
         path += f"[{step}]" if isinstance(step, int) else f".{step}" if path else str(step)
     reason = error.msg or "is invalid"
-    return ValidationFault(path, {"required key not provided": "is missing"}.get(reason, reason))
+    if reason == "required key not provided":
+        reason = "is missing"
+    return ValidationFault(path, reason)
 
 
 _KINDS = In(
     [kind.value for kind in RouteKind], msg="must be idempotent, non_idempotent or streaming"
 )
 
-_SHARE = mapping({Required("service"): text, Required("weight"): amount})
+_TRAFFIC_SPLIT_ENTRY = object_with(
+    {Required("service"): non_empty_text, Required("weight"): non_negative_number}
+)
 
-_ROUTE = mapping(
-    {
-        Required("name"): text,
-        Required("hostname"): text,
-        Required("path_prefix"): prefix,
-        Required("kind"): _KINDS,
-    }
-    | may("timeout_ms", positive)
-    | may("target_latency_ms", amount)
-    | may("gap_aim_ms", amount)
-    | may("priority", whole)
-    | may("max_attempts", count)
-    | may("public", flag)
-    | may("session_affinity", flag)
-    | may("resumable", flag)
-    | may("service", text)
-    | may("traffic_split", list_of(_SHARE))
+_ROUTE_REQUIRED: Fields = {
+    Required("name"): non_empty_text,
+    Required("hostname"): non_empty_text,
+    Required("path_prefix"): path_prefix,
+    Required("kind"): _KINDS,
+}
+
+_ROUTE = object_with(
+    _ROUTE_REQUIRED
+    | optional_field("timeout_ms", positive_number)
+    | optional_field("target_latency_ms", non_negative_number)
+    | optional_field("gap_aim_ms", non_negative_number)
+    | optional_field("priority", integer)
+    | optional_field("max_attempts", non_negative_integer)
+    | optional_field("public", boolean)
+    | optional_field("session_affinity", boolean)
+    | optional_field("resumable", boolean)
+    | optional_field("service", non_empty_text)
+    | optional_field("traffic_split", list_of(_TRAFFIC_SPLIT_ENTRY))
 )
 
-_ENGINE = mapping(may("capacity", count) | may("kv_capacity", count))
+_ENGINE = object_with(
+    optional_field("capacity", non_negative_integer)
+    | optional_field("kv_capacity", non_negative_integer)
+)
 
-_SERVICE = mapping(
-    {Required("name"): text}
-    | may("health_check", any_text)
-    | may("max_connections", count)
-    | may("engine", _ENGINE)
+_SERVICE = object_with(
+    {Required("name"): non_empty_text}
+    | optional_field("health_check", any_text)
+    | optional_field("max_connections", non_negative_integer)
+    | optional_field("engine", _ENGINE)
 )
 
-_TENANT = mapping(
-    {Required("name"): text}
-    | may("api_keys", list_of(text))
-    | may("priority", whole)
-    | may("unit", any_text)
-    | may("plain_tokens", count)
-    | may("rate_per_s", amount)
-    | may("burst", amount)
+_TENANT = object_with(
+    {Required("name"): non_empty_text}
+    | optional_field("api_keys", list_of(non_empty_text))
+    | optional_field("priority", integer)
+    | optional_field("unit", any_text)
+    | optional_field("plain_tokens", non_negative_integer)
+    | optional_field("rate_per_s", non_negative_number)
+    | optional_field("burst", non_negative_number)
 )
 
-_LIMITS = mapping(
-    may("max_header_bytes", count)
-    | may("max_body_bytes", count)
-    | may("header_timeout_ms", amount)
-    | may("idle_timeout_ms", amount)
+_LIMITS = object_with(
+    optional_field("max_header_bytes", non_negative_integer)
+    | optional_field("max_body_bytes", non_negative_integer)
+    | optional_field("header_timeout_ms", non_negative_number)
+    | optional_field("idle_timeout_ms", non_negative_number)
 )
 
-_DOCUMENT = mapping(
+_DOCUMENT = object_with(
     {
-        Required("generation"): positive_whole,
+        Required("generation"): positive_integer,
         Required("routes"): list_of(_ROUTE),
         Required("services"): list_of(_SERVICE),
     }
-    | may("limits", _LIMITS)
-    | may("tenants", list_of(_TENANT))
+    | optional_field("limits", _LIMITS)
+    | optional_field("tenants", list_of(_TENANT))
 )
 
 _SCHEMA = Schema(_DOCUMENT)
 
 
-# What ties the parts together; the shapes are right here.
+# References between sections; the shapes are valid here.
 
 
-def _relations(document: Mapping[str, Any]) -> Iterable[ValidationFault]:
+def _reference_faults(document: JsonObject) -> Iterable[ValidationFault]:
     services = {service["name"] for service in document["services"]}
     for index, route in enumerate(document["routes"]):
-        yield from _route_relations(f"routes[{index}]", route, services)
-    yield from _repeated("routes", document["routes"], "name", lambda route: route["name"])
-    yield from _repeated("services", document["services"], "name", lambda service: service["name"])
-    yield from _repeated(
+        yield from _route_faults(f"routes[{index}]", route, services)
+    yield from _duplicates("routes", document["routes"], "name", lambda route: route["name"])
+    yield from _duplicates(
+        "services", document["services"], "name", lambda service: service["name"]
+    )
+    yield from _duplicates(
         "routes",
         document["routes"],
         "path_prefix",
         lambda route: (route["hostname"].lower(), route["path_prefix"]),
     )
     tenants = document.get("tenants") or []
-    yield from _repeated("tenants", tenants, "name", lambda tenant: tenant["name"])
-    yield from _shared_keys(tenants)
+    yield from _duplicates("tenants", tenants, "name", lambda tenant: tenant["name"])
+    yield from _shared_key_faults(tenants)
 
 
-def _route_relations(
-    path: str, route: Mapping[str, Any], services: set[str]
-) -> Iterable[ValidationFault]:
-    single, split = route.get("service"), route.get("traffic_split") or []
+def _route_faults(path: str, route: JsonObject, services: set[str]) -> Iterable[ValidationFault]:
+    single = route.get("service")
+    split = route.get("traffic_split") or []
     if single is None and not split:
         yield ValidationFault(f"{path}.service", "is missing")
     if single is not None and single not in services:
         yield ValidationFault(f"{path}.service", f"no service is named {single!r}")
-    for index, part in enumerate(split):
-        if part["service"] not in services:
+    for index, target in enumerate(split):
+        if target["service"] not in services:
             yield ValidationFault(
-                f"{path}.traffic_split[{index}].service", f"no service is named {part['service']!r}"
+                f"{path}.traffic_split[{index}].service",
+                f"no service is named {target['service']!r}",
             )
-    if split and sum(part["weight"] for part in split) <= 0:
+    if split and sum(target["weight"] for target in split) <= 0:
         yield ValidationFault(f"{path}.traffic_split", "the weights add up to 0")
 
 
-def _repeated(
-    path: str, entries: list[Any], field: str, identity: Callable[[Any], object]
+def _duplicates(
+    path: str, entries: Sequence[JsonObject], field: str, identity: Callable[[JsonObject], Hashable]
 ) -> Iterable[ValidationFault]:
-    seen: dict[object, int] = {}
+    seen: dict[Hashable, int] = {}
     for index, entry in enumerate(entries):
         first = seen.setdefault(identity(entry), index)
         if first != index:
@@ -217,12 +238,12 @@
             )
 
 
-def _shared_keys(tenants: list[Any]) -> Iterable[ValidationFault]:
-    holders: dict[str, int] = {}
+def _shared_key_faults(tenants: Sequence[JsonObject]) -> Iterable[ValidationFault]:
+    owners: dict[str, int] = {}
     for index, tenant in enumerate(tenants):
-        for place, key in enumerate(tenant.get("api_keys") or []):
-            holder = holders.setdefault(key, index)
-            if holder != index:
+        for position, key in enumerate(tenant.get("api_keys") or []):
+            owner = owners.setdefault(key, index)
+            if owner != index:
                 yield ValidationFault(
-                    f"tenants[{index}].api_keys[{place}]", f"is also a key of tenants[{holder}]"
+                    f"tenants[{index}].api_keys[{position}]", f"is also a key of tenants[{owner}]"
                 )
--- a/tests/controller/test_updates.py
+++ b/tests/controller/test_updates.py
@@ -13,9 +13,9 @@
     UpdateRequest,
     digest_of_update,
     merge,
+    parse_update,
     parse_update_request,
     proposal_from_update,
-    read_update,
     submit_update,
 )
 from roselink.controller.validation import ValidationFailure
@@ -46,7 +46,7 @@
 
 
 def update(body: bytes) -> Update:
-    got = read_update(body)
+    got = parse_update(body)
     assert isinstance(got, Update), got
     return got
 
@@ -148,7 +148,7 @@
 @pytest.mark.parametrize("case", UNREADABLE)
 def test_an_update_that_cannot_be_read(case: str) -> None:
     body, path = UNREADABLE[case]
-    got = read_update(body)
+    got = parse_update(body)
     assert isinstance(got, ValidationFailure)
     assert got.faults[0].path == path
     assert isinstance(parse_update_request(7, body), ValidationFailure)
@@ -210,7 +210,7 @@
 def test_no_depth_of_nesting_raises() -> None:
     for depth in range(800, 1000):
         body = b'{"generation":9,"upsert":{"note":{"deep":%s%s}}}' % (b"[" * depth, b"]" * depth)
-        read = read_update(body)
+        read = parse_update(body)
         if isinstance(read, Update):
             proposal_from_update(7, read, b"digest", confirmed(BASE))
 
--- a/tests/controller/test_validation.py
+++ b/tests/controller/test_validation.py
@@ -10,7 +10,7 @@
 import pytest
 
 from roselink.controller.validation import (
-    MOST_FAULTS,
+    MAX_FAULTS,
     ValidationFailure,
     ValidDocument,
     validate,
@@ -422,9 +422,9 @@
 
 
 def test_the_faults_named_are_bounded() -> None:
-    refused = validate_document(document(routes=[5] * (2 * MOST_FAULTS)))
+    refused = validate_document(document(routes=[5] * (2 * MAX_FAULTS)))
     assert isinstance(refused, ValidationFailure)
-    assert len(refused.faults) == MOST_FAULTS
+    assert len(refused.faults) == MAX_FAULTS
 
 
 ODD_VALUES: tuple[Any, ...] = (
--- a/tests/mutations/controller.py
+++ b/tests/mutations/controller.py
@@ -80,7 +80,7 @@
         ("an update is merged onto any base", "if base != confirmed.generation:", "if False:"),
         (
             "a merged document is not checked",
-            "    if isinstance(checked, ValidationFailure):\n",
+            "    if isinstance(valid, ValidationFailure):\n",
             "    if False:\n",
         ),
         ("an item stands twice in an update", "elif name in seen:", "elif False:"),
