--- a/roselink/cli.py
+++ b/roselink/cli.py
@@ -98,11 +98,11 @@
     :param machines: of the core; left out, size and kind of day follow from the seed
     :param jobs: how many days at a time
     """
-    from roselink.simulation.command import play_days
+    from roselink.simulation.command import run_days
 
     if days < 1 or jobs < 1 or (machines is not None and not 1 <= machines <= MOST_MACHINES):
         return _report([f"days and jobs: 1 at least; machines: 1 to {MOST_MACHINES}"])
-    return EXIT_UNAVAILABLE if play_days(seed, days, machines, jobs, _say) else 0
+    return EXIT_UNAVAILABLE if run_days(seed, days, machines, jobs, _say) else 0
 
 
 def _say(line: str) -> None:
--- a/roselink/simulation/__init__.py
+++ b/roselink/simulation/__init__.py
@@ -1,7 +1,8 @@
-"""The coordination library and the pull service on made-up machines, from one seed. No program
-imports it.
+"""The coordination library and the pull service on simulated machines, from one seed.
 
-`world` holds machines, links and time, `disk` a folder that loses what was not synced, `clients`
-and `gateways` those who call, `history` the judge of what they were told, `days` the troubles,
-`search` every order of a few steps, `command` the command line.
+No program imports this package. `scenarios` has the days that `roselink simulate` runs, in which
+`faults` are injected into a `cluster`: `machine`s with a `disk` that loses what was not synced,
+connected by a `network`, in the virtual time of a `scheduler`. `clients` and `gateways` call it;
+`history` records their calls and checks the record. `model_checker` explores every order of a few
+steps of three members, from `initial_states`.
 """
--- a/roselink/simulation/clients.py
+++ b/roselink/simulation/clients.py
@@ -1,4 +1,4 @@
-"""Simulated operators and readers. What they are told goes into the world's history."""
+"""Simulated operators and readers, whose calls go into the cluster's history."""
 
 from __future__ import annotations
 
@@ -18,40 +18,63 @@
 )
 from roselink.coordination.state import digest_of
 from roselink.protocol.chain import ConfigurationOrder
-from roselink.simulation.history import Change, Reading, Said
+from roselink.simulation.exceptions import ChangeNotValidError
+from roselink.simulation.history import CallResult, Change, Reading
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from roselink.simulation.world import Machine, World
+    from roselink.simulation.cluster import Cluster
+    from roselink.simulation.machine import Machine
 
-SILENCE_S = 1.0  # a caller moves on after so long
-TRIES = 12
-UPDATES = 0.5  # of the changes are sent as updates of items
+# An operator sends a change again after so many seconds without a response.
+RESPONSE_TIMEOUT_S = 1.0
+# After so many attempts an operator goes on to its next change.
+MOST_ATTEMPTS = 12
+# The fraction of changes that are sent as updates of items.
+UPDATE_FRACTION = 0.5
 SERVICE = "model"
-KEYS = 5  # each configuration holds two of so many keys, by turns
+# Each configuration has two of so many API keys, in turn.
+KEY_COUNT = 5
+# The fraction of calls that operators send to two members at once.
+CONCURRENT_FRACTION = 0.1
+# The fraction of responses that operators do not receive.
+LOST_RESPONSE_FRACTION = 0.05
+# The fraction of calls with which an operator sends one of its former changes again.
+REPEAT_FRACTION = 0.05
+# The fraction of changes that build on a version that may not exist, and of those whose version
+# may be no higher than the base.
+UNKNOWN_BASE_FRACTION = 0.03
+OLD_VERSION_FRACTION = 0.05
+# The fraction of confirmed changes that are sent once more.
+CONFIRMED_REPEAT_FRACTION = 0.1
 
 
 def document_of(change: Change, padding: int = 0) -> bytes:
-    """A change as it is sent whole. Its only route has the same name in all changes; its text is
-    the host.
+    """A change as a whole document.
+
+    Its only route has the same name in all changes; the change's text is the route's host name.
+
+    Args:
+        change: the change.
+        padding: the size of a setting that only makes the document longer, in bytes.
     """
-    told = _items(change) | {
+    document = _items(change) | {
         "generation": change.version,
         "services": [{"name": SERVICE}],
         "padding": "x" * padding,
     }
-    return json.dumps(told).encode()
+    return json.dumps(document).encode()
 
 
-def update_of(change: Change, gone: int) -> bytes:
-    """The same change as an update of items, which also removes a route that isn't there."""
-    told = {
+def update_of(change: Change, missing: int) -> bytes:
+    """A change as an update of items, which also removes a route that does not exist."""
+    update = {
         "generation": change.version,
         "upsert": _items(change),
-        "remove": {"routes": [f"gone-{gone}"]},
+        "remove": {"routes": [f"gone-{missing}"]},
     }
-    return json.dumps(told).encode()
+    return json.dumps(update).encode()
 
 
 def _items(change: Change) -> dict[str, Any]:
@@ -61,175 +84,198 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sending:
-    """A change as its operator sends it, whole or as an update, each time with the same bytes."""
+class ChangeRequest:
+    """A change as its operator sends it, always with the same bytes.
+
+    Attributes:
+        change: the change.
+        command: the change as a whole document, or as an update of items.
+    """
 
     change: Change
-    order: ConfigurationOrder | UpdateCall
+    command: ConfigurationOrder | UpdateCall
 
-    def to(self, machine: Machine, done: Callable[[SubmitOutcome | Refused], None]) -> None:
-        """Have a member carry it."""
-        if isinstance(self.order, ConfigurationOrder):
-            machine.submit(self.order, done)
+    def send(self, machine: Machine, done: Callable[[SubmitOutcome | Refused], None]) -> None:
+        """Send the change to a member."""
+        if isinstance(self.command, ConfigurationOrder):
+            machine.submit(self.command, done)
             return
-        life = machine.life
+        process_number = machine.process_number
 
-        def submit(order: ConfigurationOrder, then: Callable[[SubmitOutcome], None]) -> None:
-            if machine.life == life:
-                machine.submit(order, then)
+        def submit(order: ConfigurationOrder, done: Callable[[SubmitOutcome], None]) -> None:
+            if machine.process_number == process_number:
+                machine.submit(order, done)
 
-        carry_update(self.order, machine.read, submit, done)
+        carry_update(self.command, machine.read, submit, done)
 
 
-def order_of(change: Change, padding: int = 0) -> ConfigurationOrder:
-    """A change as members take it."""
+def command_of(change: Change, padding: int = 0) -> ConfigurationOrder:
+    """A change with its whole document, as members take it."""
     document = document_of(change, padding)
     return ConfigurationOrder(
         change.base, change.version, document, digest_of(change.base, document)
     )
 
 
-def update_call_of(change: Change, gone: int) -> UpdateCall:
-    """A change as members take an update."""
-    call = read_call(change.base, update_of(change, gone))
+def update_command_of(change: Change, missing: int) -> UpdateCall:
+    """A change as an update of items, as members take it."""
+    call = read_call(change.base, update_of(change, missing))
     if isinstance(call, Refused):
-        raise AssertionError(str(call))
+        raise ChangeNotValidError(change, call)
     return call
 
 
-def change_in(world: World, document: bytes | None) -> Change | None:
-    """The change that a document came with."""
+def change_in(cluster: Cluster, document: bytes | None) -> Change | None:
+    """The change that a document belongs to; None for no document."""
     if document is None:
         return None
-    return world.changes[json.loads(document)["routes"][0]["hostname"]]
+    return cluster.changes[json.loads(document)["routes"][0]["hostname"]]
 
 
-def said(outcome: SubmitOutcome | Refused) -> Said:
-    """What an outcome tells an operator."""
+def result_of(outcome: SubmitOutcome | Refused) -> CallResult:
+    """What an operator knows of its change after an outcome."""
     if isinstance(outcome, TakenOrder):
-        return Said.CONFIRMED
-    return Said.REFUSED if isinstance(outcome, Conflict | NotNewer | Refused) else Said.UNCLEAR
+        return CallResult.CONFIRMED
+    refused = isinstance(outcome, Conflict | NotNewer | Refused)
+    return CallResult.REFUSED if refused else CallResult.UNKNOWN
 
 
 class Operator:
-    """Sends one change after the other, each again and again, to any member, until a clear
-    answer.
+    """Sends one change after the other, each to any members, again until its result is known.
+
+    Attributes:
+        name: the name of the operator.
+        pause_s: the longest pause between two changes, in seconds.
+        base: the highest version that the operator knows to be in force.
+        count: how many changes it has made.
+        stopped: whether it begins no more changes.
+        slowest_s: the longest time from a first send to its confirmation, in seconds.
     """
 
-    def __init__(self, world: World, name: str, pause_s: float = 0.3) -> None:
-        self.world, self.name, self.pause_s = world, name, pause_s
-        self.base = self.count = 0
+    def __init__(self, cluster: Cluster, name: str, pause_s: float = 0.3) -> None:
+        """Begin to send changes soon."""
+        self.cluster = cluster
+        self.name = name
+        self.pause_s = pause_s
+        self.base = 0
+        self.count = 0
         self.stopped = False
         self.slowest_s = 0.0
-        self._sent: list[Sending] = []
-        world.after(world.random.uniform(0.5, 1.5), self._next)
+        self._sent: list[ChangeRequest] = []
+        cluster.after(cluster.random.uniform(0.5, 1.5), self._next)
 
     def _next(self) -> None:
         if self.stopped:
             return
-        draw = self.world.random
-        if self._sent and draw.random() < 0.05:
-            sending = draw.choice(self._sent)  # an old one once more
+        draw = self.cluster.random
+        if self._sent and draw.random() < REPEAT_FRACTION:
+            request = draw.choice(self._sent)
         else:
             change = self._change()
-            updates = change.base > 0 and draw.random() < UPDATES
+            update = change.base > 0 and draw.random() < UPDATE_FRACTION
             size = draw.randrange(300)
-            order = update_call_of(change, size) if updates else order_of(change, size)
-            self.world.digests[change.text] = order.digest
-            sending = Sending(change, order)
-            self._sent.append(sending)
-        self._send(sending, self.world.now, 0)
+            command = update_command_of(change, size) if update else command_of(change, size)
+            self.cluster.digests[change.text] = command.digest
+            request = ChangeRequest(change, command)
+            self._sent.append(request)
+        self._send(request, self.cluster.now, 0)
 
     def _change(self) -> Change:
-        draw = self.world.random
+        draw = self.cluster.random
         self.count += 1
-        base = self.base + (draw.choice([3, 7]) if draw.random() < 0.03 else 0)
-        version = max(1, base + draw.choice([1, 1, 2, 5]) - (4 if draw.random() < 0.05 else 0))
-        keys = frozenset(f"key-{(version + turn) % KEYS}" for turn in range(2))
+        base = self.base + (draw.choice([3, 7]) if draw.random() < UNKNOWN_BASE_FRACTION else 0)
+        version = max(
+            1, base + draw.choice([1, 1, 2, 5]) - (4 if draw.random() < OLD_VERSION_FRACTION else 0)
+        )
+        keys = frozenset(f"key-{(version + turn) % KEY_COUNT}" for turn in range(2))
         change = Change(base, version, f"{self.name}-{self.count}", keys)
-        self.world.changes[change.text] = change
+        self.cluster.changes[change.text] = change
         return change
 
-    def _send(self, sending: Sending, began: float, tries: int) -> None:
-        world = self.world
-        up = world.up()
-        if tries >= TRIES or not up:
-            world.after(self.pause_s, self._next)
+    def _send(self, request: ChangeRequest, began: float, attempts: int) -> None:
+        cluster = self.cluster
+        running = cluster.running_machines()
+        if attempts >= MOST_ATTEMPTS or not running:
+            cluster.after(self.pause_s, self._next)
             return
         ended: list[bool] = []
-        at_once = 2 if world.random.random() < 0.1 else 1
-        for machine in world.random.sample(up, min(at_once, len(up))):
-            self._ask(machine, sending, began, tries, ended)
+        copies = 2 if cluster.random.random() < CONCURRENT_FRACTION else 1
+        for machine in cluster.random.sample(running, min(copies, len(running))):
+            self._call(machine, request, began, attempts, ended)
 
-        def silence() -> None:
+        def time_out() -> None:
             if not ended:
                 ended.append(True)
-                self._send(sending, began, tries + 1)
+                self._send(request, began, attempts + 1)
 
-        world.after(SILENCE_S, silence)
+        cluster.after(RESPONSE_TIMEOUT_S, time_out)
 
-    def _ask(
+    def _call(
         self,
         machine: Machine,
-        sending: Sending,
+        request: ChangeRequest,
         began: float,
-        tries: int,
+        attempts: int,
         ended: list[bool],
     ) -> None:
-        world, change = self.world, sending.change
-        call = world.history.order(change, world.now)
+        cluster, change = self.cluster, request.change
+        call = cluster.history.begin_call(change, cluster.now)
 
         def done(outcome: SubmitOutcome | Refused) -> None:
-            call.ended, call.said = world.now, said(outcome)
+            call.ended = cluster.now
+            call.result = result_of(outcome)
             if isinstance(outcome, TakenOrder):
-                world.note_taken(change.text, outcome.sequence)
-            lost = world.random.random() < 0.05
+                cluster.record_confirmed(change.text, outcome.sequence)
+            lost = cluster.random.random() < LOST_RESPONSE_FRACTION
             if ended or lost:
                 return
             ended.append(True)
-            self._answered(sending, began, tries, outcome)
+            self._respond(request, began, attempts, outcome)
 
-        sending.to(machine, done)
+        request.send(machine, done)
 
-    def _answered(
-        self, sending: Sending, began: float, tries: int, outcome: SubmitOutcome | Refused
+    def _respond(
+        self, request: ChangeRequest, began: float, attempts: int, outcome: SubmitOutcome | Refused
     ) -> None:
-        world, change = self.world, sending.change
+        cluster, change = self.cluster, request.change
         if isinstance(outcome, TakenOrder):
             self.base = max(self.base, change.version)
-            self.slowest_s = max(self.slowest_s, world.now - began)
-            if world.random.random() < 0.1:
-                self._send(sending, world.now, tries + 1)
+            self.slowest_s = max(self.slowest_s, cluster.now - began)
+            if cluster.random.random() < CONFIRMED_REPEAT_FRACTION:
+                self._send(request, cluster.now, attempts + 1)
                 return
         elif isinstance(outcome, Conflict | NotNewer):
             self.base = max(self.base, outcome.current)
         elif isinstance(outcome, Unsettled):
-            self._send(sending, began, tries + 1)
+            self._send(request, began, attempts + 1)
             return
-        world.after(world.random.uniform(0, self.pause_s), self._next)
+        cluster.after(cluster.random.uniform(0, self.pause_s), self._next)
 
 
 class Reader:
-    """Reads from any member, several at a time."""
+    """Reads the configuration at any member, with several reads in flight at once."""
 
-    def __init__(self, world: World, pause_s: float = 0.08) -> None:
-        self.world, self.pause_s = world, pause_s
+    def __init__(self, cluster: Cluster, pause_s: float = 0.08) -> None:
+        """Begin to read soon, every `pause_s` seconds in the mean."""
+        self.cluster = cluster
+        self.pause_s = pause_s
         self.stopped = False
-        world.after(world.random.uniform(0.5, 1.5), self._next)
+        cluster.after(cluster.random.uniform(0.5, 1.5), self._next)
 
     def _next(self) -> None:
         if self.stopped:
             return
-        self.world.after(self.world.random.uniform(0, 2 * self.pause_s), self._next)
-        up = self.world.up()
-        if not up:
+        self.cluster.after(self.cluster.random.uniform(0, 2 * self.pause_s), self._next)
+        running = self.cluster.running_machines()
+        if not running:
             return
-        began = self.world.now
+        began = self.cluster.now
 
-        def done(shown: Confirmation | None) -> None:
-            if shown is not None:
-                change = change_in(self.world, shown.document)
-                self.world.note_shown(shown.sequence, change.text if change is not None else None)
-                self.world.history.readings.append(Reading(began, self.world.now, change))
+        def done(confirmation: Confirmation | None) -> None:
+            if confirmation is not None:
+                change = change_in(self.cluster, confirmation.document)
+                text = change.text if change is not None else None
+                self.cluster.record_shown(confirmation.sequence, text)
+                self.cluster.history.readings.append(Reading(began, self.cluster.now, change))
 
-        self.world.random.choice(up).read(done)
+        self.cluster.random.choice(running).read(done)
--- /dev/null
+++ b/roselink/simulation/cluster.py
@@ -0,0 +1,109 @@
+"""A simulated control plane: core machines over a network, in virtual time, from one seed."""
+
+from __future__ import annotations
+
+import itertools
+import random
+from functools import partial
+
+from roselink.model.fleet import Host, HostState
+from roselink.simulation.exceptions import SequenceConflictError
+from roselink.simulation.history import Change, History
+from roselink.simulation.machine import Machine
+from roselink.simulation.network import Network
+from roselink.simulation.scheduler import Scheduler
+
+# How many machines settings name.
+MOST_SEEDS = 3
+# The largest offset at which machines start for the first time, in seconds.
+START_SPREAD_S = 0.3
+
+
+class Cluster(Scheduler):
+    """Machines, their network, and what its clients were told.
+
+    Attributes:
+        random: the only source of randomness; the same seed gives the same run.
+        tolerated: how many machines the core survives the loss of.
+        seeds: the addresses that settings name.
+        machines: the core machines, by their addresses.
+        network: the links between them, and to the gateways.
+        history: the calls of all clients.
+        changes: all configuration changes, by their texts.
+        digests: the digests under which the changes were submitted, by their texts.
+        confirmed_sequences: the sequences of confirmed changes, by their texts.
+        shown_texts: the texts of the configurations that reads returned, by their sequences.
+    """
+
+    def __init__(
+        self, seed: int, machines: int = 3, tolerated: int = 1, seeds: int = MOST_SEEDS
+    ) -> None:
+        """Make a core of so many machines, all of which start within `START_SPREAD_S`."""
+        super().__init__()
+        self.random = random.Random(seed)
+        self.tolerated = tolerated
+        self._numbers = itertools.count(1)
+        addresses = [f"10.0.0.{index + 1}:7500" for index in range(machines)]
+        self.seeds = tuple(addresses[:seeds])
+        self.machines = {address: Machine(self, address) for address in addresses}
+        self.network = Network(self, self.random, self.machines)
+        self.history = History()
+        self.changes: dict[str, Change] = {}
+        self.digests: dict[str, bytes] = {}
+        self.confirmed_sequences: dict[str, int] = {}
+        self.shown_texts: dict[int, str | None] = {0: None}
+        for machine in self.machines.values():
+            delay = self.random.uniform(0, START_SPREAD_S)
+            self.after(delay, partial(machine.start, bootstrap=True))
+
+    def record_confirmed(self, text: str, sequence: int) -> None:
+        """Record that a change was confirmed under a sequence.
+
+        Raises:
+            SequenceConflictError: it was confirmed under another sequence before, or another
+                change was under this one.
+        """
+        if self.confirmed_sequences.setdefault(text, sequence) != sequence:
+            raise SequenceConflictError(sequence, text)
+        self.record_shown(sequence, text)
+
+    def record_shown(self, sequence: int, text: str | None) -> None:
+        """Record that a configuration was returned under a sequence.
+
+        Raises:
+            SequenceConflictError: another configuration was returned under that sequence before.
+        """
+        if self.shown_texts.setdefault(sequence, text) != text:
+            raise SequenceConflictError(sequence, text)
+
+    def next_number(self) -> int:
+        """A number that nothing else has."""
+        return next(self._numbers)
+
+    def add(self, address: str) -> None:
+        """Add a machine that is new to the system; settings now name the first present machines."""
+        self.seeds = tuple(list(self.machines)[:MOST_SEEDS])
+        machine = Machine(self, address)
+        self.machines[address] = machine
+        machine.start()
+
+    def running_machines(self) -> list[Machine]:
+        """The machines whose processes run."""
+        return [machine for machine in self.machines.values() if machine.running]
+
+    def active_tail(self) -> Machine | None:
+        """The tail of the newest view that any running member knows, once that is active."""
+        running = [m for m in self.running_machines() if m.member and m.member.view]
+        if not running:
+            return None
+        newest = max(m.member.view.epoch for m in running if m.member and m.member.view)
+        for machine in running:
+            member = machine.member
+            if member and member.view and member.view.epoch == newest and member.chain.is_tail:
+                return machine
+        return None
+
+    def listed_hosts(self) -> tuple[Host, ...]:
+        """The platform's list of hosts just now: one host, whose name is the present time."""
+        moment = f"{self.now:012.3f}"
+        return (Host(moment, "model", "10.9.0.1:80", "z", "v1", 1, HostState.READY, 0.0, ("m",)),)
--- a/roselink/simulation/command.py
+++ b/roselink/simulation/command.py
@@ -1,6 +1,4 @@
-"""`roselink simulate`: play days on a simulated control plane, and print what a failing seed came
-to.
-"""
+"""`roselink simulate`: runs days on a simulated control plane, and prints the failing seeds."""
 
 from __future__ import annotations
 
@@ -9,18 +7,27 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from roselink.simulation.days import Played, day_of_seed, storm_day, trouble_day
+from roselink.simulation.scenarios import (
+    ScenarioResult,
+    day_of_seed,
+    fault_episodes_day,
+    storm_day,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-LARGEST_TOLERATING_ONE = 4  # with more machines two may be lost at once
+# A core with more machines tolerates the loss of two.
+LARGEST_TOLERATING_ONE = 4
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
-    """One day to play: of a kind, size and links that follow from the seed, or of so many
-    machines.
+class Job:
+    """One day to run.
+
+    Attributes:
+        seed: what the day follows from.
+        machines: how many; None if the number follows from the seed as well.
     """
 
     seed: int
@@ -28,44 +35,62 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
-    """What became of it; `why` is None for a day on which all held."""
+class JobResult:
+    """The result of a day.
+
+    Attributes:
+        seed: the seed of the day.
+        result: what clients did; None if the day failed.
+        failure: why the day failed; None if it passed.
+    """
 
     seed: int
-    played: Played | None
-    why: str | None
+    result: ScenarioResult | None
+    failure: str | None
 
 
-def play(order: Order) -> Outcome:
-    """Play one day."""
+def run_job(job: Job) -> JobResult:
+    """Run one day."""
     try:
-        if order.machines is None:
-            played = day_of_seed(order.seed)
-        elif order.seed % 2:
-            tolerated = 1 if order.machines <= LARGEST_TOLERATING_ONE else 2
-            played = trouble_day(order.seed, order.machines, tolerated, lossy=order.seed % 4 == 1)
+        if job.machines is None:
+            result = day_of_seed(job.seed)
+        elif job.seed % 2:
+            tolerated = 1 if job.machines <= LARGEST_TOLERATING_ONE else 2
+            result = fault_episodes_day(job.seed, job.machines, tolerated, lossy=job.seed % 4 == 1)
         else:
-            played = storm_day(order.seed, order.machines, 1)
-    except AssertionError as failed:
-        return Outcome(order.seed, None, str(failed))
-    return Outcome(order.seed, played, None)
+            result = storm_day(job.seed, job.machines, 1)
+    except AssertionError as error:
+        return JobResult(job.seed, None, str(error))
+    return JobResult(job.seed, result, None)
 
 
-def play_days(
-    seed: int, days: int, machines: int | None, jobs: int, say: Callable[[str], None]
+def run_days(
+    seed: int, days: int, machines: int | None, jobs: int, print_line: Callable[[str], None]
 ) -> int:
-    """Play days with consecutive seeds, `jobs` at a time; how many failed. What failed is said."""
+    """Run days with consecutive seeds, and print those that failed and a summary.
+
+    Args:
+        seed: the seed of the first day.
+        days: how many days.
+        machines: how many core machines; None if the number follows from the seed.
+        jobs: how many days at a time.
+        print_line: prints one line.
+
+    Returns:
+        How many days failed.
+    """
     began = time.monotonic()
-    orders = [Order(number, machines) for number in range(seed, seed + days)]
-    failed = confirmed = 0
+    job_list = [Job(number, machines) for number in range(seed, seed + days)]
+    failed = 0
+    confirmed = 0
     with multiprocessing.Pool(jobs) as pool:
-        for outcome in pool.imap_unordered(play, orders):
-            if outcome.why is not None:
+        for done in pool.imap_unordered(run_job, job_list):
+            if done.failure is not None:
                 failed += 1
-                say(f"seed {outcome.seed}: {outcome.why}")
-            elif outcome.played is not None:
-                confirmed += outcome.played.confirmed
-    say(
+                print_line(f"seed {done.seed}: {done.failure}")
+            elif done.result is not None:
+                confirmed += done.result.confirmed
+    print_line(
         f"{days} days, {failed} failed, {confirmed} confirmed calls, "
         f"{time.monotonic() - began:.1f} s"
     )
--- a/roselink/simulation/disk.py
+++ b/roselink/simulation/disk.py
@@ -1,9 +1,9 @@
-"""A folder in memory that knows what was synced, and what a loss of power may leave of the rest.
+"""A folder in memory that loses, at a power failure, any part of what was not synced.
 
 Each file has the bytes that its last sync covered and the writes since then; each name the file
-that the folder's last sync covered. At a loss of power every later write is there, missing or torn
-(cut short, or with zeros in its place), and every changed name is kept or lost, each independently
-of all others.
+that the folder's last sync covered. At a power failure every later write is complete, missing or
+torn (cut short, or followed by zeros), and every changed name is kept or lost, each independently
+of all others. `MemoryFiles.power_failure_states` enumerates these states.
 """
 
 from __future__ import annotations
@@ -19,45 +19,62 @@
 from enum import Enum
 from typing import IO, TYPE_CHECKING, Any
 
+from roselink.simulation.exceptions import ProcessCrashError, StandardLibraryError
+
 if TYPE_CHECKING:
     import random
 
+    from _typeshed import ReadableBuffer, WriteableBuffer
+
     from roselink.controller.storage import Database
 
 FOLDER = "/disk"
 
 
 class Kept(Enum):
-    """What a loss of power leaves of one write."""
+    """What a power failure leaves of one write."""
 
-    WHOLE = "whole"
+    COMPLETE = "whole"
     MISSING = "missing"
-    SHORT = "short"  # its first half
-    EMPTY = "empty"  # its first half, and zeros in place of the other
+    # Its first half.
+    SHORT = "short"
+    # Its first half, and zeros in place of the other.
+    ZEROED = "empty"
 
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """Bytes that were written at a place; `cut`: all behind that place was dropped first."""
+    """One write to a file.
+
+    Attributes:
+        offset: where the data begins, in bytes.
+        data: the bytes.
+        truncate: whether the file was cut off at the offset first.
+    """
 
-    at: int
+    offset: int
     data: bytes
-    cut: bool = False
+    truncate: bool = False
 
     def apply(self, content: bytes, kept: Kept) -> bytes:
-        """The file's content after what is kept of this write."""
+        """The content of a file after what is kept of this write."""
         if kept is Kept.MISSING:
             return content
-        data = self.data if kept is Kept.WHOLE else self.data[: len(self.data) // 2]
-        data = data.ljust(len(self.data), b"\0") if kept is Kept.EMPTY else data
-        content = content[: self.at] if self.cut else content
-        content = content.ljust(self.at, b"\0")
-        return content[: self.at] + data + content[self.at + len(data) :]
+        data = self.data if kept is Kept.COMPLETE else self.data[: len(self.data) // 2]
+        data = data.ljust(len(self.data), b"\0") if kept is Kept.ZEROED else data
+        content = content[: self.offset] if self.truncate else content
+        content = content.ljust(self.offset, b"\0")
+        return content[: self.offset] + data + content[self.offset + len(data) :]
 
 
 @dataclass(slots=True, eq=False)
 class File:
-    """One file, whatever its name."""
+    """One file, whatever its name.
+
+    Attributes:
+        synced: its content at the last sync.
+        unsynced: the writes since then.
+    """
 
     synced: bytes = b""
     unsynced: list[Write] = field(default_factory=list)
@@ -67,68 +84,77 @@
         """What a reader sees now."""
         content = self.synced
         for write in self.unsynced:
-            content = write.apply(content, Kept.WHOLE)
+            content = write.apply(content, Kept.COMPLETE)
         return content
 
     def sync(self) -> None:
-        """What is there now outlives a loss of power."""
-        self.synced, self.unsynced = self.content, []
+        """Make the present content outlive a power failure."""
+        self.synced = self.content
+        self.unsynced = []
 
-    def remains(self) -> Iterator[bytes]:
-        """Each content that a loss of power may leave."""
+    def power_failure_contents(self) -> Iterator[bytes]:
+        """Each content that a power failure may leave."""
         for kept in itertools.product(Kept, repeat=len(self.unsynced)):
             content = self.synced
-            for write, part in zip(self.unsynced, kept, strict=True):
-                content = write.apply(content, part)
+            for write, remainder in zip(self.unsynced, kept, strict=True):
+                content = write.apply(content, remainder)
             yield content
 
-    def drawn(self, draw: random.Random) -> bytes:
-        """One of them."""
+    def drawn_content(self, draw: random.Random) -> bytes:
+        """One of the contents that a power failure may leave."""
         content = self.synced
         for write in self.unsynced:
             content = write.apply(content, draw.choice(tuple(Kept)))
         return content
 
 
-class Broken(Exception):
-    """The process has ended at this step."""
-
-
 Failure = Callable[[], Exception]
 
 
 def disk_full() -> Exception:
-    """What a full disk answers."""
+    """The error of a write on a full disk."""
     return OSError(errno.ENOSPC, "no space left")
 
 
 class MemoryFiles:
-    """One folder as `Storage` needs it. `fail_at`: the step, counted from 1, at which `failure` is
-    raised.
+    """One folder as `Storage` needs it, which may fail at any disk operation.
+
+    Attributes:
+        present: the files by their names, as a reader sees them.
+        durable: the files by their names at the folder's last sync.
+        operations: how many disk operations there were since the last `fail`.
+        fail_at: the operation, counted from 1, that raises `failure`; None for none.
+        failure: makes the exception.
+        persistent: whether all later operations fail too.
+        full: whether all writes are refused.
     """
 
     def __init__(self) -> None:
+        """Make an empty folder."""
         self.present: dict[str, File] = {}
         self.durable: dict[str, File] = {}
-        self.steps = 0
+        self.operations = 0
         self.fail_at: int | None = None
-        self.failure: Failure = Broken
-        self.fails_on = False  # also at every later step
+        self.failure: Failure = ProcessCrashError
+        self.persistent = False
         self.full = False
         self._databases = _databases_on(self)
 
-    def fail(self, at: int, failure: Failure, on: bool) -> None:
-        """Fail at a step from here, and at all later ones if `on`."""
-        self.steps, self.fail_at, self.failure, self.fails_on = 0, at, failure, on
+    def fail(self, at: int, failure: Failure, *, persistent: bool) -> None:
+        """Fail at a disk operation, counted from here, and at all later ones if `persistent`."""
+        self.operations = 0
+        self.fail_at = at
+        self.failure = failure
+        self.persistent = persistent
 
     def heal(self) -> None:
-        """Fail no more."""
+        """Stop failing."""
         self.fail_at = None
 
-    # What `Storage` asks for.
+    # --- The interface `FileSystem`, which `Storage` uses.
 
     def make_folder(self, folder: str) -> None:
-        """The one folder is there."""
+        """Do nothing: the only folder exists."""
 
     def names(self, folder: str) -> list[str]:
         """The names of all files."""
@@ -139,12 +165,12 @@
         name = _name(path)
         if name not in self.present:
             raise FileNotFoundError(errno.ENOENT, name)
-        self.step()
+        self.begin_operation()
         del self.present[name]
 
     def sync(self, path: str) -> None:
         """Make a file's bytes, or all names, outlive a loss of power."""
-        self.step()
+        self.begin_operation()
         if path == FOLDER:
             self.durable = dict(self.present)
         else:
@@ -154,7 +180,7 @@
         """A database on these files."""
         return self._databases(base, flag)
 
-    # What `dbm.dumb` asks of the modules `io` and `os`.
+    # --- What `dbm.dumb` uses of the modules `io` and `os`.
 
     unlink = remove
     fsencode = staticmethod(os.fsencode)
@@ -163,7 +189,7 @@
         """Give a file another name."""
         if _name(old) not in self.present:
             raise FileNotFoundError(errno.ENOENT, _name(old))
-        self.step()
+        self.begin_operation()
         self.present[_name(new)] = self.present.pop(_name(old))
 
     def open(self, path: str | bytes, mode: str = "r", encoding: str | None = None) -> IO[Any]:
@@ -172,126 +198,131 @@
         if name not in self.present:
             if mode[0] == "r":
                 raise FileNotFoundError(errno.ENOENT, name)
-            self.step()
+            self.begin_operation()
             self.present[name] = File()
         file = self.present[name]
         if mode[0] == "w":
-            self.step()
-            file.unsynced.append(Write(0, b"", cut=True))
+            self.begin_operation()
+            file.unsynced.append(Write(0, b"", truncate=True))
         raw = _Handle(self, file, at_end=mode[0] == "a")
         buffered: Any = io.BufferedRandom(raw) if "+" in mode else _buffered(raw, mode)
         return buffered if "b" in mode else io.TextIOWrapper(buffered, encoding=encoding)
 
-    # Troubles.
+    # --- Faults.
 
-    def step(self) -> None:
-        """One operation on the disk begins."""
-        self.steps += 1
+    def begin_operation(self) -> None:
+        """Count a disk operation, and fail if it is the one to fail."""
+        self.operations += 1
         if self.fail_at is None:
             return
-        if self.steps == self.fail_at or (self.fails_on and self.steps > self.fail_at):
+        if self.operations == self.fail_at or (self.persistent and self.operations > self.fail_at):
             raise self.failure()
 
-    def write(self, file: File, at: int, data: bytes) -> None:
-        """Write, in two steps: a process may end, or a disk fill up, half way."""
+    def write(self, file: File, offset: int, data: bytes) -> None:
+        """Write in two operations: a process may end, or a disk fill up, between them."""
         if self.full:
             raise disk_full()
-        self.step()
+        self.begin_operation()
         half = len(data) // 2
-        file.unsynced.append(Write(at, data[:half]))
-        self.step()
-        file.unsynced[-1] = Write(at, data)
+        file.unsynced.append(Write(offset, data[:half]))
+        self.begin_operation()
+        file.unsynced[-1] = Write(offset, data)
 
-    def remains(self) -> Iterator[dict[str, bytes]]:
-        """Each state of the folder that a loss of power may leave."""
+    def power_failure_states(self) -> Iterator[dict[str, bytes]]:
+        """Each state of the folder that a power failure may leave, as contents by name."""
         names = sorted({*self.present, *self.durable})
-        choices = [self._kept(name) for name in names]
+        choices = [self._alternatives(name) for name in names]
         for files in itertools.product(*choices):
-            whole = [file for file in dict.fromkeys(files) if file is not None]
-            for contents in itertools.product(*(file.remains() for file in whole)):
-                held = dict(zip(whole, contents, strict=True))
+            distinct = [file for file in dict.fromkeys(files) if file is not None]
+            alternatives = (file.power_failure_contents() for file in distinct)
+            for contents in itertools.product(*alternatives):
+                content_of = dict(zip(distinct, contents, strict=True))
                 yield {
-                    name: held[file]
+                    name: content_of[file]
                     for name, file in zip(names, files, strict=True)
                     if file is not None
                 }
 
-    def count_remains(self) -> int:
-        """How many those are, those that look alike counted apart."""
+    def count_power_failure_states(self) -> int:
+        """How many states `power_failure_states` gives, equal ones counted apart."""
         names = {*self.present, *self.durable}
         count = 1
         for name in names:
-            count *= len(self._kept(name))
+            count *= len(self._alternatives(name))
         for file in {*self.present.values(), *self.durable.values()}:
             count *= len(Kept) ** len(file.unsynced)
         return count
 
     def lose_power(self, draw: random.Random) -> None:
-        """Come back with one of them."""
-        self.hold(self.drawn(draw))
+        """Go on with one of the states that a power failure may leave."""
+        self.restore(self.drawn_state(draw))
 
-    def drawn(self, draw: random.Random) -> dict[str, bytes]:
-        """One of the states that a loss of power may leave."""
+    def drawn_state(self, draw: random.Random) -> dict[str, bytes]:
+        """One of the states that a power failure may leave."""
         names = sorted({*self.present, *self.durable})
-        files = {name: draw.choice(self._kept(name)) for name in names}
-        contents = {file: file.drawn(draw) for file in files.values() if file is not None}
+        files = {name: draw.choice(self._alternatives(name)) for name in names}
+        contents = {file: file.drawn_content(draw) for file in files.values() if file is not None}
         return {name: contents[file] for name, file in files.items() if file is not None}
 
-    def hold(self, contents: dict[str, bytes]) -> None:
-        """Be a folder with these files, all synced."""
+    def restore(self, contents: dict[str, bytes]) -> None:
+        """Become a folder with these files, all synced."""
         self.present = {name: File(content) for name, content in contents.items()}
         self.durable = dict(self.present)
 
-    def _kept(self, name: str) -> list[File | None]:
-        now, then = self.present.get(name), self.durable.get(name)
-        return [now] if now is then else [now, then]
+    def _alternatives(self, name: str) -> list[File | None]:
+        present = self.present.get(name)
+        durable = self.durable.get(name)
+        return [present] if present is durable else [present, durable]
 
 
 class _Handle(io.RawIOBase):
     """An open file."""
 
-    def __init__(self, files: MemoryFiles, file: File, at_end: bool) -> None:
+    def __init__(self, files: MemoryFiles, file: File, *, at_end: bool) -> None:
+        """Open a file at its begin, or at its end."""
         super().__init__()
-        self._files, self._file = files, file
-        self._at = len(file.content) if at_end else 0
+        self._files = files
+        self._file = file
+        self._position = len(file.content) if at_end else 0
 
     def readable(self) -> bool:
-        """Yes."""
+        """True: every file can."""
         return True
 
     def writable(self) -> bool:
-        """Yes."""
+        """True: every file can."""
         return True
 
     def seekable(self) -> bool:
-        """Yes."""
+        """True: every file can."""
         return True
 
-    def readinto(self, buffer: Any) -> int:
-        """Read from the place on."""
-        data = self._file.content[self._at : self._at + len(buffer)]
-        buffer[: len(data)] = data
-        self._at += len(data)
+    def readinto(self, buffer: WriteableBuffer) -> int:
+        """Read at the position."""
+        target = memoryview(buffer).cast("B")
+        data = self._file.content[self._position : self._position + len(target)]
+        target[: len(data)] = data
+        self._position += len(data)
         return len(data)
 
-    def write(self, data: Any) -> int:
-        """Write at the place."""
+    def write(self, data: ReadableBuffer) -> int:
+        """Write at the position."""
         written = bytes(data)
-        self._files.write(self._file, self._at, written)
-        self._at += len(written)
+        self._files.write(self._file, self._position, written)
+        self._position += len(written)
         return len(written)
 
     def seek(self, offset: int, whence: int = io.SEEK_SET) -> int:
-        """Move the place."""
-        start = {io.SEEK_SET: 0, io.SEEK_CUR: self._at, io.SEEK_END: len(self._file.content)}[
+        """Move the position."""
+        start = {io.SEEK_SET: 0, io.SEEK_CUR: self._position, io.SEEK_END: len(self._file.content)}[
             whence
         ]
-        self._at = start + offset
-        return self._at
+        self._position = start + offset
+        return self._position
 
     def tell(self) -> int:
-        """The place."""
-        return self._at
+        """The position."""
+        return self._position
 
 
 def _buffered(raw: _Handle, mode: str) -> io.BufferedReader | io.BufferedWriter:
@@ -306,13 +337,13 @@
     """`dbm.dumb` itself, in a module object of its own whose files are these."""
     spec = importlib.util.find_spec(dbm.dumb.__name__)
     if spec is None or spec.loader is None:
-        raise AssertionError("dbm.dumb is a module of the standard library")
+        raise StandardLibraryError(dbm.dumb.__name__)
     module: Any = importlib.util.module_from_spec(spec)
     spec.loader.exec_module(module)
     module._io = module._os = files
     kind = module._Database
     kind._io = kind._os = files
-    kind._chmod = lambda self, file: None
+    kind._chmod = lambda _self, _file: None
 
     def database(base: str, flag: str) -> Database:
         opened: Database = kind(base, "", flag)
--- /dev/null
+++ b/roselink/simulation/faults.py
@@ -0,0 +1,188 @@
+"""Faults that scenarios inject into a simulated cluster, and their repair."""
+
+from __future__ import annotations
+
+from enum import Enum
+from functools import partial
+from typing import TYPE_CHECKING
+
+from roselink.simulation.gateways import REVOKE_S
+from roselink.simulation.machine import SAVE_LATENCY_S
+
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+    from roselink.simulation.cluster import Cluster
+    from roselink.simulation.gateways import Gateway
+    from roselink.simulation.machine import Machine
+
+# How long after its return a machine still counts as lost, in seconds.
+RECOVERY_S = 4.0
+# The latency of a save on a slow disk, in seconds.
+SLOW_SAVE_S = 0.25
+# After a loss of all processes each returns within so long, in seconds.
+RESTART_SPREAD_S = 1.0
+
+
+class Fault(Enum):
+    """What may go wrong with one machine, or with the cluster."""
+
+    KILL = "kill"
+    POWER_LOSS = "power"
+    FREEZE = "freeze"
+    ISOLATE = "isolate"
+    STALLED_DISK = "stall"
+    FULL_DISK = "full"
+    SLOW_DISK = "slow"
+    WIPED_DISK = "wipe"
+    REPLACEMENT = "replace"
+    LEAVE = "leave"
+    # The new machine joins before the old one leaves for good.
+    PLANNED_REPLACEMENT = "planned"
+    LINK = "link"
+    GATEWAY = "gateways"
+    # All processes end.
+    RESTART_OF_ALL = "herd"
+    # As many disks as are tolerated are lost, right after a commit.
+    LOST_DISKS = "ruin"
+
+
+MACHINE_FAULTS = (
+    Fault.KILL,
+    Fault.POWER_LOSS,
+    Fault.FREEZE,
+    Fault.ISOLATE,
+    Fault.STALLED_DISK,
+    Fault.FULL_DISK,
+    Fault.SLOW_DISK,
+    Fault.WIPED_DISK,
+    Fault.REPLACEMENT,
+    Fault.LEAVE,
+)
+CLUSTER_FAULTS = (Fault.RESTART_OF_ALL, Fault.LOST_DISKS, Fault.LINK, Fault.GATEWAY)
+
+
+def inject_fault(cluster: Cluster, machine: Machine, fault: Fault) -> None:
+    """Inject a fault into one machine that `repair` can end: its process, links or disk."""
+    if fault in (Fault.KILL, Fault.POWER_LOSS):
+        machine.kill(power_loss=fault is Fault.POWER_LOSS)
+    elif fault is Fault.FREEZE:
+        machine.freeze()
+    elif fault is Fault.ISOLATE:
+        cluster.network.isolate(machine.address)
+    elif fault is Fault.STALLED_DISK:
+        machine.disk.stalled = True
+    elif fault is Fault.FULL_DISK:
+        machine.disk.full = True
+    elif fault is Fault.SLOW_DISK:
+        machine.disk.latency_s = SLOW_SAVE_S
+
+
+def repair(cluster: Cluster, machine: Machine) -> None:
+    """End all faults of a machine; all links of the cluster carry again."""
+    if machine.member is None:
+        machine.start()
+    if machine.frozen:
+        machine.resume()
+    cluster.network.heal()
+    machine.disk.stalled = False
+    machine.disk.full = False
+    machine.disk.latency_s = SAVE_LATENCY_S
+
+
+def inject_and_repair(
+    cluster: Cluster, victim: Machine, fault: Fault, duration_s: float, successor: str
+) -> None:
+    """Inject any fault of one machine, which is repaired or replaced after a duration.
+
+    Args:
+        cluster: the cluster of the machine.
+        victim: the machine.
+        fault: one of `MACHINE_FAULTS`.
+        duration_s: until the repair, in seconds.
+        successor: the address of the machine that takes its place when it is replaced.
+    """
+    draw = cluster.random
+    if fault is Fault.WIPED_DISK:
+        victim.kill()
+        victim.wipe()
+    elif fault is Fault.REPLACEMENT:
+        victim.kill()
+        del cluster.machines[victim.address]
+        cluster.after(duration_s, partial(cluster.add, successor))
+        return
+    elif fault is Fault.LEAVE:
+        if victim.member is not None:
+            victim.perform(victim.member.leave(cluster.now))
+        cluster.run(draw.uniform(0.0, 0.5))
+        victim.kill()
+    else:
+        inject_fault(cluster, victim, fault)
+    cluster.after(duration_s, partial(repair, cluster, victim))
+
+
+def replace_as_planned(cluster: Cluster, victim: Machine, successor: str) -> None:
+    """Add the successor first, then have the old machine leave for good."""
+    cluster.add(successor)
+    cluster.run(cluster.random.uniform(0.2, 2.0))
+    if victim.member is not None:
+        victim.perform(victim.member.leave(cluster.now))
+    cluster.run_until(lambda: victim.member is None or victim.member.left, 1.5)
+    victim.kill()
+    del cluster.machines[victim.address]
+
+
+def inject_gateway_fault(cluster: Cluster, gateways: Sequence[Gateway]) -> None:
+    """Restart or freeze a gateway, or cut it off from some machines, as drawn."""
+    draw = cluster.random
+    gateway = draw.choice(gateways)
+    fault = draw.choice((Fault.KILL, Fault.FREEZE, Fault.LINK))
+    if fault is Fault.KILL:
+        gateway.start()
+    elif fault is Fault.FREEZE:
+        gateway.freeze(draw.choice([0.4, 2.0, REVOKE_S + 1.0]))
+    else:
+        for address in cluster.machines:
+            if draw.random() < 0.7:
+                cluster.network.separate(gateway.name, address, one_way=draw.random() < 0.5)
+        cluster.after(draw.choice([0.5, 3.0]), cluster.network.heal)
+
+
+def restart_all(cluster: Cluster, wiped: Sequence[Machine] = ()) -> None:
+    """Kill all processes, or have all machines lose power; each returns within a second.
+
+    Args:
+        cluster: the cluster.
+        wiped: the machines whose disks are lost.
+    """
+    power_loss = cluster.random.random() < 0.5
+    for machine in list(cluster.machines.values()):
+        machine.kill(power_loss=power_loss)
+        if machine in wiped:
+            machine.wipe()
+        delay_s = cluster.random.uniform(0.05, RESTART_SPREAD_S)
+        cluster.after(delay_s, partial(repair, cluster, machine))
+
+
+def lose_disks_after_commit(cluster: Cluster) -> None:
+    """Right after a commit lose as many disks as are tolerated, and all processes."""
+    before = cluster.history.newest_confirmed()
+    cluster.run_until(lambda: cluster.history.newest_confirmed() > before, 3.0)
+    restart_all(cluster, cluster.random.sample(cluster.running_machines(), cluster.tolerated))
+
+
+def cut_random_link(cluster: Cluster, victim: Machine) -> None:
+    """Cut a machine off from another one, both ways or one way, as drawn."""
+    others = [machine for machine in cluster.machines.values() if machine is not victim]
+    other = cluster.random.choice(others)
+    one_way = cluster.random.random() < 0.5
+    cluster.network.separate(victim.address, other.address, one_way=one_way)
+
+
+def partition_in_halves(cluster: Cluster) -> None:
+    """Cut all links between two halves, as drawn."""
+    drawn = cluster.random.sample(list(cluster.machines), len(cluster.machines))
+    half = len(drawn) // 2
+    for left in drawn[:half]:
+        for right in drawn[half:]:
+            cluster.network.separate(left, right)
--- a/roselink/simulation/gateways.py
+++ b/roselink/simulation/gateways.py
@@ -1,6 +1,4 @@
-"""Simulated gateways: the real pull machine over the simulated links, and the keys that they let
-through.
-"""
+"""Simulated gateways: the real pull state machine, and the API keys that they let through."""
 
 from __future__ import annotations
 
@@ -12,23 +10,36 @@
 from roselink.distribution.pull import Effect as PullerEffect
 from roselink.model.fleet import Member, Snapshot
 from roselink.protocol.pull import ChangesPull
-from roselink.simulation.history import Change, InForce, KeyUse, Reading
+from roselink.simulation.history import Change, ConfigurationApplied, KeyUse, Reading
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from roselink.simulation.world import World
+    from roselink.simulation.cluster import Cluster
 
+# How long a gateway may use a removed key, in seconds; the setting `revoke_s` of a fleet.
 REVOKE_S = 5.0
-USE_EVERY_S = 0.1  # a request with each key
+# The interval between two requests with the same key, in seconds.
+KEY_USE_INTERVAL_S = 0.1
 
 
 class Gateway:
-    """One gateway without its data plane."""
-
-    def __init__(self, world: World, name: str) -> None:
-        self.world, self.name = world, name
-        self.life = 0
+    """One gateway without its data plane.
+
+    Attributes:
+        name: its name, which is also its address.
+        process_number: counts its processes; a step of a former process is dropped.
+        frozen_until: the virtual time until which the process stands still, in seconds.
+        in_force: the change whose configuration it uses.
+        newest_list: the newest of the platform's lists of hosts that it has used.
+        lists_went_back: how often it used an older list after a newer one.
+    """
+
+    def __init__(self, cluster: Cluster, name: str) -> None:
+        """Start a gateway of a cluster."""
+        self.cluster = cluster
+        self.name = name
+        self.process_number = 0
         self.frozen_until = 0.0
         self.in_force: Change | None = None
         self.newest_list = ""
@@ -36,73 +47,81 @@
         self.start()
 
     def start(self) -> None:
-        """Begin a process that knows nothing but its seeds."""
-        self.life += 1
-        draw = self.world.random
-        seeds = [_address(seed) for seed in self.world.seeds]
+        """Start a process that knows nothing but its seeds."""
+        self.process_number += 1
+        draw = self.cluster.random
+        seeds = [_address(seed) for seed in self.cluster.seeds]
         member = Member(self.name, f"{self.name}:7500", draw.getrandbits(50))
         self.puller = PullMachine(member, seeds, random.Random(draw.getrandbits(50)))
         self.puller.serving = True
-        self.in_force, self.newest_list = None, ""
-        self._wake(self.life)
-        self._use_keys(self.life)
+        self.in_force = None
+        self.newest_list = ""
+        self._wake(self.process_number)
+        self._use_keys(self.process_number)
 
     def freeze(self, seconds: float) -> None:
-        """Stand still for a time."""
-        self.frozen_until = self.world.now + seconds
+        """Stop the process for a time, in seconds."""
+        self.frozen_until = self.cluster.now + seconds
 
-    def _run(self, life: int, step: Callable[[], None]) -> None:
-        """A step of this life, now or when the process wakes."""
-        if life != self.life:
+    def _run(self, process_number: int, step: Callable[[], None]) -> None:
+        """Run a step of the process with this number, now or when it resumes."""
+        if process_number != self.process_number:
             return
-        if self.world.now < self.frozen_until:
-            self.world.after(self.frozen_until - self.world.now, lambda: self._run(life, step))
+        if self.cluster.now < self.frozen_until:
+            self.cluster.after(
+                self.frozen_until - self.cluster.now, lambda: self._run(process_number, step)
+            )
             return
         step()
 
-    def _wake(self, life: int) -> None:
-        self._run(life, lambda: self._perform(self.puller.wake(self.world.now)))
+    def _wake(self, process_number: int) -> None:
+        self._run(process_number, lambda: self._perform(self.puller.wake(self.cluster.now)))
 
-    def _answered(self, life: int, call: int, reply: Any) -> None:
-        self._run(life, lambda: self._perform(self.puller.answered(call, reply, self.world.now)))
+    def _answered(self, process_number: int, call: int, reply: Any) -> None:
+        self._run(
+            process_number,
+            lambda: self._perform(self.puller.answered(call, reply, self.cluster.now)),
+        )
 
     def _perform(self, effects: list[PullerEffect]) -> None:
         for effect in effects:
             match effect:
                 case SendPull(call, (host, port), pull, timeout_s):
-                    answered = partial(self._answered, self.life, call)
-                    self.world.call(
+                    answered = partial(self._answered, self.process_number, call)
+                    self.cluster.network.call(
                         self.name, f"{host}:{port}", ChangesPull(pull), timeout_s, answered
                     )
                 case Apply(snapshot):
                     self._apply(snapshot)
                 case Confirmed(at):
-                    self.world.history.readings.append(Reading(at, self.world.now, self.in_force))
+                    self.cluster.history.readings.append(
+                        Reading(at, self.cluster.now, self.in_force)
+                    )
         if not self.puller.under_way:
-            wait_s = max(0.001, self.puller.due_at - self.world.now)
-            self.world.after(wait_s, partial(self._wake, self.life))
+            wait_s = max(0.001, self.puller.due_at - self.cluster.now)
+            self.cluster.after(wait_s, partial(self._wake, self.process_number))
 
     def _apply(self, snapshot: Snapshot) -> None:
-        newest = snapshot.configuration.routes[0]
-        self.in_force = self.world.changes[newest.hostname]
-        self.world.history.in_force.append(
-            InForce(self.name, self.life, self.world.now, self.in_force)
+        newest_route = snapshot.configuration.routes[0]
+        self.in_force = self.cluster.changes[newest_route.hostname]
+        self.cluster.history.applied.append(
+            ConfigurationApplied(self.name, self.process_number, self.cluster.now, self.in_force)
         )
         for host in snapshot.hosts:
             self.lists_went_back += host.id < self.newest_list
             self.newest_list = host.id
 
-    def _use_keys(self, life: int) -> None:
-        if life != self.life:
+    def _use_keys(self, process_number: int) -> None:
+        if process_number != self.process_number:
             return
-        self.world.after(USE_EVERY_S, partial(self._use_keys, life))
-        now = self.world.now
+        self.cluster.after(KEY_USE_INTERVAL_S, partial(self._use_keys, process_number))
+        now = self.cluster.now
         snapshot = self.puller.snapshot
         if now < self.frozen_until or snapshot is None:
             return
         if self.puller.may_use_keys(now, REVOKE_S, strict=True):
             keys = [key for tenant in snapshot.configuration.tenants for key in tenant.api_keys]
-            self.world.history.key_uses += [KeyUse(self.name, now, key) for key in keys]
+            self.cluster.history.key_uses += [KeyUse(self.name, now, key) for key in keys]
 
 
 def _address(text: str) -> tuple[str, int]:
--- a/roselink/simulation/history.py
+++ b/roselink/simulation/history.py
@@ -1,9 +1,10 @@
-"""What callers were told, and a judge of it that shares no code with what it judges.
+"""The history of all client calls, and a checker that shares no code with what it checks.
 
-A configuration is a register that orders replace: an order names the version it builds on and its
-own, higher one. The judge knows nothing of views, chains or sequences. From calls with their begin
-and end it works out which orders were ever in force, and names everything that no single register
-could have said.
+A configuration is a register that changes replace by compare-and-set: a change names the version
+that it builds on and its own, higher one. The checker knows nothing of views, chains or sequences.
+From the calls with their begin and end it works out which changes were ever in force, and names
+every result that no single linearizable register (Herlihy and Wing, 1990) can give. It searches for
+no order of the calls: it checks necessary conditions, each a method of `HistoryChecker`.
 """
 
 from __future__ import annotations
@@ -18,17 +19,24 @@
     from collections.abc import Iterable, Iterator
 
 
-class Said(Enum):
-    """How a call of an operator ended."""
+class CallResult(Enum):
+    """What an operator knows of its change after a call."""
 
     CONFIRMED = "confirmed"
     REFUSED = "refused"
-    UNCLEAR = "unclear"
+    UNKNOWN = "unknown"
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """An order, whoever sends it and how often. `keys` are those that its configuration holds."""
+    """A proposed change of the configuration, whoever sends it and how often.
+
+    Attributes:
+        base: the version that it builds on.
+        version: its own version.
+        text: its name, which no other change has.
+        keys: the API keys of its configuration.
+    """
 
     base: int
     version: int
@@ -37,19 +45,21 @@
 
 
 @dataclass(slots=True)
-class OrderCall:
-    """One call with a change. Without an end it had no answer."""
+class ChangeCall:
+    """One call with a change; a call without a response has no end."""
 
     change: Change
     began: float
     ended: float = float("inf")
-    said: Said = Said.UNCLEAR
+    result: CallResult = CallResult.UNKNOWN
 
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """A configuration that someone was shown as the newest: one call from its begin to its end, or
-    a gateway's confirmation, which says that what it holds was the newest after `began`.
+    """A configuration that was returned as the newest.
+
+    Either by a read, from its begin to its end, or by the confirmation of a gateway's pull: what
+    the gateway uses was the newest at some time after `began`.
     """
 
     began: float
@@ -58,11 +68,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class InForce:
-    """A gateway's process goes by a configuration from now on."""
+class ConfigurationApplied:
+    """A gateway's process uses a configuration from now on."""
 
     gateway: str
-    life: int
+    process_number: int
     at: float
     change: Change
 
@@ -78,46 +88,49 @@
 
 @dataclass(slots=True)
 class History:
-    """All of one run."""
+    """All calls and configurations of one run."""
 
-    orders: list[OrderCall] = field(default_factory=list)
+    calls: list[ChangeCall] = field(default_factory=list)
     readings: list[Reading] = field(default_factory=list)
-    in_force: list[InForce] = field(default_factory=list)
+    applied: list[ConfigurationApplied] = field(default_factory=list)
     key_uses: list[KeyUse] = field(default_factory=list)
 
-    def order(self, change: Change, now: float) -> OrderCall:
-        """A call begins."""
-        call = OrderCall(change, now)
-        self.orders.append(call)
+    def begin_call(self, change: Change, now: float) -> ChangeCall:
+        """Record that a call begins."""
+        call = ChangeCall(change, now)
+        self.calls.append(call)
         return call
 
     def newest_confirmed(self) -> int:
-        """The highest version of a confirmed order."""
+        """The highest version of a confirmed change."""
         return max(
-            (call.change.version for call in self.orders if call.said is Said.CONFIRMED), default=0
+            (call.change.version for call in self.calls if call.result is CallResult.CONFIRMED),
+            default=0,
         )
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """Something that no single register could have said. `rule` names what is broken."""
+    """A result that no single register can give; `rule` names the condition that is violated."""
 
     rule: str
     detail: str
 
 
-class Judge:
-    """Judges one history. Times are seconds of the one clock by which the calls were recorded."""
+class HistoryChecker:
+    """Checks one history. Times are seconds of the one clock by which the calls were recorded."""
 
     def __init__(self, history: History, revoke_s: float = float("inf")) -> None:
-        self._history, self._revoke_s = history, revoke_s
+        """Check a history of gateways that may use a removed key for `revoke_s` seconds."""
+        self._history = history
+        self._revoke_s = revoke_s
         self._evidence = self._first_evidence()
         self._first_sent: dict[Change, float] = {}
-        for call in history.orders:
+        for call in history.calls:
             self._first_sent.setdefault(call.change, call.began)
 
     def violations(self) -> list[Violation]:
-        """All that is wrong; empty for a history that one register explains."""
+        """All violations; none for a history that one register explains."""
         return [
             *self._one_change_a_version(),
             *self._refused_and_in_force(),
@@ -126,24 +139,24 @@
             *self._older_than_known(),
             *self._refused_without_reason(),
             *self._regresses(),
-            *self._late_keys(),
+            *self._removed_keys_used(),
         ]
 
     def _first_evidence(self) -> dict[Change, float]:
         """When each change is first known to be in force."""
         evidence: dict[Change, float] = {}
 
-        def note(change: Change, at: float) -> None:
+        def add(change: Change, at: float) -> None:
             evidence[change] = min(at, evidence.get(change, at))
 
-        for call in self._history.orders:
-            if call.said is Said.CONFIRMED:
-                note(call.change, call.ended)
+        for call in self._history.calls:
+            if call.result is CallResult.CONFIRMED:
+                add(call.change, call.ended)
         for reading in self._history.readings:
             if reading.change is not None:
-                note(reading.change, reading.ended)
-        for state in self._history.in_force:
-            note(state.change, state.at)
+                add(reading.change, reading.ended)
+        for applied in self._history.applied:
+            add(applied.change, applied.at)
         return evidence
 
     def _one_change_a_version(self) -> Iterator[Violation]:
@@ -156,27 +169,25 @@
                 yield Violation("two changes on one base", str(change.base))
 
     def _refused_and_in_force(self) -> Iterator[Violation]:
-        for call in self._history.orders:
-            if call.said is Said.REFUSED and call.change in self._evidence:
-                yield Violation("a refused change is in force", _named(call.change))
+        for call in self._history.calls:
+            if call.result is CallResult.REFUSED and call.change in self._evidence:
+                yield Violation("a refused change is in force", _describe(call.change))
 
     def _built_on_nothing(self) -> Iterator[Violation]:
-        """The version below each change in force is one that was sent, and may be in force
-        itself.
-        """
-        refused = {call.change for call in self._history.orders if call.said is Said.REFUSED}
+        """Each change in force builds on a version that was sent and that may be in force."""
+        refused = {call.change for call in self._history.calls if call.result is CallResult.REFUSED}
         possible = {change.version for change in self._first_sent if change not in refused}
         for change in self._evidence:
             if change.version <= change.base or (change.base and change.base not in possible):
-                yield Violation("built on what never was", _named(change))
+                yield Violation("built on what never was", _describe(change))
 
     def _shown_too_early(self) -> Iterator[Violation]:
         for change, at in self._evidence.items():
             if at < self._first_sent.get(change, float("inf")):
-                yield Violation("shown before it was sent", _named(change))
+                yield Violation("shown before it was sent", _describe(change))
 
     def _older_than_known(self) -> Iterator[Violation]:
-        """What begins after something is known to be in force shows it, or what came after it."""
+        """A read that begins after a change is known to be in force returns it or a later one."""
         known = _RisingBound((at, change.version) for change, at in self._evidence.items())
         for reading in self._history.readings:
             shown = reading.change.version if reading.change is not None else 0
@@ -184,11 +195,13 @@
                 yield Violation("an old configuration was shown", f"{shown} at {reading.began:.3f}")
         for change, sent in self._first_sent.items():
             if change in self._evidence and change.version <= known.before(sent):
-                yield Violation("a change went back", _named(change))
+                yield Violation("a change went back", _describe(change))
 
     def _refused_without_reason(self) -> Iterator[Violation]:
-        """A change on top of the newest version is taken, unless the version was another at some
-        moment of the call, or the change had been refused for that before.
+        """A change that builds on the newest version is not refused.
+
+        Except when the version was another at some moment of the call, or when the change had been
+        refused for that before.
         """
         replaced: dict[int, float] = {}
         for change in self._evidence:
@@ -197,30 +210,31 @@
         known = {change.version: at for change, at in self._evidence.items()}
         known[0] = 0.0
         refused_before: set[Change] = set()
-        for call in sorted(self._history.orders, key=lambda call: call.began):
+        for call in sorted(self._history.calls, key=lambda call: call.began):
             change = call.change
-            if call.said is not Said.REFUSED or change in refused_before:
+            if call.result is not CallResult.REFUSED or change in refused_before:
                 continue
             refused_before.add(change)
             was_newest = change.base in known and known[change.base] <= call.began
             if was_newest and call.ended < replaced.get(change.base, float("inf")):
                 rivals = [c for c in self._first_sent if c.base == change.base and c != change]
                 if change.version > change.base and not rivals:
-                    yield Violation("a proper change was refused", _named(change))
+                    yield Violation("a proper change was refused", _describe(change))
 
     def _regresses(self) -> Iterator[Violation]:
         newest: dict[tuple[str, int], int] = defaultdict(int)
-        for state in self._history.in_force:
-            process = state.gateway, state.life
-            if state.change.version < newest[process]:
-                yield Violation("a gateway went back", f"{state.gateway} at {state.at:.3f}")
-            newest[process] = state.change.version
-
-    def _late_keys(self) -> Iterator[Violation]:
-        """A key is used no later than `revoke_s` after a confirmed change without it, unless a
-        later change that was sent by then, and may be in force, has it.
+        for each in self._history.applied:
+            process = (each.gateway, each.process_number)
+            if each.change.version < newest[process]:
+                yield Violation("a gateway went back", f"{each.gateway} at {each.at:.3f}")
+            newest[process] = each.change.version
+
+    def _removed_keys_used(self) -> Iterator[Violation]:
+        """A key is used no later than `revoke_s` after a confirmed change without it.
+
+        Except when a later change that was sent by then, and that may be in force, has the key.
         """
-        confirmed = [call for call in self._history.orders if call.said is Said.CONFIRMED]
+        confirmed = [call for call in self._history.calls if call.result is CallResult.CONFIRMED]
         for key in {use.key for use in self._history.key_uses}:
             without = _RisingBound(
                 (call.ended, call.change.version)
@@ -245,6 +259,7 @@
     """The highest version known before a moment."""
 
     def __init__(self, known: Iterable[tuple[float, int]]) -> None:
+        """Make the bound from (time, version) of each piece of evidence."""
         self._times: list[float] = []
         self._versions: list[int] = []
         newest = 0
@@ -255,9 +270,9 @@
 
     def before(self, at: float) -> int:
         """The highest version whose evidence came before `at`."""
-        place = bisect_left(self._times, at)
-        return self._versions[place - 1] if place else 0
+        index = bisect_left(self._times, at)
+        return self._versions[index - 1] if index else 0
 
 
-def _named(change: Change) -> str:
+def _describe(change: Change) -> str:
     return f"{change.version} on {change.base} ({change.text})"
--- /dev/null
+++ b/roselink/simulation/initial_states.py
@@ -0,0 +1,106 @@
+"""The states from which a model checker starts, and the steps that lead to them."""
+
+from __future__ import annotations
+
+from roselink.coordination.state import digest_of
+from roselink.protocol.chain import Accept, Accepted, ConfigurationOrder, Prepare, Promise
+from roselink.protocol.records import number_of_type
+from roselink.simulation.system_state import System
+
+
+def command_on(base: int, generation: int, text: str = "") -> ConfigurationOrder:
+    """A change with a small document."""
+    document = f"{base}-{generation}-{text}".encode()
+    return ConfigurationOrder(base, generation, document, digest_of(base, document))
+
+
+def run_to_quiescence(system: System, *, unreachable: str = "") -> None:
+    """Save and deliver, saves first, until nothing but messages to one machine is in flight.
+
+    Args:
+        system: the state, which is changed.
+        unreachable: the address to which no message is delivered; empty for none.
+    """
+    while True:
+        saving = [address for address, machine in system.machines.items() if machine.saving]
+        deliverable = [
+            index
+            for index, message in enumerate(system.messages)
+            if message.receiver != unreachable
+        ]
+        if saving:
+            system.save(saving[0])
+        elif deliverable:
+            system.deliver(deliverable[0])
+        else:
+            return
+
+
+def calm_system() -> System:
+    """A chain of three that is active, with nothing in flight."""
+    system = System()
+    system.begin()
+    run_to_quiescence(system)
+    return system
+
+
+def deliver_only(system: System, *records: type[object]) -> None:
+    """Save and deliver messages of some record types; all other messages stay in flight."""
+    numbers = {number_of_type(record) for record in records}
+    while True:
+        saving = [address for address, machine in system.machines.items() if machine.saving]
+        deliverable = [
+            index for index, message in enumerate(system.messages) if message.number in numbers
+        ]
+        if saving:
+            system.save(saving[0])
+        elif deliverable:
+            system.deliver(deliverable[0])
+        else:
+            return
+
+
+def view_accepted() -> System:
+    """Two of three have accepted a view without the tail; no member knows that it is chosen."""
+    system = calm_system()
+    system.propose("a:1", without="c:1")
+    deliver_only(system, Prepare, Promise, Accept)
+    return system
+
+
+def view_decided() -> System:
+    """The proposer has learnt the view without the tail; the others have not."""
+    system = view_accepted()
+    deliver_only(system, Accepted)
+    return system
+
+
+def member_joining() -> System:
+    """The tail's disk was lost, and the view that adds it again has just been chosen."""
+    system = calm_system()
+    system.submit("a:1", command_on(0, 3))
+    run_to_quiescence(system)
+    system.restart("c:1", wiped=True)
+    run_to_quiescence(system)
+    system.propose("a:1", without="")
+    deliver_only(system, Prepare, Promise, Accept, Accepted)
+    return system
+
+
+def member_partitioned(address: str) -> System:
+    """The others have formed a view without a member and confirmed a change in it."""
+    system = calm_system()
+    proposer = "b:1" if address == "a:1" else "a:1"
+    system.propose(proposer, without=address)
+    run_to_quiescence(system, unreachable=address)
+    system.submit(proposer, command_on(0, 3))
+    run_to_quiescence(system, unreachable=address)
+    return system
+
+
+def two_proposers() -> System:
+    """Two members propose different views at the same time."""
+    system = calm_system()
+    system.propose("a:1", without="c:1")
+    system.propose("b:1", without="a:1")
+    return system
--- /dev/null
+++ b/roselink/simulation/machine.py
@@ -0,0 +1,334 @@
+"""A simulated core machine: the real member and pull service, and a disk that outlives them."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from functools import partial
+from typing import TYPE_CHECKING, Any
+
+from roselink.controller.pulls import (
+    Answer,
+    AnswerChanges,
+    Confirm,
+    Forward,
+    ForwardedChangesPull,
+    PullDesk,
+    PullEffect,
+)
+from roselink.controller.storage import Storage, record_number
+from roselink.coordination.effects import (
+    Confirmation,
+    Effect,
+    Persist,
+    ReadDone,
+    Send,
+    SubmitDone,
+    SubmitOutcome,
+    ViewChanged,
+)
+from roselink.coordination.member import TICK_S, Member, Start
+from roselink.simulation.disk import FOLDER, MemoryFiles
+from roselink.simulation.exceptions import ProcessCrashError, ProcessNotRunningError
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from roselink.protocol.chain import ConfigurationOrder
+    from roselink.protocol.pull import ChangesPull
+    from roselink.simulation.cluster import Cluster
+    from roselink.simulation.network import ReplyHandler
+
+# How long a save takes, in seconds, times a factor drawn between the two bounds.
+SAVE_LATENCY_S = 0.015
+LATENCY_FACTORS = (0.7, 1.5)
+# How often a stalled disk is checked, in seconds.
+STALL_POLL_S = 0.05
+# Operations on the disk of one save, about; a killed process ends at one of them.
+STEPS_PER_SAVE = 14
+FORWARD_TIMEOUT_S = 0.4
+# Between two readings of the platform's list of hosts, and until the list is there, in seconds.
+LIST_INTERVAL_S = 0.3
+LIST_LATENCY_S = 0.02
+
+
+@dataclass
+class Disk:
+    """A disk that saves one record after the other, through the real `Storage`.
+
+    Attributes:
+        files: the folder, with what a loss of power leaves of it.
+        queue: the saves that have not ended.
+        latency_s: how long a save takes, in seconds.
+        busy: whether a save has begun.
+        stalled: whether no save ends.
+    """
+
+    files: MemoryFiles = field(default_factory=MemoryFiles)
+    queue: list[Persist] = field(default_factory=list)
+    latency_s: float = SAVE_LATENCY_S
+    busy: bool = False
+    stalled: bool = False
+
+    @property
+    def full(self) -> bool:
+        """Whether the disk refuses every write."""
+        return self.files.full
+
+    @full.setter
+    def full(self, full: bool) -> None:
+        self.files.full = full
+
+
+class Machine:
+    """One core machine, its disk and at most one process.
+
+    Attributes:
+        address: its peer address, host and port.
+        member: the state machine of its process; None while no process runs.
+        process_number: counts starts and ends of processes; a step that was scheduled under
+            another number is dropped.
+        frozen: whether the process stands still.
+        deferred: the inputs that a frozen process finds when it resumes.
+    """
+
+    def __init__(self, cluster: Cluster, address: str) -> None:
+        """Make a machine with an empty disk and no process."""
+        self.cluster = cluster
+        self.address = address
+        self.disk = Disk()
+        self.member: Member | None = None
+        self.process_number = 0
+        self.frozen = False
+        self.deferred: list[Callable[[], None]] = []
+        self.pending_submits: dict[int, Callable[[SubmitOutcome], None]] = {}
+        self.pending_reads: dict[int, Callable[[Confirmation | None], None]] = {}
+        self.storage = Storage(FOLDER, self.disk.files)
+        self.desk = PullDesk()
+        self.pending_pulls: dict[int, ReplyHandler] = {}
+
+    @property
+    def running(self) -> bool:
+        """Whether its process runs."""
+        return self.member is not None and not self.frozen
+
+    def start(self, *, bootstrap: bool = False) -> None:
+        """Start a process on the disk as it is; with `bootstrap` it may form a new core."""
+        self.process_number += 1
+        self.storage = Storage(FOLDER, self.disk.files)
+        votes, state = self.storage.load()
+        draw = self.cluster.random
+        start = Start(
+            address=self.address,
+            seeds=self.cluster.seeds,
+            bootstrap=bootstrap,
+            tolerated=self.cluster.tolerated,
+            session=draw.getrandbits(60) + 1,
+            fresh_incarnation=draw.getrandbits(60) + 1,
+            votes=votes,
+            state=state,
+        )
+        self.member = Member(start, self.cluster.now)
+        self.desk = PullDesk()
+        self.frozen = False
+        self.perform(self.member.begin(self.cluster.now))
+        self._tick(self.process_number)
+        self._read_platform(self.process_number)
+
+    def kill(self, *, power_loss: bool = False) -> None:
+        """End the process at once, maybe in a save.
+
+        Args:
+            power_loss: whether the machine loses power too, so that writes that were not synced
+                may be lost or torn.
+        """
+        self.process_number += 1
+        self.member = None
+        self.frozen = False
+        self.deferred = []
+        self.pending_submits = {}
+        self.pending_reads = {}
+        self.pending_pulls = {}
+        queue = self.disk.queue
+        self.disk.queue = []
+        self.disk.busy = False
+        if queue and not self.disk.stalled:
+            self._save_partly(queue[0])
+        if power_loss:
+            self.disk.files.lose_power(self.cluster.random)
+
+    def _save_partly(self, save: Persist) -> None:
+        """Begin a save that ends at a random disk operation."""
+        files = self.disk.files
+        files.fail(
+            self.cluster.random.randint(1, STEPS_PER_SAVE), ProcessCrashError, persistent=True
+        )
+        try:
+            self.storage.save(save.store, record_number(save.store), save.payload)
+        except (ProcessCrashError, OSError):
+            pass  # the disk stays as the save left it
+        finally:
+            files.heal()
+
+    def wipe(self) -> None:
+        """Replace the disk by an empty one; only while no process runs."""
+        self.disk = Disk()
+
+    def freeze(self) -> None:
+        """Stop the process until it is resumed."""
+        self.frozen = True
+
+    def resume(self) -> None:
+        """Resume a frozen process, which then handles the inputs that arrived meanwhile."""
+        self.frozen = False
+        deferred = self.deferred
+        self.deferred = []
+        for step in deferred:
+            step()
+
+    def run(self, process_number: int, step: Callable[[Member], list[Effect]]) -> None:
+        """Run a step of the process with this number, now or when it resumes."""
+        if process_number != self.process_number or self.member is None:
+            return
+        if self.frozen:
+            self.deferred.append(lambda: self.run(process_number, step))
+            return
+        self.perform(step(self.member))
+
+    # --- calls
+
+    def submit(self, order: ConfigurationOrder, done: Callable[[SubmitOutcome], None]) -> None:
+        """Submit a configuration change to the process.
+
+        Raises:
+            ProcessNotRunningError: no process runs.
+        """
+        if self.member is None:
+            raise ProcessNotRunningError(self.address)
+        number, effects = self.member.submit(order, self.cluster.now)
+        self.pending_submits[number] = done
+        self.perform(effects)
+
+    def read(self, done: Callable[[Confirmation | None], None]) -> None:
+        """Have the process read the configuration, confirmed by the core.
+
+        Raises:
+            ProcessNotRunningError: no process runs.
+        """
+        if self.member is None:
+            raise ProcessNotRunningError(self.address)
+        number, effects = self.member.read(self.cluster.now)
+        self.pending_reads[number] = done
+        self.perform(effects)
+
+    def handle_pull(
+        self, message: ChangesPull | ForwardedChangesPull, reply: ReplyHandler, _: Member
+    ) -> list[Effect]:
+        """Handle a gateway's pull, or one that another member forwarded."""
+        number = self.cluster.next_number()
+        self.pending_pulls[number] = reply
+        forwarded = isinstance(message, ForwardedChangesPull)
+        self._serve(self.desk.pull(self.cluster.now, number, message.pull, forwarded, changes=True))
+        return []
+
+    # --- effects
+
+    def perform(self, effects: list[Effect]) -> None:
+        """Carry out the effects of the member's state machine."""
+        for effect in effects:
+            if isinstance(effect, Send):
+                self.cluster.network.send(self.address, effect)
+            elif isinstance(effect, Persist):
+                self.disk.queue.append(effect)
+                self._save_next(self.process_number)
+            elif isinstance(effect, SubmitDone):
+                self.pending_submits.pop(effect.number)(effect.outcome)
+            elif isinstance(effect, ReadDone):
+                self.pending_reads.pop(effect.number)(effect.confirmation)
+            elif isinstance(effect, ViewChanged):
+                self._view_changed()
+
+    def _view_changed(self) -> None:
+        if self.member is None or self.member.view is None:
+            return
+        view = self.member.view
+        host, _, port = view.chain[-1].voter.address.rpartition(":")
+        cores = tuple(voter.address for voter in view.voters)
+        is_tail = self.member.chain.is_tail
+        self._serve(
+            self.desk.view_changed(self.cluster.now, view.epoch, is_tail, (host, int(port)), cores)
+        )
+
+    def _serve(self, effects: list[PullEffect]) -> None:
+        for effect in effects:
+            match effect:
+                case Confirm(number):
+                    self.read(partial(self._confirmed, number))
+                case Forward(number, (host, port), message):
+                    forwarded = partial(self._forwarded, self.process_number, number)
+                    receiver = f"{host}:{port}"
+                    self.cluster.network.call(
+                        self.address, receiver, message, FORWARD_TIMEOUT_S, forwarded
+                    )
+                case Answer(number, reply) | AnswerChanges(number, reply):
+                    send_reply = self.pending_pulls.pop(number, None)
+                    if send_reply is not None:
+                        send_reply(reply)
+
+    def _confirmed(self, number: int, confirmation: Confirmation | None) -> None:
+        self._serve(self.desk.confirmed(self.cluster.now, number, confirmation))
+
+    def _forwarded(self, process_number: int, number: int, reply: Any) -> None:
+        def step(_member: Member) -> list[Effect]:
+            self._serve(self.desk.forwarded(self.cluster.now, number, reply))
+            return []
+
+        self.run(process_number, step)
+
+    def _read_platform(self, process_number: int) -> None:
+        """Have the tail read the platform's list of hosts, again and again."""
+        if process_number != self.process_number or self.member is None:
+            return
+        self.cluster.after(LIST_INTERVAL_S, partial(self._read_platform, process_number))
+        if self.frozen or not self.member.chain.is_tail or self.member.view is None:
+            return
+        hosts = self.cluster.listed_hosts()
+        epoch = self.member.view.epoch
+
+        def listed(_member: Member) -> list[Effect]:
+            self._serve(self.desk.hosts_listed(self.cluster.now, epoch, hosts))
+            return []
+
+        self.cluster.after(LIST_LATENCY_S, lambda: self.run(process_number, listed))
+
+    # --- the disk
+
+    def _save_next(self, process_number: int) -> None:
+        if self.disk.queue and not self.disk.busy:
+            self.disk.busy = True
+            latency = self.disk.latency_s * self.cluster.random.uniform(*LATENCY_FACTORS)
+            self.cluster.after(latency, lambda: self._saved(process_number))
+
+    def _saved(self, process_number: int) -> None:
+        if process_number != self.process_number:
+            return
+        if self.disk.stalled:
+            self.cluster.after(STALL_POLL_S, lambda: self._saved(process_number))
+            return
+        self.disk.busy = False
+        save = self.disk.queue.pop(0)
+        try:
+            self.storage.save(save.store, record_number(save.store), save.payload)
+        except OSError:
+            self.run(
+                process_number, lambda member: member.persist_failed(save.store, self.cluster.now)
+            )
+        else:
+            self.run(process_number, lambda member: member.persisted(save.store, self.cluster.now))
+        self._save_next(process_number)
+
+    def _tick(self, process_number: int) -> None:
+        if process_number != self.process_number or self.member is None:
+            return
+        if not self.frozen:
+            self.perform(self.member.tick(self.cluster.now))
+        self.cluster.after(TICK_S, lambda: self._tick(process_number))
--- /dev/null
+++ b/roselink/simulation/model_checker.py
@@ -0,0 +1,274 @@
+"""An explicit-state model checker of the real state machines.
+
+It explores every order of a few steps, breadth first and each state once. A step delivers one
+message (any of them: links may reorder; one that is never delivered is lost), ends a save, ends a
+process with or without its disk, has a member propose another view or retransmit what has no reply,
+or begins a read. The invariants are checked in each state.
+"""
+
+from __future__ import annotations
+
+import time
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+from roselink.coordination.state import find
+from roselink.protocol.chain import ConfigurationState, Decided, StoredState, Sync, View, Voter
+from roselink.protocol.records import decode, number_of_type
+from roselink.simulation.exceptions import InvariantViolatedError
+from roselink.simulation.packing import PackedMachine, stored_state, stored_votes
+from roselink.simulation.system_state import StepKind, System
+
+if TYPE_CHECKING:
+    import random
+    from collections.abc import Iterator
+
+# The numbers of the records that carry a chosen view.
+_VIEW_RECORDS = frozenset((number_of_type(Decided), number_of_type(Sync)))
+
+
+@dataclass(frozen=True, slots=True)
+class ModelStep:
+    """One step.
+
+    Attributes:
+        kind: what happens.
+        machine: the address of the machine that it happens to.
+        message: the index of the delivered message.
+        without: the address that a proposed view leaves out; empty for none.
+    """
+
+    kind: StepKind
+    machine: str
+    message: int = -1
+    without: str = ""
+
+
+@dataclass(frozen=True, slots=True)
+class Bounds:
+    """How far an exploration goes, and how often each limited step may happen on one path.
+
+    Attributes:
+        depth: the longest path, in steps.
+        states: the most states.
+        kills: the most restarts with the disk, on one path.
+        wipes: the most restarts without the disk.
+        proposals: the most proposed views.
+        retransmissions: the most retransmissions.
+        reads: the most reads that the exploration begins.
+    """
+
+    depth: int
+    states: int
+    kills: int = 1
+    wipes: int = 0
+    proposals: int = 1
+    retransmissions: int = 0
+    reads: int = 1
+
+    @property
+    def limits(self) -> dict[StepKind, int]:
+        """How often each limited kind of step may happen on one path."""
+        return {
+            StepKind.KILL: self.kills,
+            StepKind.WIPE: self.wipes,
+            StepKind.PROPOSE: self.proposals,
+            StepKind.RETRANSMIT: self.retransmissions,
+            StepKind.READ: self.reads,
+        }
+
+
+@dataclass(frozen=True, slots=True)
+class Exploration:
+    """What was explored.
+
+    Attributes:
+        states: how many states.
+        steps: how many steps, those that led to a known state counted too.
+        depth: how many steps from the start, in the longest path.
+        seconds: how long it took.
+        complete: whether all paths of that depth were explored, not only `Bounds.states` states.
+    """
+
+    states: int
+    steps: int
+    depth: int
+    seconds: float
+    complete: bool
+
+
+def explore(system: System, bounds: Bounds) -> Exploration:
+    """Explore all orders of steps from a state.
+
+    Raises:
+        InvariantViolatedError: an invariant does not hold in a state.
+    """
+    began = time.monotonic()
+    seen = {system.fingerprint()}
+    level: list[tuple[System, tuple[ModelStep, ...]]] = [(system, ())]
+    depth = 0
+    step_count = 0
+    while level and depth < bounds.depth:
+        following: list[tuple[System, tuple[ModelStep, ...]]] = []
+        for state, path in level:
+            for step in possible_steps(state, bounds):
+                if len(seen) >= bounds.states:
+                    return Exploration(
+                        states=len(seen),
+                        steps=step_count,
+                        depth=depth,
+                        seconds=time.monotonic() - began,
+                        complete=False,
+                    )
+                step_count += 1
+                changed = state_after(state, step, path)
+                fingerprint = changed.fingerprint()
+                if fingerprint not in seen:
+                    seen.add(fingerprint)
+                    following.append((changed, (*path, step)))
+        level = following
+        depth += 1
+    return Exploration(
+        states=len(seen),
+        steps=step_count,
+        depth=depth,
+        seconds=time.monotonic() - began,
+        complete=True,
+    )
+
+
+def possible_steps(system: System, bounds: Bounds) -> Iterator[ModelStep]:
+    """All steps that may happen next."""
+    for index, message in enumerate(system.messages):
+        if message not in system.messages[:index]:
+            yield ModelStep(StepKind.DELIVER, message.receiver, index)
+    limited = [
+        kind for kind, most in bounds.limits.items() if system.step_counts.get(kind, 0) < most
+    ]
+    for address, machine in system.machines.items():
+        if machine.saving:
+            yield ModelStep(StepKind.SAVE, address)
+        for kind in limited:
+            if kind is StepKind.PROPOSE:
+                for other in ("", *(each for each in system.machines if each != address)):
+                    yield ModelStep(kind, address, without=other)
+            else:
+                yield ModelStep(kind, address)
+
+
+def state_after(system: System, step: ModelStep, path: tuple[ModelStep, ...] = ()) -> System:
+    """The state that a step leads to.
+
+    Raises:
+        InvariantViolatedError: an invariant does not hold in that state.
+    """
+    changed = system.copy()
+    try:
+        apply_step(changed, step)
+        check_invariants(changed)
+    except AssertionError as error:
+        raise InvariantViolatedError(str(error), (*path, step)) from error
+    return changed
+
+
+def apply_step(system: System, step: ModelStep) -> None:
+    """Change a state by one step."""
+    match step.kind:
+        case StepKind.DELIVER:
+            system.deliver(step.message)
+            return
+        case StepKind.SAVE:
+            system.save(step.machine)
+            return
+        case StepKind.KILL | StepKind.WIPE:
+            system.restart(step.machine, wiped=step.kind is StepKind.WIPE)
+        case StepKind.PROPOSE:
+            system.propose(step.machine, step.without)
+        case StepKind.RETRANSMIT:
+            system.retransmit(step.machine)
+        case StepKind.READ:
+            system.read(step.machine)
+    system.step_counts[step.kind] = system.step_counts.get(step.kind, 0) + 1
+
+
+# --- invariants
+
+
+def check_invariants(system: System) -> None:
+    """Check what must hold in every state.
+
+    Raises:
+        AssertionError: an invariant does not hold.
+    """
+    views = _views(system)
+    _check_heads(system)
+    _check_confirmed(system, views[max(views)])
+    _check_refused(system)
+
+
+def _views(system: System) -> dict[int, View]:
+    """All views that a member follows or a message carries, by epoch; check that each has one."""
+    views: dict[int, View] = {}
+    known = [machine.view for machine in system.machines.values() if machine.view is not None]
+    known += [
+        decode(m.number, m.payload).view for m in system.messages if m.number in _VIEW_RECORDS
+    ]
+    for view in known:
+        assert views.setdefault(view.epoch, view) == view, "two views in one epoch"
+    return views
+
+
+def _check_heads(system: System) -> None:
+    """No two processes are the head of one epoch's chain."""
+    heads = [m.view.epoch for m in system.machines.values() if m.is_head and m.view is not None]
+    assert len(set(heads)) == len(heads), "two heads in one epoch"
+
+
+def _check_confirmed(system: System, newest: View) -> None:
+    """Each confirmed change has its own sequence; every possible head of the next view has it."""
+    sequences = [sequence for _, sequence in system.known.confirmed]
+    assert len(set(sequences)) == len(sequences), "two changes under one sequence"
+    for link in newest.chain:
+        stored = _stored(system.machines[link.voter.address], link.voter)
+        if stored is None or stored.epoch < link.since:
+            continue  # not intact
+        for digest, _ in system.known.confirmed:
+            assert _in_force(stored.state, digest), "a possible head lacks a confirmed change"
+
+
+def _check_refused(system: System) -> None:
+    """No refused change is in force at any member."""
+    for digest in system.known.refused:
+        for machine in system.machines.values():
+            state = ConfigurationState(0, 0, b"", machine.durable_history)
+            assert not _in_force(state, digest), "a refused change is in force"
+
+
+def _in_force(state: ConfigurationState, digest: bytes) -> bool:
+    found = find(state, digest)
+    return found is not None and found[0] > 0
+
+
+def _stored(machine: PackedMachine, voter: Voter) -> StoredState | None:
+    """The state on a disk, if it still belongs to this voter."""
+    if not (machine.votes and machine.state):
+        return None
+    return stored_state(machine.state) if stored_votes(machine.votes).voter == voter else None
+
+
+def random_walk(system: System, bounds: Bounds, draw: random.Random) -> System:
+    """The state at the end of one random path, as long as the bounds are deep.
+
+    Raises:
+        InvariantViolatedError: an invariant does not hold on the path.
+    """
+    state = system
+    path: tuple[ModelStep, ...] = ()
+    for _ in range(bounds.depth):
+        possible = list(possible_steps(state, bounds))
+        if not possible:
+            break
+        step = draw.choice(possible)
+        state = state_after(state, step, path)
+        path = (*path, step)
+    return state
--- /dev/null
+++ b/roselink/simulation/network.py
@@ -0,0 +1,138 @@
+"""Links between simulated machines and gateways: delays, losses, duplicates and partitions."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from functools import partial
+from typing import TYPE_CHECKING, Any
+
+from roselink.protocol.records import decode, encode, number_of
+
+if TYPE_CHECKING:
+    import random
+    from collections.abc import Mapping
+
+    from roselink.coordination.effects import Send
+    from roselink.simulation.machine import Machine
+    from roselink.simulation.scheduler import Scheduler
+
+# Called once with the reply to a call, or with None when there was none in time.
+ReplyHandler = Callable[[Any], None]
+
+# The delay of a message, in seconds: uniform between these; of a late one, up to so much more.
+SHORTEST_DELAY_S = 0.0002
+LONGEST_DELAY_S = 0.0014
+MOST_EXTRA_DELAY_S = 0.4
+
+
+class Network:
+    """Carries messages and calls through the real codec, by the state of the links.
+
+    Attributes:
+        cut: the links that carry nothing, as (sender, receiver).
+        loss: the fraction of messages that are lost.
+        duplication: the fraction of messages that arrive twice.
+        lateness: the fraction of messages that are delayed much longer, and overtaken.
+    """
+
+    def __init__(
+        self, scheduler: Scheduler, draw: random.Random, machines: Mapping[str, Machine]
+    ) -> None:
+        """Connect machines, which may come and go in their mapping; all links carry."""
+        self._scheduler = scheduler
+        self._random = draw
+        self._machines = machines
+        self.cut: set[tuple[str, str]] = set()
+        self.loss = 0.0
+        self.duplication = 0.0
+        self.lateness = 0.0
+
+    def send(self, sender: str, send: Send) -> None:
+        """Send a message to a machine: late, twice or not at all, as the links are."""
+        copies = 1 + (self._random.random() < self.duplication)
+        for _ in range(copies):
+            delay = self._delay_s()
+            if delay is not None:
+                number, payload = number_of(send.message), encode(send.message)
+                self._scheduler.after(
+                    delay, partial(self._arrive, sender, send.to, number, payload)
+                )
+
+    def call(
+        self,
+        sender: str,
+        receiver: str,
+        message: object,
+        timeout_s: float,
+        done: ReplyHandler,
+    ) -> None:
+        """Send a call, which ends once: with the reply, or with None after the time-out.
+
+        A reply after the time-out is dropped.
+        """
+        payload = encode(message)
+        number = number_of(message)
+        pending = [True]
+
+        def finish(reply: Any) -> None:
+            if pending[0]:
+                pending[0] = False
+                done(reply)
+
+        def send_reply(reply: Any) -> None:
+            delay = self._delay_s()
+            if delay is not None:
+                self._scheduler.after(
+                    delay, lambda: None if (receiver, sender) in self.cut else finish(reply)
+                )
+
+        def arrive() -> None:
+            machine = self._reached(sender, receiver)
+            if machine is not None:
+                handle = partial(machine.handle_pull, decode(number, payload), send_reply)
+                machine.run(machine.process_number, handle)
+
+        delay = self._delay_s()
+        if delay is not None:
+            self._scheduler.after(delay, arrive)
+        self._scheduler.after(timeout_s, lambda: finish(None))
+
+    def separate(self, left: str, right: str, *, one_way: bool = False) -> None:
+        """Cut the link between two addresses, or only that from the left to the right one."""
+        self.cut.add((left, right))
+        if not one_way:
+            self.cut.add((right, left))
+
+    def isolate(self, address: str) -> None:
+        """Cut a machine off from all other machines; gateways still reach it."""
+        for other in self._machines:
+            if other != address:
+                self.separate(address, other)
+
+    def heal(self) -> None:
+        """Have all links carry again."""
+        self.cut.clear()
+
+    def _delay_s(self) -> float | None:
+        """How long a message takes, in seconds, or None when it is lost."""
+        if self._random.random() < self.loss:
+            return None
+        delay = self._random.uniform(SHORTEST_DELAY_S, LONGEST_DELAY_S)
+        if self._random.random() < self.lateness:
+            delay += self._random.uniform(0.0, MOST_EXTRA_DELAY_S)
+        return delay
+
+    def _arrive(self, sender: str, receiver: str, number: int, payload: bytes) -> None:
+        machine = self._reached(sender, receiver)
+        if machine is not None:
+            message = decode(number, payload)
+            machine.run(
+                machine.process_number, lambda member: member.receive(message, self._scheduler.now)
+            )
+
+    def _reached(self, sender: str, receiver: str) -> Machine | None:
+        """The machine that a message reaches, if it has a process and the link carries."""
+        machine = self._machines.get(receiver)
+        if machine is None or machine.member is None or (sender, receiver) in self.cut:
+            return None
+        return machine
--- /dev/null
+++ b/roselink/simulation/packing.py
@@ -0,0 +1,161 @@
+"""A model checker's machines as values: packed to bytes, with a fingerprint for comparison."""
+
+from __future__ import annotations
+
+import pickle
+from dataclasses import dataclass, field, fields, is_dataclass
+from enum import Enum
+from functools import lru_cache
+from typing import TYPE_CHECKING, Any
+
+from roselink.coordination.effects import Persist, Store
+from roselink.coordination.member import Member
+from roselink.protocol.records import decode
+from roselink.simulation.exceptions import UnknownStateError
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable
+
+    from roselink.protocol.chain import StoredState, View, Votes
+
+# The record number of each of a disk's two records.
+RECORD_NUMBERS = {Store.VOTES: 33, Store.STATE: 36}
+# How many decoded records are kept.
+CACHE_SIZE = 4096
+
+# Caches by class: the names of its fields, and whether its objects are immutable values.
+_field_names_of: dict[type[Any], tuple[str, ...]] = {}
+_is_value_type: dict[type[Any], bool] = {}
+
+
+@dataclass(slots=True)
+class Machine:
+    """One machine, unpacked.
+
+    Attributes:
+        member: the state machine of its process.
+        disk: the durable records.
+        saves: the saves that are not durable yet.
+        starts: how many processes the machine has had.
+    """
+
+    member: Member
+    disk: dict[Store, bytes]
+    saves: list[Persist] = field(default_factory=list)
+    starts: int = 1
+
+
+@dataclass(frozen=True, slots=True)
+class PackedMachine:
+    """One machine, packed, and what the invariants need of it.
+
+    Attributes:
+        data: the pickled machine.
+        fingerprint: equal for machines that differ in nothing that decides their behaviour.
+        view: the view that the process follows.
+        is_head: whether the process is the head of that view's chain.
+        saving: whether a save is not durable yet.
+        votes: the record of the votes on the disk; empty if there is none.
+        state: the record of the configuration state on the disk; empty if there is none.
+        durable_history: the history that the process takes for durable.
+    """
+
+    data: bytes
+    fingerprint: int
+    view: View | None
+    is_head: bool
+    saving: bool
+    votes: bytes
+    state: bytes
+    durable_history: bytes
+
+
+def unpack(packed: PackedMachine) -> Machine:
+    """A copy of the machine that may be changed."""
+    machine: Machine = pickle.loads(packed.data)
+    return machine
+
+
+def pack(machine: Machine) -> PackedMachine:
+    """The machine as a value."""
+    member = machine.member
+    parts = (_frozen(member), _frozen(machine.disk), _frozen(machine.saves), machine.starts)
+    return PackedMachine(
+        data=pickle.dumps(machine, protocol=pickle.HIGHEST_PROTOCOL),
+        fingerprint=hash(parts),
+        view=member.view,
+        is_head=member.chain.is_head,
+        saving=bool(machine.saves),
+        votes=machine.disk.get(Store.VOTES, b""),
+        state=machine.disk.get(Store.STATE, b""),
+        durable_history=member.chain.durable.history,
+    )
+
+
+@lru_cache(maxsize=CACHE_SIZE)
+def stored_state(data: bytes) -> StoredState:
+    """Decode the record of the configuration state on a disk."""
+    stored: StoredState = decode(RECORD_NUMBERS[Store.STATE], data)
+    return stored
+
+
+@lru_cache(maxsize=CACHE_SIZE)
+def stored_votes(data: bytes) -> Votes:
+    """Decode the record of the votes on a disk."""
+    votes: Votes = decode(RECORD_NUMBERS[Store.VOTES], data)
+    return votes
+
+
+def _field_names(kind: type[Any]) -> tuple[str, ...]:
+    """The names of a dataclass's fields."""
+    names = _field_names_of.get(kind)
+    if names is None:
+        names = tuple(each.name for each in fields(kind))
+        _field_names_of[kind] = names
+    return names
+
+
+def _is_value(kind: type[Any]) -> bool:
+    """Whether its objects are immutable, with a hash of their content."""
+    known = _is_value_type.get(kind)
+    if known is None:
+        parameters = getattr(kind, "__dataclass_params__", None)
+        frozen = parameters is not None and bool(parameters.frozen)
+        known = frozen or issubclass(kind, (int, str, bytes, type(None), Enum))
+        _is_value_type[kind] = known
+    return known
+
+
+# The parts of a member that decide its behaviour.
+_MEMBER_PARTS = ("voting", "ballots", "chain", "proposer", "reads", "orders", "calls")
+
+
+def _frozen(value: Any) -> Any:
+    """A hashable copy of a part of a machine, without callables and times.
+
+    Raises:
+        UnknownStateError: the part has a class that no part of a machine should have.
+    """
+    kind = type(value)
+    if _is_value(kind):
+        return value
+    if kind is float or callable(value):
+        return None
+    if kind in _FREEZERS:
+        return _FREEZERS[kind](value)
+    if is_dataclass(value):
+        return tuple([_frozen(getattr(value, name)) for name in _field_names(kind)])
+    raise UnknownStateError(kind)
+
+
+def _frozen_items(items: Iterable[Any]) -> tuple[Any, ...]:
+    return tuple([_frozen(each) for each in items])
+
+
+_FREEZERS: dict[type[Any], Callable[[Any], Any]] = {
+    list: _frozen_items,
+    tuple: _frozen_items,
+    dict: lambda items: tuple([(key, _frozen(each)) for key, each in items.items()]),
+    set: frozenset,
+    Member: lambda member: _frozen_items(getattr(member, name) for name in _MEMBER_PARTS),
+}
--- /dev/null
+++ b/roselink/simulation/scenarios.py
@@ -0,0 +1,348 @@
+"""Simulated days: each injects faults into a control plane and ends with checks of its history."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from functools import partial
+from typing import TYPE_CHECKING
+
+from roselink.coordination.state import find
+from roselink.simulation.clients import Operator, Reader, change_in
+from roselink.simulation.cluster import Cluster
+from roselink.simulation.exceptions import (
+    HostListWentBackError,
+    LostChangeError,
+    NoActiveChainError,
+    NothingConfirmedError,
+    NotRecoveredError,
+    ReadTimedOutError,
+    RefusedChangeInForceError,
+    UnconfirmedReadError,
+    UnexplainedHistoryError,
+)
+from roselink.simulation.faults import (
+    CLUSTER_FAULTS,
+    MACHINE_FAULTS,
+    RECOVERY_S,
+    Fault,
+    cut_random_link,
+    inject_and_repair,
+    inject_fault,
+    inject_gateway_fault,
+    lose_disks_after_commit,
+    partition_in_halves,
+    repair,
+    replace_as_planned,
+    restart_all,
+)
+from roselink.simulation.gateways import REVOKE_S, Gateway
+from roselink.simulation.history import CallResult, HistoryChecker, Reading
+
+if TYPE_CHECKING:
+    from roselink.coordination.effects import Confirmation
+    from roselink.simulation.machine import Machine
+
+GATEWAYS = 3
+# Until all machines form the first view, in virtual seconds.
+START_S = 3.0
+# From the last fault to the checks, in virtual seconds.
+SETTLING_S = 8.0
+STORM_FAULTS = (
+    Fault.KILL,
+    Fault.POWER_LOSS,
+    Fault.FREEZE,
+    Fault.ISOLATE,
+    Fault.STALLED_DISK,
+    Fault.FULL_DISK,
+    Fault.SLOW_DISK,
+    Fault.LINK,
+    Fault.GATEWAY,
+)
+# The fractions of messages that lossy links lose, send twice, and delay.
+LOSS = 0.02
+DUPLICATION = 0.05
+LATENESS = 0.05
+STORM_LATENESS = 0.1
+STORM_FAULT_COUNT = 40
+
+
+@dataclass(frozen=True, slots=True)
+class ScenarioResult:
+    """What clients did in a scenario that passed.
+
+    Attributes:
+        confirmed: calls whose change was confirmed.
+        readings: configurations that were returned as the newest.
+        key_uses: requests that gateways let through with a key.
+        slowest_s: the longest time from the first send of a change to its confirmation, seconds.
+    """
+
+    confirmed: int
+    readings: int
+    key_uses: int
+    slowest_s: float
+
+
+class Scenario:
+    """A cluster with its clients, and the checks at the end."""
+
+    def __init__(self, cluster: Cluster) -> None:
+        """Add two operators, two readers and three gateways to a cluster."""
+        self.cluster = cluster
+        self.operators = [Operator(cluster, name) for name in ("a", "b")]
+        self.readers = [Reader(cluster) for _ in range(2)]
+        self.gateways = [Gateway(cluster, f"gateway-{number}") for number in range(GATEWAYS)]
+
+    def finish(self, settling_s: float = SETTLING_S) -> ScenarioResult:
+        """Stop operators and readers, let the cluster recover, and check."""
+        self.stop()
+        self.cluster.run(settling_s)
+        return self.check()
+
+    def stop(self) -> None:
+        """Have operators and readers begin no more calls; gateways go on."""
+        for operator in self.operators:
+            operator.stopped = True
+        for reader in self.readers:
+            reader.stopped = True
+
+    def check(self) -> ScenarioResult:
+        """Check, once all faults are repaired, every member's state and the whole history.
+
+        Raises:
+            ScenarioError: the chain is not active, a machine did not recover, a confirmed change is
+                lost, or one register can't explain the history.
+        """
+        cluster = self.cluster
+        history = cluster.history
+        if cluster.active_tail() is None:
+            raise NoActiveChainError
+        for machine in cluster.running_machines():
+            if not in_chain(cluster, machine):
+                raise NotRecoveredError(machine.address)
+            record_confirmed_read(cluster, machine)
+            _check_state(cluster, machine)
+        violations = tuple(HistoryChecker(history, REVOKE_S).violations())
+        if violations:
+            raise UnexplainedHistoryError(violations)
+        if any(gateway.lists_went_back for gateway in self.gateways):
+            raise HostListWentBackError
+        confirmed = sum(call.result is CallResult.CONFIRMED for call in history.calls)
+        if not (confirmed and history.key_uses):
+            raise NothingConfirmedError
+        slowest_s = max(operator.slowest_s for operator in self.operators)
+        return ScenarioResult(confirmed, len(history.readings), len(history.key_uses), slowest_s)
+
+
+def read(cluster: Cluster, machine: Machine, timeout_s: float = 4.0) -> Confirmation | None:
+    """Read the configuration at one machine, and wait for the outcome.
+
+    Raises:
+        ReadTimedOutError: the read did not end within the time-out.
+    """
+    outcomes: list[Confirmation | None] = []
+    machine.read(outcomes.append)
+    if not cluster.run_until(lambda: bool(outcomes), timeout_s):
+        raise ReadTimedOutError(machine.address)
+    return outcomes[0]
+
+
+def record_confirmed_read(cluster: Cluster, machine: Machine) -> None:
+    """Read at one machine, and record the outcome in the history.
+
+    Raises:
+        UnconfirmedReadError: the read was not confirmed.
+    """
+    began = cluster.now
+    confirmation = read(cluster, machine)
+    if confirmation is None:
+        raise UnconfirmedReadError(machine.address)
+    change = change_in(cluster, confirmation.document)
+    cluster.record_shown(confirmation.sequence, change.text if change is not None else None)
+    cluster.history.readings.append(Reading(began, cluster.now, change))
+
+
+def in_chain(cluster: Cluster, machine: Machine) -> bool:
+    """Whether a machine takes part in the newest view's active chain."""
+    tail = cluster.active_tail()
+    member = machine.member
+    if tail is None or member is None or tail.member is None:
+        return False
+    same_view = member.view is not None and member.view == tail.member.view
+    return same_view and member.chain.taking_part and member.chain.active
+
+
+def _check_state(cluster: Cluster, machine: Machine) -> None:
+    """Check that a member's disk holds confirmed changes, and no refused ones."""
+    if machine.member is None:
+        return
+    state = machine.member.chain.durable
+    for call in cluster.history.calls:
+        text = call.change.text
+        found = find(state, cluster.digests[text])
+        in_force = found is not None and found[0] > 0
+        kept = in_force and found is not None and found[1] == cluster.confirmed_sequences.get(text)
+        if call.result is CallResult.CONFIRMED and not kept:
+            raise LostChangeError(call.change)
+        if call.result is CallResult.REFUSED and in_force:
+            raise RefusedChangeInForceError(call.change)
+
+
+# --- kinds of days
+
+
+def fault_episodes_day(
+    seed: int, machines: int, tolerated: int, *, lossy: bool, episodes: int = 6
+) -> ScenarioResult:
+    """Inject faults one after the other, or as many at once as are tolerated."""
+    cluster = Cluster(seed, machines, tolerated)
+    network = cluster.network
+    if lossy:
+        network.loss = LOSS
+        network.duplication = DUPLICATION
+        network.lateness = LATENESS
+    scenario = Scenario(cluster)
+    cluster.run(START_S)
+    for episode in range(episodes):
+        _episode(scenario, episode)
+    network.loss = 0.0
+    return scenario.finish()
+
+
+def storm_day(seed: int, machines: int, tolerated: int) -> ScenarioResult:
+    """Kill, freeze or cut off any number of machines at any time; disks stay."""
+    cluster = Cluster(seed, machines, tolerated)
+    network = cluster.network
+    network.loss = LOSS
+    network.duplication = DUPLICATION
+    network.lateness = STORM_LATENESS
+    scenario = Scenario(cluster)
+    cluster.run(START_S)
+    draw = cluster.random
+    for _ in range(STORM_FAULT_COUNT):
+        victim = draw.choice(list(cluster.machines.values()))
+        fault = draw.choice(STORM_FAULTS)
+        if fault is Fault.LINK:
+            cut_random_link(cluster, victim)
+        elif fault is Fault.GATEWAY:
+            inject_gateway_fault(cluster, scenario.gateways)
+        elif victim.running:
+            inject_fault(cluster, victim, fault)
+            duration_s = draw.choice([0.05, 0.3, 0.8, 2.0])
+            cluster.after(duration_s, partial(repair, cluster, victim))
+        cluster.run(draw.choice([0.02, 0.1, 0.5, 1.0]))
+    network.loss = 0.0
+    cluster.run(3.0)
+    for machine in cluster.machines.values():
+        repair(cluster, machine)
+    return scenario.finish(12.0)
+
+
+def long_partition_day(seed: int, machines: int = 3) -> ScenarioResult:
+    """Cut a member off for twenty seconds, both ways or one way; all clients reach it."""
+    cluster = Cluster(seed, machines, 1)
+    scenario = Scenario(cluster)
+    cluster.run(START_S)
+    draw = cluster.random
+    victim = draw.choice(list(cluster.machines.values()))
+    one_way = draw.random() < 0.4
+    inwards = draw.random() < 0.5
+    for other in cluster.machines:
+        if other != victim.address:
+            link = (other, victim.address) if inwards else (victim.address, other)
+            cluster.network.separate(*link, one_way=one_way)
+    if draw.random() < 0.5:
+        others = [address for address in cluster.seeds if address != victim.address]
+        cluster.seeds = (victim.address, *others)
+    cluster.run(draw.uniform(0, 10))
+    inject_gateway_fault(cluster, scenario.gateways)
+    cluster.run(20.0)
+    cluster.network.heal()
+    cluster.run(6.0)
+    return scenario.finish()
+
+
+def rolling_repair_day(seed: int, machines: int = 3) -> ScenarioResult:
+    """Replace or wipe one machine after the other, the next as soon as the last has recovered."""
+    cluster = Cluster(seed, machines, 1)
+    scenario = Scenario(cluster)
+    cluster.run(START_S)
+    draw = cluster.random
+    kinds = (Fault.WIPED_DISK, Fault.REPLACEMENT, Fault.LEAVE, Fault.PLANNED_REPLACEMENT)
+    for number in range(6):
+        victim = draw.choice(cluster.running_machines())
+        fault = draw.choice(kinds)
+        successor = f"10.1.0.{number + 1}:7500"
+        if fault is Fault.PLANNED_REPLACEMENT:
+            replace_as_planned(cluster, victim, successor)
+        else:
+            inject_and_repair(cluster, victim, fault, draw.choice([0.1, 1.0]), successor)
+        cluster.run(1.0 + RECOVERY_S)
+    return scenario.finish()
+
+
+def split_brain_day(seed: int, machines: int, tolerated: int) -> ScenarioResult:
+    """Partition the core in halves, with losses of power in both, that overlap.
+
+    No more disks are lost than is tolerated. Operators, readers and gateways reach both halves.
+    """
+    cluster = Cluster(seed, machines, tolerated)
+    scenario = Scenario(cluster)
+    cluster.run(START_S + RECOVERY_S)
+    draw = cluster.random
+    for _ in range(3):
+        partition_in_halves(cluster)
+        cluster.run(draw.uniform(1.0, 4.0))
+        for victim in draw.sample(cluster.running_machines(), draw.randint(0, machines)):
+            fault = draw.choice((Fault.KILL, Fault.POWER_LOSS, Fault.FREEZE))
+            inject_fault(cluster, victim, fault)
+        cluster.run(draw.choice([0.1, 1.0, 3.0]))
+        for machine in list(cluster.machines.values()):
+            repair(cluster, machine)
+        if draw.random() < 0.5:
+            cluster.run(8.0 + RECOVERY_S)
+            lose_disks_after_commit(cluster)
+            for gateway in scenario.gateways:
+                gateway.start()
+        cluster.run(8.0 + RECOVERY_S)
+    return scenario.finish()
+
+
+def day_of_seed(seed: int) -> ScenarioResult:
+    """Run a day whose kind, size and links follow from its seed."""
+    machines = 3 + seed % 3
+    tolerated = 2 if machines == 5 else 1
+    if seed % 4 == 0:
+        return storm_day(seed, machines, 1)
+    if seed % 16 == 1:
+        return long_partition_day(seed, machines)
+    if seed % 16 == 3:
+        return rolling_repair_day(seed, machines)
+    if seed % 16 == 5:
+        return split_brain_day(seed, machines, tolerated)
+    return fault_episodes_day(seed, machines, tolerated, lossy=bool(seed % 2))
+
+
+def _episode(scenario: Scenario, episode: int) -> None:
+    """Inject faults within what is tolerated, and wait until their machines have recovered."""
+    cluster = scenario.cluster
+    draw = cluster.random
+    fault = draw.choice(MACHINE_FAULTS + CLUSTER_FAULTS)
+    duration_s = draw.choice([0.1, 0.4, 1.0, 3.0])
+    if fault is Fault.RESTART_OF_ALL:
+        restart_all(cluster)
+    elif fault is Fault.LOST_DISKS:
+        lose_disks_after_commit(cluster)
+    elif fault is Fault.GATEWAY:
+        inject_gateway_fault(cluster, scenario.gateways)
+    elif fault is Fault.LINK:
+        cut_random_link(cluster, draw.choice(cluster.running_machines()))
+        cluster.after(duration_s, cluster.network.heal)
+    else:
+        victims = draw.sample(cluster.running_machines(), draw.randint(1, cluster.tolerated))
+        for number, victim in enumerate(victims):
+            kind = fault if number == 0 else draw.choice(MACHINE_FAULTS)
+            successor = f"10.0.{number + 1}.{episode + 1}:7500"
+            inject_and_repair(cluster, victim, kind, duration_s, successor)
+            cluster.run(draw.choice([0.0, 0.0, 0.05, 0.5]))
+    cluster.run(max(duration_s, 1.0) + RECOVERY_S)
--- /dev/null
+++ b/roselink/simulation/system_state.py
@@ -0,0 +1,267 @@
+"""The state of a core of three members, as a value that a model checker can keep by thousands.
+
+A state has the members with their disks, and all messages in flight. A step unpacks the machines
+that it concerns, changes them, and packs them again; all others are shared between states. Time
+does not pass. A process that ends loses what was in flight to it and starts again at once.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field, replace
+from enum import Enum
+from typing import TYPE_CHECKING
+
+from roselink.coordination.effects import (
+    Conflict,
+    Effect,
+    NotNewer,
+    Persist,
+    ReadDone,
+    Send,
+    Store,
+    SubmitDone,
+    TakenOrder,
+)
+from roselink.coordination.member import Member, Start
+from roselink.coordination.views import Peer, plan
+from roselink.protocol.chain import ConfigurationOrder, Heartbeat
+from roselink.protocol.records import decode, encode, number_of
+from roselink.simulation.packing import RECORD_NUMBERS, Machine, PackedMachine, pack, unpack
+
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
+# The time of all steps, in seconds; and a time by which all retry intervals are over.
+NOW = 100.0
+RETRANSMIT_TIME = NOW + 10.0
+ADDRESSES = ("a:1", "b:1", "c:1")
+# A process numbers its calls from its session on; sessions are so far apart.
+CALLS_PER_PROCESS = 1000
+
+
+class StepKind(Enum):
+    """What may happen next. All but the first two may happen only so often on one path."""
+
+    DELIVER = "deliver"
+    SAVE = "save"
+    KILL = "kill"
+    WIPE = "wipe"
+    PROPOSE = "propose"
+    RETRANSMIT = "again"
+    READ = "read"
+
+
+@dataclass(frozen=True, slots=True, order=True)
+class Message:
+    """A record in flight, as it goes on the wire."""
+
+    receiver: str
+    number: int
+    payload: bytes
+
+
+@dataclass(frozen=True, slots=True)
+class ClientKnowledge:
+    """What clients know.
+
+    Attributes:
+        commands: the submitted changes, by the numbers of their calls.
+        confirmed: the sequences of confirmed changes, by their digests.
+        refused: the digests of refused changes.
+        read_floors: of the reads in flight, by their numbers: the newest sequence that was known
+            before the read began.
+        newest: the newest sequence that was confirmed or returned by a read.
+    """
+
+    commands: tuple[tuple[int, ConfigurationOrder], ...] = ()
+    confirmed: tuple[tuple[bytes, int], ...] = ()
+    refused: frozenset[bytes] = frozenset()
+    read_floors: tuple[tuple[int, int], ...] = ()
+    newest: int = 0
+
+
+@dataclass(slots=True)
+class System:
+    """One state, changed only by its methods; `copy` it before a step.
+
+    Attributes:
+        machines: the packed machines, by their addresses.
+        messages: the messages in flight.
+        step_counts: how often each kind of limited step has happened on the path to this state.
+        known: what clients know.
+    """
+
+    machines: dict[str, PackedMachine] = field(default_factory=dict)
+    messages: tuple[Message, ...] = ()
+    step_counts: dict[StepKind, int] = field(default_factory=dict)
+    known: ClientKnowledge = field(default_factory=ClientKnowledge)
+
+    def copy(self) -> System:
+        """Another state that is equal; machines and messages are shared values."""
+        return System(dict(self.machines), self.messages, dict(self.step_counts), self.known)
+
+    def fingerprint(self) -> int:
+        """Equal for states that differ in nothing that decides their behaviour."""
+        machines = tuple(machine.fingerprint for machine in self.machines.values())
+        counts = tuple(sorted((kind.value, count) for kind, count in self.step_counts.items()))
+        return hash((tuple(sorted(self.messages)), machines, counts, self.known))
+
+    # --- steps
+
+    def deliver(self, index: int) -> None:
+        """Deliver the message at an index of `messages`."""
+        message = self.messages[index]
+        self.messages = self.messages[:index] + self.messages[index + 1 :]
+        machine = unpack(self.machines[message.receiver])
+        record = decode(message.number, message.payload)
+        self._perform(message.receiver, machine, machine.member.receive(record, NOW))
+
+    def save(self, address: str) -> None:
+        """Make the oldest save of a machine durable."""
+        machine = unpack(self.machines[address])
+        save = machine.saves.pop(0)
+        machine.disk[save.store] = save.payload
+        self._perform(address, machine, machine.member.persisted(save.store, NOW))
+
+    def restart(self, address: str, *, wiped: bool) -> None:
+        """Restart a process, which loses its saves and the messages in flight to it.
+
+        Args:
+            address: the machine.
+            wiped: whether the disk is lost too.
+        """
+        machine = unpack(self.machines[address])
+        self.messages = tuple(message for message in self.messages if message.receiver != address)
+        self._begin(address, {} if wiped else machine.disk, machine.starts + 1, bootstrap=False)
+
+    def propose(self, address: str, without: str) -> None:
+        """Have a member propose the view that it would if another member had failed."""
+        machine = unpack(self.machines[address])
+        member = machine.member
+        if member.view is None or not member.voting.entitled:
+            return
+        others = {
+            each: unpack(packed).member for each, packed in self.machines.items() if each != without
+        }
+        others[address] = member
+        wanted = plan(member.view, _membership_of(others), member.proposer.rules)
+        if wanted is not None:
+            member.proposer.propose(member.voting, member.view, wanted, NOW)
+            self._perform(address, machine, member.take_effects(NOW))
+
+    def retransmit(self, address: str) -> None:
+        """Have a member send again whatever had no reply."""
+        machine = unpack(self.machines[address])
+        member = machine.member
+        member.chain.resend(RETRANSMIT_TIME)
+        if member.view is not None:
+            member.calls.view_changed(member.view, NOW)
+        self._perform(address, machine, member.take_effects(NOW))
+
+    def submit(self, address: str, command: ConfigurationOrder) -> None:
+        """Have a client submit a change to a member."""
+        machine = unpack(self.machines[address])
+        number, effects = machine.member.submit(command, NOW)
+        self.known = replace(self.known, commands=(*self.known.commands, (number, command)))
+        self._perform(address, machine, effects)
+
+    def read(self, address: str) -> None:
+        """Have a client read the newest configuration at a member."""
+        machine = unpack(self.machines[address])
+        number, effects = machine.member.read(NOW)
+        floors = (*self.known.read_floors, (number, self.known.newest))
+        self.known = replace(self.known, read_floors=floors)
+        self._perform(address, machine, effects)
+
+    # --- parts of steps
+
+    def begin(self) -> None:
+        """Start all three machines for the first time."""
+        for address in ADDRESSES:
+            self._begin(address, {}, 1, bootstrap=True)
+
+    def _begin(
+        self, address: str, disk: dict[Store, bytes], starts: int, *, bootstrap: bool
+    ) -> None:
+        session = CALLS_PER_PROCESS * (len(ADDRESSES) * starts + ADDRESSES.index(address))
+        complete = len(disk) == len(Store)
+        votes = decode(RECORD_NUMBERS[Store.VOTES], disk[Store.VOTES]) if complete else None
+        stored = decode(RECORD_NUMBERS[Store.STATE], disk[Store.STATE]) if complete else None
+        start = Start(
+            address=address,
+            seeds=ADDRESSES,
+            bootstrap=bootstrap,
+            tolerated=1,
+            session=session,
+            fresh_incarnation=session,
+            votes=votes,
+            state=stored,
+        )
+        machine = Machine(Member(start, NOW), disk, starts=starts)
+        self._perform(address, machine, machine.member.begin(NOW))
+
+    def _perform(self, address: str, machine: Machine, effects: list[Effect]) -> None:
+        sent = []
+        for effect in effects:
+            if isinstance(effect, Send):
+                if effect.to in ADDRESSES and not isinstance(effect.message, Heartbeat):
+                    sent.append(
+                        Message(effect.to, number_of(effect.message), encode(effect.message))
+                    )
+            elif isinstance(effect, Persist):
+                machine.saves.append(effect)
+            elif isinstance(effect, SubmitDone):
+                self._submit_ended(effect)
+            elif isinstance(effect, ReadDone):
+                self._read_ended(effect)
+        self.messages = (*self.messages, *sent)
+        self.machines[address] = pack(machine)
+
+    def _submit_ended(self, done: SubmitDone) -> None:
+        digest = dict(self.known.commands)[done.number].digest
+        confirmed = dict(self.known.confirmed)
+        if isinstance(done.outcome, TakenOrder):
+            sequence = done.outcome.sequence
+            assert digest not in self.known.refused, "a refused change was confirmed"
+            assert confirmed.setdefault(digest, sequence) == sequence, "one change, two sequences"
+            self.known = replace(
+                self.known,
+                confirmed=tuple(sorted(confirmed.items())),
+                newest=max(self.known.newest, sequence),
+            )
+        elif isinstance(done.outcome, Conflict | NotNewer):
+            assert digest not in confirmed, "a confirmed change was refused"
+            self.known = replace(self.known, refused=self.known.refused | {digest})
+
+    def _read_ended(self, done: ReadDone) -> None:
+        floors = dict(self.known.read_floors)
+        floor = floors.pop(done.number)
+        newest = self.known.newest
+        if done.confirmation is not None:
+            sequence = done.confirmation.sequence
+            assert sequence >= floor, "a read is older than what was known before it began"
+            newest = max(newest, sequence)
+        self.known = replace(self.known, read_floors=tuple(sorted(floors.items())), newest=newest)
+
+
+def _membership_of(members: Mapping[str, Member]) -> dict[str, Peer]:
+    """The membership in which these members are healthy and hear each other and nobody else."""
+    reachable = frozenset(members)
+    return {address: _peer_of(member, reachable - {address}) for address, member in members.items()}
+
+
+def _peer_of(member: Member, heard: frozenset[str]) -> Peer:
+    view = member.view
+    return Peer(
+        voter=member.voter,
+        session=member.chain.session,
+        epoch=view.epoch if view is not None else 0,
+        state_epoch=member.chain.durable_epoch,
+        taking_part=member.chain.taking_part,
+        disk_ok=True,
+        leaving=False,
+        live=True,
+        steady=True,
+        silent_s=0.0,
+        heard=heard,
+    )
--- a/tests/cli/test_simulate.py
+++ b/tests/cli/test_simulate.py
@@ -2,15 +2,20 @@
 
 from __future__ import annotations
 
+from typing import TYPE_CHECKING
+
 import pytest
 
 from roselink.__main__ import main
 from roselink.cli import EXIT_FAULTS, EXIT_UNAVAILABLE
 from roselink.simulation import command
-from roselink.simulation.command import Order, Outcome, play
-from roselink.simulation.days import DayFailed, Played
+from roselink.simulation.command import Job, JobResult, run_job
+from roselink.simulation.exceptions import ScenarioError
 from roselink.simulation.history import Violation
 
+if TYPE_CHECKING:
+    from roselink.simulation.scenarios import ScenarioResult
+
 
 def test_a_day_that_holds(capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["simulate", "--seed", "3"]) == 0
@@ -18,19 +23,21 @@
 
 
 def test_a_failing_seed_is_told(monkeypatch: pytest.MonkeyPatch) -> None:
-    def fails(seed: int) -> Played:
-        raise DayFailed("no explanation", (Violation("an old configuration was shown", "3 at 7"),))
+    def fails(seed: int) -> ScenarioResult:
+        raise ScenarioError(
+            "no explanation", (Violation("an old configuration was shown", "3 at 7"),)
+        )
 
     monkeypatch.setattr(command, "day_of_seed", fails)
-    outcome = play(Order(7, None))
-    assert outcome.why is not None
-    assert "an old configuration was shown: 3 at 7" in outcome.why
+    outcome = run_job(Job(7, None))
+    assert outcome.failure is not None
+    assert "an old configuration was shown: 3 at 7" in outcome.failure
 
 
 def test_failures_decide_the_exit_status(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    monkeypatch.setattr(command, "play_days", lambda seed, days, machines, jobs, say: 1)
+    monkeypatch.setattr(command, "run_days", lambda seed, days, machines, jobs, print_line: 1)
     assert main(["simulate", "--days", "2"]) == EXIT_UNAVAILABLE
 
 
@@ -41,5 +48,5 @@
 
 @pytest.mark.parametrize(("seed", "machines"), [(2, 4), (5, 3)])
 def test_the_size_may_be_told(seed: int, machines: int) -> None:
-    outcome = play(Order(seed, machines))
-    assert outcome == Outcome(seed, outcome.played, None)
+    outcome = run_job(Job(seed, machines))
+    assert outcome == JobResult(seed, outcome.result, None)
--- a/tests/mutations/controller.py
+++ b/tests/mutations/controller.py
@@ -8,7 +8,7 @@
 PULLS = (
     "tests/controller/test_pulls.py",
     "tests/controller/test_host_versions.py",
-    "tests/simulation/test_days.py",
+    "tests/simulation/test_scenarios.py",
 )
 API = ("tests/controller/test_api.py",)
 UPDATES = ("tests/controller/test_updates.py",)
--- a/tests/mutations/coordination.py
+++ b/tests/mutations/coordination.py
@@ -6,8 +6,8 @@
 
 COORDINATION = (
     "tests/coordination",
-    "tests/simulation/test_search.py",
-    "tests/simulation/test_days.py",
+    "tests/simulation/test_model_checker.py",
+    "tests/simulation/test_scenarios.py",
 )
 
 MUTATIONS: tuple[Mutation, ...] = (
--- a/tests/mutations/distribution.py
+++ b/tests/mutations/distribution.py
@@ -4,7 +4,7 @@
 
 from tests.mutations.mutation import Mutation, mutations_of
 
-PULLER = ("tests/distribution", "tests/simulation/test_days.py")
+PULLER = ("tests/distribution", "tests/simulation/test_scenarios.py")
 
 MUTATIONS: tuple[Mutation, ...] = (
     *mutations_of(
--- a/tests/simulation/test_disk.py
+++ b/tests/simulation/test_disk.py
@@ -12,7 +12,8 @@
 from roselink.coordination.effects import Store
 from roselink.protocol.chain import ConfigurationState, StoredState, View, Voter, Votes
 from roselink.protocol.records import encode
-from roselink.simulation.disk import FOLDER, Broken, Kept, MemoryFiles, Write, disk_full
+from roselink.simulation.disk import FOLDER, Kept, MemoryFiles, Write, disk_full
+from roselink.simulation.exceptions import ProcessCrashError
 
 VOTER = Voter("10.0.0.1:7500", 7)
 DRAWN = 150  # states after each step, drawn where there are more
@@ -50,26 +51,26 @@
 
 def load(contents: dict[str, bytes]) -> tuple[Votes | None, StoredState | None]:
     files = MemoryFiles()
-    files.hold(contents)
+    files.restore(contents)
     return Storage(FOLDER, files).load()
 
 
 def remains(files: MemoryFiles, draw: random.Random, most: int) -> list[dict[str, bytes]]:
     """All that a loss of power may leave, or so many drawn of it, each once."""
-    if files.count_remains() <= most:
-        found = list(files.remains())
+    if files.count_power_failure_states() <= most:
+        found = list(files.power_failure_states())
     else:
-        found = [files.drawn(draw) for _ in range(most)]
+        found = [files.drawn_state(draw) for _ in range(most)]
     return [dict(each) for each in {tuple(contents.items()) for contents in found}]
 
 
 @pytest.mark.parametrize(
     ("kept", "content"),
     [
-        (Kept.WHOLE, b"abXYZ"),
+        (Kept.COMPLETE, b"abXYZ"),
         (Kept.MISSING, b"abcd"),
         (Kept.SHORT, b"abXd"),
-        (Kept.EMPTY, b"abX\0\0"),
+        (Kept.ZEROED, b"abX\0\0"),
     ],
 )
 def test_what_is_left_of_a_write(kept: Kept, content: bytes) -> None:
@@ -80,13 +81,13 @@
     files = MemoryFiles()
     with files.open(f"{FOLDER}/a", "w") as opened:
         opened.write("one")
-    assert {} in list(files.remains())
+    assert {} in list(files.power_failure_states())
     files.sync(f"{FOLDER}/a")
-    assert list(files.remains()) == [{"a": b"one"}, {}]
+    assert list(files.power_failure_states()) == [{"a": b"one"}, {}]
     files.sync(FOLDER)
-    assert list(files.remains()) == [{"a": b"one"}]
+    assert list(files.power_failure_states()) == [{"a": b"one"}]
     files.rename(f"{FOLDER}/a", f"{FOLDER}/b")
-    found = list(files.remains())
+    found = list(files.power_failure_states())
     assert {"a": b"one"} in found
     assert {"b": b"one"} in found
     assert {} in found  # a rename is two names, each kept or lost by itself
@@ -99,11 +100,11 @@
     """A load gives the last durable record or the one under way, never less and never a mix."""
     files = MemoryFiles()
     storage = saved(files)
-    files.fail(at, Broken, on=True)
+    files.fail(at, ProcessCrashError, persistent=True)
     ended = True
     try:
         save(storage, store, 3)
-    except Broken:
+    except ProcessCrashError:
         ended = False
     files.heal()
     allowed = {3} if ended else {2, 3}
@@ -111,7 +112,8 @@
     survivors += remains(files, random.Random(at), most)
     for contents in survivors:
         kept_votes, kept_state = load(contents)
-        assert kept_votes is not None and kept_votes.view is not None
+        assert kept_votes is not None
+        assert kept_votes.view is not None
         assert kept_state is not None
         newest = kept_votes.view.epoch if store is Store.VOTES else kept_state.state.sequence
         other = kept_state.state.sequence if store is Store.VOTES else kept_votes.view.epoch
@@ -125,11 +127,11 @@
 @pytest.mark.parametrize("store", list(Store))
 @pytest.mark.parametrize("at", range(1, STEPS))
 @pytest.mark.parametrize("on", [False, True])
-def test_a_disk_that_refuses_at_any_step(store: Store, at: int, on: bool, most: int) -> None:
+def test_a_disk_that_refuses_at_any_step(store: Store, at: int, most: int, *, on: bool) -> None:
     """Power may be lost after the refusal, and after the next save."""
     files = MemoryFiles()
     storage = saved(files)
-    files.fail(at, disk_full, on)
+    files.fail(at, disk_full, persistent=on)
     ended = True
     try:
         save(storage, store, 3)
@@ -142,14 +144,16 @@
     files.heal()
     for contents in remains(files, random.Random(at), most):
         kept_votes, kept_state = load(contents)
-        assert kept_votes is not None and kept_votes.view is not None
+        assert kept_votes is not None
+        assert kept_votes.view is not None
         assert kept_state is not None
         newest = kept_votes.view.epoch if store is Store.VOTES else kept_state.state.sequence
         assert newest in ({3} if ended else {2, 3})
     save(storage, store, 4)
     for contents in remains(files, random.Random(at), most):
         kept_votes, kept_state = load(contents)
-        assert kept_votes is not None and kept_votes.view is not None
+        assert kept_votes is not None
+        assert kept_votes.view is not None
         assert kept_state is not None
         assert (kept_votes.view.epoch if store is Store.VOTES else kept_state.state.sequence) == 4
 
@@ -157,9 +161,9 @@
 def test_the_steps_cover_a_whole_save() -> None:
     files = MemoryFiles()
     storage = saved(files)
-    files.steps = 0
+    files.operations = 0
     save(storage, Store.STATE, 3)
-    assert 10 < files.steps < STEPS
+    assert 10 < files.operations < STEPS
 
 
 @pytest.mark.parametrize("cut_at", range(1, STEPS))
@@ -169,11 +173,11 @@
     storage = Storage(FOLDER, files)
     storage.load()
     save(storage, Store.STATE, 1)
-    files.fail(cut_at, Broken, on=True)
+    files.fail(cut_at, ProcessCrashError, persistent=True)
     ended = True
     try:
         save(storage, Store.VOTES, 1)
-    except Broken:
+    except ProcessCrashError:
         ended = False
     files.heal()
     for contents in remains(files, random.Random(cut_at), DRAWN):
--- a/tests/simulation/test_history.py
+++ b/tests/simulation/test_history.py
@@ -1,18 +1,18 @@
-"""The judge of histories: what one register can say passes, and each kind of lie is named."""
+"""The history checker: what one register explains passes, and each kind of violation is named."""
 
 from __future__ import annotations
 
 import pytest
 
 from roselink.simulation.history import (
+    CallResult,
     Change,
+    ChangeCall,
+    ConfigurationApplied,
     History,
-    InForce,
-    Judge,
+    HistoryChecker,
     KeyUse,
-    OrderCall,
     Reading,
-    Said,
 )
 
 ONE = Change(0, 1, "one", frozenset({"k"}))
@@ -23,22 +23,24 @@
 LOST = Change(7, 9, "on what never was")
 
 
-def sent(change: Change, began: float, ended: float, said: Said = Said.CONFIRMED) -> OrderCall:
-    return OrderCall(change, began, ended, said)
+def sent(
+    change: Change, began: float, ended: float, result: CallResult = CallResult.CONFIRMED
+) -> ChangeCall:
+    return ChangeCall(change, began, ended, result)
 
 
-def rules(*events: OrderCall | Reading | InForce | KeyUse) -> list[str]:
+def rules(*events: ChangeCall | Reading | ConfigurationApplied | KeyUse) -> list[str]:
     history = History()
     for event in events:
-        if isinstance(event, OrderCall):
-            history.orders.append(event)
+        if isinstance(event, ChangeCall):
+            history.calls.append(event)
         elif isinstance(event, Reading):
             history.readings.append(event)
-        elif isinstance(event, InForce):
-            history.in_force.append(event)
+        elif isinstance(event, ConfigurationApplied):
+            history.applied.append(event)
         else:
             history.key_uses.append(event)
-    return [violation.rule for violation in Judge(history, revoke_s=5.0).violations()]
+    return [violation.rule for violation in HistoryChecker(history, revoke_s=5.0).violations()]
 
 
 A = sent(ONE, 0, 1)
@@ -49,12 +51,22 @@
     [
         (A, sent(TWO, 2, 3), Reading(4, 5, TWO)),
         (A, sent(TWO, 2, 6), Reading(3, 4, ONE), Reading(3, 4, TWO), Reading(5, 7, TWO)),
-        (A, sent(TWO, 2, 3, Said.UNCLEAR), Reading(4, 5, ONE), Reading(6, 7, TWO)),
-        (A, sent(TWO, 2, 3, Said.UNCLEAR), sent(THREE, 4, 5), sent(TWO, 6, 7)),
-        (A, sent(TWO, 2, 4), sent(RIVAL, 2, 4, Said.REFUSED), sent(RIVAL, 6, 7, Said.REFUSED)),
-        (A, sent(TWO, 2, 3), sent(ONE, 4, 5), sent(ALSO_ON_ONE, 4, 5, Said.REFUSED)),
-        (sent(LOST, 0, 1, Said.REFUSED), Reading(2, 3, None)),
-        (A, InForce("g", 1, 2, ONE), InForce("g", 2, 3, ONE), KeyUse("g", 9, "k")),
+        (A, sent(TWO, 2, 3, CallResult.UNKNOWN), Reading(4, 5, ONE), Reading(6, 7, TWO)),
+        (A, sent(TWO, 2, 3, CallResult.UNKNOWN), sent(THREE, 4, 5), sent(TWO, 6, 7)),
+        (
+            A,
+            sent(TWO, 2, 4),
+            sent(RIVAL, 2, 4, CallResult.REFUSED),
+            sent(RIVAL, 6, 7, CallResult.REFUSED),
+        ),
+        (A, sent(TWO, 2, 3), sent(ONE, 4, 5), sent(ALSO_ON_ONE, 4, 5, CallResult.REFUSED)),
+        (sent(LOST, 0, 1, CallResult.REFUSED), Reading(2, 3, None)),
+        (
+            A,
+            ConfigurationApplied("g", 1, 2, ONE),
+            ConfigurationApplied("g", 2, 3, ONE),
+            KeyUse("g", 9, "k"),
+        ),
         (A, sent(TWO, 2, 3), KeyUse("g", 7.9, "k")),
         (
             A,
@@ -65,7 +77,7 @@
     ],
 )
 def test_what_one_register_can_say(
-    events: tuple[OrderCall | Reading | InForce | KeyUse, ...],
+    events: tuple[ChangeCall | Reading | ConfigurationApplied | KeyUse, ...],
 ) -> None:
     assert rules(*events) == []
 
@@ -75,9 +87,9 @@
     [
         ((A, sent(TWO, 2, 3), sent(RIVAL, 2, 3)), "two changes under one number"),
         ((A, sent(TWO, 2, 3), sent(ALSO_ON_ONE, 2, 3)), "two changes on one base"),
-        ((A, sent(TWO, 2, 3), sent(TWO, 4, 5, Said.REFUSED)), "a refused change is in force"),
+        ((A, sent(TWO, 2, 3), sent(TWO, 4, 5, CallResult.REFUSED)), "a refused change is in force"),
         (
-            (A, sent(RIVAL, 2, 3, Said.REFUSED), Reading(4, 5, RIVAL)),
+            (A, sent(RIVAL, 2, 3, CallResult.REFUSED), Reading(4, 5, RIVAL)),
             "a refused change is in force",
         ),
         ((A, sent(LOST, 2, 3)), "built on what never was"),
@@ -92,15 +104,20 @@
             (A, sent(TWO, 2, 3), sent(THREE, 4, 5), sent(Change(3, 2, "back"), 6, 7)),
             "a change went back",
         ),
-        ((A, sent(TWO, 2, 3, Said.REFUSED)), "a proper change was refused"),
+        ((A, sent(TWO, 2, 3, CallResult.REFUSED)), "a proper change was refused"),
         (
-            (A, sent(TWO, 2, 3), InForce("g", 1, 4, TWO), InForce("g", 1, 5, ONE)),
+            (
+                A,
+                sent(TWO, 2, 3),
+                ConfigurationApplied("g", 1, 4, TWO),
+                ConfigurationApplied("g", 1, 5, ONE),
+            ),
             "a gateway went back",
         ),
         ((A, sent(TWO, 2, 3), KeyUse("g", 8.1, "k")), "a removed key was used"),
     ],
 )
 def test_what_no_register_can_say(
-    events: tuple[OrderCall | Reading | InForce | KeyUse, ...], rule: str
+    events: tuple[ChangeCall | Reading | ConfigurationApplied | KeyUse, ...], rule: str
 ) -> None:
     assert rule in rules(*events)
--- a/tests/simulation/test_search.py
+++ b/tests/simulation/test_model_checker.py
@@ -1,6 +1,4 @@
-"""Every order of a few steps of the real members, from the states in which views and orders
-cross.
-"""
+"""The model checker on the real members, from states in which view changes and commands race."""
 
 from __future__ import annotations
 
@@ -14,23 +12,23 @@
 from roselink.coordination.orders import HeadOrders
 from roselink.coordination.reads import ReadRounds
 from roselink.coordination.votes import Attempt
-from roselink.simulation.search import Bounds, Found, search, walk
-from roselink.simulation.system import (
-    System,
+from roselink.simulation.initial_states import (
     calm_system,
-    left_behind,
+    command_on,
     member_joining,
-    order_on,
-    settle,
+    member_partitioned,
+    run_to_quiescence,
     two_proposers,
     view_accepted,
     view_decided,
 )
+from roselink.simulation.model_checker import Bounds, Exploration, explore, random_walk
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from roselink.protocol.chain import Submit, View
+    from roselink.simulation.system_state import System
 
 STATES = 1500  # of each search in CI
 STATES_ON_DEMAND = 60_000  # the same with `many_seeds`
@@ -44,10 +42,10 @@
     The search may begin one more read at any time.
     """
     system = begin()
-    newest = system.told.newest
+    newest = system.known.newest
     base = 3 if newest else 0
-    system.submit("a:1", order_on(base, 5, "one"))
-    system.submit("c:1", order_on(base, 5, "other"))
+    system.submit("a:1", command_on(base, 5, "one"))
+    system.submit("c:1", command_on(base, 5, "other"))
     system.read("c:1")
     return system
 
@@ -59,16 +57,16 @@
     "a member joins": (member_joining, Bounds(30, STATES, kills=1, proposals=0, reads=0)),
     "two propose": (two_proposers, Bounds(30, STATES, kills=0, proposals=0, reads=0)),
     "the tail is left behind": (
-        partial(left_behind, "c:1"),
+        partial(member_partitioned, "c:1"),
         Bounds(30, STATES, kills=0, proposals=0),
     ),
     "the head is left behind": (
-        partial(left_behind, "a:1"),
+        partial(member_partitioned, "a:1"),
         Bounds(30, STATES, kills=0, proposals=0),
     ),
     "a disk is lost": (
         calm_system,
-        Bounds(30, STATES, kills=0, wipes=1, proposals=1, sent_again=1, reads=0),
+        Bounds(30, STATES, kills=0, wipes=1, proposals=1, retransmissions=1, reads=0),
     ),
 }
 
@@ -76,7 +74,7 @@
 @pytest.mark.parametrize("start", STARTS)
 def test_every_order_of_a_few_steps(start: str) -> None:
     begin, bounds = STARTS[start]
-    found = search(with_calls(begin), bounds)
+    found = explore(with_calls(begin), bounds)
     assert found.depth >= 3
     assert found.states >= STATES
 
@@ -85,7 +83,7 @@
 @pytest.mark.parametrize("start", STARTS)
 def test_every_order_of_more_steps(start: str, capsys: pytest.CaptureFixture[str]) -> None:
     begin, bounds = STARTS[start]
-    found = search(with_calls(begin), replace(bounds, states=STATES_ON_DEMAND))
+    found = explore(with_calls(begin), replace(bounds, states=STATES_ON_DEMAND))
     with capsys.disabled():
         print(f"\n{start}: {found}")
 
@@ -95,7 +93,7 @@
 def test_long_paths(start: str, seed: int) -> None:
     begin, bounds = STARTS[start]
     wide = Bounds(STEPS, STATES, 2, bounds.wipes, 3, 3, 4)
-    settle(walk(with_calls(begin), wide, random.Random(seed)))
+    run_to_quiescence(random_walk(with_calls(begin), wide, random.Random(seed)))
 
 
 @pytest.mark.many_seeds
@@ -108,11 +106,11 @@
 # The search finds what it is for.
 
 
-def hunt(start: str) -> Found:
+def hunt(start: str) -> Exploration:
     begin, bounds = STARTS[start]
-    found = search(with_calls(begin), bounds)
+    found = explore(with_calls(begin), bounds)
     for seed in range(60):
-        walk(
+        random_walk(
             with_calls(begin), Bounds(STEPS, STATES, 2, bounds.wipes, 3, 3, 4), random.Random(seed)
         )
     return found
@@ -128,7 +126,7 @@
         self.chain.committed = before
 
 
-def shows_unconfirmed(self: ReadRounds, answer: object) -> list[object]:
+def shows_unconfirmed(self: ReadRounds, _answer: object) -> list[object]:
     """One answer confirms."""
     confirmed, self._asking = self._asking, []
     return list(confirmed)
