--- a/roselink/simulation/machine.py
+++ b/roselink/simulation/machine.py
@@ -6,15 +6,15 @@
 from functools import partial
 from typing import TYPE_CHECKING, Any
 
-from roselink.controller.pull_server import (
-    Answer,
-    AnswerChanges,
-    Confirm,
-    Forward,
-    ForwardedChangesPull,
+from roselink.controller.pull_effects import (
+    ForwardedDeltaPull,
+    ForwardToTail,
     PullEffect,
-    PullServer,
+    RequestConfirmation,
+    SendDeltaReply,
+    SendReply,
 )
+from roselink.controller.pull_server import PullServer
 from roselink.controller.storage import Storage, record_number
 from roselink.coordination.effects import (
     Confirmation,
@@ -103,7 +103,7 @@
         self.pending_submits: dict[int, Callable[[SubmitOutcome], None]] = {}
         self.pending_reads: dict[int, Callable[[Confirmation | None], None]] = {}
         self.storage = Storage(FOLDER, self.disk.files)
-        self.desk = PullServer()
+        self.pull_server = PullServer()
         self.pending_pulls: dict[int, ReplyHandler] = {}
 
     @property
@@ -128,7 +128,7 @@
             state=state,
         )
         self.member = Member(start, self.cluster.now)
-        self.desk = PullServer()
+        self.pull_server = PullServer()
         self.frozen = False
         self.perform(self.member.begin(self.cluster.now))
         self._tick(self.process_number)
@@ -221,13 +221,17 @@
         self.perform(effects)
 
     def handle_pull(
-        self, message: DeltaPullRequest | ForwardedChangesPull, reply: ReplyHandler, _: Member
+        self, message: DeltaPullRequest | ForwardedDeltaPull, reply: ReplyHandler, _: Member
     ) -> list[Effect]:
         """Handle a gateway's pull, or one that another member forwarded."""
         number = self.cluster.next_number()
         self.pending_pulls[number] = reply
-        forwarded = isinstance(message, ForwardedChangesPull)
-        self._serve(self.desk.pull(self.cluster.now, number, message.pull, forwarded, changes=True))
+        forwarded = isinstance(message, ForwardedDeltaPull)
+        self._serve(
+            self.pull_server.pull_received(
+                self.cluster.now, number, message.pull, forwarded=forwarded, delta=True
+            )
+        )
         return []
 
     # --- effects
@@ -255,31 +259,33 @@
         cores = tuple(voter.address for voter in view.voters)
         is_tail = self.member.chain.is_tail
         self._serve(
-            self.desk.view_changed(self.cluster.now, view.epoch, is_tail, (host, int(port)), cores)
+            self.pull_server.view_changed(
+                self.cluster.now, view.epoch, (host, int(port)), cores, is_tail=is_tail
+            )
         )
 
     def _serve(self, effects: list[PullEffect]) -> None:
         for effect in effects:
             match effect:
-                case Confirm(number):
+                case RequestConfirmation(number):
                     self.read(partial(self._confirmed, number))
-                case Forward(number, (host, port), message):
+                case ForwardToTail(number, (host, port), message):
                     forwarded = partial(self._forwarded, self.process_number, number)
                     receiver = f"{host}:{port}"
                     self.cluster.network.call(
                         self.address, receiver, message, FORWARD_TIMEOUT_S, forwarded
                     )
-                case Answer(number, reply) | AnswerChanges(number, reply):
+                case SendReply(number, reply) | SendDeltaReply(number, reply):
                     send_reply = self.pending_pulls.pop(number, None)
                     if send_reply is not None:
                         send_reply(reply)
 
     def _confirmed(self, number: int, confirmation: Confirmation | None) -> None:
-        self._serve(self.desk.confirmed(self.cluster.now, number, confirmation))
+        self._serve(self.pull_server.confirmation_received(self.cluster.now, number, confirmation))
 
     def _forwarded(self, process_number: int, number: int, reply: Any) -> None:
         def step(_member: Member) -> list[Effect]:
-            self._serve(self.desk.forwarded(self.cluster.now, number, reply))
+            self._serve(self.pull_server.forward_completed(self.cluster.now, number, reply))
             return []
 
         self.run(process_number, step)
@@ -295,7 +301,7 @@
         epoch = self.member.view.epoch
 
         def listed(_member: Member) -> list[Effect]:
-            self._serve(self.desk.hosts_listed(self.cluster.now, epoch, hosts))
+            self._serve(self.pull_server.hosts_listed(self.cluster.now, epoch, hosts))
             return []
 
         self.cluster.after(LIST_LATENCY_S, lambda: self.run(process_number, listed))
