--- a/roselink/simulation/faults.py
+++ b/roselink/simulation/faults.py
@@ -127,7 +127,7 @@
     cluster.run(cluster.random.uniform(0.2, 2.0))
     if victim.member is not None:
         victim.perform(victim.member.leave(cluster.now))
-    cluster.run_until(lambda: victim.member is None or victim.member.left, 1.5)
+    cluster.run_until(lambda: victim.member is None or victim.member.has_left, 1.5)
     victim.kill()
     del cluster.machines[victim.address]
 
--- a/roselink/simulation/packing.py
+++ b/roselink/simulation/packing.py
@@ -151,13 +151,13 @@
 def _frozen_member(member: Member) -> tuple[Any, ...]:
     """The parts of a member that decide its behaviour."""
     parts = (
-        member.voting,
-        member.ballots,
+        member.acceptor,
+        member.reply_gate,
         member.chain,
         member.proposer,
         member.reads,
-        member.orders,
-        member.calls,
+        member.sequencer,
+        member.pending_calls,
     )
     return _frozen_items(parts)
 
--- a/roselink/simulation/system_state.py
+++ b/roselink/simulation/system_state.py
@@ -138,16 +138,16 @@
         """Have a member propose the view that it would if another member had failed."""
         machine = unpack(self.machines[address])
         member = machine.member
-        if member.view is None or not member.voting.entitled:
+        if member.view is None or not member.acceptor.is_voter:
             return
         others = {
             each: unpack(packed).member for each, packed in self.machines.items() if each != without
         }
         others[address] = member
-        wanted = plan(member.view, _membership_of(others), member.proposer.rules)
+        wanted = plan(member.view, _membership_of(others), member.proposer.policy)
         if wanted is not None:
-            member.proposer.propose(member.voting, member.view, wanted, NOW)
-            self._perform(address, machine, member.take_effects(NOW))
+            member.proposer.propose(member.acceptor, member.view, wanted, NOW)
+            self._perform(address, machine, member.collect_effects(NOW))
 
     def retransmit(self, address: str) -> None:
         """Have a member send again whatever had no reply."""
@@ -155,8 +155,8 @@
         member = machine.member
         member.chain.resend(RETRANSMIT_TIME)
         if member.view is not None:
-            member.calls.view_changed(member.view, NOW)
-        self._perform(address, machine, member.take_effects(NOW))
+            member.pending_calls.view_changed(member.view, NOW)
+        self._perform(address, machine, member.collect_effects(NOW))
 
     def submit(self, address: str, command: ConfigurationChange) -> None:
         """Have a client submit a change to a member."""
@@ -194,7 +194,7 @@
             tolerated=1,
             session=session,
             fresh_incarnation=session,
-            votes=votes,
+            acceptor_state=votes,
             state=stored,
         )
         machine = Machine(Member(start, NOW), disk, starts=starts)
@@ -250,7 +250,7 @@
     return {address: _peer_of(member, reachable - {address}) for address, member in members.items()}
 
 
-def _peer_of(member: Member, heard: frozenset[str]) -> PeerStatus:
+def _peer_of(member: Member, reachable: frozenset[str]) -> PeerStatus:
     view = member.view
     return PeerStatus(
         voter=member.voter,
@@ -263,5 +263,5 @@
         live=True,
         steady=True,
         since_heartbeat_s=0.0,
-        heard=heard,
+        reachable=reachable,
     )
--- a/tests/coordination/test_member.py
+++ b/tests/coordination/test_member.py
@@ -8,6 +8,7 @@
 
 import pytest
 
+from roselink.coordination.disk_health import DiskHealth
 from roselink.coordination.effects import (
     Effect,
     OutcomeUnknown,
@@ -18,7 +19,7 @@
     SubmitDone,
 )
 from roselink.coordination.member import Member, Start
-from roselink.coordination.peering import DiskHealth, PeerTable
+from roselink.coordination.peer_table import PeerTable
 from roselink.coordination.state import EMPTY, apply_change, digest_of
 from roselink.coordination.views import first_view
 from roselink.protocol.chain import (
@@ -27,6 +28,7 @@
     AcceptorState,
     Ack,
     Ballot,
+    ChainMessage,
     ChainReplica,
     ConfigurationChange,
     ConfirmReply,
@@ -47,9 +49,18 @@
 A, B, C = VIEW.voters
 ORDER = ConfigurationChange(0, 1, b"one", digest_of(0, b"one"))
 STATE = StoredState(1, apply_change(EMPTY, ORDER, refused=False))
-FRESH = Start("b:1", SEEDS, True, 1, 40, 50, None, None)
+FRESH = Start(
+    address="b:1",
+    seeds=SEEDS,
+    bootstrap=True,
+    tolerated=1,
+    session=40,
+    fresh_incarnation=50,
+    acceptor_state=None,
+    state=None,
+)
 STORED = replace(
-    FRESH, bootstrap=False, votes=AcceptorState(B, VIEW, None, None, None), state=STATE
+    FRESH, bootstrap=False, acceptor_state=AcceptorState(B, VIEW, None, None, None), state=STATE
 )
 BALLOT = Ballot(1, "a:1", 9)
 NEXT = View(2, VIEW.voters, tuple(ChainReplica(voter, 1, 40) for voter in (B, C)))
@@ -60,13 +71,13 @@
         self.member = Member(start, 0.0)
         self.out: list[Effect] = self.member.begin(0.0)
 
-    def give(self, message: object, now: float = 0.0) -> list[object]:
+    def give(self, message: ChainMessage, now: float = 0.0) -> list[ChainMessage]:
         self.out += self.member.receive(message, now)
         return self.sent()
 
-    def sent(self) -> list[object]:
+    def sent(self) -> list[ChainMessage]:
         """What was sent, save heartbeats; saves stay waiting."""
-        sent = [
+        sent: list[ChainMessage] = [
             e.message
             for e in self.out
             if isinstance(e, Send) and not isinstance(e.message, Heartbeat)
@@ -83,7 +94,18 @@
 
 
 def heartbeat_of(voter: Voter) -> Heartbeat:
-    return Heartbeat(voter, 9, 1, 1, 1, False, True, False, False, ("b:1",))
+    return Heartbeat(
+        sender=voter,
+        session=9,
+        epoch=1,
+        state_epoch=1,
+        sequence=1,
+        participating=False,
+        disk_ok=True,
+        leaving=False,
+        chain_is_complete=False,
+        reachable=("b:1",),
+    )
 
 
 def test_others_wait_for_a_member_until_its_view_is_active() -> None:
@@ -108,7 +130,7 @@
         (replace(FRESH, address="d:1"), Voter("d:1", 50), 0),
         (replace(FRESH, bootstrap=False), Voter("b:1", 50), 0),
         (replace(STORED, state=None), Voter("b:1", 50), 0),
-        (replace(STORED, votes=None), Voter("b:1", 50), 0),
+        (replace(STORED, acceptor_state=None), Voter("b:1", 50), 0),
         (STORED, Voter("b:1", 0), 1),
         (replace(STORED, bootstrap=True), Voter("b:1", 0), 1),
     ],
@@ -132,39 +154,42 @@
 def test_a_restarted_member_takes_no_part_but_votes() -> None:
     stage = Stage(STORED)
     assert not stage.member.chain.participating
-    assert stage.give(ConfirmRequest(C, 1, 3)) == [ConfirmReply(B, 1, 3, True)]
+    assert stage.give(ConfirmRequest(C, 1, 3)) == [ConfirmReply(B, 1, 3, is_newest=True)]
     assert stage.give(Prepare(A, 2, BALLOT)) == []
     saved = stage.save()
-    assert saved.store is Store.ACCEPTOR and decode(33, saved.payload).promised == BALLOT
+    assert saved.store is Store.ACCEPTOR
+    assert decode(33, saved.payload).promised == BALLOT
     assert stage.sent() == [Promise(B, 2, BALLOT, None, None)]
 
 
 def test_an_acceptance_leaves_after_its_save_and_ends_confirmations_at_once() -> None:
     stage = Stage(STORED)
     assert stage.give(Accept(A, BALLOT, NEXT)) == []
-    assert stage.give(ConfirmRequest(C, 1, 3)) == [ConfirmReply(B, 1, 3, False)]
+    assert stage.give(ConfirmRequest(C, 1, 3)) == [ConfirmReply(B, 1, 3, is_newest=False)]
     saved = decode(33, stage.save().payload)
     assert (saved.accepted, saved.proposal) == (BALLOT, NEXT)
     assert stage.sent() == [Accepted(B, 2, BALLOT)]
-    again = Stage(replace(STORED, votes=saved))
-    assert again.give(ConfirmRequest(C, 1, 4)) == [ConfirmReply(B, 1, 4, False)]
+    again = Stage(replace(STORED, acceptor_state=saved))
+    assert again.give(ConfirmRequest(C, 1, 4)) == [ConfirmReply(B, 1, 4, is_newest=False)]
 
 
 def test_a_refusing_disk_lets_no_vote_out_and_is_tried_again() -> None:
     stage = Stage(STORED)
     stage.give(Prepare(A, 2, BALLOT))
     stage.out = stage.member.persist_failed(Store.ACCEPTOR, 0.0)
-    assert stage.out == [] and not stage.member.disk_fit
+    assert stage.out == []
+    assert not stage.member.disk_is_healthy
     stage.out = stage.member.tick(0.25)
     assert stage.save(0.26).store is Store.ACCEPTOR
-    assert stage.member.disk_fit
+    assert stage.member.disk_is_healthy
     assert stage.sent() == [Promise(B, 2, BALLOT, None, None)]
 
 
 def test_a_decided_view_is_followed_and_given_on_to_whoever_is_behind() -> None:
     stage = Stage(STORED)
     stage.give(Decided(A, NEXT))
-    assert stage.member.view == NEXT and stage.member.chain.is_head
+    assert stage.member.view == NEXT
+    assert stage.member.chain.is_head
     stage.give(Decided(A, VIEW))
     assert stage.member.view == NEXT
     assert stage.give(beat(C, epoch=1)) == [Decided(B, NEXT)]
@@ -172,7 +197,7 @@
 
 
 @pytest.mark.parametrize(("epoch", "taken"), [(2, True), (1, False), (3, False)])
-def test_a_head_takes_orders_for_its_own_epoch_only(epoch: int, taken: bool) -> None:
+def test_a_head_takes_orders_for_its_own_epoch_only(*, epoch: int, taken: bool) -> None:
     """A late copy of an order whose caller has gone on to another head is not judged here as
     well.
     """
@@ -203,7 +228,18 @@
 
 
 def beat(sender: Voter, **changes: object) -> Heartbeat:
-    well = Heartbeat(sender, 3, 1, 1, 0, True, True, False, True, ("b:1", "a:1", "c:1"))
+    well = Heartbeat(
+        sender=sender,
+        session=3,
+        epoch=1,
+        state_epoch=1,
+        sequence=0,
+        participating=True,
+        disk_ok=True,
+        leaving=False,
+        chain_is_complete=True,
+        reachable=("b:1", "a:1", "c:1"),
+    )
     return replace(well, **changes)  # type: ignore[arg-type]
 
 
@@ -213,33 +249,35 @@
         ([(0.0, beat(A))], 0.1, True, False),
         ([(0.0, beat(A)), (0.3, beat(A))], 0.35, True, True),
         ([(0.0, beat(A)), (0.3, beat(A))], 0.8, False, True),
-        ([(0.0, beat(A, heard=("c:1",)))], 0.1, False, False),
+        ([(0.0, beat(A, reachable=("c:1",)))], 0.1, False, False),
         ([(0.0, beat(A)), (0.2, beat(A, disk_ok=False)), (0.3, beat(A))], 0.4, True, False),
         ([(0.0, beat(A)), (1.0, beat(A))], 1.1, True, False),
         ([(0.0, beat(A)), (0.3, beat(A, session=4))], 0.4, True, False),
     ],
 )
-def test_peers(beats: list[tuple[float, Heartbeat]], now: float, live: bool, steady: bool) -> None:
+def test_peers(
+    *, beats: list[tuple[float, Heartbeat]], now: float, live: bool, steady: bool
+) -> None:
     peers = PeerTable(B)
     for at, heartbeat in beats:
-        peers.hear(heartbeat, at)
-    own = Stage(STORED).member.presence.own(None, now)
-    seen = peers.picture(now, own, ())["a:1"]
+        peers.on_heartbeat(heartbeat, at)
+    own = Stage(STORED).member.heartbeats.own_status(None, now)
+    seen = peers.snapshot(now, own, ())["a:1"]
     assert (seen.live, seen.steady) == (live, steady)
 
 
 def test_own_sleep_is_no_silence_of_others() -> None:
     peers = PeerTable(B)
-    peers.hear(beat(A), 0.0)
-    assert peers.heard(5.0) == ()
-    peers.skip(4.9, 5.0)
-    assert peers.heard(5.0) == ("a:1",)
-    peers.skip(4.9, 5.1)
-    assert peers.heard(5.6) == ()
+    peers.on_heartbeat(beat(A), 0.0)
+    assert peers.reachable(5.0) == ()
+    peers.discount_pause(4.9, 5.0)
+    assert peers.reachable(5.0) == ("a:1",)
+    peers.discount_pause(4.9, 5.1)
+    assert peers.reachable(5.6) == ()
 
 
 @pytest.mark.parametrize(
-    ("size", "seconds", "fit"),
+    ("size", "seconds", "healthy"),
     [
         (0, 0.29, True),
         (0, 0.31, False),
@@ -248,16 +286,16 @@
         (16_000_000, 1.05, True),
     ],
 )
-def test_a_large_save_may_take_longer(size: int, seconds: float, fit: bool) -> None:
+def test_a_large_save_may_take_longer(*, size: int, seconds: float, healthy: bool) -> None:
     disk = DiskHealth()
-    disk.began(0.0, size)
-    assert disk.check(seconds) is fit
-    disk.ended(seconds, True)
-    assert disk.fit is fit
+    disk.save_requested(0.0, size)
+    assert disk.check(seconds) is healthy
+    disk.save_ended(seconds, succeeded=True)
+    assert disk.healthy is healthy
 
 
 @pytest.mark.parametrize(
-    ("saves", "now", "fit"),
+    ("saves", "now", "healthy"),
     [
         ([(0.0, 0.02, True)], 0.1, True),
         ([(0.0, 0.5, True)], 0.6, False),
@@ -269,10 +307,12 @@
         ([(0.0, 0.5, True), (0.6, 0.65, True)], 0.9, True),
     ],
 )
-def test_disk_health(saves: list[tuple[float, float | None, bool]], now: float, fit: bool) -> None:
+def test_disk_health(
+    *, saves: list[tuple[float, float | None, bool]], now: float, healthy: bool
+) -> None:
     disk = DiskHealth()
-    for began, ended, well in saves:
-        disk.began(began, 0)
+    for began, ended, succeeded in saves:
+        disk.save_requested(began, 0)
         if ended is not None:
-            disk.ended(ended, well)
-    assert disk.check(now) is fit
+            disk.save_ended(ended, succeeded=succeeded)
+    assert disk.check(now) is healthy
--- a/tests/simulation/test_scenarios.py
+++ b/tests/simulation/test_scenarios.py
@@ -195,7 +195,7 @@
     head = cluster.machines[cluster.seeds[0]]
     assert head.member is not None
     head.perform(head.member.leave(cluster.now))
-    assert cluster.run_until(lambda: head.member is not None and head.member.left, 0.5)
+    assert cluster.run_until(lambda: head.member is not None and head.member.has_left, 0.5)
     head.kill()
     began = cluster.now
     assert submit(cluster, cluster.running_machines()[0], command_on(0, 5)) == ChangeCommitted(1)
