--- a/roselink/simulation/initial_states.py
+++ b/roselink/simulation/initial_states.py
@@ -4,7 +4,7 @@
 
 from roselink.coordination.state import digest_of
 from roselink.protocol.chain import Accept, Accepted, ConfigurationChange, Prepare, Promise
-from roselink.protocol.records import record_number_of_class
+from roselink.protocol.records import Record, record_number_of_class
 from roselink.simulation.system_state import System
 
 
@@ -44,7 +44,7 @@
     return system
 
 
-def deliver_only(system: System, *records: type[object]) -> None:
+def deliver_only(system: System, *records: type[Record]) -> None:
     """Save and deliver messages of some record types; all other messages stay in flight."""
     numbers = {record_number_of_class(record) for record in records}
     while True:
--- a/roselink/simulation/network.py
+++ b/roselink/simulation/network.py
@@ -6,7 +6,7 @@
 from functools import partial
 from typing import TYPE_CHECKING, Any
 
-from roselink.protocol.records import decode, encode, record_number_of
+from roselink.protocol.records import Record, decode, encode, record_number_of
 
 if TYPE_CHECKING:
     import random
@@ -62,7 +62,7 @@
         self,
         sender: str,
         receiver: str,
-        message: object,
+        message: Record,
         timeout_s: float,
         done: ReplyHandler,
     ) -> None:
--- a/tests/cli/test_simulate.py
+++ b/tests/cli/test_simulate.py
@@ -22,11 +22,9 @@
     assert "1 days, 0 failed" in capsys.readouterr().out
 
 
-def test_a_failing_seed_is_told(monkeypatch: pytest.MonkeyPatch) -> None:
-    def fails(seed: int) -> ScenarioResult:
-        raise ScenarioError(
-            "no explanation", (Violation("an old configuration was shown", "3 at 7"),)
-        )
+def test_a_failing_seed_is_explained(monkeypatch: pytest.MonkeyPatch) -> None:
+    def fails(_: int) -> ScenarioResult:
+        raise ScenarioError("unexplained", (Violation("an old configuration was shown", "3 at 7"),))
 
     monkeypatch.setattr(command, "day_of_seed", fails)
     outcome = run_job(Job(7, None))
@@ -34,19 +32,17 @@
     assert "an old configuration was shown: 3 at 7" in outcome.failure
 
 
-def test_failures_decide_the_exit_status(
-    monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
-) -> None:
-    monkeypatch.setattr(command, "run_days", lambda seed, days, machines, jobs, print_line: 1)
+def test_failures_decide_the_exit_status(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(command, "run_days", lambda *_: 1)
     assert main(["simulate", "--days", "2"]) == EXIT_UNAVAILABLE
 
 
 @pytest.mark.parametrize("arguments", [["--days", "0"], ["--jobs", "0"], ["--machines", "10"]])
-def test_what_can_not_be_played(arguments: list[str]) -> None:
+def test_what_can_not_be_simulated_is_refused(arguments: list[str]) -> None:
     assert main(["simulate", *arguments]) == EXIT_FAULTS
 
 
 @pytest.mark.parametrize(("seed", "machines"), [(2, 4), (5, 3)])
-def test_the_size_may_be_told(seed: int, machines: int) -> None:
+def test_the_size_may_be_given(seed: int, machines: int) -> None:
     outcome = run_job(Job(seed, machines))
     assert outcome == JobResult(seed, outcome.result, None)
