--- a/roselink/cli.py
+++ b/roselink/cli.py
@@ -98,11 +98,11 @@
     :param machines: number of core members; by default size and kind of day follow from the seed
     :param jobs: number of days in parallel
     """
-    from roselink.simulation.command import play_days
+    from roselink.simulation.command import run_days
 
     if days < 1 or jobs < 1 or (machines is not None and not 1 <= machines <= MAX_MACHINES):
         return _report_faults([f"days and jobs: 1 at least; machines: 1 to {MAX_MACHINES}"])
-    return EXIT_UNAVAILABLE if play_days(seed, days, machines, jobs, _print_line) else 0
+    return EXIT_UNAVAILABLE if run_days(seed, days, machines, jobs, _print_line) else 0
 
 
 def _print_line(line: str) -> None:
--- a/roselink/router/app.py
+++ b/roselink/router/app.py
@@ -9,6 +9,7 @@
 import signal
 import sys
 from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 import uvloop
 
@@ -19,10 +20,14 @@
 from roselink.model.fleet import Member
 from roselink.model.settings import DEFAULT_PATH, ENVIRONMENT_VARIABLE, ProcessSettings
 from roselink.protocol.payoffs import HostOutcomes
-from roselink.protocol.peers import Address, PeerPool, PeerServer, Reply
+from roselink.protocol.peer_pool import PeerPool
+from roselink.protocol.peer_server import PeerServer
 from roselink.router.interfaces import DataPlane, Decider
 from roselink.router.status_log import StatusLog
 
+if TYPE_CHECKING:
+    from roselink.protocol.peer_connection import Address, ReplySender
+
 log = logging.getLogger("roselink.router")
 
 EXIT_START_FAILED = 3
@@ -150,6 +155,6 @@
         self.budgets.confirm(at)
         self.peer_sampling.confirm(at, self.pull_client.cores())
 
-    def _handle(self, peer: Address, message: object, reply: Reply) -> None:
+    def _handle(self, peer: Address, message: object, reply: ReplySender) -> None:
         if not (self.budgets.handle(message, reply) or self.peer_sampling.handle(message, reply)):
             log.warning("record_unknown peer=%s record=%s", peer[0], type(message).__name__)
--- a/tests/distribution/test_host_changes.py
+++ b/tests/distribution/test_host_changes.py
@@ -23,7 +23,7 @@
     SnapshotConfirmed,
 )
 from roselink.model.fleet import Host, HostState, Member, VersionVector
-from roselink.protocol.peers import FrameReader, frame
+from roselink.protocol.framing import FrameDecoder, FrameKind, encode_frame
 from roselink.protocol.pull import (
     DeltaPullReply,
     DeltaPullRequest,
@@ -125,7 +125,7 @@
         return self.machine.reply_received(send.call, None if lost else answer, self.now)
 
     def answer(self, asked: DeltaPullRequest) -> DeltaPullReply:
-        ((_, number, received),) = FrameReader().feed(frame(0, 1, asked))
+        ((_, number, received),) = FrameDecoder().feed(encode_frame(FrameKind.CALL, 1, asked))
         assert self.pull_server.pull_received(self.now, number, received.pull, delta=True) == [
             RequestConfirmation(1)
         ]
@@ -135,7 +135,7 @@
         assert isinstance(effect, SendDeltaReply)
         self.lists += effect.reply.host_list is not None
         self.changes += effect.reply.host_changes is not None
-        ((_, _, answer),) = FrameReader().feed(frame(1, 1, effect.reply))
+        ((_, _, answer),) = FrameDecoder().feed(encode_frame(FrameKind.REPLY, 1, effect.reply))
         assert isinstance(answer, DeltaPullReply)
         return answer
 
