--- a/roselink/dataplane/admission.py
+++ b/roselink/dataplane/admission.py
@@ -17,7 +17,7 @@
 DEFAULT_DEADLINE_S = 30.0
 # Before the client's deadline by this much the last word is said: room for the way to the client.
 MARGIN_S = 0.030
-MARGIN_PART = (
+MARGIN_FRACTION = (
     0.25  # of the time that a client in a hurry gives: the margin shrinks to fit into that
 )
 NOT_CONFIRMED_RETRY_S = (
@@ -27,7 +27,7 @@
     1.2  # from a start to a list of hosts after a loss of all, about (docs/policy.md)
 )
 UNCONFIGURED_SPREAD = 0.4  # part of it, either way
-CLIENT_PART = 0.3  # clients wait a third of the time they have left, and not longer
+CLIENT_FRACTION = 0.3  # clients wait a third of the time they have left, and not longer
 
 
 class Refusal(NamedTuple):
@@ -58,10 +58,12 @@
     back apart.
     """
     told = UNCONFIGURED_RETRY_S * (1 + UNCONFIGURED_SPREAD * (2 * chance - 1))
-    return told if request.deadline_s is None else min(told, CLIENT_PART * request.deadline_s)
+    return told if request.deadline_s is None else min(told, CLIENT_FRACTION * request.deadline_s)
 
 
-def judge(table: RouteTable | None, keys_usable: bool, request: ProxyRequest) -> Refusal | Admitted:
+def decide_admission(
+    table: RouteTable | None, keys_usable: bool, request: ProxyRequest
+) -> Refusal | Admitted:
     """What the configuration says. A gateway that can't confirm its keys refuses by none, and does
     not call a route unknown, as it may have missed one.
     """
@@ -78,25 +80,25 @@
     return Refusal(401) if tenant is None else Admitted(entry, tenant)
 
 
-def allowed_s(request: ProxyRequest, route: Route) -> float:
+def time_limit_s(request: ProxyRequest, route: Route) -> float:
     """How long a request may take: its client's time, or the operator's if that is shorter."""
     told = DEFAULT_DEADLINE_S if request.deadline_s is None else request.deadline_s
     return min(told, route.timeout_ms / 1000) if route.timeout_ms > 0 else told
 
 
-def give_up_at(since: float, expires_at: float) -> float:
+def give_up_time(since: float, expires_at: float) -> float:
     """When the last word is said."""
-    return expires_at - min(MARGIN_S, MARGIN_PART * max(0.0, expires_at - since))
+    return expires_at - min(MARGIN_S, MARGIN_FRACTION * max(0.0, expires_at - since))
 
 
-def amount_of(request: ProxyRequest, tenant: Tenant) -> float:
+def quota_cost(request: ProxyRequest, tenant: Tenant) -> float:
     """What a request counts against its tenant's quota."""
     if tenant.unit != "tokens":
         return 1.0
     return float(sum(request.tokens) if request.tokens is not None else tenant.plain_tokens)
 
 
-def facts_of(exchange: Exchange) -> RequestFacts:
+def request_facts(exchange: Exchange) -> RequestFacts:
     """What the decider is told."""
     request, route = exchange.request, exchange.route
     tokens_in, tokens_out = request.tokens or (0, 0)
--- a/roselink/dataplane/attempt_runner.py
+++ b/roselink/dataplane/attempt_runner.py
@@ -21,7 +21,9 @@
 HOST_MARGIN_MS = (
     5  # hosts are told so much less: what they say at their deadline is still passed on
 )
-OVER_S = 1.0  # an attempt that nothing else has ended ends so long after its request's deadline
+TIMEOUT_AFTER_DEADLINE_S = (
+    1.0  # an attempt that nothing else has ended ends so long after its request's deadline
+)
 
 
 class RequestOwner(Protocol):
@@ -29,11 +31,11 @@
 
     counts: Counter[str]
 
-    def feed(self, event: Event) -> None: ...
+    def handle_event(self, event: Event) -> None: ...
 
-    def wanted(self, exchange: Exchange) -> bool: ...
+    def still_wanted(self, exchange: Exchange) -> bool: ...
 
-    def settle(self, exchange: Exchange) -> None: ...
+    def end_if_stuck(self, exchange: Exchange) -> None: ...
 
 
 class AttemptRunner:
@@ -54,13 +56,13 @@
         """
         host = self._hosts.get(action.host)
         if exchange is not None:
-            exchange.sends += 1
-        if exchange is None or host is None or not self._may_send(exchange, host):
-            self._owner.feed(AttemptEnded(action.number, action.attempt, Outcome.MOOT, 0.0))
+            exchange.attempts_requested += 1
+        if exchange is None or host is None or not self._can_send(exchange, host):
+            self._owner.handle_event(AttemptEnded(action.number, action.attempt, Outcome.MOOT, 0.0))
             if exchange is not None:
-                self._owner.settle(exchange)
+                self._owner.end_if_stuck(exchange)
             return
-        now, resume = self._loop.time(), exchange.begun
+        now, resume = self._loop.time(), exchange.response_begun
         answer = AttemptResponse(
             exchange, action.attempt, resume, now, self._first_event, self._ended
         )
@@ -69,30 +71,30 @@
             host,
             exchange.request.id,
             exchange.request.method == b"HEAD",
-            exchange.expires_at + OVER_S - now,
+            exchange.expires_at + TIMEOUT_AFTER_DEADLINE_S - now,
             answer,
-            partial(self._wanted, exchange),
+            partial(self._still_wanted, exchange),
             single_run=not exchange.route.repeatable,
         )
         exchange.attempts[action.attempt] = answer
         self._owner.counts["resumed" if resume else "attempts"] += 1
         self._upstream.begin(answer.attempt, partial(self._render, exchange, host, resume))
 
-    def _may_send(self, exchange: Exchange, host: FleetHost) -> bool:
-        if exchange.closed or host.service != exchange.service or exchange.exhausted:
+    def _can_send(self, exchange: Exchange, host: FleetHost) -> bool:
+        if exchange.closed or host.service != exchange.service or exchange.has_too_many_attempts:
             return False
-        if exchange.begun:
-            in_time = self._loop.time() < exchange.expires_at and exchange.broken
+        if exchange.response_begun:
+            in_time = self._loop.time() < exchange.expires_at and exchange.awaits_resume
         else:
             in_time = self._loop.time() < exchange.give_up_at
-        return in_time and self._wanted(exchange)
+        return in_time and self._still_wanted(exchange)
 
-    def _wanted(self, exchange: Exchange) -> bool:
+    def _still_wanted(self, exchange: Exchange) -> bool:
         """Asked right before each write. What may run once only is never sent while another attempt
         of it may have run, whatever the decider says.
         """
         once = not exchange.route.repeatable
-        return not (once and exchange.may_run) and self._owner.wanted(exchange)
+        return not (once and exchange.may_run) and self._owner.still_wanted(exchange)
 
     def _render(self, exchange: Exchange, host: FleetHost, resume: bool) -> bytes:
         """The request as a host gets it now."""
@@ -100,10 +102,10 @@
         last = exchange.request.last_event_id
         if resume:
             last = b"%d" % (exchange.progress.last_id or 0)
-        return exchange.base + attempt_head(host.name, left_ms, last) + exchange.request.body
+        return exchange.common_head + attempt_head(host.name, left_ms, last) + exchange.request.body
 
     def _first_event(self, answer: AttemptResponse) -> None:
-        self._owner.feed(FirstEvent(answer.exchange.number, answer.number))
+        self._owner.handle_event(FirstEvent(answer.exchange.number, answer.number))
 
     def _ended(self, answer: AttemptResponse, outcome: Outcome) -> None:
         exchange = answer.exchange
@@ -115,36 +117,36 @@
             outcome = Outcome.RESET
         elif outcome is Outcome.ERROR:
             relayed = self._failed(answer)
-        elif outcome is Outcome.CANCELLED and answer.spoilt:
+        elif outcome is Outcome.CANCELLED and answer.abandoned:
             outcome = Outcome.RESET
         if answer.progressed and not exchange.closed:
-            exchange.stopped, exchange.broken = True, exchange.can_resume
+            exchange.interrupted, exchange.awaits_resume = True, exchange.can_resume
         self._owner.counts[f"attempt_{outcome.value}"] += 1
         answer.attempt = None
-        self._owner.feed(
+        self._owner.handle_event(
             AttemptEnded(
                 exchange.number,
                 answer.number,
                 outcome,
                 max(0.0, self._loop.time() - answer.started),
-                progressed=answer.progressed or (answer.resumed and exchange.begun),
+                progressed=answer.progressed or (answer.resumed and exchange.response_begun),
                 relayed=relayed,
                 wrong_host=outcome is Outcome.FULL and answer.status == 421,
             )
         )
-        self._owner.settle(exchange)
+        self._owner.end_if_stuck(exchange)
 
     def _succeeded(self, answer: AttemptResponse) -> bool:
         """A whole answer with its stamp: pass on what of it has not gone on. False if it turns out
         cut.
         """
         exchange = answer.exchange
-        if exchange.closed or not answer.may_go_on:
+        if exchange.closed or not answer.may_relay:
             return True
-        if answer.mode is ResponseMode.HOLD:
-            exchange.client.whole(*answer.whole())
+        if answer.mode is ResponseMode.BUFFER:
+            exchange.client.send_complete(*answer.complete())
         elif answer.finish_stream():
-            exchange.client.end()
+            exchange.client.send_end()
         else:
             return False
         self._owner.counts["served"] += 1
@@ -156,12 +158,12 @@
         while the decider may try again. Whether the client has it.
         """
         exchange, failure = answer.exchange, answer.failure()
-        if failure is None or exchange.closed or exchange.begun:
+        if failure is None or exchange.closed or exchange.response_begun:
             return False
         if failure.status >= 500:
-            exchange.held = failure
+            exchange.host_failure = failure
             return False
-        exchange.client.whole(*failure)
+        exchange.client.send_complete(*failure)
         self._owner.counts["relayed"] += 1
         exchange.closed = True
         return True
--- a/roselink/dataplane/client_connection.py
+++ b/roselink/dataplane/client_connection.py
@@ -23,7 +23,7 @@
 
 
 class FleetClientConnection(ServerConnection):
-    """One client connection: its requests go to the engine."""
+    """One client connection: its requests go to the driver."""
 
     def __init__(self, server: FleetServer) -> None:
         super().__init__(server)
@@ -36,7 +36,7 @@
     def _client_left(self) -> None:
         if self._exchange is not None:
             exchange, self._exchange = self._exchange, None
-            self._owner.engine.depart(exchange)
+            self._owner.driver.client_left(exchange)
 
     def resume_writing(self) -> None:
         super().resume_writing()
@@ -65,41 +65,41 @@
         if not isinstance(request, ProxyRequest):
             log.info("request_invalid status=%d why=%s", pending.status, pending.why)
             self._head_only, self._version = False, "1.1"
-            self.own(pending.status)
+            self.send_status(pending.status)
             return
         self._head_only, self._version = request.method == b"HEAD", request.version
         if self._owner.is_overloaded():
-            self.own(503, NOT_CONFIRMED_RETRY_S)
+            self.send_status(503, NOT_CONFIRMED_RETRY_S)
             return
         try:
-            exchange = self._owner.engine.accept(request, self)
+            exchange = self._owner.driver.accept(request, self)
         except Exception:
             log.exception("request_failed")
             if self._serving:
-                self.own(500)
+                self.send_status(500)
             return
         if self._serving:  # not answered already
             self._exchange = exchange
 
-    # The answer, as the engine gives it.
+    # The answer, as the driver gives it.
 
-    def own(self, status: int, retry_after_s: float | None = None) -> None:
+    def send_status(self, status: int, retry_after_s: float | None = None) -> None:
         """An answer of ours, without a body."""
         headers: Headers = []
         if retry_after_s is not None:
             headers.append((b"Retry-After", b"%.3f" % retry_after_s))
         if status == 401:
             headers.append((b"WWW-Authenticate", b"Bearer"))
-        self.whole(status, headers, b"")
+        self.send_complete(status, headers, b"")
 
-    def whole(self, status: int, headers: Headers, body: bytes) -> None:
+    def send_complete(self, status: int, headers: Headers, body: bytes) -> None:
         """One whole answer."""
         bare = self._head_only or status in BODILESS
         head = self._head_of(status, headers, [] if bare else [b"Content-Length: %d" % len(body)])
         self._write(head if bare else head + body)
         self._end()
 
-    def begin(self, status: int, headers: Headers, length: int | None) -> None:
+    def send_head(self, status: int, headers: Headers, length: int | None) -> None:
         """The head of an answer in parts. Without a length told it goes in chunks."""
         self._chunked = length is None and self._version != "1.0"
         if length is not None:
@@ -110,18 +110,18 @@
             framing, self._keep_alive = [], False  # the end of the connection is that of the answer
         self._unwritten = self._head_of(status, headers, framing)  # goes out with the first part
 
-    def part(self, data: bytes) -> None:
+    def send_piece(self, data: bytes) -> None:
         """Bytes of the body, now."""
         head, self._unwritten = self._unwritten, b""
         self._write(head + (b"%x\r\n%b\r\n" % (len(data), data) if self._chunked else data))
 
-    def end(self) -> None:
+    def send_end(self) -> None:
         """The body is whole."""
         head, self._unwritten = self._unwritten, b""
         self._write(head + (b"0\r\n\r\n" if self._chunked else b""))
         self._end()
 
-    def cut(self) -> None:
+    def abort_response(self) -> None:
         """End the connection so that the answer does not look complete."""
         self._exchange = None
         if self._transport is not None and not self._chunked:
@@ -129,7 +129,7 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.abort()
 
-    def waits(self) -> bool:
+    def is_backed_up(self) -> bool:
         """Whether parts pile up, as the client does not take them."""
         return self._writing_paused
 
--- a/roselink/dataplane/client_server.py
+++ b/roselink/dataplane/client_server.py
@@ -33,11 +33,11 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        engine: DecisionDriver,
+        driver: DecisionDriver,
         descriptors: Descriptors,
         make_room: Callable[[], bool],
     ) -> None:
-        self.engine = engine
+        self.driver = driver
         self._limits: tuple[Limits, ...] = (Limits(),)  # the latest last
         self._told = False  # whether they are a configuration's
         super().__init__(loop, descriptors, make_room, _sizes(0, 0))
@@ -68,7 +68,7 @@
         return FleetClientConnection(self)
 
     def is_overloaded(self) -> bool:
-        return super().is_overloaded() or self.engine.body_bytes > BODIES_LIMIT
+        return super().is_overloaded() or self.driver.body_bytes > BODIES_LIMIT
 
 
 def _sizes(head: int, body: int) -> SizeLimits:
--- a/roselink/dataplane/decision_driver.py
+++ b/roselink/dataplane/decision_driver.py
@@ -1,6 +1,6 @@
 """Drives the decider: events in, actions out, timers, one clock. Owns the open requests.
 
-Nothing about hosts, retries or refusals is decided here. What the engine adds is what real sockets
+Nothing about hosts, retries or refusals is decided here. What the driver adds is what real sockets
 need: an answer in time even if the decider says nothing, promises kept whatever it says, and a
 fault in one request that stays that request's own.
 """
@@ -18,11 +18,11 @@
     NOT_CONFIRMED_RETRY_S,
     Admitted,
     Refusal,
-    allowed_s,
-    amount_of,
-    facts_of,
-    give_up_at,
-    judge,
+    decide_admission,
+    give_up_time,
+    quota_cost,
+    request_facts,
+    time_limit_s,
     unconfigured_retry_s,
 )
 from roselink.dataplane.attempt_runner import AttemptRunner
@@ -57,7 +57,7 @@
 
 log = logging.getLogger("roselink.dataplane")
 
-STREAM_OVER_S = 0.1  # a running stream ends so long after its deadline
+STREAM_GRACE_S = 0.1  # a running stream ends so long after its deadline
 
 
 class DecisionDriver:
@@ -78,33 +78,33 @@
         self._random = random.Random(seed)
         self._numbers = itertools.count(1)
         self._queue = EventQueue(loop, decider, self._perform, self._fail)
-        self._ends_at: float | None = None  # while draining: when all must have their answer
+        self._drain_ends_at: float | None = None  # while draining: when all must have their answer
         self._topology: TopologyChanged | None = None
-        self.table: RouteTable | None = None
-        self.directory = HostDirectory(upstream)
-        self.hosts = self.directory.hosts
-        self.open: dict[int, Exchange] = {}
+        self.route_table: RouteTable | None = None
+        self.host_directory = HostDirectory(upstream)
+        self.hosts = self.host_directory.hosts
+        self.open_requests: dict[int, Exchange] = {}
         self.body_bytes = 0  # of all open requests
         self.counts: Counter[str] = Counter()
         self._attempts = AttemptRunner(loop, upstream, self.hosts, self)
 
     # From the authority.
 
-    def refresh(self) -> None:
+    def apply_snapshot(self) -> None:
         """Take over the snapshot in force. It takes effect on the sockets first: what it ends must
         not get a byte more. The decider hears of it before it hears what became of that.
         """
         snapshot = self._authority.snapshot()
         if snapshot is None:
             return
-        if self.table is None or self.table.configuration is not snapshot.configuration:
-            self.table = RouteTable(snapshot.configuration)
+        if self.route_table is None or self.route_table.configuration is not snapshot.configuration:
+            self.route_table = RouteTable(snapshot.configuration)
         told = TopologyChanged(snapshot.hosts, snapshot.configuration.services)
         if told != self._topology:
             self._topology = told
-            self._queue.add(told)
-        with self._queue.held():
-            self.directory.update(snapshot)
+            self._queue.enqueue(told)
+        with self._queue.deferred():
+            self.host_directory.update(snapshot)
 
     # From the client side.
 
@@ -113,10 +113,10 @@
         leaves.
         """
         self.counts["requests"] += 1
-        if self.table is None:
+        if self.route_table is None:
             self._refuse(client, 503, unconfigured_retry_s(request, self._random.random()))
             return None
-        verdict = judge(self.table, self._authority.may_use_keys(), request)
+        verdict = decide_admission(self.route_table, self._authority.may_use_keys(), request)
         if isinstance(verdict, Refusal):
             self._refuse(client, *verdict)
             return None
@@ -126,7 +126,7 @@
         self, client: ClientResponse, status: int, retry_after_s: float | None = None
     ) -> None:
         self.counts[f"refused_{status}"] += 1
-        client.own(status, retry_after_s)
+        client.send_status(status, retry_after_s)
 
     def _open(
         self, request: ProxyRequest, admitted: Admitted, client: ClientResponse
@@ -135,42 +135,44 @@
         route = entry.route
         exchange = Exchange(request, route, tenant, host_head(request, route, tenant), client)
         exchange.number, exchange.service = next(self._numbers), entry.draw(self._random)
-        exchange.expires_at = request.since + allowed_s(request, route)
-        if self._ends_at is not None:
-            exchange.expires_at = min(exchange.expires_at, self._ends_at)
-        exchange.give_up_at = give_up_at(request.since, exchange.expires_at)
+        exchange.expires_at = request.since + time_limit_s(request, route)
+        if self._drain_ends_at is not None:
+            exchange.expires_at = min(exchange.expires_at, self._drain_ends_at)
+        exchange.give_up_at = give_up_time(request.since, exchange.expires_at)
         if exchange.give_up_at <= self._loop.time():
             self._refuse(client, 503, 0.0)
             return None
-        self.open[exchange.number] = exchange
+        self.open_requests[exchange.number] = exchange
         self.body_bytes += len(request.body)
-        exchange.guard = self._loop.call_at(exchange.give_up_at, self._out_of_time, exchange)
+        exchange.deadline_timer = self._loop.call_at(
+            exchange.give_up_at, self._deadline_reached, exchange
+        )
         if tenant is None or tenant.rate_per_s <= 0:
-            self._admitted(exchange, True, 0.0)
+            self._quota_decided(exchange, True, 0.0)
         else:
-            self._ask_quota(exchange, tenant)
+            self._request_quota(exchange, tenant)
         return None if exchange.closed else exchange
 
-    def _ask_quota(self, exchange: Exchange, tenant: Tenant) -> None:
+    def _request_quota(self, exchange: Exchange, tenant: Tenant) -> None:
         try:
             self._quotas.admit(
-                tenant, amount_of(exchange.request, tenant), partial(self._admitted, exchange)
+                tenant, quota_cost(exchange.request, tenant), partial(self._quota_decided, exchange)
             )
         except Exception:  # it must not be answered twice: here, and when its time is up
             log.exception("quota_failed tenant=%s", tenant.name)
             self._give_up(exchange, FailureReason.NOT_RUN, NOT_CONFIRMED_RETRY_S)
 
-    def _admitted(self, exchange: Exchange, allowed: bool, retry_after_s: float) -> None:
+    def _quota_decided(self, exchange: Exchange, allowed: bool, retry_after_s: float) -> None:
         if exchange.closed or exchange.facts is not None:
             return
         if not allowed:
-            self._answer_own(exchange, 429, retry_after_s)
+            self._respond_with_status(exchange, 429, retry_after_s)
             return
-        exchange.facts = facts_of(exchange)
-        exchange.counted = exchange.tenant is not None and exchange.tenant.rate_per_s > 0
-        self.feed(RequestArrived(exchange.facts))
+        exchange.facts = request_facts(exchange)
+        exchange.quota_charged = exchange.tenant is not None and exchange.tenant.rate_per_s > 0
+        self.handle_event(RequestArrived(exchange.facts))
 
-    def depart(self, exchange: Exchange) -> None:
+    def client_left(self, exchange: Exchange) -> None:
         """The client has gone."""
         if not exchange.closed:
             self.counts["departed"] += 1
@@ -178,29 +180,29 @@
 
     def drain(self, ends_at: float) -> None:
         """All requests have their answer at `ends_at`, loop time."""
-        self._ends_at = ends_at
-        for exchange in self.open.values():
+        self._drain_ends_at = ends_at
+        for exchange in self.open_requests.values():
             if exchange.expires_at > ends_at:
                 exchange.expires_at = ends_at
-                exchange.give_up_at = give_up_at(exchange.request.since, ends_at)
-                self._guard_at(exchange, exchange.give_up_at)
+                exchange.give_up_at = give_up_time(exchange.request.since, ends_at)
+                self._set_deadline_timer(exchange, exchange.give_up_at)
 
     # Time.
 
-    def _guard_at(self, exchange: Exchange, at: float) -> None:
-        if exchange.guard is not None:
-            exchange.guard.cancel()
-        exchange.guard = self._loop.call_at(at, self._out_of_time, exchange)
+    def _set_deadline_timer(self, exchange: Exchange, at: float) -> None:
+        if exchange.deadline_timer is not None:
+            exchange.deadline_timer.cancel()
+        exchange.deadline_timer = self._loop.call_at(at, self._deadline_reached, exchange)
 
-    def _out_of_time(self, exchange: Exchange) -> None:
+    def _deadline_reached(self, exchange: Exchange) -> None:
         """The decider hears that the attempts were timed out; the last word is said now in any
         case.
         """
         if exchange.closed:
             return
-        ends_at = exchange.expires_at + STREAM_OVER_S
-        if exchange.begun and self._loop.time() < ends_at:
-            self._guard_at(exchange, ends_at)
+        ends_at = exchange.expires_at + STREAM_GRACE_S
+        if exchange.response_begun and self._loop.time() < ends_at:
+            self._set_deadline_timer(exchange, ends_at)
             return
         for answer in list(exchange.attempts.values()):
             if answer.attempt is not None:
@@ -209,20 +211,20 @@
 
     # The decider.
 
-    def feed(self, event: Event) -> None:
+    def handle_event(self, event: Event) -> None:
         """Give the decider one event and carry out what it says."""
-        self._queue.feed(event)
+        self._queue.handle(event)
 
     def _fail(self, number: int) -> None:
-        exchange = self.open.get(number)
+        exchange = self.open_requests.get(number)
         if exchange is not None:
             self._give_up(exchange, FailureReason.MAY_HAVE_RUN, 0.0)
 
     def _perform(self, action: Action) -> None:
         if isinstance(action, StartTimer):
-            self._loop.call_at(action.at, self.feed, TimerFired(action.tag))
+            self._loop.call_at(action.at, self.handle_event, TimerFired(action.tag))
             return
-        exchange = self.open.get(action.number)
+        exchange = self.open_requests.get(action.number)
         if isinstance(action, SendAttempt):
             self._attempts.send(exchange, action)
         elif exchange is None:
@@ -237,38 +239,41 @@
             self._give_up(exchange, action.reason, action.retry_after_s)
 
     def _budget_decided(self, number: int, allowed: bool) -> None:
-        self.feed(BudgetDecided(number, allowed))
+        self.handle_event(BudgetDecided(number, allowed))
 
     # What the attempts ask and tell.
 
-    def wanted(self, exchange: Exchange) -> bool:
+    def still_wanted(self, exchange: Exchange) -> bool:
         """Asked right before each write to a host: does someone wait, and does the key still
         count.
         """
         if exchange.closed:
             return False
-        if exchange.client.gone():
-            self.depart(exchange)
+        if exchange.client.has_left():
+            self.client_left(exchange)
             return False
-        if exchange.tenant is not None and not self._key_counts(exchange):
-            exchange.distrusted = True
+        if exchange.tenant is not None and not self._key_is_valid(exchange):
+            exchange.key_rejected = True
             return False
         return True
 
-    def _key_counts(self, exchange: Exchange) -> bool:
-        held = self.table is not None and self.table.tenant(exchange.request.key) is not None
+    def _key_is_valid(self, exchange: Exchange) -> bool:
+        held = (
+            self.route_table is not None
+            and self.route_table.tenant(exchange.request.key) is not None
+        )
         return held and self._authority.may_use_keys()
 
-    def settle(self, exchange: Exchange) -> None:
+    def end_if_stuck(self, exchange: Exchange) -> None:
         """Behind the end of an attempt: end the request if that leaves it no way to go on."""
         if exchange.closed:
             self._close(exchange)
-        elif exchange.begun and exchange.stopped and not exchange.broken:
+        elif exchange.response_begun and exchange.interrupted and not exchange.awaits_resume:
             self._give_up(exchange, FailureReason.MAY_HAVE_RUN, 0.0)
-        elif exchange.exhausted and not exchange.attempts:
+        elif exchange.has_too_many_attempts and not exchange.attempts:
             log.error("request_sent_without_end number=%d", exchange.number)
             self._give_up(exchange, FailureReason.OUT_OF_TIME, 0.0)
-        elif exchange.distrusted and not exchange.attempts:
+        elif exchange.key_rejected and not exchange.attempts:
             self._give_up(exchange, FailureReason.NOT_RUN, NOT_CONFIRMED_RETRY_S)
 
     # The end of a request.
@@ -277,47 +282,49 @@
         """The final answer of ours. What it promises is true, whatever the reason given."""
         if exchange.closed:
             return
-        if exchange.begun:
-            exchange.client.cut()
+        if exchange.response_begun:
+            exchange.client.abort_response()
             self.counts["cut"] += 1
             self._close(exchange)
         elif not exchange.may_run:
-            self._answer_own(exchange, 503, retry_after_s)
-        elif exchange.held is not None:
-            exchange.client.whole(*exchange.held)
+            self._respond_with_status(exchange, 503, retry_after_s)
+        elif exchange.host_failure is not None:
+            exchange.client.send_complete(*exchange.host_failure)
             self.counts["relayed"] += 1
             self._close(exchange)
         else:
-            self._answer_own(exchange, 504 if reason is FailureReason.OUT_OF_TIME else 502)
+            self._respond_with_status(exchange, 504 if reason is FailureReason.OUT_OF_TIME else 502)
 
-    def _answer_own(
+    def _respond_with_status(
         self, exchange: Exchange, status: int, retry_after_s: float | None = None
     ) -> None:
         self.counts[f"refused_{status}"] += 1
-        exchange.client.own(status, retry_after_s)
+        exchange.client.send_status(status, retry_after_s)
         self._close(exchange)
 
-    def _give_back(self, exchange: Exchange) -> None:
+    def _return_quota(self, exchange: Exchange) -> None:
         """What was counted for a request that has not run, and now never will, is free again."""
-        if exchange.counted and exchange.tenant is not None and not exchange.may_run:
-            exchange.counted = False
-            self._quotas.give_back(exchange.tenant, amount_of(exchange.request, exchange.tenant))
+        if exchange.quota_charged and exchange.tenant is not None and not exchange.may_run:
+            exchange.quota_charged = False
+            self._quotas.give_back(exchange.tenant, quota_cost(exchange.request, exchange.tenant))
 
     def _close(self, exchange: Exchange) -> None:
         """It has its final answer, or nobody waits for one. The decider is told, and what is out
         ends.
         """
         exchange.closed = True
-        if self.open.pop(exchange.number, None) is None:
+        if self.open_requests.pop(exchange.number, None) is None:
             return
         self.body_bytes -= len(exchange.request.body)
-        if exchange.guard is not None:
-            exchange.guard.cancel()
-            exchange.guard = None
-        self._give_back(exchange)
+        if exchange.deadline_timer is not None:
+            exchange.deadline_timer.cancel()
+            exchange.deadline_timer = None
+        self._return_quota(exchange)
         if exchange.facts is not None:
-            self._queue.add(RequestClosed(exchange.number))
+            self._queue.enqueue(RequestClosed(exchange.number))
         for answer in list(exchange.attempts.values()):
             answer.cancel()
-        exchange.owner = None  # nothing is left that refers in circles: no work for the collector
-        self._queue.run()
+        exchange.relayed_attempt = (
+            None  # nothing is left that refers in circles: no work for the collector
+        )
+        self._queue.process()
--- a/roselink/dataplane/event_queue.py
+++ b/roselink/dataplane/event_queue.py
@@ -42,28 +42,28 @@
         self._events: deque[Event] = deque()
         self._busy = False
 
-    def feed(self, event: Event) -> None:
+    def handle(self, event: Event) -> None:
         """Give the decider one event. What an action brings about at once is fed after it, in
         order.
         """
         self._events.append(event)
-        self.run()
+        self.process()
 
-    def add(self, event: Event) -> None:
+    def enqueue(self, event: Event) -> None:
         """Put one behind those that wait."""
         self._events.append(event)
 
     @contextmanager
-    def held(self) -> Iterator[None]:
+    def deferred(self) -> Iterator[None]:
         """Let events wait until the block is over."""
         busy, self._busy = self._busy, True
         try:
             yield
         finally:
             self._busy = busy
-            self.run()
+            self.process()
 
-    def run(self) -> None:
+    def process(self) -> None:
         """Feed all that waits, unless that is being done."""
         if self._busy:
             return
--- a/roselink/dataplane/event_streams.py
+++ b/roselink/dataplane/event_streams.py
@@ -12,7 +12,7 @@
 _END = re.compile(rb"\n\r?\n")
 _ID = re.compile(rb"^id:[ ]?(\d{1,18})\r?$", re.MULTILINE)
 _FIELD = re.compile(rb"^[^:\r\n]", re.MULTILINE)  # a line that is no comment
-_LOOK_BACK = 2  # bytes of an end that may have come before
+_END_OVERLAP = 2  # bytes of an end that may have come before
 
 
 class StreamEvent(NamedTuple):
@@ -34,51 +34,53 @@
 
 
 class EventSplitter:
-    """Cuts a body into whole events. `rest`: the bytes behind the last whole one."""
+    """Cuts a body into whole events. `remainder`: the bytes behind the last whole one."""
 
     def __init__(self) -> None:
-        self.rest = b""
+        self.remainder = b""
 
     def feed(self, data: bytes) -> list[StreamEvent]:
         """The events that `data` completes."""
-        looked = max(0, len(self.rest) - _LOOK_BACK)
-        buffer = self.rest + data
+        looked = max(0, len(self.remainder) - _END_OVERLAP)
+        buffer = self.remainder + data
         events = []
         start = 0
         while found := _END.search(buffer, looked):
             events.append(read_event(buffer[start : found.end()]))
             start = looked = found.end()
-        self.rest = buffer[start:]
+        self.remainder = buffer[start:]
         return events
 
 
-class Progress:
+class StreamProgress:
     """What of one answer's stream went on to the client, over all its attempts."""
 
-    def __init__(self, taken_up_at: int = 0) -> None:
-        """`taken_up_at`: the client's own `Last-Event-Id`, 0 without one."""
+    def __init__(self, resume_from: int = 0) -> None:
+        """`resume_from`: the client's own `Last-Event-Id`, 0 without one."""
         self.last_id: int | None = None
-        self._before = taken_up_at
-        self._step = 0  # the widest step from one id to the next
-        self._loose = False  # an event without id went on behind the last one with an id
+        self._before = resume_from
+        self._widest_step = 0  # the widest step from one id to the next
+        self._has_event_without_id = (
+            False  # an event without id went on behind the last one with an id
+        )
 
     @property
     def resumable(self) -> bool:
         """Whether an id tells exactly what the client has."""
-        return self.last_id is not None and not self._loose
+        return self.last_id is not None and not self._has_event_without_id
 
-    def pass_on(self, event: StreamEvent) -> None:
+    def record_relayed(self, event: StreamEvent) -> None:
         """Note an event that goes on."""
         if event.id is None:
-            self._loose = self._loose or not event.comment
+            self._has_event_without_id = self._has_event_without_id or not event.comment
             return
         before = self._before if self.last_id is None else self.last_id
-        self._step = max(self._step, event.id - before)
-        self.last_id, self._loose = event.id, False
+        self._widest_step = max(self._widest_step, event.id - before)
+        self.last_id, self._has_event_without_id = event.id, False
 
-    def skips(self, event_id: int) -> bool:
+    def leaves_gap(self, event_id: int) -> bool:
         """Whether an event that is next in a resumed stream leaves some out."""
-        return self.last_id is not None and event_id > self.last_id + max(1, self._step)
+        return self.last_id is not None and event_id > self.last_id + max(1, self._widest_step)
 
 
 class StreamFilter:
@@ -86,47 +88,47 @@
     has are left out, and a stream that leaves some out sets `gap`.
     """
 
-    def __init__(self, progress: Progress, resumed: bool) -> None:
+    def __init__(self, progress: StreamProgress, resumed: bool) -> None:
         self._progress, self._resumed = progress, resumed
         self._splitter = EventSplitter()
         self._repeating = False  # in a resumed stream: behind an event that the client has
         self._joined = not resumed  # its first new event has gone on
         self._waiting: list[bytes] = []  # comments ahead of the first event
         self.gap = False
-        self.passed = False  # an event with content went on
+        self.relayed_content = False  # an event with content went on
 
     @property
-    def held(self) -> int:
+    def buffered_bytes(self) -> int:
         """Bytes that wait for the rest of their event."""
-        return len(self._splitter.rest) + sum(map(len, self._waiting))
+        return len(self._splitter.remainder) + sum(map(len, self._waiting))
 
     def feed(self, data: bytes) -> bytes:
         """The whole events in `data` that go on now. Comments wait for the first event."""
         out = self._waiting
         for event in self._splitter.feed(data):
-            if not self._goes_on(event):
+            if not self._is_relayed(event):
                 if self.gap:
                     break
                 continue
-            self._progress.pass_on(event)
-            self.passed = self.passed or not event.comment
+            self._progress.record_relayed(event)
+            self.relayed_content = self.relayed_content or not event.comment
             out.append(event.data)
-        if not self.passed:
+        if not self.relayed_content:
             return b""
         self._waiting = []
         return b"".join(out)
 
     def finish(self) -> bytes:
         """What is left at the proper end of the body."""
-        rest = b"" if self._repeating or self.gap else self._splitter.rest
+        rest = b"" if self._repeating or self.gap else self._splitter.remainder
         return b"".join(self._waiting) + rest
 
     @property
-    def half(self) -> bool:
+    def ends_within_event(self) -> bool:
         """Whether the body stops within an event."""
-        return bool(self._splitter.rest.strip())
+        return bool(self._splitter.remainder.strip())
 
-    def _goes_on(self, event: StreamEvent) -> bool:
+    def _is_relayed(self, event: StreamEvent) -> bool:
         if not self._resumed:
             return True
         if event.id is None:
@@ -135,7 +137,7 @@
         self._repeating = last is not None and event.id <= last
         if self._repeating:
             return False
-        if not self._joined and self._progress.skips(event.id):
+        if not self._joined and self._progress.leaves_gap(event.id):
             self.gap = True
             return False
         self._joined = True
--- a/roselink/dataplane/exchange.py
+++ b/roselink/dataplane/exchange.py
@@ -10,7 +10,7 @@
 from enum import Enum
 from typing import TYPE_CHECKING, NamedTuple, Protocol
 
-from roselink.dataplane.event_streams import Progress, StreamFilter
+from roselink.dataplane.event_streams import StreamFilter, StreamProgress
 from roselink.dataplane.fleet_host_connection import PROMISES, FleetAttempt, outcome_of
 from roselink.dataplane.proxy_request import Headers, ProxyRequest, relayed_headers
 from roselink.model.configuration import Route, RouteKind, Tenant
@@ -22,34 +22,34 @@
 
     from roselink.routing.events_and_actions import RequestFacts
 
-SENDS_MOST = 64  # attempts of one request: a decider that never stops must not stop the loop
-HOLD_LIMIT = 256 * 1024  # bytes of an answer that wait here for the rest of it
+ATTEMPTS_LIMIT = 64  # attempts of one request: a decider that never stops must not stop the loop
+BUFFER_LIMIT_BYTES = 256 * 1024  # bytes of an answer that wait here for the rest of it
 
 
 class ClientResponse(Protocol):
     """The client's side of one request: one whole answer, or one in parts."""
 
-    def whole(self, status: int, headers: Headers, body: bytes) -> None: ...
+    def send_complete(self, status: int, headers: Headers, body: bytes) -> None: ...
 
-    def own(self, status: int, retry_after_s: float | None = None) -> None:
+    def send_status(self, status: int, retry_after_s: float | None = None) -> None:
         """An answer of ours, without a body."""
         ...
 
-    def begin(self, status: int, headers: Headers, length: int | None) -> None: ...
+    def send_head(self, status: int, headers: Headers, length: int | None) -> None: ...
 
-    def part(self, data: bytes) -> None: ...
+    def send_piece(self, data: bytes) -> None: ...
 
-    def end(self) -> None: ...
+    def send_end(self) -> None: ...
 
-    def cut(self) -> None:
+    def abort_response(self) -> None:
         """End the connection so that what was sent does not look complete."""
         ...
 
-    def gone(self) -> bool:
+    def has_left(self) -> bool:
         """Whether the client has left, though the loop has not told so yet."""
         ...
 
-    def waits(self) -> bool:
+    def is_backed_up(self) -> bool:
         """Whether parts pile up, as the client does not take them."""
         ...
 
@@ -65,9 +65,9 @@
 class ResponseMode(Enum):
     """How an attempt's answer is taken."""
 
-    HOLD = "hold"
+    BUFFER = "hold"
     EVENTS = "events"
-    PASS = "pass"
+    RELAY = "pass"
 
 
 class Exchange:
@@ -83,7 +83,7 @@
         base: bytes,
         client: ClientResponse,
     ) -> None:
-        self.request, self.route, self.tenant, self.base, self.client = (
+        self.request, self.route, self.tenant, self.common_head, self.client = (
             request,
             route,
             tenant,
@@ -95,18 +95,20 @@
         self.service = ""
         self.give_up_at = self.expires_at = 0.0
         self.attempts: dict[int, AttemptResponse] = {}
-        self.owner: AttemptResponse | None = None  # whose answer goes on
-        self.begun = self.closed = False
-        self.stopped = False  # the attempt whose answer went on has ended without its end
-        self.broken = False  # then: another attempt may take it up
-        self.sends = 0  # attempts asked for
+        self.relayed_attempt: AttemptResponse | None = None  # whose answer goes on
+        self.response_begun = self.closed = False
+        self.interrupted = False  # the attempt whose answer went on has ended without its end
+        self.awaits_resume = False  # then: another attempt may take it up
+        self.attempts_requested = 0  # attempts asked for
         self.may_have_run = False  # by an attempt that has ended
-        self.distrusted = False  # its key may not be used any more
-        self.counted = False  # against its tenant's quota
-        self.held: CompleteResponse | None = None
+        self.key_rejected = False  # its key may not be used any more
+        self.quota_charged = False  # against its tenant's quota
+        self.host_failure: CompleteResponse | None = None
         taken_up = request.last_event_id
-        self.progress = Progress(int(taken_up) if taken_up.isdigit() and len(taken_up) < 19 else 0)
-        self.guard: asyncio.TimerHandle | None = None
+        self.progress = StreamProgress(
+            int(taken_up) if taken_up.isdigit() and len(taken_up) < 19 else 0
+        )
+        self.deadline_timer: asyncio.TimerHandle | None = None
 
     @property
     def streaming(self) -> bool:
@@ -118,18 +120,23 @@
         return self.may_have_run or any(answer.sent for answer in self.attempts.values())
 
     @property
-    def exhausted(self) -> bool:
+    def has_too_many_attempts(self) -> bool:
         """Whether more attempts were asked for than make sense."""
-        return self.sends > SENDS_MOST
+        return self.attempts_requested > ATTEMPTS_LIMIT
 
     @property
     def can_resume(self) -> bool:
-        return self.begun and self.route.resumable and self.streaming and self.progress.resumable
+        return (
+            self.response_begun
+            and self.route.resumable
+            and self.streaming
+            and self.progress.resumable
+        )
 
     def client_ready(self) -> None:
         """The client takes parts again."""
-        if self.owner is not None and self.owner.attempt is not None:
-            self.owner.attempt.resume()
+        if self.relayed_attempt is not None and self.relayed_attempt.attempt is not None:
+            self.relayed_attempt.attempt.resume()
 
 
 class AttemptResponse:
@@ -147,14 +154,14 @@
         self.exchange, self.number, self.resumed, self.started = exchange, number, resumed, started
         self._first_event, self._ended = first_event, ended
         self.attempt: FleetAttempt | None = None
-        self.mode = ResponseMode.HOLD
+        self.mode = ResponseMode.BUFFER
         self.status = 0
         self.headers: Headers = []
         self._outcome = Outcome.RESET
         self._body: list[bytes] = []
         self._size = 0
         self._filter: StreamFilter | None = None
-        self.spoilt = False  # given up here for what it holds
+        self.abandoned = False  # given up here for what it holds
 
     @property
     def sent(self) -> bool:
@@ -163,13 +170,13 @@
     @property
     def progressed(self) -> bool:
         """Whether part of it went on."""
-        return self.exchange.begun and self.exchange.owner is self
+        return self.exchange.response_begun and self.exchange.relayed_attempt is self
 
     @property
-    def may_go_on(self) -> bool:
+    def may_relay(self) -> bool:
         """Whether no other attempt's answer goes on."""
         exchange = self.exchange
-        return exchange.owner in (None, self) or (exchange.broken and self.resumed)
+        return exchange.relayed_attempt in (None, self) or (exchange.awaits_resume and self.resumed)
 
     # What the connection tells.
 
@@ -181,12 +188,12 @@
             self._filter = StreamFilter(self.exchange.progress, self.resumed)
 
     def body(self, data: bytes) -> None:
-        if self.mode is ResponseMode.PASS:
-            self._part(data)
+        if self.mode is ResponseMode.RELAY:
+            self._relay(data)
         elif self._filter is not None:
             self._events(self._filter, data)
         else:
-            self._hold(data)
+            self._buffer(data)
 
     def done(self, outcome: Outcome) -> None:
         if not self.sent and outcome not in NEVER_RAN:
@@ -194,60 +201,60 @@
         self._ended(self, outcome)
 
     def _events(self, stream: StreamFilter, data: bytes) -> None:
-        if not self.may_go_on:
+        if not self.may_relay:
             self.cancel()  # before its events count as passed on
             return
         out = stream.feed(data)
-        if out and self._claim(None):
-            self._part(out)
-        if stream.gap or stream.held > HOLD_LIMIT:
-            self._give_up()
+        if out and self._become_relayed(None):
+            self._relay(out)
+        if stream.gap or stream.buffered_bytes > BUFFER_LIMIT_BYTES:
+            self._abandon()
 
-    def _hold(self, data: bytes) -> None:
+    def _buffer(self, data: bytes) -> None:
         self._body.append(data)
         self._size += len(data)
-        if self._size <= HOLD_LIMIT:
+        if self._size <= BUFFER_LIMIT_BYTES:
             return
         if self._outcome is not Outcome.SUCCESS or self.resumed:
-            self._give_up()
-        elif self._claim(self._told_length()):
-            self.mode = ResponseMode.PASS
+            self._abandon()
+        elif self._become_relayed(self._stated_length()):
+            self.mode = ResponseMode.RELAY
             whole, self._body = b"".join(self._body), []
-            self._part(whole)
+            self._relay(whole)
 
-    def _told_length(self) -> int | None:
+    def _stated_length(self) -> int | None:
         for name, value in self.headers:
             if name.lower() == b"content-length" and value.isdigit():
                 return int(value)
         return None
 
-    def _claim(self, length: int | None) -> bool:
+    def _become_relayed(self, length: int | None) -> bool:
         """Make this the answer that goes on; whether it is."""
         exchange = self.exchange
         if exchange.closed:
             return False
-        if not self.may_go_on:
+        if not self.may_relay:
             self.cancel()
             return False
-        if exchange.owner is self:
+        if exchange.relayed_attempt is self:
             return True
-        exchange.owner, exchange.stopped, exchange.broken = self, False, False
-        if not exchange.begun:
-            exchange.begun = True
-            exchange.client.begin(self.status, relayed_headers(self.headers), length)
+        exchange.relayed_attempt, exchange.interrupted, exchange.awaits_resume = self, False, False
+        if not exchange.response_begun:
+            exchange.response_begun = True
+            exchange.client.send_head(self.status, relayed_headers(self.headers), length)
         self._first_event(self)
         return True
 
-    def _part(self, data: bytes) -> None:
+    def _relay(self, data: bytes) -> None:
         exchange = self.exchange
         if exchange.closed:
             return
-        exchange.client.part(data)
-        if self.attempt is not None and exchange.client.waits():
+        exchange.client.send_piece(data)
+        if self.attempt is not None and exchange.client.is_backed_up():
             self.attempt.pause()
 
-    def _give_up(self) -> None:
-        self.spoilt = True
+    def _abandon(self) -> None:
+        self.abandoned = True
         self.cancel()
 
     def cancel(self) -> None:
@@ -255,7 +262,7 @@
         if self.attempt is not None:
             self.attempt.cancel()
 
-    # What the engine asks once it has ended.
+    # What the driver asks once it has ended.
 
     def finish_stream(self) -> bool:
         """Pass on the rest of an answer that ended properly; False if it can't be whole."""
@@ -263,14 +270,14 @@
         if stream is None:
             return True
         by_close = self.attempt is not None and self.attempt.ended_by_close
-        if (by_close and stream.half) or not self._claim(None):
+        if (by_close and stream.ends_within_event) or not self._become_relayed(None):
             return False
         rest = stream.finish()
         if rest:
-            self._part(rest)
+            self._relay(rest)
         return True
 
-    def whole(self) -> CompleteResponse:
+    def complete(self) -> CompleteResponse:
         return CompleteResponse(self.status, relayed_headers(self.headers), b"".join(self._body))
 
     def failure(self) -> CompleteResponse | None:
@@ -283,4 +290,4 @@
             or 200 <= self.status < 300
         ):
             return None
-        return self.whole()
+        return self.complete()
--- a/roselink/dataplane/gateway_data_plane.py
+++ b/roselink/dataplane/gateway_data_plane.py
@@ -1,4 +1,4 @@
-"""The data plane of one gateway, wired: listeners, engine, pool, readiness, draining."""
+"""The data plane of one gateway, wired: listeners, driver, pool, readiness, draining."""
 
 from __future__ import annotations
 
@@ -24,11 +24,13 @@
 
 SWEEP_S = 0.25
 SWEEP_LATE_S = 1.0  # a sweep that comes so late ends nothing: what came meanwhile has not been read
-ACCEPT_S = (
+ACCEPT_AFTER_SIGTERM_S = (
     2.5  # after SIGTERM: the platform asks once a second, and sends connections until two misses
 )
-RESERVE_S = 1.0  # of the time to the kill: for the last answers to leave and the process to end
-CLOSE_S = 0.02
+EXIT_RESERVE_S = (
+    1.0  # of the time to the kill: for the last answers to leave and the process to end
+)
+CLOSE_POLL_S = 0.02
 OTHER_DESCRIPTORS = 300  # not for clients and hosts: files, peers, libraries
 
 
@@ -46,13 +48,13 @@
     ) -> None:
         self._settings, self._loop, self._authority = settings, loop, authority
         descriptors = Descriptors(max(128, settings.resources.max_fds - OTHER_DESCRIPTORS))
-        self.upstream = FleetHostPool(loop, descriptors)
+        self.host_pool = FleetHostPool(loop, descriptors)
         seed = zlib.crc32(settings.node_name.encode())
-        self.engine = DecisionDriver(
-            loop, decider, self.upstream, authority, quotas, shared_budget, seed
+        self.driver = DecisionDriver(
+            loop, decider, self.host_pool, authority, quotas, shared_budget, seed
         )
-        make_room = self.upstream.drop_oldest_idle
-        self.server = FleetServer(loop, self.engine, descriptors, make_room)
+        make_room = self.host_pool.drop_oldest_idle
+        self.server = FleetServer(loop, self.driver, descriptors, make_room)
         self.readiness = ReadinessServer(loop, self.ready, descriptors, make_room)
         self.port = self.readiness_port = 0
         self.draining = False
@@ -64,7 +66,7 @@
 
     def ready(self) -> bool:
         """Whether the platform should send clients here."""
-        known = self.engine.table is not None and self.engine.directory.any_ready()
+        known = self.driver.route_table is not None and self.driver.host_directory.any_ready()
         return known and not self.draining and self._authority.may_use_keys()
 
     async def start(self) -> None:
@@ -80,16 +82,16 @@
         return 0 if address is None else await server.listen(*address)
 
     def _refresh(self, snapshot: Snapshot) -> None:
-        known, hosts = self.engine.table is not None, self.engine.directory.any_ready()
-        self.engine.refresh()
-        if not known or hosts != self.engine.directory.any_ready():
+        known, hosts = self.driver.route_table is not None, self.driver.host_directory.any_ready()
+        self.driver.apply_snapshot()
+        if not known or hosts != self.driver.host_directory.any_ready():
             log.info(
                 "configuration_in_force generation=%d hosts=%d",
                 snapshot.configuration.generation,
                 len(snapshot.hosts),
             )
-        if self.engine.table is not None:
-            self.server.limit(self.engine.table.configuration.limits)
+        if self.driver.route_table is not None:
+            self.server.limit(self.driver.route_table.configuration.limits)
 
     def _sweep(self) -> None:
         now = self._loop.time()
@@ -101,7 +103,7 @@
         try:
             self.server.sweep()
             self.readiness.sweep()
-            self.upstream.sweep()
+            self.host_pool.sweep()
         except Exception:  # one connection's fault must not end the care for all others
             log.exception("sweep_failed")
 
@@ -109,7 +111,7 @@
 
     def pool_payoffs(self, payoffs: tuple[tuple[str, float], ...]) -> None:
         """Payoffs of hosts over all gateways, by id, 0 to 1; those not named have 1."""
-        self.engine.feed(PooledPayoffs(payoffs))
+        self.driver.handle_event(PooledPayoffs(payoffs))
 
     def begin_drain(self) -> None:
         """Not ready at once; connections are taken while the platform may still send them."""
@@ -117,17 +119,20 @@
             return
         self.draining = self.server.draining = True
         self._drain_ends_at = self._loop.time() + max(
-            ACCEPT_S + CLOSE_S, self._settings.thresholds.grace_s - RESERVE_S
+            ACCEPT_AFTER_SIGTERM_S + CLOSE_POLL_S,
+            self._settings.thresholds.grace_s - EXIT_RESERVE_S,
         )
-        self.engine.drain(self._drain_ends_at)
+        self.driver.drain(self._drain_ends_at)
         self._drain_task = self._loop.create_task(self._drain())
 
     async def _drain(self) -> None:
-        await asyncio.sleep(ACCEPT_S)
+        await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
         await self.server.stop_accepting()
-        while self.server.connections and self._loop.time() < self._drain_ends_at + 2 * CLOSE_S:
+        while (
+            self.server.connections and self._loop.time() < self._drain_ends_at + 2 * CLOSE_POLL_S
+        ):
             self.server.close_idle()
-            await asyncio.sleep(CLOSE_S)
+            await asyncio.sleep(CLOSE_POLL_S)
         self._drained.set()
 
     async def drained(self) -> None:
@@ -144,10 +149,12 @@
             server.stop_listening()
             for connection in list(server.connections):
                 connection.abort()
-        for host in self.engine.hosts.values():
-            self.upstream.retire(host)
+        for host in self.driver.hosts.values():
+            self.host_pool.retire(host)
 
     def status_line(self) -> str:
         """Counters and what is open, for a log."""
-        counts = " ".join(f"{name}={count}" for name, count in sorted(self.engine.counts.items()))
-        return f"open={len(self.engine.open)} clients={len(self.server.connections)} {counts}"
+        counts = " ".join(f"{name}={count}" for name, count in sorted(self.driver.counts.items()))
+        return (
+            f"open={len(self.driver.open_requests)} clients={len(self.server.connections)} {counts}"
+        )
--- a/roselink/dataplane/interfaces.py
+++ b/roselink/dataplane/interfaces.py
@@ -15,7 +15,7 @@
 
 
 class Decider(Protocol):
-    """Which host gets which attempt, and when to give up. The engine feeds it, in this order for
+    """Which host gets which attempt, and when to give up. The driver feeds it, in this order for
     each request: `RequestArrived`; then `FirstEvent` (of each attempt whose events go on, once),
     `AttemptEnded` and `BudgetDecided` as they come; `RequestClosed` once. Each attempt that was
     asked for ends with one `AttemptEnded`, also one called off by the close, behind
--- a/roselink/dataplane/proxy_request.py
+++ b/roselink/dataplane/proxy_request.py
@@ -15,17 +15,17 @@
     b"transfer-encoding upgrade".split()
 )
 # Not passed on to a host as the client sent them: set here, or not for hosts to see.
-_OWN = frozenset(
+_SET_HERE = frozenset(
     b"authorization content-length expect x-tenant-id x-target-instance x-request-deadline "
     b"priority "
     b"expect-version last-event-id".split()
 )
-_ONCE = frozenset(
+_SINGLE = frozenset(
     b"host x-request-id x-request-deadline authorization last-event-id x-token-usage".split()
 )
 # A `Connection` header can't take these away from the host.
-_KEPT = frozenset(b"host x-request-id x-model x-token-usage x-prompt-prefix".split())
-PRIORITY_LAST = 9
+_ALWAYS_RELAYED = frozenset(b"host x-request-id x-model x-token-usage x-prompt-prefix".split())
+LOWEST_PRIORITY = 9
 PRIORITY_STEP = 3  # a tenant's rank goes before the route's
 PROMPT_PARTS_LIMIT = 256
 
@@ -62,9 +62,9 @@
     for name, value in headers:
         lower = name.lower()
         plain = lower.replace(b"_", b"-")
-        if plain != lower and plain in _ONCE:
+        if plain != lower and plain in _SINGLE:
             raise BadRequestError(400, f"{plain.decode()} spelt oddly")
-        if lower in _ONCE and lower in single:
+        if lower in _SINGLE and lower in single:
             raise BadRequestError(400, f"two headers {lower.decode()}")
         single[lower] = value
         has_body = has_body or lower in (b"content-length", b"transfer-encoding")
@@ -131,7 +131,7 @@
 def priority_of(route: Route, tenant: Tenant | None) -> int:
     """0 goes first, 9 last."""
     rank = tenant.priority if tenant is not None else 0
-    return max(0, min(PRIORITY_LAST, PRIORITY_STEP * rank + route.priority))
+    return max(0, min(LOWEST_PRIORITY, PRIORITY_STEP * rank + route.priority))
 
 
 def host_head(request: ProxyRequest, route: Route, tenant: Tenant | None) -> bytes:
@@ -140,7 +140,11 @@
     named = _named_by_connection(request.headers)
     for name, value in request.headers:
         plain = name.lower().replace(b"_", b"-")
-        if plain in HOP_BY_HOP or plain in _OWN or (plain in named and plain not in _KEPT):
+        if (
+            plain in HOP_BY_HOP
+            or plain in _SET_HERE
+            or (plain in named and plain not in _ALWAYS_RELAYED)
+        ):
             continue
         lines.append(b"%b: %b" % (name, value))
     if request.has_body:
--- a/roselink/gateway/server.py
+++ b/roselink/gateway/server.py
@@ -82,7 +82,7 @@
             self.answer(Reply(503, None, self._owner.retry_after_us))
             return
         try:
-            opened = engine.accept(pending.request, self.answer, self.gone)
+            opened = engine.accept(pending.request, self.answer, self.has_left)
         except Exception:
             log.exception("request %s failed", pending.request.id)
             if self._serving:
--- a/roselink/http/server_connection.py
+++ b/roselink/http/server_connection.py
@@ -325,7 +325,7 @@
         if self._transport is not None:
             self._transport.abort()
 
-    def gone(self) -> bool:
+    def has_left(self) -> bool:
         """Whether the client has left. Not read any further, its connection would stay: it ends
         here.
         """
--- a/tests/dataplane/harness.py
+++ b/tests/dataplane/harness.py
@@ -218,7 +218,7 @@
 
 @dataclass
 class DataPlaneHarness:
-    plane: GatewayDataPlane
+    data_plane: GatewayDataPlane
     decider: FakeDecider
     authority: FakeAuthority
     quotas: FakeQuotas
@@ -229,7 +229,7 @@
         return Snapshot(VersionVector(), configuration, lines, ())
 
     def client(self) -> StreamClient:
-        return StreamClient(self.plane.port)
+        return StreamClient(self.data_plane.port)
 
 
 @asynccontextmanager
@@ -239,16 +239,16 @@
     """Hosts and a data plane that decides `by` the fake, if nothing else is told."""
     hosts = [await FakeHost(f"i-{i}", behave).start() for i, behave in enumerate(behaviours)]
     decider, authority, quotas = FakeDecider(), FakeAuthority(), FakeQuotas()
-    plane = GatewayDataPlane(
+    data_plane = GatewayDataPlane(
         settings(), asyncio.get_running_loop(), by or decider, authority, quotas, FakeBudget()
     )
-    made = DataPlaneHarness(plane, decider, authority, quotas, hosts)
+    made = DataPlaneHarness(data_plane, decider, authority, quotas, hosts)
     authority.now_in_force = made.snapshot(*(host_line(host) for host in hosts), **changes)
-    await plane.start()
+    await data_plane.start()
     try:
         yield made
     finally:
-        plane.stop()
+        data_plane.stop()
 
 
 # Hosts.
--- a/tests/dataplane/test_checks.py
+++ b/tests/dataplane/test_checks.py
@@ -10,10 +10,10 @@
 from roselink.dataplane.admission import (
     Admitted,
     Refusal,
-    allowed_s,
-    amount_of,
-    give_up_at,
-    judge,
+    decide_admission,
+    give_up_time,
+    quota_cost,
+    time_limit_s,
     unconfigured_retry_s,
 )
 from roselink.dataplane.proxy_request import (
@@ -291,7 +291,7 @@
     url: bytes, key: str, usable: bool, known: bool, verdict: Refusal | str | None
 ) -> None:
     request = made((b"Authorization", b"Bearer " + key.encode()), url=url)
-    got = judge(table() if known else None, usable, request)
+    got = decide_admission(table() if known else None, usable, request)
     if isinstance(got, Admitted):
         assert (got.tenant.name if got.tenant else None) == verdict
     else:
@@ -317,7 +317,7 @@
 
 
 def test_without_tenants_no_key_is_asked_for() -> None:
-    got = judge(table(tenants=[]), False, made())
+    got = decide_admission(table(tenants=[]), False, made())
     assert isinstance(got, Admitted)
     assert got.tenant is None
 
@@ -332,12 +332,12 @@
     ],
 )
 def test_the_shorter_time_counts(told: bytes, route: str, seconds: float) -> None:
-    assert allowed_s(made((b"X-Request-Deadline", told)), route_named(route)) == seconds
+    assert time_limit_s(made((b"X-Request-Deadline", told)), route_named(route)) == seconds
 
 
 @pytest.mark.parametrize(("allowed", "margin"), [(5.0, 0.03), (0.04, 0.01), (0.0, 0.0)])
 def test_the_last_word_comes_before_the_deadline(allowed: float, margin: float) -> None:
-    assert give_up_at(100.0, 100.0 + allowed) == pytest.approx(100.0 + allowed - margin)
+    assert give_up_time(100.0, 100.0 + allowed) == pytest.approx(100.0 + allowed - margin)
 
 
 @pytest.mark.parametrize(
@@ -345,4 +345,4 @@
     [("tokens", b"1460,80", 1540.0), ("tokens", b"", 200.0), ("requests", b"1460,80", 1.0)],
 )
 def test_what_counts_against_a_quota(unit: str, usage: bytes, amount: float) -> None:
-    assert amount_of(made((b"X-Token-Usage", usage)), tenant(unit=unit)) == amount
+    assert quota_cost(made((b"X-Token-Usage", usage)), tenant(unit=unit)) == amount
--- a/tests/dataplane/test_clients.py
+++ b/tests/dataplane/test_clients.py
@@ -110,11 +110,11 @@
 async def test_half_a_head_is_answered_once_its_time_is_up() -> None:
     async with running_data_plane(plain(), limits=LIMITS) as harness, harness.client() as client:
         client.writer.write(request("/once/x")[:-6])
-        await until(lambda: any(c._in_request for c in harness.plane.server.connections))
-        [connection] = harness.plane.server.connections
-        harness.plane.server.sweep()
+        await until(lambda: any(c._in_request for c in harness.data_plane.server.connections))
+        [connection] = harness.data_plane.server.connections
+        harness.data_plane.server.sweep()
         connection.last_progress_at -= 1.0
-        harness.plane.server.sweep()
+        harness.data_plane.server.sweep()
         assert (await client.answer()).status == 408
         assert not harness.hosts[0].seen
 
@@ -123,12 +123,12 @@
 async def test_a_resting_connection_is_kept_for_as_long_as_clients_are_told() -> None:
     async with running_data_plane(plain(), limits=LIMITS) as harness, harness.client() as client:
         assert (await client.ask("/once/x")).status == 200
-        [connection] = harness.plane.server.connections
+        [connection] = harness.data_plane.server.connections
         connection.last_progress_at -= 4.9
-        harness.plane.server.sweep()
+        harness.data_plane.server.sweep()
         assert (await client.ask("/once/x")).status == 200
         connection.last_progress_at -= 5.0 + IDLE_OVER_S
-        harness.plane.server.sweep()
+        harness.data_plane.server.sweep()
         assert await client.ended()
 
 
@@ -147,9 +147,9 @@
         for _ in range(2):  # the same again changes nothing
             told = LIMITS | {"idle_timeout_ms": idle_ms, "max_body_bytes": 10}
             harness.authority.tell(harness.snapshot(*lines, limits=told))
-        [connection] = harness.plane.server.connections
+        [connection] = harness.data_plane.server.connections
         connection.last_progress_at -= rested
-        harness.plane.server.sweep()
+        harness.data_plane.server.sweep()
         if kept:
             assert (await client.ask("/once/x", body=b"x" * 3000)).status == 200
         else:
@@ -161,10 +161,10 @@
     """After a freeze what came meanwhile has not been read."""
     async with running_data_plane(plain(), limits=LIMITS) as harness, harness.client() as client:
         assert (await client.ask("/once/x")).status == 200
-        [connection] = harness.plane.server.connections
+        [connection] = harness.data_plane.server.connections
         connection.last_progress_at -= 60.0
-        harness.plane._swept_at -= 60.0
-        harness.plane._sweep()
+        harness.data_plane._swept_at -= 60.0
+        harness.data_plane._sweep()
         assert (await client.ask("/once/x")).status == 200
 
 
@@ -186,7 +186,7 @@
 @on_loop
 async def test_before_anything_is_known_clients_are_told_to_come_back() -> None:
     async with running_data_plane(plain()) as harness, harness.client() as client:
-        harness.plane.engine.table = None
+        harness.data_plane.driver.route_table = None
         got = await client.ask("/once/x")
         assert got.status == 503
         assert 0.7 < float(got.headers["retry-after"]) <= 1.5  # not while all gateways are starting
@@ -198,9 +198,9 @@
 async def drains(
     harness: DataPlaneHarness, monkeypatch: pytest.MonkeyPatch, accept_s: float = 0.1
 ) -> asyncio.Task[None]:
-    monkeypatch.setattr(gateway_data_plane, "ACCEPT_S", accept_s)
-    harness.plane.begin_drain()
-    return asyncio.get_running_loop().create_task(harness.plane.drained())
+    monkeypatch.setattr(gateway_data_plane, "ACCEPT_AFTER_SIGTERM_S", accept_s)
+    harness.data_plane.begin_drain()
+    return asyncio.get_running_loop().create_task(harness.data_plane.drained())
 
 
 @on_loop
@@ -229,7 +229,7 @@
         assert await two.chunk() == event(1)
         await until(lambda: len(harness.hosts[0].seen) == 2)
         done = await drains(harness, monkeypatch)
-        assert not harness.plane.ready()
+        assert not harness.data_plane.ready()
         async with harness.client() as late:  # the platform still sends some
             got = await late.ask("/nowhere/x")
             assert (got.status, got.headers["connection"]) == (404, "close")
@@ -257,7 +257,7 @@
             writer.write(sse(message) + chunk(event(1)))
         await hang(message, writer)
 
-    monkeypatch.setattr(gateway_data_plane, "RESERVE_S", 7.6)  # of a grace of 8 s
+    monkeypatch.setattr(gateway_data_plane, "EXIT_RESERVE_S", 7.6)  # of a grace of 8 s
     async with (
         running_data_plane(stuck) as harness,
         harness.client() as one,
@@ -269,6 +269,6 @@
         done = await drains(harness, monkeypatch, 0.05)
         assert (await one.answer()).status == 504
         await done
-        harness.plane.stop()
+        harness.data_plane.stop()
         got = await two.answer()
         assert (got.ids, got.whole) == ([1], False)
--- a/tests/dataplane/test_data_plane.py
+++ b/tests/dataplane/test_data_plane.py
@@ -60,7 +60,7 @@
         }
         assert harness.decider.ends()[0].outcome is Outcome.SUCCESS
         assert harness.decider.count(RequestClosed) == 1
-        assert not harness.plane.engine.open
+        assert not harness.data_plane.driver.open_requests
 
 
 @on_loop
@@ -267,7 +267,7 @@
             got = await client.ask(path)
             assert (got.status, "retry-after" in got.headers) == (status, status == 503)
         assert (await client.ask("/safe/x", key="unknown")).status == 503
-        assert not harness.plane.ready()
+        assert not harness.data_plane.ready()
 
 
 @pytest.mark.parametrize("lost", ["lease", "key"])
@@ -345,7 +345,7 @@
         assert (await client.ask("/once/x")).body == b"mine"
         assert len(harness.hosts[0].writers) == 1
         await until(lambda: len(harness.decider.ends()) == 2)
-        assert not harness.plane.engine.hosts["i-0"].idle  # not used any more
+        assert not harness.data_plane.driver.hosts["i-0"].idle  # not used any more
 
 
 @on_loop
@@ -438,7 +438,7 @@
 
         async def asked() -> int:
             reader, writer = await asyncio.open_connection(
-                "127.0.0.1", harness.plane.readiness_port
+                "127.0.0.1", harness.data_plane.readiness_port
             )
             writer.write(b"GET /readyz HTTP/1.1\r\nHost: a\r\n\r\n")
             status = int((await reader.readuntil(b"\r\n\r\n")).split()[1])
@@ -455,5 +455,5 @@
         assert snapshot is not None
         harness.authority.tell(snapshot)
         assert await asked() == 200
-        harness.plane.begin_drain()
+        harness.data_plane.begin_drain()
         assert await asked() == 503
--- a/tests/dataplane/test_event_streams.py
+++ b/tests/dataplane/test_event_streams.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from roselink.dataplane.event_streams import EventSplitter, Progress, StreamFilter, read_event
+from roselink.dataplane.event_streams import EventSplitter, StreamFilter, StreamProgress, read_event
 
 
 @pytest.mark.parametrize(
@@ -27,7 +27,7 @@
     splitter, got = EventSplitter(), list[bytes]()
     for start in range(0, len(body), step):
         got += [event.data for event in splitter.feed(body[start : start + step])]
-    assert (got, splitter.rest) == (events, rest)
+    assert (got, splitter.remainder) == (events, rest)
 
 
 @settings(max_examples=200, derandomize=True, deadline=None)
@@ -39,7 +39,7 @@
     body, splitter, got = b"".join(parts), EventSplitter(), b""
     for start in range(0, len(body), step):
         got += b"".join(event.data for event in splitter.feed(body[start : start + step]))
-    assert got + splitter.rest == body
+    assert got + splitter.remainder == body
     at_once = EventSplitter()
     assert b"".join(event.data for event in at_once.feed(body)) == got
 
@@ -98,7 +98,7 @@
 def test_a_resumed_stream_has_no_gap_and_no_repeat(
     before: bytes, resumed: bytes, passed: bytes, gap: bool, step: int
 ) -> None:
-    progress = Progress()
+    progress = StreamProgress()
     first = StreamFilter(progress, resumed=False)
     assert first.feed(before + b"id: 99\nhal") == before
     assert progress.resumable
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize(
-    ("events", "taken_up_at", "resumable", "last"),
+    ("events", "resume_from", "resumable", "last"),
     [
         (b"", 0, False, None),
         (UNNUMBERED, 0, False, None),
@@ -122,20 +122,20 @@
     ],
 )
 def test_what_the_client_has_is_known_by_its_last_id(
-    events: bytes, taken_up_at: int, resumable: bool, last: int | None
+    events: bytes, resume_from: int, resumable: bool, last: int | None
 ) -> None:
-    progress = Progress(taken_up_at)
+    progress = StreamProgress(resume_from)
     StreamFilter(progress, resumed=False).feed(events)
     assert (progress.resumable, progress.last_id) == (resumable, last)
-    if taken_up_at:
-        assert progress.skips(16)
-        assert not progress.skips(15)
+    if resume_from:
+        assert progress.leaves_gap(16)
+        assert not progress.leaves_gap(15)
 
 
 def test_comments_wait_for_the_first_event() -> None:
-    stream = StreamFilter(Progress(), resumed=False)
+    stream = StreamFilter(StreamProgress(), resumed=False)
     assert stream.feed(COMMENT) == b""
-    assert (stream.held, stream.passed) == (len(COMMENT), False)
+    assert (stream.buffered_bytes, stream.relayed_content) == (len(COMMENT), False)
     assert stream.feed(numbered(1) + b"id") == COMMENT + numbered(1)
-    assert stream.half
+    assert stream.ends_within_event
     assert stream.finish() == b"id"
--- a/tests/dataplane/test_fuzz.py
+++ b/tests/dataplane/test_fuzz.py
@@ -32,7 +32,7 @@
             for n in range(CLIENTS)
         ]
         await asyncio.gather(*(client.run(TURNS) for client in clients))
-        await until(lambda: not harness.plane.engine.open)
+        await until(lambda: not harness.data_plane.driver.open_requests)
         await asyncio.sleep(0.15)
         ledger.check_all()
         assert not harness.hosts[0].seen
--- a/tests/dataplane/test_guards.py
+++ b/tests/dataplane/test_guards.py
@@ -207,25 +207,25 @@
     def __init__(self) -> None:
         self.answers: list[int] = []
 
-    def whole(self, status: int, headers: Headers, body: bytes) -> None:
+    def send_complete(self, status: int, headers: Headers, body: bytes) -> None:
         self.answers.append(status)
 
-    def own(self, status: int, retry_after_s: float | None = None) -> None:
+    def send_status(self, status: int, retry_after_s: float | None = None) -> None:
         self.answers.append(status)
 
-    def begin(self, status: int, headers: Headers, length: int | None) -> None:
+    def send_head(self, status: int, headers: Headers, length: int | None) -> None:
         self.answers.append(status)
 
-    def part(self, data: bytes) -> None: ...
+    def send_piece(self, data: bytes) -> None: ...
 
-    def end(self) -> None: ...
+    def send_end(self) -> None: ...
 
-    def cut(self) -> None: ...
+    def abort_response(self) -> None: ...
 
-    def gone(self) -> bool:
+    def has_left(self) -> bool:
         return True
 
-    def waits(self) -> bool:
+    def is_backed_up(self) -> bool:
         return False
 
 
@@ -245,11 +245,11 @@
             (b"Authorization", b"Bearer " + KEY.encode()),
         ]
         asked = read_request(b"POST", path, headers, b"", asyncio.get_running_loop().time())
-        harness.plane.engine.accept(asked, client_left)
-        await until(lambda: not harness.plane.engine.open)
+        harness.data_plane.driver.accept(asked, client_left)
+        await until(lambda: not harness.data_plane.driver.open_requests)
         await asyncio.sleep(0.05)
         assert len(harness.hosts[0].seen) == before
-        assert harness.plane.engine.counts["departed"] == 1
+        assert harness.data_plane.driver.counts["departed"] == 1
         assert harness.quotas.given_back == [("huka", 200.0)]
 
 
@@ -517,7 +517,7 @@
         if taken_before:
             client.writer.write(request("/safe/x"))
             await until(lambda: bool(harness.hosts[0].seen))
-        harness.plane.engine.drain(loop.time() + PAUSE_S)
+        harness.data_plane.driver.drain(loop.time() + PAUSE_S)
         if not taken_before:
             client.writer.write(request("/safe/x"))
         assert (await client.answer()).status == 504
--- a/tests/dataplane/test_host_pool.py
+++ b/tests/dataplane/test_host_pool.py
@@ -9,7 +9,7 @@
 import pytest
 
 from roselink.dataplane import fleet_host_connection
-from roselink.dataplane.host_directory import CONNECTIONS_LEAST
+from roselink.dataplane.host_directory import MIN_CONNECTIONS_PER_HOST
 from roselink.http import host_pool
 from roselink.model.fleet import HostState
 from roselink.routing.events_and_actions import FirstEvent
@@ -73,13 +73,13 @@
 async def test_what_has_rested_too_long_is_not_used() -> None:
     async with running_data_plane(plain(b"ok", "200 OK", KEEPS)) as harness:
         await ask_in_turn(harness, 1)
-        [connection] = harness.plane.engine.hosts["i-0"].idle
+        [connection] = harness.data_plane.driver.hosts["i-0"].idle
         connection.idle_since -= 7.0
         await ask_in_turn(harness, 1)
         assert len(harness.hosts[0].writers) == 2
-        [connection] = harness.plane.engine.hosts["i-0"].idle
+        [connection] = harness.data_plane.driver.hosts["i-0"].idle
         connection.idle_since -= 7.0
-        harness.plane.upstream.sweep()
+        harness.data_plane.host_pool.sweep()
         await harness.hosts[0].closed.get()
 
 
@@ -93,7 +93,7 @@
 ) -> None:
     async with running_data_plane(plain(b"ok", "200 OK", KEEPS)) as harness:
         await ask_in_turn(harness, 1, path)
-        [connection] = harness.plane.engine.hosts["i-0"].idle
+        [connection] = harness.data_plane.driver.hosts["i-0"].idle
         connection.idle_since -= rested_s
         await ask_in_turn(harness, 1, path)
         assert len(harness.hosts[0].writers) == connections
@@ -181,7 +181,7 @@
             line = host_line(harness.hosts[0], address=f"127.0.0.1:{other.address[1]}")
             harness.authority.tell(harness.snapshot(line, host_line(harness.hosts[1])))
             client.writer.write(request("/once/x"))
-            await until(lambda: bool(harness.plane.engine.open))
+            await until(lambda: bool(harness.data_plane.driver.open_requests))
             harness.authority.tell(harness.snapshot(host_line(harness.hosts[1])))
             assert (await client.answer()).status == 200
             assert harness.decider.ends()[0].outcome is Outcome.MOOT
@@ -207,16 +207,16 @@
     async with running_data_plane(
         hang, plain(), services=[{"name": "model", "max_connections": 6}]
     ) as harness:
-        clients = [await harness.client().__aenter__() for _ in range(CONNECTIONS_LEAST + 1)]
+        clients = [await harness.client().__aenter__() for _ in range(MIN_CONNECTIONS_PER_HOST + 1)]
         for client in clients:
             client.writer.write(request("/once/x"))
         assert (
             await clients[-1].answer()
         ).status == 200  # moot at the first host, then at the other
-        assert len(harness.hosts[0].seen) == CONNECTIONS_LEAST
+        assert len(harness.hosts[0].seen) == MIN_CONNECTIONS_PER_HOST
         for client in clients:
             await client.__aexit__()
-        await until(lambda: harness.plane.engine.hosts["i-0"].open_count == 0)
+        await until(lambda: harness.data_plane.driver.hosts["i-0"].open_count == 0)
 
 
 @on_loop
@@ -378,18 +378,18 @@
         writer.write(b"0\r\n\r\n")
 
     async with running_data_plane(flood) as harness:
-        client = StreamClient(harness.plane.port)
+        client = StreamClient(harness.data_plane.port)
         client.reader, client.writer = await asyncio.open_connection(
-            "127.0.0.1", harness.plane.port, limit=4096
+            "127.0.0.1", harness.data_plane.port, limit=4096
         )
         client.writer.write(request("/plan/x", X_Request_Deadline="20000"))
-        await until(lambda: any(c._writing_paused for c in harness.plane.server.connections))
+        await until(lambda: any(c._writing_paused for c in harness.data_plane.server.connections))
         stopped = -1
         while stopped != written:
             stopped = written
             await asyncio.sleep(0.1)
         assert stopped < count
-        [connection] = harness.plane.server.connections
+        [connection] = harness.data_plane.server.connections
         assert connection._transport is not None
         assert connection._transport.get_write_buffer_size() < 1_000_000
         got = await client.answer()
@@ -409,10 +409,15 @@
                 client.writer.write(request(path, X_Request_Deadline="150"))
                 await client.answer()
             harness.decider.hosts.append(harness.decider.hosts.pop(0))
-        await until(lambda: not harness.plane.server.connections and not harness.plane.engine.open)
-        idle = sum(len(host.idle) for host in harness.plane.engine.hosts.values())
-        await until(lambda: harness.plane.upstream._descriptors.used == idle)
-        assert sum(host.open_count for host in harness.plane.engine.hosts.values()) == idle
+        await until(
+            lambda: (
+                not harness.data_plane.server.connections
+                and not harness.data_plane.driver.open_requests
+            )
+        )
+        idle = sum(len(host.idle) for host in harness.data_plane.driver.hosts.values())
+        await until(lambda: harness.data_plane.host_pool._descriptors.used == idle)
+        assert sum(host.open_count for host in harness.data_plane.driver.hosts.values()) == idle
 
 
 @on_loop
@@ -459,7 +464,7 @@
     async with running_data_plane(plain()) as harness, harness.client() as client:
         harness.quotas.admit = lambda tenant, amount, decide: 1 / 0  # type: ignore[method-assign, assignment]
         assert (await client.ask("/once/x", X_Request_Deadline="100")).status == 503
-        assert not harness.plane.engine.open
+        assert not harness.data_plane.driver.open_requests
         assert (await client.ask("/open/x")).status == 200
 
 
@@ -487,7 +492,7 @@
 async def test_what_may_have_run_counts_against_its_quota(behave: Behaviour) -> None:
     async with running_data_plane(behave) as harness, harness.client() as client:
         await client.ask("/once/x", X_Request_Deadline="200")
-        await until(lambda: not harness.plane.engine.open)
+        await until(lambda: not harness.data_plane.driver.open_requests)
         assert harness.quotas.given_back == []
 
 
--- a/tests/dataplane/test_storm.py
+++ b/tests/dataplane/test_storm.py
@@ -195,7 +195,7 @@
                 outcomes[await ask(harness, storm, path, f"{index}-{turn}")] += 1
 
         await asyncio.gather(*(client(index) for index in range(8)))
-        await until(lambda: not harness.plane.engine.open)
+        await until(lambda: not harness.data_plane.driver.open_requests)
         assert sum(outcomes.values()) == 160
         assert outcomes["served"] > SERVED[kind]
         arrived = [
@@ -206,4 +206,4 @@
         sent = [(a.number, a.attempt) for a in recorded.actions if isinstance(a, SendAttempt)]
         ended = [(e.number, e.attempt) for e in recorded.events if isinstance(e, AttemptEnded)]
         assert sorted(sent) == sorted(ended)
-        await until(lambda: not harness.plane.server.connections)
+        await until(lambda: not harness.data_plane.server.connections)
--- a/tests/mutations/dataplane.py
+++ b/tests/mutations/dataplane.py
@@ -12,8 +12,8 @@
         DATAPLANE,
         (
             "a second attempt of what runs once",
-            "return not (once and exchange.may_run) and self._owner.wanted(exchange)",
-            "return self._owner.wanted(exchange)",
+            "return not (once and exchange.may_run) and self._owner.still_wanted(exchange)",
+            "return self._owner.still_wanted(exchange)",
         ),
         (
             "a host of another service",
@@ -47,7 +47,7 @@
         ),
         (
             "a failure of a host is held for nobody",
-            "            exchange.held = failure\n",
+            "            exchange.host_failure = failure\n",
             "            pass\n",
         ),
     ),
@@ -56,24 +56,25 @@
         DATAPLANE,
         (
             "streams resume on any route",
-            "self.begun and self.route.resumable and self.streaming",
-            "self.begun and self.streaming",
+            "            and self.route.resumable\n",
+            "",
         ),
         ("streams resume where ids tell nothing", " and self.progress.resumable", ""),
         (
             "two answers go on",
-            "return exchange.owner in (None, self) or (exchange.broken and self.resumed)",
+            "return exchange.relayed_attempt in (None, self) or ("
+            "exchange.awaits_resume and self.resumed)",
             "return True",
         ),
         (
             "half an event at a close is complete",
-            "if (by_close and stream.half) or not self._claim(None):",
-            "if not self._claim(None):",
+            "if (by_close and stream.ends_within_event) or not self._become_relayed(None):",
+            "if not self._become_relayed(None):",
         ),
         (
             "a gap is passed over",
-            "if stream.gap or stream.held > HOLD_LIMIT:",
-            "if stream.held > HOLD_LIMIT:",
+            "if stream.gap or stream.buffered_bytes > BUFFER_LIMIT_BYTES:",
+            "if stream.buffered_bytes > BUFFER_LIMIT_BYTES:",
         ),
         ("a host's promise is passed on", " or self.status in PROMISES\n            or", " or"),
         (
@@ -87,7 +88,7 @@
         DATAPLANE,
         (
             "sent for a client that has left",
-            "        if exchange.client.gone():",
+            "        if exchange.client.has_left():",
             "        if False:",
         ),
         (
@@ -107,8 +108,8 @@
         ),
         (
             "an answer that has begun is ended as whole",
-            "            exchange.client.cut()\n",
-            "            exchange.client.end()\n",
+            "            exchange.client.abort_response()\n",
+            "            exchange.client.send_end()\n",
         ),
         (
             "admitted twice",
@@ -122,12 +123,12 @@
         ),
         (
             "taken in a drain without its end",
-            "        if self._ends_at is not None:\n            exchange.expires_at =",
+            "        if self._drain_ends_at is not None:\n            exchange.expires_at =",
             "        if False:\n            exchange.expires_at =",
         ),
         (
             "a drain leaves guards where they were",
-            "                self._guard_at(exchange, exchange.give_up_at)\n",
+            "                self._set_deadline_timer(exchange, exchange.give_up_at)\n",
             "",
         ),
         (
@@ -144,8 +145,8 @@
         (
             "attempts outlive their request",
             "        for answer in list(exchange.attempts.values()):\n            answer.cancel()\n"
-            "        exchange.owner",
-            "        exchange.owner",
+            "        exchange.relayed_attempt",
+            "        exchange.relayed_attempt",
         ),
         (
             "no last word at the end of the time",
@@ -242,7 +243,7 @@
         ),
         (
             "an event without id is no matter",
-            "self._loose = self._loose or not event.comment",
+            "self._has_event_without_id = self._has_event_without_id or not event.comment",
             "pass",
         ),
     ),
@@ -253,7 +254,7 @@
         ("keys go on to hosts", '"authorization content-length', '"content-length'),
         (
             "two headers that must stand once",
-            "        if lower in _ONCE and lower in single:",
+            "        if lower in _SINGLE and lower in single:",
             "        if False:",
         ),
     ),
@@ -262,12 +263,12 @@
         DATAPLANE,
         (
             "an address that another host has",
-            "            self._upstream.retire(current)\n            current = None",
+            "            self._host_pool.retire(current)\n            current = None",
             "            pass",
         ),
         (
             "a draining host takes requests",
-            "        elif current.ready:\n            self._upstream.retire(current)\n",
+            "        elif current.ready:\n            self._host_pool.retire(current)\n",
             "",
         ),
     ),
--- a/tools/streams.py
+++ b/tools/streams.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from roselink.dataplane.event_streams import Progress, StreamFilter
+from roselink.dataplane.event_streams import StreamFilter, StreamProgress
 from tools.measure import machine, processor_us, show, show_line
 
 if TYPE_CHECKING:
@@ -37,7 +37,7 @@
 
 def measure(events: int, reads: int) -> Cost:
     """Reads of so many events each."""
-    stream = StreamFilter(Progress(), resumed=False)
+    stream = StreamFilter(StreamProgress(), resumed=False)
     data = [
         b"".join(event(at * events + place + 1) for place in range(events)) for at in range(reads)
     ]
