--- a/roselink/controller/api.py
+++ b/roselink/controller/api.py
@@ -1,10 +1,10 @@
 """The operator's interface over HTTP: a klein application in front of the replicated chain.
 
-Every member answers for itself. An order's digest covers its kind, its base version and its bytes,
-so the chain knows an order that comes again, at any member and after a restart. An update of single
-items is merged onto the confirmed document of its base, and goes on as a whole document. Answers:
-200 committed; 412 another version is in place; 400 invalid; 413 too large; 503 with Retry-After
-when nobody could say in time.
+Every member responds for itself. A change's digest covers its kind, its base version and its bytes,
+so the chain recognises a change that is sent again, at any member and after a restart. An update of
+single items is merged onto the confirmed document of its base, and proposed as a complete document.
+Responses: 200 committed; 412 another version is current; 400 invalid; 413 too large; 503 with
+Retry-After when the outcome was not known in time.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 import json
 from dataclasses import asdict
 from io import BytesIO
-from typing import TYPE_CHECKING, Any, Protocol
+from typing import TYPE_CHECKING, Protocol, TypeAlias, TypeVar
 
 import structlog
 from klein import Klein
@@ -29,13 +29,13 @@
     StaleGeneration,
     SubmitOutcome,
 )
-from roselink.controller.field_validators import MAX_INTEGER
+from roselink.controller.field_validators import MAX_INTEGER, JsonValue
 from roselink.controller.updates import parse_update_request, submit_update
 from roselink.controller.validation import ValidationFailure, ValidationFault, validate
 from roselink.coordination.state import digest_of
 
 if TYPE_CHECKING:
-    from collections.abc import Callable
+    from collections.abc import Callable, Mapping
 
     from roselink.controller.gateway_roster import GatewayLag
     from roselink.controller.twisted_reactor import Clock
@@ -43,10 +43,13 @@
 
 MAX_BODY_BYTES = 16 * 1024 * 1024
 SUBMIT_TIMEOUT_S = 2.3
-CONFIRM_TIMEOUT_S = 0.9  # a caller moves on after a second of silence
+# Below the second after which a caller tries another member.
+CONFIRM_TIMEOUT_S = 0.9
 STATUS_TIMEOUT_S = 0.5
 RETRY_AFTER_S = "0.2"
 IDLE_TIMEOUT_S = 60
+# Of the largest integer of a record, so that no longer text is converted.
+MAX_BASE_DIGITS = 19
 
 # The outcomes' names in the log are older than the classes' names, and stay for searches of logs.
 _LOGGED_OUTCOMES: dict[type[SubmitOutcome], str] = {
@@ -56,10 +59,14 @@
     OutcomeUnknown: "Unsettled",
 }
 
+Response: TypeAlias = "bytes | Deferred[bytes]"
+ChangeOutcome = SubmitOutcome | ValidationFailure
+Result = TypeVar("Result")
+
 log = structlog.get_logger("roselink.api")
 
 
-class Published(Protocol):
+class PublishedState(Protocol):
     """What the status page shows of the pull service."""
 
     @property
@@ -67,35 +74,33 @@
         """The versions that this member has published."""
 
     def lags(self) -> tuple[GatewayLag, ...]:
-        """The gateways heard by the tail."""
+        """The gateways that pull from the tail."""
 
 
-def read_base(values: list[str]) -> int | None:
-    """The version in the X-Base-Version headers of a request; None if there is none, or more than
-    one.
-    """
+def parse_base(values: list[str]) -> int | None:
+    """The version in a request's X-Base-Version headers; None unless there is exactly one."""
     if len(values) != 1:
         return None
     text = values[0].strip()
-    if not (text.isascii() and text.isdigit() and len(text) <= 19):
+    if not (text.isascii() and text.isdigit() and len(text) <= MAX_BASE_DIGITS):
         return None
     base = int(text)
     return base if base <= MAX_INTEGER else None
 
 
 class ApiRequest(Request):
-    """A request whose body stays in memory, up to a bound; past it the body is dropped."""
+    """A request whose body is buffered in memory, up to a bound; past it the body is dropped."""
 
     too_large = False
     content: BytesIO
 
     def gotLength(self, length: int | None) -> None:
-        """Make room for the body."""
+        """Begin the body's buffer; `length` is None for a chunked body."""
         self.content = BytesIO()
         self.too_large = length is not None and length > MAX_BODY_BYTES
 
     def handleContentChunk(self, data: bytes) -> None:
-        """Take a piece of the body."""
+        """Buffer a chunk of the body."""
         if not self.too_large and self.content.tell() + len(data) > MAX_BODY_BYTES:
             self.too_large = True
             self.content = BytesIO()
@@ -106,12 +111,19 @@
 class AdminApi:
     """The routes of the interface."""
 
-    def __init__(self, node: ReplicatedChain, published: Published, clock: Clock) -> None:
-        self._node = node
+    def __init__(self, chain: ReplicatedChain, published: PublishedState, clock: Clock) -> None:
+        """Make the interface; `site` is served by the caller.
+
+        Args:
+            chain: the replicated chain.
+            published: what the pull service has published.
+            clock: makes the calls that end a request at its time-out.
+        """
+        self._chain = chain
         self._published = published
         self._clock = clock
         self._stopping = False
-        self._open = 0
+        self._in_flight = 0
         app = Klein()
         app.route("/config/replace", methods=["POST"])(self._replace)
         app.route("/config/update", methods=["POST"])(self._update)
@@ -129,46 +141,50 @@
         return site
 
     def stop(self) -> None:
-        """Take no more orders; what is under way goes on."""
+        """Refuse new changes; those in flight go on."""
         self._stopping = True
 
     @property
     def in_flight(self) -> int:
-        """How many orders wait for their end."""
-        return self._open
+        """How many changes are in flight."""
+        return self._in_flight
 
-    def _replace(self, request: ApiRequest) -> Any:
-        base = self._base(request)
+    def _replace(self, request: ApiRequest) -> Response:
+        base = self._base_or_error(request)
         if not isinstance(base, int):
             return base
         body = request.content.read()
-        checked = validate(body)
-        if isinstance(checked, ValidationFailure):
-            return _refused(request, base, checked)
-        order = ConfigurationChange(base, checked.generation, body, digest_of(base, body))
-        return self._carried(
-            request, base, checked.generation, lambda done: self._node.submit(order, done)
+        valid = validate(body)
+        if isinstance(valid, ValidationFailure):
+            return _validation_failed(request, base, valid)
+        change = ConfigurationChange(base, valid.generation, body, digest_of(base, body))
+        return self._respond_to_change(
+            request, base, valid.generation, lambda done: self._chain.submit(change, done)
         )
 
-    def _update(self, request: ApiRequest) -> Any:
-        base = self._base(request)
+    def _update(self, request: ApiRequest) -> Response:
+        base = self._base_or_error(request)
         if not isinstance(base, int):
             return base
-        call = parse_update_request(base, request.content.read())
-        if isinstance(call, ValidationFailure):
-            return _refused(request, base, call)
-        return self._carried(
+        update_request = parse_update_request(base, request.content.read())
+        if isinstance(update_request, ValidationFailure):
+            return _validation_failed(request, base, update_request)
+        return self._respond_to_change(
             request,
             base,
-            call.update.generation,
-            lambda done: submit_update(call, self._node.confirm, self._node.submit, done),
+            update_request.update.generation,
+            lambda done: submit_update(
+                update_request, self._chain.confirm, self._chain.submit, done
+            ),
         )
 
-    def _base(self, request: ApiRequest) -> int | bytes:
-        """The version that an order builds on, or the answer to an order that can't be taken."""
+    def _base_or_error(self, request: ApiRequest) -> int | bytes:
+        """The version that a change builds on, or the response to a change that is refused."""
         if request.too_large:
-            return _json(request, 413, {"error": "too large", "most_bytes": MAX_BODY_BYTES})
-        base = read_base(
+            return _json_response(
+                request, 413, {"error": "too large", "most_bytes": MAX_BODY_BYTES}
+            )
+        base = parse_base(
             [str(value) for value in request.requestHeaders.getRawHeaders("X-Base-Version", [])]
         )
         if base is None:
@@ -179,25 +195,26 @@
             return _unavailable(request, "stopping")
         return base
 
-    def _carried(
+    def _respond_to_change(
         self,
         request: ApiRequest,
         base: int,
         generation: int,
-        begin: Callable[[Callable[[Any], None]], None],
-    ) -> Deferred[Any]:
-        """The answer to an order once `begin` has brought its outcome, or late in time."""
-        self._open += 1
-        settled = self._in_time(SUBMIT_TIMEOUT_S, begin, OutcomeUnknown())
-        return settled.addBoth(self._closed).addCallback(
-            self._answer_order, request, base, generation
+        begin: Callable[[Callable[[ChangeOutcome], None]], None],
+    ) -> Deferred[bytes]:
+        """The response to a change: once `begin` reports its outcome, or at the time-out."""
+        self._in_flight += 1
+        unknown: ChangeOutcome = OutcomeUnknown()
+        outcome = self._with_timeout(SUBMIT_TIMEOUT_S, begin, unknown)
+        return outcome.addBoth(self._change_ended).addCallback(
+            self._outcome_response, request, base, generation
         )
 
-    def _closed(self, outcome: Any) -> Any:
-        self._open -= 1
+    def _change_ended(self, outcome: ChangeOutcome) -> ChangeOutcome:
+        self._in_flight -= 1
         return outcome
 
-    def _answer_order(
+    def _outcome_response(
         self,
         outcome: SubmitOutcome | ValidationFailure,
         request: ApiRequest,
@@ -205,7 +222,7 @@
         generation: int,
     ) -> bytes:
         if isinstance(outcome, ValidationFailure):
-            return _refused(request, base, outcome)
+            return _validation_failed(request, base, outcome)
         log.info(
             "change_decided",
             base=base,
@@ -214,7 +231,9 @@
         )
         match outcome:
             case ChangeCommitted(sequence):
-                return _json(request, 200, {"generation": generation, "sequence": sequence})
+                return _json_response(
+                    request, 200, {"generation": generation, "sequence": sequence}
+                )
             case Conflict(current):
                 return _conflict(request, current)
             case StaleGeneration(current) if current != base:
@@ -226,34 +245,35 @@
             case OutcomeUnknown():
                 return _unavailable(request, "unsettled")
 
-    def _get(self, request: ApiRequest) -> Any:
-        confirmed = self._in_time(CONFIRM_TIMEOUT_S, self._node.confirm, None)
-        return confirmed.addCallback(self._answer_document, request)
+    def _get(self, request: ApiRequest) -> Deferred[bytes]:
+        confirmed = self._with_timeout(CONFIRM_TIMEOUT_S, self._chain.confirm, None)
+        return confirmed.addCallback(self._document_response, request)
 
-    def _answer_document(self, confirmation: Confirmation | None, request: ApiRequest) -> bytes:
+    def _document_response(self, confirmation: Confirmation | None, request: ApiRequest) -> bytes:
         if confirmation is None:
             return _unavailable(request, "unconfirmed")
         if confirmation.document is None:
-            return _json(request, 404, {"error": "no configuration yet"})
-        return _body(request, 200, confirmation.document)
+            return _json_response(request, 404, {"error": "no configuration yet"})
+        return _response(request, 200, confirmation.document)
 
-    def _status(self, request: ApiRequest) -> Any:
-        confirmed = self._in_time(STATUS_TIMEOUT_S, self._node.confirm, None)
-        return confirmed.addCallback(self._answer_status, request)
+    def _status(self, request: ApiRequest) -> Deferred[bytes]:
+        confirmed = self._with_timeout(STATUS_TIMEOUT_S, self._chain.confirm, None)
+        return confirmed.addCallback(self._status_response, request)
 
-    def _answer_status(self, confirmation: Confirmation | None, request: ApiRequest) -> bytes:
-        node, versions = self._node, self._published.versions
+    def _status_response(self, confirmation: Confirmation | None, request: ApiRequest) -> bytes:
+        chain = self._chain
+        versions = self._published.versions
         sequence = confirmation.sequence if confirmation is not None else None
-        tail = node.tail
-        return _json(
+        tail = chain.tail
+        return _json_response(
             request,
             200,
             {
-                "epoch": node.epoch,
-                "is_tail": node.is_tail,
+                "epoch": chain.epoch,
+                "is_tail": chain.is_tail,
                 "tail": f"{tail[0]}:{tail[1]}" if tail is not None else None,
-                "core": list(node.core_addresses()),
-                "chain": list(node.chain_addresses()),
+                "core": list(chain.core_addresses()),
+                "chain": list(chain.chain_addresses()),
                 "confirmed": confirmation is not None,
                 "generation": confirmation.generation if confirmation is not None else None,
                 "versions": {
@@ -261,59 +281,64 @@
                     "hosts": versions.hosts,
                     "roster": versions.roster,
                 },
-                "gateways": [_lag(lag, sequence) for lag in self._published.lags()],
+                "gateways": [_lag_as_json(lag, sequence) for lag in self._published.lags()],
             },
         )
 
-    def _in_time(
-        self, timeout_s: float, begin: Callable[[Callable[[Any], None]], None], otherwise: Any
-    ) -> Deferred[Any]:
-        """What `begin` hands to its callback, or `otherwise` when that takes too long."""
-        waiting: Deferred[Any] = Deferred()
-
-        def settle(value: Any) -> None:
+    def _with_timeout(
+        self,
+        timeout_s: float,
+        begin: Callable[[Callable[[Result], None]], None],
+        otherwise: Result,
+    ) -> Deferred[Result]:
+        """What `begin` passes to its callback, or `otherwise` after `timeout_s`."""
+        deferred: Deferred[Result] = Deferred()
+
+        def finish(value: Result) -> None:
             if timer.active():
                 timer.cancel()
-                waiting.callback(value)
+                deferred.callback(value)
 
         def expire() -> None:
-            waiting.callback(otherwise)
+            deferred.callback(otherwise)
 
         timer = self._clock.callLater(timeout_s, expire)
-        begin(settle)
-        return waiting
+        begin(finish)
+        return deferred
 
 
-def _lag(lag: GatewayLag, sequence: int | None) -> dict[str, Any]:
-    shown = asdict(lag)
-    shown["configuration_behind"] = sequence is not None and lag.configuration < sequence
-    return shown
+def _lag_as_json(lag: GatewayLag, sequence: int | None) -> dict[str, JsonValue]:
+    fields = asdict(lag)
+    fields["configuration_behind"] = sequence is not None and lag.configuration < sequence
+    return fields
 
 
-def _body(request: Any, status: int, body: bytes) -> bytes:
+def _response(request: ApiRequest, status: int, body: bytes) -> bytes:
     request.setResponseCode(status)
-    request.setHeader(b"Content-Type", b"application/json")
-    request.setHeader(b"Content-Length", str(len(body)).encode())
+    request.setHeader(b"Content-Type", b"application/json")  # type: ignore[no-untyped-call]
+    request.setHeader(b"Content-Length", str(len(body)).encode())  # type: ignore[no-untyped-call]
     return body
 
 
-def _json(request: ApiRequest, status: int, value: Any) -> bytes:
-    return _body(request, status, json.dumps(value).encode())
+def _json_response(request: ApiRequest, status: int, value: Mapping[str, object]) -> bytes:
+    return _response(request, status, json.dumps(value).encode())
 
 
-def _refused(request: ApiRequest, base: int, refused: ValidationFailure) -> bytes:
-    log.info("change_rejected", base=base, faults=[str(fault) for fault in refused.faults[:5]])
-    return _invalid(request, refused.faults)
+def _validation_failed(request: ApiRequest, base: int, failure: ValidationFailure) -> bytes:
+    log.info("change_rejected", base=base, faults=[str(fault) for fault in failure.faults[:5]])
+    return _invalid(request, failure.faults)
 
 
 def _invalid(request: ApiRequest, faults: tuple[ValidationFault, ...]) -> bytes:
-    return _json(request, 400, {"error": "invalid", "faults": [asdict(fault) for fault in faults]})
+    return _json_response(
+        request, 400, {"error": "invalid", "faults": [asdict(fault) for fault in faults]}
+    )
 
 
 def _conflict(request: ApiRequest, current: int) -> bytes:
-    return _json(request, 412, {"error": "conflict", "current": current})
+    return _json_response(request, 412, {"error": "conflict", "current": current})
 
 
-def _unavailable(request: Any, why: str) -> bytes:
-    request.setHeader(b"Retry-After", RETRY_AFTER_S.encode())
-    return _json(request, 503, {"error": why})
+def _unavailable(request: ApiRequest, reason: str) -> bytes:
+    request.setHeader(b"Retry-After", RETRY_AFTER_S.encode())  # type: ignore[no-untyped-call]
+    return _json_response(request, 503, {"error": reason})
--- a/tests/controller/test_api.py
+++ b/tests/controller/test_api.py
@@ -32,7 +32,7 @@
     MAX_BODY_BYTES,
     SUBMIT_TIMEOUT_S,
     AdminApi,
-    read_base,
+    parse_base,
 )
 
 if TYPE_CHECKING:
@@ -311,7 +311,7 @@
     ],
 )
 def test_base_versions(values: list[str], base: int | None) -> None:
-    assert read_base(values) == base
+    assert parse_base(values) == base
 
 
 @pytest.mark.parametrize("headers", [{}, {"X_Base_Version": "new"}])
