--- a/roselink/cli.py
+++ b/roselink/cli.py
@@ -79,15 +79,15 @@
     :param kill: kill a gateway and the chain's tail during the run
     :param folder: new folder that keeps settings, disks and logs
     """
-    from roselink.lab.command import Plan, run_lab
+    from roselink.lab.command import LabOptions, run_lab
     from roselink.lab.fleet import MOST_ROUTERS
 
     if not (1 <= routers <= MOST_ROUTERS and clients >= 1):
         return _report_faults([f"routers: 1 to {MOST_ROUTERS}; clients: 1 at least"])
     if folder is not None and folder.exists():
         return _report_faults([f"{folder}: is there already"])
-    report = run_lab(Plan(routers, clients, seconds, kill, folder), _print_line)
-    return EXIT_UNAVAILABLE if report.trouble is not None or report.late else 0
+    report = run_lab(LabOptions(routers, clients, seconds, kill, folder), _print_line)
+    return EXIT_UNAVAILABLE if report.error is not None or report.overdue else 0
 
 
 def simulate(*, seed: int = 1, days: int = 1, machines: int | None = None, jobs: int = 1) -> int:
--- a/roselink/lab/__init__.py
+++ b/roselink/lab/__init__.py
@@ -1,5 +1,5 @@
-"""A whole fleet on loopback, for trying and for showing: real processes, stand-ins for all around
-them.
+"""A whole fleet of real processes on loopback, with simulated surroundings, for demonstration.
 
-Nothing of it runs in a deployment.
+`command` runs it, `fleet` has the processes, `hosts`, `platform`, `operator` and `clients` their
+surroundings. Nothing of it runs in a deployment.
 """
--- a/roselink/lab/command.py
+++ b/roselink/lab/command.py
@@ -1,6 +1,4 @@
-"""The lab from start to end: a fleet, its surroundings, a line a second, and everything ended
-again.
-"""
+"""`roselink lab`: a run of a fleet and its surroundings, with one line of output a second."""
 
 from __future__ import annotations
 
@@ -11,23 +9,37 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from roselink.lab.clients import Client, End, Tally
-from roselink.lab.fleet import Fleet, Machine, Say, StartFailed
+from roselink.lab.clients import Client, Outcome, Statistics
+from roselink.lab.exceptions import ConfigurationRefusedError, StartError
+from roselink.lab.fleet import Fleet, LinePrinter, Machine
 from roselink.lab.hosts import make_hosts
-from roselink.lab.operator import Operator, OrderRefused
+from roselink.lab.operator import Operator
 from roselink.lab.platform import Gateway, HostList, Ingress
 
-START_S = 30.0  # until the fleet serves
-LINE_S = 1.0
-KILL_ROUTER_S, KILL_CONTROLLER_S = 1.0, 2.5  # since the first request
-KILL_SHARES = 0.25, 0.5  # of a run with an end: no later than that
-MOST_FAULTS = 5  # shown at the end
+# From the start until the fleet serves, in seconds.
+START_TIMEOUT_S = 30.0
+# Between two lines of output, in seconds.
+LINE_INTERVAL_S = 1.0
+# From the first request to the kills, in seconds; no later than these fractions of a run with an
+# end.
+KILL_ROUTER_S = 1.0
+KILL_CONTROLLER_S = 2.5
+KILL_ROUTER_FRACTION = 0.25
+KILL_CONTROLLER_FRACTION = 0.5
+# How many faults are printed at the end.
+MOST_FAULTS = 5
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
-    """What is asked of a lab. `seconds`: how long it serves, None: until a signal; `folder`: for
-    settings, disks and logs, None: a temporary one, removed at the end.
+class LabOptions:
+    """The options of a run.
+
+    Attributes:
+        routers: how many gateways.
+        clients: how many clients.
+        seconds: how long the fleet serves; None: until a signal.
+        kill: whether a gateway and the chain's tail are killed.
+        folder: for settings, disks and logs; None: a temporary one, removed at the end.
     """
 
     routers: int = 3
@@ -38,40 +50,51 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
-    """What came of it. `late`: processes that had to be killed at the end; `pids`: of all that
-    ran.
+class LabReport:
+    """The result of a run.
+
+    Attributes:
+        outcomes: how many requests ended in each way.
+        retries: how many retries there were.
+        faults: what went wrong with each failed request.
+        overdue: the machines whose processes had to be killed at the end.
+        pids: the ids of all processes.
+        error: why the run ended before its time; None if it did not.
     """
 
-    ends: dict[End, int]
+    outcomes: dict[Outcome, int]
     retries: int
     faults: list[str]
-    late: list[str]
+    overdue: list[str]
     pids: list[int]
-    trouble: str | None
+    error: str | None
 
 
-def run_lab(plan: Plan, say: Say) -> Report:
+def run_lab(options: LabOptions, print_line: LinePrinter) -> LabReport:
     """Run a lab until its time is over, SIGINT or SIGTERM."""
-    if plan.folder is not None:
-        plan.folder.mkdir(parents=True, exist_ok=True)
-        return asyncio.run(Lab(plan, plan.folder, say).run())
+    if options.folder is not None:
+        options.folder.mkdir(parents=True, exist_ok=True)
+        return asyncio.run(Lab(options, options.folder, print_line).run())
     with tempfile.TemporaryDirectory(prefix="roselink-lab-") as folder:
-        return asyncio.run(Lab(plan, Path(folder), say).run())
+        return asyncio.run(Lab(options, Path(folder), print_line).run())
 
 
 class Lab:
     """One run. Made inside a running loop by `run_lab`."""
 
-    def __init__(self, plan: Plan, folder: Path, say: Say) -> None:
-        self._plan, self._folder, self._say = plan, folder, say
-        self._tally = Tally()
+    def __init__(self, options: LabOptions, folder: Path, print_line: LinePrinter) -> None:
+        """Make the simulated hosts and the list of them; nothing runs yet."""
+        self._options = options
+        self._folder = folder
+        self._print_line = print_line
+        self._statistics = Statistics()
         self._hosts = make_hosts()
         self._host_list = HostList(self._hosts)
 
-    async def run(self) -> Report:
-        """Start, serve, end."""
-        self._stopping, self._leaving = asyncio.Event(), asyncio.Event()
+    async def run(self) -> LabReport:
+        """Start the fleet, serve until the end of the run, and end everything."""
+        self._stopping = asyncio.Event()
+        self._clients_stopping = asyncio.Event()
         self._clients: list[asyncio.Task[None]] = []
         loop = asyncio.get_running_loop()
         for number in (signal.SIGINT, signal.SIGTERM):
@@ -80,7 +103,7 @@
             await host.start()
         await self._host_list.start()
         self._fleet = fleet = Fleet(
-            self._folder, self._plan.routers, self._host_list.address, self._say
+            self._folder, self._options.routers, self._host_list.address, self._print_line
         )
         ports = fleet.ports
         self._operator = Operator([(machine.ip, ports.admin) for machine in fleet.controllers])
@@ -89,142 +112,157 @@
         )
         fleet.begin()
         try:
-            trouble = await self._until_stopped()
+            error = await self._until_stopped()
         except BaseException:
             await fleet.end()
             raise
-        return await self._end(trouble)
+        return await self._end(error)
 
     async def _until_stopped(self) -> str | None:
-        """Serve until the first of: the end of the plan, a signal, a fault. Returns the fault."""
+        """Serve until the end of the run, a signal or an error; returns the error."""
         watch = asyncio.create_task(self._ingress.watch())
         work = [
             asyncio.create_task(self._serve()),
-            asyncio.create_task(self._fleet.broken()),
+            asyncio.create_task(self._fleet.wait_for_failure()),
             asyncio.create_task(self._stopping.wait()),
         ]
-        done, left = await asyncio.wait(work, return_when=asyncio.FIRST_COMPLETED)
-        for task in left:
+        done, pending = await asyncio.wait(work, return_when=asyncio.FIRST_COMPLETED)
+        for task in pending:
             task.cancel()
-        self._leaving.set()
-        await asyncio.gather(*left, *self._clients, return_exceptions=True)
+        self._clients_stopping.set()
+        await asyncio.gather(*pending, *self._clients, return_exceptions=True)
         watch.cancel()
         await asyncio.gather(watch, return_exceptions=True)
-        trouble = None
+        reason = None
         for task in done:
             try:
                 task.result()
-            except (StartFailed, OrderRefused, TimeoutError) as error:
-                trouble = str(error) or f"the fleet did not serve within {START_S:g} s"
-        return trouble
+            except (StartError, ConfigurationRefusedError, TimeoutError) as error:
+                reason = str(error) or f"the fleet did not serve within {START_TIMEOUT_S:g} s"
+        return reason
 
     async def _serve(self) -> None:
         began = time.monotonic()
-        async with asyncio.timeout(START_S):
+        async with asyncio.timeout(START_TIMEOUT_S):
             await self._operator.send(1)
             await self._ingress.all_ready()
-        self._say_what_is_where()
-        self._say(f"serving {time.monotonic() - began:.1f} s after the start")
+        self._print_addresses()
+        self._print_line(f"serving {time.monotonic() - began:.1f} s after the start")
         self._began = time.monotonic()
-        names = [f"client-{number + 1}" for number in range(self._plan.clients)]
-        clients = [Client(name, self._ingress, self._tally, self._leaving) for name in names]
+        names = [f"client-{number + 1}" for number in range(self._options.clients)]
+        clients = [
+            Client(name, self._ingress, self._statistics, self._clients_stopping) for name in names
+        ]
         self._clients = [asyncio.create_task(client.run()) for client in clients]
         async with asyncio.TaskGroup() as group:
-            killing = group.create_task(self._kill()) if self._plan.kill else None
-            await self._lines()
+            killing = group.create_task(self._kill()) if self._options.kill else None
+            await self._print_status_lines()
             if killing is not None:
                 killing.cancel()
 
-    def _say_what_is_where(self) -> None:
+    def _print_addresses(self) -> None:
         ports = self._fleet.ports
-        self._say(f"settings, disks and logs: {self._folder}")
+        self._print_line(f"settings, disks and logs: {self._folder}")
         for machine in self._fleet.machines:
             role = machine.role
-            where = f"operator {ports.admin}" if role == "controller" else f"clients {ports.http}"
-            place = f"{machine.name:<13} {machine.ip:<11} {machine.zone}"
-            self._say(f"  {place}  {where}, peers {ports.peer}  pid {machine.pids[-1]}")
+            service = f"operator {ports.admin}" if role == "controller" else f"clients {ports.http}"
+            location = f"{machine.name:<13} {machine.ip:<11} {machine.zone}"
+            self._print_line(f"  {location}  {service}, peers {ports.peer}  pid {machine.pids[-1]}")
         for host in self._hosts:
-            self._say(
+            self._print_line(
                 f"  host {host.id:<8} {host.address[0]}:{host.address[1]}"
                 f"  {host.zone}  {host.service}"
             )
 
-    async def _lines(self) -> None:
-        """A line a second until the plan's end."""
-        seconds = self._plan.seconds
+    async def _print_status_lines(self) -> None:
+        """Print one line a second until the end of the run."""
+        seconds = self._options.seconds
         number = 0
-        while seconds is None or number * LINE_S < seconds:
+        while seconds is None or number * LINE_INTERVAL_S < seconds:
             number += 1
-            await asyncio.sleep(max(0.0, self._began + number * LINE_S - time.monotonic()))
+            await asyncio.sleep(max(0.0, self._began + number * LINE_INTERVAL_S - time.monotonic()))
             state = await self._operator.status()
-            self._say(self._line(number, state))
+            self._print_line(self._status_line(number, state))
 
-    def _line(self, number: int, state: dict[str, object] | None) -> str:
-        ends = self._tally.ends
-        counts = " ".join(f"{end.value} {ends[end]}" for end in End)
-        times = self._tally.take_first_events()
+    def _status_line(self, number: int, state: dict[str, object] | None) -> str:
+        outcomes = self._statistics.outcomes
+        counts = " ".join(f"{each.value} {outcomes[each]}" for each in Outcome)
+        times = self._statistics.take_first_events()
         waits = "no first events"
         if times:
-            waits = f"first event p50 {_part(times, 0.5)} ms p95 {_part(times, 0.95)} ms"
+            median_ms = _percentile_ms(times, 0.5)
+            waits = f"first event p50 {median_ms} ms p95 {_percentile_ms(times, 0.95)} ms"
         ready = f"gateways {self._ingress.ready}/{len(self._ingress.gateways)}"
         core = "no controller answers"
         if state is not None:
             tail = self._fleet.by_address(str(state["tail"]))
             core = f"epoch {state['epoch']} tail {tail} generation {state['generation']}"
-        return f"{number:>4} s  {counts} retries {self._tally.retries}  {waits}  {ready}  {core}"
+        return (
+            f"{number:>4} s  {counts} retries {self._statistics.retries}  {waits}  {ready}  {core}"
+        )
 
     async def _kill(self) -> None:
-        """Kill a gateway and the chain's tail; then have a second configuration taken."""
-        times = [KILL_ROUTER_S, KILL_CONTROLLER_S]
-        if (seconds := self._plan.seconds) is not None:
-            times = [min(at, seconds * share) for at, share in zip(times, KILL_SHARES, strict=True)]
-        await self._sleep_until(times[0])
+        """Kill a gateway and the chain's tail; then send a second configuration."""
+        kill_router_s = KILL_ROUTER_S
+        kill_controller_s = KILL_CONTROLLER_S
+        if (seconds := self._options.seconds) is not None:
+            kill_router_s = min(kill_router_s, seconds * KILL_ROUTER_FRACTION)
+            kill_controller_s = min(kill_controller_s, seconds * KILL_CONTROLLER_FRACTION)
+        await self._sleep_until(kill_router_s)
         self._kill_one(self._fleet.routers[-1])
-        await self._sleep_until(times[1])
+        await self._sleep_until(kill_controller_s)
         state = await self._operator.status()
         tail = self._fleet.by_address(str(state["tail"])) if state is not None else ""
-        named = [machine for machine in self._fleet.controllers if machine.name == tail]
-        self._kill_one((named or self._fleet.controllers)[0])
+        tails = [machine for machine in self._fleet.controllers if machine.name == tail]
+        self._kill_one((tails or self._fleet.controllers)[0])
         began = time.monotonic()
         await self._operator.send(2)
-        self._say(
+        self._print_line(
             f"configuration 2 taken in {time.monotonic() - began:.1f} s without {tail or 'it'}"
         )
 
     async def _sleep_until(self, at: float) -> None:
+        """Sleep until so many seconds after the first request."""
         await asyncio.sleep(max(0.0, self._began + at - time.monotonic()))
 
     def _kill_one(self, machine: Machine) -> None:
-        self._say(f"killing {machine.name}, pid {machine.pids[-1]}")
+        self._print_line(f"killing {machine.name}, pid {machine.pids[-1]}")
         machine.send(signal.SIGKILL)
 
-    async def _end(self, trouble: str | None) -> Report:
-        late = await self._fleet.end()
+    async def _end(self, error: str | None) -> LabReport:
+        overdue = await self._fleet.end()
         for host in self._hosts:
             await host.stop()
         await self._host_list.stop()
         pids = [pid for machine in self._fleet.machines for pid in machine.pids]
-        tally = self._tally
-        report = Report(dict(tally.ends), tally.retries, tally.faults, late, pids, trouble)
+        statistics = self._statistics
+        report = LabReport(
+            outcomes=dict(statistics.outcomes),
+            retries=statistics.retries,
+            faults=statistics.faults,
+            overdue=overdue,
+            pids=pids,
+            error=error,
+        )
         for line in summary(report):
-            self._say(line)
+            self._print_line(line)
         return report
 
 
-def summary(report: Report) -> list[str]:
+def summary(report: LabReport) -> list[str]:
     """The last lines of a run."""
     lines = [f"fault: {fault}" for fault in report.faults[:MOST_FAULTS]]
-    if report.trouble is not None:
-        lines.append(f"trouble: {report.trouble}")
-    if report.late:
-        lines.append(f"had to be killed: {', '.join(report.late)}")
-    counts = " ".join(f"{end.value} {count}" for end, count in report.ends.items())
+    if report.error is not None:
+        lines.append(f"trouble: {report.error}")
+    if report.overdue:
+        lines.append(f"had to be killed: {', '.join(report.overdue)}")
+    counts = " ".join(f"{outcome.value} {count}" for outcome, count in report.outcomes.items())
     lines.append(
         f"ended: {counts} retries {report.retries}; {len(report.pids)} processes ran, none is left"
     )
     return lines
 
 
-def _part(times: list[float], share: float) -> int:
-    """A percentile of sorted seconds, in ms."""
-    return round(times[min(len(times) - 1, int(len(times) * share))] * 1000)
+def _percentile_ms(times: list[float], fraction: float) -> int:
+    """A percentile of sorted times in seconds; in milliseconds."""
+    return round(times[min(len(times) - 1, int(len(times) * fraction))] * 1000)
--- a/roselink/lab/fleet.py
+++ b/roselink/lab/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet's processes: their settings, start, restart after an end, kill, and end in order."""
+"""The fleet's processes: their settings, starts, restarts, and an orderly end."""
 
 from __future__ import annotations
 
@@ -14,26 +14,29 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
+from roselink.lab.exceptions import RouterCountError, StartError
 from roselink.model.settings import ENVIRONMENT_VARIABLE
 
 if TYPE_CHECKING:
-    from roselink.lab.wire import Address
+    from roselink.lab.http_messages import Address
 
 CONTROLLERS = 3
 MOST_ROUTERS = 100
-RESTART_S = 2.0  # from a process's end to its next start
-GRACE_S = 8.0  # from SIGTERM to SIGKILL
-EXITS_FOR_GOOD = (2, 3)  # settings or addresses that can't work
-FIRST_CONTROLLER, FIRST_ROUTER = 11, 21  # last numbers of their addresses in 127.0.0.x
+# From a process's end to its restart, in seconds.
+RESTART_DELAY_S = 2.0
+# From SIGTERM to SIGKILL, in seconds.
+GRACE_S = 8.0
+# Exit statuses after which a restart can't help: invalid settings, or an address that is in use.
+PERMANENT_EXIT_STATUSES = (2, 3)
+# The last numbers of the first addresses, in 127.0.0.x.
+FIRST_CONTROLLER_NUMBER = 11
+FIRST_ROUTER_NUMBER = 21
+# How many characters of a log an error has.
+LOG_TAIL_CHARACTERS = 600
 PACKAGES = Path(__file__).resolve().parents[2]
 
-Say = Callable[[str], None]
-
-
-class StartFailed(Exception):
-    """A process can't run at all."""
-
-    code = "start_failed"
+# Prints one line.
+LinePrinter = Callable[[str], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,37 +50,50 @@
 
 
 def free_ports(addresses: list[str]) -> Ports:
-    """Ports that are free at each of these addresses just now."""
-    held: list[socket.socket] = []
-    found: list[int] = []
+    """Find ports that are free at each of these addresses at present."""
+    listeners: list[socket.socket] = []
+    ports: list[int] = []
     try:
-        while len(found) < len(Ports.__slots__):
-            probes = _take_one(addresses)
-            held += probes
-            if len(probes) == len(addresses):
-                found.append(probes[0].getsockname()[1])
+        while len(ports) < len(Ports.__slots__):
+            found = _listen_on_free_port(addresses)
+            listeners += found
+            if len(found) == len(addresses):
+                ports.append(found[0].getsockname()[1])
     finally:
-        for probe in held:
-            probe.close()
-    return Ports(*found)
+        for listener in listeners:
+            listener.close()
+    return Ports(*ports)
 
 
-def _take_one(addresses: list[str]) -> list[socket.socket]:
-    """Listeners on one port of the kernel's choice, at as many addresses as have it free."""
-    port, probes = 0, []
+def _listen_on_free_port(addresses: list[str]) -> list[socket.socket]:
+    """Listen on one port of the kernel's choice, at the first addresses that have it free."""
+    port = 0
+    listeners: list[socket.socket] = []
     for address in addresses:
         try:
-            probe = socket.create_server((address, port))
+            listener = socket.create_server((address, port))
         except OSError:
             break
-        port = probe.getsockname()[1]
-        probes.append(probe)
-    return probes
+        port = listener.getsockname()[1]
+        listeners.append(listener)
+    return listeners
 
 
 @dataclass(slots=True)
 class Machine:
-    """One process with its folder: `boot.json`, `log`, and for a controller `disk`."""
+    """One machine: its folder with `boot.json`, `log` and `disk`, and at most one process.
+
+    Attributes:
+        name: its name.
+        role: `controller` or `router`.
+        ip: its address.
+        zone: its zone.
+        folder: its folder.
+        settings: the content of `boot.json`.
+        process: the newest process; None before the first start.
+        pids: the ids of all its processes.
+        status: the exit status of the last process that ended.
+    """
 
     name: str
     role: str
@@ -90,18 +106,21 @@
     status: int | None = None
 
     async def start(self) -> None:
-        """Start the process; its log is appended to."""
+        """Start the process, which appends to the log."""
         path = self.folder / "boot.json"
         path.write_text(json.dumps(self.settings, indent=2))
-        self.settings["bootstrap"] = False  # from the next start on
+        # Only the first start may form a new core.
+        self.settings["bootstrap"] = False
         paths = [str(PACKAGES), *filter(None, [os.environ.get("PYTHONPATH")])]
         variables = {ENVIRONMENT_VARIABLE: str(path), "PYTHONPATH": os.pathsep.join(paths)}
-        kept = {name: os.environ[name] for name in ("PATH", "HOME", "LANG") if name in os.environ}
+        inherited = {
+            name: os.environ[name] for name in ("PATH", "HOME", "LANG") if name in os.environ
+        }
         with (self.folder / "log").open("ab") as log:
             self.process = await asyncio.create_subprocess_exec(
                 *(sys.executable, "-m", "roselink", self.role),
                 cwd=self.folder,
-                env=kept | variables,
+                env=inherited | variables,
                 stdin=asyncio.subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
@@ -116,25 +135,47 @@
         return self.process is not None and self.process.returncode is None
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal to this very process, if it still runs."""
+        """Send a signal to the newest process, if it still runs."""
         if self.process is not None and self.running:
             self.process.send_signal(number)
 
-    def last_words(self) -> str:
+    def log_tail(self) -> str:
         """The end of its log."""
-        return (self.folder / "log").read_text(errors="replace")[-600:]
+        return (self.folder / "log").read_text(errors="replace")[-LOG_TAIL_CHARACTERS:]
 
 
 class Fleet:
-    """All machines."""
-
-    def __init__(self, folder: Path, routers: int, host_list: Address, say: Say) -> None:
+    """All machines, with their processes.
+
+    Attributes:
+        ports: the ports of all machines.
+        controllers: the machines of the control plane.
+        routers: the gateways.
+        machines: all of these.
+    """
+
+    def __init__(
+        self, folder: Path, routers: int, host_list: Address, print_line: LinePrinter
+    ) -> None:
+        """Make the folders and settings of all machines.
+
+        Args:
+            folder: the parent of the machines' folders.
+            routers: how many gateways.
+            host_list: the address of the platform's list of hosts.
+            print_line: prints what happens to processes.
+
+        Raises:
+            RouterCountError: too few or too many gateways.
+        """
         if not 1 <= routers <= MOST_ROUTERS:
-            raise ValueError(f"routers: 1 to {MOST_ROUTERS}")
-        self._folder, self._say, self._ending = folder, say, asyncio.Event()
+            raise RouterCountError(routers, MOST_ROUTERS)
+        self._folder = folder
+        self._print_line = print_line
+        self._ending = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
-        core = [f"127.0.0.{FIRST_CONTROLLER + number}" for number in range(CONTROLLERS)]
-        edge = [f"127.0.0.{FIRST_ROUTER + number}" for number in range(routers)]
+        core = [f"127.0.0.{FIRST_CONTROLLER_NUMBER + number}" for number in range(CONTROLLERS)]
+        edge = [f"127.0.0.{FIRST_ROUTER_NUMBER + number}" for number in range(routers)]
         self.ports = free_ports(core + edge)
         self._seeds = [f"{ip}:{self.ports.admin}" for ip in core]
         self._host_list = "{}:{}".format(*host_list)
@@ -145,11 +186,13 @@
         self.machines = self.controllers + self.routers
 
     def _machine(self, ip: str, number: int, role: str) -> Machine:
-        name, zone = f"{role}-{number + 1}", f"zone-{'abc'[number % 3]}"
+        name = f"{role}-{number + 1}"
+        zone = f"zone-{'abc'[number % 3]}"
         folder = self._folder / name
         disk = folder / "disk"
         disk.mkdir(parents=True)
-        ports, core = self.ports, role == "controller"
+        ports = self.ports
+        core = role == "controller"
         binds = (
             {"admin": ports.admin} if core else {"http": ports.http, "readiness": ports.readiness}
         )
@@ -173,47 +216,54 @@
         return Machine(name, role, ip, zone, folder, settings)
 
     def begin(self) -> None:
-        """Start all, and start again what ends, until `end`."""
-        self._tasks = [asyncio.create_task(self._keep(machine)) for machine in self.machines]
+        """Start all processes, and restart those that end, until `end`."""
+        self._tasks = [asyncio.create_task(self._supervise(machine)) for machine in self.machines]
+
+    async def wait_for_failure(self) -> None:
+        """Wait until a process can't run.
 
-    async def broken(self) -> None:
-        """Wait until a process can't run at all; raises `StartFailed`."""
+        Raises:
+            StartError: a process ended with a status after which it is not restarted.
+        """
         done, _ = await asyncio.wait(self._tasks, return_when=asyncio.FIRST_EXCEPTION)
         for task in done:
             task.result()
 
-    async def _keep(self, machine: Machine) -> None:
+    async def _supervise(self, machine: Machine) -> None:
         while not self._ending.is_set():
             await machine.start()
             assert machine.process is not None
-            if self._ending.is_set():  # asked for while it was started
+            # The end may have begun while the process was started.
+            if self._ending.is_set():
                 machine.send(signal.SIGTERM)
             machine.status = await machine.process.wait()
             if self._ending.is_set():
                 return
-            if machine.status in EXITS_FOR_GOOD:
-                raise StartFailed(
-                    f"{machine.name}: exit status {machine.status}: {machine.last_words()}"
-                )
-            self._say(
+            if machine.status in PERMANENT_EXIT_STATUSES:
+                raise StartError(machine.name, machine.status, machine.log_tail())
+            self._print_line(
                 f"{machine.name} ended with status {machine.status}; "
-                f"starts again in {RESTART_S:g} s"
+                f"starts again in {RESTART_DELAY_S:g} s"
             )
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._ending.wait(), RESTART_S)
+                await asyncio.wait_for(self._ending.wait(), RESTART_DELAY_S)
 
     async def end(self) -> list[str]:
-        """End all processes in order. Returns the names of those that had to be killed."""
+        """End all processes by SIGTERM, and after `GRACE_S` by SIGKILL.
+
+        Returns:
+            The names of the machines whose processes had to be killed.
+        """
         self._ending.set()
         for machine in self.machines:
             machine.send(signal.SIGTERM)
         if self._tasks:
             await asyncio.wait(self._tasks, timeout=GRACE_S)
-        late = [machine.name for machine in self.machines if machine.running]
+        overdue = [machine.name for machine in self.machines if machine.running]
         for machine in self.machines:
             machine.send(signal.SIGKILL)
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        return late
+        return overdue
 
     def by_address(self, address: str) -> str:
         """The name of the machine with that address, or the address."""
--- a/roselink/lab/hosts.py
+++ b/roselink/lab/hosts.py
@@ -1,7 +1,6 @@
-"""Stand-ins for hosts: a model service that answers with event streams, and a service of plain
-answers.
+"""Simulated hosts: a model service with event streams, and a service with plain responses.
 
-What a request asks for decides its answer, so a client can check each byte whichever host gave it.
+The request decides its response, so a client can check each byte whichever host sent it.
 """
 
 from __future__ import annotations
@@ -11,11 +10,21 @@
 import zlib
 from dataclasses import dataclass, field
 
-from roselink.lab.wire import Address, BrokenMessage, Head, chunk, message, read_body, read_head
+from roselink.lab.exceptions import MalformedMessageError
+from roselink.lab.http_messages import (
+    Address,
+    Head,
+    encode_chunk,
+    encode_message,
+    read_body,
+    read_head,
+)
 
 MODEL = "lab-model"
 RECORDS = "lab-records"
-QUEUE = 4  # requests beyond the capacity that wait
+# How many requests beyond the capacity wait.
+QUEUE_LENGTH = 4
+# How long a host takes to the first event, between two events, and for a plain response, seconds.
 FIRST_EVENT_S = 0.04
 EVENT_S = 0.02
 RECORD_S = 0.02
@@ -24,24 +33,33 @@
 
 
 def event(path: str, number: int) -> bytes:
-    """The event of that number in the stream for a path."""
+    """The event with a number in the stream for a path."""
     return f"id: {number}\ndata: {path} {number}\n\n".encode()
 
 
 def record(path: str) -> bytes:
-    """The plain answer for a path."""
+    """The plain response for a path."""
     return json.dumps({"record": path}).encode()
 
 
 def signature(request_id: str) -> str:
-    """The stamp on the answer to a request."""
+    """The signature of the response to a request."""
     return f"{zlib.crc32(request_id.encode()):08x}"
 
 
 @dataclass(slots=True)
 class Host:
-    """One host: so many requests at once, a few more in a queue, the rest is told that it has not
-    run.
+    """One host, which runs a limited number of requests at a time.
+
+    A few more wait in a queue; all others are refused as not executed.
+
+    Attributes:
+        id: its id.
+        service: its service.
+        zone: its zone.
+        capacity: how many requests it runs at a time.
+        address: where it listens.
+        completed: how many requests it has completed.
     """
 
     id: str
@@ -49,9 +67,9 @@
     zone: str
     capacity: int
     address: Address = ("", 0)
-    answered: int = 0
+    completed: int = 0
     _slots: asyncio.Semaphore = field(init=False)
-    _inside: int = 0
+    _in_flight: int = 0
     _server: asyncio.Server | None = None
     _open: set[asyncio.Task[None]] = field(default_factory=set)
 
@@ -70,7 +88,7 @@
         await asyncio.gather(*self._open, return_exceptions=True)
 
     def entry(self) -> dict[str, object]:
-        """This host as it stands in the platform's list."""
+        """This host as an item of the platform's list."""
         return {
             "id": self.id,
             "service": self.service,
@@ -94,27 +112,29 @@
             while True:
                 head = await read_head(reader)
                 await read_body(reader, head)
-                await self._answer(head, writer)
-                if not head.keeps:
+                await self._respond(head, writer)
+                if not head.keep_alive:
                     break
-        except (BrokenMessage, OSError, asyncio.CancelledError):
+        except (MalformedMessageError, OSError, asyncio.CancelledError):
             pass
         finally:
             self._open.discard(task)
             writer.close()
 
-    async def _answer(self, head: Head, writer: asyncio.StreamWriter) -> None:
+    async def _respond(self, head: Head, writer: asyncio.StreamWriter) -> None:
         if head.path == "/healthz":
-            writer.write(message("HTTP/1.1 200 OK", {"X-Instance-Id": self.id}))
+            writer.write(encode_message("HTTP/1.1 200 OK", {"X-Instance-Id": self.id}))
         elif head.path == "/report":
             writer.write(
-                message("HTTP/1.1 200 OK", {"Content-Type": "application/json"}, self._report())
+                encode_message(
+                    "HTTP/1.1 200 OK", {"Content-Type": "application/json"}, self._report()
+                )
             )
         elif (refusal := self._refusal(head)) is not None:
-            stamp = {"X-Request-Id": head.headers.get("x-request-id", "")}
-            writer.write(message(f"HTTP/1.1 {refusal}", NOT_EXECUTED | stamp))
+            echo = {"X-Request-Id": head.headers.get("x-request-id", "")}
+            writer.write(encode_message(f"HTTP/1.1 {refusal}", NOT_EXECUTED | echo))
         else:
-            await self._work(head, writer)
+            await self._execute(head, writer)
         await writer.drain()
 
     def _refusal(self, head: Head) -> str | None:
@@ -122,52 +142,57 @@
             return "400 Bad Request"
         if head.headers.get("x-target-instance", self.id) != self.id:
             return "421 Misdirected Request"
-        if self._inside >= self.capacity + QUEUE:
+        if self._in_flight >= self.capacity + QUEUE_LENGTH:
             return "503 Service Unavailable"
         return None
 
-    async def _work(self, head: Head, writer: asyncio.StreamWriter) -> None:
-        """Run a request; a client that leaves is noticed with the next write."""
-        self._inside += 1
+    async def _execute(self, head: Head, writer: asyncio.StreamWriter) -> None:
+        """Execute a request; a client that has left is noticed at the next write."""
+        self._in_flight += 1
         try:
             async with self._slots:
                 if self.service == MODEL:
                     await self._stream(head, writer)
                 else:
                     await asyncio.sleep(RECORD_S)
-                    writer.write(message("HTTP/1.1 200 OK", self._stamp(head), record(head.path)))
+                    writer.write(
+                        encode_message(
+                            "HTTP/1.1 200 OK", self._signed_headers(head), record(head.path)
+                        )
+                    )
         finally:
-            self._inside -= 1
-        self.answered += 1
+            self._in_flight -= 1
+        self.completed += 1
 
     async def _stream(self, head: Head, writer: asyncio.StreamWriter) -> None:
-        """Events from the one behind `Last-Event-Id` on; the second number of X-Token-Usage says
-        how many.
-        """
-        _, _, asked = head.headers.get("x-token-usage", "0,1").partition(",")
-        events = min(int(asked), MOST_EVENTS)
+        """Send the events after `Last-Event-Id`, up to the second number of `X-Token-Usage`."""
+        _, _, requested = head.headers.get("x-token-usage", "0,1").partition(",")
+        events = min(int(requested), MOST_EVENTS)
         first = int(head.headers.get("last-event-id", "0")) + 1
         await asyncio.sleep(FIRST_EVENT_S)
-        headers = self._stamp(head) | {"Content-Type": "text/event-stream", "Versions": "1"}
-        writer.write(message("HTTP/1.1 200 OK", headers, None))
+        headers = self._signed_headers(head) | {
+            "Content-Type": "text/event-stream",
+            "Versions": "1",
+        }
+        writer.write(encode_message("HTTP/1.1 200 OK", headers, None))
         for number in range(first, events + 1):
-            writer.write(chunk(event(head.path, number)))
+            writer.write(encode_chunk(event(head.path, number)))
             await writer.drain()
             await asyncio.sleep(EVENT_S)
-        writer.write(chunk(b""))
+        writer.write(encode_chunk(b""))
 
-    def _stamp(self, head: Head) -> dict[str, str]:
+    def _signed_headers(self, head: Head) -> dict[str, str]:
         request_id = head.headers["x-request-id"]
         return {"X-Request-Id": request_id, "X-Response-Signature": signature(request_id)}
 
     def _report(self) -> bytes:
-        running = min(self._inside, self.capacity)
+        running = min(self._in_flight, self.capacity)
         state = {
             "stage": "dual",
             "models": [{"name": "m", "generation": 1, "adapters": []}],
             "busy": False,
         }
-        load = {"sequence": 0, "waiting": self._inside - running, "running": running}
+        load = {"sequence": 0, "waiting": self._in_flight - running, "running": running}
         return json.dumps(state | load | {"kv_used": 0, "kv_total": 100000, "handles": 0}).encode()
 
 
--- a/roselink/lab/operator.py
+++ b/roselink/lab/operator.py
@@ -1,27 +1,24 @@
-"""A stand-in for the operator: writes configurations, sends them until they are taken, reads the
-state.
-"""
+"""A simulated operator: sends configurations until they are confirmed, and reads the status."""
 
 from __future__ import annotations
 
 import asyncio
 import json
+from http import HTTPStatus
 from typing import Any
 
+from roselink.lab.exceptions import ConfigurationRefusedError
 from roselink.lab.hosts import MODEL, RECORDS
-from roselink.lab.wire import Address, ask
+from roselink.lab.http_messages import Address, Request, send_request
 
 HOSTNAME = "lab.example"
 KEY = "lab-key"
-SILENCE_S = 2.5  # an order's answer may take so long
-STATUS_SILENCE_S = 0.8
-PAUSE_S, MOST_PAUSE_S = 0.1, 0.8
-
-
-class OrderRefused(Exception):
-    """The fleet refused the configuration."""
-
-    code = "order_refused"
+# The time-outs of the two kinds of requests, in seconds.
+REPLACE_TIMEOUT_S = 2.5
+STATUS_TIMEOUT_S = 0.8
+# The first and the longest pause before a retry, in seconds; each is twice the one before.
+FIRST_RETRY_PAUSE_S = 0.1
+LONGEST_RETRY_PAUSE_S = 0.8
 
 
 def configuration(generation: int) -> dict[str, Any]:
@@ -65,37 +62,50 @@
 
 
 class Operator:
-    """Sends orders to any controller that answers."""
+    """Sends configurations to the controllers in turn, until one confirms.
+
+    Attributes:
+        generation: the generation of the last confirmed configuration.
+    """
 
     def __init__(self, controllers: list[Address]) -> None:
+        """Take the addresses of all controllers' admin APIs."""
         self._controllers = controllers
         self.generation = 0
 
     async def send(self, generation: int) -> None:
-        """Send a configuration on top of the last one until it is taken; raises `OrderRefused`."""
+        """Send a configuration that builds on the last one, until it is confirmed.
+
+        Raises:
+            ConfigurationRefusedError: the fleet refused it.
+        """
         body = json.dumps(configuration(generation)).encode()
         headers = {"X-Base-Version": str(self.generation), "Content-Type": "application/json"}
-        pause_s, tries = PAUSE_S, 0
+        request = Request("POST", "/config/replace", body, headers)
+        pause_s = FIRST_RETRY_PAUSE_S
+        attempts = 0
         while True:
-            address = self._controllers[tries % len(self._controllers)]
-            tries += 1
-            answer = await ask(address, "POST", "/config/replace", SILENCE_S, body, headers)
-            if answer is not None and answer.head.status == 200:
+            address = self._controllers[attempts % len(self._controllers)]
+            attempts += 1
+            response = await send_request(address, request, timeout_s=REPLACE_TIMEOUT_S)
+            if response is not None and response.head.status == HTTPStatus.OK:
                 self.generation = generation
                 return
-            if answer is not None and answer.head.status < 500:
-                raise OrderRefused(
-                    f"status {answer.head.status}: {answer.body.decode(errors='replace')}"
+            if response is not None and response.head.status < HTTPStatus.INTERNAL_SERVER_ERROR:
+                raise ConfigurationRefusedError(
+                    response.head.status, response.body.decode(errors="replace")
                 )
             await asyncio.sleep(pause_s)
-            pause_s = min(MOST_PAUSE_S, pause_s * 2)
+            pause_s = min(LONGEST_RETRY_PAUSE_S, pause_s * 2)
 
     async def status(self) -> dict[str, Any] | None:
-        """The state as the first controller that has it confirmed tells it."""
+        """The status of the first controller that has it confirmed; None if there is none."""
         for address in self._controllers:
-            answer = await ask(address, "GET", "/status", STATUS_SILENCE_S)
-            if answer is not None and answer.head.status == 200:
-                state: dict[str, Any] = json.loads(answer.body)
+            response = await send_request(
+                address, Request("GET", "/status"), timeout_s=STATUS_TIMEOUT_S
+            )
+            if response is not None and response.head.status == HTTPStatus.OK:
+                state: dict[str, Any] = json.loads(response.body)
                 if state["confirmed"]:
                     return state
         return None
--- a/roselink/lab/platform.py
+++ b/roselink/lab/platform.py
@@ -1,32 +1,42 @@
-"""A stand-in for the platform: the list of hosts, and the choice of gateways for new
-connections.
-"""
+"""A simulated platform: the list of hosts, and the load balancer in front of the gateways."""
 
 from __future__ import annotations
 
 import asyncio
 import json
-import random
 from dataclasses import dataclass, field
+from http import HTTPStatus
+from random import Random
 from typing import TYPE_CHECKING
 
-from roselink.lab.wire import Address, BrokenMessage, ask, message, read_body, read_head
+from roselink.lab.exceptions import MalformedMessageError
+from roselink.lab.http_messages import (
+    Address,
+    Request,
+    encode_message,
+    read_body,
+    read_head,
+    send_request,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Collection
 
     from roselink.lab.hosts import Host
 
-ASK_EVERY_S = 1.0  # for readiness
-FIRST_ASK_EVERY_S = 0.1  # until a gateway was ready once
-SILENCE_S = 0.8
-MISSES = 2
+# The interval of readiness checks, in seconds; and until a gateway was ready once.
+CHECK_INTERVAL_S = 1.0
+FIRST_CHECK_INTERVAL_S = 0.1
+CHECK_TIMEOUT_S = 0.8
+# After so many failed checks in a row a gateway gets no new connections.
+FAILED_CHECKS = 2
 
 
 class HostList:
     """Serves `GET /instances`: one page with all hosts."""
 
     def __init__(self, hosts: list[Host]) -> None:
+        """Take the hosts of the list."""
         self._hosts = hosts
         self._open: set[asyncio.Task[None]] = set()
         self.address: Address = ("", 0)
@@ -58,9 +68,11 @@
                     "next_page_token": None,
                 }
                 body = json.dumps(listed).encode()
-                writer.write(message("HTTP/1.1 200 OK", {"Content-Type": "application/json"}, body))
+                writer.write(
+                    encode_message("HTTP/1.1 200 OK", {"Content-Type": "application/json"}, body)
+                )
                 await writer.drain()
-        except (BrokenMessage, OSError, asyncio.CancelledError):
+        except (MalformedMessageError, OSError, asyncio.CancelledError):
             pass
         finally:
             self._open.discard(task)
@@ -69,50 +81,61 @@
 
 @dataclass(slots=True)
 class Gateway:
-    """A gateway as the ingress knows it."""
+    """A gateway as the ingress knows it.
+
+    Attributes:
+        name: its name.
+        http: the address for clients.
+        readiness: the address for readiness checks.
+        ready: whether it gets new connections.
+        failures: how many checks in a row have failed.
+    """
 
     name: str
     http: Address
     readiness: Address
     ready: bool = False
-    misses: int = 0
+    failures: int = 0
 
 
 @dataclass(slots=True)
 class Ingress:
-    """Asks each gateway whether it is ready, and hands new connections to those that are."""
+    """Checks the readiness of gateways, and gives new connections to those that are ready."""
 
     gateways: list[Gateway]
-    chance: random.Random = field(default_factory=random.Random)
+    random: Random = field(default_factory=Random)
     changed: asyncio.Event = field(default_factory=asyncio.Event)
 
     async def watch(self) -> None:
-        """Ask until cancelled."""
+        """Check until cancelled."""
         async with asyncio.TaskGroup() as group:
             for gateway in self.gateways:
                 group.create_task(self._watch(gateway))
 
     async def _watch(self, gateway: Gateway) -> None:
-        known = False
+        was_ready = False
         while True:
-            answer = await ask(gateway.readiness, "GET", "/readyz", SILENCE_S)
-            self.heard(gateway, answer is not None and answer.head.status == 200)
-            known = known or gateway.ready
-            await asyncio.sleep(ASK_EVERY_S if known else FIRST_ASK_EVERY_S)
-
-    def heard(self, gateway: Gateway, well: bool) -> None:
-        """Note one answer: two misses take a gateway out, one good answer takes it in."""
-        gateway.misses = 0 if well else gateway.misses + 1
-        ready = well or (gateway.ready and gateway.misses < MISSES)
+            response = await send_request(
+                gateway.readiness, Request("GET", "/readyz"), timeout_s=CHECK_TIMEOUT_S
+            )
+            passed = response is not None and response.head.status == HTTPStatus.OK
+            self.record_check(gateway, passed=passed)
+            was_ready = was_ready or gateway.ready
+            await asyncio.sleep(CHECK_INTERVAL_S if was_ready else FIRST_CHECK_INTERVAL_S)
+
+    def record_check(self, gateway: Gateway, *, passed: bool) -> None:
+        """Record a readiness check: two failures remove a gateway, one success adds it."""
+        gateway.failures = 0 if passed else gateway.failures + 1
+        ready = passed or (gateway.ready and gateway.failures < FAILED_CHECKS)
         if ready != gateway.ready:
             gateway.ready = ready
             self.changed.set()
 
     def pick(self, tried: Collection[str] = ()) -> Gateway | None:
-        """A ready gateway, rather one that wasn't tried; None if none is ready."""
+        """A random ready gateway, preferably one that wasn't tried; None if none is ready."""
         ready = [gateway for gateway in self.gateways if gateway.ready]
         fresh = [gateway for gateway in ready if gateway.name not in tried]
-        return self.chance.choice(fresh or ready) if ready else None
+        return self.random.choice(fresh or ready) if ready else None
 
     @property
     def ready(self) -> int:
@@ -120,7 +143,7 @@
         return sum(gateway.ready for gateway in self.gateways)
 
     async def all_ready(self) -> None:
-        """Return once every gateway is ready."""
+        """Wait until every gateway is ready."""
         while self.ready < len(self.gateways):
             self.changed.clear()
             await self.changed.wait()
--- a/tests/lab/test_stand_ins.py
+++ b/tests/lab/test_stand_ins.py
@@ -1,6 +1,4 @@
-"""The lab's own parts: clients that notice what is wrong, hosts, readiness, processes that can't
-start.
-"""
+"""The lab's own parts: clients that detect faults, hosts, readiness, processes that can't start."""
 
 from __future__ import annotations
 
@@ -12,12 +10,22 @@
 
 from roselink.controller.validation import ValidationFailure, validate_document
 from roselink.lab import clients
-from roselink.lab.clients import Client, End, Tally
-from roselink.lab.fleet import Fleet, StartFailed, free_ports
+from roselink.lab.clients import Client, Outcome, Statistics
+from roselink.lab.exceptions import StartError
+from roselink.lab.fleet import Fleet, free_ports
 from roselink.lab.hosts import MODEL, RECORDS, Host, event, record, signature
+from roselink.lab.http_messages import (
+    Head,
+    Request,
+    Response,
+    encode_chunk,
+    encode_message,
+    read_body,
+    read_head,
+    send_request,
+)
 from roselink.lab.operator import configuration
 from roselink.lab.platform import Gateway, Ingress
-from roselink.lab.wire import Answer, Head, ask, chunk, message, read_body, read_head
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -31,13 +39,13 @@
 
 
 def events(head: Head, *numbers: int) -> bytes:
-    body = b"".join(chunk(event(head.path, number)) for number in numbers)
-    return message("HTTP/1.1 200 OK", stamped(head), None) + body
+    body = b"".join(encode_chunk(event(head.path, number)) for number in numbers)
+    return encode_message("HTTP/1.1 200 OK", stamped(head), None) + body
 
 
 def whole(head: Head) -> bytes:
     first = int(head.headers.get("last-event-id", "0")) + 1
-    return events(head, *range(first, 4)) + chunk(b"")
+    return events(head, *range(first, 4)) + encode_chunk(b"")
 
 
 def cut(head: Head) -> bytes:
@@ -45,11 +53,11 @@
 
 
 def gap(head: Head) -> bytes:
-    return events(head, 1, 3) + chunk(b"")
+    return events(head, 1, 3) + encode_chunk(b"")
 
 
 def short(head: Head) -> bytes:
-    return events(head, 1) + chunk(b"")
+    return events(head, 1) + encode_chunk(b"")
 
 
 def unstamped(head: Head) -> bytes:
@@ -57,72 +65,79 @@
 
 
 def other_body(head: Head) -> bytes:
-    return message("HTTP/1.1 200 OK", stamped(head), b"something else")
+    return encode_message("HTTP/1.1 200 OK", stamped(head), b"something else")
 
 
 def plain(head: Head) -> bytes:
-    return message("HTTP/1.1 200 OK", stamped(head), record(head.path))
+    return encode_message("HTTP/1.1 200 OK", stamped(head), record(head.path))
 
 
 def status(code: int) -> Script:
-    return lambda head: message(f"HTTP/1.1 {code} -", {"Retry-After": "0.01"})
+    return lambda _head: encode_message(f"HTTP/1.1 {code} -", {"Retry-After": "0.01"})
 
 
-def nothing(head: Head) -> bytes:
+def nothing(_head: Head) -> bytes:
     return b""
 
 
 @pytest.mark.parametrize(
-    ("kind", "scripts", "end", "retries"),
+    ("kind", "scripts", "outcome", "retries"),
     [
-        ("chat", [whole], End.SERVED, 0),
-        ("chat", [cut, whole], End.SERVED, 1),
-        ("chat", [nothing, status(503), status(502), whole], End.SERVED, 3),
-        ("chat", [cut, cut, cut, cut], End.FAILED, 3),
-        ("chat", [gap, gap, gap, gap], End.FAILED, 3),
-        ("chat", [short, gap, gap, gap], End.FAILED, 3),
-        ("chat", [unstamped] * 4, End.FAILED, 3),
-        ("chat", [status(503)] * 4, End.REFUSED, 3),
-        ("chat", [status(429)] * 4, End.REFUSED, 3),
-        ("chat", [status(504)] * 4, End.FAILED, 3),
-        ("lookup", [plain], End.SERVED, 0),
-        ("lookup", [other_body] * 4, End.FAILED, 3),
+        ("chat", [whole], Outcome.SERVED, 0),
+        ("chat", [cut, whole], Outcome.SERVED, 1),
+        ("chat", [nothing, status(503), status(502), whole], Outcome.SERVED, 3),
+        ("chat", [cut, cut, cut, cut], Outcome.FAILED, 3),
+        ("chat", [gap, gap, gap, gap], Outcome.FAILED, 3),
+        ("chat", [short, gap, gap, gap], Outcome.FAILED, 3),
+        ("chat", [unstamped] * 4, Outcome.FAILED, 3),
+        ("chat", [status(503)] * 4, Outcome.REFUSED, 3),
+        ("chat", [status(429)] * 4, Outcome.REFUSED, 3),
+        ("chat", [status(504)] * 4, Outcome.FAILED, 3),
+        ("lookup", [plain], Outcome.SERVED, 0),
+        ("lookup", [other_body] * 4, Outcome.FAILED, 3),
     ],
 )
 def test_a_client_tells_how_its_request_ended(
-    monkeypatch: pytest.MonkeyPatch, kind: str, scripts: list[Script], end: End, retries: int
+    monkeypatch: pytest.MonkeyPatch,
+    kind: str,
+    scripts: list[Script],
+    outcome: Outcome,
+    retries: int,
 ) -> None:
     monkeypatch.setattr(clients, "LOOKUPS", 1.0 if kind == "lookup" else 0.0)
     monkeypatch.setattr(clients, "EVENTS", (3, 3))
-    left = iter(scripts)
+    remaining = iter(scripts)
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         head = await read_head(reader)
         await read_body(reader, head)
-        writer.write(next(left)(head))
+        writer.write(next(remaining)(head))
         writer.close()
 
-    async def work() -> Tally:
+    async def work() -> Statistics:
         async with asyncio.timeout(BOUND_S):
             server = await asyncio.start_server(serve, "127.0.0.1", 0)
             address = server.sockets[0].getsockname()[:2]
-            tally, stopping = Tally(), asyncio.Event()
+            statistics = Statistics()
+            stopping = asyncio.Event()
             client = Client(
-                "c", Ingress([Gateway("g", address, address, ready=True)]), tally, stopping
+                "c", Ingress([Gateway("g", address, address, ready=True)]), statistics, stopping
             )
             running = asyncio.create_task(client.run())
-            while not any(tally.ends.values()):
+            while not any(statistics.outcomes.values()):
                 await asyncio.sleep(0)
             stopping.set()
             await running
             server.close()
-            return tally
-
-    tally = asyncio.run(work())
-    assert tally.ends == dict.fromkeys(End, 0) | {end: 1}
-    assert tally.retries == retries
-    assert len(tally.faults) == (1 if end is End.FAILED else 0)
-    assert len(tally.take_first_events()) == (1 if end is End.SERVED and kind == "chat" else 0)
+            return statistics
+
+    statistics = asyncio.run(work())
+    assert statistics.outcomes == dict.fromkeys(Outcome, 0) | {outcome: 1}
+    assert statistics.retries == retries
+    assert len(statistics.faults) == (1 if outcome is Outcome.FAILED else 0)
+    assert len(statistics.take_first_events()) == (
+        1 if outcome is Outcome.SERVED and kind == "chat" else 0
+    )
 
 
 @pytest.mark.parametrize(
@@ -151,31 +166,33 @@
     ],
 )
 def test_a_host_answers(service: str, headers: dict[str, str], status: int, body: bytes) -> None:
-    async def work() -> Answer | None:
+    async def work() -> Response | None:
         host = Host("h", service, "zone-a", 4)
         await host.start()
-        answer = await ask(host.address, "POST", "/p", BOUND_S, b"{}", headers)
+        response = await send_request(
+            host.address, Request("POST", "/p", b"{}", headers), timeout_s=BOUND_S
+        )
         await host.stop()
-        return answer
+        return response
 
-    answer = asyncio.run(work())
-    assert answer is not None
-    assert (answer.head.status, answer.body) == (status, body)
-    assert ("x-not-executed" in answer.head.headers) is (status != 200)
-    assert answer.head.headers.get("x-response-signature") == (
+    response = asyncio.run(work())
+    assert response is not None
+    assert (response.head.status, response.body) == (status, body)
+    assert ("x-not-executed" in response.head.headers) is (status != 200)
+    assert response.head.headers.get("x-response-signature") == (
         signature("a") if status == 200 else None
     )
 
 
 @pytest.mark.parametrize(
-    ("heard", "ready"),
+    ("checks", "ready"),
     [([True], True), ([False], False), ([True, False], True), ([True, False, False], False)],
 )
-def test_two_misses_take_a_gateway_out(heard: list[bool], ready: bool) -> None:
+def test_two_misses_take_a_gateway_out(checks: list[bool], *, ready: bool) -> None:
     gateway = Gateway("g", ("", 0), ("", 0))
     ingress = Ingress([gateway])
-    for well in heard:
-        ingress.heard(gateway, well)
+    for passed in checks:
+        ingress.record_check(gateway, passed=passed)
     assert gateway.ready is ready
     assert ingress.pick() is (gateway if ready else None)
 
@@ -200,18 +217,18 @@
     assert len({ports.http, ports.readiness, ports.admin, ports.peer}) == 4
 
 
-def test_a_process_that_cannot_run_is_told_with_its_last_words(tmp_path: Path) -> None:
+def test_a_process_that_cannot_run_is_reported_with_the_end_of_its_log(tmp_path: Path) -> None:
     async def work() -> list[str]:
-        fleet = Fleet(tmp_path, 1, ("127.0.0.1", 1), lambda line: None)
+        fleet = Fleet(tmp_path, 1, ("127.0.0.1", 1), lambda _line: None)
         for machine in fleet.machines:
             machine.settings["ip"] = 5
         fleet.begin()
         async with asyncio.timeout(BOUND_S):
-            with pytest.raises(StartFailed, match="settings: ip: must be text"):
-                await fleet.broken()
-        late = await fleet.end()
+            with pytest.raises(StartError, match="settings: ip: must be text"):
+                await fleet.wait_for_failure()
+        overdue = await fleet.end()
         assert not any(machine.running for machine in fleet.machines)
-        return late
+        return overdue
 
     assert asyncio.run(work()) == []
 
@@ -219,4 +236,4 @@
 @pytest.mark.parametrize("routers", [0, 101])
 def test_a_fleet_has_a_bounded_number_of_gateways(tmp_path: Path, routers: int) -> None:
     with pytest.raises(ValueError, match="routers"):
-        Fleet(tmp_path, routers, ("127.0.0.1", 1), lambda line: None)
+        Fleet(tmp_path, routers, ("127.0.0.1", 1), lambda _line: None)
