--- a/roselink/controller/host_list_client.py
+++ b/roselink/controller/host_list_client.py
@@ -1,21 +1,21 @@
-"""The driver of the list reader: treq's client on a pool that keeps one connection to the platform.
+"""The driver of the host list's reader: treq on a pool that keeps one connection to the platform.
 
-Where the member must stop reading it cancels the open call: at most the one under way reaches the
-platform.
+Where the member must stop reading it cancels the open call, so that at most the one in flight
+reaches the platform.
 """
 
 from __future__ import annotations
 
 import random
 import time
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Protocol
 
 import structlog
 from treq.client import HTTPClient
 from twisted.internet.endpoints import TCP4ClientEndpoint
 from twisted.python.failure import Failure
 from twisted.web.client import Agent, HTTPConnectionPool
-from twisted.web.iweb import IAgentEndpointFactory, IResponse
+from twisted.web.iweb import IAgentEndpointFactory
 from zope.interface import implementer  # type: ignore[import-untyped]
 
 from roselink.controller.host_list_reader import (
@@ -23,9 +23,10 @@
     HostListReader,
     HostsListed,
     LogWarning,
+    Page,
     ReaderEffect,
     ReaderTimes,
-    WakeAt,
+    SetTimer,
     parse_page,
 )
 
@@ -33,58 +34,80 @@
     from collections.abc import Callable
 
     from twisted.internet.defer import Deferred
+    from twisted.web.client import URI
 
+    from roselink.controller.twisted_reactor import DelayedCall, Reactor
     from roselink.model.fleet import Host
     from roselink.model.settings import Platform
 
 CONNECT_TIMEOUT_S = 0.6
-IDLE_TIMEOUT_S = 30  # an idle connection is closed after so long
+# An idle connection is closed after so long.
+IDLE_TIMEOUT_S = 30
 
 log = structlog.get_logger("roselink.platform")
 
 
+class _Response(Protocol):
+    """What is used of treq's response."""
+
+    code: int
+
+    def content(self) -> Deferred[bytes]:
+        """Read the body."""
+
+
 @implementer(IAgentEndpointFactory)
-class _ByNumber:
-    """Endpoints for addresses that are IP numbers: no name is looked up."""
+class _NumericEndpoints:
+    """Endpoints for addresses that are IP numbers: no name is resolved."""
 
-    def __init__(self, reactor: Any) -> None:
+    def __init__(self, reactor: Reactor) -> None:
         self._reactor = reactor
 
-    def endpointForURI(self, uri: Any) -> TCP4ClientEndpoint:
+    def endpointForURI(self, uri: URI) -> TCP4ClientEndpoint:
         return TCP4ClientEndpoint(
             self._reactor, uri.host.decode(), uri.port, timeout=CONNECT_TIMEOUT_S
         )
 
 
 class HostListClient:
-    """Reads the list while it holds the role; `listed(epoch, hosts)` gets each whole list."""
+    """Reads the list while it has the role."""
 
     def __init__(
         self,
-        reactor: Any,
+        reactor: Reactor,
         platform: Platform,
         listed: Callable[[int, tuple[Host, ...]], None],
         clock: Callable[[], float] = time.monotonic,
         times: ReaderTimes | None = None,
     ) -> None:
+        """Make the client, which does not read yet.
+
+        Args:
+            reactor: Twisted's reactor.
+            platform: the platform's address and rate.
+            listed: gets each complete list, with the view's epoch.
+            clock: a steady clock, in seconds.
+            times: bounds of the reader's schedule.
+        """
         self._reactor = reactor
-        self._clock, self._listed = clock, listed
+        self._clock = clock
+        self._listed = listed
         times = times or ReaderTimes()
-        self._call_s = times.call_s
+        self._call_timeout_s = times.call_timeout_s
         self._reader = HostListReader(platform.rate_per_s, random.Random(), times)
         self._url = f"http://{platform.address[0]}:{platform.address[1]}/instances"
         self._pool = HTTPConnectionPool(reactor, persistent=True)  # type: ignore[no-untyped-call]
         self._pool.maxPersistentPerHost = 1
         self._pool.cachedConnectionTimeout = IDLE_TIMEOUT_S
         self._pool.retryAutomatically = False
-        endpoints = _ByNumber(reactor)
+        endpoints = _NumericEndpoints(reactor)
         agent = Agent.usingEndpointFactory(reactor, endpoints, self._pool)  # type: ignore[no-untyped-call]
         self._http = HTTPClient(agent)
-        self._wake: Any = None
-        self._call: Deferred[Any] | None = None
+        self._timer: DelayedCall | None = None
+        self._call: Deferred[tuple[int, bytes]] | None = None
 
     def set_role(self, epoch: int | None) -> None:
-        """Hold the reader's role in a view; None: not at all."""
+        """Have the reader's role in the view with this epoch; None: give it up."""
         if epoch is None:
             self._apply(self._reader.stop())
             self._cancel()
@@ -98,10 +121,11 @@
         return closed
 
     def _cancel(self) -> None:
-        if self._wake is not None and self._wake.active():
-            self._wake.cancel()
-        self._wake = None
-        call, self._call = self._call, None
+        if self._timer is not None and self._timer.active():
+            self._timer.cancel()
+        self._timer = None
+        call = self._call
+        self._call = None
         if call is not None:
             call.cancel()
 
@@ -110,41 +134,42 @@
             match effect:
                 case Fetch(number, page_token):
                     self._fetch(number, page_token)
-                case WakeAt(at):
-                    self._wake_at(at)
+                case SetTimer(at):
+                    self._set_timer(at)
                 case HostsListed(epoch, hosts):
                     self._listed(epoch, hosts)
                 case LogWarning(event, detail):
                     log.warning(event, detail=detail)
 
-    def _wake_at(self, at: float) -> None:
-        if self._wake is not None and self._wake.active():
-            self._wake.cancel()
-        self._wake = self._reactor.callLater(max(0.0, at - self._clock()), self._woken)
+    def _set_timer(self, at: float) -> None:
+        if self._timer is not None and self._timer.active():
+            self._timer.cancel()
+        self._timer = self._reactor.callLater(max(0.0, at - self._clock()), self._timer_expired)
 
-    def _woken(self) -> None:
-        self._wake = None
-        self._apply(self._reader.woken(self._clock()))
+    def _timer_expired(self) -> None:
+        self._timer = None
+        self._apply(self._reader.timer_expired(self._clock()))
 
     def _fetch(self, number: int, page_token: str | None) -> None:
-        if self._call is not None:  # of a former view
+        # A call that is open here is of a former view.
+        if self._call is not None:
             self._call.cancel()
         call = self._http.get(self._url, params={"page_token": page_token} if page_token else None)
-        whole: Deferred[tuple[int, bytes]] = call.addCallback(self._body)
-        whole.addTimeout(self._call_s, self._reactor)
-        self._call = whole
-        whole.addBoth(self._finish, number, whole)
+        page: Deferred[tuple[int, bytes]] = call.addCallback(self._body)
+        page.addTimeout(self._call_timeout_s, self._reactor)  # type: ignore[arg-type]
+        self._call = page
+        page.addBoth(self._finish, number, page)
 
-    def _body(self, response: Any) -> Deferred[tuple[int, bytes]]:
-        answer: IResponse = response
-        body: Deferred[bytes] = response.content()
-        return body.addCallback(lambda content: (answer.code, content))
+    def _body(self, response: _Response) -> Deferred[tuple[int, bytes]]:
+        return response.content().addCallback(lambda content: (response.code, content))
 
-    def _finish(self, outcome: Any, number: int, call: Deferred[Any]) -> None:
+    def _finish(
+        self, outcome: Failure | tuple[int, bytes], number: int, call: Deferred[tuple[int, bytes]]
+    ) -> None:
         if self._call is call:
             self._call = None
         if isinstance(outcome, Failure):
-            page: Any = f"{type(outcome.value).__name__}: {outcome.getErrorMessage()}"
+            page: Page | str = f"{type(outcome.value).__name__}: {outcome.getErrorMessage()}"
         else:
             page = parse_page(*outcome)
-        self._apply(self._reader.answered(self._clock(), number, page))
+        self._apply(self._reader.fetch_completed(self._clock(), number, page))
--- a/roselink/controller/host_list_reader.py
+++ b/roselink/controller/host_list_reader.py
@@ -1,8 +1,8 @@
-"""Reading the platform's list of hosts: its entries, and the schedule of the calls. Sans I/O.
+"""Reading the platform's list of hosts: parsing its pages, and the schedule of calls. Sans I/O.
 
-A pass reads all pages, one call at a time; only a whole pass replaces the list. A call costs money
-and all processes share the platform's rate, so only the fleet's one reader asks, seldom when it is
-calm, and with growing waits when calls fail.
+A pass reads all pages, one call at a time; only a complete pass replaces the list. A call costs
+money and all processes share the platform's rate limit, so only the fleet's one reader calls: at an
+interval while calls succeed, with exponential backoff and jitter while they fail.
 """
 
 from __future__ import annotations
@@ -10,61 +10,79 @@
 import json
 from collections.abc import Mapping
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from roselink.model.fleet import Host, HostState
 
 if TYPE_CHECKING:
     import random
 
-RATE_SHARE = (
-    0.5  # of the platform's rate: the rest is left for a former reader that has not stopped yet
-)
-MOST_PAGES = 10_000  # a list that goes on longer never ends
-PAGE_TRIES = 3  # of one page, before the pass begins again
+    from roselink.controller.field_validators import JsonObject, JsonValue
+
+# Of the platform's rate: the rest is left for a former reader that has not stopped yet.
+RATE_FRACTION = 0.5
+# A list with more pages is taken to be endless, and ends there.
+MAX_PAGES = 10_000
+# Of one page, before the pass begins again.
+MAX_PAGE_ATTEMPTS = 3
+# Doublings of the backoff, so that its exponent stays bounded.
+MAX_BACKOFF_DOUBLINGS = 10
+HTTP_OK = 200
+MAX_PORT = 65535
+# Integers up to here are exact as floating-point numbers.
+MAX_EXACT_INTEGER = 2**53
 
 
 @dataclass(frozen=True, slots=True)
 class ReaderTimes:
-    """Bounds of the schedule, in seconds: from pass to pass, the waits after failed calls, and one
-    call.
+    """Bounds of the schedule, in seconds.
+
+    Attributes:
+        interval_s: from the begin of a pass to that of the next.
+        backoff_s: doubled with each failed call in a row; the wait is 50 to 100% of that.
+        max_backoff_s: the longest wait after failed calls.
+        call_timeout_s: the time-out of one call.
     """
 
     interval_s: float = 0.6
     backoff_s: float = 0.1
-    most_backoff_s: float = 1.0
-    call_s: float = 1.0
+    max_backoff_s: float = 1.0
+    call_timeout_s: float = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """One answer of the platform: its entries, those that can't be read, and the token of the next
-    page.
+    """One response of the platform.
+
+    Attributes:
+        hosts: its valid entries.
+        invalid: why each other entry is invalid.
+        next_token: the token of the next page; None for the last.
     """
 
     hosts: tuple[Host, ...]
-    unreadable: tuple[str, ...]
+    invalid: tuple[str, ...]
     next_token: str | None
 
 
 @dataclass(frozen=True, slots=True)
 class Fetch:
-    """Ask for a page (None: the first); the end comes back as `answered` with this number."""
+    """Fetch a page (None: the first); its end comes back as `fetch_completed` with this number."""
 
     number: int
     page_token: str | None
 
 
 @dataclass(frozen=True, slots=True)
-class WakeAt:
-    """Call `woken` at this time; a later one replaces it."""
+class SetTimer:
+    """Call `timer_expired` at this time; a later `SetTimer` replaces it."""
 
     at: float
 
 
 @dataclass(frozen=True, slots=True)
 class HostsListed:
-    """The whole list, from a pass that began in this view."""
+    """The complete list, from a pass that began in this view."""
 
     epoch: int
     hosts: tuple[Host, ...]
@@ -72,18 +90,18 @@
 
 @dataclass(frozen=True, slots=True)
 class LogWarning:
-    """Something to be logged."""
+    """A warning that the driver logs."""
 
     event: str
     detail: str
 
 
-ReaderEffect = Fetch | WakeAt | HostsListed | LogWarning
+ReaderEffect = Fetch | SetTimer | HostsListed | LogWarning
 
 
 def parse_page(status: int, body: bytes) -> Page | str:
-    """The page in an answer, or why there is none."""
-    if status != 200:
+    """The page in a response, or why there is none."""
+    if status != HTTP_OK:
         return f"status {status}"
     try:
         document = json.loads(body)
@@ -95,54 +113,58 @@
     token = document.get("next_page_token")
     if token is not None and not isinstance(token, str):
         token = json.dumps(token)
-    hosts, unreadable = [], []
+    hosts: list[Host] = []
+    invalid: list[str] = []
     for entry in entries:
         host = parse_host(entry)
         if isinstance(host, Host):
             hosts.append(host)
         else:
-            unreadable.append(host)
-    return Page(tuple(hosts), tuple(unreadable), token or None)
+            invalid.append(host)
+    return Page(tuple(hosts), tuple(invalid), token or None)
 
 
-def parse_host(entry: object) -> Host | str:
-    """The host in an entry, or why it can't be read."""
+def parse_host(entry: JsonValue) -> Host | str:
+    """The host in an entry, or why the entry is invalid."""
     if not isinstance(entry, Mapping):
         return "no object"
+    fields: JsonObject = entry
     for name in ("id", "service", "address"):
-        if not isinstance(entry.get(name), str) or not entry[name]:
-            return f"{entry.get('id')!r}: no {name}"
-    address, colon, port = entry["address"].rpartition(":")
-    if not (colon and address and port.isascii() and port.isdigit() and 0 < int(port) < 65536):
-        return f"{entry['id']!r}: no address:port"
+        if not isinstance(fields.get(name), str) or not fields[name]:
+            return f"{fields.get('id')!r}: no {name}"
+    address, colon, port = fields["address"].rpartition(":")
+    if not (colon and address and port.isascii() and port.isdigit() and 0 < int(port) <= MAX_PORT):
+        return f"{fields['id']!r}: no address:port"
     return Host(
-        id=entry["id"],
-        service=entry["service"],
-        address=entry["address"],
-        zone=_text(entry.get("zone")),
-        generation=_text(entry.get("generation")),
-        capacity=max(0, int(_number(entry.get("capacity")))),
-        state=HostState.READY if entry.get("state") == "ready" else HostState.DRAINING,
-        warmup_left_ms=max(0.0, _number(entry.get("warmup_left_ms"))),
-        models=_models(entry.get("models")),
+        id=fields["id"],
+        service=fields["service"],
+        address=fields["address"],
+        zone=_text(fields.get("zone")),
+        generation=_text(fields.get("generation")),
+        capacity=max(0, int(_number(fields.get("capacity")))),
+        state=HostState.READY if fields.get("state") == "ready" else HostState.DRAINING,
+        warmup_left_ms=max(0.0, _number(fields.get("warmup_left_ms"))),
+        models=_models(fields.get("models")),
     )
 
 
-def _text(value: Any) -> str:
-    return value if isinstance(value, str) else "" if value is None else str(value)
+def _text(value: JsonValue) -> str:
+    if isinstance(value, str):
+        return value
+    return "" if value is None else str(value)
 
 
-def _number(value: Any) -> float:
+def _number(value: JsonValue) -> float:
     if (
         isinstance(value, bool)
         or not isinstance(value, int | float)
-        or not -(2**53) < value < 2**53
+        or not -MAX_EXACT_INTEGER < value < MAX_EXACT_INTEGER
     ):
         return 0.0
     return float(value)
 
 
-def _models(value: Any) -> tuple[str, ...]:
+def _models(value: JsonValue) -> tuple[str, ...]:
     if not isinstance(value, list):
         return ()
     names = [item.get("name") if isinstance(item, Mapping) else item for item in value]
@@ -150,120 +172,143 @@
 
 
 class HostListReader:
-    """The schedule of one reader. It runs between `start` and `stop`; at most one call is under
-    way.
-    """
+    """The schedule of one reader, between `start` and `stop`; at most one call is in flight."""
 
     def __init__(
-        self, rate_per_s: float, chance: random.Random, times: ReaderTimes | None = None
+        self, rate_per_s: float, jitter: random.Random, times: ReaderTimes | None = None
     ) -> None:
+        """Make a stopped reader.
+
+        Args:
+            rate_per_s: calls a second that the platform allows to all processes together.
+            jitter: the source of the backoff's jitter.
+            times: bounds of the schedule.
+        """
         self._times = times or ReaderTimes()
-        self._gap_s = (
-            1.0 / (rate_per_s * RATE_SHARE) if rate_per_s > 0 else self._times.most_backoff_s
+        self._call_interval_s = (
+            1.0 / (rate_per_s * RATE_FRACTION) if rate_per_s > 0 else self._times.max_backoff_s
         )
-        self._chance = chance
+        self._jitter = jitter
         self._epoch: int | None = None
-        self._numbers = 0
-        self._open: int | None = None
+        self._last_call = 0
+        self._open_call: int | None = None
         self._pass_epoch = 0
-        self._pass_began = 0.0
-        self._called_at = float("-inf")
-        self._next_at = 0.0
+        self._pass_began_at = 0.0
+        self._last_call_at = float("-inf")
+        self._next_call_at = 0.0
         self._token: str | None = None
-        self._pages = 0
-        self._page_tries = 0
-        self._failures = 0
+        self._pages_read = 0
+        self._page_failures = 0
+        self._failures_in_row = 0
         self._hosts: dict[str, Host] = {}
-        self._last: dict[str, Host] | None = None
-        self._missed_once: frozenset[str] = frozenset()
+        self._published: dict[str, Host] | None = None
+        self._missing_once: frozenset[str] = frozenset()
 
     @property
     def running(self) -> bool:
-        """Whether this reader holds the role."""
+        """Whether this reader has the role."""
         return self._epoch is not None
 
     def start(self, now: float, epoch: int) -> list[ReaderEffect]:
-        """Hold the role in a view. A pass of a former view is given up: its pages may be older."""
+        """Take the role in a view.
+
+        A pass of a former view is abandoned, as its pages may be older.
+        """
         if self._epoch == epoch:
             return []
         self._epoch = epoch
-        self._open = None
-        self._last = None
-        self._missed_once = frozenset()
+        self._open_call = None
+        self._published = None
+        self._missing_once = frozenset()
         self._begin_pass()
-        self._next_at = max(now, self._called_at + self._gap_s)
-        return self._go(now)
+        self._next_call_at = max(now, self._last_call_at + self._call_interval_s)
+        return self._call_or_wait(now)
 
     def stop(self) -> list[ReaderEffect]:
-        """Hold the role no more; what comes of an open call is passed over."""
-        self._epoch, self._open = None, None
-        self._hosts, self._last = {}, None
+        """Give up the role; the result of an open call is ignored."""
+        self._epoch = None
+        self._open_call = None
+        self._hosts = {}
+        self._published = None
         return []
 
-    def woken(self, now: float) -> list[ReaderEffect]:
-        """The time of a `WakeAt` has come."""
-        return self._go(now)
+    def timer_expired(self, now: float) -> list[ReaderEffect]:
+        """The time of the newest `SetTimer` has come."""
+        return self._call_or_wait(now)
 
-    def answered(self, now: float, number: int, page: Page | str) -> list[ReaderEffect]:
+    def fetch_completed(self, now: float, number: int, page: Page | str) -> list[ReaderEffect]:
         """The end of a call: a page, or why there is none."""
-        if self._epoch is None or number != self._open:
+        if self._epoch is None or number != self._open_call:
             return []
-        self._open = None
+        self._open_call = None
         if isinstance(page, str):
-            return self._failed(now, page)
-        self._failures, self._page_tries = 0, 0
-        self._pages += 1
+            return self._call_failed(now, page)
+        self._failures_in_row = 0
+        self._page_failures = 0
+        self._pages_read += 1
         effects: list[ReaderEffect] = [
-            LogWarning("host_entry_rejected", reason) for reason in page.unreadable
+            LogWarning("host_entry_rejected", reason) for reason in page.invalid
         ]
         for host in page.hosts:
             self._hosts[host.id] = host
-        if page.next_token is not None and self._pages < MOST_PAGES:
+        if page.next_token is not None and self._pages_read < MAX_PAGES:
             self._token = page.next_token
-            self._next_at = self._called_at + self._gap_s
+            self._next_call_at = self._last_call_at + self._call_interval_s
         else:
-            effects.extend(self._pass_done())
-        return effects + self._go(now)
+            effects.extend(self._end_pass())
+        return effects + self._call_or_wait(now)
 
-    def _failed(self, now: float, reason: str) -> list[ReaderEffect]:
-        self._failures += 1
-        self._page_tries += 1
-        if self._page_tries >= PAGE_TRIES:
+    def _call_failed(self, now: float, reason: str) -> list[ReaderEffect]:
+        self._failures_in_row += 1
+        self._page_failures += 1
+        if self._page_failures >= MAX_PAGE_ATTEMPTS:
             self._begin_pass()
-        bound = min(
-            self._times.most_backoff_s, self._times.backoff_s * 2.0 ** min(self._failures, 10)
+        bound_s = min(
+            self._times.max_backoff_s,
+            self._times.backoff_s * 2.0 ** min(self._failures_in_row, MAX_BACKOFF_DOUBLINGS),
         )
-        wait = bound * self._chance.uniform(0.5, 1.0)
-        self._next_at = max(now + wait, self._called_at + self._gap_s)
-        return [LogWarning("platform_call_failed", reason), *self._go(now)]
+        wait_s = bound_s * self._jitter.uniform(0.5, 1.0)
+        self._next_call_at = max(now + wait_s, self._last_call_at + self._call_interval_s)
+        return [LogWarning("platform_call_failed", reason), *self._call_or_wait(now)]
 
     def _begin_pass(self) -> None:
-        self._token, self._pages, self._page_tries, self._hosts = None, 0, 0, {}
-
-    def _pass_done(self) -> list[ReaderEffect]:
-        """Publish the pass. Pages may shift while they are read: then absence must show twice."""
-        hosts, again = self._hosts, False
-        if self._pages > 1 and self._last is not None:
-            missing = frozenset(self._last) - frozenset(hosts)
-            fresh = missing - self._missed_once
-            hosts = hosts | {name: self._last[name] for name in fresh}
-            self._missed_once, again = fresh, bool(fresh)
-        self._last = hosts
+        self._token = None
+        self._pages_read = 0
+        self._page_failures = 0
+        self._hosts = {}
+
+    def _end_pass(self) -> list[ReaderEffect]:
+        """Publish the pass.
+
+        Entries may shift between pages while these are read. So where a list has several pages, a
+        host that is missing is removed only when a second pass, begun at once, lacks it too.
+        """
+        hosts = self._hosts
+        verify = False
+        if self._pages_read > 1 and self._published is not None:
+            missing = frozenset(self._published) - frozenset(hosts)
+            newly_missing = missing - self._missing_once
+            hosts = hosts | {name: self._published[name] for name in newly_missing}
+            self._missing_once = newly_missing
+            verify = bool(newly_missing)
+        self._published = hosts
         listed = HostsListed(self._pass_epoch, tuple(hosts.values()))
-        soonest = self._called_at + self._gap_s
-        self._next_at = (
-            soonest if again else max(soonest, self._pass_began + self._times.interval_s)
+        soonest = self._last_call_at + self._call_interval_s
+        self._next_call_at = (
+            soonest if verify else max(soonest, self._pass_began_at + self._times.interval_s)
         )
         self._begin_pass()
         return [listed]
 
-    def _go(self, now: float) -> list[ReaderEffect]:
-        if self._epoch is None or self._open is not None:
+    def _call_or_wait(self, now: float) -> list[ReaderEffect]:
+        if self._epoch is None or self._open_call is not None:
             return []
-        if now < self._next_at:
-            return [WakeAt(self._next_at)]
-        if self._pages == 0:
-            self._pass_began, self._pass_epoch = now, self._epoch
-        self._numbers += 1
-        self._open, self._called_at = self._numbers, now
-        return [Fetch(self._numbers, self._token)]
+        if now < self._next_call_at:
+            return [SetTimer(self._next_call_at)]
+        if self._pages_read == 0:
+            self._pass_began_at = now
+            self._pass_epoch = self._epoch
+        self._last_call += 1
+        self._open_call = self._last_call
+        self._last_call_at = now
+        return [Fetch(self._last_call, self._token)]
--- a/tests/controller/test_host_list.py
+++ b/tests/controller/test_host_list.py
@@ -14,7 +14,7 @@
 import pytest
 
 from roselink.controller.host_list_reader import (
-    PAGE_TRIES,
+    MAX_PAGE_ATTEMPTS,
     Fetch,
     HostListReader,
     HostsListed,
@@ -22,7 +22,7 @@
     Page,
     ReaderEffect,
     ReaderTimes,
-    WakeAt,
+    SetTimer,
     parse_host,
     parse_page,
 )
@@ -101,7 +101,7 @@
         entry(address="10.9.0.1:70000"),
     ],
 )
-def test_entries_that_cannot_be_read_say_why(given: object) -> None:
+def test_entries_that_cannot_be_read_say_why(given: Any) -> None:
     assert isinstance(parse_host(given), str)
 
 
@@ -130,7 +130,7 @@
     assert parse_page(status, answer) == page
 
 
-TIMES = ReaderTimes(interval_s=0.6, backoff_s=0.1, most_backoff_s=1.0)
+TIMES = ReaderTimes(interval_s=0.6, backoff_s=0.1, max_backoff_s=1.0)
 RATE = 40.0
 GAP = 0.05
 
@@ -154,7 +154,7 @@
                     assert self.open is None, "two calls at once"
                     self.open = number
                     self.calls.append((round(self.now, 6), page_token))
-                case WakeAt(at):
+                case SetTimer(at):
                     self.wake = at
                 case HostsListed(epoch, hosts):
                     self.lists.append((epoch, sorted(each.id for each in hosts)))
@@ -172,10 +172,10 @@
         assert self.open is not None
         number, self.open, self.wake = self.open, None, None
         self.now += after
-        self.take(self.reader.answered(self.now, number, page))
+        self.take(self.reader.fetch_completed(self.now, number, page))
         if self.open is None and self.wake is not None:
             self.now = self.wake
-            self.take(self.reader.woken(self.now))
+            self.take(self.reader.timer_expired(self.now))
 
 
 def page(*names: str, token: str | None = None) -> Page:
@@ -237,9 +237,9 @@
     driven = Driven()
     driven.start()
     driven.answer(page("a", token="p-1"))
-    for _ in range(PAGE_TRIES):
+    for _ in range(MAX_PAGE_ATTEMPTS):
         driven.answer("no JSON")
-    assert [token for _, token in driven.calls] == [None, *["p-1"] * PAGE_TRIES, None]
+    assert [token for _, token in driven.calls] == [None, *["p-1"] * MAX_PAGE_ATTEMPTS, None]
     driven.answer(page("b"))
     assert driven.lists == [(3, ["b"])]
 
@@ -289,8 +289,8 @@
     assert number is not None
     assert driven.reader.stop() == []
     assert not driven.reader.running
-    assert driven.reader.answered(0.1, number, page("a")) == []
-    assert driven.reader.woken(5.0) == []
+    assert driven.reader.fetch_completed(0.1, number, page("a")) == []
+    assert driven.reader.timer_expired(5.0) == []
 
 
 def test_another_view_begins_the_pass_anew() -> None:
@@ -300,11 +300,11 @@
     stale = driven.open
     assert stale is not None
     driven.start(4)
-    assert driven.reader.answered(driven.now, stale, page("b")) == []
+    assert driven.reader.fetch_completed(driven.now, stale, page("b")) == []
     assert driven.open is None, "the rate is kept over views"
     assert driven.wake is not None
     driven.now = driven.wake
-    driven.take(driven.reader.woken(driven.now))
+    driven.take(driven.reader.timer_expired(driven.now))
     assert driven.calls[-1][1] is None
     driven.answer(page("c"))
     assert driven.lists == [(4, ["c"])]
@@ -373,7 +373,9 @@
         REACTOR,
         platform,
         lambda epoch, hosts: lists.put_nowait((epoch, hosts)),
-        times=ReaderTimes(interval_s=0.005, backoff_s=0.001, most_backoff_s=0.01, call_s=call_s),
+        times=ReaderTimes(
+            interval_s=0.005, backoff_s=0.001, max_backoff_s=0.01, call_timeout_s=call_s
+        ),
     )
     client.set_role(3)
     then(client)
--- a/tools/platform.py
+++ b/tools/platform.py
@@ -17,7 +17,7 @@
     HostsListed,
     Page,
     ReaderEffect,
-    WakeAt,
+    SetTimer,
     parse_page,
 )
 from tools.measure import machine, processor_us, show, show_line
@@ -82,12 +82,12 @@
                 if isinstance(effect, Fetch):
                     self.calls += 1
                     self.now += CALL_S
-                    self._effects += self._reader.answered(
+                    self._effects += self._reader.fetch_completed(
                         self.now, effect.number, self._page(effect.page_token)
                     )
-                elif isinstance(effect, WakeAt):
+                elif isinstance(effect, SetTimer):
                     self.now = max(self.now, effect.at)
-                    self._effects += self._reader.woken(self.now)
+                    self._effects += self._reader.timer_expired(self.now)
             if listed:
                 return listed[-1].hosts
 
