--- a/tests/balancer/test_balance.py
+++ b/tests/balancer/test_balance.py
@@ -39,7 +39,7 @@
 from roselink.routing.latency_tracker import LatencyTracker
 from roselink.routing.outcome import Outcome
 from roselink.routing.token_bucket import TokenBucket
-from tests.support.helpers import AIM_US, DEADLINE_US, Stage, route, settings
+from tests.support.balancer_harness import AIM_US, DEADLINE_US, BalancerHarness, route, settings
 
 ROOT = Path(__file__).parents[2]
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
@@ -88,96 +88,96 @@
 
 
 def test_with_no_class_told_everything_is_one_unsafe_route() -> None:
-    stage = Stage(Settings(), 3)
-    request = stage.arrive()
-    stage.done(request, Outcome.ERROR)
-    assert len(stage.sends[request]) == 1
-    assert stage.log[-1] == Fail(request)
+    harness = BalancerHarness(Settings(), 3)
+    request = harness.arrive()
+    harness.done(request, Outcome.ERROR)
+    assert len(harness.sends[request]) == 1
+    assert harness.log[-1] == Fail(request)
 
 
 def test_a_better_payoff_wins_and_passed_over_servers_are_still_tried() -> None:
-    stage = Stage(settings(), 2)
-    stage.warm_up(50)
-    good, bad = stage.balancer.state.candidates
+    harness = BalancerHarness(settings(), 2)
+    harness.warm_up(50)
+    good, bad = harness.balancer.state.candidates
     good.payoff, bad.payoff = 1.0, 0.4
     for _ in range(300):
-        request = stage.arrive()
+        request = harness.arrive()
         bad.payoff = 0.4
-        stage.done(request, Outcome.SUCCESS)
-    counts = Counter(servers[0] for servers in list(stage.sends.values())[-300:])
+        harness.done(request, Outcome.SUCCESS)
+    counts = Counter(servers[0] for servers in list(harness.sends.values())[-300:])
     assert 3 <= counts[bad.spec.id] <= 40
 
 
 def test_waits_grow_between_retry_groups() -> None:
-    stage = Stage(settings(route(aim_us=900_000), max_attempts=4), 6)
-    request = stage.arrive()
-    stage.balancer.state.routes[0].retry_budget.tokens = 9.0
+    harness = BalancerHarness(settings(route(aim_us=900_000), max_attempts=4), 6)
+    request = harness.arrive()
+    harness.balancer.state.routes[0].retry_budget.tokens = 9.0
     waits = []
     for _ in range(3):
-        actions = stage.done(request, Outcome.ERROR, 1000)
+        actions = harness.done(request, Outcome.ERROR, 1000)
         waits += [a.delay_us for a in actions if isinstance(a, SetAlarm)]
-        stage.pass_time(300_000)
-    assert len(stage.sends[request]) == len(set(stage.sends[request])) == 4
+        harness.pass_time(300_000)
+    assert len(harness.sends[request]) == len(set(harness.sends[request])) == 4
     assert waits[0] * 1.2 < waits[2]
 
 
 def test_retries_dry_up_with_the_bucket_when_every_server_errs() -> None:
-    stage = Stage(settings(), 5)
+    harness = BalancerHarness(settings(), 5)
     for _ in range(400):
-        request = stage.arrive()
+        request = harness.arrive()
         for _ in range(4):
-            if len(stage.sends.get(request, [])) and request in stage.balancer.requests:
-                stage.done(request, Outcome.ERROR, 1000)
-            stage.pass_time(10_000)
-    attempts = sum(map(len, stage.sends.values()))
-    stage.pass_time(2_000_000)
-    assert not stage.balancer.requests
-    assert len(stage.sends) >= 400 * MIN_ADMITTED / 2  # the pick falls back to the whole fleet
-    assert attempts <= len(stage.sends) * (1 + TOKENS_PER_REQUEST) + 2
+            if len(harness.sends.get(request, [])) and request in harness.balancer.requests:
+                harness.done(request, Outcome.ERROR, 1000)
+            harness.pass_time(10_000)
+    attempts = sum(map(len, harness.sends.values()))
+    harness.pass_time(2_000_000)
+    assert not harness.balancer.requests
+    assert len(harness.sends) >= 400 * MIN_ADMITTED / 2  # the pick falls back to the whole fleet
+    assert attempts <= len(harness.sends) * (1 + TOKENS_PER_REQUEST) + 2
 
 
 def test_hedge_goes_out_once_and_the_loser_is_called_off() -> None:
-    stage = Stage(settings(parallel_tries=True), 4)
+    harness = BalancerHarness(settings(parallel_tries=True), 4)
     for elapsed_us in range(4000, 6000, 20):
-        stage.done(stage.arrive(), Outcome.SUCCESS, elapsed_us)
-    request = stage.arrive()
-    stage.pass_time(50_000)
-    assert len(stage.sends[request]) == 2
-    actions = stage.done(request, Outcome.SUCCESS, 50_000, attempt=1)
+        harness.done(harness.arrive(), Outcome.SUCCESS, elapsed_us)
+    request = harness.arrive()
+    harness.pass_time(50_000)
+    assert len(harness.sends[request]) == 2
+    actions = harness.done(request, Outcome.SUCCESS, 50_000, attempt=1)
     assert Cancel(request, 0) in actions
-    stage.feed(AttemptDone(request, 0, Outcome.CANCELLED, 50_000, True))
-    assert request not in stage.balancer.requests
+    harness.feed(AttemptDone(request, 0, Outcome.CANCELLED, 50_000, True))
+    assert request not in harness.balancer.requests
 
 
 @pytest.mark.parametrize(
-    "told", [settings(route(Effect.UNSAFE), parallel_tries=True), settings(route())]
+    "given", [settings(route(Effect.UNSAFE), parallel_tries=True), settings(route())]
 )
-def test_no_hedge_for_unsafe_routes_or_where_one_attempt_is_the_limit(told: Settings) -> None:
-    stage = Stage(told, 4)
-    stage.warm_up(100, 5000)
-    request = stage.arrive()
-    stage.pass_time(150_000)
-    assert len(stage.sends[request]) == 1
+def test_no_hedge_for_unsafe_routes_or_where_one_attempt_is_the_limit(given: Settings) -> None:
+    harness = BalancerHarness(given, 4)
+    harness.warm_up(100, 5000)
+    request = harness.arrive()
+    harness.pass_time(150_000)
+    assert len(harness.sends[request]) == 1
 
 
 def test_a_draining_or_gone_server_gets_nothing_new_at_once() -> None:
-    stage = Stage(settings(), 3)
-    stage.feed(
+    harness = BalancerHarness(settings(), 3)
+    harness.feed(
         ServerList(ListKind.CHANGES, (Server(100, State.DRAINING), Server(101, State.GONE))),
     )
     for _ in range(20):
-        stage.done(stage.arrive(), Outcome.SUCCESS)
-    assert {s for servers in stage.sends.values() for s in servers} == {102}
+        harness.done(harness.arrive(), Outcome.SUCCESS)
+    assert {s for servers in harness.sends.values() for s in servers} == {102}
 
 
 def test_empty_list_holds_requests_then_refuses_them() -> None:
-    stage = Stage(settings(route(Effect.UNSAFE)), 0)
-    request = stage.arrive()
-    assert not stage.sends
-    assert Refuse(request) in stage.pass_time(AIM_US)
-    held = stage.arrive()
-    stage.feed(ServerList(ListKind.FULL, (Server(7),)))
-    assert stage.sends[held] == [7]
+    harness = BalancerHarness(settings(route(Effect.UNSAFE)), 0)
+    request = harness.arrive()
+    assert not harness.sends
+    assert Refuse(request) in harness.pass_time(AIM_US)
+    held = harness.arrive()
+    harness.feed(ServerList(ListKind.FULL, (Server(7),)))
+    assert harness.sends[held] == [7]
 
 
 def test_unsafe_is_retried_only_when_it_never_ran() -> None:
@@ -188,46 +188,46 @@
         (Outcome.RESET, False),
         (Outcome.TIMEOUT, False),
     ]:
-        stage = Stage(settings(route(Effect.UNSAFE)), 4)
-        request = stage.arrive()
-        stage.done(request, outcome, 1000)
-        stage.pass_time(100_000)
-        assert len(stage.sends[request]) == (2 if again else 1)
-        assert (Fail(request) in stage.log) is not again
+        harness = BalancerHarness(settings(route(Effect.UNSAFE)), 4)
+        request = harness.arrive()
+        harness.done(request, outcome, 1000)
+        harness.pass_time(100_000)
+        assert len(harness.sends[request]) == (2 if again else 1)
+        assert (Fail(request) in harness.log) is not again
 
 
 def test_keyed_stays_in_its_group_and_within_the_memory_span() -> None:
     servers = [Server(100 + i, cell=i % 2) for i in range(6)]
     keyed = route(Effect.KEYED, group=Group.CELL, aim_us=900_000, memory_span_us=300_000)
-    stage = Stage(settings(keyed), servers)
-    request = stage.arrive()
-    stage.balancer.state.routes[0].retry_budget.tokens = 9.0
-    stage.done(request, Outcome.ERROR, 1000)
-    stage.pass_time(60_000)
-    first, second = stage.sends[request]
+    harness = BalancerHarness(settings(keyed), servers)
+    request = harness.arrive()
+    harness.balancer.state.routes[0].retry_budget.tokens = 9.0
+    harness.done(request, Outcome.ERROR, 1000)
+    harness.pass_time(60_000)
+    first, second = harness.sends[request]
     assert first != second and first % 2 == second % 2
-    stage.pass_time(400_000)
-    stage.done(request, Outcome.ERROR, 1000)
-    assert Fail(request) in stage.pass_time(600_000)
-    assert len(stage.sends[request]) == 2
+    harness.pass_time(400_000)
+    harness.done(request, Outcome.ERROR, 1000)
+    assert Fail(request) in harness.pass_time(600_000)
+    assert len(harness.sends[request]) == 2
 
 
 def test_cold_server_gets_no_more_than_its_share_in_any_window() -> None:
-    told = settings(
+    given = settings(
         balancers=2, cold_us=10_000_000, cold_from=0.2, fall_multiple=2.0, fall_window_us=1_000_000
     )
-    stage = Stage(told, 0)
-    stage.now = 50_000_000
-    started = stage.now - 200_000
-    stage.feed(ServerList(ListKind.CACHED, (Server(1, started_us=started), Server(2))))
+    harness = BalancerHarness(given, 0)
+    harness.now = 50_000_000
+    started = harness.now - 200_000
+    harness.feed(ServerList(ListKind.CACHED, (Server(1, started_us=started), Server(2))))
     times: list[int] = []
     for _ in range(1500):
-        request = stage.arrive()
-        if stage.sends.get(request) == [1]:
-            times.append(stage.now)
-        stage.pass_time(4000)
-        if request in stage.sends:
-            stage.done(request, Outcome.SUCCESS, 4000)
+        request = harness.arrive()
+        if harness.sends.get(request) == [1]:
+            times.append(harness.now)
+        harness.pass_time(4000)
+        if request in harness.sends:
+            harness.done(request, Outcome.SUCCESS, 4000)
     assert times
     for t in times:
         warmth = 0.2 + 0.8 * (t - started) / 10_000_000
@@ -238,22 +238,22 @@
 
 
 def test_a_server_may_be_listed_anew_as_another_kind_of_machine() -> None:
-    stage = Stage(settings(), [Server(1, kind=0)])
-    stage.feed(ServerList(ListKind.CHANGES, (Server(1, kind=4),)))
-    stage.done(stage.arrive(), Outcome.SUCCESS)
-    assert stage.balancer.state.servers[1].payoff > UNKNOWN_PAYOFF
+    harness = BalancerHarness(settings(), [Server(1, kind=0)])
+    harness.feed(ServerList(ListKind.CHANGES, (Server(1, kind=4),)))
+    harness.done(harness.arrive(), Outcome.SUCCESS)
+    assert harness.balancer.state.servers[1].payoff > UNKNOWN_PAYOFF
 
 
 def test_a_silent_server_is_left_alone_before_its_attempts_time_out() -> None:
-    stage = Stage(settings(route(Effect.UNSAFE)), 3)
-    stage.warm_up(100)
+    harness = BalancerHarness(settings(route(Effect.UNSAFE)), 3)
+    harness.warm_up(100)
     silent = 101
     for _ in range(200):
-        request = stage.arrive()
-        stage.pass_time(10_000)
-        if stage.sends[request] != [silent]:
-            stage.done(request, Outcome.SUCCESS, 10_000)
-    late = list(stage.sends.values())[-150:]
+        request = harness.arrive()
+        harness.pass_time(10_000)
+        if harness.sends[request] != [silent]:
+            harness.done(request, Outcome.SUCCESS, 10_000)
+    late = list(harness.sends.values())[-150:]
     assert sum(s == [silent] for s in late) <= 2
 
 
@@ -261,62 +261,62 @@
     short, long = route(aim_us=100_000), route(aim_us=2_000_000, deadline_us=4_000_000)
     used: list[set[int]] = []
     for seed in (1, 2):
-        stage = Stage(settings(short, long), 6, seed)
+        harness = BalancerHarness(settings(short, long), 6, seed)
         lanes: tuple[set[int], set[int]] = (set(), set())
         for turn in range(150):
             for kind, count, elapsed_us in ((0, 30, 10_000), (1, 1, 300_000)):
-                stage.warm_up(count, elapsed_us, kind)
+                harness.warm_up(count, elapsed_us, kind)
                 if turn > 100:
-                    lanes[kind].update(s[0] for s in list(stage.sends.values())[-count:])
+                    lanes[kind].update(s[0] for s in list(harness.sends.values())[-count:])
         assert lanes[1] and not lanes[0] & lanes[1]
         used.append(lanes[1])
     assert used[0] & used[1]
 
 
 def test_discovery_is_asked_again_with_growing_jittered_waits() -> None:
-    stage = Stage(settings(discovery_asks=True), 2)
-    assert Watch(True) in stage.log
+    harness = BalancerHarness(settings(discovery_asks=True), 2)
+    assert Watch(True) in harness.log
     waits = []
     for _ in range(6):
-        actions = stage.feed(ServerList(ListKind.FAILED))
+        actions = harness.feed(ServerList(ListKind.FAILED))
         waits += [a.delay_us for a in actions if isinstance(a, SetAlarm)]
-        assert Watch(True) in stage.pass_time(10_000_000)
+        assert Watch(True) in harness.pass_time(10_000_000)
     assert waits[0] < 500_000 and waits[4] > waits[0] * 3
     assert all(w <= 10_000_000 / 2 for w in waits)
 
 
 def test_late_events_do_no_harm() -> None:
-    stage = Stage(settings(), 2)
-    request = stage.arrive()
-    stage.done(request, Outcome.SUCCESS)
-    assert stage.feed(AttemptDone(request, 0, Outcome.SUCCESS, 1, True)) == []
-    assert stage.feed(AttemptDone(999, 0, Outcome.ERROR, 1)) == []
-    other = stage.arrive()
-    stage.feed(ServerList(ListKind.FULL, ()))
-    assert isinstance(stage.done(other, Outcome.ERROR)[0], SetAlarm)
-    assert Refuse(other) in stage.pass_time(1_000_000)
+    harness = BalancerHarness(settings(), 2)
+    request = harness.arrive()
+    harness.done(request, Outcome.SUCCESS)
+    assert harness.feed(AttemptDone(request, 0, Outcome.SUCCESS, 1, True)) == []
+    assert harness.feed(AttemptDone(999, 0, Outcome.ERROR, 1)) == []
+    other = harness.arrive()
+    harness.feed(ServerList(ListKind.FULL, ()))
+    assert isinstance(harness.done(other, Outcome.ERROR)[0], SetAlarm)
+    assert Refuse(other) in harness.pass_time(1_000_000)
 
 
 def test_sends_stop_at_the_final_answer() -> None:
-    stage = Stage(settings(), 1)
-    request = stage.arrive()
-    while request in stage.balancer.requests:
-        stage.done(request, Outcome.ERROR)
-        stage.pass_time(300_000)
-    ends = [a for a in stage.log if isinstance(a, Refuse | Fail)]
+    harness = BalancerHarness(settings(), 1)
+    request = harness.arrive()
+    while request in harness.balancer.requests:
+        harness.done(request, Outcome.ERROR)
+        harness.pass_time(300_000)
+    ends = [a for a in harness.log if isinstance(a, Refuse | Fail)]
     assert len(ends) == 1
-    assert not any(isinstance(a, Send) for a in stage.log[stage.log.index(ends[0]) :])
+    assert not any(isinstance(a, Send) for a in harness.log[harness.log.index(ends[0]) :])
 
 
 def test_a_jam_does_not_become_the_yardstick_of_cost() -> None:
     """Incidents i46ffc5 and id5e42c: limits grew to many times the start as the jam itself was
     learned.
     """
-    stage = Stage(settings(), 3)
-    stage.warm_up(300, 10_000)
-    route_state = stage.balancer.state.routes[0]
+    harness = BalancerHarness(settings(), 3)
+    harness.warm_up(300, 10_000)
+    route_state = harness.balancer.state.routes[0]
     before = route_state.cost_us
-    stage.warm_up(60, 100_000)
+    harness.warm_up(60, 100_000)
     assert route_state.cost_us < 3 * before
 
 
@@ -325,7 +325,7 @@
     cores held six requests each. It grows only while requests wait here and a full server is as
     quick as an idle one.
     """
-    balancer = Stage(settings(), 3).balancer
+    balancer = BalancerHarness(settings(), 3).balancer
     start = balancer.limit.share
     for _ in range(500):
         balancer.limit.learn(1.0)
@@ -347,10 +347,10 @@
     balancers, left = 40, 24
     out = 0
     for number in range(balancers):
-        stage = Stage(settings(balancers=balancers, number=number), left, seed=number)
+        harness = BalancerHarness(settings(balancers=balancers, number=number), left, seed=number)
         for _ in range(60):
-            stage.arrive()
-        out += sum(len(sent) for sent in stage.sends.values())
+            harness.arrive()
+        out += sum(len(sent) for sent in harness.sends.values())
     assert left < out <= 4 * left  # all busy, and none with more than a few that wait
 
 
@@ -359,47 +359,47 @@
     """Zone day, 2f012191: three in ten requests were refused for seven seconds while the rest were
     idle.
     """
-    stage = Stage(settings(clients_mark_repeats=True), 12)
-    stage.warm_up(100)
+    harness = BalancerHarness(settings(clients_mark_repeats=True), 12)
+    harness.warm_up(100)
     gone = set(range(100, 108))
     refused = 0
     for _ in range(300):
-        request = stage.arrive()
-        refused += Refuse(request) in stage.log[-3:]
-        stage.pass_time(5_000)
-        while request in stage.balancer.requests and stage.sends[request][-1] in gone:
-            stage.done(request, outcome, 1_000)
-            stage.pass_time(10_000)
-        if request in stage.balancer.requests:
-            stage.done(request, Outcome.SUCCESS, 5_000)
+        request = harness.arrive()
+        refused += Refuse(request) in harness.log[-3:]
+        harness.pass_time(5_000)
+        while request in harness.balancer.requests and harness.sends[request][-1] in gone:
+            harness.done(request, outcome, 1_000)
+            harness.pass_time(10_000)
+        if request in harness.balancer.requests:
+            harness.done(request, Outcome.SUCCESS, 5_000)
     assert not refused
 
 
 def test_room_for_attempts_comes_back_with_each_outcome() -> None:
-    stage = Stage(settings(balancers=40), 24)
-    requests = [stage.arrive() for _ in range(20)]
-    first = len(stage.sends)
-    for request in list(stage.sends):
-        stage.done(request, Outcome.SUCCESS)
-    assert 0 < first < len(stage.sends) <= len(requests)
+    harness = BalancerHarness(settings(balancers=40), 24)
+    requests = [harness.arrive() for _ in range(20)]
+    first = len(harness.sends)
+    for request in list(harness.sends):
+        harness.done(request, Outcome.SUCCESS)
+    assert 0 < first < len(harness.sends) <= len(requests)
 
 
 def test_lost_answers_do_not_use_up_the_retries_of_idle_servers() -> None:
     """While a quarter of the answers got lost, 26 requests a second were refused for want of
     tokens.
     """
-    stage = Stage(settings(), 9)
-    stage.warm_up(200)
+    harness = BalancerHarness(settings(), 9)
+    harness.warm_up(200)
     for number in range(1000):
-        stage.balancer.shedder.admitted = 1.0  # load shedding is not what is tested
-        request = stage.arrive()
+        harness.balancer.shedder.admitted = 1.0  # load shedding is not what is tested
+        request = harness.arrive()
         if number % 4 == 0:
             assert not any(
-                isinstance(a, Refuse | Fail) for a in stage.done(request, Outcome.RESET)
+                isinstance(a, Refuse | Fail) for a in harness.done(request, Outcome.RESET)
             ), number
-        stage.pass_time(20_000)
-        if request in stage.balancer.requests:
-            stage.done(request, Outcome.SUCCESS)
+        harness.pass_time(20_000)
+        if request in harness.balancer.requests:
+            harness.done(request, Outcome.SUCCESS)
 
 
 def many(**changes: Any) -> Settings:
@@ -417,12 +417,12 @@
     """
     used: list[set[int]] = []
     for number in (0, 200):
-        stage = Stage(many(number=number), fleet())
+        harness = BalancerHarness(many(number=number), fleet())
         for _ in range(100):
-            request = stage.arrive()
-            stage.pass_time(150_000)
-            stage.done(request, Outcome.SUCCESS, 10_000)
-        used.append({s for sent in stage.sends.values() for s in sent})
+            request = harness.arrive()
+            harness.pass_time(150_000)
+            harness.done(request, Outcome.SUCCESS, 10_000)
+        used.append({s for sent in harness.sends.values() for s in sent})
     assert all(len(servers) <= 16 for servers in used)
     assert not used[0] & used[1]
 
@@ -431,12 +431,12 @@
     """Join day, 69330487: 22 requests a second spread over 57 servers told too little of any one of
     them.
     """
-    stage = Stage(many(balancers=40, number=7), fleet())
+    harness = BalancerHarness(many(balancers=40, number=7), fleet())
     for _ in range(220):
-        request = stage.arrive()
-        stage.pass_time(45_000)
-        stage.done(request, Outcome.SUCCESS, 10_000)
-    late = [sent[0] for sent in list(stage.sends.values())[-110:]]  # of the last 5 s
+        request = harness.arrive()
+        harness.pass_time(45_000)
+        harness.done(request, Outcome.SUCCESS, 10_000)
+    late = [sent[0] for sent in list(harness.sends.values())[-110:]]  # of the last 5 s
     assert len(set(late)) >= 4
     assert len(late) / len(set(late)) >= 8.0
 
@@ -445,7 +445,7 @@
     """Quiet day of the simulator, c26b0385: with a few requests a second windows of five of ten
     servers left keyed requests, which only a cell may repeat, with nowhere to go.
     """
-    balancer = Stage(settings(balancers=3), 10).balancer
+    balancer = BalancerHarness(settings(balancers=3), 10).balancer
     balancer.state.recent = 30.0
     assert len(window(balancer.state) or balancer.state.candidates) >= 8
 
@@ -453,15 +453,15 @@
 def test_windows_cover_the_fleet_evenly() -> None:
     counts: Counter[int] = Counter()
     for number in range(120):
-        balancer = Stage(many(balancers=120, number=number), fleet()).balancer
+        balancer = BalancerHarness(many(balancers=120, number=number), fleet()).balancer
         counts.update(s.spec.id for s in window(balancer.state) or [])
     assert len(counts) == 60 and max(counts.values()) == min(counts.values())
 
 
 def test_a_balancer_with_all_the_traffic_draws_from_the_whole_fleet() -> None:
-    stage = Stage(many(), fleet())
-    stage.warm_up(600, 1_000)
-    assert window(stage.balancer.state) is None
+    harness = BalancerHarness(many(), fleet())
+    harness.warm_up(600, 1_000)
+    assert window(harness.balancer.state) is None
 
 
 def test_in_a_window_no_lane_is_kept_for_long_requests() -> None:
@@ -470,37 +470,42 @@
     """
     short, long = route(aim_us=100_000), route(aim_us=2_000_000, deadline_us=4_000_000)
     one_zone = [s._replace(zone=0) for s in fleet()]
-    stage = Stage(Settings(routes=(short, long), balancers=400, number=100), one_zone)
-    stage.balancer.lanes.blocking_fraction = 0.01
-    stage.balancer.state.routes[1].cost_us, stage.balancer.state.routes[1].samples = 300_000.0, 9
+    harness = BalancerHarness(Settings(routes=(short, long), balancers=400, number=100), one_zone)
+    harness.balancer.lanes.blocking_fraction = 0.01
+    harness.balancer.state.routes[1].cost_us, harness.balancer.state.routes[1].samples = (
+        300_000.0,
+        9,
+    )
     for _ in range(40):
-        request = stage.arrive(1)
-        stage.pass_time(200_000)
-        stage.done(request, Outcome.SUCCESS, 150_000)
-    assert len({s for sent in stage.sends.values() for s in sent}) >= 3
+        request = harness.arrive(1)
+        harness.pass_time(200_000)
+        harness.done(request, Outcome.SUCCESS, 150_000)
+    assert len({s for sent in harness.sends.values() for s in sent}) >= 3
 
 
 def test_in_a_window_the_slow_kind_is_drawn_less() -> None:
     """Estado big-2: at even shares a slow kind choked while the fast one idled."""
-    stage = Stage(many(), [s._replace(kind=s.id % 2) for s in fleet()])
+    harness = BalancerHarness(many(), [s._replace(kind=s.id % 2) for s in fleet()])
     for _ in range(150):
-        request = stage.arrive()
-        stage.pass_time(150_000)
-        if request in stage.sends:
-            stage.done(request, Outcome.SUCCESS, 90_000 if stage.sends[request][0] % 2 else 10_000)
-    late = Counter(sent[0] % 2 for sent in list(stage.sends.values())[-100:])
+        request = harness.arrive()
+        harness.pass_time(150_000)
+        if request in harness.sends:
+            harness.done(
+                request, Outcome.SUCCESS, 90_000 if harness.sends[request][0] % 2 else 10_000
+            )
+    late = Counter(sent[0] % 2 for sent in list(harness.sends.values())[-100:])
     assert late[1] < late[0] / 2
 
 
 def test_an_empty_list_after_two_kinds_holds_no_fault() -> None:
-    stage = Stage(many(), [s._replace(kind=s.id % 2) for s in fleet()])
-    stage.feed(ServerList(ListKind.FULL, ()))
-    request = stage.arrive()
-    assert Refuse(request) in stage.pass_time(2_000_000)
+    harness = BalancerHarness(many(), [s._replace(kind=s.id % 2) for s in fleet()])
+    harness.feed(ServerList(ListKind.FULL, ()))
+    request = harness.arrive()
+    assert Refuse(request) in harness.pass_time(2_000_000)
 
 
 def test_one_outcome_of_a_server_seldom_seen_says_much_and_fades() -> None:
-    balancer = Stage(many(), fleet()).balancer
+    balancer = BalancerHarness(many(), fleet()).balancer
     server = balancer.state.candidates[0]
     balancer.payoffs.mean = 0.9
     balancer.state.now_us += 10_000_000
@@ -514,7 +519,7 @@
     """Duluth big-1, b4c271b7: under a shared slow-down all requests were sent and none answered in
     time.
     """
-    balancer = Stage(settings(), 3).balancer
+    balancer = BalancerHarness(settings(), 3).balancer
     server = balancer.state.candidates[0]
     for _ in range(20):
         balancer.credit(server, 0.0)
@@ -525,26 +530,29 @@
 
 
 def test_shed_requests_are_refused_before_they_cost_work() -> None:
-    stage = Stage(settings(), 3)
-    stage.balancer.shedder.admitted = 0.0
-    request = stage.arrive()
-    assert request not in stage.sends and stage.log[-1] == Refuse(request)
+    harness = BalancerHarness(settings(), 3)
+    harness.balancer.shedder.admitted = 0.0
+    request = harness.arrive()
+    assert request not in harness.sends and harness.log[-1] == Refuse(request)
 
 
 def test_many_small_retry_budgets_hold_no_storm() -> None:
     """Ljubljana big-2, first 5 s: 441 full buckets sent 981 attempts at one full server of a pod of
     two.
     """
-    stage = Stage(many(), fleet())
+    harness = BalancerHarness(many(), fleet())
     for _ in range(50):
-        request = stage.arrive()
-        stage.pass_time(150_000)
-        stage.done(request, Outcome.SUCCESS)
-    assert stage.balancer.state.routes[0].retry_budget.tokens < 4
+        request = harness.arrive()
+        harness.pass_time(150_000)
+        harness.done(request, Outcome.SUCCESS)
+    assert harness.balancer.state.routes[0].retry_budget.tokens < 4
 
 
 def test_the_first_ejection_lasts_for_the_trials_of_all_that_share_the_server() -> None:
-    alone, shared = Stage(settings(), 4).balancer, Stage(many(), fleet()).balancer
+    alone, shared = (
+        BalancerHarness(settings(), 4).balancer,
+        BalancerHarness(many(), fleet()).balancer,
+    )
     for balancer in (alone, shared):
         balancer.state.recent = 30.0
         for _ in range(12):
@@ -554,12 +562,12 @@
 
 
 def test_crossing_zones_is_worth_its_price_only() -> None:
-    stage = Stage(many(price_cross_zone=0.1), fleet())
-    candidates = stage.balancer.state.candidates
+    harness = BalancerHarness(many(price_cross_zone=0.1), fleet())
+    candidates = harness.balancer.state.candidates
     here, there = (next(s for s in candidates if s.spec.zone == zone) for zone in (0, 1))
-    assert stage.balancer.chooser.score(here) > stage.balancer.chooser.score(there)
-    here.payoff, here.observed_us = 0.3, stage.now
-    assert stage.balancer.chooser.score(here) < stage.balancer.chooser.score(there)
+    assert harness.balancer.chooser.score(here) > harness.balancer.chooser.score(there)
+    here.payoff, here.observed_us = 0.3, harness.now
+    assert harness.balancer.chooser.score(here) < harness.balancer.chooser.score(there)
 
 
 @pytest.mark.parametrize("balancers", [1, 7, 400])
@@ -568,11 +576,11 @@
     end.
     """
     window_us, cold_us, work_us = 1_000_000, 10_000_000, 20_000
-    told = {"balancers": balancers, "cold_us": cold_us, "cold_from": 0.2, "fall_multiple": 2.5}
+    given = {"balancers": balancers, "cold_us": cold_us, "cold_from": 0.2, "fall_multiple": 2.5}
     start = 50_000_000
     cold = [Server(7, started_us=start)]
     group = [
-        Balancer(settings(route(), number=n, fall_window_us=window_us, **told), n)
+        Balancer(settings(route(), number=n, fall_window_us=window_us, **given), n)
         for n in range(balancers)
     ]
     for balancer in group:
@@ -601,7 +609,7 @@
     """Join day, e48f6231: 40 balancers with turns at each of 36 cold servers used a fifth of them
     in all.
     """
-    told: dict[str, Any] = {
+    given: dict[str, Any] = {
         "balancers": 40,
         "cold_us": 20_000_000,
         "cold_from": 0.2,
@@ -612,7 +620,7 @@
     start, work_us, count = 50_000_000, 100_000, 30
     cold = tuple(Server(7 + i, started_us=start, hint=2.0) for i in range(count))
     safe = route(aim_us=1_000_000, deadline_us=2_000_000)
-    balancer = Balancer(settings(safe, number=3, **told), 3)
+    balancer = Balancer(settings(safe, number=3, **given), 3)
     balancer.state.routes[0].cost_us = balancer.state.mean_cost_us = float(work_us)
     balancer.handle(start, [ServerList(ListKind.CACHED, cold)])
     sent = 0
@@ -631,10 +639,10 @@
     """How many requests a balancer sends to cold servers in its first and in its last half
     second.
     """
-    told: dict[str, Any] = {"cold_us": 400_000_000, "cold_from": 0.5, "fall_multiple": 3.0}
+    given: dict[str, Any] = {"cold_us": 400_000_000, "cold_from": 0.5, "fall_multiple": 3.0}
     start, work_us = 50_000_000, 20_000
     safe = route(aim_us=1_000_000, deadline_us=2_000_000)
-    balancer = Balancer(settings(safe, balancers=4, **told), 3)
+    balancer = Balancer(settings(safe, balancers=4, **given), 3)
     balancer.state.routes[0].cost_us = balancer.state.mean_cost_us = float(work_us)
     cold = tuple(Server(i, started_us=start) for i in range(6))
     balancer.handle(start, [ServerList(ListKind.CACHED, cold)])
@@ -662,12 +670,12 @@
 
 def test_a_refusal_leaves_the_client_half_of_its_time() -> None:
     """A client in a hurry was told to come back when hardly any of its time was left."""
-    stage = Stage(settings(clients_mark_repeats=True), 1)
-    while not stage.balancer.state.queued:
-        stage.arrive()
+    harness = BalancerHarness(settings(clients_mark_repeats=True), 1)
+    while not harness.balancer.state.queued:
+        harness.arrive()
     give_up_us = AIM_US
-    request = stage.arrive(give_up_us=give_up_us)
-    assert Refuse(request) in stage.pass_time(give_up_us // 2)
+    request = harness.arrive(give_up_us=give_up_us)
+    assert Refuse(request) in harness.pass_time(give_up_us // 2)
 
 
 @pytest.mark.parametrize("late_worth", [0.0, 0.2])
@@ -675,12 +683,12 @@
     """On bratislava-desks, where late answers have a worth, requests waited their whole aim away at
     balancers with no room, and others had some.
     """
-    stage = Stage(settings(route(late_worth=late_worth), clients_mark_repeats=True), 1)
-    while not stage.balancer.state.queued:
-        stage.arrive()
-    request = stage.arrive(give_up_us=5 * AIM_US)
-    assert Refuse(request) not in stage.pass_time(AIM_US // 10)
-    assert Refuse(request) in stage.pass_time(AIM_US // 5)
+    harness = BalancerHarness(settings(route(late_worth=late_worth), clients_mark_repeats=True), 1)
+    while not harness.balancer.state.queued:
+        harness.arrive()
+    request = harness.arrive(give_up_us=5 * AIM_US)
+    assert Refuse(request) not in harness.pass_time(AIM_US // 10)
+    assert Refuse(request) in harness.pass_time(AIM_US // 5)
 
 
 @pytest.mark.parametrize(
@@ -692,65 +700,65 @@
     """Clients that did as told came back when their aim was long over, though others had room at
     once.
     """
-    stage = Stage(settings(retry_after=True, max_retry_after_us=1_500_000), 1)
-    while not stage.balancer.state.queued:
-        request = stage.arrive()
-    stage.balancer.shedder.admitted = admitted
-    assert Refuse(request, int(away_us)) in stage.pass_time(AIM_US)
+    harness = BalancerHarness(settings(retry_after=True, max_retry_after_us=1_500_000), 1)
+    while not harness.balancer.state.queued:
+        request = harness.arrive()
+    harness.balancer.shedder.admitted = admitted
+    assert Refuse(request, int(away_us)) in harness.pass_time(AIM_US)
 
 
 def test_where_not_all_can_be_served_the_newest_goes_first() -> None:
     """Served in the order of arrival all wait their aim away; the newest has the most of it
     left.
     """
-    stage = Stage(settings(), 1)
-    while not stage.balancer.state.queued:
-        old = stage.arrive()
-    new = stage.arrive()
-    left = stage.arrive()
-    stage.feed(Departed(left))
+    harness = BalancerHarness(settings(), 1)
+    while not harness.balancer.state.queued:
+        old = harness.arrive()
+    new = harness.arrive()
+    left = harness.arrive()
+    harness.feed(Departed(left))
     for _ in range(2):
-        stage.done(min(stage.sends), Outcome.SUCCESS)
-        del stage.sends[min(stage.sends)]
-    assert list(stage.sends)[-2:] == [new, old]
-    assert not stage.balancer.state.queued
+        harness.done(min(harness.sends), Outcome.SUCCESS)
+        del harness.sends[min(harness.sends)]
+    assert list(harness.sends)[-2:] == [new, old]
+    assert not harness.balancer.state.queued
 
 
 def test_a_dead_zone_is_not_panicked_into() -> None:
     here = [Server(i, zone=0) for i in range(1, 4)]
     there = [Server(i, zone=1) for i in range(11, 14)]
-    stage = Stage(settings(route(Effect.UNSAFE)), here + there)
-    stage.warm_up(60)
-    for s in stage.balancer.state.servers.values():
+    harness = BalancerHarness(settings(route(Effect.UNSAFE)), here + there)
+    harness.warm_up(60)
+    for s in harness.balancer.state.servers.values():
         if s.spec.zone == 0:
-            s.ejected_until_us = stage.now + 60_000_000
+            s.ejected_until_us = harness.now + 60_000_000
     for _ in range(40):
-        request = stage.arrive()
-        assert stage.sends[request][0] > 10
-        stage.done(request, Outcome.SUCCESS)
+        request = harness.arrive()
+        assert harness.sends[request][0] > 10
+        harness.done(request, Outcome.SUCCESS)
 
 
 def test_marked_repeats_wait_behind_first_tries() -> None:
     """In an overload most repeats have lost their aim already; they must not take room from first
     tries.
     """
-    stage = Stage(settings(), 1)
-    while not stage.balancer.state.queued:
-        blocking = stage.arrive()
-    repeats = [stage.arrive(repeat=True) for _ in range(3)]
-    first = stage.arrive()
-    for request in [r for r in stage.sends if r < blocking]:
-        stage.done(request, Outcome.SUCCESS)
-    sent = list(stage.sends)
+    harness = BalancerHarness(settings(), 1)
+    while not harness.balancer.state.queued:
+        blocking = harness.arrive()
+    repeats = [harness.arrive(repeat=True) for _ in range(3)]
+    first = harness.arrive()
+    for request in [r for r in harness.sends if r < blocking]:
+        harness.done(request, Outcome.SUCCESS)
+    sent = list(harness.sends)
     assert sent.index(first) < min(sent.index(r) for r in repeats if r in sent)
 
 
 def test_an_unmarked_repeat_that_has_lost_its_aim_is_refused() -> None:
-    stage = Stage(settings(), 2)
-    stage.warm_up(20)
-    late = stage.arrive(give_up_us=DEADLINE_US - 2 * AIM_US)
-    assert stage.log[-1] == Refuse(late)
-    marking = Stage(settings(clients_mark_repeats=True), 2)
+    harness = BalancerHarness(settings(), 2)
+    harness.warm_up(20)
+    late = harness.arrive(give_up_us=DEADLINE_US - 2 * AIM_US)
+    assert harness.log[-1] == Refuse(late)
+    marking = BalancerHarness(settings(clients_mark_repeats=True), 2)
     marking.warm_up(20)
     assert marking.arrive(give_up_us=DEADLINE_US - 2 * AIM_US) in marking.sends
 
@@ -759,29 +767,29 @@
     """Duluth rough-2: one try of the full deadline had every shorter first try refused as a late
     repeat.
     """
-    stage = Stage(settings(), 3)
-    stage.warm_up(20)
+    harness = BalancerHarness(settings(), 3)
+    harness.warm_up(20)
     for long in (True, False, False):
-        request = stage.arrive(give_up_us=(13 if long else 10) * DEADLINE_US // 10)
-        assert request in stage.sends
-        stage.done(request, Outcome.SUCCESS)
+        request = harness.arrive(give_up_us=(13 if long else 10) * DEADLINE_US // 10)
+        assert request in harness.sends
+        harness.done(request, Outcome.SUCCESS)
 
 
 def test_a_window_keeps_to_its_local_servers_while_they_serve_as_well() -> None:
     """Estado quiet: eight points of the result went to crossings no server's state called for."""
-    stage = Stage(many(price_cross_zone=0.1), fleet())
+    harness = BalancerHarness(many(price_cross_zone=0.1), fleet())
     for _ in range(80):
-        request = stage.arrive()
-        stage.pass_time(150_000)
-        if request in stage.sends:
-            stage.done(request, Outcome.SUCCESS, 10_000)
-    zones = Counter((sent[0] - 100) % 3 for sent in list(stage.sends.values())[-60:])
+        request = harness.arrive()
+        harness.pass_time(150_000)
+        if request in harness.sends:
+            harness.done(request, Outcome.SUCCESS, 10_000)
+    zones = Counter((sent[0] - 100) % 3 for sent in list(harness.sends.values())[-60:])
     assert zones[0] > 45
 
 
 def test_a_dear_crossing_brings_local_servers_into_the_window_and_a_cheap_one_does_not() -> None:
     """Estado quiet: windows with no local server paid for five points of crossings."""
-    dear, cheap = (Stage(many(price_cross_zone=p), fleet()).balancer for p in (0.3, 0.01))
+    dear, cheap = (BalancerHarness(many(price_cross_zone=p), fleet()).balancer for p in (0.3, 0.01))
     shares = []
     for balancer in (dear, cheap):
         balancer.state.recent = 12.0 * OUTCOMES_PER_SERVER
--- a/tests/balancer/test_cold_fleet.py
+++ b/tests/balancer/test_cold_fleet.py
@@ -135,13 +135,13 @@
         cold: int = 1,
         kind: int = -1,
         sized_by_speed: bool = False,
-        told_after_us: int = 0,
+        known_after_us: int = 0,
     ) -> None:
         self.site, self.rng, self.now = site, random.Random(seed), START_US
         self.ids, self.tie = itertools.count(1), itertools.count()
         self.heap: list[tuple[float, int, int, Event]] = []
         self.works: dict[int, float] = {}  # of each request that was offered, its true work
-        told: dict[str, Any] = {
+        given: dict[str, Any] = {
             "balancers": balancers,
             "cold_us": site.cold_us,
             "cold_from": site.cold_from,
@@ -162,15 +162,15 @@
             self.machine(10 * k + i, k, None) for k in range(len(site.speeds)) for i in range(3)
         ]
         kind %= len(site.speeds)
-        self.start_us = START_US - told_after_us
+        self.start_us = START_US - known_after_us
         self.cold = [self.machine(100 + i, kind, self.start_us) for i in range(cold)]
         self.machines = {m.spec.id: m for m in warm + self.cold}
-        taught = [Balancer(Settings(**told), seed * 1000 + n) for n in range(min(5, balancers))]
+        taught = [Balancer(Settings(**given), seed * 1000 + n) for n in range(min(5, balancers))]
         for b in taught if learnt else ():
             self.teach(b, [m.spec for m in warm], learnt)
         self.group = [copy.deepcopy(taught[n % len(taught)]) for n in range(balancers)]
         for n, b in enumerate(self.group):
-            b.state.settings = Settings(number=n, **told)
+            b.state.settings = Settings(number=n, **given)
             b.state.random = random.Random(seed * 1000 + n)
             self.feed(n, [ServerList(ListKind.FULL, tuple(m.spec for m in self.machines.values()))])
 
@@ -308,7 +308,7 @@
     many.
     """
     for seed in range(1, 5):
-        fleet = Fleet(SITES["split-clinic"], 200, seed, learnt, told_after_us=8_000_000)
+        fleet = Fleet(SITES["split-clinic"], 200, seed, learnt, known_after_us=8_000_000)
         fleet.play(12_000_000, idle_us=10_000_000)
         assert fleet.pressure()[0] < 1.0
 
--- a/tests/balancer/test_property.py
+++ b/tests/balancer/test_property.py
@@ -35,7 +35,7 @@
 from roselink.balancer.request_state import Request
 from roselink.balancer.slow_start import SlowStart
 from roselink.routing.outcome import Outcome
-from tests.support.rulecheck import Checker, RuleBroken
+from tests.support.rule_checker import RuleBrokenError, RuleChecker
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -64,7 +64,7 @@
     def __init__(self, seed: int, parallel: bool, memory_us: int, bad: float) -> None:
         self.rng = random.Random(seed)
         self.bad = bad
-        self.told = Settings(
+        self.settings = Settings(
             routes=routes(memory_us),
             balancers=self.rng.choice([1, 2, 3]),
             discovery_asks=self.rng.random() < 0.5,
@@ -84,8 +84,8 @@
             warm_keys=self.rng.random() < 0.5,
         )
         self.now = 10_000_000
-        self.balancer = Balancer(self.told, seed)
-        self.checker = Checker(self.told, WORK_US)
+        self.balancer = Balancer(self.settings, seed)
+        self.checker = RuleChecker(self.settings, WORK_US)
         self.due: list[tuple[int, int, Event]] = []
         self.count = 0
         self.next_request = 0
@@ -142,8 +142,8 @@
 
     def arrival(self) -> Event:
         self.next_request += 1
-        number, route = self.next_request, self.rng.randrange(len(self.told.routes))
-        wait = int(self.told.routes[route].deadline_us * self.rng.choice([0.5, 1.0, 1.0]))
+        number, route = self.next_request, self.rng.randrange(len(self.settings.routes))
+        wait = int(self.settings.routes[route].deadline_us * self.rng.choice([0.5, 1.0, 1.0]))
         self.give_up[number] = self.now + wait
         self.tries[number] = 0
         if self.rng.random() < 0.03:
@@ -264,7 +264,7 @@
     breaking: Callable[[pytest.MonkeyPatch], None], rule: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     breaking(monkeypatch)
-    with pytest.raises(RuleBroken, match=f"^{rule}"):
+    with pytest.raises(RuleBrokenError, match=f"^{rule}"):
         for seed in range(40):
             World(seed, parallel=seed % 2 == 0, memory_us=60_000, bad=0.3).play(1000)
 
--- a/tests/balancer/test_recorded_histories.py
+++ b/tests/balancer/test_recorded_histories.py
@@ -47,9 +47,9 @@
         self.crowds = seed % 4 >= 2  # latency grows with what is in flight
         balancers = self.rng.choice([1, 3, 40])
         servers = self.rng.choice([4, 12, 40])
-        self.told = dataclasses.replace(
-            self.told,
-            routes=tuple(self.varied(route) for route in self.told.routes),
+        self.settings = dataclasses.replace(
+            self.settings,
+            routes=tuple(self.varied(route) for route in self.settings.routes),
             balancers=balancers,
             number=self.rng.randrange(balancers),
             zone=self.rng.randrange(2),
@@ -58,7 +58,7 @@
             clients_mark_repeats=self.rng.random() < 0.5,
             retry_after=self.rng.random() < 0.5,
         )
-        self.balancer = Balancer(self.told, seed)
+        self.balancer = Balancer(self.settings, seed)
         self.servers = [
             Server(50 + i, zone=i % 2, cell=i % 4, kind=i % 3, hint=1.0 + i % 2)
             for i in range(servers)
--- a/tests/dataplane/fuzz.py
+++ b/tests/dataplane/fuzz.py
@@ -10,7 +10,8 @@
 from typing import TYPE_CHECKING
 
 from tests.dataplane.harness import STAMP, DataPlaneHarness, StreamClient, chunk, event, request
-from tests.support.net import FakeHost, Message, read_message, reset
+from tests.support.fake_hosts import FakeHost
+from tests.support.http_messages import Message, read_message, reset
 
 if TYPE_CHECKING:
     import random
--- a/tests/dataplane/harness.py
+++ b/tests/dataplane/harness.py
@@ -28,7 +28,8 @@
     TopologyChanged,
 )
 from roselink.routing.outcome import NEVER_RAN, Outcome
-from tests.support.net import Behaviour, FakeHost, Message, reset
+from tests.support.fake_hosts import Behaviour, FakeHost
+from tests.support.http_messages import Message, reset
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Callable
--- a/tests/dataplane/test_clients.py
+++ b/tests/dataplane/test_clients.py
@@ -5,7 +5,7 @@
 from __future__ import annotations
 
 import asyncio
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
@@ -23,7 +23,11 @@
     sse,
     stream,
 )
-from tests.support.net import Message, hang, on_loop, until
+from tests.support.event_loop import on_loop, until
+from tests.support.fake_hosts import hang
+
+if TYPE_CHECKING:
+    from tests.support.http_messages import Message
 
 
 @on_loop
--- a/tests/dataplane/test_data_plane.py
+++ b/tests/dataplane/test_data_plane.py
@@ -19,7 +19,9 @@
     sse,
     stream,
 )
-from tests.support.net import Behaviour, Message, hang, on_loop, say, until
+from tests.support.event_loop import on_loop, until
+from tests.support.fake_hosts import Behaviour, hang, say
+from tests.support.http_messages import Message
 
 
 @on_loop
--- a/tests/dataplane/test_fuzz.py
+++ b/tests/dataplane/test_fuzz.py
@@ -12,7 +12,7 @@
 from roselink.routing.fleet_decider import FleetDecider
 from tests.dataplane.fuzz import FuzzClient, FuzzHost, Ledger
 from tests.dataplane.harness import host_line, plain, running_data_plane
-from tests.support.net import on_loop, until
+from tests.support.event_loop import on_loop, until
 
 HOSTS, CLIENTS, TURNS = 4, 6, 20
 
--- a/tests/dataplane/test_guards.py
+++ b/tests/dataplane/test_guards.py
@@ -31,7 +31,9 @@
     stream,
 )
 from tests.dataplane.harness import chunk as chunk_of
-from tests.support.net import Behaviour, FakeHost, Message, hang, on_loop, reset, until
+from tests.support.event_loop import on_loop, until
+from tests.support.fake_hosts import Behaviour, FakeHost, hang
+from tests.support.http_messages import Message, reset
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/tests/dataplane/test_host_pool.py
+++ b/tests/dataplane/test_host_pool.py
@@ -28,7 +28,9 @@
     sse,
     stream,
 )
-from tests.support.net import Behaviour, Message, NeverUp, hang, on_loop, reset, say, until
+from tests.support.event_loop import on_loop, until
+from tests.support.fake_hosts import Behaviour, NeverUp, hang, say
+from tests.support.http_messages import Message, reset
 
 KEEPS = "Keep-Alive: timeout=9"
 
--- a/tests/dataplane/test_storm.py
+++ b/tests/dataplane/test_storm.py
@@ -33,7 +33,8 @@
     running_data_plane,
     sse,
 )
-from tests.support.net import Message, on_loop, reset, until
+from tests.support.event_loop import on_loop, until
+from tests.support.http_messages import Message, reset
 
 if TYPE_CHECKING:
     from roselink.dataplane.interfaces import Decider
--- a/tests/gateway/test_closes.py
+++ b/tests/gateway/test_closes.py
@@ -16,17 +16,11 @@
 from roselink.http import server_connection
 from roselink.http.host_connection import BODY_LIMIT
 from roselink.http.server_connection import ServerConnection
-from tests.support.net import (
-    SuddenClient,
-    World,
-    answer,
-    on_loop,
-    say,
-    serve_ok,
-    taken,
-    until,
-    world,
-)
+from tests.support.event_loop import on_loop, until
+from tests.support.fake_hosts import say, serve_ok
+from tests.support.gateway_clients import SuddenClient
+from tests.support.gateway_harness import World, taken, world
+from tests.support.http_messages import answer
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/tests/gateway/test_departures.py
+++ b/tests/gateway/test_departures.py
@@ -13,22 +13,11 @@
 from roselink.gateway.server import ClientConnection
 from roselink.http import host_pool
 from roselink.http.host_connection import HostConnection
-from tests.support.net import (
-    Behaviour,
-    Client,
-    FakeHost,
-    Message,
-    SuddenClient,
-    World,
-    answer,
-    client_request,
-    hang,
-    on_loop,
-    serve_ok,
-    taken,
-    until,
-    world,
-)
+from tests.support.event_loop import on_loop, until
+from tests.support.fake_hosts import Behaviour, FakeHost, hang, serve_ok
+from tests.support.gateway_clients import Client, SuddenClient, client_request
+from tests.support.gateway_harness import World, taken, world
+from tests.support.http_messages import Message, answer
 
 if TYPE_CHECKING:
     import asyncio
--- a/tests/gateway/test_discovery.py
+++ b/tests/gateway/test_discovery.py
@@ -22,24 +22,12 @@
     CallPacing,
     Cause,
 )
-from tests.support.net import (
-    Behaviour,
-    Client,
-    FakeDiscovery,
-    FakeHost,
-    Message,
-    World,
-    alone,
-    answer,
-    break_off,
-    hang,
-    on_loop,
-    say,
-    serve_ok,
-    told_settings,
-    until,
-    world,
-)
+from tests.support.event_loop import on_loop, until
+from tests.support.fake_discovery import FakeDiscovery
+from tests.support.fake_hosts import Behaviour, FakeHost, break_off, hang, say, serve_ok
+from tests.support.gateway_clients import Client
+from tests.support.gateway_harness import World, alone, settings_data, world
+from tests.support.http_messages import Message, answer
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -56,12 +44,12 @@
 def entry_with(change: dict[str, Any]) -> Callable[[FakeDiscovery], None]:
     """A list of a good entry and one that is spoilt, which must not be taken in part."""
     good = {"instanceId": "s-8", "hostPort": "127.0.0.1:9", "lifecycle": "up"}
-    told = {
+    given = {
         "generation": 9,
         "reset": True,
         "instances": [good, good | {"instanceId": "s-9"} | change],
     }
-    return lambda d: d.send(json.dumps(told).encode() + b"\n")
+    return lambda d: d.send(json.dumps(given).encode() + b"\n")
 
 
 SPOILT: list[dict[str, Any]] = [
@@ -152,8 +140,8 @@
 @on_loop
 async def test_a_list_on_a_watch_may_be_laid_out_over_lines(step: int, indent: int | str) -> None:
     async with world(serve_ok) as w:
-        told = json.loads(w.discovery.line(True, w.hosts[0].entry(lifecycle="draining")))
-        data = json.dumps(told, indent=indent).encode() + b"\n\n"
+        given = json.loads(w.discovery.line(True, w.hosts[0].entry(lifecycle="draining")))
+        data = json.dumps(given, indent=indent).encode() + b"\n\n"
         for start in range(0, len(data), step):
             w.discovery.send(data[start : start + step])
         await until(lambda: not next(iter(w.gateway.engine.hosts.values())).ready)
@@ -234,7 +222,7 @@
     host = await FakeHost("s-known").start()
     known = {"generation": 41, "reset": True, "instances": [host.entry()]}
     agent = await FakeHost("agent", hang).start()
-    settings = told_settings(balancers=4000, discovery="push")
+    settings = settings_data(balancers=4000, discovery="push")
     async with alone(agent, known, settings=settings):
         assert (await agent.came.get()).first.split()[1].endswith("from=41")
 
@@ -423,7 +411,7 @@
     agent = await FakeHost("discovery", trouble or hang).start()
     if trouble is None:
         agent.down()
-    async with alone(agent, known, settings=told_settings(balancers=200)) as gateway:
+    async with alone(agent, known, settings=settings_data(balancers=200)) as gateway:
         await until(lambda: len(waits) >= 4)
         agent.behave = say(HEAD + chunk(json.dumps(drain).encode() + b"\n"))
         if trouble is None:
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -29,25 +29,11 @@
 from roselink.http.descriptors import RESERVED
 from roselink.http.host_connection import HostConnection
 from roselink.routing.outcome import Outcome
-from tests.support.net import (
-    Client,
-    FakeHost,
-    Message,
-    NeverUp,
-    SuddenClient,
-    World,
-    answer,
-    break_off,
-    client_request,
-    hang,
-    on_loop,
-    say,
-    serve_ok,
-    taken,
-    told_settings,
-    until,
-    world,
-)
+from tests.support.event_loop import on_loop, until
+from tests.support.fake_hosts import FakeHost, NeverUp, break_off, hang, say, serve_ok
+from tests.support.gateway_clients import Client, SuddenClient, client_request
+from tests.support.gateway_harness import World, settings_data, taken, world
+from tests.support.http_messages import Message, answer
 
 if TYPE_CHECKING:
     from roselink.http.server_connection import ServerConnection
@@ -152,7 +138,7 @@
         "deadline": 60_000_000,
         "late_worth": 0.2,
     }
-    async with world(hang, settings=told_settings(lanes=[lane])) as w:
+    async with world(hang, settings=settings_data(lanes=[lane])) as w:
         balancer, clients = w.gateway.engine._balancer, []
         while not balancer.state.queued:
             clients.append(SuddenClient(w.gateway.port))
@@ -324,7 +310,7 @@
         "goal_time": 2_000_000,
         "deadline": 60_000_000,
     }
-    async with world(break_off, settings=told_settings(lanes=[lane])) as w, w.client() as client:
+    async with world(break_off, settings=settings_data(lanes=[lane])) as w, w.client() as client:
         made = HostConnection.connection_made
 
         def late(connection: HostConnection, transport: asyncio.BaseTransport) -> None:
@@ -461,7 +447,7 @@
     began.
     """
     rules = {"cold": 60_000_000, "cold_from": 0.3, "fall_multiple": 3.0}
-    async with world(serve_ok, settings=told_settings(guarantees=rules)) as w:
+    async with world(serve_ok, settings=settings_data(guarantees=rules)) as w:
         now_ms = time.time_ns() // 1_000_000
         assert abs(w.gateway.engine.now_us() / 1000 - now_ms) < 60_000
         young, old = await FakeHost("s-young").start(), await FakeHost("s-old").start()
@@ -477,7 +463,7 @@
 async def test_a_cold_host_is_not_pushed_over() -> None:
     """Work that costs the told aims at most: the fifty at once may not all go to the cold host."""
     rules = {"cold": 60_000_000, "cold_from": 0.3, "fall_multiple": 1.0}
-    async with world(hang, hang, settings=told_settings(guarantees=rules)) as w:
+    async with world(hang, hang, settings=settings_data(guarantees=rules)) as w:
         cold = await FakeHost("s-cold", hang).start()
         w.discovery.tell(cold.entry(startedAtMs=time.time_ns() // 1_000_000))
         await until(lambda: len(w.gateway.engine.hosts) == 3)
--- a/tests/gateway/test_host_pool.py
+++ b/tests/gateway/test_host_pool.py
@@ -17,21 +17,9 @@
 from roselink.http.host_connection import Attempt, HostConnection, HostResponse, PooledHost
 from roselink.http.host_pool import HostPool
 from roselink.routing.outcome import Outcome
-from tests.support.net import (
-    Behaviour,
-    FakeHost,
-    Message,
-    NeverUp,
-    answer,
-    break_off,
-    close_resets,
-    hang,
-    on_loop,
-    reset,
-    say,
-    serve_ok,
-    until,
-)
+from tests.support.event_loop import on_loop, until
+from tests.support.fake_hosts import Behaviour, FakeHost, NeverUp, break_off, hang, say, serve_ok
+from tests.support.http_messages import Message, answer, close_resets, reset
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -20,20 +20,12 @@
 import roselink.gateway.__main__
 from roselink.gateway.config import load
 from roselink.gateway.exceptions import ConfigError
-from tests.support.net import (
-    Client,
-    FakeDiscovery,
-    FakeHost,
-    answer,
-    config_data,
-    hang,
-    on_loop,
-    say,
-    serve_ok,
-    told_settings,
-    until,
-    world,
-)
+from tests.support.event_loop import on_loop, until
+from tests.support.fake_discovery import FakeDiscovery
+from tests.support.fake_hosts import FakeHost, hang, say, serve_ok
+from tests.support.gateway_clients import Client
+from tests.support.gateway_harness import config_data, settings_data, world
+from tests.support.http_messages import answer
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
@@ -113,8 +105,8 @@
     known = {"generation": 41, "reset": True, "instances": [host.entry()]}
     with socket.socket() as nobody:
         nobody.bind(("127.0.0.1", 0))
-        told = config_data(nobody.getsockname()[1], listen=f"127.0.0.1:{port}", known=known)
-        process = await program(tmp_path, told)
+        given = config_data(nobody.getsockname()[1], listen=f"127.0.0.1:{port}", known=known)
+        process = await program(tmp_path, given)
         await up(port)
         async with Client(port) as client:
             assert (await client.ask()).status == 200
@@ -128,8 +120,8 @@
     host, port = await FakeHost().start(), free_port()
     with socket.socket() as later:
         later.bind(("127.0.0.1", 0))
-        told = config_data(later.getsockname()[1], listen=f"127.0.0.1:{port}", known={})
-        process = await program(tmp_path, told)
+        given = config_data(later.getsockname()[1], listen=f"127.0.0.1:{port}", known={})
+        process = await program(tmp_path, given)
         await up(port, 503)
         await FakeDiscovery(host.entry()).start(later)
         await up(port)
@@ -257,32 +249,32 @@
     ("{", "GW_CONFIG"),
     ("[]", "GW_CONFIG"),
     (config_data(1, settings=None), "settings"),
-    (config_data(1, settings=told_settings(balancers=0)), "balancers"),
+    (config_data(1, settings=settings_data(balancers=0)), "balancers"),
     (
-        config_data(1, settings=told_settings(lanes=[{"name": "a", "semantics": "safe"}])),
+        config_data(1, settings=settings_data(lanes=[{"name": "a", "semantics": "safe"}])),
         "deadline",
     ),
-    (config_data(1, settings=told_settings(lanes=[{"name": "a", "deadline": 5}])), "semantics"),
-    (config_data(1, settings=told_settings(lanes=[3])), "lanes"),
-    (config_data(1, settings=told_settings(lanes={"a": 1})), "lanes"),
+    (config_data(1, settings=settings_data(lanes=[{"name": "a", "deadline": 5}])), "semantics"),
+    (config_data(1, settings=settings_data(lanes=[3])), "lanes"),
+    (config_data(1, settings=settings_data(lanes={"a": 1})), "lanes"),
     (
-        config_data(1, settings=told_settings(lanes=[{"semantics": "safe", "deadline": "soon"}])),
+        config_data(1, settings=settings_data(lanes=[{"semantics": "safe", "deadline": "soon"}])),
         "deadline",
     ),
     (
-        config_data(1, settings=told_settings(lanes=[{"semantics": "wild", "deadline": 5}])),
+        config_data(1, settings=settings_data(lanes=[{"semantics": "wild", "deadline": 5}])),
         "semantics",
     ),
-    (config_data(1, settings=told_settings(orgs=["acme"])), "orgs"),
-    (config_data(1, settings=told_settings(guarantees=[1])), "guarantees"),
-    (config_data(1, settings=told_settings(guarantees={"cold": "long"})), "guarantees.cold"),
+    (config_data(1, settings=settings_data(orgs=["acme"])), "orgs"),
+    (config_data(1, settings=settings_data(guarantees=[1])), "guarantees"),
+    (config_data(1, settings=settings_data(guarantees={"cold": "long"})), "guarantees.cold"),
     (
-        config_data(1, settings=told_settings(guarantees={"ask_within": 1e400})),
+        config_data(1, settings=settings_data(guarantees={"ask_within": 1e400})),
         "guarantees.ask_within",
     ),
-    (config_data(1, settings=told_settings(balancers=1.5)), "balancers"),
-    (config_data(1, settings=told_settings(limits={"attempts_cap": True})), "limits.attempts_cap"),
-    (config_data(1, settings=told_settings(limits={"conn_idle": -1})), "conn_idle"),
+    (config_data(1, settings=settings_data(balancers=1.5)), "balancers"),
+    (config_data(1, settings=settings_data(limits={"attempts_cap": True})), "limits.attempts_cap"),
+    (config_data(1, settings=settings_data(limits={"conn_idle": -1})), "conn_idle"),
     (config_data(1, listen="nowhere"), "GW_LISTEN"),
     (config_data(1, discovery=None), "GW_DISCOVERY"),
     (config_data(1, limits={"sockets": 0}), "limits.sockets"),
@@ -455,7 +447,7 @@
     data = config_data(
         first.port,
         listen=f"127.0.0.1:{port}",
-        settings=told_settings(discovery="push"),
+        settings=settings_data(discovery="push"),
         limits={"sockets": 2 * DESCRIPTORS},  # or it would keep some free
     )
     process = await program(tmp_path, data)
--- a/tests/gateway/test_settings.py
+++ b/tests/gateway/test_settings.py
@@ -17,7 +17,7 @@
 )
 from roselink.balancer.settings_reader import read_settings
 from roselink.routing.outcome import Outcome
-from tests.support.helpers import Stage, route, settings
+from tests.support.balancer_harness import BalancerHarness, route, settings
 
 
 @pytest.mark.parametrize(
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize(
-    "told",
+    "given",
     [
         settings(route(aim_us=None)),
         settings(route(aim_stretch=2.0)),
@@ -62,37 +62,37 @@
     ],
 )
 @pytest.mark.parametrize("servers", [1, 40])
-def test_unusual_settings_serve(told: Settings, servers: int) -> None:
-    stage = Stage(told, servers)
+def test_unusual_settings_serve(given: Settings, servers: int) -> None:
+    harness = BalancerHarness(given, servers)
     for n in range(300):
-        request = stage.arrive(work_us=12_000 if n % 2 else None, key=f"k{n % 7}", tenant=n % 3)
-        stage.pass_time(8_000)
+        request = harness.arrive(work_us=12_000 if n % 2 else None, key=f"k{n % 7}", tenant=n % 3)
+        harness.pass_time(8_000)
         for _ in range(12):
-            for attempt in range(len(stage.sends.get(request, []))):
+            for attempt in range(len(harness.sends.get(request, []))):
                 failed = n % 10 == 0 and attempt == 0
-                stage.done(request, Outcome.ERROR if failed else Outcome.SUCCESS, 8_000, attempt)
-            stage.pass_time(40_000)
-    assert len(stage.sends) >= 270
+                harness.done(request, Outcome.ERROR if failed else Outcome.SUCCESS, 8_000, attempt)
+            harness.pass_time(40_000)
+    assert len(harness.sends) >= 270
 
 
 def test_a_stream_belongs_to_the_client_once_it_started() -> None:
-    stage = Stage(settings(route(stream=True), parallel_tries=True), 3)
-    request = stage.arrive()
-    stage.feed(StreamStarted(request, 0, 5_000))
-    assert not any(isinstance(a, Send) for a in stage.pass_time(2_000_000))
-    stage.done(request, Outcome.SUCCESS, 2_000_000)
-    assert not stage.balancer.requests
+    harness = BalancerHarness(settings(route(stream=True), parallel_tries=True), 3)
+    request = harness.arrive()
+    harness.feed(StreamStarted(request, 0, 5_000))
+    assert not any(isinstance(a, Send) for a in harness.pass_time(2_000_000))
+    harness.done(request, Outcome.SUCCESS, 2_000_000)
+    assert not harness.balancer.requests
 
 
 def test_departed_servers_and_requests_leave_no_residue() -> None:
-    stage = Stage(settings(warm_keys=True), [Server(i) for i in range(5)])
+    harness = BalancerHarness(settings(warm_keys=True), [Server(i) for i in range(5)])
     for n in range(2000):
-        request = stage.arrive(key=f"key{n}")
-        stage.pass_time(3_000)
-        if request in stage.sends:
-            stage.done(request, Outcome.SUCCESS, 3_000)
-    stage.pass_time(5_000_000)
-    stage.done(stage.arrive(), Outcome.SUCCESS)
-    balancer = stage.balancer
+        request = harness.arrive(key=f"key{n}")
+        harness.pass_time(3_000)
+        if request in harness.sends:
+            harness.done(request, Outcome.SUCCESS, 3_000)
+    harness.pass_time(5_000_000)
+    harness.done(harness.arrive(), Outcome.SUCCESS)
+    balancer = harness.balancer
     assert len(balancer.state.servers) == 5 and len(balancer.requests) == len(balancer.alarms) == 0
     assert all(len(r.latency) <= 128 for r in balancer.state.routes)
--- a/tests/protocol/test_peers.py
+++ b/tests/protocol/test_peers.py
@@ -16,7 +16,7 @@
 from roselink.protocol.peer_pool import PeerPool
 from roselink.protocol.peer_server import PeerServer
 from roselink.protocol.records import record
-from tests.support.net import on_loop
+from tests.support.event_loop import on_loop
 
 if TYPE_CHECKING:
     from roselink.protocol.peer_connection import Address, ReplySender
--- a/tests/support/helpers.py
+++ b/tests/support/balancer_harness.py
@@ -1,4 +1,4 @@
-"""A small stage for the balancer: settings, servers and a clock, no network and no bench."""
+"""A small harness for the balancer: settings, servers and a clock, no network and no bench."""
 
 from __future__ import annotations
 
@@ -42,13 +42,13 @@
     return Settings(routes=routes or (route(),), **values)
 
 
-class Stage:
+class BalancerHarness:
     """Feeds one balancer, keeps its alarms and remembers what it did."""
 
-    def __init__(self, told: Settings, servers: int | list[Server] = 4, seed: int = 7) -> None:
+    def __init__(self, given: Settings, servers: int | list[Server] = 4, seed: int = 7) -> None:
         self.now = 1_000_000
-        self.balancer = Balancer(told, seed)
-        self.told = told
+        self.balancer = Balancer(given, seed)
+        self.settings = given
         self.log: list[Action] = []
         self.timers: list[tuple[int, int]] = []
         self.sends: dict[int, list[int]] = {}
--- /dev/null
+++ b/tests/support/fake_discovery.py
@@ -0,0 +1,73 @@
+"""A discovery on a loopback socket that a test feeds."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import socket
+from typing import Any
+
+from tests.support.http_messages import answer, read_message, reset
+
+
+class FakeDiscovery:
+    """Watches that tests feed; `lists` holds what a new watch is told first."""
+
+    def __init__(self, *entries: dict[str, Any]) -> None:
+        self.generation = 1
+        self.first: bytes = self.line(True, *entries)
+        self.asked: asyncio.Queue[str] = asyncio.Queue()
+        self.ended: asyncio.Queue[int] = (
+            asyncio.Queue()
+        )  # numbers of watches that the gateway ended
+        self.watches: list[asyncio.StreamWriter] = []
+
+    def line(self, whole: bool, *entries: dict[str, Any]) -> bytes:
+        given = {"generation": self.generation, "reset": whole, "instances": list(entries)}
+        return json.dumps(given).encode() + b"\n"
+
+    async def start(self, bound: socket.socket | None = None) -> FakeDiscovery:
+        sock = bound or socket.create_server(("127.0.0.1", 0))
+        self._server = await asyncio.start_server(self._serve, sock=sock)
+        self.port: int = self._server.sockets[0].getsockname()[1]
+        return self
+
+    def down(self) -> None:
+        """End the watches, and refuse connections until `up`."""
+        self._server.close()
+        for watch in self.watches:
+            reset(watch)
+
+    async def up(self) -> None:
+        await self.start(socket.create_server(("127.0.0.1", self.port)))
+
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        number: int | None = None
+        try:
+            message = await read_message(reader)
+            target = message.first.split()[1]
+            if "watch=1" not in target:
+                writer.write(answer(self.first.strip()))
+                self.asked.put_nowait(target)
+                return
+            number = len(self.watches)
+            self.watches.append(writer)
+            writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+            self.send(self.first)
+            self.asked.put_nowait(target)
+            await reader.read()
+        except (asyncio.IncompleteReadError, ConnectionError):
+            pass
+        finally:
+            writer.close()
+            if (
+                number is not None
+            ):  # also by RST, which is how it ends with bytes unread at the gateway
+                self.ended.put_nowait(number)
+
+    def send(self, data: bytes) -> None:
+        self.watches[-1].write(b"%x\r\n%b\r\n" % (len(data), data))
+
+    def tell(self, *entries: dict[str, Any]) -> None:
+        self.generation += 1
+        self.send(self.line(False, *entries))
--- /dev/null
+++ b/tests/support/http_messages.py
@@ -0,0 +1,49 @@
+"""HTTP/1.1 messages framed by Content-Length, and connections that end by RST."""
+
+from __future__ import annotations
+
+import socket
+import struct
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    import asyncio
+
+
+@dataclass
+class Message:
+    first: str
+    headers: dict[str, str]
+    body: bytes
+
+    @property
+    def status(self) -> int:
+        return int(self.first.split()[1])
+
+
+async def read_message(reader: asyncio.StreamReader) -> Message:
+    """One message framed by Content-Length; raises `IncompleteReadError` at the connection's
+    end.
+    """
+    head = (await reader.readuntil(b"\r\n\r\n")).decode()
+    first, *lines = head.strip().split("\r\n")
+    headers = {k.lower(): v.strip() for k, _, v in (line.partition(":") for line in lines)}
+    return Message(
+        first, headers, await reader.readexactly(int(headers.get("content-length", "0")))
+    )
+
+
+def answer(body: bytes = b"ok", status: str = "200 OK", *headers: str) -> bytes:
+    lines = [f"HTTP/1.1 {status}", f"Content-Length: {len(body)}", *headers]
+    return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
+
+
+def close_resets(sock: socket.socket) -> None:
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+
+
+def reset(writer: asyncio.StreamWriter) -> None:
+    """End a connection by RST, as a host that dies does."""
+    close_resets(writer.get_extra_info("socket"))
+    writer.transport.abort()
--- a/tests/support/rulecheck.py
+++ b/tests/support/rule_checker.py
@@ -50,20 +50,20 @@
     sent: list[Sent] = field(default_factory=list)
 
 
-class RuleBroken(AssertionError):
+class RuleBrokenError(AssertionError):
     pass
 
 
-class Checker:
-    """Feed it every batch, its actions after it; it raises RuleBroken at the first breach."""
+class RuleChecker:
+    """Feed it every batch, its actions after it; it raises RuleBrokenError at the first breach."""
 
-    def __init__(self, told: Settings, work_us: int) -> None:
-        self.told = told
+    def __init__(self, given: Settings, work_us: int) -> None:
+        self.settings = given
         self.work_us = work_us  # true work of a request, on a core of a cold server's kind
         self.cases: dict[int, Case] = {}
-        self.told_ended: list[int] = []  # in this batch; a send in its reply is no breach yet
+        self.ended_by_events: list[int] = []  # in this batch; a send in its reply is no breach yet
         self.known: dict[int, Server] = {}
-        self.told_off: dict[int, int] = {}
+        self.drained_since: dict[int, int] = {}
         self.cold_sends: dict[tuple[int, int], list[int]] = {}
 
     def before(self, now_us: int, events: list[Event]) -> None:
@@ -71,14 +71,16 @@
             if isinstance(event, ServerList):
                 self._list(now_us, event)
             elif isinstance(event, Arrived):
-                self.cases[event.request] = Case(self.told.routes[event.route], event.give_up_us)
+                self.cases[event.request] = Case(
+                    self.settings.routes[event.route], event.give_up_us
+                )
             elif isinstance(event, Departed):
-                self.told_ended.append(event.request)
+                self.ended_by_events.append(event.request)
             elif isinstance(event, AttemptDone):
                 case = self.cases[event.request]
                 case.sent[event.attempt].outcome = event.outcome
                 if event.closed:
-                    self.told_ended.append(event.request)
+                    self.ended_by_events.append(event.request)
 
     def _list(self, now_us: int, event: ServerList) -> None:
         if event.kind is ListKind.FAILED:
@@ -86,13 +88,13 @@
         listed = {line.id: line for line in event.servers}
         if event.kind is not ListKind.CHANGES:
             for gone in set(self.known) - set(listed):
-                self.told_off.setdefault(gone, now_us)
+                self.drained_since.setdefault(gone, now_us)
         for number, line in listed.items():
             self.known[number] = line
             if line.state is State.READY:
-                self.told_off.pop(number, None)
+                self.drained_since.pop(number, None)
             else:
-                self.told_off.setdefault(number, now_us)
+                self.drained_since.setdefault(number, now_us)
 
     def after(self, now_us: int, actions: list[Action]) -> None:
         for action in actions:
@@ -102,12 +104,12 @@
                 self._end(now_us, action)
             elif isinstance(action, Cancel):
                 assert action.attempt < len(self.cases[action.request].sent)
-        for number in self.told_ended:
+        for number in self.ended_by_events:
             self.cases[number].ended = True
-        self.told_ended = []
+        self.ended_by_events = []
         for number, case in self.cases.items():
-            if not case.ended and now_us > case.give_up_us + self.told.answer_slack_us:
-                raise RuleBroken(f"1: request {number} has no final answer in time")
+            if not case.ended and now_us > case.give_up_us + self.settings.answer_slack_us:
+                raise RuleBrokenError(f"1: request {number} has no final answer in time")
 
     def _end(self, now_us: int, action: Refuse | Fail) -> None:
         case = self.cases[action.request]
@@ -118,21 +120,21 @@
             if spec.effect is Effect.UNSAFE or (
                 spec.effect is Effect.KEYED and spec.group is not Group.ALL
             ):
-                raise RuleBroken(f"2: request {action.request} refused though it may have run")
+                raise RuleBrokenError(f"2: request {action.request} refused though it may have run")
         case.ended = True
 
     def _send(self, now_us: int, action: Send) -> None:
         case, spec = self.cases[action.request], self.cases[action.request].route
         server = self.known[action.server]
         if case.ended:
-            raise RuleBroken(f"1: request {action.request} sent after its end")
-        if len(case.sent) >= self.told.max_attempts:
-            raise RuleBroken(f"attempts: request {action.request}")
-        if any(s.outcome is None for s in case.sent) and not self.told.parallel_tries:
-            raise RuleBroken(f"2: request {action.request} out twice")
+            raise RuleBrokenError(f"1: request {action.request} sent after its end")
+        if len(case.sent) >= self.settings.max_attempts:
+            raise RuleBrokenError(f"attempts: request {action.request}")
+        if any(s.outcome is None for s in case.sent) and not self.settings.parallel_tries:
+            raise RuleBrokenError(f"2: request {action.request} out twice")
         for earlier in [s for s in case.sent if s.may_have_run]:
             if spec.effect is Effect.UNSAFE:
-                raise RuleBroken(f"2: unsafe request {action.request} sent again")
+                raise RuleBrokenError(f"2: unsafe request {action.request} sent again")
             if spec.effect is Effect.KEYED:
                 same = {
                     Group.ALL: True,
@@ -140,28 +142,30 @@
                     Group.CELL: earlier.server.cell == server.cell,
                 }[spec.group]
                 if not same or now_us >= earlier.at_us + spec.memory_span_us:
-                    raise RuleBroken(
+                    raise RuleBrokenError(
                         f"2: keyed request {action.request} sent outside its group or time"
                     )
-        told_off = self.told_off.get(action.server)
-        if told_off is not None and now_us > told_off + self.told.drain_grace_us:
-            raise RuleBroken(f"3: server {action.server} sent to after its drain")
+        drained_since = self.drained_since.get(action.server)
+        if drained_since is not None and now_us > drained_since + self.settings.drain_grace_us:
+            raise RuleBrokenError(f"3: server {action.server} sent to after its drain")
         case.sent.append(Sent(now_us, server))
         self._cold(now_us, server)
 
     def _cold(self, now_us: int, server: Server) -> None:
         started = server.started_us
-        if not started or now_us >= started + self.told.cold_us:
+        if not started or now_us >= started + self.settings.cold_us:
             return
         sends = self.cold_sends.setdefault((server.id, started), [])
         sends.append(now_us)
-        window = self.told.fall_window_us
+        window = self.settings.fall_window_us
         work = self.work_us * sum(1 for t in sends if t > now_us - window)
         warmth = (
-            self.told.cold_from
-            + (1 - self.told.cold_from) * max(0, now_us - window - started) / self.told.cold_us
+            self.settings.cold_from
+            + (1 - self.settings.cold_from)
+            * max(0, now_us - window - started)
+            / self.settings.cold_us
         )
-        if work > self.told.fall_multiple * warmth * window:
-            raise RuleBroken(
+        if work > self.settings.fall_multiple * warmth * window:
+            raise RuleBrokenError(
                 f"4: cold server {server.id} sent more than its budget by one balancer alone"
             )
