--- a/roselink/distribution/pull_client.py
+++ b/roselink/distribution/pull_client.py
@@ -9,7 +9,7 @@
 import time
 from collections.abc import Callable, Iterable
 from functools import partial
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 from roselink.distribution.pull_state_machine import (
     ApplySnapshot,
@@ -27,18 +27,31 @@
     from roselink.model.fleet import Member, Snapshot
     from roselink.protocol.payoffs import HostOutcomes
     from roselink.protocol.peer_pool import PeerPool
+    from roselink.protocol.records import Record
 
 log = logging.getLogger("roselink.distribution")
 
-EPOCH_SPAN = 1 << 32  # versions of hosts and roster are epoch and counter (`VersionVector`)
-SETTINGS_CHECK_S = 1.0  # the file may change without a signal
+# Versions of hosts and roster are epoch and counter (`VersionVector`).
+EPOCH_SPAN = 1 << 32
+# The settings file may change without a signal.
+SETTINGS_CHECK_INTERVAL_S = 1.0
 Clock = Callable[[], float]
-Stamp = tuple[int, int, int]
+SnapshotCallback = Callable[["Snapshot"], None]
+
+
+class FileStamp(NamedTuple):
+    """What changes when the settings file is written or replaced."""
+
+    modified_ns: int
+    size: int
+    inode: int
 
 
 class PullClient:
-    """What is in force at this gateway, kept new. Times are of `time.monotonic`: an event loop's
-    cached clock is behind after a freeze, and a lease judged by it would last too long.
+    """Keeps what is in force at this gateway up to date.
+
+    Times are of `time.monotonic`: an event loop's cached clock is behind after a freeze, and a
+    lease judged by it would last too long.
     """
 
     def __init__(
@@ -49,12 +62,15 @@
         member: Member,
         clock: Clock = time.monotonic,
     ) -> None:
-        self._path, self._pool, self._clock = settings_path, pool, clock
+        """`settings_path` is the file whose seeds are followed; `member` is this gateway."""
+        self._path = settings_path
+        self._pool = pool
+        self._clock = clock
         self._revoke_s = settings.thresholds.revoke_ms / 1000
         self._strict = settings.thresholds.revocation_strict
         chance = random.Random(os.urandom(8))
         self._machine = PullStateMachine(member, settings.seed_peers(), chance)
-        self._on_snapshot: list[Callable[[Snapshot], None]] = []
+        self._on_snapshot: list[SnapshotCallback] = []
         self._on_confirmed: list[Callable[[float], None]] = []
         self._on_payoffs: Callable[[PayoffsReceived], None] | None = None
         self._timer: asyncio.TimerHandle | None = None
@@ -80,9 +96,9 @@
 
     def may_use_keys(self) -> bool:
         """Whether a request with a key may be sent to a host at this moment."""
-        return self._machine.may_use_keys(self._clock(), self._revoke_s, self._strict)
+        return self._machine.may_use_keys(self._clock(), self._revoke_s, strict=self._strict)
 
-    def subscribe(self, callback: Callable[[Snapshot], None]) -> None:
+    def subscribe(self, callback: SnapshotCallback) -> None:
         """Call with each new snapshot, and with the one in force, if any."""
         self._on_snapshot.append(callback)
         if self._machine.snapshot is not None:
@@ -95,34 +111,33 @@
     def exchange_payoffs(
         self,
         outcomes: Callable[[], tuple[HostOutcomes, ...]],
-        told: Callable[[PayoffsReceived], None],
+        on_payoffs: Callable[[PayoffsReceived], None],
     ) -> None:
-        """Report `outcomes()` with each pull, and call `told` with what all gateways' reports come
-        to.
-        """
-        self._machine.outcomes, self._on_payoffs = outcomes, told
+        """Send `outcomes()` with each pull; `on_payoffs` gets the payoffs pooled over gateways."""
+        self._machine.outcomes = outcomes
+        self._on_payoffs = on_payoffs
 
     def cores(self) -> tuple[str, ...]:
         """The core's members ("ip:port"), as a confirmed reply named them last."""
         return tuple(f"{host}:{port}" for host, port in self._machine.cores)
 
     def add_core_hints(self, cores: Iterable[str]) -> None:
-        """Addresses of core members that a peer knows of."""
+        """Add addresses ("ip:port") of core members that a peer named."""
         self._machine.add_core_hints(cores)
 
-    def set_serving(self, serving: bool) -> None:
-        """Whether this gateway may hold roles, from the next pull on, which comes soon."""
+    def set_serving(self, *, serving: bool) -> None:
+        """Set whether this gateway may hold roles, from the next pull on, which comes soon."""
         if serving != self._machine.serving:
             self._machine.serving = serving
             self.pull_soon()
 
     def pull_soon(self) -> None:
-        """Something newer exists: pull soon."""
+        """Bring the next pull forward: something newer exists."""
         self._machine.pull_soon(self._clock())
         self._schedule()
 
     def reload(self) -> None:
-        """Read the seeds again; a file that can't be read changes nothing."""
+        """Read the seeds from the settings again; a file that can't be read changes nothing."""
         self._stamp = self._read_stamp()
         try:
             settings = load_settings(self._path)
@@ -136,15 +151,15 @@
         if self._read_stamp() != self._stamp:
             self.reload()
         self._settings_timer = asyncio.get_running_loop().call_later(
-            SETTINGS_CHECK_S, self._watch_settings
+            SETTINGS_CHECK_INTERVAL_S, self._watch_settings
         )
 
-    def _read_stamp(self) -> Stamp | None:
+    def _read_stamp(self) -> FileStamp | None:
         try:
             found = os.stat(self._path)
         except OSError:
             return None
-        return found.st_mtime_ns, found.st_size, found.st_ino
+        return FileStamp(found.st_mtime_ns, found.st_size, found.st_ino)
 
     def _wake(self) -> None:
         self._timer = None
@@ -159,30 +174,22 @@
         wait_s = max(0.0, self._machine.due_at - self._clock())
         self._timer = asyncio.get_running_loop().call_later(wait_s, self._wake)
 
-    def _answered(self, call: int, answer: object) -> None:
+    def _reply_received(self, call: int, message: Record | None) -> None:
         if not self._stopped:
-            reply = answer if isinstance(answer, PullReply | DeltaPullReply) else None
+            reply = message if isinstance(message, PullReply | DeltaPullReply) else None
             self._perform(self._machine.reply_received(call, reply, self._clock()))
 
     def _perform(self, effects: list[Effect]) -> None:
         for effect in effects:
             match effect:
                 case SendPull(call, address, pull, timeout_s):
-                    self._pool.call(
-                        address, DeltaPullRequest(pull), timeout_s, partial(self._answered, call)
-                    )
+                    on_reply = partial(self._reply_received, call)
+                    self._pool.call(address, DeltaPullRequest(pull), timeout_s, on_reply)
                 case ApplySnapshot(snapshot):
-                    held = snapshot.vector
-                    log.info(
-                        "in_force configuration=%d hosts=%d:%d roster=%d:%d",
-                        held.configuration,
-                        *divmod(held.hosts, EPOCH_SPAN),
-                        *divmod(held.roster, EPOCH_SPAN),
-                    )
-                    self._tell(snapshot)
+                    self._publish(snapshot)
                 case SnapshotConfirmed(at):
-                    for confirmed in self._on_confirmed:
-                        confirmed(at)
+                    for on_confirmed in self._on_confirmed:
+                        on_confirmed(at)
                 case PayoffsReceived():
                     if self._on_payoffs is not None:
                         self._on_payoffs(effect)
@@ -190,11 +197,17 @@
                     log.error("configuration_unreadable version=%d why=%s", version, why)
         self._schedule()
 
-    def _tell(self, snapshot: Snapshot) -> None:
+    def _publish(self, snapshot: Snapshot) -> None:
+        vector = snapshot.vector
+        log.info(
+            "in_force configuration=%d hosts=%d:%d roster=%d:%d",
+            vector.configuration,
+            *divmod(vector.hosts, EPOCH_SPAN),
+            *divmod(vector.roster, EPOCH_SPAN),
+        )
         for callback in self._on_snapshot:
             try:
                 callback(snapshot)
-            except (
-                Exception
-            ):  # one reader's fault must not keep the others, or the pulls, from going on
+            # A fault in one subscriber must not keep the others, or the pulls, from going on.
+            except Exception:
                 log.exception("snapshot_failed")
--- a/roselink/distribution/pull_state_machine.py
+++ b/roselink/distribution/pull_state_machine.py
@@ -1,8 +1,7 @@
-"""The gateway's pulls: which core member to ask and when, what is in force, and how long keys may
-be used.
+"""When a gateway pulls and from which core member, what is in force, and how long keys may be used.
 
-No clock and no I/O: `now` is seconds of one monotonic clock. Parts of the snapshot only move
-forward. The lease on keys begins when a confirmed pull was SENT: a key's removal that was
+No clock and no I/O: `now` is in seconds of one monotonic clock. Each part of the snapshot only
+moves forward. The lease on keys begins when a confirmed pull was SENT: a key's removal that was
 acknowledged before then is in the reply, and one acknowledged later leaves `revoke_ms` from a
 moment after it. A request was sent by its client before the gateway checks, so the check itself
 needs no more than a margin for clock rates.
@@ -12,7 +11,7 @@
 
 import json
 from dataclasses import dataclass, replace
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 from roselink.distribution.host_changes import expand_reply
 from roselink.model.configuration import Configuration, Limits
@@ -28,18 +27,24 @@
 
 Address = tuple[str, int]
 
-PULL_EVERY_S = 0.2
-JITTER = 0.2  # of PULL_EVERY_S, either way
+PULL_INTERVAL_S = 0.2
+# Fraction of an interval or a backoff, either way.
+JITTER = 0.2
 TIMEOUT_S = 0.3
-TIMEOUT_GROWTH = 1.5  # after each round of failures: the core may be slow, not dead
-TIMEOUT_MOST_S = 1.0
-BARE_FIRST_S = 0.03  # between pulls that brought no list of hosts; it grows to the ordinary pause
-BACKOFF_FIRST_S = 0.05  # after every known member failed once
+# After each round of failures: the core may be slow, not dead.
+TIMEOUT_GROWTH = 1.5
+MAX_TIMEOUT_S = 1.0
+# Between pulls while there is no list of hosts; it grows to the ordinary interval.
+FIRST_INTERVAL_S = 0.03
+# After every known member failed once.
+INITIAL_BACKOFF_S = 0.05
 BACKOFF_GROWTH = 1.5
-BACKOFF_MOST_S = 0.25
-SOONEST_AGAIN_S = 0.05  # between pulls that others asked for
+MAX_BACKOFF_S = 0.25
+# Until a pull that `pull_soon` asks for.
+MIN_INTERVAL_S = 0.05
+# The lease on keys ends so much earlier, for clocks of different rates.
 KEY_MARGIN_S = 0.2
-HINTS_MOST = 16
+MAX_HINTS = 16
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationUnreadable:
-    """Effect: a configuration came that can't be read; the old one stays."""
+    """Effect: a configuration came that can't be read; the old one stays in force."""
 
     version: int
     why: str
@@ -76,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PayoffsReceived:
-    """Effect: the hosts' pooled payoffs, 0 to 1, those not named are 1."""
+    """Effect: the hosts' pooled payoffs, 0 to 1; those not named are 1."""
 
     hosts: tuple[tuple[str, float], ...]
 
@@ -84,189 +89,220 @@
 Effect = SendPull | ApplySnapshot | SnapshotConfirmed | ConfigurationUnreadable | PayoffsReceived
 
 
+class _PendingPull(NamedTuple):
+    """The pull whose outcome is awaited."""
+
+    call: int
+    sent_at: float
+
+
 class PullStateMachine:
-    """Pulls for ever from one core member that answers. One pull is under way at a time."""
+    """Pulls for ever, from one core member after the other until one replies.
+
+    One pull is in flight at a time. `due_at` is when `wake` sends the next one; `outcomes` is
+    called for each pull, and returns the attempts at hosts since its call before.
+    """
 
     def __init__(self, member: Member, seeds: Iterable[Address], chance: random.Random) -> None:
+        """`member` is this gateway; `seeds` are core members from the settings."""
         self.serving = False
         self.snapshot: Snapshot | None = None
         self.confirmed_at: float | None = None
         self.due_at = 0.0
-        self.outcomes: Callable[[], tuple[HostOutcomes, ...]] = (
-            tuple  # asked at each pull, for what is new
-        )
-        self._member, self._chance = member, chance
+        self.outcomes: Callable[[], tuple[HostOutcomes, ...]] = tuple
+        self._member = member
+        self._chance = chance
         self._seeds: tuple[Address, ...] = ()
         self._cores: tuple[Address, ...] = ()
         self._hints: tuple[Address, ...] = ()
-        self._order: list[Address] = []
+        # Core members in the sequence in which they are tried.
+        self._candidates: list[Address] = []
         self._vector = VersionVector()
-        self._parts = Snapshot(self._vector, Configuration(0, (), (), Limits(), ()), (), ())
-        self._calls = 0
-        self._open: tuple[int, float] | None = None  # call number, sent at
+        # The newest of each part; it becomes `snapshot` once there is a configuration.
+        self._latest = Snapshot(self._vector, Configuration(0, (), (), Limits(), ()), (), ())
+        self._last_call = 0
+        self._pending: _PendingPull | None = None
         self._failures = 0
         self._timeout_s = TIMEOUT_S
-        self._backoff_s = BACKOFF_FIRST_S
-        self._payoffs: tuple[bytes, tuple[tuple[str, float], ...]] = b"", ()
-        self._bare_s = BARE_FIRST_S
+        self._backoff_s = INITIAL_BACKOFF_S
+        self._encoded_payoffs = b""
+        self._payoffs = PayoffsReceived(())
+        self._first_interval_s = FIRST_INTERVAL_S
         self.set_seeds(seeds)
 
     @property
     def in_flight(self) -> bool:
-        """Whether a call's outcome is awaited; `wake` does nothing until then."""
-        return self._open is not None
+        """Whether a pull's outcome is awaited; `wake` does nothing until then."""
+        return self._pending is not None
+
+    @property
+    def cores(self) -> tuple[Address, ...]:
+        """The core's members, as a confirmed reply named them last."""
+        return self._cores
 
     def set_seeds(self, seeds: Iterable[Address]) -> None:
-        """The settings' seeds, now."""
+        """Replace the core members that the settings name."""
         self._seeds = tuple(dict.fromkeys(seeds))
-        self._arrange()
+        self._arrange_candidates()
 
     def add_core_hints(self, cores: Iterable[str]) -> None:
-        """Addresses ("ip:port") that someone has heard of; tried after the core's own list."""
-        hints = tuple(dict.fromkeys((*_addresses(cores), *self._hints)))[:HINTS_MOST]
+        """Add core members ("ip:port") that others named; tried after the core's own list."""
+        hints = tuple(dict.fromkeys((*_parse_addresses(cores), *self._hints)))[:MAX_HINTS]
         if set(hints) != set(self._hints):
             self._hints = hints
-            self._arrange()
-
-    @property
-    def cores(self) -> tuple[Address, ...]:
-        """The core's members, as a confirmed reply named them last."""
-        return self._cores
+            self._arrange_candidates()
 
     def wake(self, now: float) -> list[Effect]:
-        """The time `due_at` has come, perhaps."""
-        if self._open is not None or now < self.due_at or not self._order:
+        """Send a pull if one is due and none is in flight."""
+        if self._pending is not None or now < self.due_at or not self._candidates:
             return []
-        self._calls += 1
-        self._open = self._calls, now
+        self._last_call += 1
+        self._pending = _PendingPull(self._last_call, now)
         pull = PullRequest(self._member, self._vector, self.serving, self.outcomes())
-        return [SendPull(self._calls, self._order[0], pull, self._timeout_s)]
+        return [SendPull(self._last_call, self._candidates[0], pull, self._timeout_s)]
 
     def pull_soon(self, now: float) -> None:
-        """Something newer exists: pull soon."""
-        self.due_at = min(self.due_at, now + SOONEST_AGAIN_S)
+        """Bring the next pull forward: something newer exists."""
+        self.due_at = min(self.due_at, now + MIN_INTERVAL_S)
 
     def reply_received(
         self, call: int, reply: PullReply | DeltaPullReply | None, now: float
     ) -> list[Effect]:
-        """The outcome of a call: the reply, or None. A reply whose hosts can't be read counts as
-        none.
+        """Take the outcome of a pull: the reply, or None.
+
+        A reply whose hosts can't be decoded counts as none.
         """
-        if self._open is None or self._open[0] != call:
+        if self._pending is None or self._pending.call != call:
             return []
-        sent_at = self._open[1]
-        self._open = None
+        sent_at = self._pending.sent_at
+        self._pending = None
         if isinstance(reply, DeltaPullReply):
-            reply = expand_reply(reply, self._vector.hosts, self._parts.hosts)
+            reply = expand_reply(reply, self._vector.hosts, self._latest.hosts)
         if reply is None or not reply.confirmed:
-            self._failed(now)
+            self._pull_failed(now)
             if reply is not None:
                 self.add_core_hints(reply.cores)
             return []
-        effects = self._take(reply, sent_at)
+        effects = self._apply_reply(reply, sent_at)
         if not any(isinstance(effect, SnapshotConfirmed) for effect in effects):
-            self._failed(now)
+            self._pull_failed(now)
             return effects
-        self._failures, self._timeout_s, self._backoff_s = 0, TIMEOUT_S, BACKOFF_FIRST_S
-        self._learn(reply.cores)
-        effects += self._take_payoffs(reply.payoffs)
-        self.due_at = now + self._pause_s() * (1 + JITTER * (2 * self._chance.random() - 1))
+        self._failures = 0
+        self._timeout_s = TIMEOUT_S
+        self._backoff_s = INITIAL_BACKOFF_S
+        self._set_cores(reply.cores)
+        effects += self._apply_payoffs(reply.payoffs)
+        self.due_at = now + self._jittered(self._next_interval_s())
         return effects
 
-    def _pause_s(self) -> float:
-        """Until the next pull. Without any list of hosts nothing goes on here: the core will have
-        one soon, or not for long.
-        """
-        if self._vector.hosts:
-            return PULL_EVERY_S
-        self._bare_s = min(PULL_EVERY_S, self._bare_s * BACKOFF_GROWTH)
-        return self._bare_s
+    def may_use_keys(self, now: float, revoke_s: float, *, strict: bool) -> bool:
+        """Whether a request with a key may be sent to a host now.
 
-    def may_use_keys(self, now: float, revoke_s: float, strict: bool) -> bool:
-        """Whether a request with a key may be sent to a host now."""
+        Args:
+            now: seconds of the machine's clock.
+            revoke_s: within how many seconds the removal of a key takes effect.
+            strict: whether keys end with their lease when no pull is confirmed.
+        """
         if self.snapshot is None or self.confirmed_at is None:
             return False
         return not strict or now < self.confirmed_at + revoke_s - KEY_MARGIN_S
 
-    def _failed(self, now: float) -> None:
-        """The next member at once; after each round of all, a growing wait."""
-        self._order.append(self._order.pop(0))
+    def _jittered(self, seconds: float) -> float:
+        return seconds * (1 + JITTER * (2 * self._chance.random() - 1))
+
+    def _next_interval_s(self) -> float:
+        """Until the next pull.
+
+        Without any list of hosts the gateway serves nothing: the core will have a list soon, so
+        the first pulls follow each other closely.
+        """
+        if self._vector.hosts:
+            return PULL_INTERVAL_S
+        self._first_interval_s = min(PULL_INTERVAL_S, self._first_interval_s * BACKOFF_GROWTH)
+        return self._first_interval_s
+
+    def _pull_failed(self, now: float) -> None:
+        """Try the next member at once; after each round of all, wait for a growing backoff."""
+        self._candidates.append(self._candidates.pop(0))
         self._failures += 1
-        if self._failures % len(self._order):
+        if self._failures % len(self._candidates):
             self.due_at = now
             return
-        self.due_at = now + self._backoff_s * (1 + JITTER * (2 * self._chance.random() - 1))
-        self._timeout_s = min(TIMEOUT_MOST_S, self._timeout_s * TIMEOUT_GROWTH)
-        self._backoff_s = min(BACKOFF_MOST_S, self._backoff_s * BACKOFF_GROWTH)
-
-    def _learn(self, cores: Iterable[str]) -> None:
-        """An empty list says nothing new."""
-        known = tuple(dict.fromkeys(_addresses(cores)))
-        if known and set(known) != set(self._cores):
-            self._cores = known
-            self._arrange()
-
-    def _arrange(self) -> None:
-        """The member that answered last stays first; then the core's own list, hints, and seeds,
-        shuffled.
-        """
-        first = self._order[:1] if self._failures == 0 and self._calls else []
-        order: list[Address] = [address for address in first if address in self._cores]
+        self.due_at = now + self._jittered(self._backoff_s)
+        self._timeout_s = min(MAX_TIMEOUT_S, self._timeout_s * TIMEOUT_GROWTH)
+        self._backoff_s = min(MAX_BACKOFF_S, self._backoff_s * BACKOFF_GROWTH)
+
+    def _set_cores(self, texts: Iterable[str]) -> None:
+        """Take the core's own list of its members; an empty one changes nothing."""
+        cores = tuple(dict.fromkeys(_parse_addresses(texts)))
+        if cores and set(cores) != set(self._cores):
+            self._cores = cores
+            self._arrange_candidates()
+
+    def _arrange_candidates(self) -> None:
+        """Order: the member that replied last, the core's own list, hints, seeds; each shuffled."""
+        first = self._candidates[:1] if self._failures == 0 and self._last_call else []
+        candidates: list[Address] = [address for address in first if address in self._cores]
         for group in (self._cores, self._hints, self._seeds):
-            rest = [address for address in group if address not in order]
+            rest = [address for address in group if address not in candidates]
             self._chance.shuffle(rest)
-            order += rest
-        self._order = order or self._order
+            candidates += rest
+        self._candidates = candidates or self._candidates
+
+    def _apply_reply(self, reply: PullReply, sent_at: float) -> list[Effect]:
+        """Move each part forward.
 
-    def _take(self, reply: PullReply, sent_at: float) -> list[Effect]:
-        """Move each part forward. A reply that misses a configuration it should have confirms
-        nothing.
+        A reply that names a newer configuration and lacks it confirms nothing.
         """
-        held, told = self._vector, reply.vector
-        changed = self._parts
+        current = self._vector
+        newest = reply.vector
+        latest = self._latest
         effects: list[Effect] = []
-        if told.configuration > held.configuration and reply.configuration is not None:
+        if newest.configuration > current.configuration and reply.configuration is not None:
             try:
                 configuration = Configuration.from_document(json.loads(reply.configuration))
             except (ValueError, KeyError, TypeError, AttributeError) as error:
-                effects.append(ConfigurationUnreadable(told.configuration, repr(error)))
+                effects.append(ConfigurationUnreadable(newest.configuration, repr(error)))
             else:
-                held = replace(held, configuration=told.configuration)
-                changed = replace(changed, configuration=configuration)
-        if told.hosts > held.hosts and reply.hosts is not None:
-            held, changed = replace(held, hosts=told.hosts), replace(changed, hosts=reply.hosts)
-        if told.roster > held.roster and reply.roster is not None:
-            held, changed = replace(held, roster=told.roster), replace(changed, roster=reply.roster)
-        if held != self._vector:
-            self._vector, self._parts = held, replace(changed, vector=held)
-            if held.configuration:
-                self.snapshot = self._parts
-                effects.append(ApplySnapshot(self._parts))
-        if told.configuration == held.configuration:
+                current = replace(current, configuration=newest.configuration)
+                latest = replace(latest, configuration=configuration)
+        if newest.hosts > current.hosts and reply.hosts is not None:
+            current = replace(current, hosts=newest.hosts)
+            latest = replace(latest, hosts=reply.hosts)
+        if newest.roster > current.roster and reply.roster is not None:
+            current = replace(current, roster=newest.roster)
+            latest = replace(latest, roster=reply.roster)
+        if current != self._vector:
+            self._vector = current
+            self._latest = replace(latest, vector=current)
+            if current.configuration:
+                self.snapshot = self._latest
+                effects.append(ApplySnapshot(self._latest))
+        if newest.configuration == current.configuration:
             self.confirmed_at = max(sent_at, self.confirmed_at or sent_at)
             effects.append(SnapshotConfirmed(self.confirmed_at))
         return effects
 
-    def _take_payoffs(self, told: bytes) -> list[Effect]:
-        """Nothing is told twice that says nothing."""
-        before, hosts = self._payoffs
-        if told != before:
-            hosts = _read_payoffs(told)
-            self._payoffs = told, hosts
-        return [PayoffsReceived(hosts)] if told or before else []
+    def _apply_payoffs(self, encoded: bytes) -> list[Effect]:
+        """Payoffs are passed on with every reply, but empty ones only once."""
+        before = self._encoded_payoffs
+        if encoded != before:
+            self._payoffs = PayoffsReceived(_decode_payoffs(encoded))
+            self._encoded_payoffs = encoded
+        return [self._payoffs] if encoded or before else []
 
 
-def _read_payoffs(told: bytes) -> tuple[tuple[str, float], ...]:
-    """Advice only: what can't be read speaks against no host."""
+def _decode_payoffs(encoded: bytes) -> tuple[tuple[str, float], ...]:
+    """Payoffs are advice only: with bytes that can't be decoded every host has a payoff of 1."""
     try:
-        pooled = decode_as(PooledPayoffs, told) if told else PooledPayoffs(())
+        pooled = decode_as(PooledPayoffs, encoded) if encoded else PooledPayoffs(())
     except RecordError:
         return ()
     return tuple((entry.host, min(1.0, max(0.0, entry.percent / 100))) for entry in pooled.hosts)
 
 
-def _addresses(texts: Iterable[str]) -> list[Address]:
-    """Those that can be read."""
+def _parse_addresses(texts: Iterable[str]) -> list[Address]:
+    """Addresses from "ip:port"; malformed ones are left out."""
     parts = [text.rpartition(":") for text in texts]
     return [
         (host, int(port)) for host, _, port in parts if host and port.isascii() and port.isdigit()
--- a/roselink/router/app.py
+++ b/roselink/router/app.py
@@ -94,7 +94,7 @@
     await data_plane.start()
     status_log = StatusLog(loop, data_plane.status_line)
     status_log.start()
-    services.pull_client.set_serving(True)
+    services.pull_client.set_serving(serving=True)
     loop.add_signal_handler(signal.SIGHUP, services.pull_client.reload)
     gc.collect()
     # What exists at the start stays: later collections need not traverse it.
@@ -104,7 +104,7 @@
     log.info("gateway_draining")
     data_plane.begin_drain()
     services.budgets.begin_drain()
-    services.pull_client.set_serving(False)
+    services.pull_client.set_serving(serving=False)
     await data_plane.drained()
     status_log.stop()
     data_plane.stop()
--- a/tests/distribution/test_pull_state_machine.py
+++ b/tests/distribution/test_pull_state_machine.py
@@ -66,7 +66,10 @@
     assert pulls.wake(1.1) == []
     pulls.reply_received(first.call, reply(1, 1), 1.002)
     assert pulls.wake(1.01) == []
-    low, high = module.PULL_EVERY_S * (1 - module.JITTER), module.PULL_EVERY_S * (1 + module.JITTER)
+    low, high = (
+        module.PULL_INTERVAL_S * (1 - module.JITTER),
+        module.PULL_INTERVAL_S * (1 + module.JITTER),
+    )
     assert low <= pulls.due_at - 1.002 <= high
     assert send(pulls, pulls.due_at).address == first.address
 
@@ -88,7 +91,7 @@
         if len(asked) < len(SEEDS):
             assert pulls.due_at == now
     assert set(asked) == set(SEEDS)
-    assert 0 < pulls.due_at - now <= module.BACKOFF_FIRST_S * (1 + module.JITTER)
+    assert 0 < pulls.due_at - now <= module.INITIAL_BACKOFF_S * (1 + module.JITTER)
 
 
 def test_it_never_gives_up_and_waits_no_longer_than_the_bound() -> None:
@@ -96,9 +99,9 @@
     now = 1.0
     for _ in range(300):
         exchange(pulls, now, None)
-        assert pulls.due_at - now <= 0.002 + module.BACKOFF_MOST_S * (1 + module.JITTER)
+        assert pulls.due_at - now <= 0.002 + module.MAX_BACKOFF_S * (1 + module.JITTER)
         now = max(now + 0.002, pulls.due_at)
-    assert send(pulls, now).timeout_s == module.TIMEOUT_MOST_S
+    assert send(pulls, now).timeout_s == module.MAX_TIMEOUT_S
     pulls.reply_received(send_number(pulls), reply(1), now)
     assert send(pulls, pulls.due_at).timeout_s == module.TIMEOUT_S
 
@@ -120,8 +123,8 @@
 
 
 def send_number(pulls: PullStateMachine) -> int:
-    assert pulls._open is not None
-    return pulls._open[0]
+    assert pulls._pending is not None
+    return pulls._pending.call
 
 
 def test_the_cores_own_list_comes_first_and_seeds_are_the_last_resort() -> None:
@@ -231,15 +234,15 @@
     pulls = machine()
     call = send(pulls, 1.0)
     pulls.reply_received(call.call, reply(3), 1.25)
-    assert pulls.may_use_keys(now, 5.0, strict) is allowed
+    assert pulls.may_use_keys(now, 5.0, strict=strict) is allowed
 
 
 @pytest.mark.parametrize("strict", [True, False])
 def test_without_a_snapshot_no_key_is_good(strict: bool) -> None:
     pulls = machine()
-    assert not pulls.may_use_keys(1.0, 5.0, strict)
+    assert not pulls.may_use_keys(1.0, 5.0, strict=strict)
     exchange(pulls, 1.0, reply(0))
-    assert not pulls.may_use_keys(1.1, 5.0, strict)
+    assert not pulls.may_use_keys(1.1, 5.0, strict=strict)
 
 
 def test_late_and_foreign_answers_are_passed_over() -> None:
@@ -255,9 +258,9 @@
     pulls = machine()
     exchange(pulls, 1.0, reply(3, 1))
     pulls.pull_soon(1.01)
-    assert pulls.due_at == 1.01 + module.SOONEST_AGAIN_S
+    assert pulls.due_at == 1.01 + module.MIN_INTERVAL_S
     pulls.pull_soon(1.05)
-    assert pulls.due_at == 1.01 + module.SOONEST_AGAIN_S
+    assert pulls.due_at == 1.01 + module.MIN_INTERVAL_S
 
 
 def test_without_any_list_of_hosts_the_next_pulls_come_soon_and_then_at_the_ordinary_pace() -> None:
@@ -268,11 +271,11 @@
         pauses.append(pulls.due_at - now - 0.002)
         now = pulls.due_at
     most = 1 + module.JITTER
-    assert pauses[0] <= 0.05 * most and sum(pauses[:3]) < module.PULL_EVERY_S * most
-    assert all(pause <= module.PULL_EVERY_S * most for pause in pauses)
-    assert all(pause >= module.PULL_EVERY_S * (1 - module.JITTER) for pause in pauses[5:])
+    assert pauses[0] <= 0.05 * most and sum(pauses[:3]) < module.PULL_INTERVAL_S * most
+    assert all(pause <= module.PULL_INTERVAL_S * most for pause in pauses)
+    assert all(pause >= module.PULL_INTERVAL_S * (1 - module.JITTER) for pause in pauses[5:])
     exchange(pulls, now, reply(3, 1))
-    assert pulls.due_at - now >= module.PULL_EVERY_S * (1 - module.JITTER)
+    assert pulls.due_at - now >= module.PULL_INTERVAL_S * (1 - module.JITTER)
 
 
 def test_a_pull_with_nothing_new_is_small() -> None:
@@ -315,5 +318,5 @@
                 held = pulls.snapshot.vector.configuration
                 assert held >= newest
                 newest = held
-                if pulls.may_use_keys(now, 5.0, True):
+                if pulls.may_use_keys(now, 5.0, strict=True):
                     assert all(at > now - 5.0 for at, version in acknowledged if version > held)
--- a/tests/mutations/distribution.py
+++ b/tests/mutations/distribution.py
@@ -10,17 +10,21 @@
     *mutations_of(
         "distribution/pull_state_machine.py",
         PULLER,
-        ("a late reply of an earlier call is taken", " or self._open[0] != call", ""),
+        ("a late reply of an earlier call is taken", " or self._pending.call != call", ""),
         (
             "an older configuration is taken",
-            "told.configuration > held.configuration and",
-            "told.configuration != held.configuration and",
+            "newest.configuration > current.configuration and",
+            "newest.configuration != current.configuration and",
+        ),
+        (
+            "older hosts are taken",
+            "newest.hosts > current.hosts and",
+            "newest.hosts != current.hosts and",
         ),
-        ("older hosts are taken", "told.hosts > held.hosts and", "told.hosts != held.hosts and"),
         (
             "an older roster is taken",
-            "told.roster > held.roster and",
-            "told.roster != held.roster and",
+            "newest.roster > current.roster and",
+            "newest.roster != current.roster and",
         ),
         (
             "an unconfirmed reply is taken",
@@ -29,13 +33,13 @@
         ),
         (
             "a reply without the configuration confirms",
-            "if told.configuration == held.configuration:",
+            "if newest.configuration == current.configuration:",
             "if True:",
         ),
         (
             "the lease begins with the reply",
-            "effects = self._take(reply, sent_at)",
-            "effects = self._take(reply, now)",
+            "effects = self._apply_reply(reply, sent_at)",
+            "effects = self._apply_reply(reply, now)",
         ),
         (
             "keys outlive their lease",
--- a/tests/router/test_app.py
+++ b/tests/router/test_app.py
@@ -111,7 +111,7 @@
     async def start(self) -> None:
         for gateway in self.members:
             await gateway.start()
-            gateway.pull_client.set_serving(True)
+            gateway.pull_client.set_serving(serving=True)
 
     async def until(self, reached: Callable[[Snapshot], bool]) -> None:
         """Until each has a snapshot in force that satisfies `reached`."""
--- a/tools/pulls.py
+++ b/tools/pulls.py
@@ -20,7 +20,7 @@
 from roselink.dataplane.fleet_host_pool import FleetHostPool
 from roselink.dataplane.host_directory import HostDirectory
 from roselink.distribution.host_changes import expand_reply
-from roselink.distribution.pull_state_machine import PULL_EVERY_S, PullStateMachine, SendPull
+from roselink.distribution.pull_state_machine import PULL_INTERVAL_S, PullStateMachine, SendPull
 from roselink.http.descriptors import Descriptors
 from roselink.model.fleet import Host, Member, Snapshot, VersionVector
 from roselink.protocol.framing import FrameDecoder, FrameKind, encode_frame
@@ -113,7 +113,7 @@
 
     def pull() -> None:
         nonlocal now
-        now = max(now + PULL_EVERY_S, machine_.due_at)
+        now = max(now + PULL_INTERVAL_S, machine_.due_at)
         for effect in machine_.wake(now):
             if isinstance(effect, SendPull):
                 encode_frame(FrameKind.CALL, effect.call, effect.pull)
@@ -129,7 +129,7 @@
     pull_server.view_changed(0.0, EPOCH, None, make_cores(cores), is_tail=True)
     members = make_roster(gateways)
     confirmation = Confirmation(EPOCH, 1, b"", 1)
-    now, number, step = 1.0, 0, PULL_EVERY_S / gateways
+    now, number, step = 1.0, 0, PULL_INTERVAL_S / gateways
 
     def pull_of(member: Member) -> PullReply | None:
         nonlocal number
