--- a/roselink/coordination/member.py
+++ b/roselink/coordination/member.py
@@ -156,7 +156,7 @@
             pending_calls=self.pending_calls,
             emit=self.emit,
             follow=self.follow,
-            committed=self.committed,
+            on_committed=self.on_committed,
         )
 
     def _identity(self, *, is_new: bool) -> Voter:
@@ -270,7 +270,7 @@
             self._first_saved(store, now)
         elif store is Store.STATE:
             if self.chain.on_persisted(now):
-                self.committed(now)
+                self.on_committed(now)
         else:
             self.reply_gate.saved()
         return self._flush(now)
@@ -338,9 +338,9 @@
         self._announce()
         self.pending_calls.view_changed(self.view, now)
         if self.chain.active:
-            self.committed(now)
+            self.on_committed(now)
 
-    def committed(self, now: float) -> None:
+    def on_committed(self, now: float) -> None:
         """Something was committed, or the chain has become active."""
         self.sequencer.on_committed()
         if self.view is not None and self.chain.is_tail:
--- a/roselink/coordination/messages.py
+++ b/roselink/coordination/messages.py
@@ -49,7 +49,7 @@
 
     Attributes:
         follow: enters a decided view if it is newer.
-        committed: to be called when the chain has committed.
+        on_committed: to be called when the chain has committed.
     """
 
     acceptor: Acceptor
@@ -63,7 +63,7 @@
     pending_calls: PendingCalls
     emit: Emit
     follow: Callable[[View, float], None]
-    committed: Callable[[float], None]
+    on_committed: Callable[[float], None]
 
     def handle(self, message: ChainMessage, now: float) -> None:
         """Handle a message; one that is not the chain's is dropped."""
@@ -106,14 +106,14 @@
     def _on_sync(self, message: Sync, now: float) -> None:
         self.follow(message.view, now)
         if self.chain.on_sync(message, now):
-            self.committed(now)
+            self.on_committed(now)
 
     def _on_write(self, message: Write, _now: float) -> None:
         self.chain.on_write(message)
 
     def _on_ack(self, message: Ack, now: float) -> None:
         if self.chain.on_ack(message):
-            self.committed(now)
+            self.on_committed(now)
 
     def _on_submit_request(self, message: SubmitRequest, _now: float) -> None:
         if (
