--- a/tests/mutations/controller.py
+++ b/tests/mutations/controller.py
@@ -8,7 +8,7 @@
 PULLS = (
     "tests/controller/test_pull_server.py",
     "tests/controller/test_host_versions.py",
-    "tests/simulation/test_days.py",
+    "tests/simulation/test_scenarios.py",
 )
 API = ("tests/controller/test_api.py",)
 UPDATES = ("tests/controller/test_updates.py",)
@@ -80,7 +80,7 @@
         ("an update is merged onto any base", "if base != confirmed.generation:", "if False:"),
         (
             "a merged document is not checked",
-            "    if isinstance(checked, ValidationFailure):\n",
+            "    if isinstance(valid, ValidationFailure):\n",
             "    if False:\n",
         ),
         ("an item stands twice in an update", "elif name in seen:", "elif False:"),
