--- a/roselink/gossip/peer_sampling.py
+++ b/roselink/gossip/peer_sampling.py
@@ -1,8 +1,11 @@
-"""Peer sampling: each gateway keeps a small, shuffled view of others, and exchanges parts of it.
+"""The state machine of peer sampling: a small, shuffled view of other gateways.
 
-A gateway that reaches no core member learns from peers where the core is now; all learn that
-something newer is in force. Exchanges are rare in calm times, for pulls bring the same, and
-frequent without a confirmed pull.
+Two gateways exchange subsets of their views (CYCLON's enhanced shuffling; the paper is named in
+`roselink.protocol.gossip`). A gateway that reaches no core member learns from peers where the core
+is now; all learn that something newer is in force. Exchanges are rare while pulls are confirmed,
+for these bring the same, and frequent without a confirmed pull.
+
+No clock and no I/O: `now` is in seconds of one monotonic clock.
 """
 
 from __future__ import annotations
@@ -19,16 +22,22 @@
 
 VIEW_SIZE = 8
 SHUFFLE_SIZE = 4
-CALM_EVERY_S = 10.0
-TROUBLED_EVERY_S = 1.0
-TROUBLED_S = 1.0  # without a confirmation for so long
+# Between exchanges while pulls are confirmed.
+CONFIRMED_INTERVAL_S = 10.0
+# Between exchanges without a confirmed pull.
+UNCONFIRMED_INTERVAL_S = 1.0
+# A confirmation that is older counts as none.
+CONFIRMATION_MAX_AGE_S = 1.0
 TIMEOUT_S = 0.5
+# Fraction of an interval, either way.
 JITTER = 0.2
+# The age of a digest whose sender knows no core member.
+UNKNOWN_AGE_MS = 10**9
 
 
 @dataclass(frozen=True, slots=True)
 class SendShuffleRequest:
-    """Effect: call a peer; `PeerSampling.reply_received` wants the outcome."""
+    """Effect: call a peer; the outcome goes to `PeerSampling.reply_received`."""
 
     address: str
     shuffle: ShuffleRequest
@@ -36,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CoreAddressesLearned:
-    """Effect: a peer learned more lately than this gateway where the core is."""
+    """Effect: a peer knows more recent addresses of the core ("ip:port") than this gateway."""
 
     cores: tuple[str, ...]
 
@@ -49,110 +58,127 @@
 Effect = SendShuffleRequest | CoreAddressesLearned | NewerVersionLearned
 
 
+@dataclass(frozen=True, slots=True)
+class _PendingExchange:
+    """The own exchange that is in flight; `sent` are the names of the entries in it."""
+
+    sent: list[str]
+
+
 class PeerSampling:
-    """One gateway's view. One exchange of its own is under way at a time."""
+    """One gateway's view. One exchange of its own is in flight at a time."""
 
     def __init__(self, own: Member, chance: random.Random) -> None:
+        """`own` is this gateway; it is never part of its view."""
         self.due_at = 0.0
-        self._own, self._chance = own, chance
+        self._own = own
+        self._chance = chance
         self._view: dict[str, ViewEntry] = {}
         self._vector = VersionVector()
         self._cores: tuple[str, ...] = ()
-        self._cores_at = float("-inf")
-        self._open: tuple[str, list[str]] | None = None  # whom it asked, and what names it sent
+        self._confirmed_at = float("-inf")
+        self._pending: _PendingExchange | None = None
 
     @property
     def view(self) -> tuple[ViewEntry, ...]:
-        """Who is known here."""
+        """The gateways in the view."""
         return tuple(self._view.values())
 
     def add_members(self, members: Iterable[Member]) -> None:
-        """Members that another source names; they fill free places only."""
+        """Fill free slots of the view with members from another source."""
         others = [member for member in members if member.name not in (self._own.name, *self._view)]
         self._chance.shuffle(others)
         for member in others[: VIEW_SIZE - len(self._view)]:
             self._view[member.name] = ViewEntry(member, 0)
 
     def pull_confirmed(self, vector: VersionVector, cores: tuple[str, ...], at: float) -> None:
-        """A pull that was sent at `at` confirmed what is in force here, and where the core is."""
-        self._vector, self._cores, self._cores_at = (
-            vector,
-            cores or self._cores,
-            max(at, self._cores_at),
-        )
+        """Take what a pull sent at `at` confirmed: what is in force here, and where the core is."""
+        self._vector = vector
+        self._cores = cores or self._cores
+        self._confirmed_at = max(at, self._confirmed_at)
 
     def wake(self, now: float) -> list[Effect]:
-        """Time has passed: an exchange may be due. To be called twice a second or so."""
-        troubled = now - self._cores_at > TROUBLED_S
-        if troubled:
-            self.due_at = min(self.due_at, now + TROUBLED_EVERY_S)
+        """Start an exchange if one is due; to be called about twice a second."""
+        unconfirmed = now - self._confirmed_at > CONFIRMATION_MAX_AGE_S
+        if unconfirmed:
+            self.due_at = min(self.due_at, now + UNCONFIRMED_INTERVAL_S)
         if now < self.due_at:
             return []
-        every_s = TROUBLED_EVERY_S if troubled else CALM_EVERY_S
-        self.due_at = now + every_s * (1 + JITTER * (2 * self._chance.random() - 1))
-        if self._open is not None or not self._view:
+        interval_s = UNCONFIRMED_INTERVAL_S if unconfirmed else CONFIRMED_INTERVAL_S
+        self.due_at = now + interval_s * (1 + JITTER * (2 * self._chance.random() - 1))
+        if self._pending is not None or not self._view:
             return []
-        self._view = {name: replace(seen, age=seen.age + 1) for name, seen in self._view.items()}
-        partner = max(self._view.values(), key=lambda seen: (seen.age, seen.member.name))
-        del self._view[partner.member.name]  # comes back with its answer
-        part = self._part(SHUFFLE_SIZE - 1)
-        self._open = partner.member.name, [seen.member.name for seen in part]
-        shuffle = ShuffleRequest((ViewEntry(self._own, 0), *part), self._news(now))
+        self._view = {name: replace(entry, age=entry.age + 1) for name, entry in self._view.items()}
+        partner = max(self._view.values(), key=lambda entry: (entry.age, entry.member.name))
+        # The partner's entry comes back with its reply.
+        del self._view[partner.member.name]
+        subset = self._subset(SHUFFLE_SIZE - 1)
+        self._pending = _PendingExchange([entry.member.name for entry in subset])
+        shuffle = ShuffleRequest((ViewEntry(self._own, 0), *subset), self._digest(now))
         return [SendShuffleRequest(partner.member.address, shuffle)]
 
     def request_received(
         self, shuffle: ShuffleRequest, now: float
     ) -> tuple[ShuffleReply, list[Effect]]:
-        """A peer's exchange: the answer, and what this gateway learns."""
-        part = self._part(SHUFFLE_SIZE)
-        self._merge(shuffle.entries, [seen.member.name for seen in part])
-        return ShuffleReply(part, self._news(now)), self._learn(shuffle.digest, now)
-
-    def reply_received(self, answer: ShuffleReply | None, now: float) -> list[Effect]:
-        """The outcome of the own exchange; a partner that doesn't answer stays out of the view."""
-        if self._open is None:
+        """Take a peer's exchange; returns the reply, and what this gateway learns."""
+        subset = self._subset(SHUFFLE_SIZE)
+        self._merge(shuffle.entries, [entry.member.name for entry in subset])
+        return ShuffleReply(subset, self._digest(now)), self._learn(shuffle.digest, now)
+
+    def reply_received(self, reply: ShuffleReply | None, now: float) -> list[Effect]:
+        """Take the outcome of the own exchange.
+
+        A partner that doesn't reply stays out of the view.
+        """
+        if self._pending is None:
             return []
-        (_, sent), self._open = self._open, None
-        if answer is None:
+        sent = self._pending.sent
+        self._pending = None
+        if reply is None:
             return []
-        self._merge(answer.entries, sent)
-        return self._learn(answer.digest, now)
+        self._merge(reply.entries, sent)
+        return self._learn(reply.digest, now)
 
-    def _part(self, size: int) -> tuple[ViewEntry, ...]:
+    def _subset(self, size: int) -> tuple[ViewEntry, ...]:
         return tuple(self._chance.sample(list(self._view.values()), min(size, len(self._view))))
 
-    def _news(self, now: float) -> GossipDigest:
-        age_ms = int(min(1e9, (now - self._cores_at) * 1000)) if self._cores else int(1e9)
+    def _digest(self, now: float) -> GossipDigest:
+        age_ms = UNKNOWN_AGE_MS
+        if self._cores:
+            age_ms = int(min(UNKNOWN_AGE_MS, (now - self._confirmed_at) * 1000))
         return GossipDigest(self._vector, self._cores, age_ms)
 
     def _merge(self, entries: tuple[ViewEntry, ...], sent: list[str]) -> None:
-        """Newer words replace older ones; new names take free places, then those of what was sent
-        away.
+        """Take a peer's entries.
+
+        A younger entry replaces an older one of the same gateway. New gateways take free slots,
+        then the slots of the entries that were sent to the peer.
         """
-        for seen in entries[:VIEW_SIZE]:
-            name = seen.member.name
+        for entry in entries[:VIEW_SIZE]:
+            name = entry.member.name
             if name == self._own.name:
                 continue
             known = self._view.get(name)
             if known is not None:
-                if seen.age < known.age:
-                    self._view[name] = seen
+                if entry.age < known.age:
+                    self._view[name] = entry
                 continue
             while len(self._view) >= VIEW_SIZE and sent:
                 self._view.pop(sent.pop(), None)
             if len(self._view) < VIEW_SIZE:
-                self._view[name] = seen
+                self._view[name] = entry
 
-    def _learn(self, news: GossipDigest, now: float) -> list[Effect]:
+    def _learn(self, digest: GossipDigest, now: float) -> list[Effect]:
         effects: list[Effect] = []
-        at = now - news.age_ms / 1000
-        if news.cores and at > self._cores_at + TROUBLED_S:
-            effects.append(CoreAddressesLearned(news.cores))
-        told, held = news.vector, self._vector
+        confirmed_at = now - digest.age_ms / 1000
+        if digest.cores and confirmed_at > self._confirmed_at + CONFIRMATION_MAX_AGE_S:
+            effects.append(CoreAddressesLearned(digest.cores))
+        peer = digest.vector
+        own = self._vector
         if (
-            told.configuration > held.configuration
-            or told.hosts > held.hosts
-            or told.roster > held.roster
+            peer.configuration > own.configuration
+            or peer.hosts > own.hosts
+            or peer.roster > own.roster
         ):
             effects.append(NewerVersionLearned())
         return effects
--- a/roselink/gossip/peer_sampling_service.py
+++ b/roselink/gossip/peer_sampling_service.py
@@ -1,4 +1,4 @@
-"""Drives `PeerSampling` over the peers' protocol, and passes on what it learns."""
+"""Drives a `PeerSampling`: calls over a `PeerPool`, a timer, and callbacks for what it learns."""
 
 from __future__ import annotations
 
@@ -24,37 +24,44 @@
 
     from roselink.protocol.peer_connection import ReplySender
     from roselink.protocol.peer_pool import PeerPool
+    from roselink.protocol.records import Record
 
-LOOK_S = 0.5  # between looks at whether an exchange is due
+# Between checks whether an exchange is due.
+CHECK_INTERVAL_S = 0.5
 
 
 class PeerSamplingService:
-    """One gateway's part. `add_core_hints` gets peer addresses of core members, `refresh` is called
-    when something newer is known to exist.
-    """
+    """One gateway's part in peer sampling."""
 
     def __init__(
         self,
         own: Member,
         pool: PeerPool,
         add_core_hints: Callable[[Iterable[str]], None],
-        refresh: Callable[[], None],
+        pull_soon: Callable[[], None],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        self._pool, self._hear_cores, self._refresh, self._clock = (
-            pool,
-            add_core_hints,
-            refresh,
-            clock,
-        )
+        """Make the service of the gateway `own`.
+
+        Args:
+            own: this gateway.
+            pool: connections to peers.
+            add_core_hints: gets addresses ("ip:port") of core members that peers name.
+            pull_soon: called when a peer has something newer in force.
+            clock: seconds of a monotonic clock.
+        """
+        self._pool = pool
+        self._add_core_hints = add_core_hints
+        self._pull_soon = pull_soon
+        self._clock = clock
         self._machine = PeerSampling(own, random.Random(os.urandom(8)))
         self._vector = VersionVector()
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Begin to look; needs a running loop."""
+        """Begin to exchange views; needs a running loop."""
         self._perform(self._machine.wake(self._clock()))
-        self._timer = asyncio.get_running_loop().call_later(LOOK_S, self.start)
+        self._timer = asyncio.get_running_loop().call_later(CHECK_INTERVAL_S, self.start)
 
     def stop(self) -> None:
         """Exchange no more."""
@@ -62,34 +69,37 @@
             self._timer.cancel()
 
     def apply(self, snapshot: Snapshot) -> None:
-        """A new snapshot is in force."""
+        """Take a new snapshot that is in force: its versions and its roster."""
         self._vector = snapshot.vector
         self._machine.add_members(snapshot.roster)
 
     def confirm(self, at: float, cores: Iterable[str]) -> None:
-        """A pull that was sent at `at` confirmed what is in force, and named the core's members."""
+        """Take a confirmation of what is in force, by a pull sent at `at`.
+
+        `cores` are the core's members ("ip:port"), as the reply named them.
+        """
         self._machine.pull_confirmed(self._vector, tuple(cores), at)
 
-    def handle(self, message: object, reply: ReplySender) -> bool:
-        """Answer a peer's exchange; False for records of other kinds."""
+    def handle(self, message: Record, reply: ReplySender) -> bool:
+        """Reply to a peer's exchange; returns False for records of other kinds."""
         if not isinstance(message, ShuffleRequest):
             return False
-        answer, effects = self._machine.request_received(message, self._clock())
-        reply(answer)
+        shuffle_reply, effects = self._machine.request_received(message, self._clock())
+        reply(shuffle_reply)
         self._perform(effects)
         return True
 
-    def _answered(self, answer: object) -> None:
-        known = answer if isinstance(answer, ShuffleReply) else None
-        self._perform(self._machine.reply_received(known, self._clock()))
+    def _reply_received(self, message: Record | None) -> None:
+        reply = message if isinstance(message, ShuffleReply) else None
+        self._perform(self._machine.reply_received(reply, self._clock()))
 
     def _perform(self, effects: list[Effect]) -> None:
         for effect in effects:
             match effect:
                 case SendShuffleRequest(address, shuffle):
                     host, _, port = address.rpartition(":")
-                    self._pool.call((host, int(port)), shuffle, TIMEOUT_S, self._answered)
+                    self._pool.call((host, int(port)), shuffle, TIMEOUT_S, self._reply_received)
                 case CoreAddressesLearned(cores):
-                    self._hear_cores(cores)
+                    self._add_core_hints(cores)
                 case NewerVersionLearned():
-                    self._refresh()
+                    self._pull_soon()
--- a/roselink/router/app.py
+++ b/roselink/router/app.py
@@ -27,6 +27,7 @@
 
 if TYPE_CHECKING:
     from roselink.protocol.peer_connection import Address, ReplySender
+    from roselink.protocol.records import Record
 
 log = logging.getLogger("roselink.router")
 
@@ -155,6 +156,6 @@
         self.budgets.confirm(at)
         self.peer_sampling.confirm(at, self.pull_client.cores())
 
-    def _handle(self, peer: Address, message: object, reply: ReplySender) -> None:
+    def _handle(self, peer: Address, message: Record, reply: ReplySender) -> None:
         if not (self.budgets.handle(message, reply) or self.peer_sampling.handle(message, reply)):
             log.warning("record_unknown peer=%s record=%s", peer[0], type(message).__name__)
--- a/tests/gossip/test_peer_sampling.py
+++ b/tests/gossip/test_peer_sampling.py
@@ -37,11 +37,13 @@
 def test_a_view_is_bounded_and_leaves_out_its_owner() -> None:
     view = PeerSampling(OWN, random.Random(1))
     view.add_members([OWN, *OTHERS])
-    assert len(view.view) == module.VIEW_SIZE and "own" not in names(view)
+    assert len(view.view) == module.VIEW_SIZE
+    assert "own" not in names(view)
     view.request_received(
         ShuffleRequest(tuple(ViewEntry(member, 0) for member in [OWN, *OTHERS]), OLD), 10.0
     )
-    assert len(view.view) == module.VIEW_SIZE and "own" not in names(view)
+    assert len(view.view) == module.VIEW_SIZE
+    assert "own" not in names(view)
 
 
 def test_the_oldest_entry_is_asked_and_stays_out_until_it_answers() -> None:
@@ -50,7 +52,8 @@
         ShuffleRequest((ViewEntry(OTHERS[1], 7), ViewEntry(OTHERS[2], 3)), OLD), 10.0
     )
     [effect] = view.wake(10.0)
-    assert isinstance(effect, SendShuffleRequest) and effect.address == OTHERS[1].address
+    assert isinstance(effect, SendShuffleRequest)
+    assert effect.address == OTHERS[1].address
     assert effect.shuffle.entries[0] == ViewEntry(OWN, 0)
     assert names(view) == {"edge-0", "edge-2"}
     assert view.reply_received(None, 10.5) == []
@@ -111,7 +114,9 @@
 
 
 @pytest.mark.parametrize(("age_ms", "learned"), [(100, True), (3000, True), (6000, False)])
-def test_cores_are_taken_from_a_peer_that_heard_of_them_later(age_ms: int, learned: bool) -> None:
+def test_cores_are_taken_from_a_peer_that_heard_of_them_later(
+    age_ms: int, *, learned: bool
+) -> None:
     news = GossipDigest(VersionVector(), ("10.9.9.9:7500",), age_ms)
     effects = sampling().request_received(ShuffleRequest((), news), 15.0)[1]
     assert effects == ([CoreAddressesLearned(("10.9.9.9:7500",))] if learned else [])
@@ -165,6 +170,6 @@
         encode_frame(FrameKind.REPLY, 1, ShuffleReply(entries, news))
     )
     assert (
-        2 * size / module.CALM_EVERY_S < 200
+        2 * size / module.CONFIRMED_INTERVAL_S < 200
     )  # both ends of own and others' exchanges, bytes a second
-    assert size / module.CALM_EVERY_S < 100
+    assert size / module.CONFIRMED_INTERVAL_S < 100
