--- a/roselink/protocol/__init__.py
+++ b/roselink/protocol/__init__.py
@@ -1,6 +1,7 @@
-"""The internal protocol between roselink's processes: struct records, framing, and connections to
-peers.
+"""The internal protocol between roselink's processes.
 
-`records` packs typed messages and `peers` carries them over TCP; these two import nothing else of
-roselink. The other modules hold the messages themselves, and may import `roselink.model`.
+`records` encodes typed messages as structs, `framing` cuts a stream into frames, and
+`peer_connection`, `peer_server` and `peer_pool` carry the frames over TCP; of roselink these import
+nothing but each other and the exceptions. The other modules hold the messages themselves, and may
+import `roselink.model`.
 """
--- a/roselink/protocol/framing.py
+++ b/roselink/protocol/framing.py
@@ -17,6 +17,9 @@
 # Payload bytes, checksum, kind, record number, call number.
 _HEADER = struct.Struct("!IIBHQ")
 MAX_FRAME_BYTES = 32 * 1024 * 1024
+# Reasons of a `FrameError`, as the log shows them.
+_NOT_A_FRAME = "no frame"
+_BAD_CHECKSUM = "checksum"
 
 
 class FrameKind(IntEnum):
@@ -64,13 +67,13 @@
         while len(self._buffered) - position >= _HEADER.size:
             size, checksum, kind, number, call = _HEADER.unpack_from(self._buffered, position)
             if size > MAX_FRAME_BYTES or kind > _HIGHEST_KIND:
-                raise FrameError("no frame")
+                raise FrameError(_NOT_A_FRAME)
             end = position + _HEADER.size + size
             if end > len(self._buffered):
                 break
             payload = bytes(self._buffered[position + _HEADER.size : end])
             if zlib.crc32(payload) != checksum:
-                raise FrameError("checksum")
+                raise FrameError(_BAD_CHECKSUM)
             try:
                 message = decode(number, payload)
             except RecordError as error:
--- a/roselink/protocol/peer_connection.py
+++ b/roselink/protocol/peer_connection.py
@@ -93,7 +93,7 @@
         if self.transport is not None:
             self.transport.abort()
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _: Exception | None) -> None:
         """The connection has ended (`asyncio.Protocol`): its calls end with None."""
         self.transport = None
         callbacks = list(self.pending_calls.values())
--- a/roselink/protocol/records.py
+++ b/roselink/protocol/records.py
@@ -220,7 +220,7 @@
 def _optional_codec(field_type: FieldType) -> _Codec[Any]:
     choices = typing.get_args(field_type)
     inner = [choice for choice in choices if choice is not types.NoneType]
-    if len(inner) != 1 or len(choices) != 2:
+    if len(inner) != 1 or len(choices) - len(inner) != 1:
         raise UnsupportedFieldTypeError(field_type, "a union in a record is `X | None`")
     return _nullable(_codec_of(inner[0]))
 
@@ -238,7 +238,7 @@
 
 def _tuple_codec(field_type: FieldType) -> _Codec[Any]:
     choices = typing.get_args(field_type)
-    if len(choices) != 2 or choices[1] is not Ellipsis:
+    if choices[1:] != (Ellipsis,):
         raise UnsupportedFieldTypeError(field_type, "a tuple in a record is `tuple[X, ...]`")
     return _sequence(_codec_of(choices[0]))
 
--- a/tests/distribution/test_host_changes.py
+++ b/tests/distribution/test_host_changes.py
@@ -49,11 +49,31 @@
 
 
 def reply(host_list: bytes | None = None, host_changes: bytes | None = None) -> DeltaPullReply:
-    return DeltaPullReply(True, VECTOR, None, host_list, host_changes, None, CORES)
+    return DeltaPullReply(
+        confirmed=True,
+        vector=VECTOR,
+        configuration=None,
+        host_list=host_list,
+        host_changes=host_changes,
+        roster=None,
+        cores=CORES,
+    )
 
 
-def change(base: int, gone: tuple[str, ...] = (), put: tuple[Host, ...] = ()) -> bytes:
-    return encode(HostChanges(base, gone, put))
+def expanded(configuration: bytes | None, hosts: tuple[Host, ...] | None) -> PullReply:
+    """What a reply should come to."""
+    return PullReply(
+        confirmed=True,
+        vector=VECTOR,
+        configuration=configuration,
+        hosts=hosts,
+        roster=None,
+        cores=CORES,
+    )
+
+
+def change(base: int, removed: tuple[str, ...] = (), updated: tuple[Host, ...] = ()) -> bytes:
+    return encode(HostChanges(base, removed, updated))
 
 
 @pytest.mark.parametrize(
@@ -71,7 +91,7 @@
     ],
 )
 def test_the_list_after_a_reply(told: DeltaPullReply, hosts: tuple[Host, ...] | None) -> None:
-    assert expand_reply(told, 5, (B, A)) == PullReply(True, VECTOR, None, hosts, None, CORES)
+    assert expand_reply(told, 5, (B, A)) == expanded(None, hosts)
 
 
 @pytest.mark.parametrize(
@@ -91,7 +111,7 @@
 
 def test_a_configuration_comes_compressed() -> None:
     told = replace(reply(), configuration=zlib.compress(DOCUMENT))
-    assert expand_reply(told, 5, ()) == PullReply(True, VECTOR, DOCUMENT, None, None, CORES)
+    assert expand_reply(told, 5, ()) == expanded(DOCUMENT, None)
 
 
 @pytest.mark.parametrize("spoilt", [b"", DOCUMENT, zlib.compress(DOCUMENT)[:-1]])
@@ -116,7 +136,7 @@
     def listed(self, *hosts: Host) -> None:
         self.pull_server.hosts_listed(self.now, self.epoch, hosts)
 
-    def pull(self, lost: bool = False) -> list[Effect]:
+    def pull(self, *, lost: bool = False) -> list[Effect]:
         """One pull and its answer, or None in its place."""
         self.now = max(self.now + 0.1, self.machine.due_at)
         (send,) = self.machine.wake(self.now)
--- a/tests/distribution/test_payoffs.py
+++ b/tests/distribution/test_payoffs.py
@@ -24,7 +24,15 @@
 ) -> tuple[SendPull, list[PayoffsReceived]]:
     (sent,) = made.wake(now)
     assert isinstance(sent, SendPull)
-    reply = PullReply(True, VersionVector(), None, None, None, (), payoffs)
+    reply = PullReply(
+        confirmed=True,
+        vector=VersionVector(),
+        configuration=None,
+        hosts=None,
+        roster=None,
+        cores=(),
+        payoffs=payoffs,
+    )
     effects = made.reply_received(sent.call, reply, now + 0.01)
     return sent, [effect for effect in effects if isinstance(effect, PayoffsReceived)]
 
--- a/tests/distribution/test_pull_state_machine.py
+++ b/tests/distribution/test_pull_state_machine.py
@@ -78,7 +78,20 @@
     assert {send(machine(seed), 0.0).address for seed in range(20)} == set(SEEDS)
 
 
-@pytest.mark.parametrize("failure", [None, PullReply(False, VersionVector(), None, None, None, ())])
+@pytest.mark.parametrize(
+    "failure",
+    [
+        None,
+        PullReply(
+            confirmed=False,
+            vector=VersionVector(),
+            configuration=None,
+            hosts=None,
+            roster=None,
+            cores=(),
+        ),
+    ],
+)
 def test_after_a_failure_the_next_member_is_asked_at_once(failure: PullReply | None) -> None:
     pulls = machine()
     asked = []
@@ -167,7 +180,8 @@
     assert exchange(pulls, 1.0, reply(0, 4, 5)) == [SnapshotConfirmed(1.0)]
     assert pulls.snapshot is None
     [applied, confirmed] = exchange(pulls, 2.0, reply(3, 4, 5, hosts=None, roster=None))
-    assert isinstance(applied, ApplySnapshot) and confirmed == SnapshotConfirmed(2.0)
+    assert isinstance(applied, ApplySnapshot)
+    assert confirmed == SnapshotConfirmed(2.0)
     assert applied.snapshot.configuration.generation == 3
     assert applied.snapshot.hosts == (host("h-1"),)
     assert applied.snapshot.roster == (MEMBER,)
@@ -193,7 +207,7 @@
         ),  # told that there is a newer one, and not given it
     ],
 )
-def test_nothing_moves_back(later: PullReply, confirmed: bool) -> None:
+def test_nothing_moves_back(later: PullReply, *, confirmed: bool) -> None:
     pulls = machine()
     exchange(pulls, 1.0, reply(3, 4, 5))
     before = pulls.snapshot
@@ -211,8 +225,10 @@
     pulls = machine()
     exchange(pulls, 1.0, reply(3))
     [effect] = exchange(pulls, 2.0, reply(4, configuration=bad))
-    assert isinstance(effect, ConfigurationUnreadable) and effect.version == 4
-    assert pulls.snapshot is not None and pulls.snapshot.configuration.generation == 3
+    assert isinstance(effect, ConfigurationUnreadable)
+    assert effect.version == 4
+    assert pulls.snapshot is not None
+    assert pulls.snapshot.configuration.generation == 3
     assert pulls.confirmed_at == 1.0
     exchange(pulls, 3.0, reply(4))
     assert pulls.snapshot.configuration.generation == 4
@@ -229,7 +245,7 @@
     ],
 )
 def test_keys_may_be_used_for_a_time_from_the_sending_of_the_last_confirmed_pull(
-    now: float, strict: bool, allowed: bool
+    now: float, *, strict: bool, allowed: bool
 ) -> None:
     pulls = machine()
     call = send(pulls, 1.0)
@@ -238,7 +254,7 @@
 
 
 @pytest.mark.parametrize("strict", [True, False])
-def test_without_a_snapshot_no_key_is_good(strict: bool) -> None:
+def test_without_a_snapshot_no_key_is_good(*, strict: bool) -> None:
     pulls = machine()
     assert not pulls.may_use_keys(1.0, 5.0, strict=strict)
     exchange(pulls, 1.0, reply(0))
@@ -271,7 +287,8 @@
         pauses.append(pulls.due_at - now - 0.002)
         now = pulls.due_at
     most = 1 + module.JITTER
-    assert pauses[0] <= 0.05 * most and sum(pauses[:3]) < module.PULL_INTERVAL_S * most
+    assert pauses[0] <= 0.05 * most
+    assert sum(pauses[:3]) < module.PULL_INTERVAL_S * most
     assert all(pause <= module.PULL_INTERVAL_S * most for pause in pauses)
     assert all(pause >= module.PULL_INTERVAL_S * (1 - module.JITTER) for pause in pauses[5:])
     exchange(pulls, now, reply(3, 1))
@@ -280,13 +297,21 @@
 
 def test_a_pull_with_nothing_new_is_small() -> None:
     vector = VersionVector(7, 1 << 33, 1 << 33)
-    question = encode_frame(FrameKind.CALL, 1, PullRequest(MEMBER, vector, True))
+    question = encode_frame(FrameKind.CALL, 1, PullRequest(MEMBER, vector, serving=True))
     answer = encode_frame(
         FrameKind.REPLY,
         1,
-        PullReply(True, vector, None, None, None, tuple(f"10.{n}.0.26:7500" for n in (1, 2, 3))),
+        PullReply(
+            confirmed=True,
+            vector=vector,
+            configuration=None,
+            hosts=None,
+            roster=None,
+            cores=tuple(f"10.{n}.0.26:7500" for n in (1, 2, 3)),
+        ),
     )
-    assert len(question) < 200 and len(answer) < 200
+    assert len(question) < 200
+    assert len(answer) < 200
 
 
 def test_a_play_with_random_failures_never_regresses_and_never_outlives_its_lease() -> None:
--- a/tests/protocol/test_peers.py
+++ b/tests/protocol/test_peers.py
@@ -38,11 +38,11 @@
     text: str
 
 
-def ignore(peer: Address, message: Any, reply: ReplySender) -> None:
+def ignore(*_: object) -> None:
     """A pool that takes no calls."""
 
 
-def echo(peer: Address, message: Any, reply: ReplySender) -> None:
+def echo(_: Address, message: Any, reply: ReplySender) -> None:
     reply(Answer(message.text))
 
 
@@ -79,7 +79,7 @@
 
 @on_loop
 async def test_a_closed_connection_ends_its_calls_and_the_next_call_connects_again() -> None:
-    server = PeerServer(lambda _, message, reply: None)
+    server = PeerServer(ignore)
     port = await server.listen("127.0.0.1", 0)
     pool = PeerPool(ignore)
     asked = asyncio.ensure_future(pool.request(("127.0.0.1", port), Question("x"), 5.0))
@@ -96,7 +96,7 @@
 
 @on_loop
 async def test_a_silent_peer_ends_a_call_at_its_time_and_loses_its_connection() -> None:
-    server = PeerServer(lambda _, message, reply: None)
+    server = PeerServer(ignore)
     port = await server.listen("127.0.0.1", 0)
     pool = PeerPool(ignore)
     assert await pool.request(("127.0.0.1", port), Question("x"), 0.05) is None
