--- a/roselink/dataplane/admission.py
+++ b/roselink/dataplane/admission.py
@@ -1,5 +1,6 @@
-"""Whether a request may go on, by configuration and keys, and what the decider is told of it. No
-I/O.
+"""Whether a request may go on, by configuration and keys, and what the decider is told of it.
+
+No I/O.
 """
 
 from __future__ import annotations
@@ -38,8 +39,9 @@
 
 
 class Admitted(NamedTuple):
-    """The route of a request, and the tenant whose key it brings (None on routes that take no
-    key).
+    """The route of a request, and its tenant.
+
+    The tenant is None on routes that take no key.
     """
 
     entry: RouteEntry
@@ -64,8 +66,10 @@
 def decide_admission(
     table: RouteTable | None, keys_usable: bool, request: ProxyRequest
 ) -> Refusal | Admitted:
-    """What the configuration says. A gateway that can't confirm its keys refuses by none, and does
-    not call a route unknown, as it may have missed one.
+    """What the configuration says.
+
+    A gateway that can't confirm its keys refuses by none, and does not call a route unknown, as it
+    may have missed one.
     """
     if table is None:
         return NOT_CONFIRMED
@@ -100,7 +104,8 @@
 
 def request_facts(exchange: Exchange) -> RequestFacts:
     """What the decider is told."""
-    request, route = exchange.request, exchange.route
+    request = exchange.request
+    route = exchange.route
     tokens_in, tokens_out = request.tokens or (0, 0)
     return RequestFacts(
         number=exchange.number,
--- a/roselink/dataplane/attempt_runner.py
+++ b/roselink/dataplane/attempt_runner.py
@@ -31,11 +31,17 @@
 
     counts: Counter[str]
 
-    def handle_event(self, event: Event) -> None: ...
+    def handle_event(self, event: Event) -> None:
+        """Give the decider one event."""
+        ...
 
-    def still_wanted(self, exchange: Exchange) -> bool: ...
+    def still_wanted(self, exchange: Exchange) -> bool:
+        """Whether a request may still be written to a host."""
+        ...
 
-    def end_if_stuck(self, exchange: Exchange) -> None: ...
+    def end_if_stuck(self, exchange: Exchange) -> None:
+        """End a request that has no way to go on."""
+        ...
 
 
 class AttemptRunner:
@@ -48,11 +54,15 @@
         hosts: Mapping[str, FleetHost],
         owner: RequestOwner,
     ) -> None:
-        self._loop, self._upstream, self._hosts, self._owner = loop, upstream, hosts, owner
+        self._loop = loop
+        self._upstream = upstream
+        self._hosts = hosts
+        self._owner = owner
 
     def send(self, exchange: Exchange | None, action: SendAttempt) -> None:
-        """Begin one, or report that it is moot: its request is over, its host gone, or its key
-        doubtful.
+        """Begin an attempt, or report that it is moot.
+
+        It is moot if its request is over, its host gone, or its key in doubt.
         """
         host = self._hosts.get(action.host)
         if exchange is not None:
@@ -62,7 +72,8 @@
             if exchange is not None:
                 self._owner.end_if_stuck(exchange)
             return
-        now, resume = self._loop.time(), exchange.response_begun
+        now = self._loop.time()
+        resume = exchange.response_begun
         answer = AttemptResponse(
             exchange, action.attempt, resume, now, self._first_event, self._ended
         )
@@ -90,8 +101,10 @@
         return in_time and self._still_wanted(exchange)
 
     def _still_wanted(self, exchange: Exchange) -> bool:
-        """Asked right before each write. What may run once only is never sent while another attempt
-        of it may have run, whatever the decider says.
+        """Asked right before each write.
+
+        What may run once only is never sent while another attempt of it may have run, whatever the
+        decider says.
         """
         once = not exchange.route.repeatable
         return not (once and exchange.may_run) and self._owner.still_wanted(exchange)
@@ -120,7 +133,8 @@
         elif outcome is Outcome.CANCELLED and answer.abandoned:
             outcome = Outcome.RESET
         if answer.progressed and not exchange.closed:
-            exchange.interrupted, exchange.awaits_resume = True, exchange.can_resume
+            exchange.interrupted = True
+            exchange.awaits_resume = exchange.can_resume
         self._owner.counts[f"attempt_{outcome.value}"] += 1
         answer.attempt = None
         self._owner.handle_event(
@@ -137,8 +151,9 @@
         self._owner.end_if_stuck(exchange)
 
     def _succeeded(self, answer: AttemptResponse) -> bool:
-        """A whole answer with its stamp: pass on what of it has not gone on. False if it turns out
-        cut.
+        """A whole answer with its stamp: pass on what of it has not gone on.
+
+        False if it turns out cut.
         """
         exchange = answer.exchange
         if exchange.closed or not answer.may_relay:
@@ -154,10 +169,13 @@
         return True
 
     def _failed(self, answer: AttemptResponse) -> bool:
-        """A whole answer that is no success. A host's 4xx is the client's own; a failure is kept
-        while the decider may try again. Whether the client has it.
+        """A whole answer that is no success.
+
+        A host's 4xx is the client's own; a failure is kept while the decider may try again. Whether
+        the client has it.
         """
-        exchange, failure = answer.exchange, answer.failure()
+        exchange = answer.exchange
+        failure = answer.failure()
         if failure is None or exchange.closed or exchange.response_begun:
             return False
         if failure.status >= 500:
--- a/roselink/dataplane/client_connection.py
+++ b/roselink/dataplane/client_connection.py
@@ -35,15 +35,18 @@
 
     def _client_left(self) -> None:
         if self._exchange is not None:
-            exchange, self._exchange = self._exchange, None
+            exchange = self._exchange
+            self._exchange = None
             self._owner.driver.client_left(exchange)
 
     def resume_writing(self) -> None:
+        """Note that the kernel has the last byte (asyncio)."""
         super().resume_writing()
         if self._exchange is not None:
             self._exchange.client_ready()
 
     def on_headers_complete(self) -> None:
+        """The head is complete (parser)."""
         super().on_headers_complete()
         asked = any(
             n.lower() == b"expect" and v.lower() == b"100-continue" for n, v in self._headers
@@ -60,14 +63,17 @@
         return PendingRequest(request, 200, keep)
 
     def _serve_request(self, pending: PendingRequest) -> None:
-        self._serving, self._keep_alive = True, pending.keep
+        self._serving = True
+        self._keep_alive = pending.keep
         request = pending.request
         if not isinstance(request, ProxyRequest):
             log.info("request_invalid status=%d why=%s", pending.status, pending.why)
-            self._head_only, self._version = False, "1.1"
+            self._head_only = False
+            self._version = "1.1"
             self.send_status(pending.status)
             return
-        self._head_only, self._version = request.method == b"HEAD", request.version
+        self._head_only = request.method == b"HEAD"
+        self._version = request.version
         if self._owner.is_overloaded():
             self.send_status(503, NOT_CONFIRMED_RETRY_S)
             return
@@ -107,17 +113,21 @@
         elif self._chunked:
             framing = [b"Transfer-Encoding: chunked"]
         else:
-            framing, self._keep_alive = [], False  # the end of the connection is that of the answer
+            # the end of the connection is that of the answer
+            framing = []
+            self._keep_alive = False
         self._unwritten = self._head_of(status, headers, framing)  # goes out with the first part
 
     def send_piece(self, data: bytes) -> None:
         """Bytes of the body, now."""
-        head, self._unwritten = self._unwritten, b""
+        head = self._unwritten
+        self._unwritten = b""
         self._write(head + (b"%x\r\n%b\r\n" % (len(data), data) if self._chunked else data))
 
     def send_end(self) -> None:
         """The body is whole."""
-        head, self._unwritten = self._unwritten, b""
+        head = self._unwritten
+        self._unwritten = b""
         self._write(head + (b"0\r\n\r\n" if self._chunked else b""))
         self._end()
 
--- a/roselink/dataplane/client_server.py
+++ b/roselink/dataplane/client_server.py
@@ -44,8 +44,10 @@
         self._apply()
 
     def limit(self, limits: Limits) -> None:
-        """Go by a configuration's limits from now on, and by those before where they allow more:
-        clients that have not heard of the new ones, or sent before them, keep within the old.
+        """Apply a configuration's limits.
+
+        Those before hold on where they allow more: clients that do not know the new ones yet, or
+        sent before them, keep within the old.
         """
         if limits != self._limits[-1]:
             self._limits = (self._limits[-1], limits) if self._told else (limits,)
@@ -62,12 +64,15 @@
         self._times = TimeLimits(head_s, head_s + BODY_S, UNREAD_S, (idle_s + IDLE_OVER_S,))
 
     def time_limits(self) -> TimeLimits:
+        """How long clients may take, as it is in force now."""
         return self._times
 
     def make_connection(self) -> ServerConnection:
+        """A new client connection."""
         return FleetClientConnection(self)
 
     def is_overloaded(self) -> bool:
+        """Whether there is no room to serve one more request."""
         return super().is_overloaded() or self.driver.body_bytes > BODIES_LIMIT
 
 
--- a/roselink/dataplane/decision_driver.py
+++ b/roselink/dataplane/decision_driver.py
@@ -74,7 +74,9 @@
         seed: int,
     ) -> None:
         self._loop = loop
-        self._authority, self._quotas, self._budget = authority, quotas, budget
+        self._authority = authority
+        self._quotas = quotas
+        self._budget = budget
         self._random = random.Random(seed)
         self._numbers = itertools.count(1)
         self._queue = EventQueue(loop, decider, self._perform, self._fail)
@@ -91,8 +93,10 @@
     # From the authority.
 
     def apply_snapshot(self) -> None:
-        """Take over the snapshot in force. It takes effect on the sockets first: what it ends must
-        not get a byte more. The decider hears of it before it hears what became of that.
+        """Take over the snapshot in force.
+
+        It takes effect on the sockets first: what it ends must not get a byte more. The decider
+        hears of it before it hears what became of that.
         """
         snapshot = self._authority.snapshot()
         if snapshot is None:
@@ -109,8 +113,9 @@
     # From the client side.
 
     def accept(self, request: ProxyRequest, client: ClientResponse) -> Exchange | None:
-        """Take a request; None if it is answered already. The client gets one answer, unless it
-        leaves.
+        """Take a request; None if it is answered already.
+
+        The client gets one answer, unless it leaves.
         """
         self.counts["requests"] += 1
         if self.route_table is None:
@@ -134,7 +139,8 @@
         entry, tenant = admitted
         route = entry.route
         exchange = Exchange(request, route, tenant, host_head(request, route, tenant), client)
-        exchange.number, exchange.service = next(self._numbers), entry.draw(self._random)
+        exchange.number = next(self._numbers)
+        exchange.service = entry.draw(self._random)
         exchange.expires_at = request.since + time_limit_s(request, route)
         if self._drain_ends_at is not None:
             exchange.expires_at = min(exchange.expires_at, self._drain_ends_at)
@@ -195,8 +201,9 @@
         exchange.deadline_timer = self._loop.call_at(at, self._deadline_reached, exchange)
 
     def _deadline_reached(self, exchange: Exchange) -> None:
-        """The decider hears that the attempts were timed out; the last word is said now in any
-        case.
+        """Time out the attempts and end the request.
+
+        The decider learns that they were timed out; the final response goes out now in any case.
         """
         if exchange.closed:
             return
@@ -244,8 +251,9 @@
     # What the attempts ask and tell.
 
     def still_wanted(self, exchange: Exchange) -> bool:
-        """Asked right before each write to a host: does someone wait, and does the key still
-        count.
+        """Whether a request may still be written to a host.
+
+        It may if its client waits and its key is valid. Called right before each write.
         """
         if exchange.closed:
             return False
@@ -309,8 +317,9 @@
             self._quotas.give_back(exchange.tenant, quota_cost(exchange.request, exchange.tenant))
 
     def _close(self, exchange: Exchange) -> None:
-        """It has its final answer, or nobody waits for one. The decider is told, and what is out
-        ends.
+        """It has its final answer, or nobody waits for one.
+
+        The decider is told, and what is out ends.
         """
         exchange.closed = True
         if self.open_requests.pop(exchange.number, None) is None:
--- a/roselink/dataplane/event_queue.py
+++ b/roselink/dataplane/event_queue.py
@@ -27,8 +27,9 @@
 
 
 class EventQueue:
-    """Feeds one decider. `perform` carries an action out; `fail` ends a request that a fault has
-    struck.
+    """Feeds one decider.
+
+    `perform` carries an action out; `fail` ends a request that a fault has struck.
     """
 
     def __init__(
@@ -38,13 +39,17 @@
         perform: Callable[[Action], None],
         fail: Callable[[int], None],
     ) -> None:
-        self._loop, self._decider, self._perform, self._fail = loop, decider, perform, fail
+        self._loop = loop
+        self._decider = decider
+        self._perform = perform
+        self._fail = fail
         self._events: deque[Event] = deque()
         self._busy = False
 
     def handle(self, event: Event) -> None:
-        """Give the decider one event. What an action brings about at once is fed after it, in
-        order.
+        """Give the decider one event.
+
+        What an action brings about at once is fed after it, in order.
         """
         self._events.append(event)
         self.process()
@@ -56,7 +61,8 @@
     @contextmanager
     def deferred(self) -> Iterator[None]:
         """Let events wait until the block is over."""
-        busy, self._busy = self._busy, True
+        busy = self._busy
+        self._busy = True
         try:
             yield
         finally:
--- a/roselink/dataplane/event_streams.py
+++ b/roselink/dataplane/event_streams.py
@@ -1,7 +1,6 @@
-"""Event streams without I/O: cut bytes into whole events, and keep a resumed stream without gap or
-repeat.
+"""Event streams without I/O: whole events, and resumed streams without gap or repeat.
 
-An event ends with an empty line. Ids are whole numbers that rise.
+An event ends with an empty line (WHATWG HTML, section 9.2.6). Ids are whole numbers that rise.
 """
 
 from __future__ import annotations
@@ -16,8 +15,9 @@
 
 
 class StreamEvent(NamedTuple):
-    """One whole event as it came. `id`: None where it has none; `comment`: it has no field at
-    all.
+    """One whole event as it came.
+
+    `id`: None where it has none; `comment`: it has no field at all.
     """
 
     data: bytes
@@ -76,7 +76,8 @@
             return
         before = self._before if self.last_id is None else self.last_id
         self._widest_step = max(self._widest_step, event.id - before)
-        self.last_id, self._has_event_without_id = event.id, False
+        self.last_id = event.id
+        self._has_event_without_id = False
 
     def leaves_gap(self, event_id: int) -> bool:
         """Whether an event that is next in a resumed stream leaves some out."""
@@ -84,12 +85,15 @@
 
 
 class StreamFilter:
-    """One attempt's stream on its way: what of it goes on. With `resumed`, events that the client
-    has are left out, and a stream that leaves some out sets `gap`.
+    """One attempt's stream on its way: what of it goes on.
+
+    With `resumed`, events that the client has are left out, and a stream that leaves some out sets
+    `gap`.
     """
 
     def __init__(self, progress: StreamProgress, resumed: bool) -> None:
-        self._progress, self._resumed = progress, resumed
+        self._progress = progress
+        self._resumed = resumed
         self._splitter = EventSplitter()
         self._repeating = False  # in a resumed stream: behind an event that the client has
         self._joined = not resumed  # its first new event has gone on
--- a/roselink/dataplane/exchange.py
+++ b/roselink/dataplane/exchange.py
@@ -1,8 +1,8 @@
-"""One client request from its admission to its last byte: the answers of its attempts, and which
-goes on.
+"""One client request from its admission to its last byte.
 
-At most one attempt's answer goes on to the client. An answer is held until it is whole, an event
-stream until its first event; a resumed stream goes on inside the answer that the first host began.
+At most one attempt's response is relayed to the client. A response is buffered until it is
+complete, an event stream until its first event; a resumed stream goes on inside the response that
+the first host began.
 """
 
 from __future__ import annotations
@@ -29,17 +29,25 @@
 class ClientResponse(Protocol):
     """The client's side of one request: one whole answer, or one in parts."""
 
-    def send_complete(self, status: int, headers: Headers, body: bytes) -> None: ...
+    def send_complete(self, status: int, headers: Headers, body: bytes) -> None:
+        """Send a complete response."""
+        ...
 
     def send_status(self, status: int, retry_after_s: float | None = None) -> None:
         """An answer of ours, without a body."""
         ...
 
-    def send_head(self, status: int, headers: Headers, length: int | None) -> None: ...
+    def send_head(self, status: int, headers: Headers, length: int | None) -> None:
+        """Begin a response in pieces; `length` in bytes, None if unknown."""
+        ...
 
-    def send_piece(self, data: bytes) -> None: ...
+    def send_piece(self, data: bytes) -> None:
+        """Send bytes of the body."""
+        ...
 
-    def send_end(self) -> None: ...
+    def send_end(self) -> None:
+        """End a response in pieces."""
+        ...
 
     def abort_response(self) -> None:
         """End the connection so that what was sent does not look complete."""
@@ -71,8 +79,9 @@
 
 
 class Exchange:
-    """One request. `attempts`: those still out; `closed`: it has its final answer, or its client
-    has left.
+    """One request.
+
+    `attempts`: those still out; `closed`: it has its final answer, or its client has left.
     """
 
     def __init__(
@@ -83,13 +92,11 @@
         base: bytes,
         client: ClientResponse,
     ) -> None:
-        self.request, self.route, self.tenant, self.common_head, self.client = (
-            request,
-            route,
-            tenant,
-            base,
-            client,
-        )
+        self.request = request
+        self.route = route
+        self.tenant = tenant
+        self.common_head = base
+        self.client = client
         self.facts: RequestFacts | None = None  # None: the decider has not heard of it
         self.number = 0
         self.service = ""
@@ -112,6 +119,7 @@
 
     @property
     def streaming(self) -> bool:
+        """Whether its response is an event stream."""
         return self.route.kind is RouteKind.STREAMING
 
     @property
@@ -126,6 +134,7 @@
 
     @property
     def can_resume(self) -> bool:
+        """Whether another attempt may take up its stream where it broke."""
         return (
             self.response_begun
             and self.route.resumable
@@ -151,8 +160,12 @@
         first_event: Callable[[AttemptResponse], None],
         ended: Callable[[AttemptResponse, Outcome], None],
     ) -> None:
-        self.exchange, self.number, self.resumed, self.started = exchange, number, resumed, started
-        self._first_event, self._ended = first_event, ended
+        self.exchange = exchange
+        self.number = number
+        self.resumed = resumed
+        self.started = started
+        self._first_event = first_event
+        self._ended = ended
         self.attempt: FleetAttempt | None = None
         self.mode = ResponseMode.BUFFER
         self.status = 0
@@ -165,6 +178,7 @@
 
     @property
     def sent(self) -> bool:
+        """Whether bytes of it may have reached the host."""
         return self.attempt is not None and self.attempt.sent
 
     @property
@@ -181,13 +195,16 @@
     # What the connection tells.
 
     def head(self, status: int, headers: Headers) -> None:
-        self.status, self.headers = status, headers
+        """The head of the response has come."""
+        self.status = status
+        self.headers = headers
         self._outcome = outcome_of(status, {name.lower(): value for name, value in headers})
         if self._outcome is Outcome.SUCCESS and self.exchange.streaming:
             self.mode = ResponseMode.EVENTS
             self._filter = StreamFilter(self.exchange.progress, self.resumed)
 
     def body(self, data: bytes) -> None:
+        """A piece of the body has come."""
         if self.mode is ResponseMode.RELAY:
             self._relay(data)
         elif self._filter is not None:
@@ -196,6 +213,7 @@
             self._buffer(data)
 
     def done(self, outcome: Outcome) -> None:
+        """The attempt is over; comes last and once."""
         if not self.sent and outcome not in NEVER_RAN:
             outcome = Outcome.MOOT
         self._ended(self, outcome)
@@ -219,7 +237,8 @@
             self._abandon()
         elif self._become_relayed(self._stated_length()):
             self.mode = ResponseMode.RELAY
-            whole, self._body = b"".join(self._body), []
+            whole = b"".join(self._body)
+            self._body = []
             self._relay(whole)
 
     def _stated_length(self) -> int | None:
@@ -238,7 +257,9 @@
             return False
         if exchange.relayed_attempt is self:
             return True
-        exchange.relayed_attempt, exchange.interrupted, exchange.awaits_resume = self, False, False
+        exchange.relayed_attempt = self
+        exchange.interrupted = False
+        exchange.awaits_resume = False
         if not exchange.response_begun:
             exchange.response_begun = True
             exchange.client.send_head(self.status, relayed_headers(self.headers), length)
@@ -278,11 +299,13 @@
         return True
 
     def complete(self) -> CompleteResponse:
+        """The buffered response."""
         return CompleteResponse(self.status, relayed_headers(self.headers), b"".join(self._body))
 
     def failure(self) -> CompleteResponse | None:
-        """The host's own failure, if a client may see it: no status that promises what nobody
-        knows.
+        """The host's own failure, if a client may see it.
+
+        It may not where the status promises what nobody knows.
         """
         if (
             self._outcome is not Outcome.ERROR
--- a/roselink/dataplane/fleet_host_connection.py
+++ b/roselink/dataplane/fleet_host_connection.py
@@ -49,11 +49,17 @@
 class ResponseReceiver(Protocol):
     """Who takes one attempt's answer. `done` comes last and once."""
 
-    def head(self, status: int, headers: Headers) -> None: ...
+    def head(self, status: int, headers: Headers) -> None:
+        """The head of the response has come."""
+        ...
 
-    def body(self, data: bytes) -> None: ...
+    def body(self, data: bytes) -> None:
+        """A piece of the body has come."""
+        ...
 
-    def done(self, outcome: Outcome) -> None: ...
+    def done(self, outcome: Outcome) -> None:
+        """The attempt is over; comes last and once."""
+        ...
 
 
 class FleetAttempt(Attempt):
@@ -80,7 +86,9 @@
             loop, host, timeout_s, lambda outcome, _: receiver.done(outcome), still_wanted
         )
         self.single_run = single_run
-        self.request_id, self.has_no_body, self.receiver = request_id, has_no_body, receiver
+        self.request_id = request_id
+        self.has_no_body = has_no_body
+        self.receiver = receiver
         self.sent = False
         self.ended_by_close = False  # its answer told no length: the connection's end was its end
 
@@ -111,6 +119,7 @@
         super().__init__(upstream, host)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take over the transport of a new connection (asyncio)."""
         super().connection_made(transport)
         sock = transport.get_extra_info("socket")
         for level, option, value in (
@@ -124,36 +133,40 @@
                 sock.setsockopt(level, option, value)
 
     def send(self, attempt: Attempt, request: bytes) -> None:
+        """Write a request for an attempt."""
         assert isinstance(attempt, FleetAttempt)
         attempt.sent = True
-        self._surplus_count, self._bytes_since_progress, self._head_is_new, self._sent_bytes = (
-            0,
-            0,
-            False,
-            len(request),
-        )
+        self._surplus_count = 0
+        self._bytes_since_progress = 0
+        self._head_is_new = False
+        self._sent_bytes = len(request)
         super().send(attempt, request)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Clean up after the connection has ended (asyncio)."""
         if self._sent_bytes > PROVEN_LIMIT:
             self._has_unsent = False
         super().connection_lost(exc)
 
     def pause_reading(self) -> None:
+        """Read nothing more for now."""
         if not self._reading_paused and not self.closing() and self.transport is not None:
             self._reading_paused = True
             self.transport.pause_reading()
 
     def resume_reading(self) -> None:
+        """Read on."""
         if self._reading_paused:
             self._reading_paused = False
             if not self.closing() and self.transport is not None:
                 self.transport.resume_reading()
 
     def stale(self) -> bool:
+        """Whether it has been idle for longer than its host may keep it."""
         return self.upstream.now() - self.idle_since > self._idle_limit_s
 
     def data_received(self, data: bytes) -> None:
+        """Take bytes that have come (asyncio)."""
         attempt = self.attempt
         if not isinstance(attempt, FleetAttempt) or self._parser is None:
             self.drop()  # bytes that no request asked for
@@ -178,10 +191,12 @@
             self._head_is_new = False
             attempt.receiver.head(self._status, self._raw_headers)
         if self._body_pieces and self.attempt is attempt:
-            data, self._body_pieces = b"".join(self._body_pieces), []
+            data = b"".join(self._body_pieces)
+            self._body_pieces = []
             attempt.receiver.body(data)
 
     def eof_received(self) -> bool:
+        """Let the transport close: the peer has ended its sending (asyncio)."""
         if not self._in_surplus and isinstance(self.attempt, FleetAttempt):
             self.attempt.ended_by_close = True
             super().eof_received()
@@ -200,9 +215,12 @@
 
     def _start_message(self) -> None:
         super()._start_message()
-        self._raw_headers, self._body_pieces, self._in_surplus = [], [], False
+        self._raw_headers = []
+        self._body_pieces = []
+        self._in_surplus = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """One header, or a trailer (parser)."""
         if self._is_complete or not self._in_head:
             return
         super().on_header(name, value)
@@ -210,13 +228,12 @@
         self._bytes_since_progress = 0
 
     def on_headers_complete(self) -> None:
+        """The head is complete (parser)."""
         if self._is_complete or self._parser is None:
             return
-        self._status, self._in_head, self._bytes_since_progress = (
-            self._parser.get_status_code(),
-            False,
-            0,
-        )
+        self._status = self._parser.get_status_code()
+        self._in_head = False
+        self._bytes_since_progress = 0
         attempt = self.attempt
         if 100 <= self._status < 200 or not isinstance(attempt, FleetAttempt):
             return
@@ -232,21 +249,26 @@
         self._idle_limit_s = _idle_s(self._headers.get(b"keep-alive", b""))
         self._head_is_new = True
         if attempt.has_no_body:
-            self._is_complete, self._keep_alive = True, False
+            self._is_complete = True
+            self._keep_alive = False
 
     def on_body(self, body: bytes) -> None:
+        """A piece of the body (parser)."""
         self._bytes_since_progress = 0
         if not (self._is_complete or self._in_surplus):
             self._body_pieces.append(body)
 
     def on_message_complete(self) -> None:
+        """The message is complete (parser)."""
         if self._is_complete or self._parser is None:
             return
-        self._in_message, self._bytes_since_progress = False, 0
+        self._in_message = False
+        self._bytes_since_progress = 0
         if self._in_surplus:
             return
         if 100 <= self._status < 200:
-            self._in_head, self._interim_count = True, self._interim_count + 1
+            self._in_head = True
+            self._interim_count = self._interim_count + 1
             if self._interim_count > INTERIM_LIMIT:
                 raise ValueError("interim answers without end")
             return
--- a/roselink/dataplane/fleet_host_pool.py
+++ b/roselink/dataplane/fleet_host_pool.py
@@ -30,7 +30,8 @@
 
     def __init__(self, name: str, service: str, address: Address, connection_limit: int) -> None:
         super().__init__(name, address)
-        self.service, self.connection_limit = service, connection_limit
+        self.service = service
+        self.connection_limit = connection_limit
 
 
 class FleetHostPool(HostPool):
@@ -60,6 +61,7 @@
         self.launch(attempt, request)
 
     def sweep(self) -> None:
+        """Close what has taken too long."""
         for connection in list(self._idle):
             if connection.stale():
                 connection.drop()
--- a/roselink/dataplane/gateway_data_plane.py
+++ b/roselink/dataplane/gateway_data_plane.py
@@ -46,7 +46,9 @@
         quotas: Quotas,
         shared_budget: SharedBudget,
     ) -> None:
-        self._settings, self._loop, self._authority = settings, loop, authority
+        self._settings = settings
+        self._loop = loop
+        self._authority = authority
         descriptors = Descriptors(max(128, settings.resources.max_fds - OTHER_DESCRIPTORS))
         self.host_pool = FleetHostPool(loop, descriptors)
         seed = zlib.crc32(settings.node_name.encode())
@@ -82,7 +84,8 @@
         return 0 if address is None else await server.listen(*address)
 
     def _refresh(self, snapshot: Snapshot) -> None:
-        known, hosts = self.driver.route_table is not None, self.driver.host_directory.any_ready()
+        known = self.driver.route_table is not None
+        hosts = self.driver.host_directory.any_ready()
         self.driver.apply_snapshot()
         if not known or hosts != self.driver.host_directory.any_ready():
             log.info(
--- a/roselink/dataplane/host_directory.py
+++ b/roselink/dataplane/host_directory.py
@@ -19,16 +19,20 @@
         self._bounds: tuple[int, dict[str, int]] = (0, {})
 
     def update(self, snapshot: Snapshot) -> None:
-        """Go by a snapshot. What drains or is gone gets nothing new; what runs there runs on. Hosts
-        whose entry is the very same as before, under the same bounds, are passed over.
+        """Go by a snapshot.
+
+        What drains or is gone gets nothing new; what runs there runs on. Hosts whose entry is the
+        very same as before, under the same bounds, are passed over.
         """
         gateways = len(snapshot.roster) or DEFAULT_GATEWAY_COUNT
         limits = {
             service.name: service.max_connections for service in snapshot.configuration.services
         }
         same_bounds = self._bounds == (gateways, limits)
-        before, listed = self._previous, {host.id: host for host in snapshot.hosts}
-        self._previous, self._bounds = listed, (gateways, limits)
+        before = self._previous
+        listed = {host.id: host for host in snapshot.hosts}
+        self._previous = listed
+        self._bounds = (gateways, limits)
         for name in [name for name in before if name not in listed]:
             self._host_pool.retire(self.hosts.pop(name))
         for name, entry in listed.items():
--- a/roselink/dataplane/interfaces.py
+++ b/roselink/dataplane/interfaces.py
@@ -1,5 +1,6 @@
-"""What the data plane is given by the rest of the process. All calls are made on the loop's
-thread.
+"""What the data plane is given by the rest of the process.
+
+All calls are made on the loop's thread.
 """
 
 from __future__ import annotations
@@ -15,20 +16,25 @@
 
 
 class Decider(Protocol):
-    """Which host gets which attempt, and when to give up. The driver feeds it, in this order for
-    each request: `RequestArrived`; then `FirstEvent` (of each attempt whose events go on, once),
-    `AttemptEnded` and `BudgetDecided` as they come; `RequestClosed` once. Each attempt that was
-    asked for ends with one `AttemptEnded`, also one called off by the close, behind
-    `RequestClosed`.
+    """Which host gets which attempt, and when to give up.
+
+    The driver feeds it, in this order for each request: `RequestArrived`; then `FirstEvent` (of
+    each attempt whose events go on, once), `AttemptEnded` and `BudgetDecided` as they come;
+    `RequestClosed` once. Each attempt that was asked for ends with one `AttemptEnded`, also one
+    called off by the close, behind `RequestClosed`.
     """
 
-    def handle(self, now: float, event: Event) -> list[Action]: ...
+    def handle(self, now: float, event: Event) -> list[Action]:
+        """Give the decider one event; the actions that it asks for."""
+        ...
 
 
 class Authority(Protocol):
     """What is in force here, and whether this gateway may still go by it."""
 
-    def snapshot(self) -> Snapshot | None: ...
+    def snapshot(self) -> Snapshot | None:
+        """What is in force here; None before the first configuration."""
+        ...
 
     def may_use_keys(self) -> bool:
         """Whether the keys of the snapshot are confirmed to be still held."""
@@ -43,8 +49,9 @@
     """The tenants' quotas over all gateways."""
 
     def admit(self, tenant: Tenant, amount: float, decide: Callable[[bool, float], None]) -> None:
-        """Ask for `amount` requests or tokens; `decide(allowed, retry_after_s)` comes once, maybe
-        later.
+        """Request `amount` requests or tokens.
+
+        `decide(allowed, retry_after_s)` is called once, maybe later.
         """
         ...
 
--- a/roselink/dataplane/proxy_request.py
+++ b/roselink/dataplane/proxy_request.py
@@ -32,8 +32,10 @@
 
 @dataclass(slots=True)
 class ProxyRequest:
-    """One whole request. `since`: loop time from which its deadline counts; `deadline_s`: how long
-    its client waits, None if it does not say; `version`: of HTTP, as its client speaks it.
+    """One whole request.
+
+    `since`: loop time from which its deadline counts; `deadline_s`: how long its client waits, None
+    if it does not say; `version`: of HTTP, as its client speaks it.
     """
 
     method: bytes
@@ -108,7 +110,8 @@
 
 def _token_usage(value: bytes | None) -> tuple[int, int] | None:
     first, comma, second = (value or b"").partition(b",")
-    first, second = first.strip(), second.strip()
+    first = first.strip()
+    second = second.strip()
     if not (
         comma and first.isdigit() and second.isdigit() and len(first) < 10 and len(second) < 10
     ):
--- a/roselink/dataplane/readiness_server.py
+++ b/roselink/dataplane/readiness_server.py
@@ -31,7 +31,8 @@
         return PendingRequest(None, 200, keep)
 
     def _serve_request(self, pending: PendingRequest) -> None:
-        self._serving, self._keep_alive = True, pending.keep
+        self._serving = True
+        self._keep_alive = pending.keep
         status = pending.status
         if status == 200 and not self._owner.ready():
             status = 503
@@ -57,7 +58,9 @@
         self.ready = ready
 
     def time_limits(self) -> TimeLimits:
+        """How long clients may take, as it is in force now."""
         return TimeLimits(3.0, 3.0, 3.0, (30.0,))
 
     def make_connection(self) -> ServerConnection:
+        """A new client connection."""
         return ReadinessConnection(self)
--- a/roselink/http/descriptors.py
+++ b/roselink/http/descriptors.py
@@ -9,8 +9,10 @@
 
 
 class Descriptors:
-    """Counts the open sockets of both sides. Guards against running into the process's limit, where
-    an accept or a connect fails at a place that can no longer answer anyone.
+    """Counts the open sockets of both sides.
+
+    Guards against running into the process's limit, where an accept or a connect fails at a place
+    that can no longer answer anyone.
     """
 
     def __init__(self, limit: int) -> None:
@@ -18,4 +20,5 @@
         self.used = 0
 
     def spare(self) -> int:
+        """How many may still be opened; below zero past the limit."""
         return self.limit - self.used
--- a/roselink/http/host_connection.py
+++ b/roselink/http/host_connection.py
@@ -41,7 +41,9 @@
     """One host as the list has it, and this gateway's connections to it."""
 
     def __init__(self, name: str, address: Address) -> None:
-        self.name, self.address, self.ready = name, address, True
+        self.name = name
+        self.address = address
+        self.ready = True
         self.started_us: int | None = None
         self.last_byte_at = 0.0  # loop time of its last byte
         self.idle: list[HostConnection] = []  # the most recently used last
@@ -49,6 +51,7 @@
         self.open_count = 0  # connections that hold a descriptor
 
     def drop_idle(self) -> None:
+        """Close the idle connections to this host."""
         for connection in list(self.idle):
             connection.drop()
 
@@ -77,7 +80,9 @@
             done: called exactly once with the outcome, never from `HostPool.start`.
             still_wanted: called once a connection is up: whether someone waits for the response.
         """
-        self.host, self.started_at, self.still_wanted = host, loop.time(), still_wanted
+        self.host = host
+        self.started_at = loop.time()
+        self.still_wanted = still_wanted
         self._done: OnEnd | None = done
         self._timer = loop.call_later(max(0.0, timeout_s), self._end, Outcome.TIMEOUT)
         self.connection: HostConnection | None = None
@@ -85,6 +90,7 @@
 
     @property
     def is_over(self) -> bool:
+        """Whether the outcome is known."""
         return self._done is None
 
     def cancel(self) -> None:
@@ -92,10 +98,13 @@
         self._end(Outcome.CANCELLED)
 
     def _end(self, outcome: Outcome) -> None:
-        """Given up from this side: whatever still comes on the connection belongs to nobody, so it
-        goes.
+        """End the attempt from this side.
+
+        Whatever still comes on its connection belongs to no attempt, so the connection is closed.
         """
-        connection, task, connecting = self.connection, self.task, self in self.host.connecting
+        connection = self.connection
+        task = self.task
+        connecting = self in self.host.connecting
         if connecting:  # no byte went out, whatever the reason to stop
             outcome = Outcome.CONNECT_FAILED if outcome is Outcome.TIMEOUT else Outcome.MOOT
         self.finish(outcome)
@@ -114,7 +123,9 @@
         self._end(Outcome.MOOT)
 
     def finish(self, outcome: Outcome, answer: HostResponse | None = None) -> None:
-        done, self._done = self._done, None
+        """Report the outcome, once."""
+        done = self._done
+        self._done = None
         if done is None:
             return
         self._timer.cancel()
@@ -129,7 +140,8 @@
     """One connection to a host: carries one attempt at a time, or is idle."""
 
     def __init__(self, upstream: HostPool, host: PooledHost) -> None:
-        self.upstream, self.host = upstream, host
+        self.upstream = upstream
+        self.host = host
         self.attempt: Attempt | None = None
         self.transport: asyncio.Transport | None = None
         self.idle_since = 0.0
@@ -153,6 +165,7 @@
         self._status = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take over the transport of a new connection (asyncio)."""
         self.transport = cast("asyncio.Transport", transport)  # uvloop's are no subclass of it
         # With the marks at 0 `pause_writing` stands for "bytes left in this process",
         # `resume_writing` for "the kernel has the last byte": what parts a failed connection from a
@@ -161,15 +174,19 @@
         self._probe = SocketProbe(transport)
 
     def pause_writing(self) -> None:
+        """Note that bytes are left in this process (asyncio)."""
         self._has_unsent = True
 
     def resume_writing(self) -> None:
+        """Note that the kernel has the last byte (asyncio)."""
         self._has_unsent = False
 
     def send(self, attempt: Attempt, request: bytes) -> None:
+        """Write a request for an attempt."""
         assert self.transport is not None
         self._start_exchange()
-        self.attempt, attempt.connection = attempt, self
+        self.attempt = attempt
+        attempt.connection = self
         self.transport.write(request)
 
     def drop(self) -> None:
@@ -178,6 +195,7 @@
             self.transport.abort()
 
     def closing(self) -> bool:
+        """Whether the connection is closed or closing."""
         return self.transport is None or self.transport.is_closing()
 
     def stale(self) -> bool:
@@ -185,12 +203,15 @@
         return False  # `HostPool.sweep` ends those
 
     def has_unread(self) -> bool:
-        """Whether bytes, or the end, have come that this process has not read yet: a close, or more
-        than belonged to the last answer, which would be taken for the next one's.
+        """Whether bytes, or the end, have come that this process has not read yet.
+
+        That is a close, or more than belonged to the last response, which would be taken for the
+        next one's.
         """
         return self._probe is not None and self._probe.has_unread()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Clean up after the connection has ended (asyncio)."""
         self.upstream.forget(self)
         self._cancel_overdue_timer()
         self._parser = None  # it refers back to this: a cycle would wait for the collector
@@ -198,6 +219,7 @@
             self.attempt.finish(Outcome.CONNECT_FAILED if self._has_unsent else Outcome.RESET)
 
     def data_received(self, data: bytes) -> None:
+        """Take bytes that have come (asyncio)."""
         attempt = self.attempt
         if attempt is None or self._parser is None:
             # bytes that no request asked for: the next answer could not be told from them
@@ -219,8 +241,10 @@
             self._overdue_timer = self.upstream.call_when_overdue(self._response_overdue)
 
     def eof_received(self) -> bool:
-        """The host's end is that of an answer that tells no length. A reset is no end: it comes
-        with `connection_lost` alone, unless the loop has read only that the connection is gone.
+        """The host's end is that of an answer that tells no length.
+
+        A reset is no end: it comes with `connection_lost` alone, unless the loop has read only that
+        the connection is gone.
         """
         has_length = b"content-length" in self._headers or b"transfer-encoding" in self._headers
         ends_by_close = self._in_message and not (self._in_head or self._has_excess or has_length)
@@ -255,9 +279,10 @@
             self._fail_unreadable()
 
     def _fail_unreadable(self) -> None:
-        """The answer cannot be read, or does not end: it may have run, and nothing later on this
-        connection can be trusted. Hosts write an answer at once; a rest that does not follow never
-        will.
+        """End an attempt whose response cannot be read, or does not end.
+
+        The request may have run, and nothing later on this connection can be trusted. Hosts write a
+        response at once; a rest that does not follow never will.
         """
         self._cancel_overdue_timer()
         if self.attempt is not None:
@@ -279,6 +304,7 @@
     # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
+        """A message begins (parser)."""
         if self._is_complete:
             self._has_excess = True
         else:
@@ -286,6 +312,7 @@
             self._in_message = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """One header, or a trailer (parser)."""
         if self._is_complete or not self._in_head:
             return  # more than the answer, or a trailer
         self._section_bytes += len(name) + len(value)
@@ -294,13 +321,17 @@
         self._headers[name.lower()] = value.strip()
 
     def on_headers_complete(self) -> None:
+        """The head is complete (parser)."""
         if self._is_complete or self._parser is None:
             return
-        self._status, self._section_bytes, self._in_head = self._parser.get_status_code(), 0, False
+        self._status = self._parser.get_status_code()
+        self._section_bytes = 0
+        self._in_head = False
         if int(self._headers.get(b"content-length", b"0")) > BODY_LIMIT:
             raise ValueError("body too long")  # known from the head: not a byte of it is waited for
 
     def on_body(self, body: bytes) -> None:
+        """A piece of the body (parser)."""
         if self._is_complete:
             return
         self._section_bytes += len(body)
@@ -309,12 +340,15 @@
         self._body.append(body)
 
     def on_message_complete(self) -> None:
+        """The message is complete (parser)."""
         if self._is_complete or self._parser is None:
             return
         self._in_message = False
         if 100 <= self._status < 200:  # an interim answer: the one that counts follows
-            self._in_head, self._interim_count = True, self._interim_count + 1
+            self._in_head = True
+            self._interim_count = self._interim_count + 1
             if self._interim_count > INTERIM_LIMIT:
                 raise ValueError("interim answers without end")
             return
-        self._is_complete, self._keep_alive = True, self._parser.should_keep_alive()
+        self._is_complete = True
+        self._keep_alive = self._parser.should_keep_alive()
--- a/roselink/http/host_pool.py
+++ b/roselink/http/host_pool.py
@@ -30,8 +30,10 @@
         connect_timeout_s: float,
         idle_s: float,
     ) -> None:
-        self._loop, self._descriptors = loop, descriptors
-        self._connect_timeout_s, self._idle_s = connect_timeout_s, idle_s * IDLE_FRACTION
+        self._loop = loop
+        self._descriptors = descriptors
+        self._connect_timeout_s = connect_timeout_s
+        self._idle_s = idle_s * IDLE_FRACTION
         self._tasks: set[asyncio.Task[bool]] = set()
         self._idle: dict[HostConnection, None] = {}  # all hosts' idle ones, the longest idle first
 
@@ -43,8 +45,10 @@
         done: OnEnd,
         still_wanted: StillWanted,
     ) -> Attempt:
-        """Begin an attempt on the connection used last that has settled, which is the least likely
-        to be closing and brings nothing that belongs to the answer before.
+        """Begin an attempt.
+
+        It goes to the connection used last that has rested for `REUSE_DELAY_S`: that one is the
+        least likely to be closing and brings nothing that belongs to the response before.
         """
         attempt = Attempt(self._loop, host, timeout_s, done, still_wanted)
         self.launch(attempt, lambda: request)
@@ -89,18 +93,22 @@
         return True
 
     def now(self) -> float:
+        """The loop's time, in seconds."""
         return self._loop.time()
 
     def call_when_overdue(self, act: Callable[[], None]) -> asyncio.TimerHandle:
-        """After the time that a connect may take: the settings' own measure of a network that is
-        stuck.
+        """Call back after the connect time-out.
+
+        That is the settings' own measure of a network that is stuck.
         """
         return self._loop.call_later(self._connect_timeout_s, act)
 
     def _connect_ended(self, connection: HostConnection, task: asyncio.Task[bool]) -> None:
-        """The connect is over. In a callback, since a task cancelled before its first step runs no
-        line of its own, and its descriptor would count for ever. One that came up in the turn in
-        which its time was up, or it was called off, has a transport that nobody else would close.
+        """The connect is over.
+
+        In a callback, since a task cancelled before its first step runs no line of its own, and its
+        descriptor would count for ever. One that came up in the turn in which its time was up, or
+        it was called off, has a transport that nobody else would close.
         """
         self._tasks.discard(task)
         if task.cancelled() or task.exception() is not None or not task.result():
@@ -159,8 +167,9 @@
             connection.host.idle.remove(connection)
 
     def retire(self, host: PooledHost) -> None:
-        """The host drains or is gone: attempts whose first byte has not gone out are called
-        back.
+        """Take a host out of service.
+
+        It drains or is gone: attempts whose first byte has not gone out are withdrawn.
         """
         host.ready = False
         for attempt in list(host.connecting):
@@ -168,8 +177,9 @@
         host.drop_idle()
 
     def sweep(self) -> None:
-        """Drop what has been idle for long, before the host does and a request crosses its
-        close.
+        """Close what has been idle for long.
+
+        The host must not be first to close, or a request would cross its close.
         """
         oldest = self._loop.time() - self._idle_s
         for connection in list(self._idle):
--- a/roselink/http/limits.py
+++ b/roselink/http/limits.py
@@ -6,8 +6,9 @@
 
 
 class SizeLimits(NamedTuple):
-    """What a request may hold, in bytes. `message`: all of it, a chunked body's framing
-    included.
+    """What a request may hold, in bytes.
+
+    `message`: all of it, a chunked body's framing included.
     """
 
     head: int
@@ -16,9 +17,11 @@
 
 
 class TimeLimits(NamedTuple):
-    """How long a client may take, in seconds. `head` and `body`: from a request's first byte until
-    they are whole; `unread`: to take an answer; `idle`: by the requests that its connection has
-    brought, the last one for all higher numbers.
+    """How long a client may take, in seconds.
+
+    `head` and `body`: from a request's first byte until they are whole; `unread`: to take an
+    answer; `idle`: by the requests that its connection has brought, the last one for all higher
+    numbers.
     """
 
     head: float
--- a/roselink/http/logs.py
+++ b/roselink/http/logs.py
@@ -5,10 +5,9 @@
 import logging
 import sys
 
-LOG_LINES, LOG_S = (
-    50,
-    1.0,
-)  # lines in a stretch of time: a storm of errors must not become a storm of lines
+# lines in a stretch of time: a storm of errors must not become a storm of lines
+LOG_LINES = 50
+LOG_S = 1.0
 
 
 class LimitedLog(logging.Filter):
@@ -16,16 +15,17 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self._began, self._count = 0.0, 0
+        self._began = 0.0
+        self._count = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
+        """Whether the line goes out; says on the next one how many did not."""
         if record.created - self._began >= LOG_S:
             if self._count > LOG_LINES:
-                record.msg, record.args = (
-                    f"{record.getMessage()} ({self._count - LOG_LINES} left out)",
-                    (),
-                )
-            self._began, self._count = record.created, 0
+                record.msg = f"{record.getMessage()} ({self._count - LOG_LINES} left out)"
+                record.args = ()
+            self._began = record.created
+            self._count = 0
         self._count += 1
         return self._count <= LOG_LINES
 
--- a/roselink/http/server.py
+++ b/roselink/http/server.py
@@ -51,8 +51,10 @@
         make_room: Callable[[], bool],
         size_limits: SizeLimits,
     ) -> None:
-        self.loop, self.size_limits = loop, size_limits
-        self._descriptors, self._make_room = descriptors, make_room
+        self.loop = loop
+        self.size_limits = size_limits
+        self._descriptors = descriptors
+        self._make_room = make_room
         self._used_limit = int(descriptors.limit * USED_FRACTION)
         self._connection_limit = (
             descriptors.limit // 2
@@ -71,6 +73,7 @@
     # What a subclass says.
 
     def time_limits(self) -> TimeLimits:
+        """How long clients may take, as it is in force now."""
         raise NotImplementedError
 
     def make_connection(self) -> ServerConnection:
@@ -80,6 +83,7 @@
     # The crowd of connections.
 
     async def listen(self, host: str, port: int) -> int:
+        """Listen; the port. Raises `OSError` when the address can't be bound."""
         # Bound here: for a host's name the loop starts threads that resolve it, and imports what
         # encodes it.
         bound = socket.create_server((host, port), backlog=BACKLOG)
@@ -90,8 +94,9 @@
         return port_used
 
     def connection_opened(self, connection: ServerConnection) -> None:
-        """Past the clients' part of the descriptors each new connection ends another. Guards
-        against floods: first go those that have their last answer and those that never said
+        """Past the clients' part of the descriptors each new connection ends another.
+
+        Guards against floods: first go those that have their last answer and those that never said
         anything, then those between two requests, never one with a request.
         """
         self._descriptors.used += 1
@@ -119,9 +124,10 @@
         self._idle.pop(connection, None)
 
     def connection_idle(self, connection: ServerConnection) -> None:
-        """It is between two requests. Clients may hold so many connections here and no more: guards
-        against those that ask once and stay, which would take the places of all others for as long
-        as they may.
+        """It is between two requests.
+
+        Clients may hold so many connections here and no more: guards against those that ask once
+        and stay, which would take the places of all others for as long as they may.
         """
         self._idle[connection] = None
         heard = len(self.connections) - len(self._unused) - len(self._finishing)
@@ -139,24 +145,30 @@
         self.request_started(connection)
 
     def connection_ended(self, connection: ServerConnection) -> None:
+        """Its transport has closed: the descriptor is free."""
         self._descriptors.used -= 1
         self.connection_closing(connection)
 
     def is_overloaded(self) -> bool:
-        """Whether there are no descriptors left to serve one more: then it is turned away, not
-        started. Part of the reserved ones serves to tell those clients.
+        """Whether there are no descriptors left to serve one more request.
+
+        Then it is refused, not started. The reserved descriptors serve to refuse.
         """
         without_request = len(self._unused) + len(self._idle) + len(self._finishing)
         return len(self.connections) - without_request > self._connection_limit
 
     def sweep(self) -> None:
-        now, times = self.loop.time(), self.time_limits()
+        """Close what has taken too long."""
+        now = self.loop.time()
+        times = self.time_limits()
         for connection in list(self.connections):
             connection.sweep(now, times)
 
     async def stop_accepting(self) -> None:
-        """The front has stopped sending connections: no more are taken. Those that wait in the
-        kernel have been accepted by this machine, and are taken first: the close would reset them.
+        """The front has stopped sending connections: no more are taken.
+
+        Those that wait in the kernel have been accepted by this machine, and are taken first: the
+        close would reset them.
         """
         if self._listener is None:
             return
@@ -168,13 +180,15 @@
         self.stop_listening()
 
     def stop_listening(self) -> None:
+        """Close the listener."""
         if self._listener is not None:
             self._listener.close()
             self._listener = None
 
     def close_idle(self) -> None:
-        """While draining: end those between two requests, and those of which none came in the time
-        that a first one takes.
+        """While draining: close idle connections.
+
+        Those that brought no request yet stay for the time that a first one takes.
         """
         read_before = self.loop.time() - READ_DELAY_S
         for connection in list(self.connections):
--- a/roselink/http/server_connection.py
+++ b/roselink/http/server_connection.py
@@ -29,12 +29,16 @@
 
 
 class PendingRequest:
-    """A request that is complete, or the status that it gets, waiting for its turn on the
-    connection.
+    """A complete request, or the status that it gets, that waits for its turn.
+
+    Clients may pipeline requests; each is served once the one before it has its response.
     """
 
     def __init__(self, request: Any, status: int, keep: bool, why: str = "") -> None:
-        self.request, self.status, self.keep, self.why = request, status, keep, why
+        self.request = request
+        self.status = status
+        self.keep = keep
+        self.why = why
 
 
 class ServerConnection(asyncio.Protocol):
@@ -77,6 +81,7 @@
     # The transport's side.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take over the transport of a new connection (asyncio)."""
         self._transport = cast("asyncio.Transport", transport)  # uvloop's are no subclass of it
         # With the marks at 0 `_writing_paused` stands for "bytes of a response are left in this
         # process".
@@ -85,27 +90,30 @@
         self._server.connection_opened(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Clean up after the connection has ended (asyncio)."""
         self._transport = self._probe = None
         self._input_ended = True
         self._pending.clear()
-        self._unparsed, self._parser = (
-            b"",
-            None,
-        )  # the parser refers back: a cycle would wait for the collector
+        # the parser refers back: a cycle would wait for the collector
+        self._unparsed = b""
+        self._parser = None
         self._server.connection_ended(self)
         self._client_left()
 
     def pause_writing(self) -> None:
+        """Note that bytes are left in this process (asyncio)."""
         self._writing_paused = True
         self.last_progress_at = self._server.loop.time()
 
     def resume_writing(self) -> None:
+        """Note that the kernel has the last byte (asyncio)."""
         self._writing_paused = False
         self._advance()
         if self.idle():
             self._server.connection_idle(self)
 
     def data_received(self, data: bytes) -> None:
+        """Take bytes that have come (asyncio)."""
         if self._input_ended:
             self._discarded_bytes += len(data)
             if self._discarded_bytes > LINGER_BYTES:
@@ -114,16 +122,15 @@
         if not self._unparsed:
             # What lay unread for a while may have come at any time in it: its client counts from
             # then on.
-            self._read_at, self._last_empty_at = (
-                min(self._server.loop.time(), self._last_empty_at),
-                math.inf,
-            )
+            self._read_at = min(self._server.loop.time(), self._last_empty_at)
+            self._last_empty_at = math.inf
         self._unparsed += data
         self._advance()
 
     def _parse(self) -> None:
-        """Parse what was read, no further ahead than a client needs; the rest waits, as the client
-        must.
+        """Parse what was read, no further ahead than a client needs.
+
+        The rest waits, as the client must.
         """
         while (
             self._unparsed
@@ -131,7 +138,8 @@
             and not self._input_ended
             and self._parser is not None
         ):
-            data, self._unparsed = self._unparsed[:PARSE_BYTES], self._unparsed[PARSE_BYTES:]
+            data = self._unparsed[:PARSE_BYTES]
+            self._unparsed = self._unparsed[PARSE_BYTES:]
             complete = self._completed_requests
             try:
                 self._parser.feed_data(data)
@@ -145,7 +153,8 @@
             except httptools.HttpParserUpgrade:
                 # The offer is not taken up: the request is served, and what follows is not HTTP any
                 # more.
-                self._input_ended, self._pending[-1].keep = True, False
+                self._input_ended = True
+                self._pending[-1].keep = False
             except (httptools.HttpParserError, BadRequestError) as error:
                 bad = (
                     error
@@ -171,6 +180,7 @@
     # The parser's side.
 
     def on_message_begin(self) -> None:
+        """A message begins (parser)."""
         self._start_request()
         self._in_request = True
         if not self._serving:
@@ -178,10 +188,12 @@
         self._server.request_started(self)
 
     def on_url(self, url: bytes) -> None:
+        """A piece of the request target (parser)."""
         self._url += url
         self._count_head_bytes(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """One header, or a trailer (parser)."""
         if not self._in_head:
             return  # a trailer: it must not stand in for a header that was checked
         self._headers.append((name, value.strip()))
@@ -198,7 +210,9 @@
         raise self._parse_error
 
     def on_headers_complete(self) -> None:
-        self._in_head, self._section_bytes = False, 0
+        """The head is complete (parser)."""
+        self._in_head = False
+        self._section_bytes = 0
         assert self._parser is not None
         try:
             check_framing(
@@ -208,13 +222,16 @@
             self._reject(bad.status, str(bad))
 
     def on_body(self, body: bytes) -> None:
+        """A piece of the body (parser)."""
         self._section_bytes += len(body)
         if self._section_bytes > self._server.size_limits.body:
             self._reject(413, "body too long")
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        self._in_request, self._completed_requests = False, self._completed_requests + 1
+        """The message is complete (parser)."""
+        self._in_request = False
+        self._completed_requests = self._completed_requests + 1
         assert self._parser is not None
         keep = self._parser.should_keep_alive()
         try:
@@ -267,8 +284,10 @@
     # An answer.
 
     def _may_keep_alive(self) -> bool:
-        """Whether the connection stays open behind this answer. What was sent ahead has been taken
-        and is owed an answer, also where it lies in the kernel: the last answer says `close`.
+        """Whether the connection stays open behind this answer.
+
+        What was sent ahead has been taken and is owed an answer, also where it lies in the kernel:
+        the last answer says `close`.
         """
         ahead = bool(self._pending) or bool(self._unparsed) or self._in_request
         if ahead or not self._server.draining or not self._keep_alive:
@@ -294,9 +313,10 @@
             self._close()
 
     def _close(self) -> None:
-        """End the connection after its last answer. A close on unread bytes would reset it and
-        could take the answer along, so the sending side ends first and what still comes is thrown
-        away for a while.
+        """End the connection after its last answer.
+
+        A close on unread bytes would reset it and could take the answer along, so the sending side
+        ends first and what still comes is thrown away for a while.
         """
         self._input_ended = True
         self._pending.clear()
@@ -311,23 +331,27 @@
             self._server.loop.call_later(LINGER_S, self._end_linger)
 
     def _end_linger(self) -> None:
-        """The end of the time that a last answer has. (`sweep` ends a connection whose client does
-        not take it.)
+        """The end of the time that a last answer has.
+
+        (`sweep` ends a connection whose client does not take it.)
         """
         if self._transport is not None and not self.close_finished():
             self._server.loop.call_later(LINGER_S, self._end_linger)
 
     def eof_received(self) -> bool:
+        """Let the transport close: the peer has ended its sending (asyncio)."""
         return False  # the client has closed: the transport closes too, and an open request departs
 
     def abort(self) -> None:
+        """Close at once, also with bytes unsent."""
         self._server.connection_closing(self)
         if self._transport is not None:
             self._transport.abort()
 
     def has_left(self) -> bool:
-        """Whether the client has left. Not read any further, its connection would stay: it ends
-        here.
+        """Whether the client has left.
+
+        Not read any further, its connection would stay: it ends here.
         """
         if self._probe is not None and self._probe.peer_closed():
             self.abort()
@@ -337,8 +361,9 @@
     # What the server asks.
 
     def idle(self) -> bool:
-        """Whether it is between two requests, as far as this process has read, with all answers
-        gone out.
+        """Whether it is between two requests, with all responses sent.
+
+        This goes by what the process has read.
         """
         busy = (
             self._serving
@@ -350,8 +375,10 @@
         return not (busy or self._input_ended)
 
     def close_idle(self) -> bool:
-        """End it between two requests, by our choice; whether it ended. A request that lies unread
-        in the kernel has been taken and is owed an answer, and a close on it would be a reset.
+        """End it between two requests, by our choice; whether it ended.
+
+        A request that lies unread in the kernel has been taken and is owed an answer, and a close
+        on it would be a reset.
         """
         if self._probe is None or self._probe.has_unread():
             return False
@@ -359,9 +386,10 @@
         return True
 
     def close_finished(self) -> bool:
-        """End it after its last answer, once the kernel has that; whether it ended. What comes
-        meanwhile is read first: a close on it would be a reset, which takes along what the client's
-        kernel has not got.
+        """End it after its last answer, once the kernel has that; whether it ended.
+
+        What comes meanwhile is read first: a close on it would be a reset, which takes along what
+        the client's kernel has not got.
         """
         if self._writing_paused or self._probe is None or self._probe.has_unread():
             return False
@@ -369,8 +397,9 @@
         return True
 
     def sweep(self, now: float, times: TimeLimits) -> None:
-        """Ends what takes too long. Guards the descriptors against clients that come and say
-        nothing.
+        """Ends what takes too long.
+
+        Guards the descriptors against clients that come and say nothing.
         """
         waited = now - self.last_progress_at
         if self._writing_paused and waited > times.unread:
--- a/roselink/http/socket_probe.py
+++ b/roselink/http/socket_probe.py
@@ -32,13 +32,15 @@
         return bool(self._events())
 
     def peer_closed(self) -> bool:
-        """Whether the other side has ended its sending or is gone, however much of it is still
-        unread.
+        """Whether the peer has ended its sending or is gone.
+
+        Some of what it sent may still be unread.
         """
         return bool(self._events() & _LEFT)
 
     def was_reset(self) -> bool:
-        """Whether the connection is gone in both directions, as a reset leaves it and an end does
-        not.
+        """Whether the connection is gone in both directions.
+
+        A reset leaves it so, an end does not.
         """
         return bool(self._events() & (select.POLLHUP | select.POLLERR))
