--- a/roselink/routing/classifier.py
+++ b/roselink/routing/classifier.py
@@ -1,7 +1,7 @@
 """Which outcomes may be retried: by the route's kind, and by whether the request surely never ran.
 
-The balancer's classifier has the same rule for a failed outcome (never ran, or repeatable), but
-finds `repeatable` from the route's effect, and knows no failure that was relayed to the client.
+`roselink.balancer.outcome_classifier` differs: it derives `repeatable` from the route's effect, and
+has no response that was relayed to the client. See docs/decisions.md.
 """
 
 from __future__ import annotations
