--- a/roselink/controller/chain_driver.py
+++ b/roselink/controller/chain_driver.py
@@ -1,6 +1,4 @@
-"""The asyncio driver of one core member: its clock, its peers' connections, and its disk's worker
-thread.
-"""
+"""The asyncio driver of one core member's chain: clock, peers' connections, disk thread."""
 
 from __future__ import annotations
 
@@ -9,8 +7,10 @@
 import secrets
 import threading
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any
+from functools import partial
+from typing import TYPE_CHECKING
 
+from roselink.controller.exceptions import DataDirMissingError
 from roselink.controller.startup_log import log
 from roselink.controller.storage import Storage, record_number
 from roselink.coordination.effects import (
@@ -34,26 +34,40 @@
     from roselink.protocol.peer_connection import Address, ReplySender
     from roselink.protocol.peer_pool import PeerPool
 
-LEAVE_S = 1.0
-LOAD_AGAIN_S = 0.2
-_LEAVE_STEP_S = 0.02
+LEAVE_TIMEOUT_S = 1.0
+LOAD_RETRY_INTERVAL_S = 0.2
+_LEAVE_CHECK_INTERVAL_S = 0.02
+# Random, so that no two starts have the same; below the largest integer of a record.
 _SESSION_BITS = 61
 
-Loaded = tuple[AcceptorState | None, StoredState | None]
+LoadedRecords = tuple[AcceptorState | None, StoredState | None]
 Job = Callable[[], None] | None
 
 
 class ChainDriver:
-    """One core member on real sockets and a real disk. All methods are for the loop's own
-    thread.
+    """One core member on real sockets and a real disk.
+
+    All methods are for the event loop's thread.
     """
 
     def __init__(
         self, settings: ProcessSettings, pool: PeerPool, loop: asyncio.AbstractEventLoop
     ) -> None:
+        """Make the driver; `start` begins.
+
+        Args:
+            settings: the process's settings, with a `data_dir`.
+            pool: the connections to the other members.
+            loop: the event loop.
+
+        Raises:
+            DataDirMissingError: the settings name no disk folder.
+        """
         if settings.data_dir is None:
-            raise ValueError("data_dir: a core member needs a disk")
-        self._settings, self._pool, self._loop = settings, pool, loop
+            raise DataDirMissingError(settings.node_name)
+        self._settings = settings
+        self._pool = pool
+        self._loop = loop
         self._storage = Storage(settings.data_dir)
         self._jobs: queue.SimpleQueue[Job] = queue.SimpleQueue()
         self._worker: threading.Thread | None = None
@@ -65,59 +79,64 @@
         self._reads: dict[int, Callable[[Confirmation | None], None]] = {}
         self._watchers: list[Callable[[], None]] = []
 
-    # --- life
+    # --- start and stop
 
     def start(self) -> None:
-        """Read the disk, then take part. Nothing else can be done before the disk is read, so the
-        loop's own thread reads it; the disk's thread begins with the first save.
+        """Read the disk, then take part.
+
+        Nothing else can be done before the disk is read, so the event loop's thread reads it; the
+        disk's thread begins with the first save.
         """
         self._running = True
         self._load()
 
     async def stop(self) -> None:
-        """Leave the chain if that is soon done, and end."""
+        """Leave the chain within `LEAVE_TIMEOUT_S` if possible, and end."""
         if self._member is not None and self._running:
-            ends_at = self._loop.time() + LEAVE_S
+            deadline = self._loop.time() + LEAVE_TIMEOUT_S
             self._perform(self._member.leave(self._loop.time()))
-            while not self._member.has_left and self._loop.time() < ends_at:
-                await asyncio.sleep(_LEAVE_STEP_S)
+            while not self._member.has_left and self._loop.time() < deadline:
+                await asyncio.sleep(_LEAVE_CHECK_INTERVAL_S)
         self.halt()
 
     def halt(self) -> None:
-        """End at once; open calls get no promise."""
+        """End at once; the outcome of calls in flight is unknown."""
         self._running = False
         self._jobs.put(None)
         if self._timer is not None:
             self._timer.cancel()
-        submits, self._submits = self._submits, {}
-        reads, self._reads = self._reads, {}
-        for submitted in submits.values():
-            submitted(OutcomeUnknown())
-        for asked in reads.values():
-            asked(None)
+        submits = self._submits
+        self._submits = {}
+        reads = self._reads
+        self._reads = {}
+        for submit_done in submits.values():
+            submit_done(OutcomeUnknown())
+        for read_done in reads.values():
+            read_done(None)
 
     # --- calls
 
     def handle(self, peer: Address, message: object, reply: ReplySender) -> bool:
-        """Take a record from a peer; False if it is none of the chain's."""
+        """Handle a record from a peer; False if it is none of the chain's."""
         if not is_chain_message(message):
             return False
         if self._member is not None and self._running:
             self._perform(self._member.receive(message, self._loop.time()))
         return True
 
-    def submit(self, order: ConfigurationChange, done: Callable[[SubmitOutcome], None]) -> None:
-        """Carry an order to the chain's head; `done` gets one outcome within 2.5 s or so."""
+    def submit(self, change: ConfigurationChange, done: Callable[[SubmitOutcome], None]) -> None:
+        """Submit a change to the chain's head; `done` gets one outcome within about 2.5 s."""
         if self._member is None or not self._running:
             done(OutcomeUnknown())
             return
-        number, effects = self._member.submit(order, self._loop.time())
+        number, effects = self._member.submit(change, self._loop.time())
         self._submits[number] = done
         self._perform(effects)
 
     def confirm(self, done: Callable[[Confirmation | None], None]) -> None:
-        """Read the committed state, confirmed after this call; None if that can't be had in 1.5 s
-        or so.
+        """Read the committed state, confirmed after this call.
+
+        `done` gets None if nothing could be confirmed within about 1.5 s.
         """
         if self._member is None or not self._running:
             done(None)
@@ -136,7 +155,7 @@
         """Have `watcher` called when the view changes or its chain becomes active."""
         self._watchers.append(watcher)
 
-    # --- what is known
+    # --- the view
 
     @property
     def is_tail(self) -> bool:
@@ -167,8 +186,9 @@
 
     @property
     def forming(self) -> bool:
-        """Whether enough members are there to agree on a view, and none is active here yet. Then
-        each message counts: whatever else can wait should.
+        """Whether enough members are live to agree on a view, and none is active here yet.
+
+        Then the delay of each message counts: whatever else can be deferred should be.
         """
         return (
             self._member is not None and self._running and self._member.forming(self._loop.time())
@@ -188,20 +208,20 @@
             elif isinstance(effect, Persist):
                 self._save(effect)
             elif isinstance(effect, SubmitDone):
-                submitted = self._submits.pop(effect.number, None)
-                if submitted is not None:
-                    submitted(effect.outcome)
+                submit_done = self._submits.pop(effect.number, None)
+                if submit_done is not None:
+                    submit_done(effect.outcome)
             elif isinstance(effect, ReadDone):
-                asked = self._reads.pop(effect.number, None)
-                if asked is not None:
-                    asked(effect.confirmation)
+                read_done = self._reads.pop(effect.number, None)
+                if read_done is not None:
+                    read_done(effect.confirmation)
             elif isinstance(effect, ViewChanged):
                 self._log_view(effect.view)
                 for watcher in self._watchers:
                     watcher()
 
     def _log_view(self, view: View) -> None:
-        """Say once a view that it is agreed, and once at its tail that its chain is active."""
+        """Log once a view that it is agreed, and at its tail that its chain is active."""
         if view.epoch != self._logged_epoch:
             self._logged_epoch = view.epoch
             chain = [link.voter.address for link in view.chain]
@@ -227,26 +247,26 @@
             self._worker.start()
         self._jobs.put(job)
 
-    def _hand_back(self, step: Callable[..., None], *values: Any) -> None:
-        """Have the loop's thread take a result; the loop may have ended."""
+    def _call_in_loop(self, callback: Callable[[], None]) -> None:
+        """Have the event loop's thread make a call; the loop may have stopped."""
         try:
-            self._loop.call_soon_threadsafe(step, *values)
+            self._loop.call_soon_threadsafe(callback)
         except RuntimeError:
             log.info("disk_result_dropped")
 
     def _load(self) -> None:
-        """Read the disk; it is asked again until it answers."""
+        """Read the disk; retried until it succeeds."""
         if not self._running:
             return
         try:
             loaded = self._storage.load()
         except OSError as error:
             log.warning("disk_read_failed", error=str(error))
-            self._loop.call_later(LOAD_AGAIN_S, self._load)
+            self._loop.call_later(LOAD_RETRY_INTERVAL_S, self._load)
             return
         self._loaded(loaded)
 
-    def _loaded(self, loaded: Loaded) -> None:
+    def _loaded(self, loaded: LoadedRecords) -> None:
         settings = self._settings
         start = Start(
             address=f"{settings.ip}:{settings.peer_port}",
@@ -269,17 +289,17 @@
                 self._storage.save(effect.store, record_number(effect.store), effect.payload)
             except OSError as error:
                 log.warning("disk_write_failed", error=str(error))
-                self._hand_back(self._saved, effect.store, False)
+                self._call_in_loop(partial(self._save_ended, effect.store, succeeded=False))
             else:
-                self._hand_back(self._saved, effect.store, True)
+                self._call_in_loop(partial(self._save_ended, effect.store, succeeded=True))
 
         self._queue_job(job)
 
-    def _saved(self, store: Store, well: bool) -> None:
+    def _save_ended(self, store: Store, *, succeeded: bool) -> None:
         if self._member is None or not self._running:
             return
         now = self._loop.time()
-        if well:
+        if succeeded:
             self._perform(self._member.persisted(store, now))
         else:
             self._perform(self._member.persist_failed(store, now))
--- a/roselink/controller/logging_setup.py
+++ b/roselink/controller/logging_setup.py
@@ -1,7 +1,6 @@
-"""Logs of a core process: one JSON event a line on standard error, with a bound on lines of each
-event.
+"""Logging of a core process: one JSON event a line on standard error, rate-limited by event.
 
-What the standard library's and Twisted's loggers say at warning and above goes the same way.
+Records of the standard library's and Twisted's loggers at warning and above are logged likewise.
 """
 
 from __future__ import annotations
@@ -9,67 +8,85 @@
 import logging
 import sys
 import time
-from typing import Any, TextIO
+from typing import TYPE_CHECKING, Any, TextIO
 
 import structlog
 from twisted.logger import ILogObserver, LogLevel, formatEvent, globalLogBeginner
 from zope.interface import provider  # type: ignore[import-untyped]
 
-BURST_LINES = 20  # of one event
-LINES_PER_S = 1.0  # of one event, beyond the burst
-MOST_EVENTS = 512  # kept apart; more begin anew
+if TYPE_CHECKING:
+    from structlog.typing import EventDict
+
+# Of one event.
+BURST_LINES = 20
+# Of one event, beyond the burst.
+LINES_PER_S = 1.0
+# With a token bucket; beyond them all buckets begin anew, full.
+MAX_EVENTS = 512
 
 
 class EventRateLimiter:
-    """How many lines of each event may still go out: a token bucket each."""
+    """A token bucket for the lines of each event."""
 
     def __init__(self, burst: float = BURST_LINES, per_s: float = LINES_PER_S) -> None:
-        self._burst, self._per_s = burst, per_s
-        self._left: dict[str, tuple[float, float, int]] = {}
+        """Make full buckets.
+
+        Args:
+            burst: the lines that a full bucket allows at once.
+            per_s: the lines a second that refill it.
+        """
+        self._burst = burst
+        self._per_s = per_s
+        self._buckets: dict[str, tuple[float, float, int]] = {}
 
     def spend(self, now: float, event: str) -> int | None:
-        """Lines held back since the last that went out; None when this one is held back too."""
-        tokens, at, held = self._left.get(event, (self._burst, now, 0))
-        tokens = min(self._burst, tokens + (now - at) * self._per_s)
-        if len(self._left) >= MOST_EVENTS:
-            self._left.clear()
+        """Spend a token: how many lines were dropped since the last; None to drop this one too."""
+        tokens, refilled_at, dropped = self._buckets.get(event, (self._burst, now, 0))
+        tokens = min(self._burst, tokens + (now - refilled_at) * self._per_s)
+        if len(self._buckets) >= MAX_EVENTS:
+            self._buckets.clear()
         if tokens < 1:
-            self._left[event] = tokens, now, held + 1
+            self._buckets[event] = tokens, now, dropped + 1
             return None
-        self._left[event] = tokens - 1, now, 0
-        return held
+        self._buckets[event] = tokens - 1, now, 0
+        return dropped
 
 
-class _Limit:
-    """A step of structlog's chain that drops lines beyond the budget."""
+class _RateLimit:
+    """A structlog processor that drops lines beyond the rate limit."""
 
     def __init__(self) -> None:
-        self._budget = EventRateLimiter()
+        """Begin with full buckets."""
+        self._limiter = EventRateLimiter()
 
-    def __call__(self, logger: Any, method: str, event: Any) -> Any:
-        held = self._budget.spend(time.monotonic(), str(event.get("event")))
-        if held is None:
+    def __call__(self, _logger: object, _method: str, event: EventDict) -> EventDict:
+        """Drop the event, or add the number of lines dropped before it."""
+        dropped = self._limiter.spend(time.monotonic(), str(event.get("event")))
+        if dropped is None:
             raise structlog.DropEvent
-        if held:
-            event["held_back"] = held
+        if dropped:
+            event["held_back"] = dropped
         return event
 
 
-class _Named:
-    """A step of structlog's chain that adds the process's name, whichever thread writes."""
+class _AddNodeName:
+    """A structlog processor that adds the process's name, whichever thread logs."""
 
     def __init__(self, node_name: str) -> None:
+        """Note the name."""
         self._node_name = node_name
 
-    def __call__(self, logger: Any, method: str, event: Any) -> Any:
+    def __call__(self, _logger: object, _method: str, event: EventDict) -> EventDict:
+        """Add the name."""
         event["node"] = self._node_name
         return event
 
 
 class _ToStructlog(logging.Handler):
-    """Hands records of the standard library's loggers on."""
+    """Forwards records of the standard library's loggers to structlog."""
 
     def emit(self, record: logging.LogRecord) -> None:
+        """Log the record under its logger's name."""
         extra = {}
         if record.exc_info:
             extra["exception"] = logging.Formatter().formatException(record.exc_info)
@@ -79,7 +96,7 @@
 
 
 @provider(ILogObserver)  # type: ignore[untyped-decorator]
-def _from_twisted(event: Any) -> None:
+def _from_twisted(event: dict[str, Any]) -> None:
     level = event.get("log_level")
     if level is None or level < LogLevel.warn:
         return
@@ -92,12 +109,17 @@
 
 
 def configure_logging(node_name: str, stream: TextIO | None = None) -> None:
-    """Set the loggers of this process up, once."""
+    """Configure the loggers of this process, once.
+
+    Args:
+        node_name: the process's name, which is added to each line.
+        stream: where lines go; standard error if None.
+    """
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
-            _Named(node_name),
-            _Limit(),
+            _AddNodeName(node_name),
+            _RateLimit(),
             structlog.processors.TimeStamper(fmt="iso"),
             structlog.processors.JSONRenderer(default=str),
         ],
--- a/roselink/controller/storage.py
+++ b/roselink/controller/storage.py
@@ -1,11 +1,12 @@
-"""A core member's disk: two records, each as generations of `dbm.dumb` files. Blocking; for one
-worker thread.
-
-`dbm.dumb` rewrites its index in place and syncs nothing. Here a database holds one record and is
-never changed: a save makes the files of the next number, syncs both and the folder, and only then
-removes those before. A record carries its number and a checksum; the newest generation whose record
-is whole counts, so a save that was broken off anywhere leaves the record before it. At most two
-generations of a record are on the disk, and what a refused save left is removed.
+"""A core member's disk: two records, each as generations of `dbm.dumb` files.
+
+All methods block; they are for one worker thread.
+
+`dbm.dumb` rewrites its index in place and syncs nothing. Here a database has one record and is
+never changed: a save creates the files of the next generation, syncs both and the folder, and only
+then removes the older ones. A record carries its generation and a checksum; the newest generation
+whose record is intact is loaded, so a save that was interrupted anywhere leaves the former record.
+At most two generations of a record are on the disk, and the files of a failed save are removed.
 """
 
 from __future__ import annotations
@@ -24,25 +25,31 @@
 from roselink.protocol.records import decode
 
 _KEY = b"record"
-_HEAD = struct.Struct("!QH16s")  # number of the generation, number of the record, checksum
-_PARTS = (".dat", ".dir", ".bak")
+# Generation, record number, checksum.
+_HEADER = struct.Struct("!QH16s")
+_SUFFIXES = (".dat", ".dir", ".bak")
+
+StoredRecord = AcceptorState | StoredState
 
 
 class Database(Protocol):
     """One open database of `dbm.dumb`."""
 
-    def __getitem__(self, key: bytes) -> bytes: ...
+    def __getitem__(self, key: bytes) -> bytes:
+        """The value of a key."""
 
-    def __setitem__(self, key: bytes, value: bytes) -> None: ...
+    def __setitem__(self, key: bytes, value: bytes) -> None:
+        """Write the value of a key."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Write the index, and close the files."""
 
 
 class FileSystem(Protocol):
-    """What `Storage` needs of files. Every method raises OSError when the disk refuses."""
+    """What `Storage` needs of files. Every method raises OSError when the disk fails."""
 
     def make_folder(self, folder: str) -> None:
-        """Make a folder that may be there already."""
+        """Create a folder unless it exists."""
 
     def names(self, folder: str) -> list[str]:
         """The names of the files in a folder."""
@@ -51,7 +58,7 @@
         """Remove a file."""
 
     def sync(self, path: str) -> None:
-        """Make a file's bytes, or a folder's names, outlive a loss of power."""
+        """Make a file's bytes, or a folder's names, survive a power failure (fsync)."""
 
     def database(self, base: str, flag: str) -> Database:
         """Open the database of these files: `n` for a new one, `r` to read."""
@@ -60,15 +67,15 @@
 class _Files(dbm.dumb._Database):
     """`dbm.dumb` without setting file modes, which a machine's disk may not offer."""
 
-    def _chmod(self, file: object) -> None:
-        """The process's own mode stands."""
+    def _chmod(self, file: str) -> None:
+        """Leave the mode as the process's umask gave it."""
 
 
 class LocalFiles:
     """The files of this machine."""
 
     def make_folder(self, folder: str) -> None:
-        """Make a folder that may be there already."""
+        """Create a folder unless it exists."""
         os.makedirs(folder, exist_ok=True)
 
     def names(self, folder: str) -> list[str]:
@@ -80,7 +87,7 @@
         os.remove(path)
 
     def sync(self, path: str) -> None:
-        """Make a file's bytes, or a folder's names, outlive a loss of power."""
+        """Make a file's bytes, or a folder's names, survive a power failure (fsync)."""
         _sync(path)
 
     def database(self, base: str, flag: str) -> Database:
@@ -90,73 +97,88 @@
 
 @dataclass(slots=True)
 class Storage:
-    """The records in one folder. Methods raise OSError when the disk refuses."""
+    """The records in one folder. Methods raise OSError when the disk fails.
+
+    Attributes:
+        folder: the folder, created by `load`.
+        files: the file system.
+    """
 
     folder: str
     files: FileSystem = field(default_factory=LocalFiles)
     _newest: dict[Store, int] = field(default_factory=dict)
 
     def load(self) -> tuple[AcceptorState | None, StoredState | None]:
-        """What the disk holds; both are None unless both are whole."""
+        """Load both records; both are None unless both are intact."""
         self.files.make_folder(self.folder)
-        votes, state = self._load(Store.ACCEPTOR), self._load(Store.STATE)
-        if isinstance(votes, AcceptorState) and isinstance(state, StoredState):
-            return votes, state
+        acceptor = self._load(Store.ACCEPTOR)
+        state = self._load(Store.STATE)
+        if isinstance(acceptor, AcceptorState) and isinstance(state, StoredState):
+            return acceptor, state
         return None, None
 
     def save(self, store: Store, record: int, payload: bytes) -> None:
-        """Make a record durable: after a return it outlives a loss of power."""
-        number = self._newest.get(store, 0) + 1
-        self._newest[store] = number
-        base = self._base(store, number)
+        """Make a record durable: once this returns it survives a power failure.
+
+        Args:
+            store: which of the two records.
+            record: the record's number on the wire.
+            payload: the encoded record.
+        """
+        generation = self._newest.get(store, 0) + 1
+        self._newest[store] = generation
+        base = self._base(store, generation)
         try:
-            self._write(base, number, record, payload)
+            self._write(base, generation, record, payload)
         except OSError:
             self._remove(base)
             raise
-        for older in self._numbers(store):
-            if older < number:
+        for older in self._generations(store):
+            if older < generation:
                 self._remove(self._base(store, older))
 
-    def _write(self, base: str, number: int, record: int, payload: bytes) -> None:
-        self._fill(base, _HEAD.pack(number, record, _checksum(number, record, payload)) + payload)
-        for part in (".dat", ".dir"):
-            self.files.sync(base + part)
+    def _write(self, base: str, generation: int, record: int, payload: bytes) -> None:
+        header = _HEADER.pack(generation, record, _checksum(generation, record, payload))
+        self._create_database(base, header + payload)
+        for suffix in (".dat", ".dir"):
+            self.files.sync(base + suffix)
         self.files.sync(self.folder)
 
-    def _fill(self, base: str, value: bytes) -> None:
-        files = self.files.database(base, "n")
+    def _create_database(self, base: str, value: bytes) -> None:
+        database = self.files.database(base, "n")
         try:
-            files[_KEY] = value
+            database[_KEY] = value
         finally:
-            files.close()
+            database.close()
         with contextlib.suppress(FileNotFoundError):
             self.files.remove(base + ".bak")
 
-    def _load(self, store: Store) -> object:
-        numbers = self._numbers(store)
-        self._newest[store] = max(numbers, default=0)
-        for number in sorted(numbers, reverse=True):
-            record = self._read(store, number)
+    def _load(self, store: Store) -> StoredRecord | None:
+        generations = self._generations(store)
+        self._newest[store] = max(generations, default=0)
+        for generation in sorted(generations, reverse=True):
+            record = self._read(store, generation)
             if record is not None:
                 return record
         return None
 
-    def _read(self, store: Store, number: int) -> object:
-        """The record of one generation, or None when it isn't whole. OSError: nothing is known of
-        it.
+    def _read(self, store: Store, generation: int) -> StoredRecord | None:
+        """The record of one generation, or None when it isn't intact.
+
+        Raises:
+            OSError: the disk failed, and nothing is known of the record.
         """
         try:
-            files = self.files.database(self._base(store, number), "r")
+            database = self.files.database(self._base(store, generation), "r")
             try:
-                value = files[_KEY]
+                value = database[_KEY]
             finally:
-                files.close()
-            _, record, checksum = _HEAD.unpack_from(value)
-            payload = value[_HEAD.size :]
-            if checksum != _checksum(number, record, payload):
+                database.close()
+            _, record, checksum = _HEADER.unpack_from(value)
+            payload = value[_HEADER.size :]
+            if checksum != _checksum(generation, record, payload):
                 return None
-            return decode(record, payload)
+            decoded: StoredRecord = decode(record, payload)
         except (
             FileNotFoundError,
             KeyError,
@@ -167,34 +189,35 @@
             RecordError,
         ):
             return None
+        return decoded
 
-    def _numbers(self, store: Store) -> list[int]:
-        """The numbers of all generations that have any file, whole or not."""
-        numbers = set()
+    def _generations(self, store: Store) -> list[int]:
+        """All generations that have any file, intact or not."""
+        generations = set()
         for name in self.files.names(self.folder):
-            stem, part = os.path.splitext(name)
+            stem, suffix = os.path.splitext(name)
             kind, dash, number = stem.rpartition("-")
-            if dash and kind == store.value and part in _PARTS and number.isdigit():
-                numbers.add(int(number))
-        return sorted(numbers)
+            if dash and kind == store.value and suffix in _SUFFIXES and number.isdigit():
+                generations.add(int(number))
+        return sorted(generations)
 
-    def _base(self, store: Store, number: int) -> str:
-        return os.path.join(self.folder, f"{store.value}-{number:012d}")
+    def _base(self, store: Store, generation: int) -> str:
+        return os.path.join(self.folder, f"{store.value}-{generation:012d}")
 
     def _remove(self, base: str) -> None:
-        for part in _PARTS:
+        for suffix in _SUFFIXES:
             with contextlib.suppress(OSError):
-                self.files.remove(base + part)
+                self.files.remove(base + suffix)
 
 
 def record_number(store: Store) -> int:
-    """The number of the record that a store holds."""
+    """The wire number of the record in a store."""
     return {Store.ACCEPTOR: 33, Store.STATE: 36}[store]
 
 
-def _checksum(number: int, record: int, payload: bytes) -> bytes:
-    head = struct.pack("!QH", number, record)
-    return hashlib.blake2b(head + payload, digest_size=16).digest()
+def _checksum(generation: int, record: int, payload: bytes) -> bytes:
+    header = struct.pack("!QH", generation, record)
+    return hashlib.blake2b(header + payload, digest_size=16).digest()
 
 
 def _sync(path: str) -> None:
--- a/tests/controller/test_logging_setup.py
+++ b/tests/controller/test_logging_setup.py
@@ -6,7 +6,7 @@
 
 from tests.controller.reactor import REACTOR  # isort: skip - first: it installs the reactor
 
-from roselink.controller.logging_setup import MOST_EVENTS, EventRateLimiter
+from roselink.controller.logging_setup import MAX_EVENTS, EventRateLimiter
 
 assert REACTOR.running
 
@@ -29,6 +29,6 @@
 
 def test_the_number_of_events_kept_apart_is_bounded() -> None:
     budget = EventRateLimiter(burst=1, per_s=0.0)
-    for number in range(3 * MOST_EVENTS):
+    for number in range(3 * MAX_EVENTS):
         assert budget.spend(0.0, f"event {number}") == 0
-    assert len(budget._left) <= MOST_EVENTS
+    assert len(budget._buckets) <= MAX_EVENTS
--- a/tests/mutations/controller.py
+++ b/tests/mutations/controller.py
@@ -19,19 +19,19 @@
         STORAGE,
         (
             "files are not synced",
-            "            self.files.sync(base + part)\n",
+            "            self.files.sync(base + suffix)\n",
             "            pass\n",
         ),
         ("the folder is not synced", "        self.files.sync(self.folder)\n", ""),
         (
             "a torn record is taken",
-            "if checksum != _checksum(number, record, payload):",
+            "if checksum != _checksum(generation, record, payload):",
             "if False:",
         ),
         (
             "half of a disk is taken",
-            "isinstance(votes, AcceptorState) and isinstance(state, StoredState)",
-            "isinstance(votes, AcceptorState)",
+            "isinstance(acceptor, AcceptorState) and isinstance(state, StoredState)",
+            "isinstance(acceptor, AcceptorState)",
         ),
         (
             "a refused save leaves its files",
@@ -55,7 +55,7 @@
         (
             "unconfirmed is shown as none",
             '            return _unavailable(request, "unconfirmed")',
-            '            return _json(request, 404, {"error": "none"})',
+            '            return _json_response(request, 404, {"error": "none"})',
         ),
         (
             "orders are taken while it ends",
