--- a/roselink/routing/events_and_actions.py
+++ b/roselink/routing/events_and_actions.py
@@ -35,7 +35,7 @@
         streaming: Its response is a stream of events.
         arrived_at: When it came.
         deadline: When it must have its final response.
-        target_latency_s: Time to the first event, or to the whole response where it is not
+        target_latency_s: Time to the first event, or to the complete response where it is not
             streaming, within which it counts as served in time; 0 for none.
         max_attempts: Bound on attempts, those that were not sent aside.
         priority: Its rank; larger ranks are rejected first.
@@ -102,9 +102,9 @@
 class AttemptEnded:
     """Event: how an attempt ended.
 
-    SUCCESS: the whole response went on. FULL: the host said that it did not run (`X-Not-Executed`,
-    or 421). ERROR: a response that may have run. TIMEOUT, RESET: sent, no whole response.
-    CONNECT_FAILED, MOOT: nothing was sent.
+    SUCCESS: the complete response went on. FULL: the host said that it did not run
+    (`X-Not-Executed`, or 421). ERROR: a response that may have run. TIMEOUT, RESET: sent, no
+    complete response. CONNECT_FAILED, MOOT: nothing was sent.
 
     Attributes:
         number: The request's.
--- a/roselink/routing/fleet_decider.py
+++ b/roselink/routing/fleet_decider.py
@@ -171,7 +171,7 @@
             return
         if request.closed:
             return
-        if timer.kind is TimerKind.GIVE_UP:
+        if timer.kind is TimerKind.DEADLINE:
             # The data plane ends a stream that is running at its deadline.
             if not request.is_streaming():
                 self._lifecycle.finish(request, out_of_time=True)
--- a/roselink/routing/host_record.py
+++ b/roselink/routing/host_record.py
@@ -17,7 +17,7 @@
 # The first ejection; each further one is twice as long, up to the longest.
 FIRST_EJECTION_S = 0.2
 LONGEST_EJECTION_S = 2.0
-# On a host of this capacity or less each request weighs as a whole one.
+# On a host of this capacity or less each request weighs as a full one.
 FULL_WEIGHT_CAPACITY = 8.0
 # Fraction of a host's limit that one gateway may use before the host counts as saturated.
 SATURATED_FRACTION = 0.25
@@ -78,7 +78,7 @@
         )
 
     def request_weight(self) -> float:
-        """Load of one running request on it, in whole requests."""
+        """Load of one running request on it, in full requests."""
         return min(1.0, FULL_WEIGHT_CAPACITY / max(1, self.spec.capacity))
 
     def record_payoff(self, *, in_time: bool) -> None:
@@ -116,7 +116,7 @@
         return self.probation or self.consecutive_failures >= FAILURES_TO_EJECT
 
     def eject(self, now: float) -> None:
-        """Send nothing there for a while, longer each time (exponential)."""
+        """Send nothing there until `ejected_until`, twice as long each time."""
         duration_s = min(LONGEST_EJECTION_S, FIRST_EJECTION_S * 2.0**self.ejections)
         self.ejected_until = now + duration_s
         self.ejections += 1
--- a/roselink/routing/learning.py
+++ b/roselink/routing/learning.py
@@ -35,7 +35,7 @@
         host.pending_prompt_tokens += attempt.pending_prompt_tokens
 
     def record_first_event(self, request: Request, attempt: Attempt, now: float) -> None:
-        """The first event, or the whole response where no event came before."""
+        """The first event, or the complete response where no event came before."""
         host = attempt.host
         elapsed_s = now - attempt.sent_at
         _clear_pending_tokens(attempt)
--- a/roselink/routing/policy.py
+++ b/roselink/routing/policy.py
@@ -24,7 +24,7 @@
 HEDGE_SAMPLES = 32
 # A hedge needs an attempt beyond the first.
 MIN_HEDGE_ATTEMPTS = 2
-# A hedged stream costs a whole prompt: only far past the percentile and the target latency, at a
+# A hedged stream costs a full prompt: only far past the percentile and the target latency, at a
 # host that seems unresponsive.
 HEDGE_STREAMS = True
 # Multiple of the percentile after which a stream may be hedged.
@@ -63,7 +63,7 @@
 
 
 class RouteLatencies:
-    """Latencies of one route's calls, to the first event or the whole response; bounded."""
+    """Latencies of one route's calls, to the first event or the complete response; bounded."""
 
     def __init__(self) -> None:
         """Start with no latency known."""
--- a/roselink/routing/request_lifecycle.py
+++ b/roselink/routing/request_lifecycle.py
@@ -92,7 +92,7 @@
         """Take a new request: send or reject it, or let it wait for a ready host."""
         facts = request.facts
         self.requests[facts.number] = request
-        self._state.timers.schedule(facts.deadline, TimerKind.GIVE_UP, request)
+        self._state.timers.schedule(facts.deadline, TimerKind.DEADLINE, request)
         if not self.send_first(request):
             self.awaiting_host[facts.number] = request
             target_s = facts.target_latency_s
--- a/roselink/routing/timers.py
+++ b/roselink/routing/timers.py
@@ -15,8 +15,8 @@
 class TimerKind(Enum):
     """What is to happen to a request at its time."""
 
-    # Its deadline: the final response.
-    GIVE_UP = auto()
+    # The time of its final response.
+    DEADLINE = auto()
     # The end of the wait for a ready host.
     HOST_WAIT = auto()
     # The end of a backoff.
