--- a/roselink/distribution/host_changes.py
+++ b/roselink/distribution/host_changes.py
@@ -16,7 +16,7 @@
 def expand_reply(
     reply: DeltaPullReply, hosts_version: int, hosts: tuple[Host, ...]
 ) -> PullReply | None:
-    """The reply with its whole document and its whole list of hosts.
+    """The reply with the full document and the full list of hosts.
 
     Args:
         reply: as it came from the core.
--- a/roselink/protocol/gossip.py
+++ b/roselink/protocol/gossip.py
@@ -40,7 +40,7 @@
 class ShuffleRequest:
     """A subset of the sender's view, the sender included.
 
-    The `ShuffleReply` to it has as many entries at most.
+    The `ShuffleReply` to it has no more entries.
     """
 
     entries: tuple[ViewEntry, ...]
--- a/roselink/protocol/records.py
+++ b/roselink/protocol/records.py
@@ -91,7 +91,7 @@
 
 
 def record(number: int) -> Callable[[type[RecordType]], type[RecordType]]:
-    """Register a dataclass under a number that is unique in the whole project.
+    """Register a dataclass under a number that is unique in the project.
 
     Args:
         number: from 0 to 65535.
@@ -226,7 +226,8 @@
 
 
 def _nullable(codec: _Codec[Value]) -> _Codec[Value | None]:
-    pack, unpack = codec.pack, codec.unpack
+    pack = codec.pack
+    unpack = codec.unpack
 
     def pack_optional(value: Value | None, packed: bytearray) -> None:
         packed.extend(_FLAG.pack(value is not None))
@@ -244,7 +245,8 @@
 
 
 def _sequence(codec: _Codec[Value]) -> _Codec[tuple[Value, ...]]:
-    pack, unpack = codec.pack, codec.unpack
+    pack = codec.pack
+    unpack = codec.unpack
 
     def pack_items(items: tuple[Value, ...], packed: bytearray) -> None:
         packed.extend(_SIZE.pack(len(items)))
--- a/tests/distribution/test_host_changes.py
+++ b/tests/distribution/test_host_changes.py
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "hosts"),
+    ("delta", "hosts"),
     [
         (reply(), None),
         (reply(encode(HostList((A, C)))), (A, C)),
@@ -90,12 +90,12 @@
         (reply(encode(HostList((C,))), change(5, ("a",))), (C,)),
     ],
 )
-def test_the_list_after_a_reply(told: DeltaPullReply, hosts: tuple[Host, ...] | None) -> None:
-    assert expand_reply(told, 5, (B, A)) == expanded(None, hosts)
+def test_the_list_after_a_reply(delta: DeltaPullReply, hosts: tuple[Host, ...] | None) -> None:
+    assert expand_reply(delta, 5, (B, A)) == expanded(None, hosts)
 
 
 @pytest.mark.parametrize(
-    "told",
+    "delta",
     [
         reply(None, change(4, ("a",))),
         reply(None, change(6, ("a",))),
@@ -105,18 +105,18 @@
         reply(b"\xff" * 9),
     ],
 )
-def test_a_reply_whose_hosts_are_of_no_use_is_none(told: DeltaPullReply) -> None:
-    assert expand_reply(told, 5, (A, B)) is None
+def test_a_reply_whose_hosts_are_of_no_use_is_none(delta: DeltaPullReply) -> None:
+    assert expand_reply(delta, 5, (A, B)) is None
 
 
 def test_a_configuration_comes_compressed() -> None:
-    told = replace(reply(), configuration=zlib.compress(DOCUMENT))
-    assert expand_reply(told, 5, ()) == expanded(DOCUMENT, None)
+    delta = replace(reply(), configuration=zlib.compress(DOCUMENT))
+    assert expand_reply(delta, 5, ()) == expanded(DOCUMENT, None)
 
 
-@pytest.mark.parametrize("spoilt", [b"", DOCUMENT, zlib.compress(DOCUMENT)[:-1]])
-def test_a_configuration_that_cannot_be_read_makes_the_reply_none(spoilt: bytes) -> None:
-    assert expand_reply(replace(reply(), configuration=spoilt), 5, ()) is None
+@pytest.mark.parametrize("malformed", [b"", DOCUMENT, zlib.compress(DOCUMENT)[:-1]])
+def test_a_configuration_that_cannot_be_read_makes_the_reply_none(malformed: bytes) -> None:
+    assert expand_reply(replace(reply(), configuration=malformed), 5, ()) is None
 
 
 class Pair:
@@ -137,15 +137,15 @@
         self.pull_server.hosts_listed(self.now, self.epoch, hosts)
 
     def pull(self, *, lost: bool = False) -> list[Effect]:
-        """One pull and its answer, or None in its place."""
+        """One pull and its reply, or None in its place."""
         self.now = max(self.now + 0.1, self.machine.due_at)
         (send,) = self.machine.wake(self.now)
         assert isinstance(send, SendPull)
-        answer = self.answer(DeltaPullRequest(send.pull))
-        return self.machine.reply_received(send.call, None if lost else answer, self.now)
+        delta_reply = self.send_reply(DeltaPullRequest(send.pull))
+        return self.machine.reply_received(send.call, None if lost else delta_reply, self.now)
 
-    def answer(self, asked: DeltaPullRequest) -> DeltaPullReply:
-        ((_, number, received),) = FrameDecoder().feed(encode_frame(FrameKind.CALL, 1, asked))
+    def send_reply(self, request: DeltaPullRequest) -> DeltaPullReply:
+        ((_, number, received),) = FrameDecoder().feed(encode_frame(FrameKind.CALL, 1, request))
         assert self.pull_server.pull_received(self.now, number, received.pull, delta=True) == [
             RequestConfirmation(1)
         ]
@@ -155,12 +155,12 @@
         assert isinstance(effect, SendDeltaReply)
         self.lists += effect.reply.host_list is not None
         self.changes += effect.reply.host_changes is not None
-        ((_, _, answer),) = FrameDecoder().feed(encode_frame(FrameKind.REPLY, 1, effect.reply))
-        assert isinstance(answer, DeltaPullReply)
-        return answer
+        ((_, _, delta_reply),) = FrameDecoder().feed(encode_frame(FrameKind.REPLY, 1, effect.reply))
+        assert isinstance(delta_reply, DeltaPullReply)
+        return delta_reply
 
     @property
-    def held(self) -> tuple[Host, ...]:
+    def hosts(self) -> tuple[Host, ...]:
         assert self.machine.snapshot is not None
         return self.machine.snapshot.hosts
 
@@ -169,14 +169,15 @@
     pair = Pair()
     pair.listed(A, B, C, host("d"))
     pair.pull()
-    assert (pair.held, pair.lists, pair.changes) == ((A, B, C, host("d")), 1, 0)
+    assert (pair.hosts, pair.lists, pair.changes) == ((A, B, C, host("d")), 1, 0)
     assert [type(effect) for effect in pair.pull()] == [SnapshotConfirmed]
     pair.listed(A, DRAINING, host("d"), host("e"))
     assert [type(effect) for effect in pair.pull()] == [ApplySnapshot, SnapshotConfirmed]
-    assert (pair.held, pair.lists) == ((A, DRAINING, host("d"), host("e")), 2)  # most of it was new
+    # Most of the list was new, so all of it came.
+    assert (pair.hosts, pair.lists) == ((A, DRAINING, host("d"), host("e")), 2)
     pair.listed(A, host("d"), host("e"))
     pair.pull()
-    assert (pair.held, pair.lists, pair.changes) == ((A, host("d"), host("e")), 2, 1)
+    assert (pair.hosts, pair.lists, pair.changes) == ((A, host("d"), host("e")), 2, 1)
 
 
 def test_the_tail_of_another_view_sends_its_whole_list() -> None:
@@ -185,10 +186,10 @@
     pair.pull()
     pair.view(EPOCH + 1)
     pair.pull()
-    assert pair.held == (A, B)
+    assert pair.hosts == (A, B)
     pair.listed(A, B)
     pair.pull()
-    assert (pair.held, pair.lists, pair.changes) == ((A, B), 2, 0)
+    assert (pair.hosts, pair.lists, pair.changes) == ((A, B), 2, 0)
     assert pair.machine.snapshot is not None
     assert pair.machine.snapshot.vector.hosts == pair.pull_server.versions.hosts
 
@@ -197,16 +198,16 @@
     pair = Pair()
     pair.listed(A, B, C)
     pair.pull()
-    before = pair.held
+    before = pair.hosts
     pair.listed(A, B)
     pair.now = max(pair.now + 0.1, pair.machine.due_at)
     (send,) = pair.machine.wake(pair.now)
     assert isinstance(send, SendPull)
-    torn = replace(pair.answer(DeltaPullRequest(send.pull)), host_changes=b"?")
+    torn = replace(pair.send_reply(DeltaPullRequest(send.pull)), host_changes=b"?")
     assert pair.machine.reply_received(send.call, torn, pair.now) == []
-    assert pair.held is before
+    assert pair.hosts is before
     pair.pull()
-    assert pair.held == (A, B)
+    assert pair.hosts == (A, B)
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -231,7 +232,7 @@
             pair.pull(lost=chance.random() < 0.3)
     pair.pull()
     pair.pull()
-    assert [_plain(entry) for entry in pair.held] == [
+    assert [_plain(entry) for entry in pair.hosts] == [
         _plain(listed[name]) for name in sorted(listed)
     ]
     assert pair.lists
--- a/tests/distribution/test_payoffs.py
+++ b/tests/distribution/test_payoffs.py
@@ -46,9 +46,11 @@
 
 
 @pytest.mark.parametrize("unreadable", [b"x", FALLEN + b"x", FALLEN[:-1]])
-def test_payoffs_are_told_while_some_have_fallen_and_once_when_none_has(unreadable: bytes) -> None:
+def test_payoffs_are_passed_on_while_some_have_fallen_and_once_when_none_has(
+    unreadable: bytes,
+) -> None:
     made = machine()
     fallen = PayoffsReceived((("h", 0.25), ("odd", 1.0)))
     replies = [b"", FALLEN, FALLEN, unreadable, b"", b""]
-    told = [exchange(made, float(at), reply)[1] for at, reply in enumerate(replies)]
-    assert told == [[], [fallen], [fallen], [PayoffsReceived(())], [PayoffsReceived(())], []]
+    received = [exchange(made, float(at), reply)[1] for at, reply in enumerate(replies)]
+    assert received == [[], [fallen], [fallen], [PayoffsReceived(())], [PayoffsReceived(())], []]
--- a/tests/distribution/test_pull_state_machine.py
+++ b/tests/distribution/test_pull_state_machine.py
@@ -60,7 +60,7 @@
     return pulls.reply_received(send(pulls, now).call, answer, now + 0.002)
 
 
-def test_nothing_is_sent_while_a_call_is_under_way_or_none_is_due() -> None:
+def test_nothing_is_sent_while_a_call_is_in_flight_or_none_is_due() -> None:
     pulls = machine()
     first = send(pulls, 1.0)
     assert pulls.wake(1.1) == []
@@ -92,18 +92,18 @@
         ),
     ],
 )
-def test_after_a_failure_the_next_member_is_asked_at_once(failure: PullReply | None) -> None:
+def test_after_a_failure_the_next_member_is_tried_at_once(failure: PullReply | None) -> None:
     pulls = machine()
-    asked = []
+    addresses = []
     now = 1.0
     for _ in SEEDS:
         call = send(pulls, now)
-        asked.append(call.address)
+        addresses.append(call.address)
         now += 0.01
         pulls.reply_received(call.call, failure, now)
-        if len(asked) < len(SEEDS):
+        if len(addresses) < len(SEEDS):
             assert pulls.due_at == now
-    assert set(asked) == set(SEEDS)
+    assert set(addresses) == set(SEEDS)
     assert 0 < pulls.due_at - now <= module.INITIAL_BACKOFF_S * (1 + module.JITTER)
 
 
@@ -143,24 +143,24 @@
 def test_the_cores_own_list_comes_first_and_seeds_are_the_last_resort() -> None:
     pulls = machine()
     exchange(pulls, 1.0, reply(1, cores=("10.9.0.9:7500", "10.9.0.8:7500")))
-    asked = []
+    addresses = []
     now = pulls.due_at
     for _ in range(5):
-        asked.append(send(pulls, now).address)
+        addresses.append(send(pulls, now).address)
         pulls.reply_received(send_number(pulls), None, now)
-    assert set(asked[:2]) == {("10.9.0.9", 7500), ("10.9.0.8", 7500)}
-    assert set(asked[2:]) == set(SEEDS)
+    assert set(addresses[:2]) == {("10.9.0.9", 7500), ("10.9.0.8", 7500)}
+    assert set(addresses[2:]) == set(SEEDS)
 
 
 def test_new_seeds_and_hints_are_tried_too() -> None:
     pulls = machine()
     pulls.set_seeds([("10.5.0.5", 7500)])
     pulls.add_core_hints(["10.6.0.6:7500", "broken"])
-    asked = set()
+    addresses = set()
     for step in range(2):
-        asked.add(send(pulls, 1.0 + step).address)
+        addresses.add(send(pulls, 1.0 + step).address)
         pulls.reply_received(send_number(pulls), None, 1.0 + step)
-    assert asked == {("10.5.0.5", 7500), ("10.6.0.6", 7500)}
+    assert addresses == {("10.5.0.5", 7500), ("10.6.0.6", 7500)}
 
 
 def test_an_unconfirmed_reply_counts_for_its_hints_only() -> None:
@@ -168,11 +168,11 @@
     answer = reply(3, 4, 5, confirmed=False, cores=("10.7.0.7:7500",))
     assert exchange(pulls, 1.0, answer) == []
     assert pulls.snapshot is None
-    asked = set()
+    addresses = set()
     for step in range(4):
-        asked.add(send(pulls, 2.0 + step).address)
+        addresses.add(send(pulls, 2.0 + step).address)
         pulls.reply_received(send_number(pulls), None, 2.0 + step)
-    assert ("10.7.0.7", 7500) in asked
+    assert ("10.7.0.7", 7500) in addresses
 
 
 def test_a_snapshot_needs_a_configuration_and_each_part_moves_by_itself() -> None:
@@ -204,7 +204,7 @@
         (
             reply(9, 4, 5, configuration=None),
             False,
-        ),  # told that there is a newer one, and not given it
+        ),  # it names a newer one, and lacks it
     ],
 )
 def test_nothing_moves_back(later: PullReply, *, confirmed: bool) -> None:
@@ -261,7 +261,7 @@
     assert not pulls.may_use_keys(1.1, 5.0, strict=strict)
 
 
-def test_late_and_foreign_answers_are_passed_over() -> None:
+def test_late_and_foreign_replies_are_ignored() -> None:
     pulls = machine()
     call = send(pulls, 1.0)
     pulls.reply_received(call.call, None, 1.3)
@@ -270,7 +270,7 @@
     assert pulls.snapshot is None
 
 
-def test_hurry_brings_the_next_pull_forward() -> None:
+def test_pull_soon_brings_the_next_pull_forward() -> None:
     pulls = machine()
     exchange(pulls, 1.0, reply(3, 1))
     pulls.pull_soon(1.01)
@@ -297,7 +297,7 @@
 
 def test_a_pull_with_nothing_new_is_small() -> None:
     vector = VersionVector(7, 1 << 33, 1 << 33)
-    question = encode_frame(FrameKind.CALL, 1, PullRequest(MEMBER, vector, serving=True))
+    request = encode_frame(FrameKind.CALL, 1, PullRequest(MEMBER, vector, serving=True))
     answer = encode_frame(
         FrameKind.REPLY,
         1,
@@ -310,7 +310,7 @@
             cores=tuple(f"10.{n}.0.26:7500" for n in (1, 2, 3)),
         ),
     )
-    assert len(question) < 200
+    assert len(request) < 200
     assert len(answer) < 200
 
 
@@ -340,8 +340,8 @@
                 assert isinstance(effect, SendPull)
                 open_call = effect, now
             if pulls.snapshot is not None:
-                held = pulls.snapshot.vector.configuration
-                assert held >= newest
-                newest = held
+                current = pulls.snapshot.vector.configuration
+                assert current >= newest
+                newest = current
                 if pulls.may_use_keys(now, 5.0, strict=True):
-                    assert all(at > now - 5.0 for at, version in acknowledged if version > held)
+                    assert all(at > now - 5.0 for at, version in acknowledged if version > current)
--- a/tests/gossip/test_peer_sampling.py
+++ b/tests/gossip/test_peer_sampling.py
@@ -20,10 +20,10 @@
 OWN = Member("own", "10.0.0.1:7500", 1)
 OTHERS = [Member(f"edge-{number}", f"10.0.1.{number}:7500", number) for number in range(30)]
 CORES = ("10.1.0.1:7500",)
-OLD = GossipDigest(VersionVector(), (), 10**9)
+OLD_DIGEST = GossipDigest(VersionVector(), (), 10**9)
 
 
-def sampling(known: int = 3) -> PeerSampling:
+def make_view(known: int = 3) -> PeerSampling:
     view = PeerSampling(OWN, random.Random(1))
     view.add_members(OTHERS[:known])
     view.pull_confirmed(VersionVector(2, 2, 2), CORES, 10.0)
@@ -31,7 +31,7 @@
 
 
 def names(view: PeerSampling) -> set[str]:
-    return {seen.member.name for seen in view.view}
+    return {entry.member.name for entry in view.view}
 
 
 def test_a_view_is_bounded_and_leaves_out_its_owner() -> None:
@@ -40,16 +40,16 @@
     assert len(view.view) == module.VIEW_SIZE
     assert "own" not in names(view)
     view.request_received(
-        ShuffleRequest(tuple(ViewEntry(member, 0) for member in [OWN, *OTHERS]), OLD), 10.0
+        ShuffleRequest(tuple(ViewEntry(member, 0) for member in [OWN, *OTHERS]), OLD_DIGEST), 10.0
     )
     assert len(view.view) == module.VIEW_SIZE
     assert "own" not in names(view)
 
 
-def test_the_oldest_entry_is_asked_and_stays_out_until_it_answers() -> None:
-    view = sampling(1)
+def test_the_oldest_entry_is_the_partner_and_stays_out_until_its_reply() -> None:
+    view = make_view(1)
     view.request_received(
-        ShuffleRequest((ViewEntry(OTHERS[1], 7), ViewEntry(OTHERS[2], 3)), OLD), 10.0
+        ShuffleRequest((ViewEntry(OTHERS[1], 7), ViewEntry(OTHERS[2], 3)), OLD_DIGEST), 10.0
     )
     [effect] = view.wake(10.0)
     assert isinstance(effect, SendShuffleRequest)
@@ -60,29 +60,29 @@
     assert names(view) == {"edge-0", "edge-2"}
 
 
-def test_an_answer_brings_new_entries_in_place_of_those_that_were_sent() -> None:
-    view = sampling(8)
+def test_a_reply_brings_new_entries_in_place_of_those_that_were_sent() -> None:
+    view = make_view(8)
     [effect] = view.wake(10.0)
     assert isinstance(effect, SendShuffleRequest)
     view.reply_received(
-        ShuffleReply(tuple(ViewEntry(member, 1) for member in OTHERS[20:24]), OLD), 10.01
+        ShuffleReply(tuple(ViewEntry(member, 1) for member in OTHERS[20:24]), OLD_DIGEST), 10.01
     )
     assert len(view.view) == module.VIEW_SIZE
     assert {"edge-20", "edge-21", "edge-22", "edge-23"} <= names(view)
 
 
-def test_a_newer_word_replaces_an_older_one() -> None:
-    view = sampling(1)
+def test_a_younger_entry_replaces_an_older_one() -> None:
+    view = make_view(1)
     again = Member(OTHERS[0].name, OTHERS[0].address, 99)
     view.wake(10.0)
-    view.request_received(ShuffleRequest((ViewEntry(OTHERS[0], 5),), OLD), 10.0)
-    view.request_received(ShuffleRequest((ViewEntry(again, 0),), OLD), 10.0)
-    view.request_received(ShuffleRequest((ViewEntry(OTHERS[0], 3),), OLD), 10.0)
+    view.request_received(ShuffleRequest((ViewEntry(OTHERS[0], 5),), OLD_DIGEST), 10.0)
+    view.request_received(ShuffleRequest((ViewEntry(again, 0),), OLD_DIGEST), 10.0)
+    view.request_received(ShuffleRequest((ViewEntry(OTHERS[0], 3),), OLD_DIGEST), 10.0)
     assert view.view == (ViewEntry(again, 0),)
 
 
-def test_exchanges_are_rare_in_calm_times_and_frequent_without_the_core() -> None:
-    view = sampling()
+def test_exchanges_are_rare_while_pulls_are_confirmed_and_frequent_otherwise() -> None:
+    view = make_view()
     times = []
     now = 10.0
     while now < 130.0:
@@ -91,7 +91,7 @@
         if view.wake(now):
             times.append(now)
             view.reply_received(
-                ShuffleReply(tuple(ViewEntry(member, 0) for member in OTHERS[:3]), OLD), now
+                ShuffleReply(tuple(ViewEntry(member, 0) for member in OTHERS[:3]), OLD_DIGEST), now
             )
         now += 0.5
     assert len([at for at in times if at < 70]) == pytest.approx(6, abs=2)
@@ -99,9 +99,9 @@
 
 
 @pytest.mark.parametrize(
-    ("news", "learned"),
+    ("digest", "learned"),
     [
-        (OLD, []),
+        (OLD_DIGEST, []),
         (GossipDigest(VersionVector(2, 2, 2), CORES, 0), []),
         (GossipDigest(VersionVector(3, 2, 2), CORES, 0), [NewerVersionLearned()]),
         (GossipDigest(VersionVector(2, 3, 2), (), 0), [NewerVersionLearned()]),
@@ -109,16 +109,16 @@
         (GossipDigest(VersionVector(1, 1, 1), CORES, 0), []),
     ],
 )
-def test_something_newer_is_heard_of(news: GossipDigest, learned: list[object]) -> None:
-    assert sampling().request_received(ShuffleRequest((), news), 10.5)[1] == learned
+def test_a_newer_version_is_learned(digest: GossipDigest, learned: list[object]) -> None:
+    assert make_view().request_received(ShuffleRequest((), digest), 10.5)[1] == learned
 
 
 @pytest.mark.parametrize(("age_ms", "learned"), [(100, True), (3000, True), (6000, False)])
-def test_cores_are_taken_from_a_peer_that_heard_of_them_later(
+def test_cores_are_taken_from_a_peer_with_a_later_confirmation(
     age_ms: int, *, learned: bool
 ) -> None:
-    news = GossipDigest(VersionVector(), ("10.9.9.9:7500",), age_ms)
-    effects = sampling().request_received(ShuffleRequest((), news), 15.0)[1]
+    digest = GossipDigest(VersionVector(), ("10.9.9.9:7500",), age_ms)
+    effects = make_view().request_received(ShuffleRequest((), digest), 15.0)[1]
     assert effects == ([CoreAddressesLearned(("10.9.9.9:7500",))] if learned else [])
 
 
@@ -145,29 +145,31 @@
             if effect.address in dead:
                 views[address].reply_received(None, now)
             else:
-                answer, _ = views[effect.address].request_received(effect.shuffle, now)
-                views[address].reply_received(answer, now)
+                reply, _ = views[effect.address].request_received(effect.shuffle, now)
+                views[address].reply_received(reply, now)
     alive = [member for member in members if member.address not in dead]
     reached, frontier = {alive[0].address}, [alive[0].address]
     while frontier:
-        for seen in views[frontier.pop()].view:
-            if seen.member.address not in reached | dead:
-                reached.add(seen.member.address)
-                frontier.append(seen.member.address)
+        for entry in views[frontier.pop()].view:
+            if entry.member.address not in reached | dead:
+                reached.add(entry.member.address)
+                frontier.append(entry.member.address)
     assert reached == {member.address for member in alive}
     stale = sum(
-        seen.member.address in dead for member in alive for seen in views[member.address].view
+        entry.member.address in dead for member in alive for entry in views[member.address].view
     )
     assert stale <= 0.1 * len(alive) * module.VIEW_SIZE
 
 
-def test_calm_traffic_is_tiny() -> None:
+def test_traffic_is_tiny_while_pulls_are_confirmed() -> None:
     entries = tuple(
         ViewEntry(Member("edge-zg-maksimir-1", "10.1.0.16:7500", 2**55), 3) for _ in range(4)
     )
-    news = GossipDigest(VersionVector(9, 9, 9), tuple(f"10.{n}.0.26:7500" for n in (1, 2, 3)), 100)
-    size = len(encode_frame(FrameKind.CALL, 1, ShuffleRequest(entries, news))) + len(
-        encode_frame(FrameKind.REPLY, 1, ShuffleReply(entries, news))
+    digest = GossipDigest(
+        VersionVector(9, 9, 9), tuple(f"10.{n}.0.26:7500" for n in (1, 2, 3)), 100
+    )
+    size = len(encode_frame(FrameKind.CALL, 1, ShuffleRequest(entries, digest))) + len(
+        encode_frame(FrameKind.REPLY, 1, ShuffleReply(entries, digest))
     )
     assert (
         2 * size / module.CONFIRMED_INTERVAL_S < 200
