--- a/roselink/controller/host_list_client.py
+++ b/roselink/controller/host_list_client.py
@@ -38,7 +38,7 @@
 
     from roselink.controller.twisted_reactor import DelayedCall, Reactor
     from roselink.model.fleet import Host
-    from roselink.model.settings import Platform
+    from roselink.model.settings import PlatformSettings
 
 CONNECT_TIMEOUT_S = 0.6
 # An idle connection is closed after so long.
@@ -75,7 +75,7 @@
     def __init__(
         self,
         reactor: Reactor,
-        platform: Platform,
+        platform: PlatformSettings,
         listed: Callable[[int, tuple[Host, ...]], None],
         clock: Callable[[], float] = time.monotonic,
         times: ReaderTimes | None = None,
--- a/roselink/model/configuration.py
+++ b/roselink/model/configuration.py
@@ -1,5 +1,6 @@
-"""The operator's configuration as typed values. `roselink.controller.validation` decides whether one is
-valid.
+"""The operator's configuration as typed values.
+
+`roselink.controller.validation` validates the document that these are read from.
 """
 
 from __future__ import annotations
@@ -21,8 +22,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Share:
-    """A part of a route's traffic that goes to a service."""
+class WeightedService:
+    """A service that gets a fraction of a route's traffic, in proportion to `weight`."""
 
     service: str
     weight: float
@@ -30,8 +31,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One route: host and prefix pick it, the longest prefix wins. Times are milliseconds, 0:
-    none.
+    """One route, selected by hostname and the longest matching path prefix.
+
+    Times are in milliseconds; 0: none.
     """
 
     name: str
@@ -46,11 +48,11 @@
     session_affinity: bool
     resumable: bool
     gap_aim_ms: float
-    split: tuple[Share, ...]
+    split: tuple[WeightedService, ...]
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request of this route may run more than once."""
+        """Whether a request of this route may be executed more than once."""
         return self.kind is RouteKind.IDEMPOTENT or (
             self.kind is RouteKind.STREAMING and self.resumable
         )
@@ -58,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Engine:
-    """What the hosts of a model service have: requests at once, and memory in tokens."""
+    """The capacity of a model service's hosts: concurrent requests, and KV cache in tokens."""
 
     capacity: int
     kv_capacity: int
@@ -66,8 +68,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """One service: how its health is asked for, and the connections that each of its hosts
-    takes.
+    """One service.
+
+    Attributes:
+        name: its name.
+        health_check: the path of its hosts' health check.
+        max_connections: that each of its hosts takes.
+        engine: its hosts' capacity, if it is a model service.
     """
 
     name: str
@@ -78,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant: its keys, rank (0 is highest) and quota. A `rate_per_s` of 0 sets no limit."""
+    """One tenant: keys, priority (0 is highest) and quota; `rate_per_s` 0 sets no limit."""
 
     name: str
     api_keys: tuple[str, ...]
@@ -91,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What a client may send, how long it may take, and how long it may rest."""
+    """The limits of a client's request: sizes, time for its header, and idle time."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 4194304
@@ -101,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """One whole configuration. `generation` is the operator's number for it."""
+    """One complete configuration. `generation` is the operator's number for it."""
 
     generation: int
     routes: tuple[Route, ...]
@@ -111,7 +118,7 @@
 
     @staticmethod
     def from_document(document: Mapping[str, Any]) -> Configuration:
-        """Read a document that has passed the check; unknown fields are passed over."""
+        """Read a document that has been validated; unknown fields are ignored."""
         limits = document.get("limits") or {}
         defaults = Limits()
         return Configuration(
@@ -119,16 +126,16 @@
             routes=tuple(_route(entry) for entry in document.get("routes") or ()),
             services=tuple(_service(entry) for entry in document.get("services") or ()),
             limits=Limits(
-                int(_given(limits, "max_header_bytes", defaults.max_header_bytes)),
-                int(_given(limits, "max_body_bytes", defaults.max_body_bytes)),
-                float(_given(limits, "header_timeout_ms", defaults.header_timeout_ms)),
-                float(_given(limits, "idle_timeout_ms", defaults.idle_timeout_ms)),
+                int(_number_or(limits, "max_header_bytes", defaults.max_header_bytes)),
+                int(_number_or(limits, "max_body_bytes", defaults.max_body_bytes)),
+                float(_number_or(limits, "header_timeout_ms", defaults.header_timeout_ms)),
+                float(_number_or(limits, "idle_timeout_ms", defaults.idle_timeout_ms)),
             ),
             tenants=tuple(_tenant(entry) for entry in document.get("tenants") or ()),
         )
 
 
-def _given(entry: Mapping[str, Any], field: str, default: float) -> float:
+def _number_or(entry: Mapping[str, Any], field: str, default: float) -> float:
     value = entry.get(field)
     return default if value is None else float(value)
 
@@ -148,7 +155,9 @@
         session_affinity=bool(entry.get("session_affinity")),
         resumable=bool(entry.get("resumable")),
         gap_aim_ms=float(entry.get("gap_aim_ms") or 0),
-        split=tuple(Share(str(part["service"]), float(part["weight"])) for part in split),
+        split=tuple(
+            WeightedService(str(target["service"]), float(target["weight"])) for target in split
+        ),
     )
 
 
--- a/roselink/model/fleet.py
+++ b/roselink/model/fleet.py
@@ -1,4 +1,4 @@
-"""What gateways are told beside the configuration: hosts, and which gateways are live.
+"""What gateways receive beside the configuration: hosts, and which gateways are live.
 
 These are fields of records (`roselink.protocol`), never records of their own.
 """
@@ -14,7 +14,7 @@
 
 
 class HostState(IntEnum):
-    """What the platform's list says of a host."""
+    """A host's state in the platform's list."""
 
     READY = 1
     DRAINING = 2
@@ -37,8 +37,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One live gateway: its name, its address for peers ("ip:port"), and a number drawn at its
-    start.
+    """One live gateway.
+
+    Attributes:
+        name: its name.
+        address: its address for peers, "ip:port".
+        incarnation: a number drawn at random at its start.
     """
 
     name: str
@@ -48,11 +52,15 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionVector:
-    """The versions of each part that a gateway holds; 0 where it holds none. Each only rises.
+    """The versions of a gateway's state; 0 where it has none. Each only rises.
+
+    The roster's version is the fencing token of every role that is assigned over the roster.
 
-    `configuration` is the place of a committed write in the chain's order; `hosts` and `roster` are
-    (view epoch << 32) + a counter of the member that made them, so that a later view's are always
-    newer. The roster's version is the fencing token of every role that is assigned over the roster.
+    Attributes:
+        configuration: the sequence number of a committed write in the chain.
+        hosts: (view epoch << 32) + a counter of the member that published the list, so that a later
+            view's are always newer.
+        roster: likewise, of the roster.
     """
 
     configuration: int = 0
@@ -62,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """All that a gateway has in force at one moment."""
+    """All state that a gateway has in force at one moment."""
 
     vector: VersionVector
     configuration: Configuration
--- a/roselink/model/settings.py
+++ b/roselink/model/settings.py
@@ -1,6 +1,6 @@
-"""The settings file of one process: read and checked once, before anything starts.
+"""The settings file of one process: read and validated once, before anything starts.
 
-Unknown keys are passed over. Every fault names its key; `SettingsError` carries them all.
+Unknown keys are ignored. Every fault names its key; `SettingsError` carries them all.
 """
 
 from __future__ import annotations
@@ -10,26 +10,47 @@
 from dataclasses import dataclass
 from typing import Any
 
+from roselink.exceptions import RoselinkError
+
 ENVIRONMENT_VARIABLE = "ROSELINK_BOOT"
 DEFAULT_PATH = "/etc/roselink/boot.json"
+MAX_PORT = 65535
+PORTS_OF_A_RANGE = 2
 
 Address = tuple[str, int]
 
 
-class SettingsError(Exception):
-    """The settings can't work; `faults` has one line a key."""
+class ModelError(RoselinkError):
+    """Base of the model's errors."""
+
+
+class SettingsError(ModelError):
+    """The settings are invalid.
+
+    Attributes:
+        code: the process's exit status.
+        faults: one line a fault, which begins with the key.
+    """
 
     code = 2
 
     def __init__(self, faults: list[str]) -> None:
+        """Note the faults."""
         super().__init__("; ".join(faults))
         self.faults = faults
 
 
 @dataclass(frozen=True, slots=True)
 class Resources:
-    """What a process may use. `memory_mb`: past it the process is killed; `max_fds`: all its
-    descriptors.
+    """The limits of a process's resources.
+
+    Attributes:
+        cpu_share: the fraction of the cores' time that it may use.
+        cpu_cores: the number of cores.
+        memory_mb: beyond it the process is killed.
+        max_fds: all its file descriptors.
+        bandwidth_mbps: of its network.
+        disk_mb: of its disk.
     """
 
     cpu_share: float
@@ -42,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Thresholds:
-    """The figures of the rules, in the units of their names (milliseconds or seconds)."""
+    """The operators' thresholds, in the units of their names (milliseconds or seconds)."""
 
     contact_ms: float = 3000
     ack_ms: float = 4000
@@ -67,9 +88,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Platform:
-    """Where the list of hosts is asked for, and how often all processes together may ask, a
-    second.
+class PlatformSettings:
+    """The platform's interface to the list of hosts.
+
+    Attributes:
+        address: where it is served.
+        rate_per_s: calls a second that all processes together may make.
+        max_lag_ms: how far its list may lag behind the hosts' states.
     """
 
     address: Address
@@ -79,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessSettings:
-    """All that one process is told before its first step."""
+    """All settings of one process."""
 
     node_name: str
     role: str
@@ -96,20 +121,24 @@
     heartbeat_ms: float
     tolerated_nodes: int
     thresholds: Thresholds
-    platform: Platform | None
+    platform: PlatformSettings | None
 
     @property
     def peer_port(self) -> int:
-        """The port for what roselink's processes say to each other: the same on every machine."""
+        """The port of the protocol between roselink's processes: the same on every machine."""
         return self.port_range[0]
 
     def seed_peers(self) -> tuple[Address, ...]:
-        """The seeds' addresses for peers (their `admin` addresses stand in the file)."""
+        """The seeds' addresses for peers (the file has their `admin` addresses)."""
         return tuple((host, self.peer_port) for host, _ in self.seeds)
 
 
 def load_settings(path: str) -> ProcessSettings:
-    """The settings in a file; raises `SettingsError`."""
+    """The settings in a file.
+
+    Raises:
+        SettingsError: the file can't be read, or its settings are invalid.
+    """
     try:
         with open(path, encoding="utf-8") as file:
             document = json.load(file)
@@ -121,18 +150,23 @@
 
 
 def read_settings(document: object) -> ProcessSettings:
-    """The settings in a document; raises `SettingsError` with every fault."""
-    reader = _Reader(document)
+    """The settings in a document.
+
+    Raises:
+        SettingsError: with every fault.
+    """
+    reader = _SectionReader(document)
     settings = _read(reader)
     if reader.faults:
         raise SettingsError(reader.faults)
     return settings
 
 
-class _Reader:
-    """Takes typed values by key, and collects the faults."""
+class _SectionReader:
+    """Reads typed values of one section by key, and collects the faults of all sections."""
 
     def __init__(self, document: object, path: str = "", faults: list[str] | None = None) -> None:
+        """Read `document`, whose keys begin with `path` in the faults."""
         self.faults: list[str] = [] if faults is None else faults
         self._path = path
         if not isinstance(document, Mapping):
@@ -140,8 +174,8 @@
             document = {}
         self._document = document
 
-    def _fault(self, key: str, why: str) -> None:
-        self.faults.append(f"{self._path}{key}: {why}")
+    def _fault(self, key: str, reason: str) -> None:
+        self.faults.append(f"{self._path}{key}: {reason}")
 
     def text(self, key: str, default: str | None = None) -> str:
         value = self._document.get(key, default)
@@ -150,17 +184,17 @@
             return ""
         return value
 
-    def number(self, key: str, default: float | None = None, least: float = 0.0) -> float:
+    def number(self, key: str, default: float | None = None, minimum: float = 0.0) -> float:
         value = self._document.get(key, default)
         if isinstance(value, bool) or not isinstance(value, int | float):
             self._fault(key, "missing" if value is None else "must be a number")
-            return least
-        if not least <= value < float("inf"):
-            self._fault(key, f"must be {least:g} at least")
-            return least
+            return minimum
+        if not minimum <= value < float("inf"):
+            self._fault(key, f"must be {minimum:g} at least")
+            return minimum
         return float(value)
 
-    def flag(self, key: str, default: bool) -> bool:
+    def boolean(self, key: str, *, default: bool) -> bool:
         value = self._document.get(key, default)
         if not isinstance(value, bool):
             self._fault(key, "must be true or false")
@@ -170,15 +204,17 @@
     def optional(self, key: str) -> Any:
         return self._document.get(key)
 
-    def part(self, key: str, required: bool = True) -> _Reader:
+    def section(self, key: str, *, required: bool = True) -> _SectionReader:
         value = self._document.get(key)
         if value is None and not required:
             value = {}
-        return _Reader(value, f"{self._path}{key}.", self.faults)
+        return _SectionReader(value, f"{self._path}{key}.", self.faults)
 
     def address(self, key: str, value: object) -> Address:
         host, colon, port = str(value).rpartition(":")
-        if not (colon and host and port.isascii() and port.isdigit() and 0 <= int(port) < 65536):
+        if not (
+            colon and host and port.isascii() and port.isdigit() and 0 <= int(port) <= MAX_PORT
+        ):
             self._fault(key, f"needs address:port, not {value!r}")
             return "", 0
         return host, int(port)
@@ -194,8 +230,8 @@
         return list(self._document.items())
 
 
-def _read(reader: _Reader) -> ProcessSettings:
-    bind = reader.part("bind")
+def _read(reader: _SectionReader) -> ProcessSettings:
+    bind = reader.section("bind")
     return ProcessSettings(
         node_name=reader.text("node_name"),
         role=reader.text("role", "unnamed"),
@@ -205,23 +241,23 @@
         bind={name: bind.address(name, value) for name, value in bind.items()},
         port_range=_port_range(reader),
         seeds=reader.addresses("seeds"),
-        bootstrap=reader.flag("bootstrap", False),
-        counts_for_quorum=reader.flag("counts_for_quorum", False),
-        resources=_resources(reader.part("limits")),
+        bootstrap=reader.boolean("bootstrap", default=False),
+        counts_for_quorum=reader.boolean("counts_for_quorum", default=False),
+        resources=_resources(reader.section("limits")),
         data_dir=reader.text("data_dir") if reader.optional("data_dir") is not None else None,
         heartbeat_ms=reader.number("heartbeat_ms", 1000),
-        tolerated_nodes=int(reader.part("fault_tolerance", required=False).number("nodes", 1)),
-        thresholds=_thresholds(reader.part("thresholds", required=False)),
+        tolerated_nodes=int(reader.section("fault_tolerance", required=False).number("nodes", 1)),
+        thresholds=_thresholds(reader.section("thresholds", required=False)),
         platform=_platform(reader),
     )
 
 
-def _port_range(reader: _Reader) -> tuple[int, int]:
+def _port_range(reader: _SectionReader) -> tuple[int, int]:
     value = reader.optional("port_range")
     if (
         not isinstance(value, list)
-        or len(value) != 2
-        or not all(isinstance(port, int) and 0 <= port < 65536 for port in value)
+        or len(value) != PORTS_OF_A_RANGE
+        or not all(isinstance(port, int) and 0 <= port <= MAX_PORT for port in value)
         or value[0] > value[1]
     ):
         reader.faults.append("port_range: must be two ports, the lower first")
@@ -229,36 +265,36 @@
     return value[0], value[1]
 
 
-def _resources(limits: _Reader) -> Resources:
+def _resources(limits: _SectionReader) -> Resources:
     return Resources(
         cpu_share=limits.number("cpu_share", 1.0),
         cpu_cores=int(limits.number("cpu_cores", 1)),
         memory_mb=limits.number("memory_mb", 256),
-        max_fds=int(limits.number("max_fds", 1024, least=256)),
+        max_fds=int(limits.number("max_fds", 1024, minimum=256)),
         bandwidth_mbps=limits.number("bandwidth_mbps", 1000.0),
         disk_mb=limits.number("disk_mb", 0),
     )
 
 
-def _thresholds(reader: _Reader) -> Thresholds:
+def _thresholds(reader: _SectionReader) -> Thresholds:
     defaults = Thresholds()
     values: dict[str, Any] = {}
     for name in Thresholds.__slots__:
         default = getattr(defaults, name)
         values[name] = (
-            reader.flag(name, default)
+            reader.boolean(name, default=default)
             if isinstance(default, bool)
             else reader.number(name, default)
         )
     return Thresholds(**values)
 
 
-def _platform(reader: _Reader) -> Platform | None:
+def _platform(reader: _SectionReader) -> PlatformSettings | None:
     if reader.optional("cloud_api") is None:
         return None
-    part = reader.part("cloud_api")
-    return Platform(
-        address=part.address("address", part.optional("address")),
-        rate_per_s=part.number("rate_per_s", 1.0),
-        max_lag_ms=part.number("max_lag_ms", 0),
+    section = reader.section("cloud_api")
+    return PlatformSettings(
+        address=section.address("address", section.optional("address")),
+        rate_per_s=section.number("rate_per_s", 1.0),
+        max_lag_ms=section.number("max_lag_ms", 0),
     )
--- a/tests/controller/test_host_list.py
+++ b/tests/controller/test_host_list.py
@@ -27,7 +27,7 @@
     parse_page,
 )
 from roselink.model.fleet import Host, HostState
-from roselink.model.settings import Platform
+from roselink.model.settings import PlatformSettings
 from tests.controller.reactor import REACTOR, play
 
 if TYPE_CHECKING:
@@ -368,7 +368,7 @@
     from roselink.controller.host_list_client import HostListClient  # noqa: PLC0415 - after the reactor
 
     lists: asyncio.Queue[tuple[int, tuple[Host, ...]]] = asyncio.Queue()
-    platform = Platform(await stand_in.start(), 10_000.0, 0.0)
+    platform = PlatformSettings(await stand_in.start(), 10_000.0, 0.0)
     client = HostListClient(
         REACTOR,
         platform,
@@ -422,7 +422,7 @@
     async def hold_and_drop() -> None:
         from roselink.controller.host_list_client import HostListClient  # noqa: PLC0415 - after the reactor
 
-        platform = Platform(await stand_in.start(), 10_000.0, 0.0)
+        platform = PlatformSettings(await stand_in.start(), 10_000.0, 0.0)
         client = HostListClient(REACTOR, platform, lambda epoch, hosts: None)
         client.set_role(3)
         client.set_role(None)
