--- a/tests/tools/test_smoke.py
+++ b/tests/tools/test_smoke.py
@@ -1,4 +1,4 @@
-"""Each experiment runs at tiny sizes and prints its figures and its lines."""
+"""Each measurement runs at tiny sizes and prints its figures and its lines."""
 
 from __future__ import annotations
 
@@ -6,7 +6,15 @@
 
 import pytest
 
-from tools import asks, configurations, core, decider, platform, pulls, streams
+from tools import (
+    configurations,
+    core,
+    decider,
+    host_list,
+    pulls,
+    quota_requests,
+    streams,
+)
 from tools.measure import fit
 
 if TYPE_CHECKING:
@@ -21,8 +29,10 @@
         lambda: pulls.main((8, 16), gateways=(2, 3), cores=(1, 2), pulls=4, changes=1),
         ("tail:", "roster:", "decoded at a gateway:"),
     ),
-    "asks": (
-        lambda: asks.main((2, 3), tenants=(2, 3), gateways=(2, 3), asks=4, span_s=1.0),
+    "quota_requests": (
+        lambda: quota_requests.main(
+            (2, 3), tenants=(2, 3), gateways=(2, 3), requests=4, span_s=1.0
+        ),
         ("decision:", "asks:", "new roster:"),
     ),
     "configurations": (
@@ -30,7 +40,7 @@
         ("check:", "read:", "table:"),
     ),
     "streams": (lambda: streams.main((1, 2), reads=4), ("read:",)),
-    "platform": (lambda: platform.main((8, 16), times=1), ("pass:", "reading:")),
+    "host_list": (lambda: host_list.main((8, 16), times=1), ("pass:", "reading:")),
     "core": (
         lambda: core.main((1, 2), cores=(2, 3), documents=(10, 20), times=2, saves=1),
         ("round:", "beat:", "save:"),
@@ -39,7 +49,7 @@
 
 
 @pytest.mark.parametrize("name", TINY)
-def test_an_experiment_prints_its_lines(name: str, capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_measurement_prints_its_lines(name: str, capsys: pytest.CaptureFixture[str]) -> None:
     run, lines = TINY[name]
     run()
     printed = capsys.readouterr().out
--- a/tools/compare.py
+++ b/tools/compare.py
@@ -1,10 +1,10 @@
-"""Compares two checkouts on the same days and seeds of the users' bench, play by play.
+"""Compares two checkouts on the same days and seeds of the users' bench, run by run.
 
     python -m tools.compare BENCH BEFORE AFTER --days SITE:DAY ... --seeds 1 2 3
 
-Plays are interleaved, so that both sides meet the same machine. Printed: each pair, and for each
-day and all days the mean difference of worth, of its parts and of each price, with a 95% interval
-(Student's t). Worth is the report's `G`, which no mark clips.
+Runs of both sides alternate, so that both meet the same load of the machine. Printed are each pair,
+and for each day and all days the mean difference of worth, of its parts and of each price, with a
+95% confidence interval (Student's t). Worth is the report's `G`, which is not clipped.
 """
 
 from __future__ import annotations
@@ -22,6 +22,7 @@
 
 import defopt  # type: ignore[import-untyped]
 
+# Student's t for a two-sided 95% interval, by degrees of freedom from 1 on; about 2 beyond.
 T_95 = (
     12.71,
     4.30,
@@ -38,8 +39,12 @@
     2.16,
     2.14,
     2.13,
-)  # by freedom
-LEAST_SHOWN = 0.0005  # differences below are not printed by part
+)
+T_95_BEYOND = 2.0
+# Mean differences of parts and prices below this are not printed.
+LEAST_SHOWN = 0.0005
+# How many characters of a failed run's output are printed.
+OUTPUT_TAIL_CHARACTERS = 500
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,26 +63,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Measured:
-    """What a play came to: figures by name, and what went wrong."""
+    """The result of a run.
+
+    Attributes:
+        figures: the figures of its report, by name.
+        faults: what went wrong.
+    """
 
     figures: dict[str, float]
     faults: tuple[str, ...]
 
 
 def measure(bench: str, tree: str, play: Play, why: str) -> Measured:
-    """Play one day in a checkout."""
+    """Run one day in a checkout."""
     with tempfile.TemporaryDirectory() as folder:
         report = Path(folder) / "report.json"
         command = [bench, "run", play.site, play.day, "--seed", str(play.seed), "--jobs", "1"]
         command += ["--report", str(report), "--why", why]
         ran = subprocess.run(command, cwd=tree, capture_output=True, text=True, check=False)
         if not report.exists():
-            return Measured({}, (ran.stdout[-500:] + ran.stderr[-500:],))
+            return Measured(
+                {}, (ran.stdout[-OUTPUT_TAIL_CHARACTERS:] + ran.stderr[-OUTPUT_TAIL_CHARACTERS:],)
+            )
         return read_report(json.loads(report.read_text()))
 
 
 def read_report(report: dict[str, Any]) -> Measured:
-    """The figures of a report: worth, its parts, and its prices as worth lost."""
+    """Extract the figures of a report: worth, its parts, and its prices as worth lost."""
     figures = {"worth": float(report["G"])}
     figures |= {f"part: {name}": float(value) for name, _, value in report["parts"]}
     figures |= {f"price: {name}": float(value) for name, _, value in report["prices"]}
@@ -92,32 +104,36 @@
 
 
 def interval(differences: list[float]) -> tuple[float, float]:
-    """Mean, and half of the width of its 95% interval."""
-    if len(differences) < 2:
-        return (differences[0] if differences else 0.0), math.inf
+    """The mean, and half of the width of its 95% interval."""
+    if not differences:
+        return 0.0, math.inf
+    if len(differences) == 1:
+        return differences[0], math.inf
     freedom = len(differences) - 1
-    factor = T_95[freedom - 1] if freedom <= len(T_95) else 2.0
+    factor = T_95[freedom - 1] if freedom <= len(T_95) else T_95_BEYOND
     return mean(differences), factor * stdev(differences) / math.sqrt(len(differences))
 
 
 def show(title: str, pairs: list[tuple[Measured, Measured]]) -> None:
-    """Print the differences of paired plays, figure by figure."""
+    """Print the differences of paired runs, figure by figure."""
     names = list(pairs[0][0].figures)
     for name in names:
-        told = [(a.figures.get(name, 0.0), b.figures.get(name, 0.0)) for a, b in pairs]
-        middle, half = interval([after - before for before, after in told])
+        values = [(a.figures.get(name, 0.0), b.figures.get(name, 0.0)) for a, b in pairs]
+        middle, half = interval([after - before for before, after in values])
         if name == "worth" or abs(middle) >= LEAST_SHOWN:
-            before, after = mean(a for a, _ in told), mean(b for _, b in told)
+            before = mean(a for a, _ in values)
+            after = mean(b for _, b in values)
             print(f"{title:40} {name:44} {before:8.4f} {after:8.4f}  {middle:+.4f} +- {half:.4f}")
 
 
-Paired = tuple[Play, Measured, Measured]
+# A run and its results in both checkouts.
+Pair = tuple[Play, Measured, Measured]
 
 
 def play_pairs(
     bench: str, before: str, after: str, plays: list[Play], jobs: int, why: str
-) -> list[Paired]:
-    """Each play in both checkouts, one behind the other."""
+) -> list[Pair]:
+    """Run each day in both checkouts, one after the other."""
     with ThreadPoolExecutor(jobs) as pool:
         runs = [
             (
@@ -145,14 +161,14 @@
     jobs: int = 6,
     why: str = "Comparison of two checkouts",
 ) -> None:
-    """Play each day with each seed in both checkouts.
+    """Run each day with each seed in both checkouts.
 
     :param bench: the bench's program
     :param before: a checkout
     :param after: another one
     :param days: each SITE:DAY, where DAY is a name or a file
-    :param seeds: of the plays
-    :param jobs: plays at a time
+    :param seeds: seeds of the runs
+    :param jobs: runs at a time
     :param why: for the bench's journal
     """
     done = play_pairs(
@@ -164,13 +180,13 @@
             f"{play.name:40} seed {play.seed:<8} {worths}",
             *(one.faults for one in both if one.faults),
         )
-    whole = [
+    complete = [
         (play, first, second) for play, first, second in done if first.figures and second.figures
     ]
-    for name in dict.fromkeys(play.name for play, _, _ in whole):
-        show(name, [(first, second) for play, first, second in whole if play.name == name])
-    if whole:
-        show("all", [(first, second) for _, first, second in whole])
+    for name in dict.fromkeys(play.name for play, _, _ in complete):
+        show(name, [(first, second) for play, first, second in complete if play.name == name])
+    if complete:
+        show("all", [(first, second) for _, first, second in complete])
 
 
 if __name__ == "__main__":
--- a/tools/configurations.py
+++ b/tools/configurations.py
@@ -1,6 +1,4 @@
-"""A configuration against its routes: bytes, the check at the core, and what a gateway does with
-it.
-"""
+"""Costs of a configuration by its routes: bytes, validation, and its use at a gateway."""
 
 from __future__ import annotations
 
@@ -13,8 +11,9 @@
 from roselink.controller.validation import ValidationFailure, ValidDocument, validate
 from roselink.dataplane.route_table import RouteTable
 from roselink.model.configuration import Configuration
+from tools.exceptions import MeasurementError
 from tools.measure import heap_bytes, machine, processor_us, show, show_line
-from tools.shapes import make_document
+from tools.synthetic_fleet import make_document
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -26,7 +25,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """Microseconds of processor time, bytes of the document and on the heap."""
+    """The costs of one configuration.
+
+    Attributes:
+        routes: how many routes it has.
+        document_bytes: the size of its document.
+        check_us: processor time of the validation at the core.
+        update_us: processor time of an update of one route.
+        update_memory: bytes on the heap of that update.
+        read_us: processor time to parse the document at a gateway.
+        table_us: processor time to build the gateway's route table.
+        memory: bytes on the heap of that table.
+    """
 
     routes: int
     document_bytes: int
@@ -39,10 +49,15 @@
 
 
 def measure(routes: int, tenants: int, times: int) -> Cost:
-    """The costs of a document with so many routes and tenants."""
+    """Measure a document with so many routes and tenants.
+
+    Raises:
+        MeasurementError: the document is not valid.
+    """
     body = json.dumps(make_document(routes, tenants), separators=(",", ":")).encode()
-    if not isinstance(validate(body), ValidDocument):
-        raise RuntimeError("the document is not valid")
+    checked = validate(body)
+    if not isinstance(checked, ValidDocument):
+        raise MeasurementError("validation", checked)
     configuration = Configuration.from_document(json.loads(body))
     return Cost(
         routes,
@@ -57,20 +72,20 @@
 
 
 def _updated(body: bytes) -> ConfigurationChange:
-    """One route changed by an update of items, merged onto the document."""
+    """Change one route by an update of items, merged into the document."""
     document = json.loads(body)
     generation = document["generation"]
     route = document["routes"][0] | {"timeout_ms": 1234}
-    asked = {"generation": generation + 1, "upsert": {"routes": [route]}}
-    call = parse_update_request(generation, json.dumps(asked).encode())
+    update = {"generation": generation + 1, "upsert": {"routes": [route]}}
+    call = parse_update_request(generation, json.dumps(update).encode())
     if isinstance(call, ValidationFailure):
-        raise RuntimeError(str(call))
-    order = proposal_from_update(
+        raise MeasurementError("update", call)
+    change = proposal_from_update(
         call.base, call.update, call.digest, Confirmation(1, 1, body, generation)
     )
-    if isinstance(order, ValidationFailure):
-        raise RuntimeError(str(order))
-    return order
+    if isinstance(change, ValidationFailure):
+        raise MeasurementError("update", change)
+    return change
 
 
 def main(routes: Sequence[int] = ROUTES, tenants: int = TENANTS, times: int = TIMES) -> None:
--- a/tools/core.py
+++ b/tools/core.py
@@ -1,5 +1,4 @@
-"""The core without a network or a disk's waits: confirm rounds, heartbeats, and writes down the
-chain.
+"""Costs of the core, without network and disk waits: confirm rounds, heartbeats and writes.
 
 A save is timed as processor time only, in a temporary folder; a machine's disk adds three syncs.
 """
@@ -28,24 +27,31 @@
 )
 from roselink.protocol.framing import FrameDecoder, FrameKind, encode_frame
 from roselink.protocol.records import encode
+from tools.exceptions import MeasurementError
 from tools.measure import machine, processor_us, show, show_line
-from tools.shapes import make_cores
+from tools.synthetic_fleet import make_cores
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
 VOTERS = (3, 5, MAX_VOTERS)
 CORES = (3, 9, 27, 54)
-DOCUMENTS = (36_640, 98_740, 164_100)  # bytes; of 10, 200 and 400 routes with 200 tenants
-HISTORY_ENTRY = 48  # bytes
+# The sizes of documents of 10, 200 and 400 routes with 200 tenants, in bytes.
+DOCUMENTS = (36_640, 98_740, 164_100)
+# The size of one entry of the history, in bytes.
+HISTORY_ENTRY = 48
 TIMES = 100
 SAVES = 3
 
 
 @dataclass(frozen=True, slots=True)
 class MessageCost:
-    """So many members: processor time in microseconds, and bytes, of all messages of one round or
-    beat.
+    """The cost of all messages of one round or heartbeat.
+
+    Attributes:
+        members: how many members.
+        spent_us: processor time in microseconds.
+        size: bytes of the messages.
     """
 
     members: int
@@ -55,7 +61,15 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteCost:
-    """One write at one member of the chain, with a full history."""
+    """The cost of one write at one member of the chain, with a full history.
+
+    Attributes:
+        document: the size of the document, in bytes.
+        carry_us: processor time to receive, apply and forward the write.
+        save_us: processor time of the save.
+        carried_bytes: the size of the message.
+        saved_bytes: the size of the saved record.
+    """
 
     document: int
     carry_us: float
@@ -65,12 +79,17 @@
 
 
 def round_cost(count: int, times: int) -> MessageCost:
-    """One confirm round at a tail with so many voters, their answers included."""
+    """Measure one confirm round at a tail with so many voters, their replies included.
+
+    Raises:
+        MeasurementError: the round did something else than sending.
+    """
     voters = tuple(Voter(address, 1) for address in make_cores(count))
     view = View(1, voters, tuple(ChainReplica(voter, 1, 1) for voter in voters))
     sent: list[Effect] = []
     rounds = ReadRounds(voters[-1], sent.append)
-    number, size = 0, 0
+    number = 0
+    size = 0
 
     def confirm() -> None:
         nonlocal number, size
@@ -82,11 +101,13 @@
         size = 0
         for voter, effect in zip(voters, sent, strict=True):
             if not isinstance(effect, Send):
-                raise RuntimeError("a round only sends")
+                raise MeasurementError("round", effect)
             size += len(encode_frame(FrameKind.NOTICE, 0, effect.message))
-            answer = encode_frame(FrameKind.NOTICE, 0, ConfirmReply(voter, 1, number, True))
-            size += len(answer)
-            for _, _, message in FrameDecoder().feed(answer):
+            reply = encode_frame(
+                FrameKind.NOTICE, 0, ConfirmReply(voter, 1, number, is_newest=True)
+            )
+            size += len(reply)
+            for _, _, message in FrameDecoder().feed(reply):
                 rounds.on_reply(message)
 
     spent_us = processor_us(confirm, times)
@@ -94,11 +115,21 @@
 
 
 def beat_cost(count: int, times: int) -> MessageCost:
-    """One heartbeat of a member to all others, and one from each of them; bytes of those it
-    sends.
+    """Measure one heartbeat of a member to all others, and one from each of them.
+
+    The bytes are those of the heartbeats that it sends.
     """
     beat = Heartbeat(
-        Voter(make_cores(1)[0], 1), 1, 1, 1, 1, True, True, False, True, make_cores(count)
+        sender=Voter(make_cores(1)[0], 1),
+        session=1,
+        epoch=1,
+        state_epoch=1,
+        sequence=1,
+        participating=True,
+        disk_ok=True,
+        leaving=False,
+        chain_is_complete=True,
+        reachable=make_cores(count),
     )
     data = encode_frame(FrameKind.NOTICE, 0, beat)
 
@@ -111,17 +142,17 @@
 
 
 def write_cost(document: int, saves: int) -> WriteCost:
-    """A document of so many bytes goes on from one member to the next, and to a disk."""
+    """Measure a write of a document that a member receives, saves and forwards."""
     body = b"x" * document
-    order = ConfigurationChange(0, 5, body, digest_of(0, body))
-    write = Write(Voter(make_cores(1)[0], 1), 1, 2, False, order)
+    change = ConfigurationChange(0, 5, body, digest_of(0, body))
+    write = Write(Voter(make_cores(1)[0], 1), 1, 2, refused=False, change=change)
     data = encode_frame(FrameKind.NOTICE, 0, write)
     full = ConfigurationState(1, 1, b"", bytes(HISTORY_ENTRY * HISTORY_LIMIT))
-    payload = encode(StoredState(1, apply_change(full, order, refused=False)))
+    payload = encode(StoredState(1, apply_change(full, change, refused=False)))
 
     def carry() -> None:
         FrameDecoder().feed(data)
-        encode(StoredState(1, apply_change(full, order, refused=False)))
+        encode(StoredState(1, apply_change(full, change, refused=False)))
         encode_frame(FrameKind.NOTICE, 0, write)
 
     with tempfile.TemporaryDirectory() as folder:
--- a/tools/decider.py
+++ b/tools/decider.py
@@ -1,5 +1,4 @@
-"""The decider against the number of hosts: one request, one host replaced, memory; and the memory
-of prompts.
+"""Costs of the decider by the number of hosts: a request, a replaced host, and memory.
 
 A request is a stream on a route with affinity: arrival, first event, end. A replacement is a new
 list with one other host, and the first request to its service after it, which builds that service's
@@ -25,13 +24,14 @@
 from roselink.routing.fleet_decider import FleetDecider
 from roselink.routing.outcome import Outcome
 from roselink.routing.ring import HashRing
+from tools.exceptions import MeasurementError
 from tools.measure import heap_bytes, machine, processor_us, show, show_line
-from tools.shapes import (
+from tools.synthetic_fleet import (
     MODELS,
     make_configuration,
     make_host,
     make_hosts,
-    replaced,
+    replace_host,
     service_name,
 )
 
@@ -44,8 +44,12 @@
 HOSTS = (60, 600, 3_000, 12_000)
 REQUESTS = 3_000
 CHANGES = 6
-SUBJECTS = 500  # prompts that requests share
-HOLDERS = (1, 4, 16)  # hosts remembered for each part
+# How many different prompts requests share.
+SUBJECTS = 500
+# How many hosts are remembered for each part of a prompt.
+HOLDERS = (1, 4, 16)
+# Between two requests, in seconds: 28 a second.
+REQUEST_INTERVAL_S = 0.035
 
 FACTS = RequestFacts(
     number=0,
@@ -77,20 +81,27 @@
 
 
 class Load:
-    """Requests at one decider in made-up time."""
+    """Requests at one decider in simulated time."""
 
     def __init__(self, services: tuple[Service, ...]) -> None:
+        """Make a decider that knows no hosts."""
         self.decider = FleetDecider("zone-00", 1, 0.2, 10.0)
-        self._services, self._numbers, self._now = services, itertools.count(1), 0.0
+        self._services = services
+        self._numbers = itertools.count(1)
+        self._now = 0.0
 
     def list_hosts(self, hosts: tuple[Host, ...]) -> None:
-        """A new list is in force."""
+        """Give the decider a new list of hosts."""
         self.decider.handle(self._now, TopologyChanged(hosts, self._services))
 
     def request(self, service: str | None = None) -> None:
-        """One request, from its arrival to its end; 28 a second."""
+        """Handle one request from its arrival to its end.
+
+        Raises:
+            MeasurementError: the decider sent no attempt.
+        """
         number = next(self._numbers)
-        self._now += 0.035
+        self._now += REQUEST_INTERVAL_S
         subject = number * 7919 % SUBJECTS
         parts = (PromptPart(f"{subject % 20:08x}", 800), PromptPart(f"s{subject:07x}", 410))
         facts = replace(
@@ -104,13 +115,14 @@
         )
         sent = self.decider.handle(self._now, RequestArrived(facts))
         if not any(isinstance(action, SendAttempt) for action in sent):
-            raise RuntimeError("the request went nowhere")
+            raise MeasurementError("request", sent)
         self.decider.handle(self._now + 0.01, FirstEvent(number, 0))
-        self.decider.handle(self._now + 0.02, AttemptEnded(number, 0, Outcome.SUCCESS, 0.02, True))
+        ended = AttemptEnded(number, 0, Outcome.SUCCESS, 0.02, progressed=True)
+        self.decider.handle(self._now + 0.02, ended)
 
 
 def measure(count: int, requests: int, changes: int) -> Cost:
-    """The costs at one number of hosts."""
+    """Measure the costs at one number of hosts."""
     services = make_configuration(1, 1).services
     hosts = make_hosts(count)
     load = Load(services)
@@ -118,16 +130,15 @@
     for _ in range(max(MODELS, requests // 10)):
         load.request()
     request_us = processor_us(load.request, requests)
-    lists = itertools.cycle([replaced(hosts, 0, start) for start in range(1, 2 * changes)])
+    lists = itertools.cycle([replace_host(hosts, 0, start) for start in range(1, 2 * changes)])
 
     def change() -> None:
         load.list_hosts(next(lists))
         load.request(service_name(0))
 
     change_us = processor_us(change, changes)
-    fresh = tuple(
-        make_host(number, count % 65_000 + 500) for number in range(count)
-    )  # no hash kept of these
+    # Hosts whose hashes are not cached.
+    fresh = tuple(make_host(number, count % 65_000 + 500) for number in range(count))
     ids = [host.id for host in hosts if host.service == service_name(0)]
     return Cost(
         count,
@@ -147,7 +158,7 @@
 
 
 def prompt_memory(holders: int, parts: int) -> int:
-    """Bytes of a memory of prompts with so many hosts for each of its parts."""
+    """Measure the bytes of a memory of prompts with so many hosts for each of its parts."""
 
     def build() -> PrefixMemory:
         memory = PrefixMemory()
@@ -178,14 +189,14 @@
     show_line("request", "us", "host", [(c.hosts, c.request_us) for c in costs])
     show_line("replacement", "us", "host", [(c.hosts, c.change_us) for c in costs])
     show_line("memory", "bytes", "host", [(c.hosts, c.memory) for c in costs])
-    kept = [(holders, prompt_memory(holders, parts)) for holders in HOLDERS]
+    memories = [(holders, prompt_memory(holders, parts)) for holders in HOLDERS]
     show(
         "Memory of prompts, full",
         ("hosts a part", "parts", "bytes"),
-        [(h, parts, b) for h, b in kept],
+        [(h, parts, b) for h, b in memories],
     )
     show_line(
-        "memory of prompts", "bytes", "host a part", [(holders, size) for holders, size in kept]
+        "memory of prompts", "bytes", "host a part", [(holders, size) for holders, size in memories]
     )
     return costs
 
--- a/tools/platform.py
+++ b/tools/host_list.py
@@ -1,7 +1,6 @@
-"""The platform's list against the number of hosts: how long a pass takes at the told rate, and its
-reading.
+"""Costs of reading the platform's list of hosts, by their number: duration and processor time.
 
-The reader's schedule runs in made-up time; each call is answered after `CALL_S`.
+The reader's schedule runs in simulated time; each call has its response after `CALL_S`.
 """
 
 from __future__ import annotations
@@ -21,7 +20,7 @@
     parse_page,
 )
 from tools.measure import machine, processor_us, show, show_line
-from tools.shapes import make_host
+from tools.synthetic_fleet import make_host
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -29,16 +28,25 @@
     from roselink.model.fleet import Host
 
 HOSTS = (60, 600, 3_000, 12_000)
-PAGE = 50  # entries
+# Entries of one page.
+PAGE = 50
+# The rate of calls that the platform grants.
 RATE_PER_S = 40.0
+# The duration of one call, in seconds.
 CALL_S = 0.003
 TIMES = 30
 
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """`shown_s`: from a host's end until the published list lacks it, at worst; `read_us`: a pass's
-    pages.
+    """The costs of one fleet's list.
+
+    Attributes:
+        hosts: how many hosts.
+        calls: calls of one pass over the list.
+        pass_s: the duration of a pass, in seconds.
+        shown_s: from a host's end until the published list lacks it, at worst, in seconds.
+        read_us: processor time to parse the pages of a pass, in microseconds.
     """
 
     hosts: int
@@ -65,18 +73,21 @@
 
 
 class Platform:
-    """A list in pages, and one reader of it in made-up time."""
+    """A list in pages, and one reader of it in simulated time."""
 
     def __init__(self, count: int) -> None:
+        """Make a list of so many hosts, and start its reader."""
         self.hosts: list[Host] = [make_host(number) for number in range(count)]
-        self.now, self.calls = 0.0, 0
+        self.now = 0.0
+        self.calls = 0
         self._reader = HostListReader(RATE_PER_S, random.Random(1))
         self._effects: list[ReaderEffect] = self._reader.start(0.0, 1)
 
     def next_list(self) -> tuple[Host, ...]:
         """Run until the reader publishes its next list."""
         while True:
-            effects, self._effects = self._effects, []
+            effects = self._effects
+            self._effects = []
             listed = [effect for effect in effects if isinstance(effect, HostsListed)]
             for effect in effects:
                 if isinstance(effect, Fetch):
@@ -100,17 +111,20 @@
 
 
 def measure(count: int, times: int) -> Cost:
-    """One fleet's list. The host whose end is looked for is on the first page, and ends once that
-    is read.
+    """Measure one fleet's list.
+
+    The host whose end is timed is on the first page, and ends right after that was read.
     """
     platform = Platform(count)
     platform.next_list()
-    began, calls = platform.now, platform.calls
+    began = platform.now
+    calls = platform.calls
     platform.next_list()
-    pass_s, calls = platform.now - began, platform.calls - calls
-    gone = platform.hosts.pop(0)
+    pass_s = platform.now - began
+    calls = platform.calls - calls
+    ended = platform.hosts.pop(0)
     began = platform.now
-    while gone.id in {host.id for host in platform.next_list()}:
+    while ended.id in {host.id for host in platform.next_list()}:
         pass
     body = json.dumps(
         {"instances": [_entry(number) for number in range(PAGE)], "next_page_token": None}
--- a/tools/losses.py
+++ b/tools/losses.py
@@ -1,10 +1,10 @@
-"""Says where worth is lost, from reports of the users' bench or from entries of its journal.
+"""Prints where worth is lost, from reports of the users' bench or entries of its journal.
 
     python -m tools.losses FILE...
 
-Each day is a row: worth, what its parts cost (weight times what they lack of 1), and each price, as
-worth. The last row is the mean over the days with half of the width of its 95% interval; columns go
-by that mean.
+Each day is a row: worth, what its parts cost (weight times the difference to 1), and each price, as
+worth. The last row is the mean over the days with half of the width of its 95% interval; the
+columns are sorted by that mean.
 """
 
 from __future__ import annotations
@@ -22,12 +22,13 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-LEAST_SHOWN = 0.0005  # causes below this on average are left out
+# Causes whose mean is below this are left out.
+LEAST_SHOWN = 0.0005
 
 
 @dataclass(frozen=True, slots=True)
 class DayLosses:
-    """What one played day lost, by cause."""
+    """The losses of one day, by cause."""
 
     name: str
     worth: float
@@ -35,7 +36,7 @@
 
 
 def read_days(document: dict[str, Any]) -> Iterator[DayLosses]:
-    """The days of a journal entry, or the one day of a report."""
+    """Extract the days of a journal entry, or the one day of a report."""
     for number, day in enumerate(document.get("days", [document])):
         causes = {name: weight * (1.0 - value) for name, weight, value in day["parts"]}
         causes |= {name: value for name, _, value in day["prices"]}
@@ -44,7 +45,7 @@
 
 
 def table(days: list[DayLosses]) -> list[list[str]]:
-    """The rows of the table, the head first."""
+    """Make the rows of the table, with the head first."""
     names = list(dict.fromkeys(name for day in days for name in day.causes))
     columns = {name: interval([day.causes.get(name, 0.0) for day in days]) for name in names}
     shown = sorted(
--- a/tools/measure.py
+++ b/tools/measure.py
@@ -1,6 +1,4 @@
-"""What the experiments share: processor time of a call, bytes on the heap, a fitted line, a printed
-table.
-"""
+"""Shared by the measurements: processor time, bytes on the heap, fitted lines, printed tables."""
 
 from __future__ import annotations
 
@@ -13,21 +11,32 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
+from tools.exceptions import TooFewPointsError
+
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Sequence
 
-ROUNDS, MOST_ROUNDS = 3, 30
-CALM = 1.15  # of the fixed loop's least time
+# So many undisturbed rounds are enough; and the most rounds in all.
+ROUNDS = 3
+MOST_ROUNDS = 30
+# A round is undisturbed if the fixed loop took at most so many times its least time around it.
+UNDISTURBED_FACTOR = 1.15
+FIXED_LOOP_STEPS = 20_000
 MICROSECONDS = 1e6
 Cell = str | int | float
 
-_probes: list[float] = []
+# All times of the fixed loop, in microseconds.
+_fixed_loop_us: list[float] = []
 
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """A least-squares line, y = fixed + slope * x, and how much of y's variance it explains (0 to
-    1).
+    """A least-squares line, y = fixed + slope * x.
+
+    Attributes:
+        fixed: y at x = 0.
+        slope: of the line.
+        explained: the fraction of the variance of y that the line explains, 0 to 1.
     """
 
     fixed: float
@@ -36,7 +45,10 @@
 
 
 def fit(points: Sequence[tuple[float, float]]) -> Line:
-    """The line through some points; raises ValueError with fewer than two different x.
+    """Fit a line to some points.
+
+    Raises:
+        TooFewPointsError: all points have the same x.
 
     >>> fit([(1, 3), (2, 5), (3, 7)])
     Line(fixed=1.0, slope=2.0, explained=1.0)
@@ -46,53 +58,59 @@
     mean_y = sum(y for _, y in points) / max(1, count)
     spread = sum((x - mean_x) ** 2 for x, _ in points)
     if not spread:
-        raise ValueError("a line needs two sizes")
+        raise TooFewPointsError(list(points))
     slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / spread
     fixed = mean_y - slope * mean_x
     total = sum((y - mean_y) ** 2 for _, y in points)
-    left = sum((y - fixed - slope * x) ** 2 for x, y in points)
-    return Line(fixed, slope, 1.0 if not total else 1.0 - left / total)
+    unexplained = sum((y - fixed - slope * x) ** 2 for x, y in points)
+    return Line(fixed, slope, 1.0 if not total else 1.0 - unexplained / total)
 
 
 def processor_us(work: Callable[[], object], times: int) -> float:
-    """Processor time of one call in microseconds: the least of some rounds, each of `times` calls.
+    """Measure the processor time of one call, in microseconds.
+
+    It is the least of some rounds, each of `times` calls.
 
     Other programs on the machine slow this one down, in processor time too. So a fixed loop is
-    timed on both sides of each round, and a round counts as calm when both took little longer than
-    the loop's least. Rounds are added, up to `MOST_ROUNDS`, until `ROUNDS` of them were calm.
+    timed on both sides of each round, and a round counts as undisturbed when both took little
+    longer than the loop's least time. Rounds are added, up to `MOST_ROUNDS`, until `ROUNDS` of
+    them were undisturbed.
     """
-    best, calm = float("inf"), 0
+    best = float("inf")
+    undisturbed = 0
     gc.collect()
     for _ in range(MOST_ROUNDS):
-        before = _probe_us()
+        before = _time_fixed_loop_us()
         began = time.process_time()
         for _ in range(times):
             work()
         spent = time.process_time() - began
         best = min(best, spent)
-        calm += max(before, _probe_us()) <= CALM * _least_probe_us()
-        if calm >= ROUNDS:
+        undisturbed += (
+            max(before, _time_fixed_loop_us()) <= UNDISTURBED_FACTOR * _least_fixed_loop_us()
+        )
+        if undisturbed >= ROUNDS:
             break
     return best / times * MICROSECONDS
 
 
-def _probe_us() -> float:
+def _time_fixed_loop_us() -> float:
     """Processor time of the fixed loop."""
     began = time.process_time()
     total = 0
-    for number in range(20_000):
+    for number in range(FIXED_LOOP_STEPS):
         total += number
     spent = (time.process_time() - began) * MICROSECONDS
-    _probes.append(spent)
+    _fixed_loop_us.append(spent)
     return spent
 
 
-def _least_probe_us() -> float:
-    return min(_probes)
+def _least_fixed_loop_us() -> float:
+    return min(_fixed_loop_us)
 
 
 def heap_bytes(build: Callable[[], object]) -> int:
-    """Bytes that what `build` returns keeps on Python's heap."""
+    """Measure how many bytes on Python's heap are kept by what `build` returns."""
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
@@ -105,7 +123,7 @@
 
 
 def machine() -> str:
-    """The processor, its speed at a fixed loop just now, and the interpreter, for the page."""
+    """Describe the processor, its present speed at a fixed loop, and the interpreter."""
     model = platform.machine()
     try:
         for line in Path("/proc/cpuinfo").read_text().splitlines():
@@ -115,21 +133,21 @@
     except OSError:
         pass
     for _ in range(200):
-        _probe_us()
-    return f"{model}, Python {sys.version.split()[0]}, fixed loop {_least_probe_us():.0f} us"
+        _time_fixed_loop_us()
+    return f"{model}, Python {sys.version.split()[0]}, fixed loop {_least_fixed_loop_us():.0f} us"
 
 
 def show(title: str, columns: Sequence[str], rows: Iterable[Sequence[Cell]]) -> None:
     """Print a table."""
     texts = [list(columns), *[[_text(cell) for cell in row] for row in rows]]
-    widths = [max(len(row[place]) for row in texts) for place in range(len(columns))]
+    widths = [max(len(row[column]) for row in texts) for column in range(len(columns))]
     print(f"\n{title}")
     for row in texts:
         print("  " + "  ".join(cell.rjust(width) for cell, width in zip(row, widths, strict=True)))
 
 
 def show_line(what: str, unit: str, by: str, points: Sequence[tuple[float, float]]) -> Line:
-    """Print and return the line through some points."""
+    """Fit a line to some points, print it and return it."""
     line = fit(points)
     print(
         f"  {what}: {line.fixed:.4g} + {line.slope:.4g} {unit} per {by} "
@@ -139,10 +157,6 @@
 
 
 def _text(cell: Cell) -> str:
-    return (
-        f"{cell:,.2f}"
-        if isinstance(cell, float)
-        else f"{cell:,}"
-        if isinstance(cell, int)
-        else cell
-    )
+    if isinstance(cell, float):
+        return f"{cell:,.2f}"
+    return f"{cell:,}" if isinstance(cell, int) else cell
--- a/tools/own_days.py
+++ b/tools/own_days.py
@@ -1,7 +1,7 @@
-"""Write a deployment file whose days pair every kind of trouble with every other.
+"""Writes a deployment file whose days pair every kind of fault with every other.
 
 `python -m tools.own_days SITE OUT --days 60 --seed 1` keeps the deployment of SITE and
-replaces its standard days. Each day has two kinds of trouble, each twice and close together, above
+replaces its standard days. Each day has two kinds of faults, each twice and close together, above
 a background of configuration changes. The first half of every fourteen follows `SCENARIOS`: what
 operators saw go wrong before.
 """
@@ -17,9 +17,12 @@
 
 import defopt  # type: ignore[import-untyped]
 
-Trouble = dict[str, object]
+# One fault, as the keys and values of its TOML table.
+Fault = dict[str, object]
 FIRST_AT_S = 3.0
-LAST_PART = 0.8  # of a day: nothing begins later, so that the recovery is played too
+# No fault begins after this fraction of a day, so that the recovery is a part of the day.
+LAST_FRACTION = 0.8
+# The kinds that a deployment file lists as planned, in place of faults.
 PLANNED = {
     "release",
     "roll_term",
@@ -31,7 +34,7 @@
 }
 PLANNED |= {"replace_core", "seed_turnover", "hup", "scale_out", "scale_in"}
 
-KINDS: tuple[Trouble, ...] = (
+KINDS: tuple[Fault, ...] = (
     {"kind": "burst", "x": 1.5, "for_s": 4.0},
     {"kind": "hot_key", "share": 0.3, "for_s": 5.0},
     {"kind": "hot_tenant", "x": 7.0, "for_s": 6.0},
@@ -102,7 +105,7 @@
     {"kind": "node_cut", "share": 0.2, "for_s": 5.0},
     {"kind": "node_cut", "share": 0.2, "for_s": 5.0, "how": "servers"},
 )
-CLOSINGS: tuple[Trouble | None, ...] = (
+CLOSINGS: tuple[Fault | None, ...] = (
     None,
     {"kind": "power_off_all", "down_s": 1.0},
     {"kind": "power_off_all", "down_s": 1.0, "how": "timed"},
@@ -111,11 +114,11 @@
     {"kind": "wipe_after_ack", "down_s": 1.2, "how": "timed"},
     {"kind": "kill_all", "down_s": 1.0},
 )
-Scenario = Callable[[random.Random], list[Trouble]]
+Scenario = Callable[[random.Random], list[Fault]]
 
 
-def long_cut(draw: random.Random) -> list[Trouble]:
-    """A control machine is cut off for twenty seconds, while orders race."""
+def long_cut(draw: random.Random) -> list[Fault]:
+    """A control machine is cut off for twenty seconds, while changes race."""
     how = draw.choice(("leader lure hard", "lure race", "all race", "one_way meet", "near race"))
     return [
         {"kind": "core_cut", "count": 1, "for_s": 20.0, "how": how, "at": draw.uniform(4, 7)},
@@ -124,8 +127,8 @@
     ]
 
 
-def lost_answers(draw: random.Random) -> list[Trouble]:
-    """Operators race under one number, and most acknowledgements are lost."""
+def lost_answers(draw: random.Random) -> list[Fault]:
+    """Operators race under one generation, and most acknowledgements are lost."""
     return [
         {"kind": "ack_lost", "for_s": 24.0, "x": draw.choice((0.6, 0.9)), "at": 2.0},
         {"kind": "config_race", "count": 12, "gap_s": draw.choice((0.3, 0.8, 1.5)), "at": 4.0},
@@ -141,7 +144,7 @@
     ]
 
 
-def loss_after_repair(draw: random.Random) -> list[Trouble]:
+def loss_after_repair(draw: random.Random) -> list[Fault]:
     """One machine after the other is replaced, and disks are lost right after."""
     how = draw.choice(("planned", "oldest", "leader"))
     gap_s = draw.uniform(5.0, 8.0)
@@ -153,7 +156,7 @@
     ]
 
 
-def many_changes(draw: random.Random) -> list[Trouble]:
+def many_changes(draw: random.Random) -> list[Fault]:
     """Hundreds of changes, then restarts."""
     down_s = draw.uniform(1, 4)
     return [
@@ -171,11 +174,11 @@
     ]
 
 
-def spoilt_answers(draw: random.Random) -> list[Trouble]:
-    """Hosts double, spoil, lose and cut their answers."""
-    extra: list[Trouble] = [
-        {"kind": "garble", "share": 0.7, "x": 0.08, "for_s": 20.0, "how": how, "at": 4.0 + place}
-        for place, how in enumerate(draw.sample(("extra", "unframed", "early"), 2))
+def spoilt_answers(draw: random.Random) -> list[Fault]:
+    """Hosts duplicate, corrupt, lose and truncate their responses."""
+    extra: list[Fault] = [
+        {"kind": "garble", "share": 0.7, "x": 0.08, "for_s": 20.0, "how": how, "at": 4.0 + index}
+        for index, how in enumerate(draw.sample(("extra", "unframed", "early"), 2))
     ]
     return [
         *extra,
@@ -186,10 +189,8 @@
     ]
 
 
-def losses_that_overlap(draw: random.Random) -> list[Trouble]:
-    """Halves that can't agree, a minority that missed changes, and power lost by all machines
-    meanwhile.
-    """
+def losses_that_overlap(draw: random.Random) -> list[Fault]:
+    """Halves without a majority, a minority that missed changes, and a loss of all power."""
     return [
         {"kind": "core_cut", "for_s": draw.uniform(3, 6), "how": "split hard", "at": 4.0},
         {"kind": "core_cut", "count": 1, "for_s": 3.0, "how": "behind", "at": 13.0},
@@ -204,10 +205,8 @@
     ]
 
 
-def last_disks(draw: random.Random) -> list[Trouble]:
-    """Disks and the power of all machines are lost shortly before the end, which may take disks as
-    well.
-    """
+def last_disks(draw: random.Random) -> list[Fault]:
+    """Disks and all power are lost shortly before the end, which may lose disks as well."""
     return [
         {"kind": "after_ack_wipe", "for_s": 1.5, "how": draw.choice(("", "oldest")), "at": 12.0},
         {
@@ -240,45 +239,46 @@
 
 
 def value_of(value: object) -> str:
-    """A TOML value."""
+    """Encode a TOML value."""
     if isinstance(value, str):
         return f'"{value}"'
     return f"{value:.2f}" if isinstance(value, float) else str(value)
 
 
-def table_of(trouble: Trouble) -> str:
-    """A TOML inline table."""
-    return "{ " + ", ".join(f"{key} = {value_of(value)}" for key, value in trouble.items()) + " }"
+def table_of(fault: Fault) -> str:
+    """Encode a TOML inline table."""
+    return "{ " + ", ".join(f"{key} = {value_of(value)}" for key, value in fault.items()) + " }"
 
 
-def kind_pairs(draw: random.Random) -> Iterator[tuple[Trouble, Trouble]]:
-    """All pairs of kinds, in an order that takes every kind early."""
-    order = list(KINDS)
-    draw.shuffle(order)
+def kind_pairs(draw: random.Random) -> Iterator[tuple[Fault, Fault]]:
+    """All pairs of kinds, in an order that has every kind early."""
+    kinds = list(KINDS)
+    draw.shuffle(kinds)
     for distance in itertools.count(1):
-        for place, first in enumerate(order):
-            yield first, order[(place + distance) % len(order)]
+        for index, first in enumerate(kinds):
+            yield first, kinds[(index + distance) % len(kinds)]
 
 
-def paired(draw: random.Random, pair: tuple[Trouble, Trouble], length_s: float) -> list[Trouble]:
-    """Both kinds twice, overlapping, beside changes of the configuration."""
-    last = LAST_PART * length_s
-    first_at, second_at = draw.uniform(FIRST_AT_S, last / 2), draw.uniform(last / 2, last)
-    troubles: list[Trouble] = []
+def paired(draw: random.Random, pair: tuple[Fault, Fault], length_s: float) -> list[Fault]:
+    """Make a day with both kinds twice, overlapping, and with configuration changes."""
+    last = LAST_FRACTION * length_s
+    first_at = draw.uniform(FIRST_AT_S, last / 2)
+    second_at = draw.uniform(last / 2, last)
+    faults: list[Fault] = []
     for at in (first_at, second_at):
-        for trouble in pair:
-            troubles.append(trouble | {"at": round(at + draw.uniform(0, 1.5), 2)})
+        for fault in pair:
+            faults.append(fault | {"at": round(at + draw.uniform(0, 1.5), 2)})
     changes = draw.choice(("config_race", "config_storm"))
-    troubles.append(
+    faults.append(
         {"kind": changes, "count": 6, "gap_s": round(draw.uniform(0.5, 3.0), 2), "at": 4.0}
     )
-    return troubles
+    return faults
 
 
-def day_text(name: str, seed: int, troubles: list[Trouble], closing: Trouble | None) -> str:
-    """One day as it stands in a deployment's file, but for its traffic."""
+def day_text(name: str, seed: int, faults: list[Fault], closing: Fault | None) -> str:
+    """One day of a deployment file, without its traffic."""
 
-    def listed(name: str, entries: list[Trouble]) -> str:
+    def listed(name: str, entries: list[Fault]) -> str:
         return f"{name} = [\n" + "".join(f"  {table_of(entry)},\n" for entry in entries) + "]\n"
 
     lines = ["[[day]]", f'name = "{name}"', 'slot = "trouble"', f"seed = {seed}"]
@@ -287,10 +287,8 @@
     lines += ["one = 0.8", "zero = 0.3", "goal = { floor = 0.1 }", "labels = []", "wall = 2.0"]
     lines.append("light = true")
     text = "\n".join(lines) + "\n"
-    text += listed("plan", [trouble for trouble in troubles if trouble["kind"] in PLANNED])
-    return text + listed(
-        "faults", [trouble for trouble in troubles if trouble["kind"] not in PLANNED]
-    )
+    text += listed("plan", [fault for fault in faults if fault["kind"] in PLANNED])
+    return text + listed("faults", [fault for fault in faults if fault["kind"] not in PLANNED])
 
 
 def write_days(site: str, out: str, *, days: int = 60, seed: int = 1) -> None:
@@ -299,10 +297,10 @@
     :param site: the deployment's file
     :param out: the file to write
     :param days: how many days
-    :param seed: of all that is drawn
+    :param seed: the seed of all random choices
     """
     text = Path(site).read_text(encoding="utf-8")
-    told = tomllib.loads(text)
+    deployment = tomllib.loads(text)
     head, _, first_day = text.partition("[[day]]")
     day = first_day.partition("[[day]]")[0]
     traffic = day[day.index("traffic = [") :].partition("\n]\n")[0] + "\n]\n"
@@ -310,20 +308,17 @@
     pairs = kind_pairs(draw)
     written = [head]
     for number in range(1, days + 1):
-        place = (number - 1) % (2 * len(SCENARIOS))
-        if place < len(SCENARIOS):
-            name, troubles = SCENARIOS[place].__name__, SCENARIOS[place](draw)
+        index = (number - 1) % (2 * len(SCENARIOS))
+        if index < len(SCENARIOS):
+            name = SCENARIOS[index].__name__
+            faults = SCENARIOS[index](draw)
         else:
             pair = next(pairs)
-            name, troubles = (
-                "-".join(str(kind["kind"]) for kind in pair),
-                paired(draw, pair, told["length_s"]),
-            )
+            name = "-".join(str(kind["kind"]) for kind in pair)
+            faults = paired(draw, pair, deployment["length_s"])
         closing = draw.choice(CLOSINGS)
         title = f"own-{number}-{name.replace('_', '-')}"
-        written.append(
-            day_text(title, draw.randrange(1, 10**9), troubles, closing) + traffic + "\n"
-        )
+        written.append(day_text(title, draw.randrange(1, 10**9), faults, closing) + traffic + "\n")
     Path(out).write_text("".join(written), encoding="utf-8")
 
 
--- a/tools/pulls.py
+++ b/tools/pulls.py
@@ -1,8 +1,7 @@
-"""Pulls in one process, without a network: a gateway's side, the tail's side, and what a change
-costs each.
+"""Costs of pulls without a network: at a gateway, at the tail, and of a change at both.
 
-Frames are made and read as on the wire. What a confirmed read costs the tail and its voters isn't
-in here.
+Frames are encoded and decoded as on the wire. The cost of a confirmed read at the tail and its
+voters is not included.
 """
 
 from __future__ import annotations
@@ -25,14 +24,15 @@
 from roselink.model.fleet import Host, Member, Snapshot, VersionVector
 from roselink.protocol.framing import FrameDecoder, FrameKind, encode_frame
 from roselink.protocol.pull import DeltaPullReply, PullReply, PullRequest
+from tools.exceptions import MeasurementError
 from tools.measure import heap_bytes, machine, processor_us, show, show_line
-from tools.shapes import (
+from tools.synthetic_fleet import (
     make_configuration,
     make_cores,
     make_hosts,
     make_member,
     make_roster,
-    replaced,
+    replace_host,
 )
 
 if TYPE_CHECKING:
@@ -48,8 +48,13 @@
 
 @dataclass(frozen=True, slots=True)
 class QuietPull:
-    """A pull that brings nothing, at a gateway; `cores`: members of the core, which each reply
-    names.
+    """A pull without changes, at a gateway.
+
+    Attributes:
+        cores: how many members the core has, all of which each reply names.
+        gateway_us: processor time, in microseconds.
+        pull_bytes: the size of the request.
+        reply_bytes: the size of the reply.
     """
 
     cores: int
@@ -60,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TailPull:
-    """The same at the tail, and a pull that brings the roster."""
+    """A pull without changes at the tail, and the size of a reply with the roster."""
 
     gateways: int
     tail_us: float
@@ -69,11 +74,17 @@
 
 @dataclass(frozen=True, slots=True)
 class HostList:
-    """A whole list of hosts: made known at the tail, encoded for one gateway, and read and taken
-    there.
-
-    `one_us`: taken by the data plane where all lines but one are those of before. `memory`: bytes
-    on a gateway's heap of the list and of the data plane's directory.
+    """A whole list of hosts, from the tail to the data plane of a gateway; times in microseconds.
+
+    Attributes:
+        hosts: how many hosts.
+        list_us: to publish the list at the tail.
+        encode_us: to encode it for one gateway.
+        decode_us: to decode it at a gateway.
+        directory_us: to apply it in the data plane.
+        one_us: to apply it in the data plane when only one host has changed.
+        reply_bytes: the size of the reply.
+        memory: bytes on a gateway's heap of the list and of the data plane's directory.
     """
 
     hosts: int
@@ -88,9 +99,14 @@
 
 @dataclass(frozen=True, slots=True)
 class HostDifference:
-    """One host of a list replaced, sent as what changed: at the tail for one gateway after the
-    first, and at a gateway up to its new list. `list_again_us`: the tail's whole list for one
-    gateway after the first.
+    """One replaced host, sent as a difference; times in microseconds.
+
+    Attributes:
+        hosts: how many hosts the list has.
+        tail_us: at the tail, for each gateway after the first.
+        gateway_us: at a gateway, up to its new list.
+        reply_bytes: the size of the reply.
+        list_again_us: at the tail, for the whole list instead, for each gateway after the first.
     """
 
     hosts: int
@@ -100,42 +116,62 @@
     list_again_us: float
 
 
+def _reply(
+    vector: VersionVector,
+    cores: int,
+    *,
+    hosts: tuple[Host, ...] | None = None,
+    roster: tuple[Member, ...] | None = None,
+) -> PullReply:
+    """A confirmed reply without a configuration, of a core with so many members."""
+    return PullReply(
+        confirmed=True,
+        vector=vector,
+        configuration=None,
+        hosts=hosts,
+        roster=roster,
+        cores=make_cores(cores),
+    )
+
+
 def quiet_pull(cores: int, pulls: int) -> QuietPull:
-    """One gateway against a core that has nothing new."""
-    machine_ = PullStateMachine(make_member(1), [("10.2.0.1", 7500)], random.Random(1))
+    """Measure a gateway's pulls from a core without changes."""
+    puller = PullStateMachine(make_member(1), [("10.2.0.1", 7500)], random.Random(1))
     vector = VersionVector(1, EPOCH << 32 | 1, EPOCH << 32 | 1)
-    reply = encode_frame(
-        FrameKind.REPLY, 1, PullReply(True, vector, None, None, None, make_cores(cores))
+    reply = encode_frame(FrameKind.REPLY, 1, _reply(vector, cores))
+    pull_bytes = len(
+        encode_frame(FrameKind.CALL, 1, PullRequest(make_member(1), vector, serving=True))
     )
-    pull_bytes = len(encode_frame(FrameKind.CALL, 1, PullRequest(make_member(1), vector, True)))
     reader = FrameDecoder()
     now = 0.0
 
     def pull() -> None:
         nonlocal now
-        now = max(now + PULL_EVERY_S, machine_.due_at)
-        for effect in machine_.wake(now):
+        now = max(now + PULL_EVERY_S, puller.due_at)
+        for effect in puller.wake(now):
             if isinstance(effect, SendPull):
                 encode_frame(FrameKind.CALL, effect.call, effect.pull)
-                for _, _, answer in reader.feed(reply):
-                    machine_.reply_received(effect.call, answer, now + 0.003)
+                for _, _, decoded in reader.feed(reply):
+                    puller.reply_received(effect.call, decoded, now + 0.003)
 
     return QuietPull(cores, processor_us(pull, pulls), pull_bytes, len(reply))
 
 
 def tail_pull(gateways: int, cores: int, pulls: int) -> TailPull:
-    """The tail's side with so many gateways, each of which pulled a moment ago."""
+    """Measure the tail with so many gateways, each of which has pulled lately."""
     pull_server = PullServer()
     pull_server.view_changed(0.0, EPOCH, None, make_cores(cores), is_tail=True)
     members = make_roster(gateways)
     confirmation = Confirmation(EPOCH, 1, b"", 1)
-    now, number, step = 1.0, 0, PULL_EVERY_S / gateways
+    now = 1.0
+    number = 0
+    interval_s = PULL_EVERY_S / gateways
 
     def pull_of(member: Member) -> PullReply | None:
         nonlocal number
         number += 1
         held = VersionVector(1, pull_server.versions.hosts, pull_server.versions.roster)
-        data = encode_frame(FrameKind.CALL, number, PullRequest(member, held, True))
+        data = encode_frame(FrameKind.CALL, number, PullRequest(member, held, serving=True))
         for _, _, message in FrameDecoder().feed(data):
             pull_server.pull_received(now, number, message)
         for effect in pull_server.confirmation_received(now, number, confirmation):
@@ -149,28 +185,26 @@
 
     def pull() -> None:
         nonlocal now
-        now += step
+        now += interval_s
         pull_of(members[number % gateways])
 
     tail_us = processor_us(pull, pulls)
     vector = VersionVector(1, 1, pull_server.versions.roster)
-    roster = encode_frame(
-        FrameKind.REPLY, 1, PullReply(True, vector, None, None, members, make_cores(cores))
-    )
+    roster = encode_frame(FrameKind.REPLY, 1, _reply(vector, cores, roster=members))
     return TailPull(gateways, tail_us, len(roster))
 
 
 def host_list(count: int, cores: int, times: int) -> HostList:
-    """A changed list of so many hosts."""
+    """Measure a changed list of so many hosts."""
     hosts = make_hosts(count)
     pull_server = PullServer()
     pull_server.view_changed(0.0, EPOCH, None, make_cores(cores), is_tail=True)
-    reply = PullReply(True, VersionVector(1, 1, 1), None, hosts, None, make_cores(cores))
+    reply = _reply(VersionVector(1, 1, 1), cores, hosts=hosts)
     data = encode_frame(FrameKind.REPLY, 1, reply)
     loop = asyncio.new_event_loop()
     try:
         directory_us = processor_us(_Directory(loop, hosts, make_hosts(count)), times)
-        one_us = processor_us(_Directory(loop, hosts, replaced(hosts, 0, 1)), times)
+        one_us = processor_us(_Directory(loop, hosts, replace_host(hosts, 0, 1)), times)
         memory = heap_bytes(lambda: _received(loop, data))
     finally:
         loop.close()
@@ -187,48 +221,54 @@
 
 
 def host_difference(count: int, times: int) -> HostDifference:
-    """A list of so many hosts, of which one is replaced."""
-    hosts, members = make_hosts(count), make_roster(1)
+    """Measure a list of so many hosts, of which one is replaced.
+
+    Raises:
+        MeasurementError: the tail sent no reply, or the whole list.
+    """
+    hosts = make_hosts(count)
+    members = make_roster(1)
     pull_server = PullServer()
     pull_server.view_changed(0.0, EPOCH, None, make_cores(MAX_VOTERS), is_tail=True)
     pull_server.hosts_listed(0.0, EPOCH, hosts)
     held = VersionVector(1, pull_server.versions.hosts, 0)
-    pull_server.hosts_listed(0.0, EPOCH, replaced(hosts, 0, 1))
+    pull_server.hosts_listed(0.0, EPOCH, replace_host(hosts, 0, 1))
     confirmation = Confirmation(EPOCH, 1, b"", 1)
 
-    def answer(vector: VersionVector) -> bytes:
-        pull_server.pull_received(0.0, 1, PullRequest(members[0], vector, True), delta=True)
+    def reply_to(vector: VersionVector) -> bytes:
+        pull_server.pull_received(0.0, 1, PullRequest(members[0], vector, serving=True), delta=True)
         for effect in pull_server.confirmation_received(0.0, 1, confirmation):
             if isinstance(effect, SendDeltaReply):
                 return encode_frame(FrameKind.REPLY, 1, effect.reply)
-        raise RuntimeError("no answer")
+        raise MeasurementError("reply", None)
 
-    data = answer(held)
+    data = reply_to(held)
     reply: DeltaPullReply = FrameDecoder().feed(data)[0][2]
     if reply.host_changes is None:
-        raise RuntimeError("the whole list came")
+        raise MeasurementError("difference", reply)
 
-    def take() -> None:
+    def apply() -> None:
         FrameDecoder().feed(data)
         expand_reply(reply, held.hosts, hosts)
 
     return HostDifference(
         count,
-        processor_us(lambda: answer(held), times),
-        processor_us(take, times),
+        processor_us(lambda: reply_to(held), times),
+        processor_us(apply, times),
         len(data),
-        processor_us(lambda: answer(VersionVector()), times),
+        processor_us(lambda: reply_to(VersionVector()), times),
     )
 
 
 class _Directory:
-    """The data plane's list of hosts, which takes over two lists in turn."""
+    """The data plane's directory of hosts, to which two lists are applied in turn."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, *lists: tuple[Host, ...]) -> None:
+        """Make a directory, and apply the first list."""
         self._directory = HostDirectory(FleetHostPool(loop, Descriptors(1000)))
         configuration = make_configuration(1, 1)
-        made = [Snapshot(VersionVector(1, 1, 1), configuration, hosts, ()) for hosts in lists]
-        self._snapshots = itertools.cycle(made)
+        snapshots = [Snapshot(VersionVector(1, 1, 1), configuration, hosts, ()) for hosts in lists]
+        self._snapshots = itertools.cycle(snapshots)
         self()
 
     def __call__(self) -> None:
--- /dev/null
+++ b/tools/quota_requests.py
@@ -0,0 +1,232 @@
+"""Costs of quota requests: both sides' processor time, bytes and their number, without a network.
+
+Their number is counted over simulated time at one gateway whose requests are spread evenly over the
+tenants, with an owner that replies at once. The owner's cost is measured with a number of
+requesters in its bucket.
+"""
+
+from __future__ import annotations
+
+import itertools
+import random
+from dataclasses import dataclass, replace
+from typing import TYPE_CHECKING
+
+from roselink.budgets.ownership import OwnershipView
+from roselink.budgets.quota_client import KEY_PREFIX, QuotaClient, SendQuotaRequest
+from roselink.budgets.quota_owner import QuotaOwner
+from roselink.budgets.usage import QuotaLimit, QuotaRule
+from roselink.protocol.budgets import QuotaReply, QuotaRequest, ReplyStatus
+from roselink.protocol.framing import FrameDecoder, FrameKind, encode_frame
+from tools.measure import MICROSECONDS, machine, processor_us, show, show_line
+from tools.synthetic_fleet import make_member, make_roster
+
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+RULE = QuotaRule(8.0, 0.1, 110_000.0)
+LIMIT = QuotaLimit(120_000.0, 120_000.0)
+AMOUNT = 1_890.0
+REQUESTERS = (6, 60, 175, 350)
+TENANTS = (5, 50, 200)
+GATEWAYS = (6, 60, 175, 350)
+# Requests at one gateway: 10,000 over 350 gateways.
+RATE_PER_S = 28.6
+# The simulated time of a measurement, in seconds.
+SPAN_S = 10.0
+# From a quota request to its reply, in seconds.
+ROUND_TRIP_S = 0.004
+QUOTA_REQUESTS = 500
+# Between two requests of one requester to an owner, in seconds.
+REQUEST_INTERVAL_S = 0.4
+
+
+@dataclass(frozen=True, slots=True)
+class OwnerCost:
+    """The cost of one quota request at its owner.
+
+    Attributes:
+        requesters: how many gateways draw on the bucket.
+        decide_us: processor time of the decision, in microseconds.
+        codec_us: processor time to decode the request and to encode the reply.
+        request_bytes: the size of the request.
+        reply_bytes: the size of the reply.
+    """
+
+    requesters: int
+    decide_us: float
+    codec_us: float
+    request_bytes: int
+    reply_bytes: int
+
+
+@dataclass(frozen=True, slots=True)
+class ClientCost:
+    """The cost of quota requests at one gateway, wake-ups included.
+
+    Attributes:
+        tenants: how many tenants its requests have.
+        requests_per_s: quota requests sent per second.
+        request_us: processor time per quota request, in microseconds.
+        busy_fraction: the fraction of a core that is used.
+    """
+
+    tenants: int
+    requests_per_s: float
+    request_us: float
+    busy_fraction: float
+
+
+def owner_cost(requesters: int, requests: int) -> OwnerCost:
+    """Measure a bucket on which so many gateways draw, each of which has sent a request lately."""
+    owner = QuotaOwner(RULE, 1)
+    owner.configure({"t": LIMIT}, 0.0)
+    owner.set_owned(["t"], (), 0.0)
+    names = itertools.cycle([make_member(number).name for number in range(requesters)])
+    now = 1.0
+
+    def make() -> QuotaRequest:
+        return QuotaRequest(
+            tenant="t",
+            fencing_token=1,
+            requester=next(names),
+            incarnation=1,
+            amounts=(AMOUNT,),
+            lease_wanted=0.0,
+            returned=0.0,
+            admitted_locally=0.0,
+            draining=False,
+            last_level=None,
+            usage_report=None,
+        )
+
+    for number in range(requesters):
+        owner.decide(
+            replace(make(), requester=make_member(number).name, amounts=(), usage_report=()), now
+        )
+
+    def decide() -> QuotaReply:
+        nonlocal now
+        now += REQUEST_INTERVAL_S / requesters
+        return owner.decide(make(), now)
+
+    make_us = processor_us(make, requests)
+    decide_us = processor_us(decide, requests) - make_us
+    request_frame = encode_frame(FrameKind.CALL, 1, make())
+    reply_frame = encode_frame(FrameKind.REPLY, 1, decide())
+    reply = QuotaReply(ReplyStatus.DECIDED, 1, (True,), 0.0, 0.0, 0.5, 7, 1000.0)
+    codec_us = processor_us(
+        lambda: (FrameDecoder().feed(request_frame), encode_frame(FrameKind.REPLY, 1, reply)),
+        requests,
+    )
+    return OwnerCost(requesters, decide_us, codec_us, len(request_frame), len(reply_frame))
+
+
+class Gateway:
+    """One gateway's quota client in simulated time.
+
+    Attributes:
+        now: the simulated time, in seconds.
+        quota_requests: how many quota requests it has sent.
+    """
+
+    def __init__(self, tenants: int, gateways: int = 6) -> None:
+        """Make a gateway whose requests have so many tenants."""
+        ownership = OwnershipView(make_member(0))
+        ownership.update(1, make_roster(gateways))
+        self.client = QuotaClient(ownership, RULE)
+        self.names = [f"tenant{number}" for number in range(tenants)]
+        self.client.configure(dict.fromkeys(self.names, LIMIT))
+        self.now = 0.0
+        self.quota_requests = 0
+        self._number = 0
+        self._random = random.Random(1)
+        self._replies: list[tuple[float, int, QuotaReply]] = []
+
+    def run(self, until: float, rate_per_s: float) -> None:
+        """Handle requests of all tenants, replies and wake-ups in order of time."""
+        arrival = self.now + self._random.expovariate(rate_per_s)
+        while True:
+            reply_at = self._replies[0][0] if self._replies else float("inf")
+            at = min(arrival, reply_at, self.client.next_wake_at(self.now))
+            if at >= until:
+                self.now = until
+                return
+            self.now = max(self.now, at)
+            if reply_at <= at:
+                _, call, reply = self._replies.pop(0)
+                self._perform(self.client.handle_reply(call, reply, self.now))
+            elif arrival <= at:
+                self._number += 1
+                tenant = self._random.choice(self.names)
+                self._perform(self.client.admit(self._number, tenant, AMOUNT, self.now))
+                arrival = self.now + self._random.expovariate(rate_per_s)
+            else:
+                self._perform(self.client.wake(self.now))
+
+    def _perform(self, effects: Sequence[object]) -> None:
+        for effect in effects:
+            if isinstance(effect, SendQuotaRequest):
+                self.quota_requests += 1
+                decided = tuple(True for _ in effect.request.amounts)
+                reply = QuotaReply(ReplyStatus.DECIDED, 1, decided, 0.0, 0.0, 0.5, 7, 1000.0)
+                self._replies.append((self.now + ROUND_TRIP_S, effect.call, reply))
+
+
+def client_cost(tenants: int, span_s: float) -> ClientCost:
+    """Measure a gateway with its usual requests."""
+    gateway = Gateway(tenants)
+    gateway.run(RULE.window_s, RATE_PER_S)
+    before = gateway.quota_requests
+    began = gateway.now
+    spent_us = processor_us(lambda: gateway.run(gateway.now + span_s, RATE_PER_S), 1)
+    requests = (gateway.quota_requests - before) * span_s / (gateway.now - began)
+    return ClientCost(
+        tenants, requests / span_s, spent_us / max(1, requests), spent_us / MICROSECONDS / span_s
+    )
+
+
+def roster_cost(gateways: int, tenants: int) -> float:
+    """Measure how long it takes to find all tenants' owners under a new roster, in microseconds."""
+    roster = make_roster(gateways)
+    token = itertools.count(1)
+    ownership = OwnershipView(roster[0])
+    keys = [f"{KEY_PREFIX}tenant{number}" for number in range(tenants)]
+
+    def change() -> None:
+        ownership.update(next(token), roster)
+        for key in keys:
+            ownership.owns(key)
+
+    return processor_us(change, 3)
+
+
+def main(
+    requesters: Sequence[int] = REQUESTERS,
+    tenants: Sequence[int] = TENANTS,
+    gateways: Sequence[int] = GATEWAYS,
+    requests: int = QUOTA_REQUESTS,
+    span_s: float = SPAN_S,
+) -> None:
+    """Measure and print."""
+    print(machine())
+    owners = [owner_cost(count, requests) for count in requesters]
+    columns = ("askers", "decide us", "read and answer us", "ask bytes", "answer bytes")
+    rows = [(o.requesters, o.decide_us, o.codec_us, o.request_bytes, o.reply_bytes) for o in owners]
+    show("One ask at its owner", columns, rows)
+    show_line("decision", "us", "asker", [(o.requesters, o.decide_us) for o in owners])
+    clients = [client_cost(count, span_s) for count in tenants]
+    names = ("tenants", "asks a s", "us an ask", "part of a core")
+    per_cent = [
+        (c.tenants, c.requests_per_s, c.request_us, f"{c.busy_fraction:.4f}") for c in clients
+    ]
+    show(f"One gateway with {RATE_PER_S} requests a s", names, per_cent)
+    show_line("asks", "a s", "tenant", [(c.tenants, c.requests_per_s) for c in clients])
+    show_line("an ask", "us", "tenant", [(c.tenants, c.request_us) for c in clients])
+    moves = [(count, roster_cost(count, tenants[-1])) for count in gateways]
+    show(f"A new roster, {tenants[-1]} tenants", ("gateways", "us"), moves)
+    show_line("new roster", "us", "gateway", moves)
+
+
+if __name__ == "__main__":
+    main()
--- a/tools/streams.py
+++ b/tools/streams.py
@@ -1,5 +1,4 @@
-"""Event streams: what cutting, noting and passing on costs per event, without sockets, framing or
-timers.
+"""Costs of event streams: splitting, recording and forwarding, without sockets and timers.
 
 One read of the socket brings a number of events of one stream. A read that brings one event is the
 usual case where a model makes tokens one by one.
@@ -17,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-EVENTS_A_READ = (1, 4, 16, 64)
+EVENTS_PER_READ = (1, 4, 16, 64)
 READS = 2_000
 
 
@@ -36,19 +35,19 @@
 
 
 def measure(events: int, reads: int) -> Cost:
-    """Reads of so many events each."""
+    """Measure reads of so many events each."""
     stream = StreamFilter(StreamProgress(), resumed=False)
     data = [
-        b"".join(event(at * events + place + 1) for place in range(events)) for at in range(reads)
+        b"".join(event(read * events + index + 1) for index in range(events))
+        for read in range(reads)
     ]
-    left = itertools.cycle(
-        data
-    )  # an event that comes again costs the same: this stream was not resumed
-    read_us = processor_us(lambda: stream.feed(next(left)), reads)
+    # A repeated event costs the same as a new one, since this stream was not resumed.
+    reads_in_turn = itertools.cycle(data)
+    read_us = processor_us(lambda: stream.feed(next(reads_in_turn)), reads)
     return Cost(events, read_us, read_us / events)
 
 
-def main(sizes: Sequence[int] = EVENTS_A_READ, reads: int = READS) -> None:
+def main(sizes: Sequence[int] = EVENTS_PER_READ, reads: int = READS) -> None:
     """Measure and print."""
     print(machine())
     costs = [measure(count, reads) for count in sizes]
--- a/tools/shapes.py
+++ b/tools/synthetic_fleet.py
@@ -1,4 +1,4 @@
-"""Made-up hosts, gateways and configurations of any size, shaped like those of the deployments."""
+"""Synthetic hosts, gateways and configurations of any size, like those of the deployments."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def make_host(number: int, start: int = 0) -> Host:
-    """One model host; another `start` is another incarnation at the same address."""
+    """Make one model host; another `start` is another incarnation at the same address."""
     return Host(
         id=f"i-{number:06x}{start:04x}9c41",
         service=service_name(number % MODELS),
@@ -36,9 +36,9 @@
     return tuple(make_host(number) for number in range(count))
 
 
-def replaced(hosts: tuple[Host, ...], place: int, start: int) -> tuple[Host, ...]:
-    """The list with one host started anew."""
-    return (*hosts[:place], make_host(place, start), *hosts[place + 1 :])
+def replace_host(hosts: tuple[Host, ...], index: int, start: int) -> tuple[Host, ...]:
+    """The list with one host replaced by its next incarnation."""
+    return (*hosts[:index], make_host(index, start), *hosts[index + 1 :])
 
 
 def make_member(number: int) -> Member:
@@ -63,7 +63,7 @@
 
 
 def make_document(routes: int, tenants: int, generation: int = 1) -> dict[str, Any]:
-    """An operator's document as it stands in PROTOCOL's example, larger."""
+    """An operator's document like the example of the protocol, but larger."""
     return {
         "generation": generation,
         "routes": [_route(number) for number in range(routes)],
@@ -94,7 +94,7 @@
 
 
 def make_configuration(routes: int, tenants: int) -> Configuration:
-    """The same, read."""
+    """The same, parsed."""
     return Configuration.from_document(make_document(routes, tenants))
 
 
