--- a/tools/pulls.py
+++ b/tools/pulls.py
@@ -19,7 +19,7 @@
 from roselink.dataplane.fleet_host_pool import FleetHostPool
 from roselink.dataplane.host_directory import HostDirectory
 from roselink.distribution.host_changes import expand_reply
-from roselink.distribution.pull_state_machine import PULL_EVERY_S, PullStateMachine, SendPull
+from roselink.distribution.pull_state_machine import PULL_INTERVAL_S, PullStateMachine, SendPull
 from roselink.http.descriptors import Descriptors
 from roselink.model.fleet import Host, Member, Snapshot, VersionVector
 from roselink.protocol.framing import FrameDecoder, FrameKind, encode_frame
@@ -147,7 +147,7 @@
 
     def pull() -> None:
         nonlocal now
-        now = max(now + PULL_EVERY_S, puller.due_at)
+        now = max(now + PULL_INTERVAL_S, puller.due_at)
         for effect in puller.wake(now):
             if isinstance(effect, SendPull):
                 encode_frame(FrameKind.CALL, effect.call, effect.pull)
@@ -165,7 +165,7 @@
     confirmation = Confirmation(EPOCH, 1, b"", 1)
     now = 1.0
     number = 0
-    interval_s = PULL_EVERY_S / gateways
+    interval_s = PULL_INTERVAL_S / gateways
 
     def pull_of(member: Member) -> PullReply | None:
         nonlocal number
