--- a/roselink/router/app.py
+++ b/roselink/router/app.py
@@ -27,6 +27,7 @@
 
 if TYPE_CHECKING:
     from roselink.protocol.peer_connection import Address, ReplySender
+    from roselink.protocol.records import Record
 
 log = logging.getLogger("roselink.router")
 
@@ -94,7 +95,7 @@
     await data_plane.start()
     status_log = StatusLog(loop, data_plane.status_line)
     status_log.start()
-    services.pull_client.set_serving(True)
+    services.pull_client.set_serving(serving=True)
     loop.add_signal_handler(signal.SIGHUP, services.pull_client.reload)
     gc.collect()
     # What exists at the start stays: later collections need not traverse it.
@@ -104,7 +105,7 @@
     log.info("gateway_draining")
     data_plane.begin_drain()
     services.budgets.begin_drain()
-    services.pull_client.set_serving(False)
+    services.pull_client.set_serving(serving=False)
     await data_plane.drained()
     status_log.stop()
     data_plane.stop()
@@ -155,6 +156,6 @@
         self.budgets.confirm(at)
         self.peer_sampling.confirm(at, self.pull_client.cores())
 
-    def _handle(self, peer: Address, message: object, reply: ReplySender) -> None:
+    def _handle(self, peer: Address, message: Record, reply: ReplySender) -> None:
         if not (self.budgets.handle(message, reply) or self.peer_sampling.handle(message, reply)):
             log.warning("record_unknown peer=%s record=%s", peer[0], type(message).__name__)
