--- a/roselink/dataplane/admission.py
+++ b/roselink/dataplane/admission.py
@@ -1,4 +1,4 @@
-"""Whether a request may go on, by configuration and keys, and what the decider is told of it.
+"""Whether a request may go on, by configuration and keys, and what the decider learns of it.
 
 No I/O.
 """
@@ -32,7 +32,7 @@
 
 
 class Refusal(NamedTuple):
-    """An answer of ours. `retry_after_s`: None where coming back is no use."""
+    """A response of ours. `retry_after_s`: None where coming back is no use."""
 
     status: int
     retry_after_s: float | None = None
@@ -103,7 +103,7 @@
 
 
 def request_facts(exchange: Exchange) -> RequestFacts:
-    """What the decider is told."""
+    """The facts of a request that the decider goes by."""
     request = exchange.request
     route = exchange.route
     tokens_in, tokens_out = request.tokens or (0, 0)
--- a/roselink/dataplane/attempt_runner.py
+++ b/roselink/dataplane/attempt_runner.py
@@ -8,6 +8,7 @@
 from roselink.dataplane.exchange import AttemptResponse, Exchange, ResponseMode
 from roselink.dataplane.fleet_host_connection import FleetAttempt
 from roselink.dataplane.proxy_request import attempt_head
+from roselink.http.status_codes import INTERNAL_SERVER_ERROR, MISDIRECTED_REQUEST
 from roselink.routing.events_and_actions import AttemptEnded, Event, FirstEvent, SendAttempt
 from roselink.routing.outcome import NEVER_RAN, Outcome
 
@@ -18,9 +19,8 @@
 
     from roselink.dataplane.fleet_host_pool import FleetHost, FleetHostPool
 
-HOST_MARGIN_MS = (
-    5  # hosts are told so much less: what they say at their deadline is still passed on
-)
+# Hosts get so much less: what they send at their deadline is still relayed.
+HOST_MARGIN_MS = 5
 TIMEOUT_AFTER_DEADLINE_S = (
     1.0  # an attempt that nothing else has ended ends so long after its request's deadline
 )
@@ -74,22 +74,22 @@
             return
         now = self._loop.time()
         resume = exchange.response_begun
-        answer = AttemptResponse(
+        response = AttemptResponse(
             exchange, action.attempt, resume, now, self._first_event, self._ended
         )
-        answer.attempt = FleetAttempt(
+        response.attempt = FleetAttempt(
             self._loop,
             host,
             exchange.request.id,
             exchange.request.method == b"HEAD",
             exchange.expires_at + TIMEOUT_AFTER_DEADLINE_S - now,
-            answer,
+            response,
             partial(self._still_wanted, exchange),
             single_run=not exchange.route.repeatable,
         )
-        exchange.attempts[action.attempt] = answer
+        exchange.attempts[action.attempt] = response
         self._owner.counts["resumed" if resume else "attempts"] += 1
-        self._upstream.begin(answer.attempt, partial(self._render, exchange, host, resume))
+        self._upstream.begin(response.attempt, partial(self._render, exchange, host, resume))
 
     def _can_send(self, exchange: Exchange, host: FleetHost) -> bool:
         if exchange.closed or host.service != exchange.service or exchange.has_too_many_attempts:
@@ -101,7 +101,7 @@
         return in_time and self._still_wanted(exchange)
 
     def _still_wanted(self, exchange: Exchange) -> bool:
-        """Asked right before each write.
+        """Called right before each write.
 
         What may run once only is never sent while another attempt of it may have run, whatever the
         decider says.
@@ -117,50 +117,50 @@
             last = b"%d" % (exchange.progress.last_id or 0)
         return exchange.common_head + attempt_head(host.name, left_ms, last) + exchange.request.body
 
-    def _first_event(self, answer: AttemptResponse) -> None:
-        self._owner.handle_event(FirstEvent(answer.exchange.number, answer.number))
+    def _first_event(self, response: AttemptResponse) -> None:
+        self._owner.handle_event(FirstEvent(response.exchange.number, response.number))
 
-    def _ended(self, answer: AttemptResponse, outcome: Outcome) -> None:
-        exchange = answer.exchange
-        exchange.attempts.pop(answer.number, None)
-        if answer.sent and outcome not in NEVER_RAN:
+    def _ended(self, response: AttemptResponse, outcome: Outcome) -> None:
+        exchange = response.exchange
+        exchange.attempts.pop(response.number, None)
+        if response.sent and outcome not in NEVER_RAN:
             exchange.may_have_run = True
         relayed = False
-        if outcome is Outcome.SUCCESS and not self._succeeded(answer):
+        if outcome is Outcome.SUCCESS and not self._succeeded(response):
             outcome = Outcome.RESET
         elif outcome is Outcome.ERROR:
-            relayed = self._failed(answer)
-        elif outcome is Outcome.CANCELLED and answer.abandoned:
+            relayed = self._failed(response)
+        elif outcome is Outcome.CANCELLED and response.abandoned:
             outcome = Outcome.RESET
-        if answer.progressed and not exchange.closed:
+        if response.progressed and not exchange.closed:
             exchange.interrupted = True
             exchange.awaits_resume = exchange.can_resume
         self._owner.counts[f"attempt_{outcome.value}"] += 1
-        answer.attempt = None
+        response.attempt = None
         self._owner.handle_event(
             AttemptEnded(
                 exchange.number,
-                answer.number,
+                response.number,
                 outcome,
-                max(0.0, self._loop.time() - answer.started),
-                progressed=answer.progressed or (answer.resumed and exchange.response_begun),
+                max(0.0, self._loop.time() - response.started),
+                progressed=response.progressed or (response.resumed and exchange.response_begun),
                 relayed=relayed,
-                wrong_host=outcome is Outcome.FULL and answer.status == 421,
+                wrong_host=outcome is Outcome.FULL and response.status == MISDIRECTED_REQUEST,
             )
         )
         self._owner.end_if_stuck(exchange)
 
-    def _succeeded(self, answer: AttemptResponse) -> bool:
-        """A whole answer with its stamp: pass on what of it has not gone on.
+    def _succeeded(self, response: AttemptResponse) -> bool:
+        """A complete response with its stamp: relay what of it has not gone on.
 
         False if it turns out cut.
         """
-        exchange = answer.exchange
-        if exchange.closed or not answer.may_relay:
+        exchange = response.exchange
+        if exchange.closed or not response.may_relay:
             return True
-        if answer.mode is ResponseMode.BUFFER:
-            exchange.client.send_complete(*answer.complete())
-        elif answer.finish_stream():
+        if response.mode is ResponseMode.BUFFER:
+            exchange.client.send_complete(*response.complete())
+        elif response.finish_stream():
             exchange.client.send_end()
         else:
             return False
@@ -168,17 +168,17 @@
         exchange.closed = True
         return True
 
-    def _failed(self, answer: AttemptResponse) -> bool:
-        """A whole answer that is no success.
+    def _failed(self, response: AttemptResponse) -> bool:
+        """A complete response that is no success.
 
         A host's 4xx is the client's own; a failure is kept while the decider may try again. Whether
         the client has it.
         """
-        exchange = answer.exchange
-        failure = answer.failure()
+        exchange = response.exchange
+        failure = response.failure()
         if failure is None or exchange.closed or exchange.response_begun:
             return False
-        if failure.status >= 500:
+        if failure.status >= INTERNAL_SERVER_ERROR:
             exchange.host_failure = failure
             return False
         exchange.client.send_complete(*failure)
--- a/roselink/dataplane/client_connection.py
+++ b/roselink/dataplane/client_connection.py
@@ -9,8 +9,8 @@
 
 from roselink.dataplane.admission import NOT_CONFIRMED_RETRY_S
 from roselink.dataplane.proxy_request import Headers, ProxyRequest, read_request
-from roselink.http.reason_phrases import REASON_PHRASES
 from roselink.http.server_connection import PendingRequest, ServerConnection
+from roselink.http.status_codes import REASON_PHRASES, UNAUTHORIZED
 
 if TYPE_CHECKING:
     from roselink.dataplane.client_server import FleetServer
@@ -87,33 +87,33 @@
         if self._serving:  # not answered already
             self._exchange = exchange
 
-    # The answer, as the driver gives it.
+    # The response, as the driver gives it.
 
     def send_status(self, status: int, retry_after_s: float | None = None) -> None:
-        """An answer of ours, without a body."""
+        """A response of ours, without a body."""
         headers: Headers = []
         if retry_after_s is not None:
             headers.append((b"Retry-After", b"%.3f" % retry_after_s))
-        if status == 401:
+        if status == UNAUTHORIZED:
             headers.append((b"WWW-Authenticate", b"Bearer"))
         self.send_complete(status, headers, b"")
 
     def send_complete(self, status: int, headers: Headers, body: bytes) -> None:
-        """One whole answer."""
+        """One complete response."""
         bare = self._head_only or status in BODILESS
         head = self._head_of(status, headers, [] if bare else [b"Content-Length: %d" % len(body)])
         self._write(head if bare else head + body)
         self._end()
 
     def send_head(self, status: int, headers: Headers, length: int | None) -> None:
-        """The head of an answer in parts. Without a length told it goes in chunks."""
+        """Begin a response in pieces; without a stated length it is chunked."""
         self._chunked = length is None and self._version != "1.0"
         if length is not None:
             framing = [b"Content-Length: %d" % length]
         elif self._chunked:
             framing = [b"Transfer-Encoding: chunked"]
         else:
-            # the end of the connection is that of the answer
+            # the end of the connection is that of the response
             framing = []
             self._keep_alive = False
         self._unwritten = self._head_of(status, headers, framing)  # goes out with the first part
@@ -125,14 +125,14 @@
         self._write(head + (b"%x\r\n%b\r\n" % (len(data), data) if self._chunked else data))
 
     def send_end(self) -> None:
-        """The body is whole."""
+        """The body is complete."""
         head = self._unwritten
         self._unwritten = b""
         self._write(head + (b"0\r\n\r\n" if self._chunked else b""))
         self._end()
 
     def abort_response(self) -> None:
-        """End the connection so that the answer does not look complete."""
+        """End the connection so that the response does not look complete."""
         self._exchange = None
         if self._transport is not None and not self._chunked:
             sock = self._transport.get_extra_info("socket")
--- a/roselink/dataplane/client_server.py
+++ b/roselink/dataplane/client_server.py
@@ -21,7 +21,7 @@
 BODY_S = 10.0
 # For a client to take what waits for it.
 UNREAD_S = 10.0
-# Connections stay idle here for so much longer than clients are told.
+# Connections stay idle here for so much longer than the configuration states.
 IDLE_OVER_S = 1.0
 # Bytes of the bodies of all open requests.
 BODIES_LIMIT = 64 * 1024 * 1024
--- a/roselink/dataplane/decision_driver.py
+++ b/roselink/dataplane/decision_driver.py
@@ -1,7 +1,7 @@
 """Drives the decider: events in, actions out, timers, one clock. Owns the open requests.
 
 Nothing about hosts, retries or refusals is decided here. What the driver adds is what real sockets
-need: an answer in time even if the decider says nothing, promises kept whatever it says, and a
+need: a response in time even if the decider says nothing, promises kept whatever it says, and a
 fault in one request that stays that request's own.
 """
 
@@ -80,7 +80,9 @@
         self._random = random.Random(seed)
         self._numbers = itertools.count(1)
         self._queue = EventQueue(loop, decider, self._perform, self._fail)
-        self._drain_ends_at: float | None = None  # while draining: when all must have their answer
+        self._drain_ends_at: float | None = (
+            None  # while draining: when all must have their response
+        )
         self._topology: TopologyChanged | None = None
         self.route_table: RouteTable | None = None
         self.host_directory = HostDirectory(upstream)
@@ -115,7 +117,7 @@
     def accept(self, request: ProxyRequest, client: ClientResponse) -> Exchange | None:
         """Take a request; None if it is answered already.
 
-        The client gets one answer, unless it leaves.
+        The client gets one response, unless it leaves.
         """
         self.counts["requests"] += 1
         if self.route_table is None:
@@ -185,7 +187,7 @@
             self._close(exchange)
 
     def drain(self, ends_at: float) -> None:
-        """All requests have their answer at `ends_at`, loop time."""
+        """All requests have their response at `ends_at`, loop time."""
         self._drain_ends_at = ends_at
         for exchange in self.open_requests.values():
             if exchange.expires_at > ends_at:
@@ -211,9 +213,9 @@
         if exchange.response_begun and self._loop.time() < ends_at:
             self._set_deadline_timer(exchange, ends_at)
             return
-        for answer in list(exchange.attempts.values()):
-            if answer.attempt is not None:
-                answer.attempt.end(Outcome.TIMEOUT)
+        for response in list(exchange.attempts.values()):
+            if response.attempt is not None:
+                response.attempt.end(Outcome.TIMEOUT)
         self._give_up(exchange, FailureReason.OUT_OF_TIME, 0.0)
 
     # The decider.
@@ -237,9 +239,9 @@
         elif exchange is None:
             return
         elif isinstance(action, CancelAttempt):
-            answer = exchange.attempts.get(action.attempt)
-            if answer is not None:
-                answer.cancel()
+            response = exchange.attempts.get(action.attempt)
+            if response is not None:
+                response.cancel()
         elif isinstance(action, AcquireSharedBudget):
             self._budget.ask(action.service, partial(self._budget_decided, action.number))
         elif isinstance(action, FinalResponse):
@@ -287,7 +289,7 @@
     # The end of a request.
 
     def _give_up(self, exchange: Exchange, reason: FailureReason, retry_after_s: float) -> None:
-        """The final answer of ours. What it promises is true, whatever the reason given."""
+        """The final response of ours. What it promises is true, whatever the reason given."""
         if exchange.closed:
             return
         if exchange.response_begun:
@@ -317,9 +319,9 @@
             self._quotas.give_back(exchange.tenant, quota_cost(exchange.request, exchange.tenant))
 
     def _close(self, exchange: Exchange) -> None:
-        """It has its final answer, or nobody waits for one.
+        """It has its final response, or nobody waits for one.
 
-        The decider is told, and what is out ends.
+        The decider learns, and what is out ends.
         """
         exchange.closed = True
         if self.open_requests.pop(exchange.number, None) is None:
@@ -331,8 +333,8 @@
         self._return_quota(exchange)
         if exchange.facts is not None:
             self._queue.enqueue(RequestClosed(exchange.number))
-        for answer in list(exchange.attempts.values()):
-            answer.cancel()
+        for response in list(exchange.attempts.values()):
+            response.cancel()
         exchange.relayed_attempt = (
             None  # nothing is left that refers in circles: no work for the collector
         )
--- a/roselink/dataplane/event_streams.py
+++ b/roselink/dataplane/event_streams.py
@@ -1,4 +1,4 @@
-"""Event streams without I/O: whole events, and resumed streams without gap or repeat.
+"""Event streams without I/O: complete events, and resumed streams without gap or repeat.
 
 An event ends with an empty line (WHATWG HTML, section 9.2.6). Ids are whole numbers that rise.
 """
@@ -15,7 +15,7 @@
 
 
 class StreamEvent(NamedTuple):
-    """One whole event as it came.
+    """One complete event as it came.
 
     `id`: None where it has none; `comment`: it has no field at all.
     """
@@ -34,7 +34,7 @@
 
 
 class EventSplitter:
-    """Cuts a body into whole events. `remainder`: the bytes behind the last whole one."""
+    """Cuts a body into complete events. `remainder`: the bytes behind the last whole one."""
 
     def __init__(self) -> None:
         self.remainder = b""
@@ -53,7 +53,7 @@
 
 
 class StreamProgress:
-    """What of one answer's stream went on to the client, over all its attempts."""
+    """What of one response's stream went on to the client, over all its attempts."""
 
     def __init__(self, resume_from: int = 0) -> None:
         """`resume_from`: the client's own `Last-Event-Id`, 0 without one."""
@@ -107,7 +107,7 @@
         return len(self._splitter.remainder) + sum(map(len, self._waiting))
 
     def feed(self, data: bytes) -> bytes:
-        """The whole events in `data` that go on now. Comments wait for the first event."""
+        """The complete events in `data` that go on now. Comments wait for the first event."""
         out = self._waiting
         for event in self._splitter.feed(data):
             if not self._is_relayed(event):
--- a/roselink/dataplane/exchange.py
+++ b/roselink/dataplane/exchange.py
@@ -13,6 +13,7 @@
 from roselink.dataplane.event_streams import StreamFilter, StreamProgress
 from roselink.dataplane.fleet_host_connection import PROMISES, FleetAttempt, outcome_of
 from roselink.dataplane.proxy_request import Headers, ProxyRequest, relayed_headers
+from roselink.http.status_codes import is_success
 from roselink.model.configuration import Route, RouteKind, Tenant
 from roselink.routing.outcome import NEVER_RAN, Outcome
 
@@ -23,18 +24,18 @@
     from roselink.routing.events_and_actions import RequestFacts
 
 ATTEMPTS_LIMIT = 64  # attempts of one request: a decider that never stops must not stop the loop
-BUFFER_LIMIT_BYTES = 256 * 1024  # bytes of an answer that wait here for the rest of it
+BUFFER_LIMIT_BYTES = 256 * 1024  # bytes of a response that wait here for the rest of it
 
 
 class ClientResponse(Protocol):
-    """The client's side of one request: one whole answer, or one in parts."""
+    """The client's side of one request: one complete response, or one in parts."""
 
     def send_complete(self, status: int, headers: Headers, body: bytes) -> None:
         """Send a complete response."""
         ...
 
     def send_status(self, status: int, retry_after_s: float | None = None) -> None:
-        """An answer of ours, without a body."""
+        """A response of ours, without a body."""
         ...
 
     def send_head(self, status: int, headers: Headers, length: int | None) -> None:
@@ -71,7 +72,7 @@
 
 
 class ResponseMode(Enum):
-    """How an attempt's answer is taken."""
+    """How an attempt's response is taken."""
 
     BUFFER = "hold"
     EVENTS = "events"
@@ -81,7 +82,7 @@
 class Exchange:
     """One request.
 
-    `attempts`: those still out; `closed`: it has its final answer, or its client has left.
+    `attempts`: those still out; `closed`: it has its final response, or its client has left.
     """
 
     def __init__(
@@ -102,11 +103,11 @@
         self.service = ""
         self.give_up_at = self.expires_at = 0.0
         self.attempts: dict[int, AttemptResponse] = {}
-        self.relayed_attempt: AttemptResponse | None = None  # whose answer goes on
+        self.relayed_attempt: AttemptResponse | None = None  # whose response goes on
         self.response_begun = self.closed = False
-        self.interrupted = False  # the attempt whose answer went on has ended without its end
+        self.interrupted = False  # the attempt whose response went on has ended without its end
         self.awaits_resume = False  # then: another attempt may take it up
-        self.attempts_requested = 0  # attempts asked for
+        self.attempts_requested = 0  # attempts requested
         self.may_have_run = False  # by an attempt that has ended
         self.key_rejected = False  # its key may not be used any more
         self.quota_charged = False  # against its tenant's quota
@@ -125,11 +126,11 @@
     @property
     def may_run(self) -> bool:
         """Whether a host may have run it, or may yet."""
-        return self.may_have_run or any(answer.sent for answer in self.attempts.values())
+        return self.may_have_run or any(response.sent for response in self.attempts.values())
 
     @property
     def has_too_many_attempts(self) -> bool:
-        """Whether more attempts were asked for than make sense."""
+        """Whether more attempts were requested than make sense."""
         return self.attempts_requested > ATTEMPTS_LIMIT
 
     @property
@@ -149,7 +150,7 @@
 
 
 class AttemptResponse:
-    """One attempt's answer as it comes in. `first_event` and `ended` are told of it."""
+    """One attempt's response as it comes in. `first_event` and `ended` learn of it."""
 
     def __init__(
         self,
@@ -188,7 +189,7 @@
 
     @property
     def may_relay(self) -> bool:
-        """Whether no other attempt's answer goes on."""
+        """Whether no other attempt's response goes on."""
         exchange = self.exchange
         return exchange.relayed_attempt in (None, self) or (exchange.awaits_resume and self.resumed)
 
@@ -220,7 +221,7 @@
 
     def _events(self, stream: StreamFilter, data: bytes) -> None:
         if not self.may_relay:
-            self.cancel()  # before its events count as passed on
+            self.cancel()  # before its events count as relayed
             return
         out = stream.feed(data)
         if out and self._become_relayed(None):
@@ -248,7 +249,7 @@
         return None
 
     def _become_relayed(self, length: int | None) -> bool:
-        """Make this the answer that goes on; whether it is."""
+        """Make this the response that goes on; whether it is."""
         exchange = self.exchange
         if exchange.closed:
             return False
@@ -286,7 +287,7 @@
     # What the driver asks once it has ended.
 
     def finish_stream(self) -> bool:
-        """Pass on the rest of an answer that ended properly; False if it can't be whole."""
+        """Pass on the rest of a response that ended properly; False if it can't be whole."""
         stream = self._filter
         if stream is None:
             return True
@@ -307,10 +308,6 @@
 
         It may not where the status promises what nobody knows.
         """
-        if (
-            self._outcome is not Outcome.ERROR
-            or self.status in PROMISES
-            or 200 <= self.status < 300
-        ):
+        if self._outcome is not Outcome.ERROR or self.status in PROMISES or is_success(self.status):
             return None
         return self.complete()
--- a/roselink/dataplane/fleet_host_connection.py
+++ b/roselink/dataplane/fleet_host_connection.py
@@ -12,6 +12,8 @@
 
 import httptools
 
+from roselink.dataplane.exceptions import UnrequestedResponseError
+from roselink.http.exceptions import TooManyInterimResponsesError
 from roselink.http.host_connection import (
     HEAD_LIMIT,
     INTERIM_LIMIT,
@@ -20,6 +22,7 @@
     PooledHost,
     StillWanted,
 )
+from roselink.http.status_codes import MISDIRECTED_REQUEST, is_interim, is_success
 from roselink.routing.outcome import Outcome
 
 if TYPE_CHECKING:
@@ -47,7 +50,7 @@
 
 
 class ResponseReceiver(Protocol):
-    """Who takes one attempt's answer. `done` comes last and once."""
+    """Who takes one attempt's response. `done` comes last and once."""
 
     def head(self, status: int, headers: Headers) -> None:
         """The head of the response has come."""
@@ -90,7 +93,7 @@
         self.has_no_body = has_no_body
         self.receiver = receiver
         self.sent = False
-        self.ended_by_close = False  # its answer told no length: the connection's end was its end
+        self.ended_by_close = False  # its response stated no length: it ended with the connection
 
     def end(self, outcome: Outcome) -> None:
         """Give it up from this side."""
@@ -169,7 +172,7 @@
         """Take bytes that have come (asyncio)."""
         attempt = self.attempt
         if not isinstance(attempt, FleetAttempt) or self._parser is None:
-            self.drop()  # bytes that no request asked for
+            self.drop()  # bytes that belong to no request
             return
         self.host.last_byte_at = self.upstream.now()
         self._bytes_since_progress += len(data)
@@ -203,7 +206,7 @@
         return False
 
     def _fail_unreadable(self) -> None:
-        """No answer, or not the one to this request: it may have run."""
+        """No response, or not the one to this request: it may have run."""
         if self.attempt is not None:
             self.attempt.finish(Outcome.RESET)
         self.drop()
@@ -235,15 +238,16 @@
         self._in_head = False
         self._bytes_since_progress = 0
         attempt = self.attempt
-        if 100 <= self._status < 200 or not isinstance(attempt, FleetAttempt):
+        if is_interim(self._status) or not isinstance(attempt, FleetAttempt):
             return
         response_id = self._headers.get(b"x-request-id")
-        # A surplus answer has the id of its own request. What has none is a rejection, or nobody's.
+        # A surplus response has the id of its own request. What has none is a rejection, or belongs
+        # to no request.
         rejected = not response_id and self._outcome() is Outcome.FULL
         if response_id != attempt.request_id and not rejected:
             self._surplus_count += 1
             if not response_id or self._surplus_count > SURPLUS_LIMIT:
-                raise ValueError("an answer to no request of ours")
+                raise UnrequestedResponseError(response_id)
             self._in_surplus = True
             return
         self._idle_limit_s = _idle_s(self._headers.get(b"keep-alive", b""))
@@ -266,21 +270,21 @@
         self._bytes_since_progress = 0
         if self._in_surplus:
             return
-        if 100 <= self._status < 200:
+        if is_interim(self._status):
             self._in_head = True
             self._interim_count = self._interim_count + 1
             if self._interim_count > INTERIM_LIMIT:
-                raise ValueError("interim answers without end")
+                raise TooManyInterimResponsesError(INTERIM_LIMIT)
             return
         self._is_complete = True
         self._keep_alive = self._parser.should_keep_alive() and not self._surplus_count
 
 
 def outcome_of(status: int, headers: dict[bytes, bytes]) -> Outcome:
-    """What a whole answer says of its attempt. A success without the host's stamp is none."""
-    if 200 <= status < 300:
+    """What a complete response says of its attempt. A success without the host's stamp is none."""
+    if is_success(status):
         return Outcome.SUCCESS if b"x-response-signature" in headers else Outcome.ERROR
-    if status == 421 or (status in NOT_RUN and b"x-not-executed" in headers):
+    if status == MISDIRECTED_REQUEST or (status in NOT_RUN and b"x-not-executed" in headers):
         return Outcome.FULL
     return Outcome.ERROR
 
--- a/roselink/dataplane/gateway_data_plane.py
+++ b/roselink/dataplane/gateway_data_plane.py
@@ -28,7 +28,7 @@
     2.5  # after SIGTERM: the platform asks once a second, and sends connections until two misses
 )
 EXIT_RESERVE_S = (
-    1.0  # of the time to the kill: for the last answers to leave and the process to end
+    1.0  # of the time to the kill: for the last responses to leave and the process to end
 )
 CLOSE_POLL_S = 0.02
 OTHER_DESCRIPTORS = 300  # not for clients and hosts: files, peers, libraries
@@ -139,7 +139,7 @@
         self._drained.set()
 
     async def drained(self) -> None:
-        """Returns once all that was read has its answer, or there is no more time."""
+        """Returns once all that was read has its response, or there is no more time."""
         await self._drained.wait()
 
     def stop(self) -> None:
--- a/roselink/dataplane/interfaces.py
+++ b/roselink/dataplane/interfaces.py
@@ -20,7 +20,7 @@
 
     The driver feeds it, in this order for each request: `RequestArrived`; then `FirstEvent` (of
     each attempt whose events go on, once), `AttemptEnded` and `BudgetDecided` as they come;
-    `RequestClosed` once. Each attempt that was asked for ends with one `AttemptEnded`, also one
+    `RequestClosed` once. Each attempt that was requested ends with one `AttemptEnded`, also one
     called off by the close, behind `RequestClosed`.
     """
 
--- a/roselink/dataplane/proxy_request.py
+++ b/roselink/dataplane/proxy_request.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from roselink.http.framing_checks import BadRequestError
+from roselink.http.exceptions import BadRequestError
 from roselink.model.configuration import Route, RouteKind, Tenant
 from roselink.routing.events_and_actions import PromptPart
 
@@ -14,7 +14,7 @@
     b"connection keep-alive proxy-connection proxy-authenticate proxy-authorization te trailer "
     b"transfer-encoding upgrade".split()
 )
-# Not passed on to a host as the client sent them: set here, or not for hosts to see.
+# Not relayed to a host as the client sent them: set here, or not for hosts to see.
 _SET_HERE = frozenset(
     b"authorization content-length expect x-tenant-id x-target-instance x-request-deadline "
     b"priority "
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class ProxyRequest:
-    """One whole request.
+    """One complete request.
 
     `since`: loop time from which its deadline counts; `deadline_s`: how long its client waits, None
     if it does not say; `version`: of HTTP, as its client speaks it.
@@ -178,7 +178,7 @@
 
 
 def relayed_headers(headers: Headers) -> Headers:
-    """A host's headers that go on to the client."""
+    """A host's headers that are relayed to the client."""
     named = _named_by_connection(headers)
     return [
         (name, value)
--- a/roselink/dataplane/readiness_server.py
+++ b/roselink/dataplane/readiness_server.py
@@ -4,11 +4,11 @@
 
 from typing import TYPE_CHECKING
 
-from roselink.http.framing_checks import BadRequestError
+from roselink.http.exceptions import BadRequestError
 from roselink.http.limits import SizeLimits, TimeLimits
-from roselink.http.reason_phrases import REASON_PHRASES
 from roselink.http.server import HttpServer
 from roselink.http.server_connection import PendingRequest, ServerConnection
+from roselink.http.status_codes import OK, REASON_PHRASES
 
 if TYPE_CHECKING:
     import asyncio
@@ -34,7 +34,7 @@
         self._serving = True
         self._keep_alive = pending.keep
         status = pending.status
-        if status == 200 and not self._owner.ready():
+        if status == OK and not self._owner.ready():
             status = 503
         keep = self._may_keep_alive()
         self._write(
--- a/roselink/gateway/request_checks.py
+++ b/roselink/gateway/request_checks.py
@@ -12,7 +12,7 @@
 
 from roselink.balancer.interface import Effect
 from roselink.gateway.engine import ClientRequest
-from roselink.http.framing_checks import BadRequestError
+from roselink.http.exceptions import BadRequestError
 
 if TYPE_CHECKING:
     from roselink.gateway.config import Config
--- a/roselink/http/descriptors.py
+++ b/roselink/http/descriptors.py
@@ -2,17 +2,18 @@
 
 from __future__ import annotations
 
-# descriptors for what is no connection: listener, event loop, standard streams, watch, reload
-OWN = 24
-LENT = 12  # descriptors on which those are told that find none left
-RESERVED = OWN + LENT
+# Descriptors for what is no connection: listener, event loop, standard streams, watch, reload.
+OWN_DESCRIPTORS = 24
+# Descriptors for refusing clients that find none left.
+REFUSAL_DESCRIPTORS = 12
+RESERVED = OWN_DESCRIPTORS + REFUSAL_DESCRIPTORS
 
 
 class Descriptors:
     """Counts the open sockets of both sides.
 
     Guards against running into the process's limit, where an accept or a connect fails at a place
-    that can no longer answer anyone.
+    from which no client can be answered any more.
     """
 
     def __init__(self, limit: int) -> None:
--- a/roselink/http/framing_checks.py
+++ b/roselink/http/framing_checks.py
@@ -2,13 +2,10 @@
 
 from __future__ import annotations
 
+from roselink.http.exceptions import BadRequestError
 
-class BadRequestError(Exception):
-    """What came is no request; `status` says why."""
-
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
-        self.status = status
+# Digits of a Content-Length, so that it stays below 2**64.
+LENGTH_DIGITS_LIMIT = 20
 
 
 def check_framing(version: str, headers: list[tuple[bytes, bytes]], body_limit: int) -> None:
@@ -35,7 +32,7 @@
         raise BadRequestError(400, "a framing header spelt oddly")
     if len(lengths) + len(codings) > 1:
         raise BadRequestError(400, "two framing headers")
-    if lengths and not (lengths[0][1].isdigit() and len(lengths[0][1]) < 20):
+    if lengths and not (lengths[0][1].isdigit() and len(lengths[0][1]) < LENGTH_DIGITS_LIMIT):
         raise BadRequestError(400, "bad Content-Length")
     if codings and (codings[0][1].lower() != b"chunked" or version != "1.1"):
         raise BadRequestError(400, "unknown Transfer-Encoding")
--- a/roselink/http/host_connection.py
+++ b/roselink/http/host_connection.py
@@ -4,8 +4,9 @@
 last byte was written. Either would break the rule on duplicated effects, so this package speaks
 HTTP itself.
 
-Hosts are not trusted to keep to HTTP: an answer that is too long, does not end or cannot be read is
-a failed attempt that may have run, and what comes beside an answer never reaches another request.
+Hosts are not trusted to keep to HTTP: a response that is too long, does not end or cannot be read
+is a failed attempt that may have run, and what comes beside a response never reaches another
+request.
 """
 
 from __future__ import annotations
@@ -16,7 +17,9 @@
 
 import httptools
 
+from roselink.http.exceptions import ResponseTooLongError, TooManyInterimResponsesError
 from roselink.http.socket_probe import SocketProbe
+from roselink.http.status_codes import is_interim
 from roselink.routing.outcome import Outcome
 
 if TYPE_CHECKING:
@@ -25,13 +28,13 @@
 
 BODY_LIMIT = 64 * 1024
 HEAD_LIMIT = 16 * 1024
-# all bytes of an answer: a chunk's extension reaches no callback
+# all bytes of a response: a chunk's extension reaches no callback
 RESPONSE_LIMIT = HEAD_LIMIT + 4 * BODY_LIMIT
-INTERIM_LIMIT = 8  # 1xx answers ahead of the one that counts; none or one is usual
+INTERIM_LIMIT = 8  # 1xx responses ahead of the one that counts; none or one is usual
 
 
 class HostResponse(NamedTuple):
-    """A host's whole answer of status 200."""
+    """A host's complete response of status 200."""
 
     body: bytes
     content_type: bytes | None
@@ -122,7 +125,7 @@
         """The host has left service while the connection was coming up: nothing was sent."""
         self._end(Outcome.MOOT)
 
-    def finish(self, outcome: Outcome, answer: HostResponse | None = None) -> None:
+    def finish(self, outcome: Outcome, response: HostResponse | None = None) -> None:
         """Report the outcome, once."""
         done = self._done
         self._done = None
@@ -133,7 +136,7 @@
         if self.connection is not None:
             self.connection.attempt = None
             self.connection = None
-        done(outcome, answer)
+        done(outcome, response)
 
 
 class HostConnection(asyncio.Protocol):
@@ -222,7 +225,7 @@
         """Take bytes that have come (asyncio)."""
         attempt = self.attempt
         if attempt is None or self._parser is None:
-            # bytes that no request asked for: the next answer could not be told from them
+            # bytes that belong to no request: the next response could not be told apart from them
             self.drop()
             return
         self.host.last_byte_at = self.upstream.now()
@@ -241,7 +244,7 @@
             self._overdue_timer = self.upstream.call_when_overdue(self._response_overdue)
 
     def eof_received(self) -> bool:
-        """The host's end is that of an answer that tells no length.
+        """The host's end is that of a response that tells no length.
 
         A reset is no end: it comes with `connection_lost` alone, unless the loop has read only that
         the connection is gone.
@@ -261,18 +264,18 @@
     def _response_complete(self, attempt: Attempt) -> None:
         self._cancel_overdue_timer()
         outcome = self._outcome()
-        answer = None
+        response = None
         if outcome is Outcome.SUCCESS:
-            answer = HostResponse(b"".join(self._body), self._headers.get(b"content-type"))
+            response = HostResponse(b"".join(self._body), self._headers.get(b"content-type"))
         self.attempt = attempt.connection = None
         if self._keep_alive and not self._has_excess and not self._has_unsent:
             self.upstream.release(self)
         else:
             self.drop()
-        attempt.finish(outcome, answer)
+        attempt.finish(outcome, response)
 
     def _response_overdue(self) -> None:
-        """The rest of an answer is overdue, unless it waits for a loop that runs late."""
+        """The rest of a response is overdue, unless it waits for a loop that runs late."""
         if self.has_unread():
             self._overdue_timer = self.upstream.call_when_overdue(self._response_overdue)
         else:
@@ -314,10 +317,10 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         """One header, or a trailer (parser)."""
         if self._is_complete or not self._in_head:
-            return  # more than the answer, or a trailer
+            return  # more than the response, or a trailer
         self._section_bytes += len(name) + len(value)
         if self._section_bytes > HEAD_LIMIT:
-            raise ValueError("head too long")
+            raise ResponseTooLongError("head", HEAD_LIMIT)
         self._headers[name.lower()] = value.strip()
 
     def on_headers_complete(self) -> None:
@@ -328,7 +331,9 @@
         self._section_bytes = 0
         self._in_head = False
         if int(self._headers.get(b"content-length", b"0")) > BODY_LIMIT:
-            raise ValueError("body too long")  # known from the head: not a byte of it is waited for
+            raise ResponseTooLongError(
+                "body", BODY_LIMIT
+            )  # known from the head: not a byte of it is waited for
 
     def on_body(self, body: bytes) -> None:
         """A piece of the body (parser)."""
@@ -336,7 +341,7 @@
             return
         self._section_bytes += len(body)
         if self._section_bytes > BODY_LIMIT:
-            raise ValueError("body too long")
+            raise ResponseTooLongError("body", BODY_LIMIT)
         self._body.append(body)
 
     def on_message_complete(self) -> None:
@@ -344,11 +349,11 @@
         if self._is_complete or self._parser is None:
             return
         self._in_message = False
-        if 100 <= self._status < 200:  # an interim answer: the one that counts follows
+        if is_interim(self._status):  # an interim response: the one that counts follows
             self._in_head = True
             self._interim_count = self._interim_count + 1
             if self._interim_count > INTERIM_LIMIT:
-                raise ValueError("interim answers without end")
+                raise TooManyInterimResponsesError(INTERIM_LIMIT)
             return
         self._is_complete = True
         self._keep_alive = self._parser.should_keep_alive()
--- a/roselink/http/host_pool.py
+++ b/roselink/http/host_pool.py
@@ -14,7 +14,7 @@
 
     from roselink.http.descriptors import Descriptors
 
-# after an answer, before its connection is used again: time for what comes right behind it
+# after a response, before its connection is used again: time for what comes right behind it
 REUSE_DELAY_S = 0.02
 # part of the hosts' idle time after which a connection is dropped: they must never be first
 IDLE_FRACTION = 0.5
--- a/roselink/http/limits.py
+++ b/roselink/http/limits.py
@@ -20,7 +20,7 @@
     """How long a client may take, in seconds.
 
     `head` and `body`: from a request's first byte until they are whole; `unread`: to take an
-    answer; `idle`: by the requests that its connection has brought, the last one for all higher
+    response; `idle`: by the requests that its connection has brought, the last one for all higher
     numbers.
     """
 
--- a/roselink/http/server.py
+++ b/roselink/http/server.py
@@ -9,7 +9,7 @@
 import socket
 from typing import TYPE_CHECKING
 
-from roselink.http.descriptors import LENT, Descriptors
+from roselink.http.descriptors import REFUSAL_DESCRIPTORS, Descriptors
 from roselink.http.server_connection import ServerConnection
 
 if TYPE_CHECKING:
@@ -17,14 +17,16 @@
 
     from roselink.http.limits import SizeLimits, TimeLimits
 
-BACKLOG = 1024  # connections that may wait in the kernel to be accepted
-# after which a first request would have been read here, or a last answer by the client
+# Connections that may wait in the kernel to be accepted.
+BACKLOG = 1024
+# After this time a first request would have been read here, or a last response by the client.
 READ_DELAY_S = 0.2
-# for connections that wait to be accepted when the listener closes, however many still come
+# For connections that wait to be accepted when the listener closes, however many still come.
 ACCEPT_WAITING_S = 0.2
-# of the descriptors: past it the longest idle client connection ends, for new ones to come
+# Of the descriptors: past it the longest idle client connection ends, for new ones to come.
 USED_FRACTION = 0.25
-END_ATTEMPTS = 8  # connections looked at to make room for one: each look costs a system call
+# Connections examined to make room for one: each examination costs a system call.
+END_ATTEMPTS = 8
 
 
 def _end_oldest(
@@ -56,21 +58,19 @@
         self._descriptors = descriptors
         self._make_room = make_room
         self._used_limit = int(descriptors.limit * USED_FRACTION)
-        self._connection_limit = (
-            descriptors.limit // 2
-        )  # the other half is the hosts': each request needs one there
+        # The other half is the hosts': each request needs one there.
+        self._connection_limit = descriptors.limit // 2
         self.connections: dict[ServerConnection, None] = {}
-        self._unused: dict[
-            ServerConnection, None
-        ] = {}  # no byte of a request yet, the oldest first
-        self._idle: dict[ServerConnection, None] = {}  # between requests, the longest idle first
-        self._finishing: dict[
-            ServerConnection, None
-        ] = {}  # have their last answer, the longest first
+        # No byte of a request yet, the oldest first.
+        self._unused: dict[ServerConnection, None] = {}
+        # Between two requests, the longest idle first.
+        self._idle: dict[ServerConnection, None] = {}
+        # Have their last response, the longest first.
+        self._finishing: dict[ServerConnection, None] = {}
         self.draining = False
         self._listener: asyncio.Server | None = None
 
-    # What a subclass says.
+    # What a subclass defines.
 
     def time_limits(self) -> TimeLimits:
         """How long clients may take, as it is in force now."""
@@ -80,7 +80,7 @@
         """A new client connection."""
         raise NotImplementedError
 
-    # The crowd of connections.
+    # The connections.
 
     async def listen(self, host: str, port: int) -> int:
         """Listen; the port. Raises `OSError` when the address can't be bound."""
@@ -96,14 +96,14 @@
     def connection_opened(self, connection: ServerConnection) -> None:
         """Past the clients' part of the descriptors each new connection ends another.
 
-        Guards against floods: first go those that have their last answer and those that never said
-        anything, then those between two requests, never one with a request.
+        Guards against floods: first go those that have their last response and those that never
+        sent anything, then idle ones, never one with a request.
         """
         self._descriptors.used += 1
         self.connections[connection] = self._unused[connection] = None
         if len(self.connections) > self._connection_limit:
             self._end_another(connection)
-        if self._descriptors.spare() <= -LENT and not self._make_room():
+        if self._descriptors.spare() <= -REFUSAL_DESCRIPTORS and not self._make_room():
             connection.abort()
 
     def _end_another(self, newest: ServerConnection) -> None:
@@ -130,12 +130,12 @@
         and stay, which would take the places of all others for as long as they may.
         """
         self._idle[connection] = None
-        heard = len(self.connections) - len(self._unused) - len(self._finishing)
-        if heard > self._used_limit and len(self._idle) > 1:
+        used = len(self.connections) - len(self._unused) - len(self._finishing)
+        if used > self._used_limit and len(self._idle) > 1:
             _end_oldest(self._idle, ServerConnection.close_idle)
 
     def connection_finishing(self, connection: ServerConnection) -> None:
-        """It has its last answer, and needs no more than time to read it."""
+        """It has its last response, and needs no more than time to read it."""
         self._finishing[connection] = None
 
     def connection_closing(self, connection: ServerConnection) -> None:
--- a/roselink/http/server_connection.py
+++ b/roselink/http/server_connection.py
@@ -14,16 +14,19 @@
 
 import httptools
 
-from roselink.http.framing_checks import BadRequestError, check_framing
+from roselink.http.exceptions import BadRequestError
+from roselink.http.framing_checks import check_framing
 from roselink.http.socket_probe import SocketProbe
 
 if TYPE_CHECKING:
     from roselink.http.limits import TimeLimits
     from roselink.http.server import HttpServer
 
-PIPELINE_LIMIT = 2  # requests parsed ahead on one connection: clients send one at a time
-PARSE_BYTES = 2048  # bytes parsed at a time, a few requests: one read can hold hundreds
-# after an error, so that a client still sending can read why
+# Requests parsed ahead on one connection: clients send one at a time.
+PIPELINE_LIMIT = 2
+# Parsed at a time, a few requests: one read can have hundreds.
+PARSE_BYTES = 2048
+# After an error, so that a client still sending can read why.
 LINGER_S = 1.0
 LINGER_BYTES = 1024 * 1024
 
@@ -54,21 +57,22 @@
         self._probe: SocketProbe | None = None
         self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self._unparsed = b""  # read, not parsed yet
-        self._read_at = (
-            server.loop.time()
-        )  # when it was read, which a client's deadline counts from
-        self._last_empty_at = (
-            math.inf
-        )  # with reading paused: when the kernel was last seen to hold nothing
+        # When it was read, which a client's deadline counts from.
+        self._read_at = server.loop.time()
+        # With reading paused: when the kernel last had nothing unread.
+        self._last_empty_at = math.inf
         self._pending: deque[PendingRequest] = deque()
         self._serving = False
         self._keep_alive = True
-        self._is_advancing = self._reading_paused = self._writing_paused = self._input_ended = (
-            self._in_request
-        ) = False
-        self._discarded_bytes = self._completed_requests = 0
+        self._is_advancing = False
+        self._reading_paused = False
+        self._writing_paused = False
+        self._input_ended = False
+        self._in_request = False
+        self._discarded_bytes = 0
+        self._completed_requests = 0
         self._parse_error: BadRequestError | None = None
-        self.last_progress_at = server.loop.time()  # what the limits on time count from
+        self.last_progress_at = server.loop.time()  # the limits on time count from it
         self._start_request()
 
     def _start_request(self) -> None:
@@ -243,7 +247,7 @@
     # One request after another.
 
     def _advance(self) -> None:
-        """Begin the next request, once the answer before it is on its way and was read."""
+        """Begin the next request, once the response before it is on its way and was read."""
         if self._is_advancing:
             return
         self._is_advancing = True
@@ -260,7 +264,7 @@
         finally:
             self._is_advancing = False
 
-    # What a subclass says.
+    # What a subclass defines.
 
     def _read_request(self, method: bytes, keep: bool) -> PendingRequest:
         """Read the request that has just become complete.
@@ -279,15 +283,15 @@
         raise NotImplementedError
 
     def _client_left(self) -> None:
-        """The client has gone, also in the middle of an answer."""
+        """The client has gone, also in the middle of a response."""
 
-    # An answer.
+    # A response.
 
     def _may_keep_alive(self) -> bool:
-        """Whether the connection stays open behind this answer.
+        """Whether the connection stays open behind this response.
 
-        What was sent ahead has been taken and is owed an answer, also where it lies in the kernel:
-        the last answer says `close`.
+        What was sent ahead has been taken and is owed a response, also where it lies in the kernel:
+        the last response says `close`.
         """
         ahead = bool(self._pending) or bool(self._unparsed) or self._in_request
         if ahead or not self._server.draining or not self._keep_alive:
@@ -299,7 +303,7 @@
             self._transport.write(data)
 
     def _response_finished(self, keep: bool) -> None:
-        """The last byte of an answer is on its way."""
+        """The last byte of a response is on its way."""
         self._serving = False
         self.last_progress_at = self._server.loop.time()
         if self._transport is None:
@@ -313,10 +317,10 @@
             self._close()
 
     def _close(self) -> None:
-        """End the connection after its last answer.
+        """End the connection after its last response.
 
-        A close on unread bytes would reset it and could take the answer along, so the sending side
-        ends first and what still comes is thrown away for a while.
+        A close on unread bytes would reset it and could take the response along, so the sending
+        side ends first and what still comes is discarded for a while.
         """
         self._input_ended = True
         self._pending.clear()
@@ -331,7 +335,7 @@
             self._server.loop.call_later(LINGER_S, self._end_linger)
 
     def _end_linger(self) -> None:
-        """The end of the time that a last answer has.
+        """The end of the time that a last response has.
 
         (`sweep` ends a connection whose client does not take it.)
         """
@@ -358,7 +362,7 @@
             return True
         return self._transport is None
 
-    # What the server asks.
+    # Called by the server.
 
     def idle(self) -> bool:
         """Whether it is between two requests, with all responses sent.
@@ -377,7 +381,7 @@
     def close_idle(self) -> bool:
         """End it between two requests, by our choice; whether it ended.
 
-        A request that lies unread in the kernel has been taken and is owed an answer, and a close
+        A request that lies unread in the kernel has been taken and is owed a response, and a close
         on it would be a reset.
         """
         if self._probe is None or self._probe.has_unread():
@@ -386,7 +390,7 @@
         return True
 
     def close_finished(self) -> bool:
-        """End it after its last answer, once the kernel has that; whether it ended.
+        """End it after its last response, once the kernel has that; whether it ended.
 
         What comes meanwhile is read first: a close on it would be a reset, which takes along what
         the client's kernel has not got.
--- a/roselink/http/reason_phrases.py
+++ b/roselink/http/status_codes.py
@@ -1,4 +1,4 @@
-"""Reason phrases of the statuses that are sent here (RFC 9110, section 15)."""
+"""Status codes and their reason phrases (RFC 9110, section 15)."""
 
 REASON_PHRASES = {
     200: b"OK",
@@ -20,3 +20,20 @@
     503: b"Service Unavailable",
     504: b"Gateway Timeout",
 }
+
+OK = 200
+UNAUTHORIZED = 401
+MISDIRECTED_REQUEST = 421
+INTERNAL_SERVER_ERROR = 500
+_INTERIM = range(100, 200)
+_SUCCESSFUL = range(200, 300)
+
+
+def is_interim(status: int) -> bool:
+    """Whether another response to the same request follows (1xx)."""
+    return status in _INTERIM
+
+
+def is_success(status: int) -> bool:
+    """Whether the request was served (2xx)."""
+    return status in _SUCCESSFUL
--- a/tests/dataplane/test_checks.py
+++ b/tests/dataplane/test_checks.py
@@ -25,7 +25,7 @@
     relayed_headers,
 )
 from roselink.dataplane.route_table import RouteTable
-from roselink.http.framing_checks import BadRequestError
+from roselink.http.exceptions import BadRequestError
 from roselink.model.configuration import Configuration, Route, Tenant
 from tests.dataplane.harness import KEY, document
 
--- a/tests/mutations/dataplane.py
+++ b/tests/mutations/dataplane.py
@@ -42,8 +42,8 @@
         ),
         (
             "a stream cut short is complete",
-            "        elif answer.finish_stream():",
-            "        elif answer.finish_stream() or True:",
+            "        elif response.finish_stream():",
+            "        elif response.finish_stream() or True:",
         ),
         (
             "a failure of a host is held for nobody",
@@ -76,7 +76,7 @@
             "if stream.gap or stream.buffered_bytes > BUFFER_LIMIT_BYTES:",
             "if stream.buffered_bytes > BUFFER_LIMIT_BYTES:",
         ),
-        ("a host's promise is passed on", " or self.status in PROMISES\n            or", " or"),
+        ("a host's promise is passed on", " or self.status in PROMISES or", " or"),
         (
             "bytes that were sent count as unsent",
             "return self.attempt is not None and self.attempt.sent",
@@ -144,7 +144,8 @@
         ),
         (
             "attempts outlive their request",
-            "        for answer in list(exchange.attempts.values()):\n            answer.cancel()\n"
+            "        for response in list(exchange.attempts.values()):\n"
+            "            response.cancel()\n"
             "        exchange.relayed_attempt",
             "        exchange.relayed_attempt",
         ),
@@ -204,7 +205,7 @@
         ),
         (
             "bytes that nobody asked for are kept",
-            "            self.drop()  # bytes that no request asked for\n",
+            "            self.drop()  # bytes that belong to no request\n",
             "",
         ),
         (
