--- a/roselink/simulation/clients.py
+++ b/roselink/simulation/clients.py
@@ -27,14 +27,14 @@
     from roselink.simulation.cluster import Cluster
     from roselink.simulation.machine import Machine
 
-# An operator sends a change again after so many seconds without a response.
+# An operator sends a change again after this time without a response, in seconds.
 RESPONSE_TIMEOUT_S = 1.0
-# After so many attempts an operator goes on to its next change.
+# After its last attempt an operator continues with its next change.
 MOST_ATTEMPTS = 12
 # The fraction of changes that are sent as updates of items.
 UPDATE_FRACTION = 0.5
 SERVICE = "model"
-# Each configuration has two of so many API keys, in turn.
+# The number of API keys, of which each configuration has two in turn.
 KEY_COUNT = 5
 # The fraction of calls that operators send to two members at once.
 CONCURRENT_FRACTION = 0.1
@@ -104,9 +104,9 @@
             return
         process_number = machine.process_number
 
-        def submit(order: ConfigurationChange, done: Callable[[SubmitOutcome], None]) -> None:
+        def submit(change: ConfigurationChange, done: Callable[[SubmitOutcome], None]) -> None:
             if machine.process_number == process_number:
-                machine.submit(order, done)
+                machine.submit(change, done)
 
         submit_update(self.command, machine.read, submit, done)
 
@@ -220,7 +220,8 @@
         attempts: int,
         ended: list[bool],
     ) -> None:
-        cluster, change = self.cluster, request.change
+        cluster = self.cluster
+        change = request.change
         call = cluster.history.begin_call(change, cluster.now)
 
         def done(outcome: SubmitOutcome | ValidationFailure) -> None:
@@ -243,7 +244,8 @@
         attempts: int,
         outcome: SubmitOutcome | ValidationFailure,
     ) -> None:
-        cluster, change = self.cluster, request.change
+        cluster = self.cluster
+        change = request.change
         if isinstance(outcome, ChangeCommitted):
             self.base = max(self.base, change.version)
             self.slowest_s = max(self.slowest_s, cluster.now - began)
--- a/roselink/simulation/cluster.py
+++ b/roselink/simulation/cluster.py
@@ -20,7 +20,7 @@
 
 
 class Cluster(Scheduler):
-    """Machines, their network, and what its clients were told.
+    """Machines, their network, and the history of all clients.
 
     Attributes:
         random: the only source of randomness; the same seed gives the same run.
@@ -38,7 +38,7 @@
     def __init__(
         self, seed: int, machines: int = 3, tolerated: int = 1, seeds: int = MOST_SEEDS
     ) -> None:
-        """Make a core of so many machines, all of which start within `START_SPREAD_S`."""
+        """Make a core of `machines` machines, all of which start within `START_SPREAD_S`."""
         super().__init__()
         self.random = random.Random(seed)
         self.tolerated = tolerated
--- a/roselink/simulation/faults.py
+++ b/roselink/simulation/faults.py
@@ -43,7 +43,7 @@
     GATEWAY = "gateways"
     # All processes end.
     RESTART_OF_ALL = "herd"
-    # As many disks as are tolerated are lost, right after a commit.
+    # The tolerated number of disks is lost, right after a commit.
     LOST_DISKS = "ruin"
 
 
@@ -165,7 +165,7 @@
 
 
 def lose_disks_after_commit(cluster: Cluster) -> None:
-    """Right after a commit lose as many disks as are tolerated, and all processes."""
+    """Right after a commit lose the tolerated number of disks, and all processes."""
     before = cluster.history.newest_confirmed()
     cluster.run_until(lambda: cluster.history.newest_confirmed() > before, 3.0)
     restart_all(cluster, cluster.random.sample(cluster.running_machines(), cluster.tolerated))
@@ -183,6 +183,6 @@
     """Cut all links between two halves, as drawn."""
     drawn = cluster.random.sample(list(cluster.machines), len(cluster.machines))
     half = len(drawn) // 2
-    for left in drawn[:half]:
-        for right in drawn[half:]:
-            cluster.network.separate(left, right)
+    for address in drawn[:half]:
+        for other in drawn[half:]:
+            cluster.network.separate(address, other)
--- a/roselink/simulation/gateways.py
+++ b/roselink/simulation/gateways.py
@@ -4,7 +4,7 @@
 
 import random
 from functools import partial
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from roselink.distribution.pull_state_machine import (
     ApplySnapshot,
@@ -20,6 +20,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+    from roselink.protocol.pull import DeltaPullReply, PullReply
     from roselink.simulation.cluster import Cluster
 
 # How long a gateway may use a removed key, in seconds; the setting `revoke_s` of a fleet.
@@ -82,7 +83,9 @@
     def _wake(self, process_number: int) -> None:
         self._run(process_number, lambda: self._perform(self.puller.wake(self.cluster.now)))
 
-    def _answered(self, process_number: int, call: int, reply: Any) -> None:
+    def _reply_received(
+        self, process_number: int, call: int, reply: PullReply | DeltaPullReply | None
+    ) -> None:
         self._run(
             process_number,
             lambda: self._perform(self.puller.reply_received(call, reply, self.cluster.now)),
@@ -92,9 +95,9 @@
         for effect in effects:
             match effect:
                 case SendPull(call, (host, port), pull, timeout_s):
-                    answered = partial(self._answered, self.process_number, call)
+                    handle_reply = partial(self._reply_received, self.process_number, call)
                     self.cluster.network.call(
-                        self.name, f"{host}:{port}", DeltaPullRequest(pull), timeout_s, answered
+                        self.name, f"{host}:{port}", DeltaPullRequest(pull), timeout_s, handle_reply
                     )
                 case ApplySnapshot(snapshot):
                     self._apply(snapshot)
--- a/roselink/simulation/machine.py
+++ b/roselink/simulation/machine.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 from functools import partial
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from roselink.controller.pull_effects import (
     ForwardedDeltaPull,
@@ -34,7 +34,7 @@
     from collections.abc import Callable
 
     from roselink.protocol.chain import ConfigurationChange
-    from roselink.protocol.pull import DeltaPullRequest
+    from roselink.protocol.pull import DeltaPullReply, DeltaPullRequest, PullReply
     from roselink.simulation.cluster import Cluster
     from roselink.simulation.network import ReplyHandler
 
@@ -196,7 +196,7 @@
 
     # --- calls
 
-    def submit(self, order: ConfigurationChange, done: Callable[[SubmitOutcome], None]) -> None:
+    def submit(self, change: ConfigurationChange, done: Callable[[SubmitOutcome], None]) -> None:
         """SubmitRequest a configuration change to the process.
 
         Raises:
@@ -204,7 +204,7 @@
         """
         if self.member is None:
             raise ProcessNotRunningError(self.address)
-        number, effects = self.member.submit(order, self.cluster.now)
+        number, effects = self.member.submit(change, self.cluster.now)
         self.pending_submits[number] = done
         self.perform(effects)
 
@@ -221,11 +221,11 @@
         self.perform(effects)
 
     def handle_pull(
-        self, message: DeltaPullRequest | ForwardedDeltaPull, reply: ReplyHandler, _: Member
+        self, message: DeltaPullRequest | ForwardedDeltaPull, send_reply: ReplyHandler, _: Member
     ) -> list[Effect]:
         """Handle a gateway's pull, or one that another member forwarded."""
         number = self.cluster.next_number()
-        self.pending_pulls[number] = reply
+        self.pending_pulls[number] = send_reply
         forwarded = isinstance(message, ForwardedDeltaPull)
         self._serve(
             self.pull_server.pull_received(
@@ -283,7 +283,9 @@
     def _confirmed(self, number: int, confirmation: Confirmation | None) -> None:
         self._serve(self.pull_server.confirmation_received(self.cluster.now, number, confirmation))
 
-    def _forwarded(self, process_number: int, number: int, reply: Any) -> None:
+    def _forwarded(
+        self, process_number: int, number: int, reply: PullReply | DeltaPullReply | None
+    ) -> None:
         def step(_member: Member) -> list[Effect]:
             self._serve(self.pull_server.forward_completed(self.cluster.now, number, reply))
             return []
@@ -291,7 +293,7 @@
         self.run(process_number, step)
 
     def _read_platform(self, process_number: int) -> None:
-        """Have the tail read the platform's list of hosts, again and again."""
+        """Have the tail read the platform's list of hosts periodically."""
         if process_number != self.process_number or self.member is None:
             return
         self.cluster.after(LIST_INTERVAL_S, partial(self._read_platform, process_number))
--- a/roselink/simulation/network.py
+++ b/roselink/simulation/network.py
@@ -4,8 +4,9 @@
 
 from collections.abc import Callable
 from functools import partial
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
+from roselink.protocol.pull import DeltaPullReply, PullReply
 from roselink.protocol.records import Record, decode, encode, record_number_of
 
 if TYPE_CHECKING:
@@ -16,8 +17,8 @@
     from roselink.simulation.machine import Machine
     from roselink.simulation.scheduler import Scheduler
 
-# Called once with the reply to a call, or with None when there was none in time.
-ReplyHandler = Callable[[Any], None]
+# Handles the outcome of a pull, once: the reply, or None without one in time.
+ReplyHandler = Callable[[PullReply | DeltaPullReply | None], None]
 
 # The delay of a message, in seconds: uniform between these; of a late one, up to so much more.
 SHORTEST_DELAY_S = 0.0002
@@ -29,7 +30,7 @@
     """Carries messages and calls through the real codec, by the state of the links.
 
     Attributes:
-        cut: the links that carry nothing, as (sender, receiver).
+        cut_links: the links that carry nothing, as (sender, receiver).
         loss: the fraction of messages that are lost.
         duplication: the fraction of messages that arrive twice.
         lateness: the fraction of messages that are delayed much longer, and overtaken.
@@ -42,7 +43,7 @@
         self._scheduler = scheduler
         self._random = draw
         self._machines = machines
-        self.cut: set[tuple[str, str]] = set()
+        self.cut_links: set[tuple[str, str]] = set()
         self.loss = 0.0
         self.duplication = 0.0
         self.lateness = 0.0
@@ -53,7 +54,8 @@
         for _ in range(copies):
             delay = self._delay_s()
             if delay is not None:
-                number, payload = record_number_of(send.message), encode(send.message)
+                number = record_number_of(send.message)
+                payload = encode(send.message)
                 self._scheduler.after(
                     delay, partial(self._arrive, sender, send.to, number, payload)
                 )
@@ -74,16 +76,16 @@
         number = record_number_of(message)
         pending = [True]
 
-        def finish(reply: Any) -> None:
+        def finish(reply: PullReply | DeltaPullReply | None) -> None:
             if pending[0]:
                 pending[0] = False
                 done(reply)
 
-        def send_reply(reply: Any) -> None:
+        def send_reply(reply: PullReply | DeltaPullReply | None) -> None:
             delay = self._delay_s()
             if delay is not None:
                 self._scheduler.after(
-                    delay, lambda: None if (receiver, sender) in self.cut else finish(reply)
+                    delay, lambda: None if (receiver, sender) in self.cut_links else finish(reply)
                 )
 
         def arrive() -> None:
@@ -97,11 +99,11 @@
             self._scheduler.after(delay, arrive)
         self._scheduler.after(timeout_s, lambda: finish(None))
 
-    def separate(self, left: str, right: str, *, one_way: bool = False) -> None:
-        """Cut the link between two addresses, or only that from the left to the right one."""
-        self.cut.add((left, right))
+    def separate(self, sender: str, receiver: str, *, one_way: bool = False) -> None:
+        """Cut the link between two addresses, or only that from the sender to the receiver."""
+        self.cut_links.add((sender, receiver))
         if not one_way:
-            self.cut.add((right, left))
+            self.cut_links.add((receiver, sender))
 
     def isolate(self, address: str) -> None:
         """Cut a machine off from all other machines; gateways still reach it."""
@@ -111,7 +113,7 @@
 
     def heal(self) -> None:
         """Have all links carry again."""
-        self.cut.clear()
+        self.cut_links.clear()
 
     def _delay_s(self) -> float | None:
         """How long a message takes, in seconds, or None when it is lost."""
@@ -133,6 +135,6 @@
     def _reached(self, sender: str, receiver: str) -> Machine | None:
         """The machine that a message reaches, if it has a process and the link carries."""
         machine = self._machines.get(receiver)
-        if machine is None or machine.member is None or (sender, receiver) in self.cut:
+        if machine is None or machine.member is None or (sender, receiver) in self.cut_links:
             return None
         return machine
--- a/roselink/simulation/scenarios.py
+++ b/roselink/simulation/scenarios.py
@@ -194,7 +194,7 @@
 def fault_episodes_day(
     seed: int, machines: int, tolerated: int, *, lossy: bool, episodes: int = 6
 ) -> ScenarioResult:
-    """Inject faults one after the other, or as many at once as are tolerated."""
+    """Inject faults one after the other, or at once up to the tolerated number."""
     cluster = Cluster(seed, machines, tolerated)
     network = cluster.network
     if lossy:
--- a/roselink/simulation/system_state.py
+++ b/roselink/simulation/system_state.py
@@ -245,7 +245,7 @@
 
 
 def _membership_of(members: Mapping[str, Member]) -> dict[str, PeerStatus]:
-    """The membership in which these members are healthy and hear each other and nobody else."""
+    """The membership in which these members are healthy and reach each other and nobody else."""
     reachable = frozenset(members)
     return {address: _peer_of(member, reachable - {address}) for address, member in members.items()}
 
--- a/tests/test_mutations.py
+++ b/tests/test_mutations.py
@@ -1,6 +1,4 @@
-"""Every guard that `mutations` removes stands in the code, once; a removed one is told from a held
-one.
-"""
+"""Every guard that `mutations` removes stands in the code, once, and its removal is detected."""
 
 from __future__ import annotations
 
@@ -26,8 +24,8 @@
 
 
 def test_names_tell_guards_apart() -> None:
-    places = [(mutation.file, mutation.name) for mutation in MUTATIONS]
-    assert len(set(places)) == len(places)
+    keys = [(mutation.file, mutation.name) for mutation in MUTATIONS]
+    assert len(set(keys)) == len(keys)
 
 
 @pytest.mark.parametrize(
@@ -37,9 +35,7 @@
         ("return RetryDecision.RETRY if outcome in NEVER_RAN or repeatable", False),
     ],
 )
-def test_a_guard_that_is_gone_is_told(
-    monkeypatch: pytest.MonkeyPatch, instead: str, caught: bool
-) -> None:
+def test_a_removed_guard_is_detected(instead: str, *, caught: bool) -> None:
     guard = "return RetryDecision.RETRY if outcome in NEVER_RAN or repeatable"
     tests = ("tests/routing/test_retries.py",)
     assert (
