--- a/roselink/lab/clients.py
+++ b/roselink/lab/clients.py
@@ -86,6 +86,15 @@
         return self.began + DEADLINE_S - time.monotonic()
 
 
+@dataclass(frozen=True, slots=True)
+class _Attempt:
+    """The result of one attempt: outcome, reason, and the pause before a retry in seconds."""
+
+    outcome: Outcome
+    reason: str = ""
+    pause_s: float = 0.0
+
+
 @dataclass(slots=True)
 class _Connection:
     gateway: str
@@ -137,35 +146,34 @@
         """Send a request, with retries until it is served, or attempts or time are used up."""
         request = self._make()
         tried = set[str]()
-        outcome = Outcome.FAILED
-        reason = "no gateway was ready"
+        attempt = _Attempt(Outcome.FAILED, "no gateway was ready")
         for number in range(MOST_ATTEMPTS):
             if number:
                 self._statistics.retries += 1
             try:
                 async with asyncio.timeout(max(0.01, request.remaining_s)):
-                    outcome, reason, wait_s = await self._attempt(request, tried)
+                    attempt = await self._attempt(request, tried)
             except TimeoutError:
-                outcome, reason, wait_s = Outcome.FAILED, "no whole answer in time", 0.0
-            if outcome is Outcome.SERVED:
+                attempt = _Attempt(Outcome.FAILED, "no whole answer in time")
+            if attempt.outcome is Outcome.SERVED:
                 if request.first_at is not None:
                     self._statistics.first_event_s.append(request.first_at - request.began)
-                return outcome
+                return attempt.outcome
             self._drop()
-            if request.remaining_s <= wait_s:
+            if request.remaining_s <= attempt.pause_s:
                 break
-            await asyncio.sleep(wait_s)
-        if outcome is Outcome.FAILED:
-            self._statistics.faults.append(f"{request.path}: {reason}")
-        return outcome
+            await asyncio.sleep(attempt.pause_s)
+        if attempt.outcome is Outcome.FAILED:
+            self._statistics.faults.append(f"{request.path}: {attempt.reason}")
+        return attempt.outcome
 
-    async def _attempt(self, request: _Request, tried: set[str]) -> tuple[Outcome, str, float]:
-        """Attempt a request: its outcome, the reason, and how long to wait before a retry (s)."""
+    async def _attempt(self, request: _Request, tried: set[str]) -> _Attempt:
+        """Attempt a request at one gateway."""
         connection: _Connection | None = None
         try:
             connection = await self._connect(tried)
             if connection is None:
-                return Outcome.REFUSED, "no gateway is ready", NOT_READY_PAUSE_S
+                return _Attempt(Outcome.REFUSED, "no gateway is ready", NOT_READY_PAUSE_S)
             tried.add(connection.gateway)
             connection.writer.write(self._encode(request))
             head = await read_head(connection.reader)
@@ -174,12 +182,13 @@
             await read_body(connection.reader, head)
         except (OSError, TimeoutError, MalformedMessageError) as error:
             gateway = connection.gateway if connection is not None else "a connection"
-            return Outcome.FAILED, f"{gateway}: {error!r}", 0.0
+            return _Attempt(Outcome.FAILED, f"{gateway}: {error!r}")
         reason = f"{connection.gateway}: status {head.status}"
         if head.status in NOT_RUN_STATUSES:
             retry_after_s = float(head.headers.get("retry-after", "0"))
-            return Outcome.REFUSED, reason, min(retry_after_s, request.remaining_s / 3)
-        return Outcome.FAILED, reason, 0.0
+            pause_s = min(retry_after_s, request.remaining_s / 3)
+            return _Attempt(Outcome.REFUSED, reason, pause_s)
+        return _Attempt(Outcome.FAILED, reason)
 
     async def _connect(self, tried: set[str]) -> _Connection | None:
         if self._connection is None and (gateway := self._ingress.pick(tried)) is not None:
@@ -210,7 +219,7 @@
 
     async def _check_response(
         self, request: _Request, head: Head, connection: _Connection
-    ) -> tuple[Outcome, str, float]:
+    ) -> _Attempt:
         """Read a whole response, and compare it with what the host must have sent."""
         if request.events:
             fault = await self._check_events(request, head, connection)
@@ -221,9 +230,10 @@
             fault = fault or "no valid stamp"
         if not head.keep_alive:
             self._drop()
-        return (Outcome.FAILED if fault else Outcome.SERVED), fault, 0.0
+        return _Attempt(Outcome.FAILED if fault else Outcome.SERVED, fault)
 
     async def _check_events(self, request: _Request, head: Head, connection: _Connection) -> str:
+        """Check the events of a stream; the fault, or nothing."""
         splitter = EventSplitter()
         async for chunk in read_chunks(connection.reader, head):
             for received in splitter.feed(chunk):
@@ -231,8 +241,6 @@
                 if received.data != event(request.path, request.last_id + 1):
                     return f"event {received.id} behind {request.last_id}"
                 request.last_id += 1
-        return (
-            ""
-            if request.last_id == request.events
-            else f"{request.last_id} of {request.events} events"
-        )
+        if request.last_id != request.events:
+            return f"{request.last_id} of {request.events} events"
+        return ""
