--- a/roselink/distribution/pull_client.py
+++ b/roselink/distribution/pull_client.py
@@ -200,7 +200,7 @@
     def _publish(self, snapshot: Snapshot) -> None:
         vector = snapshot.vector
         log.info(
-            "in_force configuration=%d hosts=%d:%d roster=%d:%d",
+            "snapshot_applied configuration=%d hosts=%d:%d roster=%d:%d",
             vector.configuration,
             *divmod(vector.hosts, EPOCH_SPAN),
             *divmod(vector.roster, EPOCH_SPAN),
@@ -210,4 +210,4 @@
                 callback(snapshot)
             # A fault in one subscriber must not keep the others, or the pulls, from going on.
             except Exception:
-                log.exception("snapshot_failed")
+                log.exception("snapshot_callback_failed")
