--- a/roselink/protocol/peer_connection.py
+++ b/roselink/protocol/peer_connection.py
@@ -65,7 +65,7 @@
         try:
             frames = self._decoder.feed(data)
         except FrameError as error:
-            log.warning("peer_frame_bad peer=%s error=%s", self._peer[0], error)
+            log.warning("peer_frame_rejected peer=%s error=%s", self._peer[0], error)
             self.abort()
             return
         for kind, call, message in frames:
@@ -93,7 +93,7 @@
         if self.transport is not None:
             self.transport.abort()
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _: Exception | None) -> None:
         """The connection has ended (`asyncio.Protocol`): its calls end with None."""
         self.transport = None
         callbacks = list(self.pending_calls.values())
