--- a/roselink/protocol/records.py
+++ b/roselink/protocol/records.py
@@ -91,7 +91,7 @@
 
 
 def record(number: int) -> Callable[[type[RecordType]], type[RecordType]]:
-    """Register a dataclass under a number that is unique in the whole project.
+    """Register a dataclass under a number that is unique in the project.
 
     Args:
         number: from 0 to 65535.
@@ -220,13 +220,14 @@
 def _optional_codec(field_type: FieldType) -> _Codec[Any]:
     choices = typing.get_args(field_type)
     inner = [choice for choice in choices if choice is not types.NoneType]
-    if len(inner) != 1 or len(choices) != 2:
+    if len(inner) != 1 or len(choices) - len(inner) != 1:
         raise UnsupportedFieldTypeError(field_type, "a union in a record is `X | None`")
     return _nullable(_codec_of(inner[0]))
 
 
 def _nullable(codec: _Codec[Value]) -> _Codec[Value | None]:
-    pack, unpack = codec.pack, codec.unpack
+    pack = codec.pack
+    unpack = codec.unpack
 
     def pack_optional(value: Value | None, packed: bytearray) -> None:
         packed.extend(_FLAG.pack(value is not None))
@@ -238,13 +239,14 @@
 
 def _tuple_codec(field_type: FieldType) -> _Codec[Any]:
     choices = typing.get_args(field_type)
-    if len(choices) != 2 or choices[1] is not Ellipsis:
+    if choices[1:] != (Ellipsis,):
         raise UnsupportedFieldTypeError(field_type, "a tuple in a record is `tuple[X, ...]`")
     return _sequence(_codec_of(choices[0]))
 
 
 def _sequence(codec: _Codec[Value]) -> _Codec[tuple[Value, ...]]:
-    pack, unpack = codec.pack, codec.unpack
+    pack = codec.pack
+    unpack = codec.unpack
 
     def pack_items(items: tuple[Value, ...], packed: bytearray) -> None:
         packed.extend(_SIZE.pack(len(items)))
