--- a/tests/controller/fakes.py
+++ b/tests/controller/fakes.py
@@ -1,6 +1,4 @@
-"""A stand-in for the replicated chain: it holds what it is asked until the test says how it
-ends.
-"""
+"""A stand-in for the replicated chain: it keeps each call until the test ends it."""
 
 from __future__ import annotations
 
@@ -18,8 +16,8 @@
     )
 
 
-class FakeNode:
-    """Keeps each order and each confirmed read with its callback."""
+class FakeChain:
+    """Keeps each proposed change and each confirmed read with its callback."""
 
     def __init__(self) -> None:
         self.epoch = 3
@@ -47,7 +45,9 @@
     def on_view(self, callback: Callable[[], None]) -> None:
         self.watchers.append(callback)
 
-    def change_view(self, epoch: int, is_tail: bool, tail: Address | None) -> None:
-        self.epoch, self.is_tail, self.tail = epoch, is_tail, tail
+    def change_view(self, epoch: int, tail: Address | None, *, is_tail: bool) -> None:
+        self.epoch = epoch
+        self.is_tail = is_tail
+        self.tail = tail
         for callback in self.watchers:
             callback()
--- a/tests/controller/single_member_core.py
+++ b/tests/controller/single_member_core.py
@@ -26,7 +26,7 @@
 START = sys.argv[2] if len(sys.argv) > 2 else "succeeds"
 
 
-class LoneNode:
+class SingleMemberChain:
     """A chain of one member, in memory."""
 
     def __init__(
@@ -76,7 +76,7 @@
 
 def main() -> None:
     stand_in = types.ModuleType("roselink.controller.chain_driver")
-    stand_in.ChainDriver = LoneNode  # type: ignore[attr-defined]
+    stand_in.ChainDriver = SingleMemberChain  # type: ignore[attr-defined]
     sys.modules["roselink.controller.chain_driver"] = stand_in
     run(load_settings(sys.argv[1]))
 
--- a/tests/controller/test_api.py
+++ b/tests/controller/test_api.py
@@ -23,7 +23,7 @@
 from roselink.controller.updates import digest_of_update
 from roselink.coordination.state import digest_of
 from roselink.model.fleet import VersionVector
-from tests.controller.fakes import FakeNode
+from tests.controller.fakes import FakeChain
 from tests.controller.reactor import REACTOR, play
 from tests.controller.test_validation import document
 
@@ -89,7 +89,7 @@
     """
 
     def __init__(self) -> None:
-        self.node, self.clock = FakeNode(), Clock()
+        self.node, self.clock = FakeChain(), Clock()
         self.api = AdminApi(self.node, FakePublished(), self.clock)
         self.port = REACTOR.listenTCP(0, self.api.site(), interface="127.0.0.1")
         self.callers: list[Caller] = []
--- a/tests/controller/test_chain_driver.py
+++ b/tests/controller/test_chain_driver.py
@@ -50,7 +50,7 @@
 class Process:
     """What a core process has of it: a server, a pool and the node."""
 
-    def __init__(self, host: str, port: int, folder: Path, bootstrap: bool = True) -> None:
+    def __init__(self, host: str, port: int, folder: Path, *, bootstrap: bool = True) -> None:
         self.host, self.port = host, port
         self.pool = PeerPool(self._handle)
         self.server = PeerServer(self._handle)
@@ -107,12 +107,14 @@
     assert await settled(processes[2], order_on(0, 2)) == Conflict(1)
     for process in processes:
         shown = await process.confirm()
-        assert shown is not None and shown.document == b"0-1"
+        assert shown is not None
+        assert shown.document == b"0-1"
     if planned:
         await processes[0].node.stop()
     processes[0].kill()
     assert await settled(processes[2], order_on(1, 5)) == ChangeCommitted(2)
-    assert processes[1].node.epoch > 1 and views
+    assert processes[1].node.epoch > 1
+    assert views
     again = Process(HOSTS[0], port, folders[HOSTS[0]], bootstrap=False)
     await again.begin()
     async with asyncio.timeout(10):
--- a/tests/controller/test_payoffs.py
+++ b/tests/controller/test_payoffs.py
@@ -80,7 +80,9 @@
 
 def test_the_tail_pools_what_pulls_bring_and_a_new_view_begins_anew() -> None:
     tail = Tail()
-    tail.ask(PullRequest(member("a"), pull().vector, True, (HostOutcomes("h", 0, 3),)))
+    tail.ask(
+        PullRequest(member("a"), pull().vector, serving=True, outcomes=(HostOutcomes("h", 0, 3),))
+    )
     tail.now += PUBLISH_INTERVAL_S
     assert told(tail.ask(pull("b")).payoffs) == {"h": 25}
     tail.pull_server.view_changed(tail.now, EPOCH + 1, TAIL, CORES, is_tail=True)
@@ -89,7 +91,9 @@
 
 def test_an_answer_of_changes_brings_payoffs_too_as_far_as_the_gateway() -> None:
     tail = Tail()
-    tail.ask(PullRequest(member("a"), pull().vector, True, (HostOutcomes("h", 0, 3),)))
+    tail.ask(
+        PullRequest(member("a"), pull().vector, serving=True, outcomes=(HostOutcomes("h", 0, 3),))
+    )
     tail.now += PUBLISH_INTERVAL_S
     tail.pull_server.pull_received(tail.now, 99, pull("b"), delta=True)
     (answer,) = tail.pull_server.confirmation_received(tail.now, 99, confirmation(EPOCH))
@@ -103,11 +107,15 @@
     pull_server = PullServer(TIMES)
     pull_server.view_changed(0.0, EPOCH, TAIL, CORES, is_tail=False)
     pull_server.pull_received(
-        0.1, 1, PullRequest(member("a"), pull().vector, True, (HostOutcomes("h", 0, 3),))
+        0.1,
+        1,
+        PullRequest(member("a"), pull().vector, serving=True, outcomes=(HostOutcomes("h", 0, 3),)),
     )
     assert pull_server._replies.payoffs.encoded(1.0) == b""
 
 
 def test_outcomes_survive_the_wire() -> None:
-    sent = PullRequest(member("a"), pull().vector, True, (HostOutcomes("h", 4, 3),))
+    sent = PullRequest(
+        member("a"), pull().vector, serving=True, outcomes=(HostOutcomes("h", 4, 3),)
+    )
     assert decode(record_number_of(sent), encode(sent)) == sent
--- a/tests/controller/test_pull_server.py
+++ b/tests/controller/test_pull_server.py
@@ -24,7 +24,7 @@
 from roselink.model.fleet import Host, HostState, Member, VersionVector
 from roselink.protocol.pull import DeltaPullReply, DeltaPullRequest, PullReply, PullRequest
 from roselink.protocol.records import decode, encode, record_number_of
-from tests.controller.fakes import FakeNode
+from tests.controller.fakes import FakeChain
 
 CORES = ("10.0.0.1:7500", "10.0.0.2:7500", "10.0.0.3:7500")
 TAIL = ("10.0.0.3", 7500)
@@ -39,7 +39,11 @@
 
 
 def pull(
-    name: str = "a", held: VersionVector | None = None, incarnation: int = 1, serving: bool = True
+    name: str = "a",
+    held: VersionVector | None = None,
+    incarnation: int = 1,
+    *,
+    serving: bool = True,
 ) -> PullRequest:
     return PullRequest(member(name, incarnation), held or VersionVector(), serving)
 
@@ -398,7 +402,7 @@
         self.calls.append((address, message, timeout_s, done))
 
 
-def service(node: FakeNode) -> tuple[PullDriver, FakePool]:
+def service(node: FakeChain) -> tuple[PullDriver, FakePool]:
     pool = FakePool()
     made = PullDriver(node, pool, TIMES, clock=lambda: 100.0)
     made.start()
@@ -406,7 +410,7 @@
 
 
 def test_driver_at_the_tail() -> None:
-    node = FakeNode()
+    node = FakeChain()
     made, _ = service(node)
     replies: list[AnyReply] = []
     assert made.handle(("10.1.0.1", 4000), pull(), replies.append)
@@ -418,7 +422,7 @@
 
 
 def test_driver_at_another_member() -> None:
-    node = FakeNode()
+    node = FakeChain()
     node.is_tail = False
     made, pool = service(node)
     replies: list[AnyReply] = []
@@ -433,9 +437,9 @@
 
 
 def test_driver_follows_the_view_and_the_core() -> None:
-    node = FakeNode()
+    node = FakeChain()
     made, _ = service(node)
-    node.change_view(EPOCH + 1, False, None)
+    node.change_view(EPOCH + 1, None, is_tail=False)
     node.cores = CORES[:2]
     replies: list[AnyReply] = []
     assert made.handle(("10.1.0.1", 4000), ForwardedPull(pull()), replies.append)
@@ -443,12 +447,12 @@
 
 
 def test_driver_leaves_other_records_alone() -> None:
-    made, _ = service(FakeNode())
+    made, _ = service(FakeChain())
     assert not made.handle(("10.1.0.1", 4000), RELAYED, lambda answer: None)
 
 
 def test_driver_of_changes_at_the_tail_and_at_another_member() -> None:
-    node = FakeNode()
+    node = FakeChain()
     made, pool = service(node)
     replies: list[Any] = []
     assert made.handle(("10.1.0.1", 4000), DeltaPullRequest(pull()), replies.append)
@@ -456,7 +460,7 @@
     assert made.handle(("10.0.0.1", 4000), ForwardedDeltaPull(pull()), replies.append)
     node.reads.get_nowait()(confirmation())
     assert [(type(reply), reply.confirmed) for reply in replies] == [(DeltaPullReply, True)] * 2
-    node.change_view(4, False, ("10.0.0.2", 7500))
+    node.change_view(4, ("10.0.0.2", 7500), is_tail=False)
     made.handle(("10.1.0.1", 4000), DeltaPullRequest(pull()), replies.append)
     ((address, message, _, done),) = pool.calls
     assert (address, message) == (("10.0.0.2", 7500), ForwardedDeltaPull(pull()))
--- a/tests/controller/test_storage.py
+++ b/tests/controller/test_storage.py
@@ -27,19 +27,20 @@
 STEPS = 40  # more than a save has
 
 
-class Broken(Exception):
+class ProcessEndedError(Exception):
     """The process has ended here."""
 
 
 class Disk:
-    """Counts the operations of a save, ends or refuses at one of them, and knows what was
-    synced.
-    """
+    """Counts the operations of a save, fails at one of them, and knows what was synced."""
 
     def __init__(
-        self, folder: Path, fail_at: int, error: Callable[[], Exception], once: bool
+        self, folder: Path, fail_at: int, error: Callable[[], Exception], *, once: bool
     ) -> None:
-        self.folder, self.fail_at, self.error, self.once = folder, fail_at, error, once
+        self.folder = folder
+        self.fail_at = fail_at
+        self.error = error
+        self.once = once
         self.steps = 0
         self.synced: dict[str, bytes] = {p.name: p.read_bytes() for p in folder.iterdir()}
         self.named: dict[str, bytes] = dict(self.synced)
@@ -195,12 +196,12 @@
         folder = tmp_path / str(seed)
         folder.mkdir()
         storing = prepared(folder)
-        disk = Disk(folder, at, Broken, once=False)
+        disk = Disk(folder, at, ProcessEndedError, once=False)
         ended = True
         with faulty(monkeypatch, disk):
             try:
                 save(storing, 3)
-            except Broken:
+            except ProcessEndedError:
                 ended = False
         if power:
             disk.lose_power(random.Random(seed * 1000 + at))
@@ -219,7 +220,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, at: int, once: bool
 ) -> None:
     storing = prepared(tmp_path)
-    disk = Disk(tmp_path, at, lambda: OSError(errno.ENOSPC, "full"), once)
+    disk = Disk(tmp_path, at, lambda: OSError(errno.ENOSPC, "full"), once=once)
     ended = True
     with faulty(monkeypatch, disk):
         try:
@@ -235,7 +236,7 @@
 
 def test_the_table_covers_a_whole_save(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     storing = prepared(tmp_path)
-    disk = Disk(tmp_path, 10**6, Broken, once=True)
+    disk = Disk(tmp_path, 10**6, ProcessEndedError, once=True)
     with faulty(monkeypatch, disk):
         save(storing, 3)
     assert 10 < disk.steps < STEPS
