--- a/roselink/dataplane/admission.py
+++ b/roselink/dataplane/admission.py
@@ -64,7 +64,7 @@
 
 
 def decide_admission(
-    table: RouteTable | None, keys_usable: bool, request: ProxyRequest
+    table: RouteTable | None, request: ProxyRequest, *, keys_usable: bool
 ) -> Refusal | Admitted:
     """What the configuration says.
 
--- a/roselink/dataplane/attempt_runner.py
+++ b/roselink/dataplane/attempt_runner.py
@@ -54,6 +54,7 @@
         hosts: Mapping[str, FleetHost],
         owner: RequestOwner,
     ) -> None:
+        """Start with the pool that attempts go through and the owner that learns their ends."""
         self._loop = loop
         self._upstream = upstream
         self._hosts = hosts
@@ -89,7 +90,7 @@
         )
         exchange.attempts[action.attempt] = response
         self._owner.counts["resumed" if resume else "attempts"] += 1
-        self._upstream.begin(response.attempt, partial(self._render, exchange, host, resume))
+        self._upstream.begin(response.attempt, partial(self._render, exchange, host, resume=resume))
 
     def _can_send(self, exchange: Exchange, host: FleetHost) -> bool:
         if exchange.closed or host.service != exchange.service or exchange.has_too_many_attempts:
@@ -109,7 +110,7 @@
         once = not exchange.route.repeatable
         return not (once and exchange.may_run) and self._owner.still_wanted(exchange)
 
-    def _render(self, exchange: Exchange, host: FleetHost, resume: bool) -> bytes:
+    def _render(self, exchange: Exchange, host: FleetHost, *, resume: bool) -> bytes:
         """The request as a host gets it now."""
         left_ms = max(1, int((exchange.give_up_at - self._loop.time()) * 1000) - HOST_MARGIN_MS)
         last = exchange.request.last_event_id
--- a/roselink/dataplane/client_connection.py
+++ b/roselink/dataplane/client_connection.py
@@ -10,7 +10,7 @@
 from roselink.dataplane.admission import NOT_CONFIRMED_RETRY_S
 from roselink.dataplane.proxy_request import Headers, ProxyRequest, read_request
 from roselink.http.server_connection import PendingRequest, ServerConnection
-from roselink.http.status_codes import REASON_PHRASES, UNAUTHORIZED
+from roselink.http.status_codes import OK, REASON_PHRASES, UNAUTHORIZED
 
 if TYPE_CHECKING:
     from roselink.dataplane.client_server import FleetServer
@@ -26,6 +26,7 @@
     """One client connection: its requests go to the driver."""
 
     def __init__(self, server: FleetServer) -> None:
+        """Start without a request, on a connection of `server`."""
         super().__init__(server)
         self._owner = server
         self._exchange: Exchange | None = None
@@ -54,13 +55,13 @@
         if asked and not (self._serving or self._pending):
             self._write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
-    def _read_request(self, method: bytes, keep: bool) -> PendingRequest:
+    def _read_request(self, method: bytes, *, keep: bool) -> PendingRequest:
         assert self._parser is not None
         request = read_request(
             method, self._url, self._headers, b"".join(self._body), self._read_at
         )
         request.version = self._parser.get_http_version()
-        return PendingRequest(request, 200, keep)
+        return PendingRequest(request, OK, keep=keep)
 
     def _serve_request(self, pending: PendingRequest) -> None:
         self._serving = True
@@ -153,4 +154,4 @@
 
     def _end(self) -> None:
         self._exchange = None
-        self._response_finished(self._kept)
+        self._response_finished(keep=self._kept)
--- a/roselink/dataplane/client_server.py
+++ b/roselink/dataplane/client_server.py
@@ -37,6 +37,7 @@
         descriptors: Descriptors,
         make_room: Callable[[], bool],
     ) -> None:
+        """Start with the default limits, until a configuration states others."""
         self.driver = driver
         self._limits: tuple[Limits, ...] = (Limits(),)  # the latest last
         self._told = False  # whether they are a configuration's
--- a/roselink/dataplane/decision_driver.py
+++ b/roselink/dataplane/decision_driver.py
@@ -73,6 +73,7 @@
         budget: SharedBudget,
         seed: int,
     ) -> None:
+        """Start without a configuration; `seed` fixes the draws of services and retry times."""
         self._loop = loop
         self._authority = authority
         self._quotas = quotas
@@ -123,7 +124,9 @@
         if self.route_table is None:
             self._refuse(client, 503, unconfigured_retry_s(request, self._random.random()))
             return None
-        verdict = decide_admission(self.route_table, self._authority.may_use_keys(), request)
+        verdict = decide_admission(
+            self.route_table, request, keys_usable=self._authority.may_use_keys()
+        )
         if isinstance(verdict, Refusal):
             self._refuse(client, *verdict)
             return None
--- a/roselink/dataplane/event_queue.py
+++ b/roselink/dataplane/event_queue.py
@@ -39,6 +39,7 @@
         perform: Callable[[Action], None],
         fail: Callable[[int], None],
     ) -> None:
+        """Start empty."""
         self._loop = loop
         self._decider = decider
         self._perform = perform
--- a/roselink/dataplane/event_streams.py
+++ b/roselink/dataplane/event_streams.py
@@ -37,6 +37,7 @@
     """Cuts a body into complete events. `remainder`: the bytes behind the last whole one."""
 
     def __init__(self) -> None:
+        """Start without a remainder."""
         self.remainder = b""
 
     def feed(self, data: bytes) -> list[StreamEvent]:
@@ -91,7 +92,8 @@
     `gap`.
     """
 
-    def __init__(self, progress: StreamProgress, resumed: bool) -> None:
+    def __init__(self, progress: StreamProgress, *, resumed: bool) -> None:
+        """Filter one attempt's stream; `resumed` if it takes up one that broke."""
         self._progress = progress
         self._resumed = resumed
         self._splitter = EventSplitter()
--- a/roselink/dataplane/exchange.py
+++ b/roselink/dataplane/exchange.py
@@ -24,6 +24,8 @@
     from roselink.routing.events_and_actions import RequestFacts
 
 ATTEMPTS_LIMIT = 64  # attempts of one request: a decider that never stops must not stop the loop
+# Digits of a `Last-Event-Id`, as of the ids in a stream.
+EVENT_ID_DIGITS_LIMIT = 18
 BUFFER_LIMIT_BYTES = 256 * 1024  # bytes of a response that wait here for the rest of it
 
 
@@ -93,6 +95,7 @@
         base: bytes,
         client: ClientResponse,
     ) -> None:
+        """Start an exchange without attempts; `base` is the head that all hosts get."""
         self.request = request
         self.route = route
         self.tenant = tenant
@@ -114,7 +117,7 @@
         self.host_failure: CompleteResponse | None = None
         taken_up = request.last_event_id
         self.progress = StreamProgress(
-            int(taken_up) if taken_up.isdigit() and len(taken_up) < 19 else 0
+            int(taken_up) if taken_up.isdigit() and len(taken_up) <= EVENT_ID_DIGITS_LIMIT else 0
         )
         self.deadline_timer: asyncio.TimerHandle | None = None
 
@@ -161,6 +164,7 @@
         first_event: Callable[[AttemptResponse], None],
         ended: Callable[[AttemptResponse, Outcome], None],
     ) -> None:
+        """Start without a byte; `started` is the attempt's start in loop time."""
         self.exchange = exchange
         self.number = number
         self.resumed = resumed
@@ -202,7 +206,7 @@
         self._outcome = outcome_of(status, {name.lower(): value for name, value in headers})
         if self._outcome is Outcome.SUCCESS and self.exchange.streaming:
             self.mode = ResponseMode.EVENTS
-            self._filter = StreamFilter(self.exchange.progress, self.resumed)
+            self._filter = StreamFilter(self.exchange.progress, resumed=self.resumed)
 
     def body(self, data: bytes) -> None:
         """A piece of the body has come."""
--- a/roselink/dataplane/fleet_host_connection.py
+++ b/roselink/dataplane/fleet_host_connection.py
@@ -41,6 +41,8 @@
 SURPLUS_LIMIT = 2
 # Hosts that state no idle time have one below a second.
 DEFAULT_IDLE_S = 0.4
+# Digits of the idle time in a `Keep-Alive` header, in seconds.
+IDLE_DIGITS_LIMIT = 7
 # A longer request may have reached the host in part when its write fails.
 PROVEN_LIMIT = 64 * 1024
 # Statuses that promise that a request has not run.
@@ -85,6 +87,7 @@
         still_wanted: StillWanted,
         single_run: bool = False,
     ) -> None:
+        """Start the time-out; `has_no_body` if the response to its method has none."""
         super().__init__(
             loop, host, timeout_s, lambda outcome, _: receiver.done(outcome), still_wanted
         )
@@ -114,6 +117,7 @@
     """One connection to a host; bodies go on to the attempt's receiver."""
 
     def __init__(self, upstream: HostPool, host: PooledHost) -> None:
+        """Start without a transport, for one host."""
         self._raw_headers: Headers = []
         self._body_pieces: list[bytes] = []
         self._bytes_since_progress = self._surplus_count = self._sent_bytes = 0
@@ -293,7 +297,11 @@
     """How long a connection may rest here so that the host is never the first to end it."""
     for part in keep_alive.split(b","):
         name, _, value = part.strip().partition(b"=")
-        if name.strip().lower() == b"timeout" and value.strip().isdigit() and len(value) < 8:
+        if (
+            name.strip().lower() == b"timeout"
+            and value.strip().isdigit()
+            and len(value) <= IDLE_DIGITS_LIMIT
+        ):
             stated_s = int(value)
             return max(0.1, min(stated_s - 0.5, 0.75 * stated_s))
     return DEFAULT_IDLE_S
--- a/roselink/dataplane/fleet_host_pool.py
+++ b/roselink/dataplane/fleet_host_pool.py
@@ -29,6 +29,7 @@
     """
 
     def __init__(self, name: str, service: str, address: Address, connection_limit: int) -> None:
+        """Start without connections."""
         super().__init__(name, address)
         self.service = service
         self.connection_limit = connection_limit
@@ -38,6 +39,7 @@
     """The pool of all hosts."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, descriptors: Descriptors) -> None:
+        """Start without hosts."""
         super().__init__(loop, descriptors, CONNECT_TIMEOUT_S, 0.0)
 
     def _new_connection(self, host: PooledHost) -> HostConnection:
--- a/roselink/dataplane/gateway_data_plane.py
+++ b/roselink/dataplane/gateway_data_plane.py
@@ -46,6 +46,7 @@
         quotas: Quotas,
         shared_budget: SharedBudget,
     ) -> None:
+        """Wire the parts; nothing listens before `start`."""
         self._settings = settings
         self._loop = loop
         self._authority = authority
--- a/roselink/dataplane/host_directory.py
+++ b/roselink/dataplane/host_directory.py
@@ -13,6 +13,7 @@
     """Hosts by their id."""
 
     def __init__(self, host_pool: FleetHostPool) -> None:
+        """Start without hosts."""
         self._host_pool = host_pool
         self.hosts: dict[str, FleetHost] = {}
         self._previous: dict[str, Host] = {}  # of the snapshot before
--- a/roselink/dataplane/proxy_request.py
+++ b/roselink/dataplane/proxy_request.py
@@ -28,6 +28,10 @@
 LOWEST_PRIORITY = 9
 PRIORITY_STEP = 3  # a tenant's rank goes before the route's
 PROMPT_PARTS_LIMIT = 256
+# A day: longer deadlines are taken for none.
+DEADLINE_LIMIT_S = 86400
+# Digits of a number of tokens.
+TOKEN_DIGITS_LIMIT = 9
 
 
 @dataclass(slots=True)
@@ -100,7 +104,7 @@
         seconds = float(value or b"") / 1000
     except ValueError:
         return None
-    return seconds if 0 <= seconds < 86400 else None
+    return seconds if 0 <= seconds < DEADLINE_LIMIT_S else None
 
 
 def _bearer(value: bytes | None) -> str | None:
@@ -113,7 +117,11 @@
     first = first.strip()
     second = second.strip()
     if not (
-        comma and first.isdigit() and second.isdigit() and len(first) < 10 and len(second) < 10
+        comma
+        and first.isdigit()
+        and second.isdigit()
+        and len(first) <= TOKEN_DIGITS_LIMIT
+        and len(second) <= TOKEN_DIGITS_LIMIT
     ):
         return None
     return int(first), int(second)
@@ -125,7 +133,7 @@
     parts = []
     for part in value.split(b",", PROMPT_PARTS_LIMIT):
         name, colon, tokens = part.strip().partition(b":")
-        if not (colon and tokens.isdigit() and len(tokens) < 10):
+        if not (colon and tokens.isdigit() and len(tokens) <= TOKEN_DIGITS_LIMIT):
             return ()
         parts.append(PromptPart(name.decode("latin-1"), int(tokens)))
     return tuple(parts)
--- a/roselink/dataplane/readiness_server.py
+++ b/roselink/dataplane/readiness_server.py
@@ -21,14 +21,15 @@
     """A caller that asks whether this gateway is ready."""
 
     def __init__(self, server: ReadinessServer) -> None:
+        """Start on a connection of `server`."""
         super().__init__(server)
         self._owner = server
 
-    def _read_request(self, method: bytes, keep: bool) -> PendingRequest:
+    def _read_request(self, method: bytes, *, keep: bool) -> PendingRequest:
         known = method in (b"GET", b"HEAD") and self._url.partition(b"?")[0] == b"/readyz"
         if not known:
             raise BadRequestError(404, "no such page")
-        return PendingRequest(None, 200, keep)
+        return PendingRequest(None, OK, keep=keep)
 
     def _serve_request(self, pending: PendingRequest) -> None:
         self._serving = True
@@ -41,7 +42,7 @@
             b"HTTP/1.1 %d %b\r\nContent-Length: 0\r\nConnection: %b\r\n\r\n"
             % (status, REASON_PHRASES[status], b"keep-alive" if keep else b"close")
         )
-        self._response_finished(keep)
+        self._response_finished(keep=keep)
 
 
 class ReadinessServer(HttpServer):
@@ -54,6 +55,7 @@
         descriptors: Descriptors,
         make_room: Callable[[], bool],
     ) -> None:
+        """Start with a callable that says whether the gateway is ready."""
         super().__init__(loop, descriptors, make_room, SizeLimits(8192, 8192, 65536))
         self.ready = ready
 
--- a/roselink/dataplane/route_table.py
+++ b/roselink/dataplane/route_table.py
@@ -15,6 +15,7 @@
     """One route with its split ready for the draw."""
 
     def __init__(self, route: Route) -> None:
+        """Prepare the draw of a service by the weights of the split."""
         self.route = route
         shares = [share for share in route.split if share.weight > 0] or list(route.split)
         self.services = [share.service for share in shares]
@@ -35,6 +36,7 @@
     """The routes and keys of one configuration."""
 
     def __init__(self, configuration: Configuration) -> None:
+        """Index the routes and keys of a configuration."""
         self.configuration = configuration
         self._prefixes: dict[str, dict[str, RouteEntry]] = {}
         for route in configuration.routes:
--- a/roselink/gateway/server.py
+++ b/roselink/gateway/server.py
@@ -56,14 +56,14 @@
             self._opened = None
             self._owner.engine.depart(opened)
 
-    def _read_request(self, method: bytes, keep: bool) -> PendingRequest:
+    def _read_request(self, method: bytes, *, keep: bool) -> PendingRequest:
         path = self._url.partition(b"?")[0]
         if path == b"/up" and method == b"GET":
-            return PendingRequest(None, self._owner.up_status(), keep)
+            return PendingRequest(None, self._owner.up_status(), keep=keep)
         request = self._owner.checks.check(
             method, self._url, self._headers, b"".join(self._body), self._read_at
         )
-        return PendingRequest(request, 200, keep)
+        return PendingRequest(request, 200, keep=keep)
 
     def _serve_request(self, pending: PendingRequest) -> None:
         self._serving = True
@@ -113,7 +113,7 @@
         lines.append(b"Content-Length: %d" % len(body))
         lines.append(b"Connection: keep-alive" if keep else b"Connection: close")
         self._write(b"\r\n".join(lines) + b"\r\n\r\n" + body)
-        self._response_finished(keep)
+        self._response_finished(keep=keep)
 
 
 class Server(HttpServer):
--- a/roselink/http/descriptors.py
+++ b/roselink/http/descriptors.py
@@ -17,6 +17,7 @@
     """
 
     def __init__(self, limit: int) -> None:
+        """Start with all of `limit` but the reserved ones unused."""
         self.limit = max(1, limit - RESERVED)
         self.used = 0
 
--- a/roselink/http/host_connection.py
+++ b/roselink/http/host_connection.py
@@ -19,7 +19,7 @@
 
 from roselink.http.exceptions import ResponseTooLongError, TooManyInterimResponsesError
 from roselink.http.socket_probe import SocketProbe
-from roselink.http.status_codes import is_interim
+from roselink.http.status_codes import OK, is_interim
 from roselink.routing.outcome import Outcome
 
 if TYPE_CHECKING:
@@ -44,6 +44,7 @@
     """One host as the list has it, and this gateway's connections to it."""
 
     def __init__(self, name: str, address: Address) -> None:
+        """Start ready, without connections."""
         self.name = name
         self.address = address
         self.ready = True
@@ -143,6 +144,7 @@
     """One connection to a host: carries one attempt at a time, or is idle."""
 
     def __init__(self, upstream: HostPool, host: PooledHost) -> None:
+        """Start without a transport; its descriptor counts from now on."""
         self.upstream = upstream
         self.host = host
         self.attempt: Attempt | None = None
@@ -298,7 +300,7 @@
             self._overdue_timer = None
 
     def _outcome(self) -> Outcome:
-        if self._status == 200:
+        if self._status == OK:
             return Outcome.SUCCESS
         if self._status in (503, 504) and self._headers.get(b"not-started") == b"1":
             return Outcome.FULL
--- a/roselink/http/host_pool.py
+++ b/roselink/http/host_pool.py
@@ -30,6 +30,7 @@
         connect_timeout_s: float,
         idle_s: float,
     ) -> None:
+        """Start without connections; `idle_s` is how long hosts keep idle ones, in seconds."""
         self._loop = loop
         self._descriptors = descriptors
         self._connect_timeout_s = connect_timeout_s
--- a/roselink/http/logs.py
+++ b/roselink/http/logs.py
@@ -14,6 +14,7 @@
     """Passes so many lines a second and says how many it left out."""
 
     def __init__(self) -> None:
+        """Start with nothing counted."""
         super().__init__()
         self._began = 0.0
         self._count = 0
--- a/roselink/http/server.py
+++ b/roselink/http/server.py
@@ -53,6 +53,14 @@
         make_room: Callable[[], bool],
         size_limits: SizeLimits,
     ) -> None:
+        """Start without a listener.
+
+        Args:
+            loop: the event loop.
+            descriptors: the sockets of the whole process.
+            make_room: closes an idle connection to a host; whether there was one.
+            size_limits: what a request may hold.
+        """
         self.loop = loop
         self.size_limits = size_limits
         self._descriptors = descriptors
--- a/roselink/http/server_connection.py
+++ b/roselink/http/server_connection.py
@@ -37,7 +37,8 @@
     Clients may pipeline requests; each is served once the one before it has its response.
     """
 
-    def __init__(self, request: Any, status: int, keep: bool, why: str = "") -> None:
+    def __init__(self, request: Any, status: int, *, keep: bool, why: str = "") -> None:
+        """Keep what a subclass serves in its turn; `why` is for the log."""
         self.request = request
         self.status = status
         self.keep = keep
@@ -52,6 +53,7 @@
     """
 
     def __init__(self, server: HttpServer) -> None:
+        """Start without a transport, on a connection of `server`."""
         self._server = server
         self._transport: asyncio.Transport | None = None
         self._probe: SocketProbe | None = None
@@ -148,12 +150,7 @@
             try:
                 self._parser.feed_data(data)
                 if self._in_request and complete == self._completed_requests:
-                    # A header without end, or an endless extension of a chunk, reaches no callback.
-                    self._request_bytes += len(data)
-                    if self._in_head and self._request_bytes > self._server.size_limits.head:
-                        raise BadRequestError(431, "head too long")
-                    if self._request_bytes > self._server.size_limits.message:
-                        raise BadRequestError(413, "request too long")
+                    self._count_request_bytes(len(data))
             except httptools.HttpParserUpgrade:
                 # The offer is not taken up: the request is served, and what follows is not HTTP any
                 # more.
@@ -166,9 +163,24 @@
                     else self._parse_error or BadRequestError(400, f"not HTTP: {error}")
                 )
                 self._input_ended = True
-                self._pending.append(PendingRequest(None, bad.status, False, str(bad)))
+                self._pending.append(PendingRequest(None, bad.status, keep=False, why=str(bad)))
         if self._input_ended:
             self._unparsed = b""
+        self._pause_or_resume_reading()
+
+    def _count_request_bytes(self, size: int) -> None:
+        """Bound a request as a whole.
+
+        A header without end, or an endless extension of a chunk, reaches no callback of the parser.
+        """
+        self._request_bytes += size
+        if self._in_head and self._request_bytes > self._server.size_limits.head:
+            raise BadRequestError(431, "head too long")
+        if self._request_bytes > self._server.size_limits.message:
+            raise BadRequestError(413, "request too long")
+
+    def _pause_or_resume_reading(self) -> None:
+        """Read on once all that was read is parsed."""
         wait = bool(self._unparsed) and not self._input_ended
         if self._transport is None or self._probe is None or not (wait or self._reading_paused):
             return
@@ -239,9 +251,9 @@
         assert self._parser is not None
         keep = self._parser.should_keep_alive()
         try:
-            pending = self._read_request(self._parser.get_method(), keep)
+            pending = self._read_request(self._parser.get_method(), keep=keep)
         except BadRequestError as bad:
-            pending = PendingRequest(None, bad.status, keep, str(bad))
+            pending = PendingRequest(None, bad.status, keep=keep, why=str(bad))
         self._pending.append(pending)
 
     # One request after another.
@@ -266,7 +278,7 @@
 
     # What a subclass defines.
 
-    def _read_request(self, method: bytes, keep: bool) -> PendingRequest:
+    def _read_request(self, method: bytes, *, keep: bool) -> PendingRequest:
         """Read the request that has just become complete.
 
         Args:
@@ -302,7 +314,7 @@
         if self._transport is not None:
             self._transport.write(data)
 
-    def _response_finished(self, keep: bool) -> None:
+    def _response_finished(self, *, keep: bool) -> None:
         """The last byte of a response is on its way."""
         self._serving = False
         self.last_progress_at = self._server.loop.time()
@@ -411,7 +423,9 @@
         elif self._in_request and not self._serving and not self._input_ended:
             if waited > (times.head if self._in_head else times.body):
                 self._input_ended = True
-                self._pending.append(PendingRequest(None, 408, False, "request not whole in time"))
+                self._pending.append(
+                    PendingRequest(None, 408, keep=False, why="request not whole in time")
+                )
                 self._advance()
         elif (
             self.idle() and waited > times.idle[min(self._completed_requests, len(times.idle) - 1)]
--- a/roselink/http/socket_probe.py
+++ b/roselink/http/socket_probe.py
@@ -19,6 +19,7 @@
     """One connection's socket, for as long as its transport is open."""
 
     def __init__(self, transport: asyncio.BaseTransport) -> None:
+        """Watch the socket of an open transport."""
         self._poll = select.poll()
         self._poll.register(
             transport.get_extra_info("socket").fileno(), select.POLLIN | select.POLLRDHUP
--- a/tests/dataplane/test_checks.py
+++ b/tests/dataplane/test_checks.py
@@ -291,7 +291,7 @@
     url: bytes, key: str, usable: bool, known: bool, verdict: Refusal | str | None
 ) -> None:
     request = made((b"Authorization", b"Bearer " + key.encode()), url=url)
-    got = decide_admission(table() if known else None, usable, request)
+    got = decide_admission(table() if known else None, request, keys_usable=usable)
     if isinstance(got, Admitted):
         assert (got.tenant.name if got.tenant else None) == verdict
     else:
@@ -317,7 +317,7 @@
 
 
 def test_without_tenants_no_key_is_asked_for() -> None:
-    got = decide_admission(table(tenants=[]), False, made())
+    got = decide_admission(table(tenants=[]), made(), keys_usable=False)
     assert isinstance(got, Admitted)
     assert got.tenant is None
 
