--- a/roselink/controller/pull_driver.py
+++ b/roselink/controller/pull_driver.py
@@ -31,7 +31,7 @@
 Reply = Callable[[AnyReply], None]
 
 
-class Caller(Protocol):
+class PeerCaller(Protocol):
     """What the driver needs of a `PeerPool`."""
 
     def call(
@@ -49,20 +49,20 @@
 
     def __init__(
         self,
-        node: ReplicatedChain,
-        pool: Caller,
+        chain: ReplicatedChain,
+        pool: PeerCaller,
         times: LivenessTimes | None = None,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         """Make the driver; `start` lets it follow the chain.
 
         Args:
-            node: the replicated chain.
+            chain: the replicated chain.
             pool: the connections to the other members.
             times: bounds of the gateways' liveness.
             clock: a steady clock, in seconds.
         """
-        self._node = node
+        self._chain = chain
         self._pool = pool
         self._clock = clock
         self._server = PullServer(times)
@@ -70,20 +70,20 @@
         self._numbers = itertools.count(1)
 
     def start(self) -> None:
-        """Begin to follow the node's view."""
-        self._node.on_view(self.view_changed)
+        """Begin to follow the chain's view."""
+        self._chain.on_view(self.view_changed)
         self.view_changed()
 
     def view_changed(self) -> None:
-        """Take over the node's view."""
-        node = self._node
+        """Take over the chain's view."""
+        chain = self._chain
         self._apply(
             self._server.view_changed(
                 self._clock(),
-                node.epoch,
-                node.tail,
-                node.core_addresses(),
-                is_tail=node.is_tail,
+                chain.epoch,
+                chain.tail,
+                chain.core_addresses(),
+                is_tail=chain.is_tail,
             )
         )
 
@@ -119,7 +119,7 @@
     ) -> None:
         number = next(self._numbers)
         self._replies[number] = reply
-        self._server.cores_changed(self._node.core_addresses())
+        self._server.cores_changed(self._chain.core_addresses())
         self._apply(
             self._server.pull_received(
                 self._clock(), number, pull, forwarded=forwarded, delta=delta
@@ -130,7 +130,7 @@
         for effect in effects:
             match effect:
                 case RequestConfirmation(number):
-                    self._node.confirm(self._on_confirmation(number))
+                    self._chain.confirm(self._on_confirmation(number))
                 case ForwardToTail(number, tail, message):
                     self._pool.call(
                         tail, message, FORWARD_TIMEOUT_S, self._on_forward_reply(number)
--- a/roselink/controller/startup_log.py
+++ b/roselink/controller/startup_log.py
@@ -9,7 +9,20 @@
 import json
 import sys
 from datetime import UTC, datetime
-from typing import Any
+from typing import Protocol
+
+
+class Logger(Protocol):
+    """What is used of the library's logger."""
+
+    def info(self, event: str, **fields: object) -> object:
+        """Log a normal event."""
+
+    def warning(self, event: str, **fields: object) -> object:
+        """Log an event that may need attention."""
+
+    def error(self, event: str, **fields: object) -> object:
+        """Log a fault that keeps the process from its work."""
 
 
 class StartupLog:
@@ -18,29 +31,29 @@
     def __init__(self) -> None:
         """Begin without a name and without the library."""
         self._node_name = ""
-        self._logger: Any = None
+        self._logger: Logger | None = None
 
     def set_node_name(self, node_name: str) -> None:
         """Set the process's name, which is in each line."""
         self._node_name = node_name
 
-    def use_logger(self, logger: Any) -> None:
+    def use_logger(self, logger: Logger) -> None:
         """Write through the library's logger from now on."""
         self._logger = logger
 
-    def info(self, event: str, **fields: Any) -> None:
+    def info(self, event: str, **fields: object) -> None:
         """Log a normal event."""
         self._write("info", event, fields)
 
-    def warning(self, event: str, **fields: Any) -> None:
+    def warning(self, event: str, **fields: object) -> None:
         """Log an event that may need attention."""
         self._write("warning", event, fields)
 
-    def error(self, event: str, **fields: Any) -> None:
+    def error(self, event: str, **fields: object) -> None:
         """Log a fault that keeps the process from its work."""
         self._write("error", event, fields)
 
-    def _write(self, level: str, event: str, fields: dict[str, Any]) -> None:
+    def _write(self, level: str, event: str, fields: dict[str, object]) -> None:
         if self._logger is not None:
             getattr(self._logger, level)(event, **fields)
             return
--- a/tests/mutations/controller.py
+++ b/tests/mutations/controller.py
@@ -7,6 +7,7 @@
 STORAGE = ("tests/simulation/test_disk.py", "tests/controller/test_storage.py")
 PULLS = (
     "tests/controller/test_pull_server.py",
+    "tests/controller/test_pull_driver.py",
     "tests/controller/test_host_versions.py",
     "tests/simulation/test_scenarios.py",
 )
