--- a/roselink/simulation/clients.py
+++ b/roselink/simulation/clients.py
@@ -112,7 +112,7 @@
 
 
 def command_of(change: Change, padding: int = 0) -> ConfigurationChange:
-    """A change with its whole document, as members take it."""
+    """A change with its whole document, as members handle it."""
     document = document_of(change, padding)
     return ConfigurationChange(
         change.base, change.version, document, digest_of(change.base, document)
@@ -120,11 +120,15 @@
 
 
 def update_command_of(change: Change, missing: int) -> UpdateRequest:
-    """A change as an update of items, as members take it."""
-    call = parse_update_request(change.base, update_of(change, missing))
-    if isinstance(call, ValidationFailure):
-        raise ChangeNotValidError(change, call)
-    return call
+    """A change as an update of items, as members handle it.
+
+    Raises:
+        ChangeNotValidError: the controller's validation refuses it.
+    """
+    request = parse_update_request(change.base, update_of(change, missing))
+    if isinstance(request, ValidationFailure):
+        raise ChangeNotValidError(change, request)
+    return request
 
 
 def change_in(cluster: Cluster, document: bytes | None) -> Change | None:
