--- a/tests/protocol/test_peer_pool.py
+++ b/tests/protocol/test_peer_pool.py
@@ -9,7 +9,7 @@
 from roselink.protocol.peer_pool import PeerPool
 from roselink.protocol.peer_server import PeerServer
 from tests.protocol.messages import PingReply, PingRequest
-from tests.support.net import on_loop
+from tests.support.event_loop import on_loop
 
 if TYPE_CHECKING:
     from roselink.protocol.peer_connection import Address, ReplySender
