--- a/roselink/protocol/peer_pool.py
+++ b/roselink/protocol/peer_pool.py
@@ -8,9 +8,8 @@
 
 import asyncio
 import itertools
-from typing import NamedTuple
 
-from roselink.protocol.framing import FrameKind, encode_frame
+from roselink.protocol.framing import Frame, FrameKind, encode_frame
 from roselink.protocol.peer_connection import (
     Address,
     MessageHandler,
@@ -22,14 +21,6 @@
 CONNECT_TIMEOUT_S = 0.6
 
 
-class _QueuedMessage(NamedTuple):
-    """A message that is sent as soon as the connection stands."""
-
-    kind: FrameKind
-    call: int
-    message: Record
-
-
 class _Peer:
     """The connection to one address, made when first needed, and what is queued for it."""
 
@@ -37,7 +28,8 @@
         self._handler = handler
         self._address = address
         self._connection: PeerConnection | None = None
-        self._queue: list[_QueuedMessage] = []
+        # Sent as soon as the connection stands.
+        self._queue: list[Frame] = []
         # Calls that are queued; the connection has those that are sent.
         self._queued_calls: dict[int, ReplyCallback] = {}
         self._connecting: asyncio.Task[None] | None = None
@@ -50,7 +42,7 @@
                 self._connection.pending_calls[call] = on_reply
             self._connection.write(encode_frame(kind, call, message))
             return
-        self._queue.append(_QueuedMessage(kind, call, message))
+        self._queue.append(Frame(kind, call, message))
         if on_reply is not None:
             self._queued_calls[call] = on_reply
         if self._connecting is None:
@@ -77,8 +69,8 @@
         self._queued_calls = {}
         queue = self._queue
         self._queue = []
-        for queued in queue:
-            connection.write(encode_frame(queued.kind, queued.call, queued.message))
+        for frame in queue:
+            connection.write(encode_frame(*frame))
 
     def _fail_queued(self) -> None:
         callbacks = list(self._queued_calls.values())
--- a/roselink/protocol/records.py
+++ b/roselink/protocol/records.py
@@ -20,7 +20,7 @@
 import struct
 import types
 import typing
-from dataclasses import Field, dataclass, fields, is_dataclass
+from dataclasses import Field, fields, is_dataclass
 from enum import IntEnum
 from typing import Any, ClassVar, Generic, Protocol, TypeAlias, TypeVar
 
@@ -82,12 +82,16 @@
         return value
 
 
-@dataclass(frozen=True, slots=True)
 class _Codec(Generic[Value]):
     """How values of one type are appended to a record, and read from one."""
 
-    pack: Callable[[Value, bytearray], None]
-    unpack: Callable[[_Cursor], Value]
+    __slots__ = ("pack", "unpack")
+
+    def __init__(
+        self, pack: Callable[[Value, bytearray], None], unpack: Callable[[_Cursor], Value]
+    ) -> None:
+        self.pack = pack
+        self.unpack = unpack
 
 
 def record(number: int) -> Callable[[type[RecordType]], type[RecordType]]:
