--- a/tests/balancer/test_balance.py
+++ b/tests/balancer/test_balance.py
@@ -145,7 +145,7 @@
     assert len(harness.sends[request]) == 2
     actions = harness.done(request, Outcome.SUCCESS, 50_000, attempt=1)
     assert Cancel(request, 0) in actions
-    harness.feed(AttemptDone(request, 0, Outcome.CANCELLED, 50_000, True))
+    harness.feed(AttemptDone(request, 0, Outcome.CANCELLED, 50_000, closed=True))
     assert request not in harness.balancer.requests
 
 
@@ -205,7 +205,8 @@
     harness.done(request, Outcome.ERROR, 1000)
     harness.pass_time(60_000)
     first, second = harness.sends[request]
-    assert first != second and first % 2 == second % 2
+    assert first != second
+    assert first % 2 == second % 2
     harness.pass_time(400_000)
     harness.done(request, Outcome.ERROR, 1000)
     assert Fail(request) in harness.pass_time(600_000)
@@ -268,20 +269,22 @@
                 harness.warm_up(count, elapsed_us, kind)
                 if turn > 100:
                     lanes[kind].update(s[0] for s in list(harness.sends.values())[-count:])
-        assert lanes[1] and not lanes[0] & lanes[1]
+        assert lanes[1]
+        assert not lanes[0] & lanes[1]
         used.append(lanes[1])
     assert used[0] & used[1]
 
 
 def test_discovery_is_asked_again_with_growing_jittered_waits() -> None:
     harness = BalancerHarness(settings(discovery_asks=True), 2)
-    assert Watch(True) in harness.log
+    assert Watch(on=True) in harness.log
     waits = []
     for _ in range(6):
         actions = harness.feed(ServerList(ListKind.FAILED))
         waits += [a.delay_us for a in actions if isinstance(a, SetAlarm)]
-        assert Watch(True) in harness.pass_time(10_000_000)
-    assert waits[0] < 500_000 and waits[4] > waits[0] * 3
+        assert Watch(on=True) in harness.pass_time(10_000_000)
+    assert waits[0] < 500_000
+    assert waits[4] > waits[0] * 3
     assert all(w <= 10_000_000 / 2 for w in waits)
 
 
@@ -289,7 +292,7 @@
     harness = BalancerHarness(settings(), 2)
     request = harness.arrive()
     harness.done(request, Outcome.SUCCESS)
-    assert harness.feed(AttemptDone(request, 0, Outcome.SUCCESS, 1, True)) == []
+    assert harness.feed(AttemptDone(request, 0, Outcome.SUCCESS, 1, closed=True)) == []
     assert harness.feed(AttemptDone(999, 0, Outcome.ERROR, 1)) == []
     other = harness.arrive()
     harness.feed(ServerList(ListKind.FULL, ()))
@@ -455,7 +458,8 @@
     for number in range(120):
         balancer = BalancerHarness(many(balancers=120, number=number), fleet()).balancer
         counts.update(s.spec.id for s in window(balancer.state) or [])
-    assert len(counts) == 60 and max(counts.values()) == min(counts.values())
+    assert len(counts) == 60
+    assert max(counts.values()) == min(counts.values())
 
 
 def test_a_balancer_with_all_the_traffic_draws_from_the_whole_fleet() -> None:
@@ -533,7 +537,8 @@
     harness = BalancerHarness(settings(), 3)
     harness.balancer.shedder.admitted = 0.0
     request = harness.arrive()
-    assert request not in harness.sends and harness.log[-1] == Refuse(request)
+    assert request not in harness.sends
+    assert harness.log[-1] == Refuse(request)
 
 
 def test_many_small_retry_budgets_hold_no_storm() -> None:
@@ -558,7 +563,8 @@
         for _ in range(12):
             balancer.blame(balancer.state.candidates[0])
     lasts = [b.state.candidates[0].ejected_until_us - b.state.now_us for b in (alone, shared)]
-    assert lasts[0] == DEADLINE_US and lasts[1] > 3 * DEADLINE_US
+    assert lasts[0] == DEADLINE_US
+    assert lasts[1] > 3 * DEADLINE_US
 
 
 def test_crossing_zones_is_worth_its_price_only() -> None:
@@ -595,7 +601,9 @@
                 actions = balancer.handle(now, [Arrived(number, 0, now + DEADLINE_US)])
                 if any(isinstance(a, Send) for a in actions):
                     sent.append(now)
-                    balancer.handle(now, [AttemptDone(number, 0, Outcome.SUCCESS, work_us, True)])
+                    balancer.handle(
+                        now, [AttemptDone(number, 0, Outcome.SUCCESS, work_us, closed=True)]
+                    )
                 else:
                     balancer.handle(now, [Departed(number)])
     assert len(sent) > 20  # the budget is put to use, not only kept
@@ -628,7 +636,7 @@
         balancer.handle(now, [Arrived(now, 0, now + DEADLINE_US * 2, work_us=work_us)])
         if now in balancer.requests and balancer.requests[now].attempts:
             sent += 1
-            balancer.handle(now, [AttemptDone(now, 0, Outcome.SUCCESS, work_us, True)])
+            balancer.handle(now, [AttemptDone(now, 0, Outcome.SUCCESS, work_us, closed=True)])
         else:
             balancer.handle(now, [Departed(now)])
     can_us = sum(2.0 * (0.2 + 0.8 * t / 400) * 50_000 for t in range(200)) * count / 40
@@ -796,4 +804,5 @@
         hosts = window(balancer.state) or []
         assert len(hosts) == len({s.spec.id for s in hosts}) == 12
         shares.append(sum(s.spec.zone == 0 for s in hosts))
-    assert shares[0] >= 6 and shares[0] > shares[1]
+    assert shares[0] >= 6
+    assert shares[0] > shares[1]
--- a/tests/balancer/test_cold_fleet.py
+++ b/tests/balancer/test_cold_fleet.py
@@ -204,7 +204,9 @@
                         int(self.works[send.request] / self.machines[send.server].speed)
                         + self.site.io_us
                     )
-                    b.handle(now, [AttemptDone(send.request, 0, Outcome.SUCCESS, took, True)])
+                    b.handle(
+                        now, [AttemptDone(send.request, 0, Outcome.SUCCESS, took, closed=True)]
+                    )
         b.alarms.clear()
         if answers > 64:
             b.slow_start.load = 0.5 * b.settings.fall_multiple
--- a/tests/balancer/test_property.py
+++ b/tests/balancer/test_property.py
@@ -119,7 +119,8 @@
             else:
                 self.checker.after(self.now, [])
         assert self.give_up.keys() == self.ended
-        assert not self.balancer.requests and self.balancer.state.queued == 0
+        assert not self.balancer.requests
+        assert self.balancer.state.queued == 0
         assert all(s.in_flight == s.overdue == 0 for s in self.balancer.state.servers.values())
 
     def trouble(self) -> list[Event]:
--- a/tests/balancer/test_simulator_adapter.py
+++ b/tests/balancer/test_simulator_adapter.py
@@ -52,7 +52,8 @@
     assert (status, errors) == (0, "")
     assert replies[0] == {"parts": []}
     decision = replies[2]["parts"][0]["decisions"][0]
-    assert decision[:2] == ["route", 9] and decision[2] in (51, 52)
+    assert decision[:2] == ["route", 9]
+    assert decision[2] in (51, 52)
     assert replies[3] == {"parts": []}
 
 
@@ -82,7 +83,8 @@
         status, replies, errors = run(start, bad)
         assert status == 2, bad
         assert len(replies) == 1
-        assert errors.startswith("benchlink: line 2: ") and errors.count("\n") == 1, errors
+        assert errors.startswith("benchlink: line 2: "), errors
+        assert errors.count("\n") == 1, errors
 
 
 def test_a_fault_of_one_instance_is_its_own(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/gateway/test_departures.py
+++ b/tests/gateway/test_departures.py
@@ -82,7 +82,7 @@
         [number] = client.send()
         await until(lambda: bool(w.gateway.engine._open))
         w.hosts.append(await FakeHost("s-first").start())
-        line = w.discovery.line(True, w.hosts[0].entry())
+        line = w.discovery.line(w.hosts[0].entry())
         client.leave()
         w.gateway.discovery._take_value(line)
         await settled(w)
--- a/tests/gateway/test_discovery.py
+++ b/tests/gateway/test_discovery.py
@@ -126,7 +126,7 @@
 @on_loop
 async def test_a_line_may_come_in_pieces() -> None:
     async with world(serve_ok) as w:
-        line = w.discovery.line(True, w.hosts[0].entry(lifecycle="draining"))
+        line = w.discovery.line(w.hosts[0].entry(lifecycle="draining"))
         for start in range(0, len(line), 7):
             w.discovery.send(line[start : start + 7])
         await until(lambda: not next(iter(w.gateway.engine.hosts.values())).ready)
@@ -140,7 +140,7 @@
 @on_loop
 async def test_a_list_on_a_watch_may_be_laid_out_over_lines(step: int, indent: int | str) -> None:
     async with world(serve_ok) as w:
-        given = json.loads(w.discovery.line(True, w.hosts[0].entry(lifecycle="draining")))
+        given = json.loads(w.discovery.line(w.hosts[0].entry(lifecycle="draining")))
         data = json.dumps(given, indent=indent).encode() + b"\n\n"
         for start in range(0, len(data), step):
             w.discovery.send(data[start : start + step])
--- a/tests/gateway/test_engine_faults.py
+++ b/tests/gateway/test_engine_faults.py
@@ -176,6 +176,6 @@
         idle = [c for host in engine.hosts.values() for c in host.idle]
         assert set(w.gateway.upstream._idle) == set(idle)
         await until(lambda: w.gateway.server._descriptors.used == len(w.gateway.upstream._idle))
-        assert not (
-            w.gateway.server._unused or w.gateway.server._idle or w.gateway.server._finishing
-        )
+        assert not w.gateway.server._unused
+        assert not w.gateway.server._idle
+        assert not w.gateway.server._finishing
--- a/tests/gateway/test_retries.py
+++ b/tests/gateway/test_retries.py
@@ -46,7 +46,8 @@
         came = asyncio.get_running_loop().time()
         clients[-1].socket.setblocking(False)
         got = await asyncio.get_running_loop().sock_recv(clients[-1].socket, 65536)
-        assert got.startswith(b"HTTP/1.1 503") and b"Retry-After" in got
+        assert got.startswith(b"HTTP/1.1 503")
+        assert b"Retry-After" in got
         assert asyncio.get_running_loop().time() < came + 3.0
         assert len(balancer.requests) == len(clients) - 1  # the others are still out
 
--- a/tests/gateway/test_settings.py
+++ b/tests/gateway/test_settings.py
@@ -94,5 +94,6 @@
     harness.pass_time(5_000_000)
     harness.done(harness.arrive(), Outcome.SUCCESS)
     balancer = harness.balancer
-    assert len(balancer.state.servers) == 5 and len(balancer.requests) == len(balancer.alarms) == 0
+    assert len(balancer.state.servers) == 5
+    assert len(balancer.requests) == len(balancer.alarms) == 0
     assert all(len(r.latency) <= 128 for r in balancer.state.routes)
--- a/tests/support/fake_discovery.py
+++ b/tests/support/fake_discovery.py
@@ -15,15 +15,15 @@
 
     def __init__(self, *entries: dict[str, Any]) -> None:
         self.generation = 1
-        self.first: bytes = self.line(True, *entries)
+        self.first: bytes = self.line(*entries)
         self.asked: asyncio.Queue[str] = asyncio.Queue()
         self.ended: asyncio.Queue[int] = (
             asyncio.Queue()
         )  # numbers of watches that the gateway ended
         self.watches: list[asyncio.StreamWriter] = []
 
-    def line(self, whole: bool, *entries: dict[str, Any]) -> bytes:
-        given = {"generation": self.generation, "reset": whole, "instances": list(entries)}
+    def line(self, *entries: dict[str, Any], full: bool = True) -> bytes:
+        given = {"generation": self.generation, "reset": full, "instances": list(entries)}
         return json.dumps(given).encode() + b"\n"
 
     async def start(self, bound: socket.socket | None = None) -> FakeDiscovery:
@@ -70,4 +70,4 @@
 
     def tell(self, *entries: dict[str, Any]) -> None:
         self.generation += 1
-        self.send(self.line(False, *entries))
+        self.send(self.line(*entries, full=False))
