--- a/tests/controller/test_app.py
+++ b/tests/controller/test_app.py
@@ -17,7 +17,8 @@
 from roselink.protocol.pull import PullReply, PullRequest
 from tests.controller.reactor import play
 from tests.controller.test_api import Answered, Caller
-from tests.controller.test_host_list import StandIn, body, entry
+from tests.controller.test_host_list_client import StandIn
+from tests.controller.test_host_list_reader import body, entry
 from tests.controller.test_validation import document
 
 ROOT = Path(__file__).resolve().parents[2]
--- a/tests/controller/test_host_list.py
+++ b/tests/controller/test_host_list_reader.py
@@ -1,15 +1,11 @@
-"""The list reader: entries, the schedule of calls, and the driver against a stand-in for the
-platform.
-"""
+"""The host list's reader: entries, pages, and the schedule of calls."""
 
 from __future__ import annotations
 
-import asyncio
 import itertools
 import json
 import random
-from typing import TYPE_CHECKING, Any
-from urllib.parse import parse_qs, urlsplit
+from typing import Any
 
 import pytest
 
@@ -27,11 +23,6 @@
     parse_page,
 )
 from roselink.model.fleet import Host, HostState
-from roselink.model.settings import PlatformSettings
-from tests.controller.reactor import REACTOR, play
-
-if TYPE_CHECKING:
-    from collections.abc import Callable
 
 ENTRY: dict[str, Any] = {
     "service": "model",
@@ -309,126 +300,3 @@
     driven.answer(page("c"))
     assert driven.lists == [(4, ["c"])]
     assert driven.reader.start(driven.now, 4) == []
-
-
-class StandIn:
-    """A platform on a loopback socket, written from the page: pages by token, 429 on order."""
-
-    def __init__(self, pages: dict[str, bytes]) -> None:
-        self.pages = pages
-        self.asked: list[tuple[str, str]] = []
-        self.connections = 0
-        self.refusals = 0
-        self.silent = 0
-        self.server: asyncio.Server | None = None
-
-    async def start(self) -> tuple[str, int]:
-        self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
-        address: tuple[str, int] = self.server.sockets[0].getsockname()
-        return address
-
-    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.connections += 1
-        try:
-            while True:
-                head = await reader.readuntil(b"\r\n\r\n")
-                writer.write(self._answer(head.split(b"\r\n")[0].decode().split()[1]))
-        except (asyncio.IncompleteReadError, ConnectionError):
-            writer.close()
-
-    def _answer(self, target: str) -> bytes:
-        parts = urlsplit(target)
-        token = parse_qs(parts.query).get("page_token", [""])[0]
-        self.asked.append((parts.path, token))
-        if self.silent:
-            self.silent -= 1
-            return b""
-        if self.refusals:
-            self.refusals -= 1
-            return b"HTTP/1.1 429 Too Many Requests\r\nContent-Length: 0\r\n\r\n"
-        content = self.pages[token]
-        head = (
-            f"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
-            f"Content-Length: {len(content)}\r\n\r\n"
-        )
-        return head.encode() + content
-
-    def stop(self) -> None:
-        if self.server is not None:
-            self.server.close()
-
-
-async def read_lists(
-    stand_in: StandIn,
-    count: int,
-    then: Callable[[Any], None] = lambda client: None,
-    call_s: float = 5.0,
-) -> list[tuple[int, list[str]]]:
-    """Let a client read until it has brought so many whole lists."""
-    from roselink.controller.host_list_client import HostListClient  # noqa: PLC0415 - after the reactor
-
-    lists: asyncio.Queue[tuple[int, tuple[Host, ...]]] = asyncio.Queue()
-    platform = PlatformSettings(await stand_in.start(), 10_000.0, 0.0)
-    client = HostListClient(
-        REACTOR,
-        platform,
-        lambda epoch, hosts: lists.put_nowait((epoch, hosts)),
-        times=ReaderTimes(
-            interval_s=0.005, backoff_s=0.001, max_backoff_s=0.01, call_timeout_s=call_s
-        ),
-    )
-    client.set_role(3)
-    then(client)
-    try:
-        seen = [await lists.get() for _ in range(count)]
-    finally:
-        closed = client.close()
-        stand_in.stop()
-        await closed.asFuture(asyncio.get_running_loop())
-    return [(epoch, sorted(each.id for each in hosts)) for epoch, hosts in seen]
-
-
-def test_driver_reads_all_pages_on_one_connection() -> None:
-    stand_in = StandIn(
-        {"": body(entry(id="i-1"), token="p 2&x"), "p 2&x": body(entry(id="i-2"), token=None)}
-    )
-    assert play(read_lists(stand_in, 3)) == [(3, ["i-1", "i-2"])] * 3
-    assert stand_in.asked[:4] == [("/instances", ""), ("/instances", "p 2&x")] * 2
-    assert stand_in.connections == 1
-
-
-def test_driver_goes_on_after_refusals() -> None:
-    stand_in = StandIn({"": body(entry())})
-    stand_in.refusals = 3
-    assert play(read_lists(stand_in, 1)) == [(3, ["i-1"])]
-    assert len(stand_in.asked) >= 4
-
-
-def test_driver_gives_up_a_call_without_an_answer() -> None:
-    stand_in = StandIn({"": body(entry())})
-    stand_in.silent = 2
-    assert play(read_lists(stand_in, 1, call_s=0.2)) == [(3, ["i-1"])]
-    assert len(stand_in.asked) >= 3
-    assert stand_in.connections >= 3
-
-
-def test_driver_takes_the_role_in_another_view() -> None:
-    stand_in = StandIn({"": body(entry())})
-    lists = play(read_lists(stand_in, 2, lambda client: client.set_role(4)))
-    assert lists == [(4, ["i-1"])] * 2
-
-
-def test_driver_makes_no_call_without_the_role() -> None:
-    async def hold_and_drop() -> None:
-        from roselink.controller.host_list_client import HostListClient  # noqa: PLC0415 - after the reactor
-
-        platform = PlatformSettings(await stand_in.start(), 10_000.0, 0.0)
-        client = HostListClient(REACTOR, platform, lambda epoch, hosts: None)
-        client.set_role(3)
-        client.set_role(None)
-        await client.close().asFuture(asyncio.get_running_loop())
-        stand_in.stop()
-
-    stand_in = StandIn({"": body()})
-    play(hold_and_drop())
-    assert stand_in.asked == []
