--- a/roselink/dataplane/admission.py
+++ b/roselink/dataplane/admission.py
@@ -1,5 +1,6 @@
-"""Whether a request may go on, by configuration and keys, and what the decider is told of it. No
-I/O.
+"""Whether a request may go on, by configuration and keys, and what the decider learns of it.
+
+No I/O.
 """
 
 from __future__ import annotations
@@ -31,15 +32,16 @@
 
 
 class Refusal(NamedTuple):
-    """An answer of ours. `retry_after_s`: None where coming back is no use."""
+    """A response of ours. `retry_after_s`: None where coming back is no use."""
 
     status: int
     retry_after_s: float | None = None
 
 
 class Admitted(NamedTuple):
-    """The route of a request, and the tenant whose key it brings (None on routes that take no
-    key).
+    """The route of a request, and its tenant.
+
+    The tenant is None on routes that take no key.
     """
 
     entry: RouteEntry
@@ -62,10 +64,12 @@
 
 
 def decide_admission(
-    table: RouteTable | None, keys_usable: bool, request: ProxyRequest
+    table: RouteTable | None, request: ProxyRequest, *, keys_usable: bool
 ) -> Refusal | Admitted:
-    """What the configuration says. A gateway that can't confirm its keys refuses by none, and does
-    not call a route unknown, as it may have missed one.
+    """What the configuration says.
+
+    A gateway that can't confirm its keys refuses by none, and does not call a route unknown, as it
+    may have missed one.
     """
     if table is None:
         return NOT_CONFIRMED
@@ -99,8 +103,9 @@
 
 
 def request_facts(exchange: Exchange) -> RequestFacts:
-    """What the decider is told."""
-    request, route = exchange.request, exchange.route
+    """The facts of a request that the decider goes by."""
+    request = exchange.request
+    route = exchange.route
     tokens_in, tokens_out = request.tokens or (0, 0)
     return RequestFacts(
         number=exchange.number,
--- a/roselink/dataplane/decision_driver.py
+++ b/roselink/dataplane/decision_driver.py
@@ -1,7 +1,7 @@
 """Drives the decider: events in, actions out, timers, one clock. Owns the open requests.
 
 Nothing about hosts, retries or refusals is decided here. What the driver adds is what real sockets
-need: an answer in time even if the decider says nothing, promises kept whatever it says, and a
+need: a response in time even if the decider says nothing, promises kept whatever it says, and a
 fault in one request that stays that request's own.
 """
 
@@ -73,12 +73,17 @@
         budget: SharedBudget,
         seed: int,
     ) -> None:
+        """Start without a configuration; `seed` fixes the draws of services and retry times."""
         self._loop = loop
-        self._authority, self._quotas, self._budget = authority, quotas, budget
+        self._authority = authority
+        self._quotas = quotas
+        self._budget = budget
         self._random = random.Random(seed)
         self._numbers = itertools.count(1)
         self._queue = EventQueue(loop, decider, self._perform, self._fail)
-        self._drain_ends_at: float | None = None  # while draining: when all must have their answer
+        self._drain_ends_at: float | None = (
+            None  # while draining: when all must have their response
+        )
         self._topology: TopologyChanged | None = None
         self.route_table: RouteTable | None = None
         self.host_directory = HostDirectory(upstream)
@@ -91,8 +96,10 @@
     # From the authority.
 
     def apply_snapshot(self) -> None:
-        """Take over the snapshot in force. It takes effect on the sockets first: what it ends must
-        not get a byte more. The decider hears of it before it hears what became of that.
+        """Take over the snapshot in force.
+
+        It takes effect on the sockets first: what it ends must not get a byte more. The decider
+        hears of it before it hears what became of that.
         """
         snapshot = self._authority.snapshot()
         if snapshot is None:
@@ -109,14 +116,17 @@
     # From the client side.
 
     def accept(self, request: ProxyRequest, client: ClientResponse) -> Exchange | None:
-        """Take a request; None if it is answered already. The client gets one answer, unless it
-        leaves.
+        """Take a request; None if it is answered already.
+
+        The client gets one response, unless it leaves.
         """
         self.counts["requests"] += 1
         if self.route_table is None:
             self._refuse(client, 503, unconfigured_retry_s(request, self._random.random()))
             return None
-        verdict = decide_admission(self.route_table, self._authority.may_use_keys(), request)
+        verdict = decide_admission(
+            self.route_table, request, keys_usable=self._authority.may_use_keys()
+        )
         if isinstance(verdict, Refusal):
             self._refuse(client, *verdict)
             return None
@@ -134,7 +144,8 @@
         entry, tenant = admitted
         route = entry.route
         exchange = Exchange(request, route, tenant, host_head(request, route, tenant), client)
-        exchange.number, exchange.service = next(self._numbers), entry.draw(self._random)
+        exchange.number = next(self._numbers)
+        exchange.service = entry.draw(self._random)
         exchange.expires_at = request.since + time_limit_s(request, route)
         if self._drain_ends_at is not None:
             exchange.expires_at = min(exchange.expires_at, self._drain_ends_at)
@@ -179,7 +190,7 @@
             self._close(exchange)
 
     def drain(self, ends_at: float) -> None:
-        """All requests have their answer at `ends_at`, loop time."""
+        """All requests have their response at `ends_at`, loop time."""
         self._drain_ends_at = ends_at
         for exchange in self.open_requests.values():
             if exchange.expires_at > ends_at:
@@ -195,8 +206,9 @@
         exchange.deadline_timer = self._loop.call_at(at, self._deadline_reached, exchange)
 
     def _deadline_reached(self, exchange: Exchange) -> None:
-        """The decider hears that the attempts were timed out; the last word is said now in any
-        case.
+        """Time out the attempts and end the request.
+
+        The decider learns that they were timed out; the final response goes out now in any case.
         """
         if exchange.closed:
             return
@@ -204,9 +216,9 @@
         if exchange.response_begun and self._loop.time() < ends_at:
             self._set_deadline_timer(exchange, ends_at)
             return
-        for answer in list(exchange.attempts.values()):
-            if answer.attempt is not None:
-                answer.attempt.end(Outcome.TIMEOUT)
+        for response in list(exchange.attempts.values()):
+            if response.attempt is not None:
+                response.attempt.end(Outcome.TIMEOUT)
         self._give_up(exchange, FailureReason.OUT_OF_TIME, 0.0)
 
     # The decider.
@@ -230,9 +242,9 @@
         elif exchange is None:
             return
         elif isinstance(action, CancelAttempt):
-            answer = exchange.attempts.get(action.attempt)
-            if answer is not None:
-                answer.cancel()
+            response = exchange.attempts.get(action.attempt)
+            if response is not None:
+                response.cancel()
         elif isinstance(action, AcquireSharedBudget):
             self._budget.ask(action.service, partial(self._budget_decided, action.number))
         elif isinstance(action, FinalResponse):
@@ -244,8 +256,9 @@
     # What the attempts ask and tell.
 
     def still_wanted(self, exchange: Exchange) -> bool:
-        """Asked right before each write to a host: does someone wait, and does the key still
-        count.
+        """Whether a request may still be written to a host.
+
+        It may if its client waits and its key is valid. Called right before each write.
         """
         if exchange.closed:
             return False
@@ -279,7 +292,7 @@
     # The end of a request.
 
     def _give_up(self, exchange: Exchange, reason: FailureReason, retry_after_s: float) -> None:
-        """The final answer of ours. What it promises is true, whatever the reason given."""
+        """The final response of ours. What it promises is true, whatever the reason given."""
         if exchange.closed:
             return
         if exchange.response_begun:
@@ -309,8 +322,9 @@
             self._quotas.give_back(exchange.tenant, quota_cost(exchange.request, exchange.tenant))
 
     def _close(self, exchange: Exchange) -> None:
-        """It has its final answer, or nobody waits for one. The decider is told, and what is out
-        ends.
+        """It has its final response, or nobody waits for one.
+
+        The decider learns, and what is out ends.
         """
         exchange.closed = True
         if self.open_requests.pop(exchange.number, None) is None:
@@ -322,8 +336,8 @@
         self._return_quota(exchange)
         if exchange.facts is not None:
             self._queue.enqueue(RequestClosed(exchange.number))
-        for answer in list(exchange.attempts.values()):
-            answer.cancel()
+        for response in list(exchange.attempts.values()):
+            response.cancel()
         exchange.relayed_attempt = (
             None  # nothing is left that refers in circles: no work for the collector
         )
--- a/roselink/dataplane/event_streams.py
+++ b/roselink/dataplane/event_streams.py
@@ -1,7 +1,6 @@
-"""Event streams without I/O: cut bytes into whole events, and keep a resumed stream without gap or
-repeat.
+"""Event streams without I/O: complete events, and resumed streams without gap or repeat.
 
-An event ends with an empty line. Ids are whole numbers that rise.
+An event ends with an empty line (WHATWG HTML, section 9.2.6). Ids are whole numbers that rise.
 """
 
 from __future__ import annotations
@@ -16,8 +15,9 @@
 
 
 class StreamEvent(NamedTuple):
-    """One whole event as it came. `id`: None where it has none; `comment`: it has no field at
-    all.
+    """One complete event as it came.
+
+    `id`: None where it has none; `comment`: it has no field at all.
     """
 
     data: bytes
@@ -34,9 +34,10 @@
 
 
 class EventSplitter:
-    """Cuts a body into whole events. `remainder`: the bytes behind the last whole one."""
+    """Cuts a body into complete events. `remainder`: the bytes behind the last whole one."""
 
     def __init__(self) -> None:
+        """Start without a remainder."""
         self.remainder = b""
 
     def feed(self, data: bytes) -> list[StreamEvent]:
@@ -53,7 +54,7 @@
 
 
 class StreamProgress:
-    """What of one answer's stream went on to the client, over all its attempts."""
+    """What of one response's stream went on to the client, over all its attempts."""
 
     def __init__(self, resume_from: int = 0) -> None:
         """`resume_from`: the client's own `Last-Event-Id`, 0 without one."""
@@ -76,7 +77,8 @@
             return
         before = self._before if self.last_id is None else self.last_id
         self._widest_step = max(self._widest_step, event.id - before)
-        self.last_id, self._has_event_without_id = event.id, False
+        self.last_id = event.id
+        self._has_event_without_id = False
 
     def leaves_gap(self, event_id: int) -> bool:
         """Whether an event that is next in a resumed stream leaves some out."""
@@ -84,12 +86,16 @@
 
 
 class StreamFilter:
-    """One attempt's stream on its way: what of it goes on. With `resumed`, events that the client
-    has are left out, and a stream that leaves some out sets `gap`.
+    """One attempt's stream on its way: what of it goes on.
+
+    With `resumed`, events that the client has are left out, and a stream that leaves some out sets
+    `gap`.
     """
 
-    def __init__(self, progress: StreamProgress, resumed: bool) -> None:
-        self._progress, self._resumed = progress, resumed
+    def __init__(self, progress: StreamProgress, *, resumed: bool) -> None:
+        """Filter one attempt's stream; `resumed` if it takes up one that broke."""
+        self._progress = progress
+        self._resumed = resumed
         self._splitter = EventSplitter()
         self._repeating = False  # in a resumed stream: behind an event that the client has
         self._joined = not resumed  # its first new event has gone on
@@ -103,7 +109,7 @@
         return len(self._splitter.remainder) + sum(map(len, self._waiting))
 
     def feed(self, data: bytes) -> bytes:
-        """The whole events in `data` that go on now. Comments wait for the first event."""
+        """The complete events in `data` that go on now. Comments wait for the first event."""
         out = self._waiting
         for event in self._splitter.feed(data):
             if not self._is_relayed(event):
--- a/roselink/dataplane/exchange.py
+++ b/roselink/dataplane/exchange.py
@@ -1,8 +1,8 @@
-"""One client request from its admission to its last byte: the answers of its attempts, and which
-goes on.
+"""One client request from its admission to its last byte.
 
-At most one attempt's answer goes on to the client. An answer is held until it is whole, an event
-stream until its first event; a resumed stream goes on inside the answer that the first host began.
+At most one attempt's response is relayed to the client. A response is buffered until it is
+complete, an event stream until its first event; a resumed stream goes on inside the response that
+the first host began.
 """
 
 from __future__ import annotations
@@ -13,6 +13,7 @@
 from roselink.dataplane.event_streams import StreamFilter, StreamProgress
 from roselink.dataplane.fleet_host_connection import PROMISES, FleetAttempt, outcome_of
 from roselink.dataplane.proxy_request import Headers, ProxyRequest, relayed_headers
+from roselink.http.status_codes import is_success
 from roselink.model.configuration import Route, RouteKind, Tenant
 from roselink.routing.outcome import NEVER_RAN, Outcome
 
@@ -23,23 +24,33 @@
     from roselink.routing.events_and_actions import RequestFacts
 
 ATTEMPTS_LIMIT = 64  # attempts of one request: a decider that never stops must not stop the loop
-BUFFER_LIMIT_BYTES = 256 * 1024  # bytes of an answer that wait here for the rest of it
+# Digits of a `Last-Event-Id`, as of the ids in a stream.
+EVENT_ID_DIGITS_LIMIT = 18
+BUFFER_LIMIT_BYTES = 256 * 1024  # bytes of a response that wait here for the rest of it
 
 
 class ClientResponse(Protocol):
-    """The client's side of one request: one whole answer, or one in parts."""
+    """The client's side of one request: one complete response, or one in parts."""
 
-    def send_complete(self, status: int, headers: Headers, body: bytes) -> None: ...
+    def send_complete(self, status: int, headers: Headers, body: bytes) -> None:
+        """Send a complete response."""
+        ...
 
     def send_status(self, status: int, retry_after_s: float | None = None) -> None:
-        """An answer of ours, without a body."""
+        """A response of ours, without a body."""
         ...
 
-    def send_head(self, status: int, headers: Headers, length: int | None) -> None: ...
+    def send_head(self, status: int, headers: Headers, length: int | None) -> None:
+        """Begin a response in pieces; `length` in bytes, None if unknown."""
+        ...
 
-    def send_piece(self, data: bytes) -> None: ...
+    def send_piece(self, data: bytes) -> None:
+        """Send bytes of the body."""
+        ...
 
-    def send_end(self) -> None: ...
+    def send_end(self) -> None:
+        """End a response in pieces."""
+        ...
 
     def abort_response(self) -> None:
         """End the connection so that what was sent does not look complete."""
@@ -63,7 +74,7 @@
 
 
 class ResponseMode(Enum):
-    """How an attempt's answer is taken."""
+    """How an attempt's response is taken."""
 
     BUFFER = "hold"
     EVENTS = "events"
@@ -71,8 +82,9 @@
 
 
 class Exchange:
-    """One request. `attempts`: those still out; `closed`: it has its final answer, or its client
-    has left.
+    """One request.
+
+    `attempts`: those still out; `closed`: it has its final response, or its client has left.
     """
 
     def __init__(
@@ -83,49 +95,50 @@
         base: bytes,
         client: ClientResponse,
     ) -> None:
-        self.request, self.route, self.tenant, self.common_head, self.client = (
-            request,
-            route,
-            tenant,
-            base,
-            client,
-        )
+        """Start an exchange without attempts; `base` is the head that all hosts get."""
+        self.request = request
+        self.route = route
+        self.tenant = tenant
+        self.common_head = base
+        self.client = client
         self.facts: RequestFacts | None = None  # None: the decider has not heard of it
         self.number = 0
         self.service = ""
         self.give_up_at = self.expires_at = 0.0
         self.attempts: dict[int, AttemptResponse] = {}
-        self.relayed_attempt: AttemptResponse | None = None  # whose answer goes on
+        self.relayed_attempt: AttemptResponse | None = None  # whose response goes on
         self.response_begun = self.closed = False
-        self.interrupted = False  # the attempt whose answer went on has ended without its end
+        self.interrupted = False  # the attempt whose response went on has ended without its end
         self.awaits_resume = False  # then: another attempt may take it up
-        self.attempts_requested = 0  # attempts asked for
+        self.attempts_requested = 0  # attempts requested
         self.may_have_run = False  # by an attempt that has ended
         self.key_rejected = False  # its key may not be used any more
         self.quota_charged = False  # against its tenant's quota
         self.host_failure: CompleteResponse | None = None
         taken_up = request.last_event_id
         self.progress = StreamProgress(
-            int(taken_up) if taken_up.isdigit() and len(taken_up) < 19 else 0
+            int(taken_up) if taken_up.isdigit() and len(taken_up) <= EVENT_ID_DIGITS_LIMIT else 0
         )
         self.deadline_timer: asyncio.TimerHandle | None = None
 
     @property
     def streaming(self) -> bool:
+        """Whether its response is an event stream."""
         return self.route.kind is RouteKind.STREAMING
 
     @property
     def may_run(self) -> bool:
         """Whether a host may have run it, or may yet."""
-        return self.may_have_run or any(answer.sent for answer in self.attempts.values())
+        return self.may_have_run or any(response.sent for response in self.attempts.values())
 
     @property
     def has_too_many_attempts(self) -> bool:
-        """Whether more attempts were asked for than make sense."""
+        """Whether more attempts were requested than make sense."""
         return self.attempts_requested > ATTEMPTS_LIMIT
 
     @property
     def can_resume(self) -> bool:
+        """Whether another attempt may take up its stream where it broke."""
         return (
             self.response_begun
             and self.route.resumable
@@ -140,7 +153,7 @@
 
 
 class AttemptResponse:
-    """One attempt's answer as it comes in. `first_event` and `ended` are told of it."""
+    """One attempt's response as it comes in. `first_event` and `ended` learn of it."""
 
     def __init__(
         self,
@@ -151,8 +164,13 @@
         first_event: Callable[[AttemptResponse], None],
         ended: Callable[[AttemptResponse, Outcome], None],
     ) -> None:
-        self.exchange, self.number, self.resumed, self.started = exchange, number, resumed, started
-        self._first_event, self._ended = first_event, ended
+        """Start without a byte; `started` is the attempt's start in loop time."""
+        self.exchange = exchange
+        self.number = number
+        self.resumed = resumed
+        self.started = started
+        self._first_event = first_event
+        self._ended = ended
         self.attempt: FleetAttempt | None = None
         self.mode = ResponseMode.BUFFER
         self.status = 0
@@ -165,6 +183,7 @@
 
     @property
     def sent(self) -> bool:
+        """Whether bytes of it may have reached the host."""
         return self.attempt is not None and self.attempt.sent
 
     @property
@@ -174,20 +193,23 @@
 
     @property
     def may_relay(self) -> bool:
-        """Whether no other attempt's answer goes on."""
+        """Whether no other attempt's response goes on."""
         exchange = self.exchange
         return exchange.relayed_attempt in (None, self) or (exchange.awaits_resume and self.resumed)
 
     # What the connection tells.
 
     def head(self, status: int, headers: Headers) -> None:
-        self.status, self.headers = status, headers
+        """The head of the response has come."""
+        self.status = status
+        self.headers = headers
         self._outcome = outcome_of(status, {name.lower(): value for name, value in headers})
         if self._outcome is Outcome.SUCCESS and self.exchange.streaming:
             self.mode = ResponseMode.EVENTS
-            self._filter = StreamFilter(self.exchange.progress, self.resumed)
+            self._filter = StreamFilter(self.exchange.progress, resumed=self.resumed)
 
     def body(self, data: bytes) -> None:
+        """A piece of the body has come."""
         if self.mode is ResponseMode.RELAY:
             self._relay(data)
         elif self._filter is not None:
@@ -196,13 +218,14 @@
             self._buffer(data)
 
     def done(self, outcome: Outcome) -> None:
+        """The attempt is over; comes last and once."""
         if not self.sent and outcome not in NEVER_RAN:
             outcome = Outcome.MOOT
         self._ended(self, outcome)
 
     def _events(self, stream: StreamFilter, data: bytes) -> None:
         if not self.may_relay:
-            self.cancel()  # before its events count as passed on
+            self.cancel()  # before its events count as relayed
             return
         out = stream.feed(data)
         if out and self._become_relayed(None):
@@ -219,7 +242,8 @@
             self._abandon()
         elif self._become_relayed(self._stated_length()):
             self.mode = ResponseMode.RELAY
-            whole, self._body = b"".join(self._body), []
+            whole = b"".join(self._body)
+            self._body = []
             self._relay(whole)
 
     def _stated_length(self) -> int | None:
@@ -229,7 +253,7 @@
         return None
 
     def _become_relayed(self, length: int | None) -> bool:
-        """Make this the answer that goes on; whether it is."""
+        """Make this the response that goes on; whether it is."""
         exchange = self.exchange
         if exchange.closed:
             return False
@@ -238,7 +262,9 @@
             return False
         if exchange.relayed_attempt is self:
             return True
-        exchange.relayed_attempt, exchange.interrupted, exchange.awaits_resume = self, False, False
+        exchange.relayed_attempt = self
+        exchange.interrupted = False
+        exchange.awaits_resume = False
         if not exchange.response_begun:
             exchange.response_begun = True
             exchange.client.send_head(self.status, relayed_headers(self.headers), length)
@@ -265,7 +291,7 @@
     # What the driver asks once it has ended.
 
     def finish_stream(self) -> bool:
-        """Pass on the rest of an answer that ended properly; False if it can't be whole."""
+        """Pass on the rest of a response that ended properly; False if it can't be whole."""
         stream = self._filter
         if stream is None:
             return True
@@ -278,16 +304,14 @@
         return True
 
     def complete(self) -> CompleteResponse:
+        """The buffered response."""
         return CompleteResponse(self.status, relayed_headers(self.headers), b"".join(self._body))
 
     def failure(self) -> CompleteResponse | None:
-        """The host's own failure, if a client may see it: no status that promises what nobody
-        knows.
+        """The host's own failure, if a client may see it.
+
+        It may not where the status promises what nobody knows.
         """
-        if (
-            self._outcome is not Outcome.ERROR
-            or self.status in PROMISES
-            or 200 <= self.status < 300
-        ):
+        if self._outcome is not Outcome.ERROR or self.status in PROMISES or is_success(self.status):
             return None
         return self.complete()
--- a/roselink/dataplane/fleet_host_connection.py
+++ b/roselink/dataplane/fleet_host_connection.py
@@ -12,6 +12,8 @@
 
 import httptools
 
+from roselink.dataplane.exceptions import UnrequestedResponseError
+from roselink.http.exceptions import TooManyInterimResponsesError
 from roselink.http.host_connection import (
     HEAD_LIMIT,
     INTERIM_LIMIT,
@@ -20,6 +22,7 @@
     PooledHost,
     StillWanted,
 )
+from roselink.http.status_codes import MISDIRECTED_REQUEST, is_interim, is_success
 from roselink.routing.outcome import Outcome
 
 if TYPE_CHECKING:
@@ -38,6 +41,8 @@
 SURPLUS_LIMIT = 2
 # Hosts that state no idle time have one below a second.
 DEFAULT_IDLE_S = 0.4
+# Digits of the idle time in a `Keep-Alive` header, in seconds.
+IDLE_DIGITS_LIMIT = 7
 # A longer request may have reached the host in part when its write fails.
 PROVEN_LIMIT = 64 * 1024
 # Statuses that promise that a request has not run.
@@ -47,13 +52,19 @@
 
 
 class ResponseReceiver(Protocol):
-    """Who takes one attempt's answer. `done` comes last and once."""
+    """Who takes one attempt's response. `done` comes last and once."""
 
-    def head(self, status: int, headers: Headers) -> None: ...
+    def head(self, status: int, headers: Headers) -> None:
+        """The head of the response has come."""
+        ...
 
-    def body(self, data: bytes) -> None: ...
+    def body(self, data: bytes) -> None:
+        """A piece of the body has come."""
+        ...
 
-    def done(self, outcome: Outcome) -> None: ...
+    def done(self, outcome: Outcome) -> None:
+        """The attempt is over; comes last and once."""
+        ...
 
 
 class FleetAttempt(Attempt):
@@ -76,13 +87,16 @@
         still_wanted: StillWanted,
         single_run: bool = False,
     ) -> None:
+        """Start the time-out; `has_no_body` if the response to its method has none."""
         super().__init__(
             loop, host, timeout_s, lambda outcome, _: receiver.done(outcome), still_wanted
         )
         self.single_run = single_run
-        self.request_id, self.has_no_body, self.receiver = request_id, has_no_body, receiver
+        self.request_id = request_id
+        self.has_no_body = has_no_body
+        self.receiver = receiver
         self.sent = False
-        self.ended_by_close = False  # its answer told no length: the connection's end was its end
+        self.ended_by_close = False  # its response stated no length: it ended with the connection
 
     def end(self, outcome: Outcome) -> None:
         """Give it up from this side."""
@@ -103,6 +117,7 @@
     """One connection to a host; bodies go on to the attempt's receiver."""
 
     def __init__(self, upstream: HostPool, host: PooledHost) -> None:
+        """Start without a transport, for one host."""
         self._raw_headers: Headers = []
         self._body_pieces: list[bytes] = []
         self._bytes_since_progress = self._surplus_count = self._sent_bytes = 0
@@ -111,6 +126,7 @@
         super().__init__(upstream, host)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take over the transport of a new connection (asyncio)."""
         super().connection_made(transport)
         sock = transport.get_extra_info("socket")
         for level, option, value in (
@@ -124,39 +140,43 @@
                 sock.setsockopt(level, option, value)
 
     def send(self, attempt: Attempt, request: bytes) -> None:
+        """Write a request for an attempt."""
         assert isinstance(attempt, FleetAttempt)
         attempt.sent = True
-        self._surplus_count, self._bytes_since_progress, self._head_is_new, self._sent_bytes = (
-            0,
-            0,
-            False,
-            len(request),
-        )
+        self._surplus_count = 0
+        self._bytes_since_progress = 0
+        self._head_is_new = False
+        self._sent_bytes = len(request)
         super().send(attempt, request)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Clean up after the connection has ended (asyncio)."""
         if self._sent_bytes > PROVEN_LIMIT:
             self._has_unsent = False
         super().connection_lost(exc)
 
     def pause_reading(self) -> None:
+        """Read nothing more for now."""
         if not self._reading_paused and not self.closing() and self.transport is not None:
             self._reading_paused = True
             self.transport.pause_reading()
 
     def resume_reading(self) -> None:
+        """Read on."""
         if self._reading_paused:
             self._reading_paused = False
             if not self.closing() and self.transport is not None:
                 self.transport.resume_reading()
 
     def stale(self) -> bool:
+        """Whether it has been idle for longer than its host may keep it."""
         return self.upstream.now() - self.idle_since > self._idle_limit_s
 
     def data_received(self, data: bytes) -> None:
+        """Take bytes that have come (asyncio)."""
         attempt = self.attempt
         if not isinstance(attempt, FleetAttempt) or self._parser is None:
-            self.drop()  # bytes that no request asked for
+            self.drop()  # bytes that belong to no request
             return
         self.host.last_byte_at = self.upstream.now()
         self._bytes_since_progress += len(data)
@@ -178,17 +198,19 @@
             self._head_is_new = False
             attempt.receiver.head(self._status, self._raw_headers)
         if self._body_pieces and self.attempt is attempt:
-            data, self._body_pieces = b"".join(self._body_pieces), []
+            data = b"".join(self._body_pieces)
+            self._body_pieces = []
             attempt.receiver.body(data)
 
     def eof_received(self) -> bool:
+        """Let the transport close: the peer has ended its sending (asyncio)."""
         if not self._in_surplus and isinstance(self.attempt, FleetAttempt):
             self.attempt.ended_by_close = True
             super().eof_received()
         return False
 
     def _fail_unreadable(self) -> None:
-        """No answer, or not the one to this request: it may have run."""
+        """No response, or not the one to this request: it may have run."""
         if self.attempt is not None:
             self.attempt.finish(Outcome.RESET)
         self.drop()
@@ -200,9 +222,12 @@
 
     def _start_message(self) -> None:
         super()._start_message()
-        self._raw_headers, self._body_pieces, self._in_surplus = [], [], False
+        self._raw_headers = []
+        self._body_pieces = []
+        self._in_surplus = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """One header, or a trailer (parser)."""
         if self._is_complete or not self._in_head:
             return
         super().on_header(name, value)
@@ -210,55 +235,60 @@
         self._bytes_since_progress = 0
 
     def on_headers_complete(self) -> None:
+        """The head is complete (parser)."""
         if self._is_complete or self._parser is None:
             return
-        self._status, self._in_head, self._bytes_since_progress = (
-            self._parser.get_status_code(),
-            False,
-            0,
-        )
+        self._status = self._parser.get_status_code()
+        self._in_head = False
+        self._bytes_since_progress = 0
         attempt = self.attempt
-        if 100 <= self._status < 200 or not isinstance(attempt, FleetAttempt):
+        if is_interim(self._status) or not isinstance(attempt, FleetAttempt):
             return
         response_id = self._headers.get(b"x-request-id")
-        # A surplus answer has the id of its own request. What has none is a rejection, or nobody's.
+        # A surplus response has the id of its own request. What has none is a rejection, or belongs
+        # to no request.
         rejected = not response_id and self._outcome() is Outcome.FULL
         if response_id != attempt.request_id and not rejected:
             self._surplus_count += 1
             if not response_id or self._surplus_count > SURPLUS_LIMIT:
-                raise ValueError("an answer to no request of ours")
+                raise UnrequestedResponseError(response_id)
             self._in_surplus = True
             return
         self._idle_limit_s = _idle_s(self._headers.get(b"keep-alive", b""))
         self._head_is_new = True
         if attempt.has_no_body:
-            self._is_complete, self._keep_alive = True, False
+            self._is_complete = True
+            self._keep_alive = False
 
     def on_body(self, body: bytes) -> None:
+        """A piece of the body (parser)."""
         self._bytes_since_progress = 0
         if not (self._is_complete or self._in_surplus):
             self._body_pieces.append(body)
 
     def on_message_complete(self) -> None:
+        """The message is complete (parser)."""
         if self._is_complete or self._parser is None:
             return
-        self._in_message, self._bytes_since_progress = False, 0
+        self._in_message = False
+        self._bytes_since_progress = 0
         if self._in_surplus:
             return
-        if 100 <= self._status < 200:
-            self._in_head, self._interim_count = True, self._interim_count + 1
+        if is_interim(self._status):
+            self._in_head = True
+            self._interim_count = self._interim_count + 1
             if self._interim_count > INTERIM_LIMIT:
-                raise ValueError("interim answers without end")
+                raise TooManyInterimResponsesError(INTERIM_LIMIT)
             return
         self._is_complete = True
         self._keep_alive = self._parser.should_keep_alive() and not self._surplus_count
 
 
 def outcome_of(status: int, headers: dict[bytes, bytes]) -> Outcome:
-    """What a whole answer says of its attempt. A success without the host's stamp is none."""
-    if 200 <= status < 300:
+    """What a complete response says of its attempt. A success without the host's stamp is none."""
+    if is_success(status):
         return Outcome.SUCCESS if b"x-response-signature" in headers else Outcome.ERROR
-    if status == 421 or (status in NOT_RUN and b"x-not-executed" in headers):
+    if status == MISDIRECTED_REQUEST or (status in NOT_RUN and b"x-not-executed" in headers):
         return Outcome.FULL
     return Outcome.ERROR
 
@@ -267,7 +297,11 @@
     """How long a connection may rest here so that the host is never the first to end it."""
     for part in keep_alive.split(b","):
         name, _, value = part.strip().partition(b"=")
-        if name.strip().lower() == b"timeout" and value.strip().isdigit() and len(value) < 8:
+        if (
+            name.strip().lower() == b"timeout"
+            and value.strip().isdigit()
+            and len(value) <= IDLE_DIGITS_LIMIT
+        ):
             stated_s = int(value)
             return max(0.1, min(stated_s - 0.5, 0.75 * stated_s))
     return DEFAULT_IDLE_S
--- a/roselink/dataplane/fleet_host_pool.py
+++ b/roselink/dataplane/fleet_host_pool.py
@@ -29,14 +29,17 @@
     """
 
     def __init__(self, name: str, service: str, address: Address, connection_limit: int) -> None:
+        """Start without connections."""
         super().__init__(name, address)
-        self.service, self.connection_limit = service, connection_limit
+        self.service = service
+        self.connection_limit = connection_limit
 
 
 class FleetHostPool(HostPool):
     """The pool of all hosts."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, descriptors: Descriptors) -> None:
+        """Start without hosts."""
         super().__init__(loop, descriptors, CONNECT_TIMEOUT_S, 0.0)
 
     def _new_connection(self, host: PooledHost) -> HostConnection:
@@ -60,6 +63,7 @@
         self.launch(attempt, request)
 
     def sweep(self) -> None:
+        """Close what has taken too long."""
         for connection in list(self._idle):
             if connection.stale():
                 connection.drop()
--- a/roselink/dataplane/gateway_data_plane.py
+++ b/roselink/dataplane/gateway_data_plane.py
@@ -28,7 +28,7 @@
     2.5  # after SIGTERM: the platform asks once a second, and sends connections until two misses
 )
 EXIT_RESERVE_S = (
-    1.0  # of the time to the kill: for the last answers to leave and the process to end
+    1.0  # of the time to the kill: for the last responses to leave and the process to end
 )
 CLOSE_POLL_S = 0.02
 OTHER_DESCRIPTORS = 300  # not for clients and hosts: files, peers, libraries
@@ -46,7 +46,10 @@
         quotas: Quotas,
         shared_budget: SharedBudget,
     ) -> None:
-        self._settings, self._loop, self._authority = settings, loop, authority
+        """Wire the parts; nothing listens before `start`."""
+        self._settings = settings
+        self._loop = loop
+        self._authority = authority
         descriptors = Descriptors(max(128, settings.resources.max_fds - OTHER_DESCRIPTORS))
         self.host_pool = FleetHostPool(loop, descriptors)
         seed = zlib.crc32(settings.node_name.encode())
@@ -82,7 +85,8 @@
         return 0 if address is None else await server.listen(*address)
 
     def _refresh(self, snapshot: Snapshot) -> None:
-        known, hosts = self.driver.route_table is not None, self.driver.host_directory.any_ready()
+        known = self.driver.route_table is not None
+        hosts = self.driver.host_directory.any_ready()
         self.driver.apply_snapshot()
         if not known or hosts != self.driver.host_directory.any_ready():
             log.info(
@@ -136,7 +140,7 @@
         self._drained.set()
 
     async def drained(self) -> None:
-        """Returns once all that was read has its answer, or there is no more time."""
+        """Returns once all that was read has its response, or there is no more time."""
         await self._drained.wait()
 
     def stop(self) -> None:
--- a/roselink/dataplane/proxy_request.py
+++ b/roselink/dataplane/proxy_request.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from roselink.http.framing_checks import BadRequestError
+from roselink.http.exceptions import BadRequestError
 from roselink.model.configuration import Route, RouteKind, Tenant
 from roselink.routing.events_and_actions import PromptPart
 
@@ -14,7 +14,7 @@
     b"connection keep-alive proxy-connection proxy-authenticate proxy-authorization te trailer "
     b"transfer-encoding upgrade".split()
 )
-# Not passed on to a host as the client sent them: set here, or not for hosts to see.
+# Not relayed to a host as the client sent them: set here, or not for hosts to see.
 _SET_HERE = frozenset(
     b"authorization content-length expect x-tenant-id x-target-instance x-request-deadline "
     b"priority "
@@ -28,12 +28,18 @@
 LOWEST_PRIORITY = 9
 PRIORITY_STEP = 3  # a tenant's rank goes before the route's
 PROMPT_PARTS_LIMIT = 256
+# A day: longer deadlines are taken for none.
+DEADLINE_LIMIT_S = 86400
+# Digits of a number of tokens.
+TOKEN_DIGITS_LIMIT = 9
 
 
 @dataclass(slots=True)
 class ProxyRequest:
-    """One whole request. `since`: loop time from which its deadline counts; `deadline_s`: how long
-    its client waits, None if it does not say; `version`: of HTTP, as its client speaks it.
+    """One complete request.
+
+    `since`: loop time from which its deadline counts; `deadline_s`: how long its client waits, None
+    if it does not say; `version`: of HTTP, as its client speaks it.
     """
 
     method: bytes
@@ -98,7 +104,7 @@
         seconds = float(value or b"") / 1000
     except ValueError:
         return None
-    return seconds if 0 <= seconds < 86400 else None
+    return seconds if 0 <= seconds < DEADLINE_LIMIT_S else None
 
 
 def _bearer(value: bytes | None) -> str | None:
@@ -108,9 +114,14 @@
 
 def _token_usage(value: bytes | None) -> tuple[int, int] | None:
     first, comma, second = (value or b"").partition(b",")
-    first, second = first.strip(), second.strip()
+    first = first.strip()
+    second = second.strip()
     if not (
-        comma and first.isdigit() and second.isdigit() and len(first) < 10 and len(second) < 10
+        comma
+        and first.isdigit()
+        and second.isdigit()
+        and len(first) <= TOKEN_DIGITS_LIMIT
+        and len(second) <= TOKEN_DIGITS_LIMIT
     ):
         return None
     return int(first), int(second)
@@ -122,7 +133,7 @@
     parts = []
     for part in value.split(b",", PROMPT_PARTS_LIMIT):
         name, colon, tokens = part.strip().partition(b":")
-        if not (colon and tokens.isdigit() and len(tokens) < 10):
+        if not (colon and tokens.isdigit() and len(tokens) <= TOKEN_DIGITS_LIMIT):
             return ()
         parts.append(PromptPart(name.decode("latin-1"), int(tokens)))
     return tuple(parts)
@@ -175,7 +186,7 @@
 
 
 def relayed_headers(headers: Headers) -> Headers:
-    """A host's headers that go on to the client."""
+    """A host's headers that are relayed to the client."""
     named = _named_by_connection(headers)
     return [
         (name, value)
--- a/roselink/dataplane/readiness_server.py
+++ b/roselink/dataplane/readiness_server.py
@@ -4,11 +4,11 @@
 
 from typing import TYPE_CHECKING
 
-from roselink.http.framing_checks import BadRequestError
+from roselink.http.exceptions import BadRequestError
 from roselink.http.limits import SizeLimits, TimeLimits
-from roselink.http.reason_phrases import REASON_PHRASES
 from roselink.http.server import HttpServer
 from roselink.http.server_connection import PendingRequest, ServerConnection
+from roselink.http.status_codes import OK, REASON_PHRASES
 
 if TYPE_CHECKING:
     import asyncio
@@ -21,26 +21,28 @@
     """A caller that asks whether this gateway is ready."""
 
     def __init__(self, server: ReadinessServer) -> None:
+        """Start on a connection of `server`."""
         super().__init__(server)
         self._owner = server
 
-    def _read_request(self, method: bytes, keep: bool) -> PendingRequest:
+    def _read_request(self, method: bytes, *, keep: bool) -> PendingRequest:
         known = method in (b"GET", b"HEAD") and self._url.partition(b"?")[0] == b"/readyz"
         if not known:
             raise BadRequestError(404, "no such page")
-        return PendingRequest(None, 200, keep)
+        return PendingRequest(None, OK, keep=keep)
 
     def _serve_request(self, pending: PendingRequest) -> None:
-        self._serving, self._keep_alive = True, pending.keep
+        self._serving = True
+        self._keep_alive = pending.keep
         status = pending.status
-        if status == 200 and not self._owner.ready():
+        if status == OK and not self._owner.ready():
             status = 503
         keep = self._may_keep_alive()
         self._write(
             b"HTTP/1.1 %d %b\r\nContent-Length: 0\r\nConnection: %b\r\n\r\n"
             % (status, REASON_PHRASES[status], b"keep-alive" if keep else b"close")
         )
-        self._response_finished(keep)
+        self._response_finished(keep=keep)
 
 
 class ReadinessServer(HttpServer):
@@ -53,11 +55,14 @@
         descriptors: Descriptors,
         make_room: Callable[[], bool],
     ) -> None:
+        """Start with a callable that says whether the gateway is ready."""
         super().__init__(loop, descriptors, make_room, SizeLimits(8192, 8192, 65536))
         self.ready = ready
 
     def time_limits(self) -> TimeLimits:
+        """How long clients may take, as it is in force now."""
         return TimeLimits(3.0, 3.0, 3.0, (30.0,))
 
     def make_connection(self) -> ServerConnection:
+        """A new client connection."""
         return ReadinessConnection(self)
--- a/roselink/gateway/server.py
+++ b/roselink/gateway/server.py
@@ -13,9 +13,9 @@
 from roselink.gateway.request_checks import RequestChecks
 from roselink.http.host_connection import BODY_LIMIT, HEAD_LIMIT
 from roselink.http.limits import SizeLimits, TimeLimits
-from roselink.http.reason_phrases import REASON_PHRASES
 from roselink.http.server import HttpServer
 from roselink.http.server_connection import PendingRequest, ServerConnection
+from roselink.http.status_codes import REASON_PHRASES
 
 if TYPE_CHECKING:
     import asyncio
@@ -28,6 +28,8 @@
 log = logging.getLogger("roselink.gateway.server")
 
 MESSAGE_LIMIT = HEAD_LIMIT + 4 * BODY_LIMIT  # with a chunked body's framing
+# Statuses without a request that are not logged: those of `/up`.
+QUIET_STATUSES = (200, 503)
 # Time-out for a request to arrive, from its first byte, and for a first one to begin at all.
 RECEIVE_S = 2.0
 # Time-out for a client to read its response.
@@ -54,20 +56,20 @@
             self._opened = None
             self._owner.engine.depart(opened)
 
-    def _read_request(self, method: bytes, keep: bool) -> PendingRequest:
+    def _read_request(self, method: bytes, *, keep: bool) -> PendingRequest:
         path = self._url.partition(b"?")[0]
         if path == b"/up" and method == b"GET":
-            return PendingRequest(None, self._owner.up_status(), keep)
+            return PendingRequest(None, self._owner.up_status(), keep=keep)
         request = self._owner.checks.check(
             method, self._url, self._headers, b"".join(self._body), self._read_at
         )
-        return PendingRequest(request, 200, keep)
+        return PendingRequest(request, 200, keep=keep)
 
     def _serve_request(self, pending: PendingRequest) -> None:
         self._serving = True
         self._keep_alive = pending.keep
         if pending.request is None:
-            if pending.status >= 400 and pending.status != 503:
+            if pending.status not in QUIET_STATUSES:
                 log.info("%d: %s", pending.status, pending.why)
             self.answer(Reply(pending.status))
             return
@@ -111,7 +113,7 @@
         lines.append(b"Content-Length: %d" % len(body))
         lines.append(b"Connection: keep-alive" if keep else b"Connection: close")
         self._write(b"\r\n".join(lines) + b"\r\n\r\n" + body)
-        self._response_finished(keep)
+        self._response_finished(keep=keep)
 
 
 class Server(HttpServer):
--- a/roselink/http/server_connection.py
+++ b/roselink/http/server_connection.py
@@ -14,27 +14,35 @@
 
 import httptools
 
-from roselink.http.framing_checks import BadRequestError, check_framing
+from roselink.http.exceptions import BadRequestError
+from roselink.http.framing_checks import check_framing
 from roselink.http.socket_probe import SocketProbe
 
 if TYPE_CHECKING:
     from roselink.http.limits import TimeLimits
     from roselink.http.server import HttpServer
 
-PIPELINE_LIMIT = 2  # requests parsed ahead on one connection: clients send one at a time
-PARSE_BYTES = 2048  # bytes parsed at a time, a few requests: one read can hold hundreds
-# after an error, so that a client still sending can read why
+# Requests parsed ahead on one connection: clients send one at a time.
+PIPELINE_LIMIT = 2
+# Parsed at a time, a few requests: one read can have hundreds.
+PARSE_BYTES = 2048
+# After an error, so that a client still sending can read why.
 LINGER_S = 1.0
 LINGER_BYTES = 1024 * 1024
 
 
 class PendingRequest:
-    """A request that is complete, or the status that it gets, waiting for its turn on the
-    connection.
+    """A complete request, or the status that it gets, that waits for its turn.
+
+    Clients may pipeline requests; each is served once the one before it has its response.
     """
 
-    def __init__(self, request: Any, status: int, keep: bool, why: str = "") -> None:
-        self.request, self.status, self.keep, self.why = request, status, keep, why
+    def __init__(self, request: Any, status: int, *, keep: bool, why: str = "") -> None:
+        """Keep what a subclass serves in its turn; `why` is for the log."""
+        self.request = request
+        self.status = status
+        self.keep = keep
+        self.why = why
 
 
 class ServerConnection(asyncio.Protocol):
@@ -45,26 +53,28 @@
     """
 
     def __init__(self, server: HttpServer) -> None:
+        """Start without a transport, on a connection of `server`."""
         self._server = server
         self._transport: asyncio.Transport | None = None
         self._probe: SocketProbe | None = None
         self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self._unparsed = b""  # read, not parsed yet
-        self._read_at = (
-            server.loop.time()
-        )  # when it was read, which a client's deadline counts from
-        self._last_empty_at = (
-            math.inf
-        )  # with reading paused: when the kernel was last seen to hold nothing
+        # When it was read, which a client's deadline counts from.
+        self._read_at = server.loop.time()
+        # With reading paused: when the kernel last had nothing unread.
+        self._last_empty_at = math.inf
         self._pending: deque[PendingRequest] = deque()
         self._serving = False
         self._keep_alive = True
-        self._is_advancing = self._reading_paused = self._writing_paused = self._input_ended = (
-            self._in_request
-        ) = False
-        self._discarded_bytes = self._completed_requests = 0
+        self._is_advancing = False
+        self._reading_paused = False
+        self._writing_paused = False
+        self._input_ended = False
+        self._in_request = False
+        self._discarded_bytes = 0
+        self._completed_requests = 0
         self._parse_error: BadRequestError | None = None
-        self.last_progress_at = server.loop.time()  # what the limits on time count from
+        self.last_progress_at = server.loop.time()  # the limits on time count from it
         self._start_request()
 
     def _start_request(self) -> None:
@@ -77,6 +87,7 @@
     # The transport's side.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take over the transport of a new connection (asyncio)."""
         self._transport = cast("asyncio.Transport", transport)  # uvloop's are no subclass of it
         # With the marks at 0 `_writing_paused` stands for "bytes of a response are left in this
         # process".
@@ -85,27 +96,30 @@
         self._server.connection_opened(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Clean up after the connection has ended (asyncio)."""
         self._transport = self._probe = None
         self._input_ended = True
         self._pending.clear()
-        self._unparsed, self._parser = (
-            b"",
-            None,
-        )  # the parser refers back: a cycle would wait for the collector
+        # the parser refers back: a cycle would wait for the collector
+        self._unparsed = b""
+        self._parser = None
         self._server.connection_ended(self)
         self._client_left()
 
     def pause_writing(self) -> None:
+        """Note that bytes are left in this process (asyncio)."""
         self._writing_paused = True
         self.last_progress_at = self._server.loop.time()
 
     def resume_writing(self) -> None:
+        """Note that the kernel has the last byte (asyncio)."""
         self._writing_paused = False
         self._advance()
         if self.idle():
             self._server.connection_idle(self)
 
     def data_received(self, data: bytes) -> None:
+        """Take bytes that have come (asyncio)."""
         if self._input_ended:
             self._discarded_bytes += len(data)
             if self._discarded_bytes > LINGER_BYTES:
@@ -114,16 +128,15 @@
         if not self._unparsed:
             # What lay unread for a while may have come at any time in it: its client counts from
             # then on.
-            self._read_at, self._last_empty_at = (
-                min(self._server.loop.time(), self._last_empty_at),
-                math.inf,
-            )
+            self._read_at = min(self._server.loop.time(), self._last_empty_at)
+            self._last_empty_at = math.inf
         self._unparsed += data
         self._advance()
 
     def _parse(self) -> None:
-        """Parse what was read, no further ahead than a client needs; the rest waits, as the client
-        must.
+        """Parse what was read, no further ahead than a client needs.
+
+        The rest waits, as the client must.
         """
         while (
             self._unparsed
@@ -131,21 +144,18 @@
             and not self._input_ended
             and self._parser is not None
         ):
-            data, self._unparsed = self._unparsed[:PARSE_BYTES], self._unparsed[PARSE_BYTES:]
+            data = self._unparsed[:PARSE_BYTES]
+            self._unparsed = self._unparsed[PARSE_BYTES:]
             complete = self._completed_requests
             try:
                 self._parser.feed_data(data)
                 if self._in_request and complete == self._completed_requests:
-                    # A header without end, or an endless extension of a chunk, reaches no callback.
-                    self._request_bytes += len(data)
-                    if self._in_head and self._request_bytes > self._server.size_limits.head:
-                        raise BadRequestError(431, "head too long")
-                    if self._request_bytes > self._server.size_limits.message:
-                        raise BadRequestError(413, "request too long")
+                    self._count_request_bytes(len(data))
             except httptools.HttpParserUpgrade:
                 # The offer is not taken up: the request is served, and what follows is not HTTP any
                 # more.
-                self._input_ended, self._pending[-1].keep = True, False
+                self._input_ended = True
+                self._pending[-1].keep = False
             except (httptools.HttpParserError, BadRequestError) as error:
                 bad = (
                     error
@@ -153,9 +163,24 @@
                     else self._parse_error or BadRequestError(400, f"not HTTP: {error}")
                 )
                 self._input_ended = True
-                self._pending.append(PendingRequest(None, bad.status, False, str(bad)))
+                self._pending.append(PendingRequest(None, bad.status, keep=False, why=str(bad)))
         if self._input_ended:
             self._unparsed = b""
+        self._pause_or_resume_reading()
+
+    def _count_request_bytes(self, size: int) -> None:
+        """Bound a request as a whole.
+
+        A header without end, or an endless extension of a chunk, reaches no callback of the parser.
+        """
+        self._request_bytes += size
+        if self._in_head and self._request_bytes > self._server.size_limits.head:
+            raise BadRequestError(431, "head too long")
+        if self._request_bytes > self._server.size_limits.message:
+            raise BadRequestError(413, "request too long")
+
+    def _pause_or_resume_reading(self) -> None:
+        """Read on once all that was read is parsed."""
         wait = bool(self._unparsed) and not self._input_ended
         if self._transport is None or self._probe is None or not (wait or self._reading_paused):
             return
@@ -171,6 +196,7 @@
     # The parser's side.
 
     def on_message_begin(self) -> None:
+        """A message begins (parser)."""
         self._start_request()
         self._in_request = True
         if not self._serving:
@@ -178,10 +204,12 @@
         self._server.request_started(self)
 
     def on_url(self, url: bytes) -> None:
+        """A piece of the request target (parser)."""
         self._url += url
         self._count_head_bytes(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """One header, or a trailer (parser)."""
         if not self._in_head:
             return  # a trailer: it must not stand in for a header that was checked
         self._headers.append((name, value.strip()))
@@ -198,7 +226,9 @@
         raise self._parse_error
 
     def on_headers_complete(self) -> None:
-        self._in_head, self._section_bytes = False, 0
+        """The head is complete (parser)."""
+        self._in_head = False
+        self._section_bytes = 0
         assert self._parser is not None
         try:
             check_framing(
@@ -208,25 +238,28 @@
             self._reject(bad.status, str(bad))
 
     def on_body(self, body: bytes) -> None:
+        """A piece of the body (parser)."""
         self._section_bytes += len(body)
         if self._section_bytes > self._server.size_limits.body:
             self._reject(413, "body too long")
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        self._in_request, self._completed_requests = False, self._completed_requests + 1
+        """The message is complete (parser)."""
+        self._in_request = False
+        self._completed_requests = self._completed_requests + 1
         assert self._parser is not None
         keep = self._parser.should_keep_alive()
         try:
-            pending = self._read_request(self._parser.get_method(), keep)
+            pending = self._read_request(self._parser.get_method(), keep=keep)
         except BadRequestError as bad:
-            pending = PendingRequest(None, bad.status, keep, str(bad))
+            pending = PendingRequest(None, bad.status, keep=keep, why=str(bad))
         self._pending.append(pending)
 
     # One request after another.
 
     def _advance(self) -> None:
-        """Begin the next request, once the answer before it is on its way and was read."""
+        """Begin the next request, once the response before it is on its way and was read."""
         if self._is_advancing:
             return
         self._is_advancing = True
@@ -243,9 +276,9 @@
         finally:
             self._is_advancing = False
 
-    # What a subclass says.
+    # What a subclass defines.
 
-    def _read_request(self, method: bytes, keep: bool) -> PendingRequest:
+    def _read_request(self, method: bytes, *, keep: bool) -> PendingRequest:
         """Read the request that has just become complete.
 
         Args:
@@ -262,13 +295,15 @@
         raise NotImplementedError
 
     def _client_left(self) -> None:
-        """The client has gone, also in the middle of an answer."""
+        """The client has gone, also in the middle of a response."""
 
-    # An answer.
+    # A response.
 
     def _may_keep_alive(self) -> bool:
-        """Whether the connection stays open behind this answer. What was sent ahead has been taken
-        and is owed an answer, also where it lies in the kernel: the last answer says `close`.
+        """Whether the connection stays open behind this response.
+
+        What was sent ahead has been taken and is owed a response, also where it lies in the kernel:
+        the last response says `close`.
         """
         ahead = bool(self._pending) or bool(self._unparsed) or self._in_request
         if ahead or not self._server.draining or not self._keep_alive:
@@ -279,8 +314,8 @@
         if self._transport is not None:
             self._transport.write(data)
 
-    def _response_finished(self, keep: bool) -> None:
-        """The last byte of an answer is on its way."""
+    def _response_finished(self, *, keep: bool) -> None:
+        """The last byte of a response is on its way."""
         self._serving = False
         self.last_progress_at = self._server.loop.time()
         if self._transport is None:
@@ -294,9 +329,10 @@
             self._close()
 
     def _close(self) -> None:
-        """End the connection after its last answer. A close on unread bytes would reset it and
-        could take the answer along, so the sending side ends first and what still comes is thrown
-        away for a while.
+        """End the connection after its last response.
+
+        A close on unread bytes would reset it and could take the response along, so the sending
+        side ends first and what still comes is discarded for a while.
         """
         self._input_ended = True
         self._pending.clear()
@@ -311,34 +347,39 @@
             self._server.loop.call_later(LINGER_S, self._end_linger)
 
     def _end_linger(self) -> None:
-        """The end of the time that a last answer has. (`sweep` ends a connection whose client does
-        not take it.)
+        """The end of the time that a last response has.
+
+        (`sweep` ends a connection whose client does not take it.)
         """
         if self._transport is not None and not self.close_finished():
             self._server.loop.call_later(LINGER_S, self._end_linger)
 
     def eof_received(self) -> bool:
+        """Let the transport close: the peer has ended its sending (asyncio)."""
         return False  # the client has closed: the transport closes too, and an open request departs
 
     def abort(self) -> None:
+        """Close at once, also with bytes unsent."""
         self._server.connection_closing(self)
         if self._transport is not None:
             self._transport.abort()
 
     def has_left(self) -> bool:
-        """Whether the client has left. Not read any further, its connection would stay: it ends
-        here.
+        """Whether the client has left.
+
+        Not read any further, its connection would stay: it ends here.
         """
         if self._probe is not None and self._probe.peer_closed():
             self.abort()
             return True
         return self._transport is None
 
-    # What the server asks.
+    # Called by the server.
 
     def idle(self) -> bool:
-        """Whether it is between two requests, as far as this process has read, with all answers
-        gone out.
+        """Whether it is between two requests, with all responses sent.
+
+        This goes by what the process has read.
         """
         busy = (
             self._serving
@@ -350,8 +391,10 @@
         return not (busy or self._input_ended)
 
     def close_idle(self) -> bool:
-        """End it between two requests, by our choice; whether it ended. A request that lies unread
-        in the kernel has been taken and is owed an answer, and a close on it would be a reset.
+        """End it between two requests, by our choice; whether it ended.
+
+        A request that lies unread in the kernel has been taken and is owed a response, and a close
+        on it would be a reset.
         """
         if self._probe is None or self._probe.has_unread():
             return False
@@ -359,9 +402,10 @@
         return True
 
     def close_finished(self) -> bool:
-        """End it after its last answer, once the kernel has that; whether it ended. What comes
-        meanwhile is read first: a close on it would be a reset, which takes along what the client's
-        kernel has not got.
+        """End it after its last response, once the kernel has that; whether it ended.
+
+        What comes meanwhile is read first: a close on it would be a reset, which takes along what
+        the client's kernel has not got.
         """
         if self._writing_paused or self._probe is None or self._probe.has_unread():
             return False
@@ -369,8 +413,9 @@
         return True
 
     def sweep(self, now: float, times: TimeLimits) -> None:
-        """Ends what takes too long. Guards the descriptors against clients that come and say
-        nothing.
+        """Ends what takes too long.
+
+        Guards the descriptors against clients that come and say nothing.
         """
         waited = now - self.last_progress_at
         if self._writing_paused and waited > times.unread:
@@ -378,7 +423,9 @@
         elif self._in_request and not self._serving and not self._input_ended:
             if waited > (times.head if self._in_head else times.body):
                 self._input_ended = True
-                self._pending.append(PendingRequest(None, 408, False, "request not whole in time"))
+                self._pending.append(
+                    PendingRequest(None, 408, keep=False, why="request not whole in time")
+                )
                 self._advance()
         elif (
             self.idle() and waited > times.idle[min(self._completed_requests, len(times.idle) - 1)]
--- a/roselink/http/socket_probe.py
+++ b/roselink/http/socket_probe.py
@@ -19,6 +19,7 @@
     """One connection's socket, for as long as its transport is open."""
 
     def __init__(self, transport: asyncio.BaseTransport) -> None:
+        """Watch the socket of an open transport."""
         self._poll = select.poll()
         self._poll.register(
             transport.get_extra_info("socket").fileno(), select.POLLIN | select.POLLRDHUP
@@ -32,13 +33,15 @@
         return bool(self._events())
 
     def peer_closed(self) -> bool:
-        """Whether the other side has ended its sending or is gone, however much of it is still
-        unread.
+        """Whether the peer has ended its sending or is gone.
+
+        Some of what it sent may still be unread.
         """
         return bool(self._events() & _LEFT)
 
     def was_reset(self) -> bool:
-        """Whether the connection is gone in both directions, as a reset leaves it and an end does
-        not.
+        """Whether the connection is gone in both directions.
+
+        A reset leaves it so, an end does not.
         """
         return bool(self._events() & (select.POLLHUP | select.POLLERR))
--- a/roselink/simulation/clients.py
+++ b/roselink/simulation/clients.py
@@ -27,14 +27,14 @@
     from roselink.simulation.cluster import Cluster
     from roselink.simulation.machine import Machine
 
-# An operator sends a change again after so many seconds without a response.
+# An operator sends a change again after this time without a response, in seconds.
 RESPONSE_TIMEOUT_S = 1.0
-# After so many attempts an operator goes on to its next change.
+# After its last attempt an operator continues with its next change.
 MOST_ATTEMPTS = 12
 # The fraction of changes that are sent as updates of items.
 UPDATE_FRACTION = 0.5
 SERVICE = "model"
-# Each configuration has two of so many API keys, in turn.
+# The number of API keys, of which each configuration has two in turn.
 KEY_COUNT = 5
 # The fraction of calls that operators send to two members at once.
 CONCURRENT_FRACTION = 0.1
@@ -104,15 +104,15 @@
             return
         process_number = machine.process_number
 
-        def submit(order: ConfigurationChange, done: Callable[[SubmitOutcome], None]) -> None:
+        def submit(change: ConfigurationChange, done: Callable[[SubmitOutcome], None]) -> None:
             if machine.process_number == process_number:
-                machine.submit(order, done)
+                machine.submit(change, done)
 
         submit_update(self.command, machine.read, submit, done)
 
 
 def command_of(change: Change, padding: int = 0) -> ConfigurationChange:
-    """A change with its whole document, as members take it."""
+    """A change with its whole document, as members handle it."""
     document = document_of(change, padding)
     return ConfigurationChange(
         change.base, change.version, document, digest_of(change.base, document)
@@ -120,11 +120,15 @@
 
 
 def update_command_of(change: Change, missing: int) -> UpdateRequest:
-    """A change as an update of items, as members take it."""
-    call = parse_update_request(change.base, update_of(change, missing))
-    if isinstance(call, ValidationFailure):
-        raise ChangeNotValidError(change, call)
-    return call
+    """A change as an update of items, as members handle it.
+
+    Raises:
+        ChangeNotValidError: the controller's validation refuses it.
+    """
+    request = parse_update_request(change.base, update_of(change, missing))
+    if isinstance(request, ValidationFailure):
+        raise ChangeNotValidError(change, request)
+    return request
 
 
 def change_in(cluster: Cluster, document: bytes | None) -> Change | None:
@@ -220,7 +224,8 @@
         attempts: int,
         ended: list[bool],
     ) -> None:
-        cluster, change = self.cluster, request.change
+        cluster = self.cluster
+        change = request.change
         call = cluster.history.begin_call(change, cluster.now)
 
         def done(outcome: SubmitOutcome | ValidationFailure) -> None:
@@ -243,7 +248,8 @@
         attempts: int,
         outcome: SubmitOutcome | ValidationFailure,
     ) -> None:
-        cluster, change = self.cluster, request.change
+        cluster = self.cluster
+        change = request.change
         if isinstance(outcome, ChangeCommitted):
             self.base = max(self.base, change.version)
             self.slowest_s = max(self.slowest_s, cluster.now - began)
--- a/tests/distribution/test_pull_state_machine.py
+++ b/tests/distribution/test_pull_state_machine.py
@@ -60,13 +60,16 @@
     return pulls.reply_received(send(pulls, now).call, answer, now + 0.002)
 
 
-def test_nothing_is_sent_while_a_call_is_under_way_or_none_is_due() -> None:
+def test_nothing_is_sent_while_a_call_is_in_flight_or_none_is_due() -> None:
     pulls = machine()
     first = send(pulls, 1.0)
     assert pulls.wake(1.1) == []
     pulls.reply_received(first.call, reply(1, 1), 1.002)
     assert pulls.wake(1.01) == []
-    low, high = module.PULL_EVERY_S * (1 - module.JITTER), module.PULL_EVERY_S * (1 + module.JITTER)
+    low, high = (
+        module.PULL_INTERVAL_S * (1 - module.JITTER),
+        module.PULL_INTERVAL_S * (1 + module.JITTER),
+    )
     assert low <= pulls.due_at - 1.002 <= high
     assert send(pulls, pulls.due_at).address == first.address
 
@@ -75,20 +78,33 @@
     assert {send(machine(seed), 0.0).address for seed in range(20)} == set(SEEDS)
 
 
-@pytest.mark.parametrize("failure", [None, PullReply(False, VersionVector(), None, None, None, ())])
-def test_after_a_failure_the_next_member_is_asked_at_once(failure: PullReply | None) -> None:
+@pytest.mark.parametrize(
+    "failure",
+    [
+        None,
+        PullReply(
+            confirmed=False,
+            vector=VersionVector(),
+            configuration=None,
+            hosts=None,
+            roster=None,
+            cores=(),
+        ),
+    ],
+)
+def test_after_a_failure_the_next_member_is_tried_at_once(failure: PullReply | None) -> None:
     pulls = machine()
-    asked = []
+    addresses = []
     now = 1.0
     for _ in SEEDS:
         call = send(pulls, now)
-        asked.append(call.address)
+        addresses.append(call.address)
         now += 0.01
         pulls.reply_received(call.call, failure, now)
-        if len(asked) < len(SEEDS):
+        if len(addresses) < len(SEEDS):
             assert pulls.due_at == now
-    assert set(asked) == set(SEEDS)
-    assert 0 < pulls.due_at - now <= module.BACKOFF_FIRST_S * (1 + module.JITTER)
+    assert set(addresses) == set(SEEDS)
+    assert 0 < pulls.due_at - now <= module.INITIAL_BACKOFF_S * (1 + module.JITTER)
 
 
 def test_it_never_gives_up_and_waits_no_longer_than_the_bound() -> None:
@@ -96,9 +112,9 @@
     now = 1.0
     for _ in range(300):
         exchange(pulls, now, None)
-        assert pulls.due_at - now <= 0.002 + module.BACKOFF_MOST_S * (1 + module.JITTER)
+        assert pulls.due_at - now <= 0.002 + module.MAX_BACKOFF_S * (1 + module.JITTER)
         now = max(now + 0.002, pulls.due_at)
-    assert send(pulls, now).timeout_s == module.TIMEOUT_MOST_S
+    assert send(pulls, now).timeout_s == module.MAX_TIMEOUT_S
     pulls.reply_received(send_number(pulls), reply(1), now)
     assert send(pulls, pulls.due_at).timeout_s == module.TIMEOUT_S
 
@@ -120,31 +136,31 @@
 
 
 def send_number(pulls: PullStateMachine) -> int:
-    assert pulls._open is not None
-    return pulls._open[0]
+    assert pulls._pending is not None
+    return pulls._pending.call
 
 
 def test_the_cores_own_list_comes_first_and_seeds_are_the_last_resort() -> None:
     pulls = machine()
     exchange(pulls, 1.0, reply(1, cores=("10.9.0.9:7500", "10.9.0.8:7500")))
-    asked = []
+    addresses = []
     now = pulls.due_at
     for _ in range(5):
-        asked.append(send(pulls, now).address)
+        addresses.append(send(pulls, now).address)
         pulls.reply_received(send_number(pulls), None, now)
-    assert set(asked[:2]) == {("10.9.0.9", 7500), ("10.9.0.8", 7500)}
-    assert set(asked[2:]) == set(SEEDS)
+    assert set(addresses[:2]) == {("10.9.0.9", 7500), ("10.9.0.8", 7500)}
+    assert set(addresses[2:]) == set(SEEDS)
 
 
 def test_new_seeds_and_hints_are_tried_too() -> None:
     pulls = machine()
     pulls.set_seeds([("10.5.0.5", 7500)])
     pulls.add_core_hints(["10.6.0.6:7500", "broken"])
-    asked = set()
+    addresses = set()
     for step in range(2):
-        asked.add(send(pulls, 1.0 + step).address)
+        addresses.add(send(pulls, 1.0 + step).address)
         pulls.reply_received(send_number(pulls), None, 1.0 + step)
-    assert asked == {("10.5.0.5", 7500), ("10.6.0.6", 7500)}
+    assert addresses == {("10.5.0.5", 7500), ("10.6.0.6", 7500)}
 
 
 def test_an_unconfirmed_reply_counts_for_its_hints_only() -> None:
@@ -152,11 +168,11 @@
     answer = reply(3, 4, 5, confirmed=False, cores=("10.7.0.7:7500",))
     assert exchange(pulls, 1.0, answer) == []
     assert pulls.snapshot is None
-    asked = set()
+    addresses = set()
     for step in range(4):
-        asked.add(send(pulls, 2.0 + step).address)
+        addresses.add(send(pulls, 2.0 + step).address)
         pulls.reply_received(send_number(pulls), None, 2.0 + step)
-    assert ("10.7.0.7", 7500) in asked
+    assert ("10.7.0.7", 7500) in addresses
 
 
 def test_a_snapshot_needs_a_configuration_and_each_part_moves_by_itself() -> None:
@@ -164,7 +180,8 @@
     assert exchange(pulls, 1.0, reply(0, 4, 5)) == [SnapshotConfirmed(1.0)]
     assert pulls.snapshot is None
     [applied, confirmed] = exchange(pulls, 2.0, reply(3, 4, 5, hosts=None, roster=None))
-    assert isinstance(applied, ApplySnapshot) and confirmed == SnapshotConfirmed(2.0)
+    assert isinstance(applied, ApplySnapshot)
+    assert confirmed == SnapshotConfirmed(2.0)
     assert applied.snapshot.configuration.generation == 3
     assert applied.snapshot.hosts == (host("h-1"),)
     assert applied.snapshot.roster == (MEMBER,)
@@ -187,10 +204,10 @@
         (
             reply(9, 4, 5, configuration=None),
             False,
-        ),  # told that there is a newer one, and not given it
+        ),  # it names a newer one, and lacks it
     ],
 )
-def test_nothing_moves_back(later: PullReply, confirmed: bool) -> None:
+def test_nothing_moves_back(later: PullReply, *, confirmed: bool) -> None:
     pulls = machine()
     exchange(pulls, 1.0, reply(3, 4, 5))
     before = pulls.snapshot
@@ -208,8 +225,10 @@
     pulls = machine()
     exchange(pulls, 1.0, reply(3))
     [effect] = exchange(pulls, 2.0, reply(4, configuration=bad))
-    assert isinstance(effect, ConfigurationUnreadable) and effect.version == 4
-    assert pulls.snapshot is not None and pulls.snapshot.configuration.generation == 3
+    assert isinstance(effect, ConfigurationUnreadable)
+    assert effect.version == 4
+    assert pulls.snapshot is not None
+    assert pulls.snapshot.configuration.generation == 3
     assert pulls.confirmed_at == 1.0
     exchange(pulls, 3.0, reply(4))
     assert pulls.snapshot.configuration.generation == 4
@@ -226,23 +245,23 @@
     ],
 )
 def test_keys_may_be_used_for_a_time_from_the_sending_of_the_last_confirmed_pull(
-    now: float, strict: bool, allowed: bool
+    now: float, *, strict: bool, allowed: bool
 ) -> None:
     pulls = machine()
     call = send(pulls, 1.0)
     pulls.reply_received(call.call, reply(3), 1.25)
-    assert pulls.may_use_keys(now, 5.0, strict) is allowed
+    assert pulls.may_use_keys(now, 5.0, strict=strict) is allowed
 
 
 @pytest.mark.parametrize("strict", [True, False])
-def test_without_a_snapshot_no_key_is_good(strict: bool) -> None:
+def test_without_a_snapshot_no_key_is_good(*, strict: bool) -> None:
     pulls = machine()
-    assert not pulls.may_use_keys(1.0, 5.0, strict)
+    assert not pulls.may_use_keys(1.0, 5.0, strict=strict)
     exchange(pulls, 1.0, reply(0))
-    assert not pulls.may_use_keys(1.1, 5.0, strict)
+    assert not pulls.may_use_keys(1.1, 5.0, strict=strict)
 
 
-def test_late_and_foreign_answers_are_passed_over() -> None:
+def test_late_and_foreign_replies_are_ignored() -> None:
     pulls = machine()
     call = send(pulls, 1.0)
     pulls.reply_received(call.call, None, 1.3)
@@ -251,13 +270,13 @@
     assert pulls.snapshot is None
 
 
-def test_hurry_brings_the_next_pull_forward() -> None:
+def test_pull_soon_brings_the_next_pull_forward() -> None:
     pulls = machine()
     exchange(pulls, 1.0, reply(3, 1))
     pulls.pull_soon(1.01)
-    assert pulls.due_at == 1.01 + module.SOONEST_AGAIN_S
+    assert pulls.due_at == 1.01 + module.MIN_INTERVAL_S
     pulls.pull_soon(1.05)
-    assert pulls.due_at == 1.01 + module.SOONEST_AGAIN_S
+    assert pulls.due_at == 1.01 + module.MIN_INTERVAL_S
 
 
 def test_without_any_list_of_hosts_the_next_pulls_come_soon_and_then_at_the_ordinary_pace() -> None:
@@ -268,22 +287,31 @@
         pauses.append(pulls.due_at - now - 0.002)
         now = pulls.due_at
     most = 1 + module.JITTER
-    assert pauses[0] <= 0.05 * most and sum(pauses[:3]) < module.PULL_EVERY_S * most
-    assert all(pause <= module.PULL_EVERY_S * most for pause in pauses)
-    assert all(pause >= module.PULL_EVERY_S * (1 - module.JITTER) for pause in pauses[5:])
+    assert pauses[0] <= 0.05 * most
+    assert sum(pauses[:3]) < module.PULL_INTERVAL_S * most
+    assert all(pause <= module.PULL_INTERVAL_S * most for pause in pauses)
+    assert all(pause >= module.PULL_INTERVAL_S * (1 - module.JITTER) for pause in pauses[5:])
     exchange(pulls, now, reply(3, 1))
-    assert pulls.due_at - now >= module.PULL_EVERY_S * (1 - module.JITTER)
+    assert pulls.due_at - now >= module.PULL_INTERVAL_S * (1 - module.JITTER)
 
 
 def test_a_pull_with_nothing_new_is_small() -> None:
     vector = VersionVector(7, 1 << 33, 1 << 33)
-    question = encode_frame(FrameKind.CALL, 1, PullRequest(MEMBER, vector, True))
+    request = encode_frame(FrameKind.CALL, 1, PullRequest(MEMBER, vector, serving=True))
     answer = encode_frame(
         FrameKind.REPLY,
         1,
-        PullReply(True, vector, None, None, None, tuple(f"10.{n}.0.26:7500" for n in (1, 2, 3))),
+        PullReply(
+            confirmed=True,
+            vector=vector,
+            configuration=None,
+            hosts=None,
+            roster=None,
+            cores=tuple(f"10.{n}.0.26:7500" for n in (1, 2, 3)),
+        ),
     )
-    assert len(question) < 200 and len(answer) < 200
+    assert len(request) < 200
+    assert len(answer) < 200
 
 
 def test_a_play_with_random_failures_never_regresses_and_never_outlives_its_lease() -> None:
@@ -312,8 +340,8 @@
                 assert isinstance(effect, SendPull)
                 open_call = effect, now
             if pulls.snapshot is not None:
-                held = pulls.snapshot.vector.configuration
-                assert held >= newest
-                newest = held
-                if pulls.may_use_keys(now, 5.0, True):
-                    assert all(at > now - 5.0 for at, version in acknowledged if version > held)
+                current = pulls.snapshot.vector.configuration
+                assert current >= newest
+                newest = current
+                if pulls.may_use_keys(now, 5.0, strict=True):
+                    assert all(at > now - 5.0 for at, version in acknowledged if version > current)
