--- a/roselink/balancer/decider.py
+++ b/roselink/balancer/decider.py
@@ -44,6 +44,7 @@
 from roselink.balancer.outcome_classifier import BROKEN, is_retryable, may_refuse
 from roselink.balancer.outlier_ejection import eject_outlier
 from roselink.balancer.payoff import SMOOTHING, PayoffEstimator
+from roselink.balancer.request_queue import max_queued_us, queues_by_value
 from roselink.balancer.request_state import COST_SAMPLES_MIN, Attempt, Request
 from roselink.balancer.server_table import ServerTable
 from roselink.balancer.slow_start import SlowStart
@@ -52,7 +53,6 @@
 from roselink.routing.outcome import Outcome
 
 if TYPE_CHECKING:
-    from collections import deque
     from collections.abc import Callable
 
     from roselink.balancer.request_state import RouteState
@@ -67,9 +67,6 @@
 HEDGE_PERCENTILE = 0.95
 # First wait between retry groups, as a fraction of the aim; it doubles from there.
 FIRST_BACKOFF_FRACTION = 1 / 64
-# Fraction of its aim that a request is queued here at most: capacity may come, against tries
-# elsewhere.
-MAX_QUEUED_FRACTION = 0.2
 # First wait after a failed call of discovery; it doubles from there, so many times at most.
 DISCOVERY_BACKOFF_US = 100_000
 MAX_DISCOVERY_DOUBLINGS = 9
@@ -180,12 +177,9 @@
             self.close(request)
         elif not request.in_flight:
             # A retry group ended without an answer: attempts, classifier and budget decide.
-            attempts_left = len(request.attempts) < self.settings.max_attempts
-            if (
-                attempts_left
-                and is_retryable(request, event.outcome)
-                and request.route.retry_budget.spend()
-            ):
+            may_send = len(request.attempts) < self.settings.max_attempts
+            retryable = may_send and is_retryable(request, event.outcome)
+            if retryable and request.route.retry_budget.spend():
                 self._back_off(request)
             else:
                 self.finish(request)
@@ -222,13 +216,7 @@
         route = request.route
         route.queues[request.low_priority].append(request)
         self.state.queued += 1
-        last_send_us = request.aimed_us - (route.latency.percentile(0.5) or request.cost_us)
-        # A try elsewhere has to come in time as well, and others may have capacity while there is
-        # none here.
-        wait_us = min(
-            last_send_us - self.state.now_us,
-            MAX_QUEUED_FRACTION * (request.aimed_us - self.state.now_us),
-        )
+        wait_us = max_queued_us(self.state, request)
         self._set_alarm(wait_us, lambda: self.end_queued(request))
 
     def end_queued(self, request: Request) -> None:
@@ -238,10 +226,8 @@
         """
         if request.closed or request.attempts:
             return
-        if self.shedder.admitted >= 1.0:
-            self.finish(request, FIRST_BACKOFF_FRACTION * request.route.patience_us)
-        else:
-            self.finish(request)
+        at_once_us = FIRST_BACKOFF_FRACTION * request.route.patience_us
+        self.finish(request, at_once_us if self.shedder.admitted >= 1.0 else math.inf)
 
     def _drain_queues(self) -> None:
         """Sends what is queued as capacity allows.
@@ -249,7 +235,7 @@
         Of each queue the newest first: where not all can be served, the served must not have waited
         their aim away.
         """
-        for queue in self._queues_by_value():
+        for queue in queues_by_value(self.state):
             while queue and (queue[-1].closed or self._try_send(queue[-1])):
                 queue.pop()
                 self.state.queued -= 1
@@ -257,16 +243,6 @@
                 queue.popleft()
                 self.state.queued -= 1
 
-    def _queues_by_value(self) -> list[deque[Request]]:
-        """Worth for cost first; over-quota tenants and marked repeats last."""
-        weights = (-1.0, -self.settings.over_quota_worth)
-        queues = [
-            (weights[priority] * route.spec.worth / route.cost_us, queue)
-            for route in self.state.routes
-            for priority, queue in enumerate(route.queues)
-        ]
-        return [queue for _, queue in sorted(queues, key=lambda entry: entry[0])]
-
     # Final answers.
 
     def finish(self, request: Request, away_us: float = math.inf) -> None:
