--- a/roselink/dataplane/admission.py
+++ b/roselink/dataplane/admission.py
@@ -18,17 +18,16 @@
 DEFAULT_DEADLINE_S = 30.0
 # Before the client's deadline by this much the last word is said: room for the way to the client.
 MARGIN_S = 0.030
-MARGIN_FRACTION = (
-    0.25  # of the time that a client in a hurry gives: the margin shrinks to fit into that
-)
-NOT_CONFIRMED_RETRY_S = (
-    0.25  # configuration, keys or places are missing here: other gateways have them
-)
-UNCONFIGURED_RETRY_S = (
-    1.2  # from a start to a list of hosts after a loss of all, about (docs/policy.md)
-)
-UNCONFIGURED_SPREAD = 0.4  # part of it, either way
-CLIENT_FRACTION = 0.3  # clients wait a third of the time they have left, and not longer
+# Of the time that a client in a hurry gives: the margin shrinks to fit into that.
+MARGIN_FRACTION = 0.25
+# Configuration, keys or places are missing here: other gateways have them.
+NOT_CONFIRMED_RETRY_S = 0.25
+# From a start to a list of hosts after a loss of all, about (docs/policy.md).
+UNCONFIGURED_RETRY_S = 1.2
+# Part of it, either way.
+UNCONFIGURED_SPREAD = 0.4
+# Clients wait a third of the time they have left, and not longer.
+CLIENT_FRACTION = 0.3
 
 
 class Refusal(NamedTuple):
@@ -59,8 +58,12 @@
     had to loses little. `chance` is drawn from 0 to 1, so that those who were refused together come
     back apart.
     """
-    told = UNCONFIGURED_RETRY_S * (1 + UNCONFIGURED_SPREAD * (2 * chance - 1))
-    return told if request.deadline_s is None else min(told, CLIENT_FRACTION * request.deadline_s)
+    retry_s = UNCONFIGURED_RETRY_S * (1 + UNCONFIGURED_SPREAD * (2 * chance - 1))
+    return (
+        retry_s
+        if request.deadline_s is None
+        else min(retry_s, CLIENT_FRACTION * request.deadline_s)
+    )
 
 
 def decide_admission(
@@ -86,8 +89,8 @@
 
 def time_limit_s(request: ProxyRequest, route: Route) -> float:
     """How long a request may take: its client's time, or the operator's if that is shorter."""
-    told = DEFAULT_DEADLINE_S if request.deadline_s is None else request.deadline_s
-    return min(told, route.timeout_ms / 1000) if route.timeout_ms > 0 else told
+    allowed_s = DEFAULT_DEADLINE_S if request.deadline_s is None else request.deadline_s
+    return min(allowed_s, route.timeout_ms / 1000) if route.timeout_ms > 0 else allowed_s
 
 
 def give_up_time(since: float, expires_at: float) -> float:
--- a/roselink/dataplane/attempt_runner.py
+++ b/roselink/dataplane/attempt_runner.py
@@ -21,9 +21,8 @@
 
 # Hosts get so much less: what they send at their deadline is still relayed.
 HOST_MARGIN_MS = 5
-TIMEOUT_AFTER_DEADLINE_S = (
-    1.0  # an attempt that nothing else has ended ends so long after its request's deadline
-)
+# An attempt that nothing else has ended ends so long after its request's deadline.
+TIMEOUT_AFTER_DEADLINE_S = 1.0
 
 
 class RequestOwner(Protocol):
--- a/roselink/dataplane/client_connection.py
+++ b/roselink/dataplane/client_connection.py
@@ -49,10 +49,10 @@
     def on_headers_complete(self) -> None:
         """The head is complete (parser)."""
         super().on_headers_complete()
-        asked = any(
+        expects_continue = any(
             n.lower() == b"expect" and v.lower() == b"100-continue" for n, v in self._headers
         )
-        if asked and not (self._serving or self._pending):
+        if expects_continue and not (self._serving or self._pending):
             self._write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def _read_request(self, method: bytes, *, keep: bool) -> PendingRequest:
--- a/roselink/dataplane/client_server.py
+++ b/roselink/dataplane/client_server.py
@@ -40,7 +40,7 @@
         """Start with the default limits, until a configuration states others."""
         self.driver = driver
         self._limits: tuple[Limits, ...] = (Limits(),)  # the latest last
-        self._told = False  # whether they are a configuration's
+        self._limits_are_configured = False  # whether they are a configuration's
         super().__init__(loop, descriptors, make_room, _sizes(0, 0))
         self._apply()
 
@@ -51,9 +51,9 @@
         sent before them, keep within the old.
         """
         if limits != self._limits[-1]:
-            self._limits = (self._limits[-1], limits) if self._told else (limits,)
+            self._limits = (self._limits[-1], limits) if self._limits_are_configured else (limits,)
             self._apply()
-        self._told = True
+        self._limits_are_configured = True
 
     def _apply(self) -> None:
         self.size_limits = _sizes(
--- a/roselink/dataplane/decision_driver.py
+++ b/roselink/dataplane/decision_driver.py
@@ -57,7 +57,8 @@
 
 log = logging.getLogger("roselink.dataplane")
 
-STREAM_GRACE_S = 0.1  # a running stream ends so long after its deadline
+# A running stream ends so long after its deadline.
+STREAM_GRACE_S = 0.1
 
 
 class DecisionDriver:
@@ -81,9 +82,8 @@
         self._random = random.Random(seed)
         self._numbers = itertools.count(1)
         self._queue = EventQueue(loop, decider, self._perform, self._fail)
-        self._drain_ends_at: float | None = (
-            None  # while draining: when all must have their response
-        )
+        # While draining: when all must have their response.
+        self._drain_ends_at: float | None = None
         self._topology: TopologyChanged | None = None
         self.route_table: RouteTable | None = None
         self.host_directory = HostDirectory(upstream)
@@ -106,10 +106,10 @@
             return
         if self.route_table is None or self.route_table.configuration is not snapshot.configuration:
             self.route_table = RouteTable(snapshot.configuration)
-        told = TopologyChanged(snapshot.hosts, snapshot.configuration.services)
-        if told != self._topology:
-            self._topology = told
-            self._queue.enqueue(told)
+        topology = TopologyChanged(snapshot.hosts, snapshot.configuration.services)
+        if topology != self._topology:
+            self._topology = topology
+            self._queue.enqueue(topology)
         with self._queue.deferred():
             self.host_directory.update(snapshot)
 
@@ -271,11 +271,11 @@
         return True
 
     def _key_is_valid(self, exchange: Exchange) -> bool:
-        held = (
+        key_is_known = (
             self.route_table is not None
             and self.route_table.tenant(exchange.request.key) is not None
         )
-        return held and self._authority.may_use_keys()
+        return key_is_known and self._authority.may_use_keys()
 
     def end_if_stuck(self, exchange: Exchange) -> None:
         """Behind the end of an attempt: end the request if that leaves it no way to go on."""
@@ -338,7 +338,6 @@
             self._queue.enqueue(RequestClosed(exchange.number))
         for response in list(exchange.attempts.values()):
             response.cancel()
-        exchange.relayed_attempt = (
-            None  # nothing is left that refers in circles: no work for the collector
-        )
+        # Nothing is left that refers in circles: no work for the collector.
+        exchange.relayed_attempt = None
         self._queue.process()
--- a/roselink/dataplane/event_streams.py
+++ b/roselink/dataplane/event_streams.py
@@ -10,8 +10,10 @@
 
 _END = re.compile(rb"\n\r?\n")
 _ID = re.compile(rb"^id:[ ]?(\d{1,18})\r?$", re.MULTILINE)
-_FIELD = re.compile(rb"^[^:\r\n]", re.MULTILINE)  # a line that is no comment
-_END_OVERLAP = 2  # bytes of an end that may have come before
+# A line that is no comment.
+_FIELD = re.compile(rb"^[^:\r\n]", re.MULTILINE)
+# Bytes of an end that may have come before.
+_END_OVERLAP = 2
 
 
 class StreamEvent(NamedTuple):
@@ -61,9 +63,8 @@
         self.last_id: int | None = None
         self._before = resume_from
         self._widest_step = 0  # the widest step from one id to the next
-        self._has_event_without_id = (
-            False  # an event without id went on behind the last one with an id
-        )
+        # An event without id went on behind the last one with an id.
+        self._has_event_without_id = False
 
     @property
     def resumable(self) -> bool:
--- a/roselink/dataplane/exchange.py
+++ b/roselink/dataplane/exchange.py
@@ -23,10 +23,12 @@
 
     from roselink.routing.events_and_actions import RequestFacts
 
-ATTEMPTS_LIMIT = 64  # attempts of one request: a decider that never stops must not stop the loop
+# Attempts of one request: a decider that never stops must not stop the loop.
+ATTEMPTS_LIMIT = 64
 # Digits of a `Last-Event-Id`, as of the ids in a stream.
 EVENT_ID_DIGITS_LIMIT = 18
-BUFFER_LIMIT_BYTES = 256 * 1024  # bytes of a response that wait here for the rest of it
+# Bytes of a response that wait here for the rest of it.
+BUFFER_LIMIT_BYTES = 256 * 1024
 
 
 class ClientResponse(Protocol):
@@ -242,9 +244,9 @@
             self._abandon()
         elif self._become_relayed(self._stated_length()):
             self.mode = ResponseMode.RELAY
-            whole = b"".join(self._body)
+            buffered = b"".join(self._body)
             self._body = []
-            self._relay(whole)
+            self._relay(buffered)
 
     def _stated_length(self) -> int | None:
         for name, value in self.headers:
--- a/roselink/dataplane/gateway_data_plane.py
+++ b/roselink/dataplane/gateway_data_plane.py
@@ -23,15 +23,15 @@
 log = logging.getLogger("roselink.dataplane")
 
 SWEEP_S = 0.25
-SWEEP_LATE_S = 1.0  # a sweep that comes so late ends nothing: what came meanwhile has not been read
-ACCEPT_AFTER_SIGTERM_S = (
-    2.5  # after SIGTERM: the platform asks once a second, and sends connections until two misses
-)
-EXIT_RESERVE_S = (
-    1.0  # of the time to the kill: for the last responses to leave and the process to end
-)
+# A sweep that comes so late ends nothing: what came meanwhile has not been read.
+SWEEP_OVERDUE_S = 1.0
+# After SIGTERM: the platform asks once a second, and sends connections until two misses.
+ACCEPT_AFTER_SIGTERM_S = 2.5
+# Of the time to the kill: for the last responses to leave and the process to end.
+EXIT_RESERVE_S = 1.0
 CLOSE_POLL_S = 0.02
-OTHER_DESCRIPTORS = 300  # not for clients and hosts: files, peers, libraries
+# Not for clients and hosts: files, peers, libraries.
+OTHER_DESCRIPTORS = 300
 
 
 class GatewayDataPlane:
@@ -99,10 +99,10 @@
 
     def _sweep(self) -> None:
         now = self._loop.time()
-        late = now - self._swept_at > SWEEP_S + SWEEP_LATE_S
+        overdue = now - self._swept_at > SWEEP_S + SWEEP_OVERDUE_S
         self._swept_at = now
         self._sweep_timer = self._loop.call_later(SWEEP_S, self._sweep)
-        if late:
+        if overdue:
             return
         try:
             self.server.sweep()
--- a/roselink/dataplane/host_directory.py
+++ b/roselink/dataplane/host_directory.py
@@ -5,8 +5,10 @@
 from roselink.dataplane.fleet_host_pool import FleetHost, FleetHostPool
 from roselink.model.fleet import Host, HostState, Snapshot
 
-MIN_CONNECTIONS_PER_HOST = 4  # to each host
-DEFAULT_GATEWAY_COUNT = 6  # gateways, where the roster is not known
+# To each host.
+MIN_CONNECTIONS_PER_HOST = 4
+# Gateways, where the roster is not known.
+DEFAULT_GATEWAY_COUNT = 6
 
 
 class HostDirectory:
--- a/roselink/dataplane/proxy_request.py
+++ b/roselink/dataplane/proxy_request.py
@@ -26,7 +26,8 @@
 # A `Connection` header can't take these away from the host.
 _ALWAYS_RELAYED = frozenset(b"host x-request-id x-model x-token-usage x-prompt-prefix".split())
 LOWEST_PRIORITY = 9
-PRIORITY_STEP = 3  # a tenant's rank goes before the route's
+# A tenant's rank goes before the route's.
+PRIORITY_STEP = 3
 PROMPT_PARTS_LIMIT = 256
 # A day: longer deadlines are taken for none.
 DEADLINE_LIMIT_S = 86400
--- a/roselink/http/host_connection.py
+++ b/roselink/http/host_connection.py
@@ -30,7 +30,8 @@
 HEAD_LIMIT = 16 * 1024
 # all bytes of a response: a chunk's extension reaches no callback
 RESPONSE_LIMIT = HEAD_LIMIT + 4 * BODY_LIMIT
-INTERIM_LIMIT = 8  # 1xx responses ahead of the one that counts; none or one is usual
+# 1xx responses ahead of the one that counts; none or one is usual.
+INTERIM_LIMIT = 8
 
 
 class HostResponse(NamedTuple):
--- a/tests/mutations/dataplane.py
+++ b/tests/mutations/dataplane.py
@@ -93,13 +93,13 @@
         ),
         (
             "sent with a key that is gone",
-            "return held and self._authority.may_use_keys()",
+            "return key_is_known and self._authority.may_use_keys()",
             "return self._authority.may_use_keys()",
         ),
         (
             "sent with a key that is not confirmed",
-            "return held and self._authority.may_use_keys()",
-            "return held",
+            "return key_is_known and self._authority.may_use_keys()",
+            "return key_is_known",
         ),
         (
             "a promise for what may have run",
@@ -146,8 +146,8 @@
             "attempts outlive their request",
             "        for response in list(exchange.attempts.values()):\n"
             "            response.cancel()\n"
-            "        exchange.relayed_attempt",
-            "        exchange.relayed_attempt",
+            "        # Nothing is left",
+            "        # Nothing is left",
         ),
         (
             "no last word at the end of the time",
@@ -170,8 +170,8 @@
         ),
         (
             "the client's time alone counts",
-            "return min(told, route.timeout_ms / 1000) if route.timeout_ms > 0 else told",
-            "return told",
+            "return min(allowed_s, route.timeout_ms / 1000) if route.timeout_ms > 0 else allowed_s",
+            "return allowed_s",
         ),
     ),
     *mutations_of(
