--- a/roselink/dataplane/attempt_runner.py
+++ b/roselink/dataplane/attempt_runner.py
@@ -49,13 +49,13 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        upstream: FleetHostPool,
+        host_pool: FleetHostPool,
         hosts: Mapping[str, FleetHost],
         owner: RequestOwner,
     ) -> None:
         """Start with the pool that attempts go through and the owner that learns their ends."""
         self._loop = loop
-        self._upstream = upstream
+        self._host_pool = host_pool
         self._hosts = hosts
         self._owner = owner
 
@@ -89,7 +89,9 @@
         )
         exchange.attempts[action.attempt] = response
         self._owner.counts["resumed" if resume else "attempts"] += 1
-        self._upstream.begin(response.attempt, partial(self._render, exchange, host, resume=resume))
+        self._host_pool.begin(
+            response.attempt, partial(self._render, exchange, host, resume=resume)
+        )
 
     def _can_send(self, exchange: Exchange, host: FleetHost) -> bool:
         if exchange.closed or host.service != exchange.service or exchange.has_too_many_attempts:
--- a/roselink/dataplane/decision_driver.py
+++ b/roselink/dataplane/decision_driver.py
@@ -68,7 +68,7 @@
         self,
         loop: asyncio.AbstractEventLoop,
         decider: Decider,
-        upstream: FleetHostPool,
+        host_pool: FleetHostPool,
         authority: Authority,
         quotas: Quotas,
         budget: SharedBudget,
@@ -86,12 +86,12 @@
         self._drain_ends_at: float | None = None
         self._topology: TopologyChanged | None = None
         self.route_table: RouteTable | None = None
-        self.host_directory = HostDirectory(upstream)
+        self.host_directory = HostDirectory(host_pool)
         self.hosts = self.host_directory.hosts
         self.open_requests: dict[int, Exchange] = {}
         self.body_bytes = 0  # of all open requests
         self.counts: Counter[str] = Counter()
-        self._attempts = AttemptRunner(loop, upstream, self.hosts, self)
+        self._attempts = AttemptRunner(loop, host_pool, self.hosts, self)
 
     # From the authority.
 
--- a/roselink/dataplane/fleet_host_connection.py
+++ b/roselink/dataplane/fleet_host_connection.py
@@ -116,14 +116,14 @@
 class FleetHostConnection(HostConnection):
     """One connection to a host; bodies go on to the attempt's receiver."""
 
-    def __init__(self, upstream: HostPool, host: PooledHost) -> None:
+    def __init__(self, pool: HostPool, host: PooledHost) -> None:
         """Start without a transport, for one host."""
         self._raw_headers: Headers = []
         self._body_pieces: list[bytes] = []
         self._bytes_since_progress = self._surplus_count = self._sent_bytes = 0
         self._in_surplus = self._head_is_new = self._reading_paused = False
         self._idle_limit_s = DEFAULT_IDLE_S
-        super().__init__(upstream, host)
+        super().__init__(pool, host)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Take over the transport of a new connection (asyncio)."""
@@ -170,7 +170,7 @@
 
     def stale(self) -> bool:
         """Whether it has been idle for longer than its host may keep it."""
-        return self.upstream.now() - self.idle_since > self._idle_limit_s
+        return self.pool.now() - self.idle_since > self._idle_limit_s
 
     def data_received(self, data: bytes) -> None:
         """Take bytes that have come (asyncio)."""
@@ -178,7 +178,7 @@
         if not isinstance(attempt, FleetAttempt) or self._parser is None:
             self.drop()  # bytes that belong to no request
             return
-        self.host.last_byte_at = self.upstream.now()
+        self.host.last_byte_at = self.pool.now()
         self._bytes_since_progress += len(data)
         try:
             self._parser.feed_data(data)
--- a/roselink/http/host_connection.py
+++ b/roselink/http/host_connection.py
@@ -144,9 +144,9 @@
 class HostConnection(asyncio.Protocol):
     """One connection to a host: carries one attempt at a time, or is idle."""
 
-    def __init__(self, upstream: HostPool, host: PooledHost) -> None:
+    def __init__(self, pool: HostPool, host: PooledHost) -> None:
         """Start without a transport; its descriptor counts from now on."""
-        self.upstream = upstream
+        self.pool = pool
         self.host = host
         self.attempt: Attempt | None = None
         self.transport: asyncio.Transport | None = None
@@ -218,7 +218,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Clean up after the connection has ended (asyncio)."""
-        self.upstream.forget(self)
+        self.pool.forget(self)
         self._cancel_overdue_timer()
         self._parser = None  # it refers back to this: a cycle would wait for the collector
         if self.attempt is not None:
@@ -231,7 +231,7 @@
             # bytes that belong to no request: the next response could not be told apart from them
             self.drop()
             return
-        self.host.last_byte_at = self.upstream.now()
+        self.host.last_byte_at = self.pool.now()
         self._response_bytes += len(data)
         try:
             self._parser.feed_data(data)
@@ -244,7 +244,7 @@
         ):
             self._fail_unreadable()
         elif self._in_message and self._overdue_timer is None:
-            self._overdue_timer = self.upstream.call_when_overdue(self._response_overdue)
+            self._overdue_timer = self.pool.call_when_overdue(self._response_overdue)
 
     def eof_received(self) -> bool:
         """The host's end is that of a response that tells no length.
@@ -272,7 +272,7 @@
             response = HostResponse(b"".join(self._body), self._headers.get(b"content-type"))
         self.attempt = attempt.connection = None
         if self._keep_alive and not self._has_excess and not self._has_unsent:
-            self.upstream.release(self)
+            self.pool.release(self)
         else:
             self.drop()
         attempt.finish(outcome, response)
@@ -280,7 +280,7 @@
     def _response_overdue(self) -> None:
         """The rest of a response is overdue, unless it waits for a loop that runs late."""
         if self.has_unread():
-            self._overdue_timer = self.upstream.call_when_overdue(self._response_overdue)
+            self._overdue_timer = self.pool.call_when_overdue(self._response_overdue)
         else:
             self._fail_unreadable()
 
--- a/tests/mutations/dataplane.py
+++ b/tests/mutations/dataplane.py
@@ -190,7 +190,7 @@
         ),
         (
             "a connection that its host may have ended",
-            "return self.upstream.now() - self.idle_since > self._idle_limit_s",
+            "return self.pool.now() - self.idle_since > self._idle_limit_s",
             "return False",
         ),
         (
--- a/tests/mutations/http.py
+++ b/tests/mutations/http.py
@@ -5,7 +5,7 @@
 from tests.mutations.mutation import Mutation, mutations_of
 
 CONNECTION_POOL = (
-    "tests/gateway/test_host_pool.py",
+    "tests/http/test_host_pool.py",
     "tests/gateway/test_closes.py",
     "tests/dataplane",
 )
