--- a/roselink/distribution/pull_state_machine.py
+++ b/roselink/distribution/pull_state_machine.py
@@ -25,7 +25,7 @@
     import random
     from collections.abc import Callable, Iterable
 
-Address = tuple[str, int]
+    from roselink.protocol.peer_connection import Address
 
 PULL_INTERVAL_S = 0.2
 # Fraction of an interval or a backoff, either way.
