--- a/roselink/dataplane/decision_driver.py
+++ b/roselink/dataplane/decision_driver.py
@@ -57,7 +57,8 @@
 
 log = logging.getLogger("roselink.dataplane")
 
-STREAM_GRACE_S = 0.1  # a running stream ends so long after its deadline
+# A running stream ends so long after its deadline.
+STREAM_GRACE_S = 0.1
 
 
 class DecisionDriver:
@@ -73,6 +74,7 @@
         budget: SharedBudget,
         seed: int,
     ) -> None:
+        """Start without a configuration; `seed` fixes the draws of services and retry times."""
         self._loop = loop
         self._authority = authority
         self._quotas = quotas
@@ -80,9 +82,8 @@
         self._random = random.Random(seed)
         self._numbers = itertools.count(1)
         self._queue = EventQueue(loop, decider, self._perform, self._fail)
-        self._drain_ends_at: float | None = (
-            None  # while draining: when all must have their response
-        )
+        # While draining: when all must have their response.
+        self._drain_ends_at: float | None = None
         self._topology: TopologyChanged | None = None
         self.route_table: RouteTable | None = None
         self.host_directory = HostDirectory(upstream)
@@ -105,10 +106,10 @@
             return
         if self.route_table is None or self.route_table.configuration is not snapshot.configuration:
             self.route_table = RouteTable(snapshot.configuration)
-        told = TopologyChanged(snapshot.hosts, snapshot.configuration.services)
-        if told != self._topology:
-            self._topology = told
-            self._queue.enqueue(told)
+        topology = TopologyChanged(snapshot.hosts, snapshot.configuration.services)
+        if topology != self._topology:
+            self._topology = topology
+            self._queue.enqueue(topology)
         with self._queue.deferred():
             self.host_directory.update(snapshot)
 
@@ -123,7 +124,9 @@
         if self.route_table is None:
             self._refuse(client, 503, unconfigured_retry_s(request, self._random.random()))
             return None
-        verdict = decide_admission(self.route_table, self._authority.may_use_keys(), request)
+        verdict = decide_admission(
+            self.route_table, request, keys_usable=self._authority.may_use_keys()
+        )
         if isinstance(verdict, Refusal):
             self._refuse(client, *verdict)
             return None
@@ -268,11 +271,11 @@
         return True
 
     def _key_is_valid(self, exchange: Exchange) -> bool:
-        held = (
+        key_is_known = (
             self.route_table is not None
             and self.route_table.tenant(exchange.request.key) is not None
         )
-        return held and self._authority.may_use_keys()
+        return key_is_known and self._authority.may_use_keys()
 
     def end_if_stuck(self, exchange: Exchange) -> None:
         """Behind the end of an attempt: end the request if that leaves it no way to go on."""
@@ -335,7 +338,6 @@
             self._queue.enqueue(RequestClosed(exchange.number))
         for response in list(exchange.attempts.values()):
             response.cancel()
-        exchange.relayed_attempt = (
-            None  # nothing is left that refers in circles: no work for the collector
-        )
+        # Nothing is left that refers in circles: no work for the collector.
+        exchange.relayed_attempt = None
         self._queue.process()
--- a/roselink/dataplane/host_directory.py
+++ b/roselink/dataplane/host_directory.py
@@ -5,14 +5,17 @@
 from roselink.dataplane.fleet_host_pool import FleetHost, FleetHostPool
 from roselink.model.fleet import Host, HostState, Snapshot
 
-MIN_CONNECTIONS_PER_HOST = 4  # to each host
-DEFAULT_GATEWAY_COUNT = 6  # gateways, where the roster is not known
+# To each host.
+MIN_CONNECTIONS_PER_HOST = 4
+# Gateways, where the roster is not known.
+DEFAULT_GATEWAY_COUNT = 6
 
 
 class HostDirectory:
     """Hosts by their id."""
 
     def __init__(self, host_pool: FleetHostPool) -> None:
+        """Start without hosts."""
         self._host_pool = host_pool
         self.hosts: dict[str, FleetHost] = {}
         self._previous: dict[str, Host] = {}  # of the snapshot before
--- a/roselink/http/host_connection.py
+++ b/roselink/http/host_connection.py
@@ -19,7 +19,7 @@
 
 from roselink.http.exceptions import ResponseTooLongError, TooManyInterimResponsesError
 from roselink.http.socket_probe import SocketProbe
-from roselink.http.status_codes import is_interim
+from roselink.http.status_codes import OK, is_interim
 from roselink.routing.outcome import Outcome
 
 if TYPE_CHECKING:
@@ -30,7 +30,8 @@
 HEAD_LIMIT = 16 * 1024
 # all bytes of a response: a chunk's extension reaches no callback
 RESPONSE_LIMIT = HEAD_LIMIT + 4 * BODY_LIMIT
-INTERIM_LIMIT = 8  # 1xx responses ahead of the one that counts; none or one is usual
+# 1xx responses ahead of the one that counts; none or one is usual.
+INTERIM_LIMIT = 8
 
 
 class HostResponse(NamedTuple):
@@ -44,6 +45,7 @@
     """One host as the list has it, and this gateway's connections to it."""
 
     def __init__(self, name: str, address: Address) -> None:
+        """Start ready, without connections."""
         self.name = name
         self.address = address
         self.ready = True
@@ -143,6 +145,7 @@
     """One connection to a host: carries one attempt at a time, or is idle."""
 
     def __init__(self, upstream: HostPool, host: PooledHost) -> None:
+        """Start without a transport; its descriptor counts from now on."""
         self.upstream = upstream
         self.host = host
         self.attempt: Attempt | None = None
@@ -298,7 +301,7 @@
             self._overdue_timer = None
 
     def _outcome(self) -> Outcome:
-        if self._status == 200:
+        if self._status == OK:
             return Outcome.SUCCESS
         if self._status in (503, 504) and self._headers.get(b"not-started") == b"1":
             return Outcome.FULL
