--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -25,7 +25,8 @@
     for line in filter(None, map(str.strip, text.splitlines())):
         fields = [field.strip() for field in line.rsplit(", ", FIELDS - 1)]
         if len(fields) < FIELDS or not all(fields):
-            raise ValueError(f"needs test, cause, issue: {line!r}")
+            message = f"needs test, cause, issue: {line!r}"
+            raise ValueError(message)
         tests.append(line.split(", ", 1)[0].strip())
     return tests
 
