--- a/roselink/balancer/decider.py
+++ b/roselink/balancer/decider.py
@@ -19,7 +19,7 @@
 
 from roselink.balancer.concurrency_limit import ConcurrencyLimit
 from roselink.balancer.host_choice import HostChooser, may_run_parallel
-from roselink.balancer.host_window import BlockingLanes
+from roselink.balancer.host_window import LongRequestPartition
 from roselink.balancer.interface import (
     Action,
     Alarm,
@@ -41,9 +41,9 @@
 )
 from roselink.balancer.kind_speeds import KindSpeeds
 from roselink.balancer.load_shedding import LoadShedder
-from roselink.balancer.outcome_classifier import BROKEN, is_retryable, may_refuse
+from roselink.balancer.outcome_classifier import SERVER_FAULTS, is_retryable, may_refuse
 from roselink.balancer.outlier_ejection import eject_outlier
-from roselink.balancer.payoff import SMOOTHING, PayoffEstimator
+from roselink.balancer.payoff import EWMA_WEIGHT, PayoffEstimator
 from roselink.balancer.request_queue import max_queued_us, queues_by_value
 from roselink.balancer.request_state import COST_SAMPLES_MIN, Attempt, Request
 from roselink.balancer.server_table import ServerTable
@@ -83,9 +83,9 @@
         self.payoffs = PayoffEstimator(self.state)
         self.shedder = LoadShedder(self.state)
         self.limit = ConcurrencyLimit(self.state, self.slow_start)
-        self.lanes = BlockingLanes(self.state)
+        self.partition = LongRequestPartition(self.state)
         self.chooser = HostChooser(
-            self.state, self.payoffs, self.slow_start, self.limit, self.lanes
+            self.state, self.payoffs, self.slow_start, self.limit, self.partition
         )
         self.quotas = TenantQuotas(self.state)
         self.requests: dict[int, Request] = {}
@@ -109,7 +109,7 @@
         """
         self.state.now_us = now_us
         self.actions = []
-        self._count_overdue()
+        self._mark_overdue_attempts()
         for event in events:
             if type(event) in HANDLERS:
                 HANDLERS[type(event)](self, event)
@@ -117,7 +117,7 @@
             self._drain_queues()
         return self.actions
 
-    def on_list(self, event: ServerList) -> None:
+    def on_server_list(self, event: ServerList) -> None:
         """A list of servers, or a failed call for one."""
         if event.kind is ListKind.FAILED:
             self._back_off_discovery()
@@ -132,22 +132,22 @@
         state = self.state
         route = state.routes[event.route]
         state.count_arrival()
-        left_us = event.give_up_us - state.now_us
-        smoothing = SMOOTHING if route.client_timeout_us else 1.0
-        route.client_timeout_us += (left_us - route.client_timeout_us) * smoothing
+        remaining_us = event.give_up_us - state.now_us
+        smoothing = EWMA_WEIGHT if route.client_timeout_us else 1.0
+        route.client_timeout_us += (remaining_us - route.client_timeout_us) * smoothing
         low_priority = event.repeat or not self.quotas.take(event.tenant)
         request = Request(event, route, state.now_us, low_priority=low_priority)
         self.requests[request.id] = request
         state.learn_cost(request.cost_us)
-        self.lanes.observe(route, request.cost_us)
+        self.partition.observe(route, request.cost_us)
         # Where clients do not mark repeats, a try that ends sooner than most by more than the aim
         # is a repeat and has missed it.
-        missed = (
+        missed_aim = (
             not self.settings.clients_mark_repeats
-            and left_us < route.client_timeout_us - route.patience_us
+            and remaining_us < route.client_timeout_us - route.target_latency_us
         )
-        useless = missed and not route.spec.late_worth
-        if useless or state.random.random() > self.shedder.admitted:
+        is_worthless = missed_aim and not route.spec.late_worth
+        if is_worthless or state.random.random() > self.shedder.admitted_fraction:
             self.finish(request)
         elif state.queued or not self._try_send(request):
             self._enqueue(request)
@@ -157,12 +157,12 @@
         if (request := self.requests.get(event.request)) is not None:
             self.close(request)
 
-    def on_stream(self, event: StreamStarted) -> None:
+    def on_stream_started(self, event: StreamStarted) -> None:
         """A streamed answer has begun: it is the client's now."""
         if (request := self.requests.get(event.request)) is not None:
             request.closed = True
 
-    def on_done(self, event: AttemptDone) -> None:
+    def on_attempt_done(self, event: AttemptDone) -> None:
         """The outcome of an attempt: it ends its request, or a retry may follow."""
         request = self.requests.get(event.request)
         if request is None:
@@ -186,12 +186,12 @@
 
     def on_alarm(self, event: Alarm) -> None:
         """An alarm is due; one that is not known does nothing."""
-        if (act := self.alarms.pop(event.tag, None)) is not None:
-            act()
+        if (callback := self.alarms.pop(event.tag, None)) is not None:
+            callback()
 
-    def _set_alarm(self, delay_us: float, act: Callable[[], None]) -> None:
+    def _set_alarm(self, delay_us: float, callback: Callable[[], None]) -> None:
         self._last_tag += 1
-        self.alarms[self._last_tag] = act
+        self.alarms[self._last_tag] = callback
         self.actions.append(SetAlarm(max(0, int(delay_us)), self._last_tag))
 
     def _back_off_discovery(self) -> None:
@@ -204,9 +204,9 @@
             self.settings.ask_within_us / 4, DISCOVERY_BACKOFF_US * 2.0**self._failed_calls
         )
         jitter = 0.5 + self.state.random.random()
-        self._set_alarm(wait_us * jitter, self._watch)
+        self._set_alarm(wait_us * jitter, self._subscribe)
 
-    def _watch(self) -> None:
+    def _subscribe(self) -> None:
         self.actions.append(Watch())
 
     # Queue.
@@ -226,8 +226,8 @@
         """
         if request.closed or request.attempts:
             return
-        at_once_us = FIRST_BACKOFF_FRACTION * request.route.patience_us
-        self.finish(request, at_once_us if self.shedder.admitted >= 1.0 else math.inf)
+        soon_us = FIRST_BACKOFF_FRACTION * request.route.target_latency_us
+        self.finish(request, soon_us if self.shedder.admitted_fraction >= 1.0 else math.inf)
 
     def _drain_queues(self) -> None:
         """Sends what is queued as capacity allows.
@@ -245,16 +245,16 @@
 
     # Final answers.
 
-    def finish(self, request: Request, away_us: float = math.inf) -> None:
+    def finish(self, request: Request, retry_after_us: float = math.inf) -> None:
         """Rule 1: the one place that gives a final answer of our own.
 
         Args:
             request: The request to end.
-            away_us: After which time in microseconds the client is best advised to come back.
+            retry_after_us: Microseconds after which the client should try again.
         """
         wait_us = 0
         if self.settings.retry_after:
-            wait_us = int(min(away_us, self.settings.max_retry_after_us))
+            wait_us = int(min(retry_after_us, self.settings.max_retry_after_us))
         if may_refuse(request):
             self.actions.append(Refuse(request.id, wait_us))
         else:
@@ -288,12 +288,12 @@
         route = request.route
         attempt = Attempt(server, state.now_us, request, warm=not self.slow_start.is_cold(server))
         # Rule 2 binds at the write, and a connection may first have to come up.
-        ran = request.may_have_run() if route.spec.effect is Effect.KEYED else []
-        before_us = ran[0].sent_us + route.spec.memory_span_us if ran else 0
+        possible_runs = request.may_have_run() if route.spec.effect is Effect.KEYED else []
+        before_us = possible_runs[0].sent_us + route.spec.memory_span_us if possible_runs else 0
         if not request.attempts:
             # None saves more than it earns of late: guards against many buckets that together keep
             # the tokens of a retry storm.
-            saved = MAX_TOKENS_PER_RECENT_REQUEST * state.recent
+            saved = MAX_TOKENS_PER_RECENT_REQUEST * state.recent_arrivals
             route.retry_budget.earn(TOKENS_PER_REQUEST, max(1.0, min(MAX_TOKENS, saved)))
         request.attempts.append(attempt)
         request.in_flight += 1
@@ -302,7 +302,7 @@
         attempt.at_limit = self.limit.is_reached(server)
         if not attempt.warm:
             self.slow_start.pause(server, request.cost_us)
-        route.due.append((state.now_us + route.patience_us, attempt))
+        route.overdue_schedule.append((state.now_us + route.target_latency_us, attempt))
         self.actions.append(Send(request.id, server.spec.id, before_us=before_us))
         if may_run_parallel(self.settings, route.spec):
             wait_us = route.latency.percentile(HEDGE_PERCENTILE)
@@ -321,9 +321,9 @@
         """Waits grow between retry groups; a wait that leaves too little time ends the request."""
         state = self.state
         growth = FIRST_BACKOFF_FRACTION * 2.0**request.retry_groups
-        wait_us = request.route.patience_us * growth * (0.5 + state.random.random())
+        wait_us = request.route.target_latency_us * growth * (0.5 + state.random.random())
         request.retry_groups += 1
-        if state.now_us + wait_us + request.cost_us < request.useful_us:
+        if state.now_us + wait_us + request.cost_us < request.useful_until_us:
             self._set_alarm(wait_us, lambda: self._retry(request))
         else:
             self.finish(request)
@@ -348,17 +348,17 @@
             return
         succeeded = event.outcome is Outcome.SUCCESS
         if not attempt.warm:
-            self.slow_start.learn(in_time=succeeded and event.elapsed_us <= route.patience_us)
+            self.slow_start.learn(in_time=succeeded and event.elapsed_us <= route.target_latency_us)
         if succeeded and self._learn_latency(route, attempt, event.elapsed_us):
-            self.credit(server, 1.0)
+            self.record_outcome(server, 1.0)
         elif not attempt.overdue:
-            self.blame(server, event.outcome)
+            self.record_failure(server, event.outcome)
 
     def _learn_latency(self, route: RouteState, attempt: Attempt, latency_us: int) -> bool:
         """Learns from the latency of a success; whether it was in time."""
         attempt.server.ejections = 0
         # A jam says nothing about the machines.
-        if attempt.warm and self.shedder.admitted >= 1.0:
+        if attempt.warm and self.shedder.admitted_fraction >= 1.0:
             self.speeds.learn(attempt, latency_us)
         route.learn_cost(latency_us, idle_server=attempt.idle_server)
         if attempt.at_limit and attempt.warm and route.samples >= COST_SAMPLES_MIN:
@@ -367,34 +367,36 @@
         route.latency.append(latency_us)
         return latency_us <= aim_us
 
-    def _count_overdue(self) -> None:
+    def _mark_overdue_attempts(self) -> None:
         """An attempt past its aim counts as failed at once: guards against unresponsive servers."""
         for route in self.state.routes:
-            while route.due and route.due[0][0] <= self.state.now_us:
-                attempt = route.due.popleft()[1]
+            while route.overdue_schedule and route.overdue_schedule[0][0] <= self.state.now_us:
+                attempt = route.overdue_schedule.popleft()[1]
                 if attempt.outcome is None:
                     attempt.overdue = True
                     attempt.server.overdue += 1
-                    self.blame(attempt.server)
+                    self.record_failure(attempt.server)
 
-    def credit(self, server: ServerState, value: float, outcome: Outcome = Outcome.SUCCESS) -> None:
+    def record_outcome(
+        self, server: ServerState, value: float, outcome: Outcome = Outcome.SUCCESS
+    ) -> None:
         """Counts one outcome of a server: 1 if it was in time, else 0."""
-        if outcome not in BROKEN:
+        if outcome not in SERVER_FAULTS:
             self.shedder.observe(value)
         self.payoffs.observe(server, value)
 
-    def blame(self, server: ServerState, outcome: Outcome = Outcome.TIMEOUT) -> None:
+    def record_failure(self, server: ServerState, outcome: Outcome = Outcome.TIMEOUT) -> None:
         """Counts an outcome as 0, and ejects a server that keeps failing."""
-        self.credit(server, 0.0, outcome)
+        self.record_outcome(server, 0.0, outcome)
         if (line := eject_outlier(self.state, server)) is not None:
             self.actions.append(line)
 
 
 HANDLERS: dict[type, Callable[[Balancer, Any], None]] = {
-    ServerList: Balancer.on_list,
+    ServerList: Balancer.on_server_list,
     Arrived: Balancer.on_arrived,
     Departed: Balancer.on_departed,
-    AttemptDone: Balancer.on_done,
-    StreamStarted: Balancer.on_stream,
+    AttemptDone: Balancer.on_attempt_done,
+    StreamStarted: Balancer.on_stream_started,
     Alarm: Balancer.on_alarm,
 }
--- a/roselink/balancer/exceptions.py
+++ b/roselink/balancer/exceptions.py
@@ -44,6 +44,6 @@
         self.problem = problem
         self.path = path
 
-    def within(self, step: str) -> BatchError:
+    def within(self, element: str) -> BatchError:
         """The same error, one step further outside."""
-        return BatchError(problem=self.problem, path=(step, *self.path))
+        return BatchError(problem=self.problem, path=(element, *self.path))
--- a/roselink/balancer/host_choice.py
+++ b/roselink/balancer/host_choice.py
@@ -4,13 +4,13 @@
 
 from typing import TYPE_CHECKING
 
-from roselink.balancer.host_window import LOCAL_FRACTION, window
+from roselink.balancer.host_window import LOCAL_FRACTION, candidate_window
 from roselink.balancer.interface import Effect, State
 from roselink.balancer.outcome_classifier import may_repeat_at
 
 if TYPE_CHECKING:
     from roselink.balancer.concurrency_limit import ConcurrencyLimit
-    from roselink.balancer.host_window import BlockingLanes
+    from roselink.balancer.host_window import LongRequestPartition
     from roselink.balancer.interface import Route, Settings
     from roselink.balancer.payoff import PayoffEstimator
     from roselink.balancer.request_state import Request
@@ -36,7 +36,7 @@
         payoffs: PayoffEstimator,
         slow_start: SlowStart,
         limit: ConcurrencyLimit,
-        lanes: BlockingLanes,
+        partition: LongRequestPartition,
     ) -> None:
         """Reads the balancer's state and what each concern has learned; keeps none of its own."""
         self._state = state
@@ -44,7 +44,7 @@
         self._speeds = slow_start.speeds
         self._slow_start = slow_start
         self._limit = limit
-        self._lanes = lanes
+        self._partition = partition
 
     def choose(self, request: Request) -> ServerState | None:
         """The server for the next attempt; None while none may have it.
@@ -59,25 +59,29 @@
             if (
                 self._slow_start.is_cold(server)
                 and server.is_available(state.now_us)
-                and self._is_open(request, server)
+                and self._can_send(request, server)
             ):
                 return server
-        near = window(state)
-        # In a window there are no lanes: only a full view shows the blocking fraction of the work.
-        lane = state.candidates if near else self._lanes.lane(request.route)
-        fraction = 1.0 if near else LOCAL_FRACTION
-        local = [server for server in near or lane if server.spec.zone == state.settings.zone]
-        pool = near or local
-        first = self._draw(request, local, fraction) or self._draw(request, pool, fraction)
+        window = candidate_window(state)
+        # No partition in a window: only a full view shows the fraction of long-running work.
+        partition = state.candidates if window else self._partition.servers_for(request.route)
+        limit_fraction = 1.0 if window else LOCAL_FRACTION
+        local = [
+            server for server in window or partition if server.spec.zone == state.settings.zone
+        ]
+        pool = window or local
+        first = self._draw(request, local, limit_fraction) or self._draw(
+            request, pool, limit_fraction
+        )
         if not first:
-            pool = lane
-            fraction = 1.0
+            pool = partition
+            limit_fraction = 1.0
             # Guards against ejecting a whole fleet.
-            panic = not any(server.is_available(state.now_us) for server in lane)
-            first = self._draw(request, lane, panic=panic)
+            panic = not any(server.is_available(state.now_us) for server in partition)
+            first = self._draw(request, partition, panic=panic)
             if not first:
                 return None
-        second = self._draw(request, pool, fraction, other=first) or first
+        second = self._draw(request, pool, limit_fraction, excluded=first) or first
         if self.score(first) >= self.score(second):
             better = first
             worse = second
@@ -89,9 +93,9 @@
     def score(self, server: ServerState) -> float:
         """Payoff less the price of crossing zones, discounted by what is in flight."""
         settings = self._state.settings
-        crossing = settings.price_cross_zone * (server.spec.zone != settings.zone)
-        load = 1.0 + server.in_flight / max(1.0, self._limit.share)
-        return (self._payoffs.payoff(server) - crossing) / load
+        cross_zone_price = settings.price_cross_zone * (server.spec.zone != settings.zone)
+        load = 1.0 + server.in_flight / max(1.0, self._limit.server_limit)
+        return (self._payoffs.payoff(server) - cross_zone_price) / load
 
     def may_send(self, request: Request, server: ServerState) -> bool:
         """The one gate before every send: rule 2, then 3, then 4."""
@@ -109,9 +113,9 @@
         self,
         request: Request,
         pool: list[ServerState],
-        fraction: float = 1.0,
+        limit_fraction: float = 1.0,
         *,
-        other: ServerState | None = None,
+        excluded: ServerState | None = None,
         panic: bool = False,
     ) -> ServerState | None:
         """The first open server from a random position on.
@@ -132,14 +136,14 @@
             server = pool[index % count]
             untried = server not in tried or (len(state.candidates) == 1 and not request.in_flight)
             if (
-                server is not other
+                server is not excluded
                 and untried
                 and (panic or server.is_available(state.now_us))
-                and self._is_open(request, server, fraction)
+                and self._can_send(request, server, limit_fraction)
             ):
                 return server
         return None
 
-    def _is_open(self, request: Request, server: ServerState, fraction: float = 1.0) -> bool:
+    def _can_send(self, request: Request, server: ServerState, limit_fraction: float = 1.0) -> bool:
         """Whether limit and gate allow a send now."""
-        return self._limit.allows(server, fraction) and self.may_send(request, server)
+        return self._limit.allows(server, limit_fraction) and self.may_send(request, server)
--- a/roselink/balancer/kind_speeds.py
+++ b/roselink/balancer/kind_speeds.py
@@ -5,7 +5,7 @@
 import math
 from typing import TYPE_CHECKING
 
-from roselink.balancer.payoff import SMOOTHING
+from roselink.balancer.payoff import EWMA_WEIGHT
 
 if TYPE_CHECKING:
     from roselink.balancer.request_state import Attempt
@@ -38,9 +38,9 @@
         kind = attempt.server.spec.kind
         known = self.log2_slowness[kind]
         slowness = max(latency_us / attempt.cost_us, MIN_SLOWNESS)
-        if attempt.hinted:
+        if attempt.has_work_hint:
             step = math.log2(slowness) - known
-            weight = SMOOTHING * (SLOWDOWN_WEIGHT if step > 0.0 else 1.0)
+            weight = EWMA_WEIGHT * (SLOWDOWN_WEIGHT if step > 0.0 else 1.0)
             self.log2_slowness[kind] += step * weight
         else:
             # Over a mean cost: most are under it, and the few far over it make up for them.
--- a/roselink/balancer/load_shedding.py
+++ b/roselink/balancer/load_shedding.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from roselink.balancer.payoff import SMOOTHING
+from roselink.balancer.payoff import EWMA_WEIGHT
 
 if TYPE_CHECKING:
     from roselink.balancer.state import BalancerState
@@ -28,10 +28,10 @@
     def __init__(self, state: BalancerState) -> None:
         """Admits everything."""
         self._state = state
-        self.admitted = 1.0
+        self.admitted_fraction = 1.0
 
     def observe(self, value: float) -> None:
         """Learns from one outcome: 1 if it was in time, else 0."""
-        step = SHEDDING_GAIN / max(1.0 / SMOOTHING, self._state.recent)
+        step = SHEDDING_GAIN / max(1.0 / EWMA_WEIGHT, self._state.recent_arrivals)
         change = (value - IN_TIME_TARGET) * step
-        self.admitted = min(1.0, max(MIN_ADMITTED, self.admitted + change))
+        self.admitted_fraction = min(1.0, max(MIN_ADMITTED, self.admitted_fraction + change))
--- a/roselink/balancer/outcome_classifier.py
+++ b/roselink/balancer/outcome_classifier.py
@@ -12,7 +12,7 @@
 
 # Outcomes of servers that are broken or gone. They do not indicate a jam: other servers can take
 # the work.
-BROKEN = frozenset({Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.RESET})
+SERVER_FAULTS = frozenset({Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.RESET})
 
 
 def may_refuse(request: Request) -> bool:
@@ -39,14 +39,14 @@
     repeats, and only within the time for which that group remembers them.
     """
     spec = request.route.spec
-    if spec.effect is Effect.SAFE or not (ran := request.may_have_run()):
+    if spec.effect is Effect.SAFE or not (possible_runs := request.may_have_run()):
         return True
     if spec.effect is Effect.UNSAFE:
         return False
-    first = ran[0].server.spec
+    first = possible_runs[0].server.spec
     same_group = {
         Group.ALL: True,
         Group.ZONE: first.zone == zone,
         Group.CELL: first.cell == cell,
     }
-    return same_group[spec.group] and now_us < ran[0].sent_us + spec.memory_span_us
+    return same_group[spec.group] and now_us < possible_runs[0].sent_us + spec.memory_span_us
--- a/roselink/balancer/outlier_ejection.py
+++ b/roselink/balancer/outlier_ejection.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from roselink.balancer.interface import Log
-from roselink.balancer.server_state import UNKNOWN_PAYOFF
+from roselink.balancer.server_state import INITIAL_PAYOFF
 
 if TYPE_CHECKING:
     from roselink.balancer.server_state import ServerState
@@ -24,15 +24,15 @@
     if server.payoff >= EJECTION_PAYOFF or server.ejected_until_us > state.now_us:
         return None
     # Guards against the trials of all that share a server jamming what they test.
-    seen_by = min(1.0, state.recent / max(1, len(state.candidates)))
-    sharing = state.settings.balancers * seen_by
-    first_us = max(
-        EJECTION_TRIALS * sharing * state.mean_cost_us,
+    sharing_fraction = min(1.0, state.recent_arrivals / max(1, len(state.candidates)))
+    sharing_balancers = state.settings.balancers * sharing_fraction
+    base_us = max(
+        EJECTION_TRIALS * sharing_balancers * state.mean_cost_us,
         *(route.spec.deadline_us for route in state.routes),
     )
-    ejection_us = int(first_us * min(MAX_EJECTION_MULTIPLE, 2**server.ejections))
+    ejection_us = int(base_us * min(MAX_EJECTION_MULTIPLE, 2**server.ejections))
     server.ejections += 1
     server.ejected_until_us = state.now_us + ejection_us
     server.observed_us = server.ejected_until_us
-    server.payoff = UNKNOWN_PAYOFF
+    server.payoff = INITIAL_PAYOFF
     return Log(f"eject server={server.spec.id} for_ms={ejection_us // 1000}")
--- a/roselink/balancer/request_queue.py
+++ b/roselink/balancer/request_queue.py
@@ -18,12 +18,12 @@
 def max_queued_us(state: BalancerState, request: Request) -> float:
     """How long a request may wait so that it can still meet its aim, here or elsewhere."""
     latency_us = request.route.latency.percentile(0.5) or request.cost_us
-    last_send_us = request.aimed_us - latency_us
+    last_send_us = request.aim_deadline_us - latency_us
     # A try elsewhere has to come in time as well, and others may have capacity while there is none
     # here.
     return min(
         last_send_us - state.now_us,
-        MAX_QUEUED_FRACTION * (request.aimed_us - state.now_us),
+        MAX_QUEUED_FRACTION * (request.aim_deadline_us - state.now_us),
     )
 
 
--- a/roselink/balancer/request_state.py
+++ b/roselink/balancer/request_state.py
@@ -29,15 +29,15 @@
         self.spec = spec
         self.retry_budget = TokenBucket(1.0)
         self.latency = LatencyTracker(maxlen=TRACKED_LATENCIES)
-        self.patience_us = spec.aim_us or spec.deadline_us
+        self.target_latency_us = spec.aim_us or spec.deadline_us
         # Latency of an idle server; a cautious guess until learned.
-        self.cost_us = self.patience_us / 4
+        self.cost_us = self.target_latency_us / 4
         # Answers learned from.
         self.samples = 0
         # How long its clients wait for an answer, smoothed.
         self.client_timeout_us = 0.0
         # Attempts by the time at which they are overdue.
-        self.due: deque[tuple[int, Attempt]] = deque()
+        self.overdue_schedule: deque[tuple[int, Attempt]] = deque()
         # Requests within their tenant's quota, and those over it.
         self.queues: tuple[deque[Request], deque[Request]] = (deque(), deque())
 
@@ -59,7 +59,7 @@
         self.sent_us = sent_us
         self.cost_us = request.cost_us
         # Whether the client gave the work that its request brings.
-        self.hinted = request.hinted
+        self.has_work_hint = request.has_work_hint
         self.warm = warm
         self.outcome: Outcome | None = None
         # Whether the server had no other attempt of ours at the start of this one.
@@ -80,16 +80,16 @@
         self.id = event.request
         self.route = route
         self.cost_us = float(event.work_us or route.cost_us)
-        self.hinted = bool(event.work_us)
+        self.has_work_hint = bool(event.work_us)
         self.low_priority = low_priority
         self.give_up_us = event.give_up_us
         # An answer after this time is worth less.
-        self.aimed_us = event.give_up_us
+        self.aim_deadline_us = event.give_up_us
         if route.spec.aim_us is not None:
             aim_us = route.spec.aim_us + int(route.spec.aim_stretch * self.cost_us)
-            self.aimed_us = min(self.give_up_us, now_us + aim_us)
+            self.aim_deadline_us = min(self.give_up_us, now_us + aim_us)
         # An answer after this time is worth nothing.
-        self.useful_us = self.give_up_us if route.spec.late_worth else self.aimed_us
+        self.useful_until_us = self.give_up_us if route.spec.late_worth else self.aim_deadline_us
         self.attempts: list[Attempt] = []
         self.in_flight = 0
         # Retry groups that have ended without an answer.
--- a/roselink/balancer/server_state.py
+++ b/roselink/balancer/server_state.py
@@ -9,7 +9,7 @@
     from roselink.balancer.interface import Server
 
 # Payoff of a server of which nothing is known.
-UNKNOWN_PAYOFF = 0.5
+INITIAL_PAYOFF = 0.5
 
 
 class ServerState:
@@ -18,9 +18,9 @@
     def __init__(self, spec: Server) -> None:
         """A server of which nothing but its line in the list is known."""
         self.spec = spec
-        self.payoff = UNKNOWN_PAYOFF
+        self.payoff = INITIAL_PAYOFF
         # Its position in the order of servers that is common to all balancers.
-        self.ring_position = zlib.crc32(b"%d" % spec.id)
+        self.order_key = zlib.crc32(b"%d" % spec.id)
         # Own attempts in flight, and those of them that are past their aim.
         self.in_flight = 0
         self.overdue = 0
--- a/roselink/balancer/settings_reader.py
+++ b/roselink/balancer/settings_reader.py
@@ -24,55 +24,55 @@
     objectives = _object(data, "objective_mix")
     prices = _object(data, "prices")
     return Settings(
-        routes=tuple(_route(lane) for lane in _objects(data, "lanes")),
+        routes=tuple(_route(route) for route in _objects(data, "lanes")),
         balancers=_integer(data, "balancers", 1),
         number=_integer(data, "my_number", 0),
         zone=_integer(data, "zone", 0),
         discovery_asks=data.get("discovery") == "ask",
         tenant_quotas_per_s=tuple(
-            _number(tenant, "quota_per_s", 0.0, where="orgs[].")
+            _number(tenant, "quota_per_s", 0.0, prefix="orgs[].")
             for tenant in _objects(data, "orgs")
         ),
         over_quota_worth=_number(data, "over_share_worth", 1.0),
-        max_attempts=_integer(limits, "attempts_cap", 3, where="limits."),
+        max_attempts=_integer(limits, "attempts_cap", 3, prefix="limits."),
         parallel_tries=bool(limits.get("parallel_tries")),
         cancelling=bool(limits.get("cancelling")),
         probing=bool(limits.get("probing")),
         retry_after=bool(limits.get("retry_after")),
-        max_retry_after_us=_number(limits, "max_retry_after", 0, where="limits."),
-        ask_within_us=_number(guarantees, "ask_within", 10_000_000, where="guarantees."),
-        drain_grace_us=_number(guarantees, "drain_grace", 0, where="guarantees."),
-        cold_us=_number(guarantees, "cold", 0, where="guarantees."),
-        cold_from=_number(guarantees, "cold_from", 1.0, where="guarantees."),
-        fall_multiple=_number(guarantees, "fall_multiple", 1.0, where="guarantees."),
-        fall_window_us=_number(guarantees, "tip_after", 1_000_000, where="guarantees."),
-        answer_slack_us=_number(guarantees, "answer_slack", 0, where="guarantees."),
-        price_cross_zone=_number(prices, "cross_zone", 0.0, where="prices."),
+        max_retry_after_us=_number(limits, "max_retry_after", 0, prefix="limits."),
+        ask_within_us=_number(guarantees, "ask_within", 10_000_000, prefix="guarantees."),
+        drain_grace_us=_number(guarantees, "drain_grace", 0, prefix="guarantees."),
+        cold_us=_number(guarantees, "cold", 0, prefix="guarantees."),
+        cold_from=_number(guarantees, "cold_from", 1.0, prefix="guarantees."),
+        fall_multiple=_number(guarantees, "fall_multiple", 1.0, prefix="guarantees."),
+        fall_window_us=_number(guarantees, "tip_after", 1_000_000, prefix="guarantees."),
+        answer_slack_us=_number(guarantees, "answer_slack", 0, prefix="guarantees."),
+        price_cross_zone=_number(prices, "cross_zone", 0.0, prefix="prices."),
         warm_keys=bool(_object(data, "specifics").get("warm_keys")),
         clients_mark_repeats=bool(_object(data, "clients").get("marks_retry")),
         hints_are_sizes=data.get("weight_kind") in ("nominal", "rough"),
-        weight_whole=_number(objectives, "whole", 1.0, where="objective_mix."),
-        weight_worst_class=_number(objectives, "worst_class", 0.0, where="objective_mix."),
+        weight_whole=_number(objectives, "whole", 1.0, prefix="objective_mix."),
+        weight_worst_class=_number(objectives, "worst_class", 0.0, prefix="objective_mix."),
     )
 
 
-def _route(lane: JsonObject) -> Route:
-    if not lane.get("semantics"):
+def _route(route: JsonObject) -> Route:
+    if not route.get("semantics"):
         raise SettingsError("lanes[].semantics", "missing")
-    if lane.get("deadline") is None:
+    if route.get("deadline") is None:
         raise SettingsError("lanes[].deadline", "missing")
-    aim_us = lane.get("goal_time")
+    aim_us = route.get("goal_time")
     return Route(
-        name=str(lane.get("name") or ""),
-        effect=_choice(lane["semantics"], Effect, "lanes[].semantics"),
-        aim_us=None if aim_us is None else _number(lane, "goal_time", 0, where="lanes[]."),
-        deadline_us=_number(lane, "deadline", 0, where="lanes[]."),
-        worth=_number(lane, "importance", 1.0, where="lanes[]."),
-        late_worth=_number(lane, "late_worth", 0.0, where="lanes[]."),
-        group=_choice(lane.get("group") or "all", Group, "lanes[].group"),
-        memory_span_us=_number(lane, "memory_span", 0, where="lanes[]."),
-        stream=bool(lane.get("stream")),
-        aim_stretch=_number(lane, "aim_stretch", 0.0, where="lanes[]."),
+        name=str(route.get("name") or ""),
+        effect=_choice(route["semantics"], Effect, "lanes[].semantics"),
+        aim_us=None if aim_us is None else _number(route, "goal_time", 0, prefix="lanes[]."),
+        deadline_us=_number(route, "deadline", 0, prefix="lanes[]."),
+        worth=_number(route, "importance", 1.0, prefix="lanes[]."),
+        late_worth=_number(route, "late_worth", 0.0, prefix="lanes[]."),
+        group=_choice(route.get("group") or "all", Group, "lanes[].group"),
+        memory_span_us=_number(route, "memory_span", 0, prefix="lanes[]."),
+        stream=bool(route.get("stream")),
+        aim_stretch=_number(route, "aim_stretch", 0.0, prefix="lanes[]."),
     )
 
 
@@ -96,32 +96,32 @@
     return isinstance(value, int) and not isinstance(value, bool)
 
 
-def _integer(data: JsonObject, key: str, default: int, where: str = "") -> int:
+def _integer(data: JsonObject, key: str, default: int, prefix: str = "") -> int:
     value = data.get(key)
     if value is None:
         return default
     if not _is_integer(value):
-        raise SettingsError(f"{where}{key}", f"needs a whole number, not {value!r}")
+        raise SettingsError(f"{prefix}{key}", f"needs a whole number, not {value!r}")
     return int(value)
 
 
 @overload
-def _number(data: JsonObject, key: str, default: int, where: str = ...) -> int: ...
+def _number(data: JsonObject, key: str, default: int, prefix: str = ...) -> int: ...
 @overload
-def _number(data: JsonObject, key: str, default: float, where: str = ...) -> float: ...
-def _number(data: JsonObject, key: str, default: float, where: str = "") -> float:
+def _number(data: JsonObject, key: str, default: float, prefix: str = ...) -> float: ...
+def _number(data: JsonObject, key: str, default: float, prefix: str = "") -> float:
     """A finite number; it stays of the type that it came in, also where the default is an int."""
     value = data.get(key)
     if value is None:
         return default
     if _is_integer(value) or (isinstance(value, float) and math.isfinite(value)):
         return value  # type: ignore[no-any-return]
-    raise SettingsError(f"{where}{key}", f"needs a number, not {value!r}")
+    raise SettingsError(f"{prefix}{key}", f"needs a number, not {value!r}")
 
 
-def _choice(value: str, among: type[Choice], field: str) -> Choice:
+def _choice(value: str, choices: type[Choice], field: str) -> Choice:
     try:
-        return among(value)
+        return choices(value)
     except ValueError:
-        known = ", ".join(str(choice.value) for choice in among)
+        known = ", ".join(str(choice.value) for choice in choices)
         raise SettingsError(field, f"needs one of {known}, not {value!r}") from None
--- a/roselink/balancer/simulator_adapter.py
+++ b/roselink/balancer/simulator_adapter.py
@@ -61,7 +61,7 @@
 # Exit status after input that is no legal batch.
 STATUS_BAD_INPUT = 2
 # Characters of a malformed message that the error shows.
-MAX_SHOWN = 80
+MAX_SHOWN_CHARACTERS = 80
 
 # One message of the wire: its name, then its values.
 Message = list[Any]
@@ -158,22 +158,22 @@
         self._events: list[Event] = []
         self.decisions: list[Message] = []
 
-    def play(self, messages: list[Message]) -> None:
+    def process(self, messages: list[Message]) -> None:
         """Feeds the instance its events in order; a start or a stop separates them into runs.
 
         Raises:
             BatchError: A message is malformed, or for an instance that has not started.
         """
         for index, message in enumerate(messages):
-            step = f"news[{index}]"
+            path_element = f"news[{index}]"
             try:
                 self._read(message)
             except BatchError as error:
-                raise error.within(step) from None
+                raise error.within(path_element) from None
             except (KeyError, IndexError, TypeError, ValueError, AttributeError) as error:
-                shown = json.dumps(message)[:MAX_SHOWN]
+                shown = json.dumps(message)[:MAX_SHOWN_CHARACTERS]
                 problem = f"{type(error).__name__}: {error} in {shown}"
-                raise BatchError(problem=problem, path=(step,)) from None
+                raise BatchError(problem=problem, path=(path_element,)) from None
         self._run()
 
     def _read(self, message: Message) -> None:
@@ -181,7 +181,7 @@
         reader = READERS.get(name)
         if reader is not None:
             self._events.append(reader(message))
-            self._check(self._events[-1])
+            self._validate(self._events[-1])
         elif name == "ledger":
             self._host.lists[message[1]] = tuple(map(_read_server, message[2]))
         elif name == "endpoints":
@@ -219,7 +219,7 @@
             raise BatchError(problem=f"event for instance {self._number}, which never started")
         return balancer
 
-    def _check(self, event: Event) -> None:
+    def _validate(self, event: Event) -> None:
         """An instance must have started, and a class or tenant must be in its settings.
 
         Number 0 is always allowed.
@@ -265,17 +265,17 @@
         if not isinstance(batch.get("parts"), list):
             raise BatchError(problem="a batch holds an array in 'parts'")
         replies = []
-        for index, part in enumerate(batch["parts"]):
-            step = f"parts[{index}]"
+        for index, entry in enumerate(batch["parts"]):
+            path_element = f"parts[{index}]"
             try:
-                number = part["gateway"]
+                number = entry["gateway"]
                 instance = InstanceBatch(self, batch["moment"], number)
-                instance.play(part["news"])
+                instance.process(entry["news"])
             except BatchError as error:
-                raise error.within(step) from None
+                raise error.within(path_element) from None
             except (KeyError, TypeError) as error:
                 problem = f"needs 'gateway' and 'news' ({error!r})"
-                raise BatchError(problem=problem, path=(step,)) from None
+                raise BatchError(problem=problem, path=(path_element,)) from None
             if instance.decisions:
                 replies.append({"gateway": number, "decisions": instance.decisions})
         return {"parts": replies}
--- a/roselink/balancer/slow_start.py
+++ b/roselink/balancer/slow_start.py
@@ -16,8 +16,8 @@
 # Least load of cold servers, as a fraction of the most.
 MIN_LOAD_FRACTION = 0.25
 # What the load of cold servers gains by an answer in time, and loses by another outcome.
-LOAD_GAIN = 0.01
-LOAD_LOSS = 0.1
+LOAD_INCREASE = 0.01
+LOAD_DECREASE = 0.1
 
 
 class SlowStart:
@@ -32,14 +32,14 @@
         self._state = state
         self.speeds = speeds
         # Work offered to cold servers by all balancers, over what they surely can do.
-        self.load = 1.0
+        self.load_factor = 1.0
 
     def is_cold(self, server: ServerState) -> bool:
         """Whether it started less than the settings' `cold_us` ago."""
         started_us = server.spec.started_us or 0
         return bool(started_us) and self._state.now_us < started_us + self._state.settings.cold_us
 
-    def warmth(self, server: ServerState) -> float:
+    def capacity_fraction(self, server: ServerState) -> float:
         """The fraction of its capacity that a server surely has by now."""
         if not self.is_cold(server):
             return 1.0
@@ -49,7 +49,7 @@
 
     def core_speed(self, server: ServerState) -> float:
         """Work in a unit of time that a core surely does: as warm ones of its kind, less by age."""
-        return self.warmth(server) * self.speeds.speed(server.spec.kind)
+        return self.capacity_fraction(server) * self.speeds.speed(server.spec.kind)
 
     def start(self, server: ServerState) -> None:
         """Begins a cold server with a random pause.
@@ -71,11 +71,12 @@
         """
         if not self.is_cold(server):
             return True
-        self._skip_missed_turns(server)
+        self._skip_missed_slots(server)
         now_us = self._state.now_us
-        left_us = request.useful_us - now_us
+        remaining_us = request.useful_until_us - now_us
         return (
-            server.next_send_us <= now_us and request.cost_us <= self.core_speed(server) * left_us
+            server.next_send_us <= now_us
+            and request.cost_us <= self.core_speed(server) * remaining_us
         )
 
     def learn(self, *, in_time: bool) -> None:
@@ -85,17 +86,19 @@
         how much they can take.
         """
         max_load = COLD_BUDGET_FRACTION * self._state.settings.fall_multiple
-        change = LOAD_GAIN if in_time else -LOAD_LOSS
-        self.load = min(max_load, max(max_load * MIN_LOAD_FRACTION, self.load + change))
+        change = LOAD_INCREASE if in_time else -LOAD_DECREASE
+        self.load_factor = min(
+            max_load, max(max_load * MIN_LOAD_FRACTION, self.load_factor + change)
+        )
 
     def _pause_us(self, server: ServerState, cost_us: float) -> int:
         """How long our even share of what a cold server can do takes to do this work."""
         settings = self._state.settings
         cores = max(1.0, server.spec.hint) if settings.hints_are_sizes else 1.0
-        speed = self.load * cores * self.core_speed(server) / settings.balancers
+        speed = self.load_factor * cores * self.core_speed(server) / settings.balancers
         return int(cost_us / speed)
 
-    def _skip_missed_turns(self, server: ServerState) -> None:
+    def _skip_missed_slots(self, server: ServerState) -> None:
         """Moves a turn not used in time to the end of a later pause.
 
         Guards against a burst after a calm stretch, in which all balancers at once would use the
@@ -103,7 +106,7 @@
         """
         state = self._state
         unused_us = state.now_us - server.next_send_us
-        overdue_us = unused_us - COLD_BUDGET_FRACTION * state.settings.fall_window_us
-        if overdue_us > 0:
+        expired_us = unused_us - COLD_BUDGET_FRACTION * state.settings.fall_window_us
+        if expired_us > 0:
             pause_us = max(1, self._pause_us(server, state.mean_cost_us))
-            server.next_send_us += math.ceil(overdue_us / pause_us) * pause_us
+            server.next_send_us += math.ceil(expired_us / pause_us) * pause_us
--- a/roselink/balancer/state.py
+++ b/roselink/balancer/state.py
@@ -13,7 +13,7 @@
     from roselink.balancer.server_state import ServerState
 
 # Fraction of the ask-within time that an outcome is remembered: fresh records against wide windows.
-MEMORY_FRACTION = 0.25
+DECAY_TIME_FRACTION = 0.25
 # Requests over which the mean work is smoothed.
 COST_SAMPLES_MAX = 64
 
@@ -37,10 +37,10 @@
         # Own attempts in flight at warm servers.
         self.in_flight = 0
         # Time constant of what is remembered of outcomes and arrivals.
-        self.memory_us = MEMORY_FRACTION * settings.ask_within_us
+        self.decay_time_us = DECAY_TIME_FRACTION * settings.ask_within_us
         # Requests that arrived within that time, older ones counting less and less.
-        self.recent = 0.0
-        self.recent_at_us = 0
+        self.recent_arrivals = 0.0
+        self.recent_arrivals_updated_us = 0
         # Mean work of a request. A guess until learned, weighted by work: guards against first
         # pauses too short for heavy classes.
         costs = [route.cost_us for route in self.routes]
@@ -49,9 +49,11 @@
 
     def count_arrival(self) -> None:
         """Adds one arrival to the recent ones."""
-        elapsed_us = self.now_us - self.recent_at_us
-        self.recent = 1.0 + self.recent * math.exp(-elapsed_us / self.memory_us)
-        self.recent_at_us = self.now_us
+        elapsed_us = self.now_us - self.recent_arrivals_updated_us
+        self.recent_arrivals = 1.0 + self.recent_arrivals * math.exp(
+            -elapsed_us / self.decay_time_us
+        )
+        self.recent_arrivals_updated_us = self.now_us
 
     def learn_cost(self, cost_us: float) -> None:
         """Moves the mean work towards that of one request."""
--- a/tests/balancer/test_balance.py
+++ b/tests/balancer/test_balance.py
@@ -15,7 +15,7 @@
     TOKENS_PER_REQUEST,
     Balancer,
 )
-from roselink.balancer.host_window import OUTCOMES_PER_SERVER, window
+from roselink.balancer.host_window import OUTCOMES_PER_SERVER, candidate_window
 from roselink.balancer.interface import (
     Arrived,
     AttemptDone,
@@ -36,7 +36,7 @@
     Watch,
 )
 from roselink.balancer.load_shedding import MIN_ADMITTED
-from roselink.balancer.server_state import UNKNOWN_PAYOFF
+from roselink.balancer.server_state import INITIAL_PAYOFF
 from roselink.routing.latency_tracker import LatencyTracker
 from roselink.routing.outcome import Outcome
 from roselink.routing.token_bucket import TokenBucket
@@ -259,7 +259,7 @@
     harness = BalancerHarness(settings(), [Server(1, kind=0)])
     harness.feed(ServerList(ListKind.CHANGES, (Server(1, kind=4),)))
     harness.done(harness.arrive(), Outcome.SUCCESS)
-    assert harness.balancer.state.servers[1].payoff > UNKNOWN_PAYOFF
+    assert harness.balancer.state.servers[1].payoff > INITIAL_PAYOFF
 
 
 def test_a_silent_server_is_left_alone_before_its_attempts_time_out() -> None:
@@ -346,18 +346,18 @@
     quick as an idle one.
     """
     balancer = BalancerHarness(settings(), 3).balancer
-    start = balancer.limit.share
+    start = balancer.limit.server_limit
     for _ in range(500):
         balancer.limit.learn(1.0)
-    assert balancer.limit.share == start
+    assert balancer.limit.server_limit == start
     balancer.state.queued = 1
     for _ in range(500):
         balancer.limit.learn(1.0)
-    grown = balancer.limit.share
+    grown = balancer.limit.server_limit
     assert grown > 1.5 * start
     for _ in range(5000):
         balancer.limit.learn(3.0)
-    assert 1.0 <= balancer.limit.share < start
+    assert 1.0 <= balancer.limit.server_limit < start
 
 
 def test_many_balancers_with_thin_shares_do_not_jam_the_servers_that_are_left() -> None:
@@ -411,7 +411,7 @@
     harness = BalancerHarness(settings(), 9)
     harness.warm_up(200)
     for number in range(1000):
-        harness.balancer.shedder.admitted = 1.0  # load shedding is not what is tested
+        harness.balancer.shedder.admitted_fraction = 1.0  # load shedding is not what is tested
         request = harness.arrive()
         if number % 4 == 0:
             assert not any(
@@ -466,15 +466,15 @@
     servers left keyed requests, which only a cell may repeat, with nowhere to go.
     """
     balancer = BalancerHarness(settings(balancers=3), 10).balancer
-    balancer.state.recent = 30.0
-    assert len(window(balancer.state) or balancer.state.candidates) >= 8
+    balancer.state.recent_arrivals = 30.0
+    assert len(candidate_window(balancer.state) or balancer.state.candidates) >= 8
 
 
 def test_windows_cover_the_fleet_evenly() -> None:
     counts: Counter[int] = Counter()
     for number in range(120):
         balancer = BalancerHarness(many(balancers=120, number=number), fleet()).balancer
-        counts.update(s.spec.id for s in window(balancer.state) or [])
+        counts.update(s.spec.id for s in candidate_window(balancer.state) or [])
     assert len(counts) == 60
     assert max(counts.values()) == min(counts.values())
 
@@ -482,7 +482,7 @@
 def test_a_balancer_with_all_the_traffic_draws_from_the_whole_fleet() -> None:
     harness = BalancerHarness(many(), fleet())
     harness.warm_up(600, 1_000)
-    assert window(harness.balancer.state) is None
+    assert candidate_window(harness.balancer.state) is None
 
 
 def test_in_a_window_no_lane_is_kept_for_long_requests() -> None:
@@ -492,7 +492,7 @@
     short, long = route(aim_us=100_000), route(aim_us=2_000_000, deadline_us=4_000_000)
     one_zone = [s._replace(zone=0) for s in fleet()]
     harness = BalancerHarness(Settings(routes=(short, long), balancers=400, number=100), one_zone)
-    harness.balancer.lanes.blocking_fraction = 0.01
+    harness.balancer.partition.long_work_fraction = 0.01
     harness.balancer.state.routes[1].cost_us, harness.balancer.state.routes[1].samples = (
         300_000.0,
         9,
@@ -530,7 +530,7 @@
     server = balancer.state.candidates[0]
     balancer.payoffs.mean = 0.9
     balancer.state.now_us += 10_000_000
-    balancer.credit(server, 0.0)
+    balancer.record_outcome(server, 0.0)
     assert balancer.payoffs.payoff(server) < 0.1
     balancer.state.now_us += 10_000_000
     assert balancer.payoffs.payoff(server) > 0.7
@@ -543,16 +543,16 @@
     balancer = BalancerHarness(settings(), 3).balancer
     server = balancer.state.candidates[0]
     for _ in range(20):
-        balancer.credit(server, 0.0)
-    assert balancer.shedder.admitted == MIN_ADMITTED
+        balancer.record_outcome(server, 0.0)
+    assert balancer.shedder.admitted_fraction == MIN_ADMITTED
     for _ in range(20):
-        balancer.credit(server, 1.0)
-    assert balancer.shedder.admitted == 1.0
+        balancer.record_outcome(server, 1.0)
+    assert balancer.shedder.admitted_fraction == 1.0
 
 
 def test_shed_requests_are_refused_before_they_cost_work() -> None:
     harness = BalancerHarness(settings(), 3)
-    harness.balancer.shedder.admitted = 0.0
+    harness.balancer.shedder.admitted_fraction = 0.0
     request = harness.arrive()
     assert request not in harness.sends
     assert harness.log[-1] == Refuse(request)
@@ -576,9 +576,9 @@
         BalancerHarness(many(), fleet()).balancer,
     )
     for balancer in (alone, shared):
-        balancer.state.recent = 30.0
+        balancer.state.recent_arrivals = 30.0
         for _ in range(12):
-            balancer.blame(balancer.state.candidates[0])
+            balancer.record_failure(balancer.state.candidates[0])
     lasts = [b.state.candidates[0].ejected_until_us - b.state.now_us for b in (alone, shared)]
     assert lasts[0] == DEADLINE_US
     assert lasts[1] > 3 * DEADLINE_US
@@ -728,7 +728,7 @@
     harness = BalancerHarness(settings(retry_after=True, max_retry_after_us=1_500_000), 1)
     while not harness.balancer.state.queued:
         request = harness.arrive()
-    harness.balancer.shedder.admitted = admitted
+    harness.balancer.shedder.admitted_fraction = admitted
     assert Refuse(request, int(away_us)) in harness.pass_time(AIM_US)
 
 
@@ -817,8 +817,8 @@
     dear, cheap = (BalancerHarness(many(price_cross_zone=p), fleet()).balancer for p in (0.3, 0.01))
     shares = []
     for balancer in (dear, cheap):
-        balancer.state.recent = 12.0 * OUTCOMES_PER_SERVER
-        hosts = window(balancer.state) or []
+        balancer.state.recent_arrivals = 12.0 * OUTCOMES_PER_SERVER
+        hosts = candidate_window(balancer.state) or []
         assert len(hosts) == len({s.spec.id for s in hosts}) == 12
         shares.append(sum(s.spec.zone == 0 for s in hosts))
     assert shares[0] >= 6
--- a/tests/balancer/test_cold_fleet.py
+++ b/tests/balancer/test_cold_fleet.py
@@ -209,9 +209,9 @@
                     )
         b.alarms.clear()
         if answers > 64:
-            b.slow_start.load = 0.5 * b.settings.fall_multiple
+            b.slow_start.load_factor = 0.5 * b.settings.fall_multiple
 
-    def warmth(self, now: float) -> float:
+    def capacity_fraction(self, now: float) -> float:
         part = min(1.0, (now - self.start_us) / self.site.cold_us)
         return self.site.cold_from + (1.0 - self.site.cold_from) * part
 
@@ -230,7 +230,7 @@
         m, now = self.machines[send.server], self.now + 300
         request, cost = self.group[n].requests[send.request], self.works[send.request]
         attempt = len(request.attempts) - 1
-        warmth = self.warmth(now) if m.spec.started_us else 1.0
+        warmth = self.capacity_fraction(now) if m.spec.started_us else 1.0
         m.got.append((now, cost))
         while m.ends and m.ends[0] <= now:
             m.ends.popleft()
@@ -261,7 +261,7 @@
             for n, b in enumerate(self.group if tick >= START_US + idle_us else ()):
                 for _ in range(20):
                     if not any(
-                        s.next_send_us <= tick and s.in_flight + 1 <= max(1.0, b.limit.share)
+                        s.next_send_us <= tick and s.in_flight + 1 <= max(1.0, b.limit.server_limit)
                         for s in b.state.cold
                     ):
                         break
@@ -283,7 +283,7 @@
                 total += cost / mean
                 while inside[0][0] <= at - window:
                     total -= inside.popleft()[1] / mean
-                n = 3.0 * self.site.cores * m.speed * self.warmth(at) * window / mean
+                n = 3.0 * self.site.cores * m.speed * self.capacity_fraction(at) * window / mean
                 worst = max(worst, total / (n + 2 * math.sqrt(n) + 2))
                 if at > START_US + window:
                     used.append(total / n)
--- a/tests/balancer/test_property.py
+++ b/tests/balancer/test_property.py
@@ -86,7 +86,7 @@
         self.now = 10_000_000
         self.balancer = Balancer(self.settings, seed)
         self.checker = RuleChecker(self.settings, WORK_US)
-        self.due: list[tuple[int, int, Event]] = []
+        self.scheduled_events: list[tuple[int, int, Event]] = []
         self.count = 0
         self.next_request = 0
         self.tries: dict[int, int] = {}
@@ -99,7 +99,7 @@
 
     def later(self, delay_us: int, event: Event) -> None:
         self.count += 1
-        self.due.append((self.now + max(delay_us, TICK_US), self.count, event))
+        self.scheduled_events.append((self.now + max(delay_us, TICK_US), self.count, event))
 
     def play(self, ticks: int) -> None:
         self.step([ServerList(ListKind.CACHED, tuple(self.servers))])
@@ -110,8 +110,8 @@
                 events += self.trouble()
                 for _ in range(self.rng.choice([0, 0, 1, 1, 2])):
                     events.append(self.arrival())
-            ready = sorted(d for d in self.due if d[0] <= self.now)
-            self.due = [d for d in self.due if d[0] > self.now]
+            ready = sorted(d for d in self.scheduled_events if d[0] <= self.now)
+            self.scheduled_events = [d for d in self.scheduled_events if d[0] > self.now]
             for _, _, event in ready:
                 events += self.deliver(event)
             if events:
@@ -237,11 +237,11 @@
 
 
 def break_drain(monkeypatch: pytest.MonkeyPatch) -> None:
-    on_list = Balancer.on_list
+    on_server_list = Balancer.on_server_list
 
     def keep_all(self: Balancer, event: ServerList) -> None:
         lines = tuple(line._replace(state=State.READY) for line in event.servers)
-        on_list(self, event._replace(servers=lines))
+        on_server_list(self, event._replace(servers=lines))
 
     monkeypatch.setitem(decider.HANDLERS, ServerList, keep_all)
 
