--- a/roselink/balancer/__init__.py
+++ b/roselink/balancer/__init__.py
@@ -1,6 +1,6 @@
-"""Decisions of a reverse proxy that stay good when servers fail.
+"""Load-balancing decisions of a reverse proxy that tolerate server failures.
 
-Start at `Balancer` (`decider`) and at its events and actions (`interface`).
+The entry points are `Balancer` (`decider`) and its events and actions (`interface`).
 """
 
 from roselink.balancer.decider import Balancer
--- a/roselink/balancer/concurrency_limit.py
+++ b/roselink/balancer/concurrency_limit.py
@@ -10,29 +10,29 @@
     from roselink.balancer.slow_start import SlowStart
     from roselink.balancer.state import BalancerState
 
-# Limit of a server, over all balancers, at first: capacity of large machines is learned.
+# Initial limit of a server over all balancers: low, as the capacity of large machines is learned.
 INITIAL_LIMIT = 3.0
-# Requests in a full server that wait for others: a busy machine against jams that no one sees.
+# Requests that queue in a full server. Higher uses it more; lower avoids queues no balancer sees.
 MAX_SERVER_QUEUE = 1.0
-# What the limit gains or loses by one answer, as a fraction: quick to learn against steady.
+# Relative change of the limit per answer. Higher adapts sooner; lower is steadier.
 LIMIT_STEP = 0.001
 # Answers over which the latency ratio is smoothed.
 LATENCY_RATIO_SAMPLES = 64
-# Time between two counts of the available servers: work for each request against old counts.
+# Time between counts of the available servers. Higher costs less CPU; lower counts more recently.
 RECOUNT_INTERVAL_US = 50_000
 
 
 class ConcurrencyLimit:
     """This balancer's share of the limit of every server, learned from latencies.
 
-    Guards against crowding machines that lose speed by it long before a request misses its aim.
+    Avoids overload of machines that slow down long before a request misses its objective.
     """
 
     def __init__(self, state: BalancerState, slow_start: SlowStart) -> None:
-        """An even share of the initial limit."""
+        """Starts with an even share of the initial limit."""
         self._state = state
         self._slow_start = slow_start
-        # Own share of a server's limit, in attempts in flight.
+        # This balancer's share of a server's limit, in attempts in flight.
         self.server_limit = INITIAL_LIMIT / state.settings.balancers
         # Latency in a full server over that in an idle one, smoothed.
         self.latency_ratio = 1.0
@@ -50,11 +50,11 @@
             self.server_limit *= 1.0 + LIMIT_STEP
 
     def total_limit(self) -> float:
-        """The limit of own attempts in flight at all warm servers.
+        """Limit of this balancer's attempts in flight at all warm servers together.
 
-        Where an own share of one server is less than a request, the shares of all available ones
-        are the limit. Guards against many balancers with a request each at a server that has
-        capacity for a few. (Cold servers have a limit of their own.)
+        Where the share of one server is less than one request, the sum of the shares of all
+        available servers is the limit. Otherwise many balancers would each send one request to a
+        server with capacity for a few. (Cold servers have their own limit.)
         """
         if self.server_limit >= 1.0:
             return math.inf
@@ -69,13 +69,13 @@
         return self._total_limit
 
     def allows(self, server: ServerState, limit_fraction: float) -> bool:
-        """Whether one more attempt at a server keeps to this fraction of its share, and to all."""
+        """Whether one more attempt fits this fraction of the server's limit and the total."""
         if server.in_flight + 1 > max(1.0, limit_fraction * self.server_limit):
             return False
         return self._slow_start.is_cold(server) or self._state.in_flight < self.total_limit()
 
     def is_reached(self, server: ServerState) -> bool:
-        """Whether one more attempt at a server would exceed its share or that of all."""
+        """Whether one more attempt would exceed the server's limit or the total limit."""
         return (
             server.in_flight + 1 > max(1.0, self.server_limit)
             or self._state.in_flight + 1 > self.total_limit()
--- a/roselink/balancer/decider.py
+++ b/roselink/balancer/decider.py
@@ -1,15 +1,15 @@
-"""The decider of the gateway in service: events in, actions out (roselink/balancer/interface.py).
+"""Request handling of the balancer: events in, actions out (roselink/balancer/interface.py).
 
-Each concern has a module of its own: request and server state, outcome classifier, payoff, outlier
+Each concern has its own module: request and server state, outcome classifier, payoff, outlier
 ejection, load shedding, slow start, concurrency limit, host window and host choice. This one
-carries a request from its arrival to its final answer: queue, sends, hedges and retries.
+handles a request from its arrival to its final answer: queueing, sends, hedges and retries.
 
 Four rules hold in every decision:
 
 1. Every request gets one final answer in time, and nothing is sent after it.
-2. Work that may not run twice does not: repeats and refusals go by the effect of the request.
-3. A server that drains or has gone gets nothing new.
-4. A cold server gets no more than its budget.
+2. A request that must not run twice does not: retries and refusals depend on its `Effect`.
+3. A server that is draining or gone gets no new requests.
+4. A cold server gets no more work than its slow-start budget.
 """
 
 from __future__ import annotations
@@ -58,25 +58,25 @@
     from roselink.balancer.request_state import RouteState
     from roselink.balancer.server_state import ServerState
 
-# Retry budget: tokens that a first send earns, and the most that the bucket takes.
+# Retry budget: tokens earned by the first send of a request, and the capacity of the bucket.
 TOKENS_PER_REQUEST = 0.5
 MAX_TOKENS = 40.0
-# Tokens that the bucket takes at most for each of the recent requests.
+# Capacity of the bucket per recent request.
 MAX_TOKENS_PER_RECENT_REQUEST = 0.2
 # A request slower than this percentile of its route is hedged.
 HEDGE_PERCENTILE = 0.95
-# First wait between retry groups, as a fraction of the aim; it doubles from there.
+# First wait between retry groups, as a fraction of the target latency; it doubles each time.
 FIRST_BACKOFF_FRACTION = 1 / 64
-# First wait after a failed call of discovery; it doubles from there, so many times at most.
+# First wait after a failed discovery call, and the most times that it doubles.
 DISCOVERY_BACKOFF_US = 100_000
 MAX_DISCOVERY_DOUBLINGS = 9
 
 
 class Balancer:
-    """One balancer. The same events bring the same actions; nothing is shared with any other."""
+    """One balancer: the same seed and events yield the same actions; it shares no state."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """A balancer that knows no server; `seed` is its only random source."""
+        """Starts without servers; `seed` is the only source of randomness."""
         self.state = BalancerState(settings, seed)
         self.speeds = KindSpeeds()
         self.slow_start = SlowStart(self.state, self.speeds)
@@ -97,15 +97,15 @@
 
     @property
     def settings(self) -> Settings:
-        """What the balancer was given at its start."""
+        """The settings that the balancer was created with."""
         return self.state.settings
 
     def handle(self, now_us: int, events: list[Event]) -> list[Action]:
-        """Takes events in order and returns the actions they bring, in order.
+        """Handles events in order and returns the resulting actions, in order.
 
         Args:
-            now_us: The time in microseconds of a clock that never goes back.
-            events: What has happened since the last call.
+            now_us: The time in microseconds of a monotonic clock.
+            events: The events since the last call.
         """
         self.state.now_us = now_us
         self.actions = []
@@ -118,7 +118,7 @@
         return self.actions
 
     def on_server_list(self, event: ServerList) -> None:
-        """A list of servers, or a failed call for one."""
+        """Handles a list of servers or a failed discovery call."""
         if event.kind is ListKind.FAILED:
             self._back_off_discovery()
             return
@@ -128,7 +128,7 @@
         self._server_table.update(event)
 
     def on_arrived(self, event: Arrived) -> None:
-        """A request: it is sent, queued or refused."""
+        """Sends, queues or refuses a request."""
         state = self.state
         route = state.routes[event.route]
         state.count_arrival()
@@ -140,8 +140,8 @@
         self.requests[request.id] = request
         state.learn_cost(request.cost_us)
         self.partition.observe(route, request.cost_us)
-        # Where clients do not mark repeats, a try that ends sooner than most by more than the aim
-        # is a repeat and has missed it.
+        # Where clients do not mark repeats, a request whose client waits less than usual, by more
+        # than the target latency, is taken for a repeat that has missed its objective.
         missed_aim = (
             not self.settings.clients_mark_repeats
             and remaining_us < route.client_timeout_us - route.target_latency_us
@@ -153,17 +153,17 @@
             self._enqueue(request)
 
     def on_departed(self, event: Departed) -> None:
-        """A client has gone: no answer is owed."""
+        """Closes the request of a client that has disconnected; no answer is due."""
         if (request := self.requests.get(event.request)) is not None:
             self.close(request)
 
     def on_stream_started(self, event: StreamStarted) -> None:
-        """A streamed answer has begun: it is the client's now."""
+        """Marks a request as answered once its streamed answer has begun."""
         if (request := self.requests.get(event.request)) is not None:
             request.closed = True
 
     def on_attempt_done(self, event: AttemptDone) -> None:
-        """The outcome of an attempt: it ends its request, or a retry may follow."""
+        """Handles the outcome of an attempt, which ends its request or leads to a retry."""
         request = self.requests.get(event.request)
         if request is None:
             return
@@ -176,7 +176,7 @@
         if event.closed or event.outcome is Outcome.SUCCESS or request.closed:
             self.close(request)
         elif not request.in_flight:
-            # A retry group ended without an answer: attempts, classifier and budget decide.
+            # None is left in flight: attempts, outcome and retry budget decide on a retry.
             may_send = len(request.attempts) < self.settings.max_attempts
             retryable = may_send and is_retryable(request, event.outcome)
             if retryable and request.route.retry_budget.spend():
@@ -185,7 +185,7 @@
                 self.finish(request)
 
     def on_alarm(self, event: Alarm) -> None:
-        """An alarm is due; one that is not known does nothing."""
+        """Runs the callback of a due alarm; unknown alarms are ignored."""
         if (callback := self.alarms.pop(event.tag, None)) is not None:
             callback()
 
@@ -195,9 +195,9 @@
         self.actions.append(SetAlarm(max(0, int(delay_us)), self._last_tag))
 
     def _back_off_discovery(self) -> None:
-        """Calls discovery again later.
+        """Schedules another discovery call.
 
-        Guards against calls piling up on discovery, one service for all: waits grow, with jitter.
+        Waits grow, with jitter: calls must not pile up on discovery, which all balancers share.
         """
         self._failed_calls = min(self._failed_calls + 1, MAX_DISCOVERY_DOUBLINGS)
         wait_us = min(
@@ -212,7 +212,7 @@
     # Queue.
 
     def _enqueue(self, request: Request) -> None:
-        """Queues a request. Rule 1: its alarm ends it once it can no longer meet its aim."""
+        """Queues a request. Rule 1: an alarm ends it once it can no longer meet its objective."""
         route = request.route
         route.queues[request.low_priority].append(request)
         self.state.queued += 1
@@ -220,9 +220,9 @@
         self._set_alarm(wait_us, lambda: self.end_queued(request))
 
     def end_queued(self, request: Request) -> None:
-        """Ends a request for which no capacity came.
+        """Ends a request for which no capacity became available.
 
-        Others may have some: its client is to try at once, unless load has to fall.
+        Another balancer may have some: the client should retry soon, unless load has to fall.
         """
         if request.closed or request.attempts:
             return
@@ -230,10 +230,10 @@
         self.finish(request, soon_us if self.shedder.admitted_fraction >= 1.0 else math.inf)
 
     def _drain_queues(self) -> None:
-        """Sends what is queued as capacity allows.
+        """Sends queued requests as capacity allows.
 
-        Of each queue the newest first: where not all can be served, the served must not have waited
-        their aim away.
+        Each queue is last in, first out: under overload, first in, first out would serve requests
+        that have already spent most of their objective waiting.
         """
         for queue in queues_by_value(self.state):
             while queue and (queue[-1].closed or self._try_send(queue[-1])):
@@ -246,7 +246,7 @@
     # Final answers.
 
     def finish(self, request: Request, retry_after_us: float = math.inf) -> None:
-        """Rule 1: the one place that gives a final answer of our own.
+        """Refuses or fails a request. Rule 1: the only place that does.
 
         Args:
             request: The request to end.
@@ -262,7 +262,7 @@
         self.close(request)
 
     def close(self, request: Request) -> None:
-        """Nothing is sent from here on; the copies still in flight are cancelled."""
+        """Prevents further sends of a request and cancels its attempts in flight."""
         if not request.closed and self.settings.cancelling:
             self.actions += [
                 Cancel(request.id, number)
@@ -287,12 +287,12 @@
         state = self.state
         route = request.route
         attempt = Attempt(server, state.now_us, request, warm=not self.slow_start.is_cold(server))
-        # Rule 2 binds at the write, and a connection may first have to come up.
+        # Rule 2 applies when the request is written, which may first wait for a connection.
         possible_runs = request.may_have_run() if route.spec.effect is Effect.KEYED else []
         before_us = possible_runs[0].sent_us + route.spec.memory_span_us if possible_runs else 0
         if not request.attempts:
-            # None saves more than it earns of late: guards against many buckets that together keep
-            # the tokens of a retry storm.
+            # Recent traffic bounds the tokens: the full buckets of many balancers could together
+            # cause a retry storm.
             saved = MAX_TOKENS_PER_RECENT_REQUEST * state.recent_arrivals
             route.retry_budget.earn(TOKENS_PER_REQUEST, max(1.0, min(MAX_TOKENS, saved)))
         request.attempts.append(attempt)
@@ -310,7 +310,7 @@
                 self._set_alarm(wait_us, lambda: self._hedge(request))
 
     def _hedge(self, request: Request) -> None:
-        """Sends a second copy of a slow request for a token, unless others are queued."""
+        """Spends a token on a second attempt of a slow request, unless requests are queued."""
         if request.closed or request.in_flight != 1 or self.state.queued:
             return
         server = self.chooser.choose(request)
@@ -318,7 +318,7 @@
             self.send(request, server)
 
     def _back_off(self, request: Request) -> None:
-        """Waits grow between retry groups; a wait that leaves too little time ends the request."""
+        """Schedules a retry after a growing wait; ends the request if too little time remains."""
         state = self.state
         growth = FIRST_BACKOFF_FRACTION * 2.0**request.retry_groups
         wait_us = request.route.target_latency_us * growth * (0.5 + state.random.random())
@@ -329,9 +329,10 @@
             self.finish(request)
 
     def _retry(self, request: Request) -> None:
-        """Sends again, or waits again; not in the queue, where it could block others.
+        """Sends a retry, or backs off again.
 
-        Those in the queue may go to any server, and a repeat only to some.
+        Retries are not queued: only some servers may take them, so they could block requests that
+        any server may take.
         """
         if not request.closed and not self._try_send(request):
             self._back_off(request)
@@ -339,7 +340,7 @@
     # Learning.
 
     def learn(self, route: RouteState, attempt: Attempt, event: AttemptDone) -> None:
-        """Learns from an outcome about its server, its kind of machine and its route."""
+        """Updates the server, its kind of machine and the route from an outcome."""
         server = attempt.server
         server.overdue -= attempt.overdue
         server.in_flight -= 1
@@ -355,9 +356,9 @@
             self.record_failure(server, event.outcome)
 
     def _learn_latency(self, route: RouteState, attempt: Attempt, latency_us: int) -> bool:
-        """Learns from the latency of a success; whether it was in time."""
+        """Learns from the latency of a success; returns whether it met the objective."""
         attempt.server.ejections = 0
-        # A jam says nothing about the machines.
+        # Latencies under overload do not show the speed of a machine.
         if attempt.warm and self.shedder.admitted_fraction >= 1.0:
             self.speeds.learn(attempt, latency_us)
         route.learn_cost(latency_us, idle_server=attempt.idle_server)
@@ -368,7 +369,7 @@
         return latency_us <= aim_us
 
     def _mark_overdue_attempts(self) -> None:
-        """An attempt past its aim counts as failed at once: guards against unresponsive servers."""
+        """Counts attempts past their target latency as failed, to avoid unresponsive servers."""
         for route in self.state.routes:
             while route.overdue_schedule and route.overdue_schedule[0][0] <= self.state.now_us:
                 attempt = route.overdue_schedule.popleft()[1]
@@ -380,13 +381,13 @@
     def record_outcome(
         self, server: ServerState, value: float, outcome: Outcome = Outcome.SUCCESS
     ) -> None:
-        """Counts one outcome of a server: 1 if it was in time, else 0."""
+        """Records an outcome of a server: 1 if it was in time, else 0."""
         if outcome not in SERVER_FAULTS:
             self.shedder.observe(value)
         self.payoffs.observe(server, value)
 
     def record_failure(self, server: ServerState, outcome: Outcome = Outcome.TIMEOUT) -> None:
-        """Counts an outcome as 0, and ejects a server that keeps failing."""
+        """Records an outcome as 0, and ejects a server that keeps failing."""
         self.record_outcome(server, 0.0, outcome)
         if (line := eject_outlier(self.state, server)) is not None:
             self.actions.append(line)
--- a/roselink/balancer/exceptions.py
+++ b/roselink/balancer/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the decider's settings and of the simulator's wire."""
+"""Errors of the balancer's settings and of the simulator protocol."""
 
 from __future__ import annotations
 
@@ -12,38 +12,38 @@
 
 
 class SettingsError(BalancerError, ValueError):
-    """A setting cannot work.
+    """A setting has an invalid value.
 
     Attributes:
-        field: The setting's name in its source.
+        field: Name of the setting in its source.
         problem: What is wrong with it.
     """
 
     code = "BAL-001"
 
     def __init__(self, field: str, problem: str) -> None:
-        """Names the field and what is wrong with it."""
+        """Builds the message from the field and the problem."""
         super().__init__(f"{field}: {problem}")
         self.field = field
         self.problem = problem
 
 
 class BatchError(BalancerError):
-    """A line of the simulator is no legal batch; the text says what is wrong and where.
+    """A line from the simulator is not a valid batch; the message says what is wrong and where.
 
     Attributes:
         problem: What is wrong.
-        path: Where in the batch, from the outside in.
+        path: Location in the batch, outermost element first.
     """
 
     code = "BAL-002"
 
     def __init__(self, *, problem: str, path: tuple[str, ...] = ()) -> None:
-        """Joins the path and the problem to the text."""
+        """Builds the message from the path and the problem."""
         super().__init__(": ".join((*path, problem)))
         self.problem = problem
         self.path = path
 
     def within(self, element: str) -> BatchError:
-        """The same error, one step further outside."""
+        """Returns the same error with an outer element added to its path."""
         return BatchError(problem=self.problem, path=(element, *self.path))
--- a/roselink/balancer/host_choice.py
+++ b/roselink/balancer/host_choice.py
@@ -1,4 +1,4 @@
-"""Host choice: the better of two random servers, among those that may have the request."""
+"""Host choice: the better of two random servers that may take the request."""
 
 from __future__ import annotations
 
@@ -18,7 +18,8 @@
     from roselink.balancer.slow_start import SlowStart
     from roselink.balancer.state import BalancerState
 
-# Fraction of choices that take the lower-scored of the two drawn.
+# Fraction of choices that take the lower-scored server. Higher keeps payoffs fresher; lower sends
+# fewer requests to worse servers.
 EXPLORATION_FRACTION = 0.05
 
 
@@ -38,7 +39,7 @@
         limit: ConcurrencyLimit,
         partition: LongRequestPartition,
     ) -> None:
-        """Reads the balancer's state and what each concern has learned; keeps none of its own."""
+        """Reads the state of the balancer and of its modules; keeps none of its own."""
         self._state = state
         self._payoffs = payoffs
         self._speeds = slow_start.speeds
@@ -47,14 +48,14 @@
         self._partition = partition
 
     def choose(self, request: Request) -> ServerState | None:
-        """The server for the next attempt; None while none may have it.
+        """Returns the server for the next attempt; None while none may take it.
 
-        Of two drawn the one with the higher payoff / (1 + in flight) wins, and now and then the
-        lower, so that its record stays fresh ("The Power of Two Choices in Randomized Load
+        Of two random servers the one with the higher payoff / (1 + in flight) is taken, at times
+        the lower, so that its payoff stays fresh ("The Power of Two Choices in Randomized Load
         Balancing", Mitzenmacher 2001).
         """
         state = self._state
-        # A turn unused is lost to all: guards against a fleet left cold by a deploy.
+        # Cold servers first: a send slot not used is lost, and a deploy would leave a fleet cold.
         for server in state.cold:
             if (
                 self._slow_start.is_cold(server)
@@ -76,7 +77,7 @@
         if not first:
             pool = partition
             limit_fraction = 1.0
-            # Guards against ejecting a whole fleet.
+            # Ejected servers are used when no server is available, as in a fleet ejected entirely.
             panic = not any(server.is_available(state.now_us) for server in partition)
             first = self._draw(request, partition, panic=panic)
             if not first:
@@ -91,14 +92,14 @@
         return worse if state.random.random() < EXPLORATION_FRACTION else better
 
     def score(self, server: ServerState) -> float:
-        """Payoff less the price of crossing zones, discounted by what is in flight."""
+        """Payoff minus the cross-zone price, divided by the load of attempts in flight."""
         settings = self._state.settings
         cross_zone_price = settings.price_cross_zone * (server.spec.zone != settings.zone)
         load = 1.0 + server.in_flight / max(1.0, self._limit.server_limit)
         return (self._payoffs.payoff(server) - cross_zone_price) / load
 
     def may_send(self, request: Request, server: ServerState) -> bool:
-        """The one gate before every send: rule 2, then 3, then 4."""
+        """Checks rules 2, 3 and 4 before every send."""
         settings = self._state.settings
         if request.closed or len(request.attempts) >= settings.max_attempts:
             return False
@@ -118,18 +119,18 @@
         excluded: ServerState | None = None,
         panic: bool = False,
     ) -> ServerState | None:
-        """The first open server from a random position on.
+        """Returns the first server, from a random position on, that can take the request.
 
-        One that had an attempt of the request counts only where there is no other server. `panic`
-        draws ejected ones as well.
+        A server that had an attempt of the request counts only if it is the only server. `panic`
+        includes ejected servers.
         """
         state = self._state
         count = len(pool)
         tried = [attempt.server for attempt in request.attempts]
         start = int(state.random.random() * count)
         if len(self._speeds.log2_slowness) > 1 and 0 < count < len(state.candidates):
-            # Drawn by the speed of its kind: in a window too few are in flight for the discount in
-            # the score to show it.
+            # Weighted by the speed of the kind of machine: a window has too few attempts in flight
+            # for the score to show it.
             weights = [self._speeds.speed(server.spec.kind) for server in pool]
             start = state.random.choices(range(count), weights)[0]
         for index in range(start, start + count):
@@ -145,5 +146,5 @@
         return None
 
     def _can_send(self, request: Request, server: ServerState, limit_fraction: float = 1.0) -> bool:
-        """Whether limit and gate allow a send now."""
+        """Whether the concurrency limit and `may_send` allow a send now."""
         return self._limit.allows(server, limit_fraction) and self.may_send(request, server)
--- a/roselink/balancer/host_window.py
+++ b/roselink/balancer/host_window.py
@@ -1,4 +1,4 @@
-"""The servers that a balancer draws from: a window of the fleet, or lanes for blocking requests."""
+"""Candidate servers of a request: a window of the fleet, or a partition by request duration."""
 
 from __future__ import annotations
 
@@ -11,23 +11,24 @@
     from roselink.balancer.server_state import ServerState
     from roselink.balancer.state import BalancerState
 
-# Recent outcomes that make a fresh record of a server: knowledge, connections kept against a wide
-# choice.
+# Recent outcomes per server of a window. Higher: fresher payoffs and fewer connections; lower: more
+# servers to choose from.
 OUTCOMES_PER_SERVER = 6.0
-# Servers in the smallest window: one bad server must leave a choice.
+# Servers in the smallest window: with one bad server there must still be a choice.
 MIN_WINDOW_SIZE = 8
-# Local servers take all while one is filled under this fraction of its limit: crossings or waits.
+# Local servers take all requests while one is below this fraction of its limit; also the most of a
+# window that is local. Higher: longer waits; lower: more cross-zone requests.
 LOCAL_FRACTION = 0.5
-# Weight of the request of mean work in the fraction of blocking work: one over these many.
+# Requests of mean work over which the fraction of long-running work is smoothed.
 LONG_WORK_SAMPLES = 256
 
 
 def candidate_window(state: BalancerState) -> list[ServerState] | None:
-    """The servers to draw from, as many as own traffic keeps a fresh record of; None for all.
+    """Returns the servers for which own traffic can keep fresh payoffs; None means all.
 
-    They begin in the common order at a position set by the balancer's own number. Guards against
-    knowing none of them where many balancers share a fleet, and against connections that grow as
-    balancers times servers.
+    The window starts in the common order at a position given by the balancer's number. Without it,
+    many balancers that share a fleet would know too little of each server, and connections would
+    grow as balancers times servers.
     """
     settings = state.settings
     count = len(state.candidates)
@@ -35,8 +36,8 @@
     if window_size >= count:
         return None
     rotated = (state.candidates * 2)[count * settings.number // settings.balancers :][:count]
-    # Local ones come in by the price of a crossing, against the misses that load shedding would
-    # bear.
+    # The local fraction is the price of a cross-zone request over the fraction of misses that load
+    # shedding tolerates.
     local_fraction = min(LOCAL_FRACTION, settings.price_cross_zone / (1.0 - IN_TIME_TARGET))
     max_local = round(window_size * local_fraction)
     local = [server for server in rotated if server.spec.zone == settings.zone][:max_local]
@@ -44,30 +45,30 @@
 
 
 class LongRequestPartition:
-    """Keeps requests that run long apart from short ones, which would miss their aim behind them.
+    """Separates long requests from short ones, which would miss their objective behind them.
 
-    Blocking requests keep to a fraction of the common order of servers, in proportion to their
-    fraction of the work.
+    Long requests use the first servers of the common order, in proportion to their fraction of
+    the work.
     """
 
     def __init__(self, state: BalancerState) -> None:
-        """No blocking request has been seen."""
+        """Starts without long requests."""
         self._state = state
-        # Fraction of the work that comes in blocking requests.
+        # Fraction of the work that comes in long requests.
         self.long_work_fraction = 0.0
 
     def is_long(self, route: RouteState) -> bool:
-        """Whether a route's requests run longer than another route's aim."""
+        """Whether a route's requests run longer than the shortest target latency of any route."""
         shortest_us = min(other.target_latency_us for other in self._state.routes)
         return route.samples > 0 and route.cost_us > shortest_us
 
     def observe(self, route: RouteState, cost_us: float) -> None:
-        """Learns from the work of one arrived request."""
+        """Updates the fraction from the work of one arrived request."""
         weight = min(1.0, cost_us / self._state.mean_cost_us / LONG_WORK_SAMPLES)
         self.long_work_fraction += (self.is_long(route) - self.long_work_fraction) * weight
 
     def servers_for(self, route: RouteState) -> list[ServerState]:
-        """The servers for requests of a route."""
+        """Returns the servers for requests of a route."""
         candidates = self._state.candidates
         count = len(candidates)
         reserved = 0
--- a/roselink/balancer/interface.py
+++ b/roselink/balancer/interface.py
@@ -1,7 +1,7 @@
-"""What goes into the balancer and what comes out: settings, events, actions.
+"""Interface of the balancer: settings, events and actions.
 
-Types only, no decisions. All times are integers: microseconds of one clock that the host program
-chooses; it only has to advance.
+Types only, no decisions. All times are integers: microseconds of a monotonic clock that the host
+program chooses.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
 
 
 class Effect(Enum):
-    """What a second run of the same request would do."""
+    """Whether a request may run more than once."""
 
     SAFE = "safe"
-    KEYED = "keyed"  # repeats are dropped by a group of servers, for a time
+    KEYED = "keyed"  # a group of servers deduplicates repeats for a limited time
     UNSAFE = "unsafe"
 
 
 class Group(Enum):
-    """The servers that drop each other's repeats of a keyed request."""
+    """The servers that deduplicate repeats of a keyed request among them."""
 
     ALL = "all"
     ZONE = "zone"
@@ -43,7 +43,7 @@
 
 
 class ListKind(Enum):
-    """How a server list relates to the one before."""
+    """How a server list relates to the previous one."""
 
     FULL = 0
     CACHED = 1
@@ -58,19 +58,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One class of request.
+    """A class of requests.
 
     Attributes:
-        name: Its name in the settings.
-        effect: What a second run of a request would do.
-        aim_us: The latency objective; None for none.
-        deadline_us: The longest that a client waits.
-        worth: The value of an answer within the aim, against other routes.
-        late_worth: The fraction of it that an answer past the aim has.
-        group: The servers that drop each other's repeats.
-        memory_span_us: How long they do.
-        stream: Whether its answers are streamed.
-        aim_stretch: What the aim grows by, for each unit of the request's work.
+        name: Name of the class in the settings.
+        effect: Whether a request may run more than once.
+        aim_us: Latency objective; None for none.
+        deadline_us: Longest time that a client waits.
+        worth: Value of an answer within the objective, relative to other routes.
+        late_worth: Fraction of that value that a later answer has.
+        group: The servers that deduplicate repeats.
+        memory_span_us: How long they remember a request.
+        stream: Whether answers are streamed.
+        aim_stretch: Increase of the objective per unit of the request's work.
     """
 
     name: str = ""
@@ -85,7 +85,7 @@
     aim_stretch: float = 0.0
 
     def __post_init__(self) -> None:
-        """Raises `SettingsError` for a value that cannot work."""
+        """Raises `SettingsError` for an invalid value."""
         _require("route.aim_us", "must be above 0", valid=self.aim_us is None or self.aim_us > 0)
         _require("route.deadline_us", "must be above 0", valid=self.deadline_us > 0)
         _require("route.worth", "must not be negative", valid=self.worth >= 0)
@@ -96,35 +96,35 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a balancer knows before its first event.
+    """Configuration of a balancer.
 
     Attributes:
-        routes: The classes of request; none: one class, all of it unsafe.
-        balancers: How many balancers share the servers.
-        number: Which of them this is, from 0.
-        zone: The zone it runs in.
-        discovery_asks: Whether lists of servers are requested; else they are pushed.
-        tenant_quotas_per_s: Requests a second of each tenant, over all balancers.
-        over_quota_worth: The fraction of its worth that a request over quota has.
-        max_attempts: Sends of one request at most.
+        routes: Classes of requests; if empty, a single unsafe class.
+        balancers: Number of balancers that share the servers.
+        number: Index of this balancer among them, from 0.
+        zone: Zone that the balancer runs in.
+        discovery_asks: Whether server lists are requested; otherwise they are pushed.
+        tenant_quotas_per_s: Requests per second of each tenant, over all balancers.
+        over_quota_worth: Fraction of its value that a request over quota has.
+        max_attempts: Most attempts of one request.
         parallel_tries: Whether a request may have two attempts in flight.
         cancelling: Whether attempts can be cancelled.
         probing: Whether servers can be probed.
-        retry_after: Whether a refusal may carry a time to come back after.
-        max_retry_after_us: The longest such time.
-        ask_within_us: Within which a balancer with no list has one.
-        drain_grace_us: How long a draining server still takes requests.
-        cold_us: How long a server is in slow start.
-        cold_from: The fraction of its capacity that it starts with.
-        fall_multiple: The work, over its capacity, at which a cold server fails.
-        fall_window_us: The time over which that work is counted.
-        answer_slack_us: How late after its deadline a final answer may come.
-        price_cross_zone: What a request to another zone costs, in payoff.
-        warm_keys: Whether a server is quicker with keys that it has served before.
+        retry_after: Whether a refusal may carry a retry-after time.
+        max_retry_after_us: Longest retry-after time.
+        ask_within_us: Time within which a balancer without a server list gets one.
+        drain_grace_us: How long a draining server still accepts requests.
+        cold_us: Duration of slow start.
+        cold_from: Fraction of its capacity that a server has at its start.
+        fall_multiple: Work, as a multiple of its capacity, at which a cold server fails.
+        fall_window_us: Time over which that work is counted.
+        answer_slack_us: How long after its deadline a request may still get its final answer.
+        price_cross_zone: Cost of a request to another zone, in payoff.
+        warm_keys: Whether a server is faster with keys that it has served before.
         hints_are_sizes: Whether a server's hint is its number of cores.
         clients_mark_repeats: Whether clients mark their retries.
-        weight_whole: The weight of all requests in the operators' objective.
-        weight_worst_class: The weight of the worst class in it.
+        weight_whole: Weight of all requests in the operators' objective function.
+        weight_worst_class: Weight of the worst class in it.
     """
 
     routes: tuple[Route, ...] = ()
@@ -155,7 +155,7 @@
     weight_worst_class: float = 0.0
 
     def __post_init__(self) -> None:
-        """Raises `SettingsError` for a value that cannot work."""
+        """Raises `SettingsError` for an invalid value."""
         _require("balancers", "must be at least 1", valid=self.balancers >= 1)
         _require(
             "number", "must lie from 0 to below balancers", valid=0 <= self.number < self.balancers
@@ -184,13 +184,13 @@
     """One entry of a server list.
 
     Attributes:
-        id: Its number, the same at every balancer.
-        state: Whether it takes new requests.
-        zone: The zone it runs in.
-        cell: The group within its zone that drops repeats.
-        kind: Its kind of machine.
-        hint: Its size, by `Settings.hints_are_sizes`.
-        started_us: When it started; None or 0: long ago.
+        id: Server number, the same at every balancer.
+        state: Whether the server takes new requests.
+        zone: Zone that the server runs in.
+        cell: Group within the zone that deduplicates repeats.
+        kind: Kind of machine.
+        hint: Size of the server; its number of cores if `Settings.hints_are_sizes`.
+        started_us: Start time; None or 0 if long ago.
     """
 
     id: int
@@ -203,7 +203,7 @@
 
 
 class ServerList(NamedTuple):
-    """Event: the list of servers, full or in changes; or a failed call for it."""
+    """Event: a full server list, changes to it, or a failed call for it."""
 
     kind: ListKind
     servers: tuple[Server, ...] = ()
@@ -211,7 +211,7 @@
 
 
 class Arrived(NamedTuple):
-    """Event: a client's request. The balancer now owes one final answer before `give_up_us`."""
+    """Event: a client's request. One final answer is due before `give_up_us`."""
 
     request: int
     route: int
@@ -223,7 +223,7 @@
 
 
 class StreamStarted(NamedTuple):
-    """Event: a streamed answer has begun; the attempt belongs to the client from now on."""
+    """Event: a streamed answer has begun; the request counts as answered from now on."""
 
     request: int
     attempt: int
@@ -231,7 +231,7 @@
 
 
 class AttemptDone(NamedTuple):
-    """Event: what became of a send. `closed`: the client has its final answer already."""
+    """Event: the outcome of an attempt. `closed`: the client already has its final answer."""
 
     request: int
     attempt: int
@@ -242,7 +242,7 @@
 
 
 class Departed(NamedTuple):
-    """Event: the client has gone; no answer is owed."""
+    """Event: the client has disconnected; no answer is due."""
 
     request: int
 
@@ -269,10 +269,10 @@
     """Action: start an attempt.
 
     Attributes:
-        request: Whose attempt it is; the attempts of a request count from 0.
-        server: The number of the server.
-        timeout_us: The attempt's time-out; 0: until the client gives up.
-        before_us: Once the clock shows this, the attempt must not be written any more; 0: no limit.
+        request: Number of the request; its attempts are numbered from 0.
+        server: Number of the server.
+        timeout_us: Time-out of the attempt; 0: until the client gives up.
+        before_us: Time from which the request must not be written any more; 0: no limit.
     """
 
     request: int
@@ -282,14 +282,14 @@
 
 
 class Refuse(NamedTuple):
-    """Action: final answer; it says to the client that trying again is harmless."""
+    """Action: final answer that signals to the client that a retry is safe."""
 
     request: int
     retry_after_us: int = 0
 
 
 class Fail(NamedTuple):
-    """Action: final answer that promises nothing."""
+    """Action: final answer that does not say whether a retry is safe."""
 
     request: int
 
@@ -308,20 +308,20 @@
 
 
 class SetAlarm(NamedTuple):
-    """Action: ask for an `Alarm` after a delay."""
+    """Action: request an `Alarm` after a delay."""
 
     delay_us: int
     tag: int
 
 
 class Watch(NamedTuple):
-    """Action: subscribe to changes of the server list (or end that)."""
+    """Action: start or end the subscription to changes of the server list."""
 
     on: bool = True
 
 
 class Log(NamedTuple):
-    """Action: a line for the people on call."""
+    """Action: a log line for operators."""
 
     text: str
 
--- a/roselink/balancer/kind_speeds.py
+++ b/roselink/balancer/kind_speeds.py
@@ -10,27 +10,27 @@
 if TYPE_CHECKING:
     from roselink.balancer.request_state import Attempt
 
-# Weight of an answer slower than its kind of machine: waits are no slowness of the machine.
+# Relative weight of an answer slower than its kind: it may have waited, which is not slowness.
 SLOWDOWN_WEIGHT = 0.5
-# Answers over which the mean is smoothed where the work of a request is only known as a mean.
+# Answers over which the mean slowness is smoothed where the work of a request is not known.
 MEAN_SAMPLES = 64
-# Least latency over cost that an answer counts with: its logarithm stays finite.
+# Lower bound of latency over cost, so that its logarithm stays finite.
 MIN_SLOWNESS = 0.01
 
 
 class KindSpeeds:
-    """Of each kind of machine: the base-2 logarithm of its latency over the cost of a request."""
+    """Base-2 logarithm of latency over request cost, for each kind of machine."""
 
     def __init__(self) -> None:
-        """No kind is known."""
+        """Starts without kinds."""
         self.log2_slowness: dict[int, float] = {}
 
     def add(self, kind: int) -> None:
-        """Adds a kind, if it is new, as neither quick nor slow."""
+        """Adds a new kind with speed 1; a known one is left unchanged."""
         self.log2_slowness.setdefault(kind, 0.0)
 
     def speed(self, kind: int) -> float:
-        """Work done in a unit of time; 1 for a machine that needs a request's cost for it."""
+        """Work per unit of time; 1 for a kind whose latency equals the cost of the request."""
         return float(2.0 ** -self.log2_slowness[kind])
 
     def learn(self, attempt: Attempt, latency_us: int) -> None:
@@ -43,6 +43,7 @@
             weight = EWMA_WEIGHT * (SLOWDOWN_WEIGHT if step > 0.0 else 1.0)
             self.log2_slowness[kind] += step * weight
         else:
-            # Over a mean cost: most are under it, and the few far over it make up for them.
+            # The cost is a mean, with most requests below it and a few far above: an average of
+            # logarithms would make machines look too fast.
             mean = 2.0**known
             self.log2_slowness[kind] = math.log2(mean + (slowness - mean) / MEAN_SAMPLES)
--- a/roselink/balancer/outcome_classifier.py
+++ b/roselink/balancer/outcome_classifier.py
@@ -1,4 +1,4 @@
-"""What may follow an outcome: a retry, a refusal, or neither; and what it says of a jam."""
+"""Outcome classification: what allows a retry or a refusal, and what indicates overload."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 if TYPE_CHECKING:
     from roselink.balancer.request_state import Request
 
-# Outcomes of servers that are broken or gone. They do not indicate a jam: other servers can take
-# the work.
+# Outcomes of servers that are broken or gone. They do not indicate overload: other servers can
+# take the work.
 SERVER_FAULTS = frozenset({Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.RESET})
 
 
 def may_refuse(request: Request) -> bool:
-    """Whether a refusal is true. Rule 2: it says that trying again is harmless.
+    """Whether a request may be refused. Rule 2: a refusal signals that a retry is safe.
 
-    So nothing may have run that does harm when it runs twice.
+    It is safe if a repeat does no harm or if no attempt may have run.
     """
     spec = request.route.spec
     repeatable = spec.effect is Effect.SAFE or (
@@ -28,15 +28,15 @@
 
 
 def is_retryable(request: Request, outcome: Outcome) -> bool:
-    """Whether an outcome is retryable: unseen work always, any failure where repeats do no harm."""
+    """Whether a retry may follow: always if the request did not run, else unless it is unsafe."""
     return outcome in NEVER_RAN or request.route.spec.effect is not Effect.UNSAFE
 
 
 def may_repeat_at(request: Request, zone: int, cell: int, now_us: int) -> bool:
-    """Whether a server in this zone and cell may run the request after its earlier attempts.
+    """Whether a server in this zone and cell may run a request after its earlier attempts.
 
-    Rule 2: an unsafe request runs once; a keyed one runs again only in the group that drops
-    repeats, and only within the time for which that group remembers them.
+    Rule 2: an unsafe request runs once; a keyed one runs again only in the group that
+    deduplicates repeats, and only while that group remembers the request.
     """
     spec = request.route.spec
     if spec.effect is Effect.SAFE or not (possible_runs := request.may_have_run()):
--- a/roselink/balancer/outlier_ejection.py
+++ b/roselink/balancer/outlier_ejection.py
@@ -1,4 +1,4 @@
-"""Outlier ejection: servers that keep failing get nothing for a time."""
+"""Outlier ejection: servers that keep failing get no requests for a time."""
 
 from __future__ import annotations
 
@@ -11,19 +11,20 @@
     from roselink.balancer.server_state import ServerState
     from roselink.balancer.state import BalancerState
 
-# A payoff below this ejects: quick to leave a bad server against patience with an unlucky one.
+# Payoff below which a server is ejected. Higher ejects bad ones sooner; lower spares unlucky ones.
 EJECTION_PAYOFF = 0.3
-# First ejection, in the work of one trial by each balancer sharing: pause against early return.
+# First ejection, as a multiple of the work of one trial request from each balancer that shares the
+# server. Higher: fewer trials of a broken server; lower: a recovered one returns sooner.
 EJECTION_TRIALS = 2.0
-# An ejection is at most so many times as long as the first.
+# Longest ejection, as a multiple of the first.
 MAX_EJECTION_MULTIPLE = 4
 
 
 def eject_outlier(state: BalancerState, server: ServerState) -> Log | None:
-    """Ejects a server whose payoff is too low, for longer each time; the line to log if it did."""
+    """Ejects a server with a low payoff, for longer each time; returns the log line if it did."""
     if server.payoff >= EJECTION_PAYOFF or server.ejected_until_us > state.now_us:
         return None
-    # Guards against the trials of all that share a server jamming what they test.
+    # Trial requests from all balancers that share a server must not overload it.
     sharing_fraction = min(1.0, state.recent_arrivals / max(1, len(state.candidates)))
     sharing_balancers = state.settings.balancers * sharing_fraction
     base_us = max(
--- a/roselink/balancer/payoff.py
+++ b/roselink/balancer/payoff.py
@@ -1,4 +1,4 @@
-"""Payoff: how well a server has served of late, between 0 and 1."""
+"""Payoff: moving average of a server's outcomes, between 0 (late or failed) and 1 (in time)."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
     from roselink.balancer.server_state import ServerState
     from roselink.balancer.state import BalancerState
 
-# Weight of the newest outcome in a payoff: quick to learn against steady.
+# Weight of the newest outcome in a moving average. Higher learns sooner; lower is steadier.
 EWMA_WEIGHT = 0.12
 
 
 class PayoffEstimator:
-    """The payoffs of all servers, and the mean that stands for those seldom seen."""
+    """The payoffs of all servers, and their mean, used for servers without recent outcomes."""
 
     def __init__(self, state: BalancerState) -> None:
-        """Nothing is known yet."""
+        """Starts with the payoff of a server without outcomes."""
         self._state = state
         self.mean = INITIAL_PAYOFF
 
     def freshness(self, server: ServerState) -> float:
-        """How much the last outcome of a server still counts, between 0 and 1."""
+        """Weight that the last outcome of a server still has, between 0 and 1."""
         age_us = self._state.now_us - server.observed_us
         return math.exp(-max(0, age_us) / self._state.decay_time_us)
 
     def payoff(self, server: ServerState) -> float:
-        """What is known of a server. With age it fades to the mean of all, and so does blame."""
+        """Payoff of a server, which decays to the mean of all as the last outcome ages."""
         return self.mean + (server.payoff - self.mean) * self.freshness(server)
 
     def observe(self, server: ServerState, value: float) -> None:
-        """Learns from one outcome: 1 if it was in time, else 0; more of a server seldom seen."""
+        """Learns from one outcome: 1 if in time, else 0. It weighs more if the last one is old."""
         known = self.payoff(server)
         weight = max(EWMA_WEIGHT, 1.0 - self.freshness(server))
         server.payoff = known + (value - known) * weight
--- a/roselink/balancer/request_queue.py
+++ b/roselink/balancer/request_queue.py
@@ -1,4 +1,4 @@
-"""The queues of requests that wait for capacity: how long one waits, and which goes first."""
+"""Queues of requests that wait for capacity: longest wait and order."""
 
 from __future__ import annotations
 
@@ -10,17 +10,16 @@
     from roselink.balancer.request_state import Request
     from roselink.balancer.state import BalancerState
 
-# Fraction of its aim that a request is queued here at most: capacity may come, against tries
-# elsewhere.
+# Largest fraction of its objective that a request is queued. Higher: capacity may become available
+# here; lower: more time for a retry at another balancer.
 MAX_QUEUED_FRACTION = 0.2
 
 
 def max_queued_us(state: BalancerState, request: Request) -> float:
-    """How long a request may wait so that it can still meet its aim, here or elsewhere."""
+    """How long a request may wait and still meet its objective, here or elsewhere."""
     latency_us = request.route.latency.percentile(0.5) or request.cost_us
     last_send_us = request.aim_deadline_us - latency_us
-    # A try elsewhere has to come in time as well, and others may have capacity while there is none
-    # here.
+    # A retry at another balancer, which may have capacity now, must meet the objective too.
     return min(
         last_send_us - state.now_us,
         MAX_QUEUED_FRACTION * (request.aim_deadline_us - state.now_us),
@@ -28,7 +27,7 @@
 
 
 def queues_by_value(state: BalancerState) -> list[deque[Request]]:
-    """Worth for cost first; over-quota tenants and marked repeats last."""
+    """Orders the queues by value per cost; low-priority ones count at `over_quota_worth` of it."""
     weights = (-1.0, -state.settings.over_quota_worth)
     queues = [
         (weights[priority] * route.spec.worth / route.cost_us, queue)
--- a/roselink/balancer/server_table.py
+++ b/roselink/balancer/server_table.py
@@ -1,4 +1,4 @@
-"""Takes lists of servers over into the balancer's state."""
+"""Applies server lists to the balancer's state."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 
 class ServerTable:
-    """The servers by id, and the ready and the cold among them."""
+    """The servers by id, and lists of the ready and the cold ones."""
 
     def __init__(self, state: BalancerState, speeds: KindSpeeds, slow_start: SlowStart) -> None:
-        """No server is known."""
+        """Starts without servers."""
         self._state = state
         self._speeds = speeds
         self._slow_start = slow_start
 
     def update(self, event: ServerList) -> None:
-        """Takes over a full list or a list of changes."""
+        """Applies a full list or a list of changes."""
         state = self._state
         if event.kind is not ListKind.CHANGES:
             state.servers = {
@@ -33,13 +33,13 @@
             }
         for server in event.servers:
             self._update_server(server)
-        # Rule 3: a draining or departed server leaves the candidates with the event that says so.
+        # Rule 3: a draining or removed server leaves the candidates with the event that reports it.
         ready = [server for server in state.servers.values() if server.spec.state is State.READY]
         state.candidates = sorted(ready, key=lambda server: server.order_key)
         state.cold = [server for server in state.candidates if self._slow_start.is_cold(server)]
 
     def _update_server(self, spec: Server) -> None:
-        """A server that has started anew begins without a record."""
+        """Applies one entry; a server that has restarted gets a new state."""
         servers = self._state.servers
         known = servers.get(spec.id)
         self._speeds.add(spec.kind)
--- a/roselink/balancer/settings_reader.py
+++ b/roselink/balancer/settings_reader.py
@@ -1,4 +1,4 @@
-"""Reads the decider's settings from the operators' JSON object."""
+"""Reads the balancer's settings from the operators' JSON object."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 def read_settings(data: JsonObject) -> Settings:
-    """The settings; unknown keys are ignored, absent ones get the defaults.
+    """Returns the settings; unknown keys are ignored, absent ones get defaults.
 
     Raises:
-        SettingsError: A value cannot work; the error names its key.
+        SettingsError: A value is invalid; the error names its key.
     """
     limits = _object(data, "limits")
     guarantees = _object(data, "guarantees")
@@ -110,7 +110,7 @@
 @overload
 def _number(data: JsonObject, key: str, default: float, prefix: str = ...) -> float: ...
 def _number(data: JsonObject, key: str, default: float, prefix: str = "") -> float:
-    """A finite number; it stays of the type that it came in, also where the default is an int."""
+    """Returns a finite number of the type in the JSON, also where the default is an int."""
     value = data.get(key)
     if value is None:
         return default
--- a/roselink/balancer/simulator_adapter.py
+++ b/roselink/balancer/simulator_adapter.py
@@ -1,10 +1,9 @@
-"""The simulator's wire on standard input and output: decode, decide, encode.
+"""Simulator protocol on standard input and output: decode, decide, encode.
 
-Each line of input is a batch of events for the instances of one process, each of which has a
-`Balancer` of its own; each line of output is the batch of their decisions. No decision is made
-here. The wire's words stay in this file; the library uses the terms of the field. Run as
-`python -m roselink.balancer.simulator_adapter`. Input that is no legal batch ends the run with
-status 2.
+Each input line is a batch of events for the instances of one process, each with its own
+`Balancer`; each output line is the batch of their decisions. No decision is made here. The names
+of the protocol appear only in this file; the library has its own. Run as
+`python -m roselink.balancer.simulator_adapter`. An invalid batch ends the run with status 2.
 """
 
 from __future__ import annotations
@@ -58,17 +57,17 @@
 # Bits of an arrival's flags.
 HAS_WORK = 1
 IS_REPEAT = 2
-# Exit status after input that is no legal batch.
+# Exit status after an invalid batch.
 STATUS_BAD_INPUT = 2
-# Characters of a malformed message that the error shows.
+# Most characters of a malformed message in an error.
 MAX_SHOWN_CHARACTERS = 80
 
-# One message of the wire: its name, then its values.
+# One protocol message: its name, then its values.
 Message = list[Any]
 
 
 def _optional(message: Message, index: int, default: Any = None) -> Any:
-    """A value that may be absent: missing at the end, or null."""
+    """Returns a value, or the default if it is missing at the end or null."""
     value = message[index] if index < len(message) else None
     return default if value is None else value
 
@@ -148,10 +147,10 @@
 
 
 class InstanceBatch:
-    """The events of one instance in one batch, and its decisions."""
+    """The events of one instance in one batch, and the resulting decisions."""
 
     def __init__(self, host: SimulatorHost, now_us: int, number: int) -> None:
-        """No event has been read."""
+        """Starts without events."""
         self._host = host
         self._now_us = now_us
         self._number = number
@@ -159,10 +158,10 @@
         self.decisions: list[Message] = []
 
     def process(self, messages: list[Message]) -> None:
-        """Feeds the instance its events in order; a start or a stop separates them into runs.
+        """Passes events to the instance in order, in runs separated by a start or a stop.
 
         Raises:
-            BatchError: A message is malformed, or for an instance that has not started.
+            BatchError: A message is malformed, or its instance has not started.
         """
         for index, message in enumerate(messages):
             path_element = f"news[{index}]"
@@ -201,7 +200,7 @@
         return ServerList(kind, servers, _optional(message, 3, 0))
 
     def _start(self, message: Message) -> None:
-        """Seed and settings come in either order."""
+        """Starts an instance; seed and settings may come in either order."""
         seed = message[1]
         data = message[2]
         if isinstance(seed, dict):
@@ -220,9 +219,9 @@
         return balancer
 
     def _validate(self, event: Event) -> None:
-        """An instance must have started, and a class or tenant must be in its settings.
+        """Checks that the instance has started and that its settings have the class and tenant.
 
-        Number 0 is always allowed.
+        Class 0 and tenant 0 are always allowed.
         """
         settings = self._balancer().settings
         if isinstance(event, Arrived):
@@ -232,7 +231,7 @@
                 raise BatchError(problem=f"tenant {event.tenant} is not in the settings")
 
     def _run(self) -> None:
-        """Hands the events read so far to the decider."""
+        """Passes the events read so far to the balancer."""
         events = self._events
         self._events = []
         if not events:
@@ -240,25 +239,25 @@
         balancer = self._balancer()
         try:
             actions: list[Action] = balancer.handle(self._now_us, events)
-        except Exception as error:  # noqa: BLE001 - one instance's fault is reported as its own
+        except Exception as error:  # noqa: BLE001 - reported as the fault of one instance only
             self.decisions.append(["bug", f"{type(error).__name__}: {error}"])
         else:
             self.decisions.extend(WRITERS[type(action)](action) for action in actions)
 
 
 class SimulatorHost:
-    """The instances of one process. They share nothing but the lists of servers."""
+    """The instances of one process, which share only the server lists."""
 
     def __init__(self) -> None:
-        """No instance has started."""
+        """Starts without instances."""
         self.instances: dict[int, Balancer] = {}
         self.lists: dict[int, tuple[Server, ...]] = {}
 
     def reply(self, batch: Any) -> dict[str, Any]:
-        """The reply to one batch.
+        """Returns the reply to one batch.
 
         Raises:
-            BatchError: It is no legal batch.
+            BatchError: The batch is invalid.
         """
         if not isinstance(batch, dict) or type(batch.get("moment")) is not int:
             raise BatchError(problem="a batch is an object with a whole number in 'moment'")
--- a/roselink/balancer/slow_start.py
+++ b/roselink/balancer/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start (rule 4): a cold server gets no more work than all balancers together may send it."""
+"""Slow start (rule 4): bounds the work that all balancers together send to a cold server."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
     from roselink.balancer.server_state import ServerState
     from roselink.balancer.state import BalancerState
 
-# Fraction of the operators' cold-start budget to use at most: sends of many balancers cluster.
+# Largest fraction of the operators' cold-start budget to use, as sends of many balancers cluster.
 COLD_BUDGET_FRACTION = 0.5
-# Least load of cold servers, as a fraction of the most.
+# Lower bound of the load factor, as a fraction of its upper bound.
 MIN_LOAD_FRACTION = 0.25
-# What the load of cold servers gains by an answer in time, and loses by another outcome.
+# Increase of the load factor by an answer in time, and decrease by any other outcome.
 LOAD_INCREASE = 0.01
 LOAD_DECREASE = 0.1
 
@@ -23,24 +23,24 @@
 class SlowStart:
     """Spaces the sends to each cold server.
 
-    A send is followed by a pause in which an even share of the server's capacity does its work:
-    the capacity that it surely has by now, divided by the number of balancers.
+    Each send is followed by a pause, as long as an even share of the server's capacity takes for
+    the work: the capacity guaranteed by now, divided by the number of balancers.
     """
 
     def __init__(self, state: BalancerState, speeds: KindSpeeds) -> None:
-        """Starts with as much work as the cold servers surely can do."""
+        """Starts with as much work as the guaranteed capacity of cold servers."""
         self._state = state
         self.speeds = speeds
-        # Work offered to cold servers by all balancers, over what they surely can do.
+        # Work sent to cold servers by all balancers, relative to their guaranteed capacity.
         self.load_factor = 1.0
 
     def is_cold(self, server: ServerState) -> bool:
-        """Whether it started less than the settings' `cold_us` ago."""
+        """Whether the server started less than `Settings.cold_us` ago."""
         started_us = server.spec.started_us or 0
         return bool(started_us) and self._state.now_us < started_us + self._state.settings.cold_us
 
     def capacity_fraction(self, server: ServerState) -> float:
-        """The fraction of its capacity that a server surely has by now."""
+        """Fraction of its capacity that a server is guaranteed to have by now."""
         if not self.is_cold(server):
             return 1.0
         settings = self._state.settings
@@ -48,13 +48,13 @@
         return settings.cold_from + (1.0 - settings.cold_from) * age_us / settings.cold_us
 
     def core_speed(self, server: ServerState) -> float:
-        """Work in a unit of time that a core surely does: as warm ones of its kind, less by age."""
+        """Guaranteed work per unit of time of a core: that of a warm one, reduced in slow start."""
         return self.capacity_fraction(server) * self.speeds.speed(server.spec.kind)
 
     def start(self, server: ServerState) -> None:
-        """Begins a cold server with a random pause.
+        """Begins the slow start of a cold server with a random pause.
 
-        Guards against all balancers sending to it at the same time.
+        Without it, all balancers would send to the server at the same time.
         """
         if self.is_cold(server):
             self.pause(server, self._state.mean_cost_us * self._state.random.random())
@@ -65,9 +65,9 @@
         server.next_send_us = begin_us + self._pause_us(server, cost_us)
 
     def allows(self, request: Request, server: ServerState) -> bool:
-        """Whether a server may have a request: it is warm, or its pause is over and time is left.
+        """Whether a server may take a request: it is warm, or its pause is over and time suffices.
 
-        The time left is to suffice for the work at the server's present speed.
+        The remaining time must cover the work at the server's current speed.
         """
         if not self.is_cold(server):
             return True
@@ -80,10 +80,10 @@
         )
 
     def learn(self, *, in_time: bool) -> None:
-        """Learns the load from one answer of a cold server.
+        """Updates the load factor from one outcome of a cold server.
 
-        Most cold servers warm sooner than their operators promise, and some are bad: answers tell
-        how much they can take.
+        Most cold servers warm up sooner than the operators guarantee, and some are bad: outcomes
+        show how much work they can take.
         """
         max_load = COLD_BUDGET_FRACTION * self._state.settings.fall_multiple
         change = LOAD_INCREASE if in_time else -LOAD_DECREASE
@@ -92,17 +92,17 @@
         )
 
     def _pause_us(self, server: ServerState, cost_us: float) -> int:
-        """How long our even share of what a cold server can do takes to do this work."""
+        """How long this balancer's share of a cold server takes for work of `cost_us`."""
         settings = self._state.settings
         cores = max(1.0, server.spec.hint) if settings.hints_are_sizes else 1.0
         speed = self.load_factor * cores * self.core_speed(server) / settings.balancers
         return int(cost_us / speed)
 
     def _skip_missed_slots(self, server: ServerState) -> None:
-        """Moves a turn not used in time to the end of a later pause.
+        """Moves a send slot that was not used in time to the end of a later pause.
 
-        Guards against a burst after a calm stretch, in which all balancers at once would use the
-        turns that they kept.
+        Otherwise, after a time without traffic, all balancers would use their old slots in one
+        burst.
         """
         state = self._state
         unused_us = state.now_us - server.next_send_us
--- a/roselink/balancer/state.py
+++ b/roselink/balancer/state.py
@@ -1,4 +1,4 @@
-"""The state that all concerns of one balancer read."""
+"""State that the modules of one balancer share."""
 
 from __future__ import annotations
 
@@ -12,7 +12,8 @@
 if TYPE_CHECKING:
     from roselink.balancer.server_state import ServerState
 
-# Fraction of the ask-within time that an outcome is remembered: fresh records against wide windows.
+# Decay time of outcomes, as a fraction of `ask_within_us`. Higher widens windows; lower keeps
+# payoffs fresher.
 DECAY_TIME_FRACTION = 0.25
 # Requests over which the mean work is smoothed.
 COST_SAMPLES_MAX = 64
@@ -22,7 +23,7 @@
     """Settings, clock, random source, servers and recent load of one balancer."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """The state before the first event."""
+        """Starts without servers and traffic."""
         self.settings = settings
         self.random = random.Random(seed)
         self.now_us = 0
@@ -32,23 +33,23 @@
         self.candidates: list[ServerState] = []
         # Those of them that are in slow start.
         self.cold: list[ServerState] = []
-        # Requests in the queues, the closed ones among them.
+        # Requests in the queues, including closed ones.
         self.queued = 0
-        # Own attempts in flight at warm servers.
+        # Attempts of this balancer in flight at warm servers.
         self.in_flight = 0
-        # Time constant of what is remembered of outcomes and arrivals.
+        # Time constant of the exponential decay of outcomes and arrivals.
         self.decay_time_us = DECAY_TIME_FRACTION * settings.ask_within_us
-        # Requests that arrived within that time, older ones counting less and less.
+        # Number of recent arrivals, with exponential decay.
         self.recent_arrivals = 0.0
         self.recent_arrivals_updated_us = 0
-        # Mean work of a request. A guess until learned, weighted by work: guards against first
-        # pauses too short for heavy classes.
+        # Mean work of a request. Until learned, an estimate weighted by work, so that the first
+        # slow-start pauses are not too short for expensive classes.
         costs = [route.cost_us for route in self.routes]
         self.mean_cost_us = sum(cost * cost for cost in costs) / sum(costs)
         self.cost_samples = 1
 
     def count_arrival(self) -> None:
-        """Adds one arrival to the recent ones."""
+        """Adds one arrival to the recent arrivals."""
         elapsed_us = self.now_us - self.recent_arrivals_updated_us
         self.recent_arrivals = 1.0 + self.recent_arrivals * math.exp(
             -elapsed_us / self.decay_time_us
@@ -56,6 +57,6 @@
         self.recent_arrivals_updated_us = self.now_us
 
     def learn_cost(self, cost_us: float) -> None:
-        """Moves the mean work towards that of one request."""
+        """Updates the mean work from that of one request."""
         self.cost_samples = min(COST_SAMPLES_MAX, self.cost_samples + 1)
         self.mean_cost_us += (cost_us - self.mean_cost_us) / self.cost_samples
--- a/roselink/balancer/tenant_quotas.py
+++ b/roselink/balancer/tenant_quotas.py
@@ -1,4 +1,4 @@
-"""The quotas of tenants: this balancer's share of each, as a token bucket."""
+"""Tenant quotas: this balancer's share of each, as a token bucket."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 class TenantQuotas:
-    """An even share of each tenant's quota."""
+    """Token buckets with an even share of each tenant's quota."""
 
     def __init__(self, state: BalancerState) -> None:
-        """Every bucket begins with one second of its tenant's whole quota."""
+        """Fills each bucket with one second of its tenant's full quota."""
         self._state = state
         self._buckets = [TokenBucket(quota) for quota in state.settings.tenant_quotas_per_s]
 
     def take(self, tenant: int) -> bool:
-        """Counts one request; whether it is within the tenant's share.
+        """Counts one request; returns whether it is within the tenant's share.
 
         A tenant that is not in the settings has no share, unless no tenant has a quota.
         """
