--- a/roselink/balancer/decider.py
+++ b/roselink/balancer/decider.py
@@ -109,7 +109,7 @@
         """
         self.state.now_us = now_us
         self.actions = []
-        self._mark_overdue_attempts()
+        self._count_overdue_attempts()
         for event in events:
             if type(event) in HANDLERS:
                 HANDLERS[type(event)](self, event)
@@ -142,14 +142,14 @@
         self.partition.observe(route, request.cost_us)
         # Where clients do not mark repeats, a request whose client waits less than usual, by more
         # than the target latency, is taken for a repeat that has missed its objective.
-        missed_aim = (
+        missed_objective = (
             not self.settings.clients_mark_repeats
             and remaining_us < route.client_timeout_us - route.target_latency_us
         )
-        is_worthless = missed_aim and not route.spec.late_worth
+        is_worthless = missed_objective and not route.spec.late_worth
         if is_worthless or state.random.random() > self.shedder.admitted_fraction:
             self.finish(request)
-        elif state.queued or not self._try_send(request):
+        elif state.queued or not self._send_if_allowed(request):
             self._enqueue(request)
 
     def on_departed(self, event: Departed) -> None:
@@ -236,7 +236,7 @@
         that have already spent most of their objective waiting.
         """
         for queue in queues_by_value(self.state):
-            while queue and (queue[-1].closed or self._try_send(queue[-1])):
+            while queue and (queue[-1].closed or self._send_if_allowed(queue[-1])):
                 queue.pop()
                 self.state.queued -= 1
             while queue and queue[0].closed:
@@ -275,7 +275,7 @@
 
     # Sends.
 
-    def _try_send(self, request: Request) -> bool:
+    def _send_if_allowed(self, request: Request) -> bool:
         server = self.chooser.choose(request)
         if server is None:
             return False
@@ -334,7 +334,7 @@
         Retries are not queued: only some servers may take them, so they could block requests that
         any server may take.
         """
-        if not request.closed and not self._try_send(request):
+        if not request.closed and not self._send_if_allowed(request):
             self._back_off(request)
 
     # Learning.
@@ -364,11 +364,11 @@
         route.learn_cost(latency_us, idle_server=attempt.idle_server)
         if attempt.at_limit and attempt.warm and route.samples >= COST_SAMPLES_MIN:
             self.limit.learn(latency_us / route.cost_us)
-        aim_us = route.spec.aim_us or route.latency.percentile(0.5) or latency_us
+        objective_us = route.spec.aim_us or route.latency.percentile(0.5) or latency_us
         route.latency.append(latency_us)
-        return latency_us <= aim_us
+        return latency_us <= objective_us
 
-    def _mark_overdue_attempts(self) -> None:
+    def _count_overdue_attempts(self) -> None:
         """Counts attempts past their target latency as failed, to avoid unresponsive servers."""
         for route in self.state.routes:
             while route.overdue_schedule and route.overdue_schedule[0][0] <= self.state.now_us:
@@ -389,8 +389,8 @@
     def record_failure(self, server: ServerState, outcome: Outcome = Outcome.TIMEOUT) -> None:
         """Records an outcome as 0, and ejects a server that keeps failing."""
         self.record_outcome(server, 0.0, outcome)
-        if (line := eject_outlier(self.state, server)) is not None:
-            self.actions.append(line)
+        if (log_action := eject_outlier(self.state, server)) is not None:
+            self.actions.append(log_action)
 
 
 HANDLERS: dict[type, Callable[[Balancer, Any], None]] = {
--- a/roselink/balancer/kind_speeds.py
+++ b/roselink/balancer/kind_speeds.py
@@ -36,14 +36,14 @@
     def learn(self, attempt: Attempt, latency_us: int) -> None:
         """Learns from the latency of one success of a warm server."""
         kind = attempt.server.spec.kind
-        known = self.log2_slowness[kind]
+        previous = self.log2_slowness[kind]
         slowness = max(latency_us / attempt.cost_us, MIN_SLOWNESS)
         if attempt.has_work_hint:
-            step = math.log2(slowness) - known
+            step = math.log2(slowness) - previous
             weight = EWMA_WEIGHT * (SLOWDOWN_WEIGHT if step > 0.0 else 1.0)
             self.log2_slowness[kind] += step * weight
         else:
             # The cost is a mean, with most requests below it and a few far above: an average of
             # logarithms would make machines look too fast.
-            mean = 2.0**known
+            mean = 2.0**previous
             self.log2_slowness[kind] = math.log2(mean + (slowness - mean) / MEAN_SAMPLES)
--- a/roselink/balancer/payoff.py
+++ b/roselink/balancer/payoff.py
@@ -34,8 +34,8 @@
 
     def observe(self, server: ServerState, value: float) -> None:
         """Learns from one outcome: 1 if in time, else 0. It weighs more if the last one is old."""
-        known = self.payoff(server)
+        previous = self.payoff(server)
         weight = max(EWMA_WEIGHT, 1.0 - self.freshness(server))
-        server.payoff = known + (value - known) * weight
+        server.payoff = previous + (value - previous) * weight
         server.observed_us = self._state.now_us
         self.mean += (value - self.mean) * EWMA_WEIGHT
--- a/roselink/balancer/request_queue.py
+++ b/roselink/balancer/request_queue.py
@@ -18,11 +18,11 @@
 def max_queued_us(state: BalancerState, request: Request) -> float:
     """How long a request may wait and still meet its objective, here or elsewhere."""
     latency_us = request.route.latency.percentile(0.5) or request.cost_us
-    last_send_us = request.aim_deadline_us - latency_us
+    last_send_us = request.objective_deadline_us - latency_us
     # A retry at another balancer, which may have capacity now, must meet the objective too.
     return min(
         last_send_us - state.now_us,
-        MAX_QUEUED_FRACTION * (request.aim_deadline_us - state.now_us),
+        MAX_QUEUED_FRACTION * (request.objective_deadline_us - state.now_us),
     )
 
 
--- a/roselink/balancer/request_state.py
+++ b/roselink/balancer/request_state.py
@@ -84,12 +84,14 @@
         self.low_priority = low_priority
         self.give_up_us = event.give_up_us
         # An answer after this time has less value.
-        self.aim_deadline_us = event.give_up_us
+        self.objective_deadline_us = event.give_up_us
         if route.spec.aim_us is not None:
-            aim_us = route.spec.aim_us + int(route.spec.aim_stretch * self.cost_us)
-            self.aim_deadline_us = min(self.give_up_us, now_us + aim_us)
+            objective_us = route.spec.aim_us + int(route.spec.aim_stretch * self.cost_us)
+            self.objective_deadline_us = min(self.give_up_us, now_us + objective_us)
         # An answer after this time has no value.
-        self.useful_until_us = self.give_up_us if route.spec.late_worth else self.aim_deadline_us
+        self.useful_until_us = (
+            self.give_up_us if route.spec.late_worth else self.objective_deadline_us
+        )
         self.attempts: list[Attempt] = []
         self.in_flight = 0
         # Retry groups that have ended without an answer.
--- a/roselink/balancer/server_state.py
+++ b/roselink/balancer/server_state.py
@@ -20,7 +20,7 @@
         self.spec = spec
         self.payoff = INITIAL_PAYOFF
         # Sort key of the server order that is common to all balancers.
-        self.order_key = zlib.crc32(b"%d" % spec.id)
+        self.sort_key = zlib.crc32(b"%d" % spec.id)
         # Attempts of this balancer in flight, and how many of them are overdue.
         self.in_flight = 0
         self.overdue = 0
