--- a/tests/balancer/test_balance.py
+++ b/tests/balancer/test_balance.py
@@ -44,7 +44,7 @@
 
 ROOT = Path(__file__).parents[2]
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-NO_DECISIONS = {
+MODULES_WITHOUT_DECISIONS = {
     "__init__.py",
     "exceptions.py",
     "interface.py",
@@ -53,14 +53,14 @@
 }
 
 
-def test_the_deploy_file_names_the_modules_that_decide() -> None:
+def test_deploy_file_lists_all_decision_modules() -> None:
     modules = {path.name for path in (ROOT / "roselink" / "balancer").glob("*.py")}
     named = {Path(name).name for name in DEPLOY["policy"] if name.startswith("roselink/balancer/")}
-    assert named == modules - NO_DECISIONS
+    assert named == modules - MODULES_WITHOUT_DECISIONS
     assert all((ROOT / name).is_file() for name in DEPLOY["policy"])
 
 
-def test_the_modules_fit_the_on_call_folder() -> None:
+def test_decision_modules_stay_within_size_limits() -> None:
     texts = {name: (ROOT / name).read_text() for name in DEPLOY["policy"]}
     lines = [line for text in texts.values() for line in text.splitlines() if line.strip()]
     assert len(lines) <= 1200
@@ -69,7 +69,7 @@
     assert "roselink/balancer/interface.py" in first_line
 
 
-def test_bucket_is_capped_and_spends_whole_tokens() -> None:
+def test_token_bucket_is_capped_and_spends_whole_tokens() -> None:
     bucket = TokenBucket(5.0)
     while bucket.spend():
         pass
@@ -79,7 +79,7 @@
     assert bucket.tokens == MAX_TOKENS
 
 
-def test_tracker_is_bounded_and_orders() -> None:
+def test_latency_tracker_is_bounded_and_returns_percentiles() -> None:
     tracker = LatencyTracker(maxlen=128)
     assert tracker.percentile(0.5) is None
     for value in range(1000):
@@ -88,7 +88,7 @@
     assert tracker.percentile(0.95) in range(970, 1000)
 
 
-def test_with_no_class_told_everything_is_one_unsafe_route() -> None:
+def test_requests_are_unsafe_without_configured_routes() -> None:
     harness = BalancerHarness(Settings(), 3)
     request = harness.arrive()
     harness.done(request, Outcome.ERROR)
@@ -96,7 +96,7 @@
     assert harness.log[-1] == Fail(request)
 
 
-def test_a_better_payoff_wins_and_passed_over_servers_are_still_tried() -> None:
+def test_server_with_better_payoff_is_preferred_and_the_other_still_used() -> None:
     harness = BalancerHarness(settings(), 2)
     harness.warm_up(50)
     good, bad = harness.balancer.state.candidates
@@ -109,7 +109,7 @@
     assert 3 <= counts[bad.spec.id] <= 40
 
 
-def test_waits_grow_between_retry_groups() -> None:
+def test_backoff_grows_between_retry_groups() -> None:
     harness = BalancerHarness(settings(route(aim_us=900_000), max_attempts=4), 6)
     request = harness.arrive()
     harness.balancer.state.routes[0].retry_budget.tokens = 9.0
@@ -122,7 +122,7 @@
     assert waits[0] * 1.2 < waits[2]
 
 
-def test_retries_dry_up_with_the_bucket_when_every_server_errs() -> None:
+def test_retries_stop_when_all_servers_fail_and_the_budget_is_spent() -> None:
     harness = BalancerHarness(settings(), 5)
     for _ in range(400):
         request = harness.arrive()
@@ -137,7 +137,7 @@
     assert attempts <= len(harness.sends) * (1 + TOKENS_PER_REQUEST) + 2
 
 
-def test_hedge_goes_out_once_and_the_loser_is_called_off() -> None:
+def test_request_is_hedged_once_and_the_slower_attempt_cancelled() -> None:
     harness = BalancerHarness(settings(parallel_tries=True), 4)
     for elapsed_us in range(4000, 6000, 20):
         harness.done(harness.arrive(), Outcome.SUCCESS, elapsed_us)
@@ -151,17 +151,17 @@
 
 
 @pytest.mark.parametrize(
-    "given", [settings(route(Effect.UNSAFE), parallel_tries=True), settings(route())]
+    "balancer_settings", [settings(route(Effect.UNSAFE), parallel_tries=True), settings(route())]
 )
-def test_no_hedge_for_unsafe_routes_or_where_one_attempt_is_the_limit(given: Settings) -> None:
-    harness = BalancerHarness(given, 4)
+def test_unsafe_or_sequential_requests_are_not_hedged(balancer_settings: Settings) -> None:
+    harness = BalancerHarness(balancer_settings, 4)
     harness.warm_up(100, 5000)
     request = harness.arrive()
     harness.pass_time(150_000)
     assert len(harness.sends[request]) == 1
 
 
-def test_a_retry_whose_token_a_hedge_has_spent_is_refused_at_once() -> None:
+def test_failed_request_is_refused_when_a_hedge_spent_the_last_token() -> None:
     """Recorded beside load: with little traffic the bucket holds one token, which a hedge takes."""
     harness = BalancerHarness(settings(parallel_tries=True), 4)
     for _ in range(5):
@@ -177,7 +177,7 @@
     assert len(harness.sends[request]) == 1
 
 
-def test_a_draining_or_gone_server_gets_nothing_new_at_once() -> None:
+def test_draining_or_removed_server_gets_no_new_requests() -> None:
     harness = BalancerHarness(settings(), 3)
     harness.feed(
         ServerList(ListKind.CHANGES, (Server(100, State.DRAINING), Server(101, State.GONE))),
@@ -187,18 +187,18 @@
     assert {s for servers in harness.sends.values() for s in servers} == {102}
 
 
-def test_empty_list_holds_requests_then_refuses_them() -> None:
+def test_requests_are_queued_then_refused_without_servers() -> None:
     harness = BalancerHarness(settings(route(Effect.UNSAFE)), 0)
     request = harness.arrive()
     assert not harness.sends
     assert Refuse(request) in harness.pass_time(AIM_US)
-    held = harness.arrive()
+    queued = harness.arrive()
     harness.feed(ServerList(ListKind.FULL, (Server(7),)))
-    assert harness.sends[held] == [7]
+    assert harness.sends[queued] == [7]
 
 
-def test_unsafe_is_retried_only_when_it_never_ran() -> None:
-    for outcome, again in [
+def test_unsafe_request_is_retried_only_if_it_never_ran() -> None:
+    for outcome, is_retried in [
         (Outcome.FULL, True),
         (Outcome.CONNECT_FAILED, True),
         (Outcome.ERROR, False),
@@ -209,11 +209,11 @@
         request = harness.arrive()
         harness.done(request, outcome, 1000)
         harness.pass_time(100_000)
-        assert len(harness.sends[request]) == (2 if again else 1)
-        assert (Fail(request) in harness.log) is not again
+        assert len(harness.sends[request]) == (2 if is_retried else 1)
+        assert (Fail(request) in harness.log) is not is_retried
 
 
-def test_keyed_stays_in_its_group_and_within_the_memory_span() -> None:
+def test_keyed_request_is_retried_only_in_its_group_and_memory_span() -> None:
     servers = [Server(100 + i, cell=i % 2) for i in range(6)]
     keyed = route(Effect.KEYED, group=Group.CELL, aim_us=900_000, memory_span_us=300_000)
     harness = BalancerHarness(settings(keyed), servers)
@@ -230,11 +230,11 @@
     assert len(harness.sends[request]) == 2
 
 
-def test_cold_server_gets_no_more_than_its_share_in_any_window() -> None:
-    given = settings(
+def test_cold_server_load_stays_within_the_share_in_any_window() -> None:
+    balancer_settings = settings(
         balancers=2, cold_us=10_000_000, cold_from=0.2, fall_multiple=2.0, fall_window_us=1_000_000
     )
-    harness = BalancerHarness(given, 0)
+    harness = BalancerHarness(balancer_settings, 0)
     harness.now = 50_000_000
     started = harness.now - 200_000
     harness.feed(ServerList(ListKind.CACHED, (Server(1, started_us=started), Server(2))))
@@ -255,44 +255,46 @@
         )
 
 
-def test_a_server_may_be_listed_anew_as_another_kind_of_machine() -> None:
+def test_listed_server_may_change_its_kind_of_machine() -> None:
     harness = BalancerHarness(settings(), [Server(1, kind=0)])
     harness.feed(ServerList(ListKind.CHANGES, (Server(1, kind=4),)))
     harness.done(harness.arrive(), Outcome.SUCCESS)
     assert harness.balancer.state.servers[1].payoff > INITIAL_PAYOFF
 
 
-def test_a_silent_server_is_left_alone_before_its_attempts_time_out() -> None:
+def test_unresponsive_server_is_avoided_before_its_attempts_time_out() -> None:
     harness = BalancerHarness(settings(route(Effect.UNSAFE)), 3)
     harness.warm_up(100)
-    silent = 101
+    unresponsive = 101
     for _ in range(200):
         request = harness.arrive()
         harness.pass_time(10_000)
-        if harness.sends[request] != [silent]:
+        if harness.sends[request] != [unresponsive]:
             harness.done(request, Outcome.SUCCESS, 10_000)
     late = list(harness.sends.values())[-150:]
-    assert sum(s == [silent] for s in late) <= 2
+    assert sum(s == [unresponsive] for s in late) <= 2
 
 
-def test_long_requests_keep_to_servers_of_their_own_at_every_balancer() -> None:
+def test_long_requests_use_separate_servers_at_every_balancer() -> None:
     short, long = route(aim_us=100_000), route(aim_us=2_000_000, deadline_us=4_000_000)
     used: list[set[int]] = []
     for seed in (1, 2):
         harness = BalancerHarness(settings(short, long), 6, seed)
-        lanes: tuple[set[int], set[int]] = (set(), set())
+        servers_by_route: tuple[set[int], set[int]] = (set(), set())
         for turn in range(150):
             for kind, count, elapsed_us in ((0, 30, 10_000), (1, 1, 300_000)):
                 harness.warm_up(count, elapsed_us, kind)
                 if turn > 100:
-                    lanes[kind].update(s[0] for s in list(harness.sends.values())[-count:])
-        assert lanes[1]
-        assert not lanes[0] & lanes[1]
-        used.append(lanes[1])
+                    servers_by_route[kind].update(
+                        s[0] for s in list(harness.sends.values())[-count:]
+                    )
+        assert servers_by_route[1]
+        assert not servers_by_route[0] & servers_by_route[1]
+        used.append(servers_by_route[1])
     assert used[0] & used[1]
 
 
-def test_discovery_is_asked_again_with_growing_jittered_waits() -> None:
+def test_failed_discovery_is_retried_with_growing_jittered_waits() -> None:
     harness = BalancerHarness(settings(discovery_asks=True), 2)
     assert Watch(on=True) in harness.log
     waits = []
@@ -305,7 +307,7 @@
     assert all(w <= 10_000_000 / 2 for w in waits)
 
 
-def test_late_events_do_no_harm() -> None:
+def test_outcomes_of_finished_requests_and_removed_servers_are_handled() -> None:
     harness = BalancerHarness(settings(), 2)
     request = harness.arrive()
     harness.done(request, Outcome.SUCCESS)
@@ -317,7 +319,7 @@
     assert Refuse(other) in harness.pass_time(1_000_000)
 
 
-def test_sends_stop_at_the_final_answer() -> None:
+def test_no_send_follows_the_final_answer() -> None:
     harness = BalancerHarness(settings(), 1)
     request = harness.arrive()
     while request in harness.balancer.requests:
@@ -328,7 +330,7 @@
     assert not any(isinstance(a, Send) for a in harness.log[harness.log.index(ends[0]) :])
 
 
-def test_a_jam_does_not_become_the_yardstick_of_cost() -> None:
+def test_latencies_under_overload_do_not_raise_the_learned_cost() -> None:
     """Incidents i46ffc5 and id5e42c: limits grew to many times the start as the jam itself was
     learned.
     """
@@ -340,7 +342,7 @@
     assert route_state.cost_us < 3 * before
 
 
-def test_the_limit_goes_by_what_waits_in_a_full_server() -> None:
+def test_concurrency_limit_follows_the_queue_in_a_full_server() -> None:
     """A churn day refused 4 of 100: the limit grew while nearly all were in time, and hosts of two
     cores held six requests each. It grows only while requests wait here and a full server is as
     quick as an idle one.
@@ -360,7 +362,7 @@
     assert 1.0 <= balancer.limit.server_limit < start
 
 
-def test_many_balancers_with_thin_shares_do_not_jam_the_servers_that_are_left() -> None:
+def test_many_balancers_do_not_overload_the_remaining_servers() -> None:
     """Zone day of seed 11: 40 balancers with one request each at every server held nine at a time
     at servers of two cores, which choked and stayed so after the lost zone was back.
     """
@@ -375,19 +377,19 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.RESET])
-def test_servers_that_vanish_have_no_work_refused_that_others_can_take(outcome: Outcome) -> None:
+def test_server_faults_do_not_shed_load_that_other_servers_can_take(outcome: Outcome) -> None:
     """Zone day, 2f012191: three in ten requests were refused for seven seconds while the rest were
     idle.
     """
     harness = BalancerHarness(settings(clients_mark_repeats=True), 12)
     harness.warm_up(100)
-    gone = set(range(100, 108))
+    faulty = set(range(100, 108))
     refused = 0
     for _ in range(300):
         request = harness.arrive()
         refused += Refuse(request) in harness.log[-3:]
         harness.pass_time(5_000)
-        while request in harness.balancer.requests and harness.sends[request][-1] in gone:
+        while request in harness.balancer.requests and harness.sends[request][-1] in faulty:
             harness.done(request, outcome, 1_000)
             harness.pass_time(10_000)
         if request in harness.balancer.requests:
@@ -395,7 +397,7 @@
     assert not refused
 
 
-def test_room_for_attempts_comes_back_with_each_outcome() -> None:
+def test_finished_attempts_free_capacity_for_queued_requests() -> None:
     harness = BalancerHarness(settings(balancers=40), 24)
     requests = [harness.arrive() for _ in range(20)]
     first = len(harness.sends)
@@ -404,7 +406,7 @@
     assert 0 < first < len(harness.sends) <= len(requests)
 
 
-def test_lost_answers_do_not_use_up_the_retries_of_idle_servers() -> None:
+def test_lost_answers_do_not_exhaust_the_retry_budget() -> None:
     """While a quarter of the answers got lost, 26 requests a second were refused for want of
     tokens.
     """
@@ -422,7 +424,7 @@
             harness.done(request, Outcome.SUCCESS)
 
 
-def many(**changes: Any) -> Settings:
+def one_of_many(**changes: Any) -> Settings:
     """One balancer of many on a large fleet, with a little of the traffic."""
     return settings(**{"balancers": 400, "number": 100, **changes})
 
@@ -431,13 +433,13 @@
     return [Server(100 + i, zone=i % 3, cell=i // 4, **changes) for i in range(count)]
 
 
-def test_with_little_traffic_a_balancer_keeps_to_a_window() -> None:
+def test_balancer_with_little_traffic_uses_a_window() -> None:
     """Ljubljana quiet, d6d89745: 66 balancers that know nothing of most servers choked three of
     them.
     """
     used: list[set[int]] = []
     for number in (0, 200):
-        harness = BalancerHarness(many(number=number), fleet())
+        harness = BalancerHarness(one_of_many(number=number), fleet())
         for _ in range(100):
             request = harness.arrive()
             harness.pass_time(150_000)
@@ -447,11 +449,11 @@
     assert not used[0] & used[1]
 
 
-def test_a_window_is_narrow_enough_to_know_its_servers() -> None:
+def test_window_gives_each_server_enough_requests() -> None:
     """Join day, 69330487: 22 requests a second spread over 57 servers told too little of any one of
     them.
     """
-    harness = BalancerHarness(many(balancers=40, number=7), fleet())
+    harness = BalancerHarness(one_of_many(balancers=40, number=7), fleet())
     for _ in range(220):
         request = harness.arrive()
         harness.pass_time(45_000)
@@ -461,7 +463,7 @@
     assert len(late) / len(set(late)) >= 8.0
 
 
-def test_a_quiet_small_fleet_keeps_a_choice() -> None:
+def test_small_fleet_with_little_traffic_keeps_a_minimum_window() -> None:
     """Quiet day of the simulator, c26b0385: with a few requests a second windows of five of ten
     servers left keyed requests, which only a cell may repeat, with nowhere to go.
     """
@@ -473,19 +475,19 @@
 def test_windows_cover_the_fleet_evenly() -> None:
     counts: Counter[int] = Counter()
     for number in range(120):
-        balancer = BalancerHarness(many(balancers=120, number=number), fleet()).balancer
+        balancer = BalancerHarness(one_of_many(balancers=120, number=number), fleet()).balancer
         counts.update(s.spec.id for s in candidate_window(balancer.state) or [])
     assert len(counts) == 60
     assert max(counts.values()) == min(counts.values())
 
 
-def test_a_balancer_with_all_the_traffic_draws_from_the_whole_fleet() -> None:
-    harness = BalancerHarness(many(), fleet())
+def test_balancer_with_high_traffic_uses_the_whole_fleet() -> None:
+    harness = BalancerHarness(one_of_many(), fleet())
     harness.warm_up(600, 1_000)
     assert candidate_window(harness.balancer.state) is None
 
 
-def test_in_a_window_no_lane_is_kept_for_long_requests() -> None:
+def test_window_has_no_partition_for_long_requests() -> None:
     """Estado big-2: a blocking lane of one server, the same at all, drew 150 of 363 balancers in 3
     s.
     """
@@ -504,9 +506,9 @@
     assert len({s for sent in harness.sends.values() for s in sent}) >= 3
 
 
-def test_in_a_window_the_slow_kind_is_drawn_less() -> None:
+def test_window_prefers_the_faster_kind_of_machine() -> None:
     """Estado big-2: at even shares a slow kind choked while the fast one idled."""
-    harness = BalancerHarness(many(), [s._replace(kind=s.id % 2) for s in fleet()])
+    harness = BalancerHarness(one_of_many(), [s._replace(kind=s.id % 2) for s in fleet()])
     for _ in range(150):
         request = harness.arrive()
         harness.pass_time(150_000)
@@ -518,15 +520,15 @@
     assert late[1] < late[0] / 2
 
 
-def test_an_empty_list_after_two_kinds_holds_no_fault() -> None:
-    harness = BalancerHarness(many(), [s._replace(kind=s.id % 2) for s in fleet()])
+def test_requests_are_refused_when_an_empty_list_follows_two_kinds() -> None:
+    harness = BalancerHarness(one_of_many(), [s._replace(kind=s.id % 2) for s in fleet()])
     harness.feed(ServerList(ListKind.FULL, ()))
     request = harness.arrive()
     assert Refuse(request) in harness.pass_time(2_000_000)
 
 
-def test_one_outcome_of_a_server_seldom_seen_says_much_and_fades() -> None:
-    balancer = BalancerHarness(many(), fleet()).balancer
+def test_outcome_of_a_rarely_used_server_weighs_more_and_decays() -> None:
+    balancer = BalancerHarness(one_of_many(), fleet()).balancer
     server = balancer.state.candidates[0]
     balancer.payoffs.mean = 0.9
     balancer.state.now_us += 10_000_000
@@ -536,7 +538,7 @@
     assert balancer.payoffs.payoff(server) > 0.7
 
 
-def test_a_gateway_whose_attempts_fail_sheds_load_and_recovers() -> None:
+def test_balancer_sheds_load_while_attempts_fail_and_recovers() -> None:
     """Duluth big-1, b4c271b7: under a shared slow-down all requests were sent and none answered in
     time.
     """
@@ -550,7 +552,7 @@
     assert balancer.shedder.admitted_fraction == 1.0
 
 
-def test_shed_requests_are_refused_before_they_cost_work() -> None:
+def test_shed_requests_are_refused_without_a_send() -> None:
     harness = BalancerHarness(settings(), 3)
     harness.balancer.shedder.admitted_fraction = 0.0
     request = harness.arrive()
@@ -558,11 +560,11 @@
     assert harness.log[-1] == Refuse(request)
 
 
-def test_many_small_retry_budgets_hold_no_storm() -> None:
+def test_retry_budget_is_small_with_little_traffic() -> None:
     """Ljubljana big-2, first 5 s: 441 full buckets sent 981 attempts at one full server of a pod of
     two.
     """
-    harness = BalancerHarness(many(), fleet())
+    harness = BalancerHarness(one_of_many(), fleet())
     for _ in range(50):
         request = harness.arrive()
         harness.pass_time(150_000)
@@ -570,22 +572,22 @@
     assert harness.balancer.state.routes[0].retry_budget.tokens < 4
 
 
-def test_the_first_ejection_lasts_for_the_trials_of_all_that_share_the_server() -> None:
+def test_first_ejection_grows_with_the_balancers_that_share_a_server() -> None:
     alone, shared = (
         BalancerHarness(settings(), 4).balancer,
-        BalancerHarness(many(), fleet()).balancer,
+        BalancerHarness(one_of_many(), fleet()).balancer,
     )
     for balancer in (alone, shared):
         balancer.state.recent_arrivals = 30.0
         for _ in range(12):
             balancer.record_failure(balancer.state.candidates[0])
-    lasts = [b.state.candidates[0].ejected_until_us - b.state.now_us for b in (alone, shared)]
-    assert lasts[0] == DEADLINE_US
-    assert lasts[1] > 3 * DEADLINE_US
+    durations = [b.state.candidates[0].ejected_until_us - b.state.now_us for b in (alone, shared)]
+    assert durations[0] == DEADLINE_US
+    assert durations[1] > 3 * DEADLINE_US
 
 
-def test_crossing_zones_is_worth_its_price_only() -> None:
-    harness = BalancerHarness(many(price_cross_zone=0.1), fleet())
+def test_remote_server_scores_higher_only_beyond_the_cross_zone_price() -> None:
+    harness = BalancerHarness(one_of_many(price_cross_zone=0.1), fleet())
     candidates = harness.balancer.state.candidates
     here, there = (next(s for s in candidates if s.spec.zone == zone) for zone in (0, 1))
     assert harness.balancer.chooser.score(here) > harness.balancer.chooser.score(there)
@@ -599,11 +601,11 @@
     end.
     """
     window_us, cold_us, work_us = 1_000_000, 10_000_000, 20_000
-    given = {"balancers": balancers, "cold_us": cold_us, "cold_from": 0.2, "fall_multiple": 2.5}
+    changes = {"balancers": balancers, "cold_us": cold_us, "cold_from": 0.2, "fall_multiple": 2.5}
     start = 50_000_000
     cold = [Server(7, started_us=start)]
     group = [
-        Balancer(settings(route(), number=n, fall_window_us=window_us, **given), n)
+        Balancer(settings(route(), number=n, fall_window_us=window_us, **changes), n)
         for n in range(balancers)
     ]
     for balancer in group:
@@ -630,11 +632,11 @@
         assert work <= 2.5 * warmth * window_us
 
 
-def test_a_thin_share_of_many_cold_servers_is_put_to_use() -> None:
+def test_small_shares_of_many_cold_servers_are_used() -> None:
     """Join day, e48f6231: 40 balancers with turns at each of 36 cold servers used a fifth of them
     in all.
     """
-    given: dict[str, Any] = {
+    changes: dict[str, Any] = {
         "balancers": 40,
         "cold_us": 20_000_000,
         "cold_from": 0.2,
@@ -645,7 +647,7 @@
     start, work_us, count = 50_000_000, 100_000, 30
     cold = tuple(Server(7 + i, started_us=start, hint=2.0) for i in range(count))
     safe = route(aim_us=1_000_000, deadline_us=2_000_000)
-    balancer = Balancer(settings(safe, number=3, **given), 3)
+    balancer = Balancer(settings(safe, number=3, **changes), 3)
     balancer.state.routes[0].cost_us = balancer.state.mean_cost_us = float(work_us)
     balancer.handle(start, [ServerList(ListKind.CACHED, cold)])
     sent = 0
@@ -656,44 +658,44 @@
             balancer.handle(now, [AttemptDone(now, 0, Outcome.SUCCESS, work_us, closed=True)])
         else:
             balancer.handle(now, [Departed(now)])
-    can_us = sum(2.0 * (0.2 + 0.8 * t / 400) * 50_000 for t in range(200)) * count / 40
-    assert 0.5 * can_us < sent * work_us < 1.1 * can_us
+    capacity_us = sum(2.0 * (0.2 + 0.8 * t / 400) * 50_000 for t in range(200)) * count / 40
+    assert 0.5 * capacity_us < sent * work_us < 1.1 * capacity_us
 
 
-def cold_sends(outcome: Outcome) -> tuple[int, int]:
+def count_cold_sends(outcome: Outcome) -> tuple[int, int]:
     """How many requests a balancer sends to cold servers in its first and in its last half
     second.
     """
-    given: dict[str, Any] = {"cold_us": 400_000_000, "cold_from": 0.5, "fall_multiple": 3.0}
+    changes: dict[str, Any] = {"cold_us": 400_000_000, "cold_from": 0.5, "fall_multiple": 3.0}
     start, work_us = 50_000_000, 20_000
     safe = route(aim_us=1_000_000, deadline_us=2_000_000)
-    balancer = Balancer(settings(safe, balancers=4, **given), 3)
+    balancer = Balancer(settings(safe, balancers=4, **changes), 3)
     balancer.state.routes[0].cost_us = balancer.state.mean_cost_us = float(work_us)
     cold = tuple(Server(i, started_us=start) for i in range(6))
     balancer.handle(start, [ServerList(ListKind.CACHED, cold)])
-    parts = [0, 0]
+    sent_counts = [0, 0]
     for now in range(start, start + 10_000_000, 5_000):
         balancer.handle(now, [Arrived(now, 0, now + 2_000_000, work_us=work_us)])
         if now in balancer.requests and balancer.requests[now].attempts:
             if not start + 500_000 <= now < start + 9_500_000:
-                parts[now >= start + 500_000] += 1
+                sent_counts[now >= start + 500_000] += 1
             balancer.handle(
                 now, [AttemptDone(now, 0, outcome, work_us, outcome is Outcome.SUCCESS)]
             )
         balancer.handle(now, [Departed(now)])
         for s in balancer.state.candidates:
             s.ejected_until_us = 0
-    return parts[0], parts[1]
+    return sent_counts[0], sent_counts[1]
 
 
-def test_cold_servers_get_more_while_they_serve_in_time_and_less_while_they_do_not() -> None:
-    early, late = cold_sends(Outcome.SUCCESS)
+def test_load_of_cold_servers_grows_on_success_and_shrinks_on_failure() -> None:
+    early, late = count_cold_sends(Outcome.SUCCESS)
     assert early * 1.2 < late < early * 2.0
-    early, late = cold_sends(Outcome.FULL)
+    early, late = count_cold_sends(Outcome.FULL)
     assert 0 < late < early
 
 
-def test_a_refusal_leaves_the_client_half_of_its_time() -> None:
+def test_queued_request_is_refused_by_half_of_its_client_time_out() -> None:
     """A client in a hurry was told to come back when hardly any of its time was left."""
     harness = BalancerHarness(settings(clients_mark_repeats=True), 1)
     while not harness.balancer.state.queued:
@@ -704,7 +706,7 @@
 
 
 @pytest.mark.parametrize("late_worth", [0.0, 0.2])
-def test_a_wait_leaves_most_of_the_aim_for_a_try_elsewhere(late_worth: float) -> None:
+def test_queue_time_is_limited_to_a_fraction_of_the_objective(late_worth: float) -> None:
     """On bratislava-desks, where late answers have a worth, requests waited their whole aim away at
     balancers with no room, and others had some.
     """
@@ -717,10 +719,10 @@
 
 
 @pytest.mark.parametrize(
-    ("admitted", "away_us"), [(1.0, AIM_US * FIRST_BACKOFF_FRACTION), (0.9, 1_500_000)]
+    ("admitted", "retry_after_us"), [(1.0, AIM_US * FIRST_BACKOFF_FRACTION), (0.9, 1_500_000)]
 )
-def test_a_client_stays_away_for_long_only_where_load_has_to_fall(
-    admitted: float, away_us: float
+def test_retry_after_is_long_only_while_load_is_shed(
+    admitted: float, retry_after_us: float
 ) -> None:
     """Clients that did as told came back when their aim was long over, though others had room at
     once.
@@ -729,10 +731,10 @@
     while not harness.balancer.state.queued:
         request = harness.arrive()
     harness.balancer.shedder.admitted_fraction = admitted
-    assert Refuse(request, int(away_us)) in harness.pass_time(AIM_US)
+    assert Refuse(request, int(retry_after_us)) in harness.pass_time(AIM_US)
 
 
-def test_where_not_all_can_be_served_the_newest_goes_first() -> None:
+def test_queue_serves_the_newest_request_first() -> None:
     """Served in the order of arrival all wait their aim away; the newest has the most of it
     left.
     """
@@ -749,7 +751,7 @@
     assert not harness.balancer.state.queued
 
 
-def test_a_dead_zone_is_not_panicked_into() -> None:
+def test_ejected_local_zone_gets_no_requests_while_another_is_available() -> None:
     here = [Server(i, zone=0) for i in range(1, 4)]
     there = [Server(i, zone=1) for i in range(11, 14)]
     harness = BalancerHarness(settings(route(Effect.UNSAFE)), here + there)
@@ -763,7 +765,7 @@
         harness.done(request, Outcome.SUCCESS)
 
 
-def test_marked_repeats_wait_behind_first_tries() -> None:
+def test_marked_repeats_are_served_after_first_attempts() -> None:
     """In an overload most repeats have lost their aim already; they must not take room from first
     tries.
     """
@@ -778,7 +780,7 @@
     assert sent.index(first) < min(sent.index(r) for r in repeats if r in sent)
 
 
-def test_an_unmarked_repeat_that_has_lost_its_aim_is_refused() -> None:
+def test_unmarked_repeat_that_missed_its_objective_is_refused() -> None:
     harness = BalancerHarness(settings(), 2)
     harness.warm_up(20)
     late = harness.arrive(give_up_us=DEADLINE_US - 2 * AIM_US)
@@ -788,7 +790,7 @@
     assert marking.arrive(give_up_us=DEADLINE_US - 2 * AIM_US) in marking.sends
 
 
-def test_a_few_long_tries_do_not_make_repeats_of_all_others() -> None:
+def test_one_long_client_time_out_does_not_turn_others_into_repeats() -> None:
     """Duluth rough-2: one try of the full deadline had every shorter first try refused as a late
     repeat.
     """
@@ -800,9 +802,9 @@
         harness.done(request, Outcome.SUCCESS)
 
 
-def test_a_window_keeps_to_its_local_servers_while_they_serve_as_well() -> None:
+def test_window_prefers_local_servers_of_equal_quality() -> None:
     """Estado quiet: eight points of the result went to crossings no server's state called for."""
-    harness = BalancerHarness(many(price_cross_zone=0.1), fleet())
+    harness = BalancerHarness(one_of_many(price_cross_zone=0.1), fleet())
     for _ in range(80):
         request = harness.arrive()
         harness.pass_time(150_000)
@@ -812,14 +814,16 @@
     assert zones[0] > 45
 
 
-def test_a_dear_crossing_brings_local_servers_into_the_window_and_a_cheap_one_does_not() -> None:
+def test_cross_zone_price_sets_the_local_fraction_of_a_window() -> None:
     """Estado quiet: windows with no local server paid for five points of crossings."""
-    dear, cheap = (BalancerHarness(many(price_cross_zone=p), fleet()).balancer for p in (0.3, 0.01))
-    shares = []
-    for balancer in (dear, cheap):
+    high_price, low_price = (
+        BalancerHarness(one_of_many(price_cross_zone=p), fleet()).balancer for p in (0.3, 0.01)
+    )
+    local_counts = []
+    for balancer in (high_price, low_price):
         balancer.state.recent_arrivals = 12.0 * OUTCOMES_PER_SERVER
         hosts = candidate_window(balancer.state) or []
         assert len(hosts) == len({s.spec.id for s in hosts}) == 12
-        shares.append(sum(s.spec.zone == 0 for s in hosts))
-    assert shares[0] >= 6
-    assert shares[0] > shares[1]
+        local_counts.append(sum(s.spec.zone == 0 for s in hosts))
+    assert local_counts[0] >= 6
+    assert local_counts[0] > local_counts[1]
--- a/tests/balancer/test_property.py
+++ b/tests/balancer/test_property.py
@@ -44,8 +44,12 @@
 TICK_US = 5_000
 
 
-def routes(memory_us: int) -> tuple[Route, ...]:
-    base: dict[str, Any] = {"aim_us": 200_000, "deadline_us": 600_000, "memory_span_us": memory_us}
+def routes(memory_span_us: int) -> tuple[Route, ...]:
+    base: dict[str, Any] = {
+        "aim_us": 200_000,
+        "deadline_us": 600_000,
+        "memory_span_us": memory_span_us,
+    }
     return (
         Route("safe", Effect.SAFE, worth=2.0, **base),
         Route("all", Effect.KEYED, group=Group.ALL, **base),
@@ -56,16 +60,16 @@
     )
 
 
-class World:
+class RandomHistory:
     """Plays a legal, troubled history: servers that err, hang, die, drain, restart; clients that
     leave.
     """
 
-    def __init__(self, seed: int, parallel: bool, memory_us: int, bad: float) -> None:
+    def __init__(self, seed: int, parallel: bool, memory_span_us: int, failure_rate: float) -> None:
         self.rng = random.Random(seed)
-        self.bad = bad
+        self.failure_rate = failure_rate
         self.settings = Settings(
-            routes=routes(memory_us),
+            routes=routes(memory_span_us),
             balancers=self.rng.choice([1, 2, 3]),
             discovery_asks=self.rng.random() < 0.5,
             tenant_quotas_per_s=(40.0, 20.0),
@@ -87,27 +91,27 @@
         self.balancer = Balancer(self.settings, seed)
         self.checker = RuleChecker(self.settings, WORK_US)
         self.scheduled_events: list[tuple[int, int, Event]] = []
-        self.count = 0
+        self.event_count = 0
         self.next_request = 0
-        self.tries: dict[int, int] = {}
+        self.attempt_counts: dict[int, int] = {}
         self.give_up: dict[int, int] = {}
-        self.ended: set[int] = set()
-        self.out: set[tuple[int, int]] = set()
+        self.finished: set[int] = set()
+        self.in_flight: set[tuple[int, int]] = set()
         self.servers = [Server(50 + i, zone=i % 2, cell=i % 4, kind=i % 2) for i in range(7)]
         started = self.now - 500_000
         self.servers[0] = self.servers[0]._replace(started_us=started)
 
-    def later(self, delay_us: int, event: Event) -> None:
-        self.count += 1
-        self.scheduled_events.append((self.now + max(delay_us, TICK_US), self.count, event))
+    def schedule(self, delay_us: int, event: Event) -> None:
+        self.event_count += 1
+        self.scheduled_events.append((self.now + max(delay_us, TICK_US), self.event_count, event))
 
-    def play(self, ticks: int) -> None:
+    def run(self, ticks: int) -> None:
         self.step([ServerList(ListKind.CACHED, tuple(self.servers))])
         for tick in range(ticks):
             self.now += TICK_US
             events: list[Event] = []
             if tick < ticks - 250:
-                events += self.trouble()
+                events += self.server_changes()
                 for _ in range(self.rng.choice([0, 0, 1, 1, 2])):
                     events.append(self.arrival())
             ready = sorted(d for d in self.scheduled_events if d[0] <= self.now)
@@ -118,21 +122,23 @@
                 self.step(events)
             else:
                 self.checker.after(self.now, [])
-        assert self.give_up.keys() == self.ended
+        assert self.give_up.keys() == self.finished
         assert not self.balancer.requests
         assert self.balancer.state.queued == 0
         assert all(s.in_flight == s.overdue == 0 for s in self.balancer.state.servers.values())
 
-    def trouble(self) -> list[Event]:
+    def server_changes(self) -> list[Event]:
         roll = self.rng.random()
         index = self.rng.randrange(len(self.servers))
-        line = self.servers[index]
+        server = self.servers[index]
         if roll < 0.01:
             state = self.rng.choice([State.DRAINING, State.GONE, State.READY])
-            fresh = line.state is not State.READY and state is State.READY
-            line = line._replace(state=state, started_us=self.now if fresh else line.started_us)
-            self.servers[index] = line
-            return [ServerList(ListKind.CHANGES, (line,))]
+            fresh = server.state is not State.READY and state is State.READY
+            server = server._replace(
+                state=state, started_us=self.now if fresh else server.started_us
+            )
+            self.servers[index] = server
+            return [ServerList(ListKind.CHANGES, (server,))]
         if roll < 0.015:
             return [
                 ServerList(
@@ -146,24 +152,24 @@
         number, route = self.next_request, self.rng.randrange(len(self.settings.routes))
         wait = int(self.settings.routes[route].deadline_us * self.rng.choice([0.5, 1.0, 1.0]))
         self.give_up[number] = self.now + wait
-        self.tries[number] = 0
+        self.attempt_counts[number] = 0
         if self.rng.random() < 0.03:
-            self.later(self.rng.randrange(wait), Departed(number))
+            self.schedule(self.rng.randrange(wait), Departed(number))
         key = self.rng.choice([None, "a", "b", "c"])
         return Arrived(number, route, self.now + wait, key, tenant=self.rng.randrange(3))
 
     def deliver(self, event: Event) -> list[Event]:
         if isinstance(event, Departed):
-            if event.request in self.ended:
+            if event.request in self.finished:
                 return []
-            self.ended.add(event.request)
+            self.finished.add(event.request)
         if isinstance(event, AttemptDone):
-            if (event.request, event.attempt) not in self.out:
+            if (event.request, event.attempt) not in self.in_flight:
                 return []
-            self.out.discard((event.request, event.attempt))
-            closed = event.request in self.ended or event.outcome is Outcome.SUCCESS
+            self.in_flight.discard((event.request, event.attempt))
+            closed = event.request in self.finished or event.outcome is Outcome.SUCCESS
             if closed:
-                self.ended.add(event.request)
+                self.finished.add(event.request)
             return [event._replace(closed=closed)]
         return [event]
 
@@ -171,54 +177,56 @@
         self.checker.before(self.now, events)
         actions = self.balancer.handle(self.now, events)
         self.checker.after(self.now, actions)
-        self.carry_out(actions)
+        self.apply(actions)
 
-    def carry_out(self, actions: list[Action]) -> None:
+    def apply(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, SetAlarm):
-                self.later(action.delay_us, Alarm(action.tag))
+                self.schedule(action.delay_us, Alarm(action.tag))
             elif isinstance(action, Send):
-                self.sent(action)
+                self.record_send(action)
             elif isinstance(action, Cancel):
                 done = AttemptDone(action.request, action.attempt, Outcome.CANCELLED, TICK_US)
-                self.later(TICK_US, done)
+                self.schedule(TICK_US, done)
             elif isinstance(action, Refuse | Fail):
-                self.ended.add(action.request)
-
-    def sent(self, action: Send) -> None:
-        number = self.tries[action.request]
-        self.tries[action.request] += 1
-        self.out.add((action.request, number))
-        left = self.give_up[action.request] - self.now
-        if self.rng.random() < self.bad:
+                self.finished.add(action.request)
+
+    def record_send(self, action: Send) -> None:
+        number = self.attempt_counts[action.request]
+        self.attempt_counts[action.request] += 1
+        self.in_flight.add((action.request, number))
+        remaining_us = self.give_up[action.request] - self.now
+        if self.rng.random() < self.failure_rate:
             outcome: Outcome = self.rng.choice([o for o in Outcome if o is not Outcome.SUCCESS])
-            elapsed = left if outcome is Outcome.TIMEOUT else self.rng.randrange(TICK_US, 150_000)
+            elapsed = (
+                remaining_us if outcome is Outcome.TIMEOUT else self.rng.randrange(TICK_US, 150_000)
+            )
         else:
             outcome = Outcome.SUCCESS
             elapsed = int(self.rng.expovariate(1 / WORK_US)) + TICK_US
-        if elapsed >= left:
-            outcome, elapsed = Outcome.TIMEOUT, left
-        self.later(elapsed, AttemptDone(action.request, number, outcome, elapsed))
+        if elapsed >= remaining_us:
+            outcome, elapsed = Outcome.TIMEOUT, remaining_us
+        self.schedule(elapsed, AttemptDone(action.request, number, outcome, elapsed))
 
 
 @settings(max_examples=40, derandomize=True, deadline=None, suppress_health_check=list(HealthCheck))
 @given(
     seed=st.integers(0, 10**6),
     parallel=st.booleans(),
-    memory_us=st.sampled_from([30_000, 100_000, 2_000_000]),
-    bad=st.sampled_from([0.05, 0.3, 0.8, 1.0]),
+    memory_span_us=st.sampled_from([30_000, 100_000, 2_000_000]),
+    failure_rate=st.sampled_from([0.05, 0.3, 0.8, 1.0]),
 )
-def test_random_legal_histories_keep_the_rules(
-    seed: int, parallel: bool, memory_us: int, bad: float
+def test_random_valid_histories_keep_the_rules(
+    seed: int, parallel: bool, memory_span_us: int, failure_rate: float
 ) -> None:
-    World(seed, parallel, memory_us, bad).play(1000)
+    RandomHistory(seed, parallel, memory_span_us, failure_rate).run(1000)
 
 
 def break_final_answer(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Balancer, "end_queued", lambda self, request: None)
 
 
-def break_send_after_end(monkeypatch: pytest.MonkeyPatch) -> None:
+def break_send_after_final_answer(monkeypatch: pytest.MonkeyPatch) -> None:
     def finish(self: Balancer, request: Request) -> None:
         self.actions.append(Fail(request.id))
         if server := self.chooser.choose(request):
@@ -239,11 +247,11 @@
 def break_drain(monkeypatch: pytest.MonkeyPatch) -> None:
     on_server_list = Balancer.on_server_list
 
-    def keep_all(self: Balancer, event: ServerList) -> None:
-        lines = tuple(line._replace(state=State.READY) for line in event.servers)
-        on_server_list(self, event._replace(servers=lines))
+    def ignore_draining(self: Balancer, event: ServerList) -> None:
+        servers = tuple(server._replace(state=State.READY) for server in event.servers)
+        on_server_list(self, event._replace(servers=servers))
 
-    monkeypatch.setitem(decider.HANDLERS, ServerList, keep_all)
+    monkeypatch.setitem(decider.HANDLERS, ServerList, ignore_draining)
 
 
 def break_slow_start(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -251,26 +259,28 @@
 
 
 @pytest.mark.parametrize(
-    ("breaking", "rule"),
+    ("break_rule", "rule"),
     [
         (break_final_answer, "1: .* no final answer"),
-        (break_send_after_end, "1: .* after its end"),
+        (break_send_after_final_answer, "1: .* after its end"),
         (break_effect, "2: "),
         (break_refusal, "2: .* refused"),
         (break_drain, "3: "),
         (break_slow_start, "4: "),
     ],
 )
-def test_the_checker_sees_each_broken_rule(
-    breaking: Callable[[pytest.MonkeyPatch], None], rule: str, monkeypatch: pytest.MonkeyPatch
+def test_rule_checker_detects_each_broken_rule(
+    break_rule: Callable[[pytest.MonkeyPatch], None], rule: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    breaking(monkeypatch)
+    break_rule(monkeypatch)
     with pytest.raises(RuleBrokenError, match=f"^{rule}"):
         for seed in range(40):
-            World(seed, parallel=seed % 2 == 0, memory_us=60_000, bad=0.3).play(1000)
+            RandomHistory(
+                seed, parallel=seed % 2 == 0, memory_span_us=60_000, failure_rate=0.3
+            ).run(1000)
 
 
-def test_refusals_name_a_wait_only_where_told() -> None:
+def test_refusals_carry_no_retry_after_by_default() -> None:
     balancer = Balancer(Settings(routes=routes(1)), 1)
     assert Refuse(1) in balancer.handle(5, [Arrived(1, 0, 6), ServerList(ListKind.FULL, ())]) + (
         balancer.handle(7_000, [Alarm(1)])
--- a/tests/balancer/test_recorded_histories.py
+++ b/tests/balancer/test_recorded_histories.py
@@ -16,21 +16,21 @@
 import pytest
 
 from roselink.balancer import Arrived, AttemptDone, Balancer, Outcome, Route, Server, StreamStarted
-from tests.balancer.test_property import TICK_US, World
+from tests.balancer.test_property import TICK_US, RandomHistory
 
 if TYPE_CHECKING:
     from roselink.balancer import Event, Send
 
 RECORDING = Path(__file__).parent / "data" / "recorded_actions.json"
 TICKS = 1_500
-CROWDING_US = 15_000
+DELAY_PER_ATTEMPT_US = 15_000
 SEEDS = range(16)
 
 
-class RecordedHistory(World):
+class RecordedHistory(RandomHistory):
     """A random legal history that keeps a digest of every action, field by field.
 
-    Beside the settings of `World` it varies those that only larger fleets use: many balancers, so
+    Beside those of `RandomHistory` it varies the settings that only larger fleets use: many balancers, so
     that the host window is in force, prices of zones, hints of work and of size, marked repeats,
     late answers that have a worth, and streams.
     """
@@ -39,17 +39,17 @@
         super().__init__(
             seed,
             parallel=seed % 2 == 0,
-            memory_us=[30_000, 100_000, 2_000_000][seed % 3],
-            bad=[0.02, 0.1, 0.3, 0.8][seed // 2 % 4],
+            memory_span_us=[30_000, 100_000, 2_000_000][seed % 3],
+            failure_rate=[0.02, 0.1, 0.3, 0.8][seed // 2 % 4],
         )
         self.digest = hashlib.sha256()
         self.actions = 0
-        self.crowds = seed % 4 >= 2  # latency grows with what is in flight
+        self.slows_under_load = seed % 4 >= 2  # latency grows with what is in flight
         balancers = self.rng.choice([1, 3, 40])
         servers = self.rng.choice([4, 12, 40])
         self.settings = dataclasses.replace(
             self.settings,
-            routes=tuple(self.varied(route) for route in self.settings.routes),
+            routes=tuple(self.vary_route(route) for route in self.settings.routes),
             balancers=balancers,
             number=self.rng.randrange(balancers),
             zone=self.rng.randrange(2),
@@ -67,7 +67,7 @@
             started_us = self.now - 500_000
             self.servers[cold] = self.servers[cold]._replace(started_us=started_us)
 
-    def varied(self, route: Route) -> Route:
+    def vary_route(self, route: Route) -> Route:
         return dataclasses.replace(
             route,
             late_worth=self.rng.choice([0.0, 0.0, 0.3]),
@@ -81,25 +81,32 @@
         work_us = self.rng.choice([None, self.rng.randrange(1_000, 60_000)])
         return event._replace(work_us=work_us, repeat=self.rng.random() < 0.1)
 
-    def later(self, delay_us: int, event: Event) -> None:
-        if isinstance(event, AttemptDone) and event.outcome is Outcome.SUCCESS and self.crowds:
-            crowded_us = delay_us + CROWDING_US * len(self.out)
-            if crowded_us < self.give_up[event.request] - self.now:
-                event = event._replace(elapsed_us=crowded_us)
-                delay_us = crowded_us
-        super().later(delay_us, event)
-
-    def sent(self, action: Send) -> None:
-        super().sent(action)
+    def schedule(self, delay_us: int, event: Event) -> None:
+        if (
+            isinstance(event, AttemptDone)
+            and event.outcome is Outcome.SUCCESS
+            and self.slows_under_load
+        ):
+            delayed_us = delay_us + DELAY_PER_ATTEMPT_US * len(self.in_flight)
+            if delayed_us < self.give_up[event.request] - self.now:
+                event = event._replace(elapsed_us=delayed_us)
+                delay_us = delayed_us
+        super().schedule(delay_us, event)
+
+    def record_send(self, action: Send) -> None:
+        super().record_send(action)
         if self.rng.random() < 0.05:
-            attempt = self.tries[action.request] - 1
-            self.later(TICK_US, StreamStarted(action.request, attempt, TICK_US))
+            attempt = self.attempt_counts[action.request] - 1
+            self.schedule(TICK_US, StreamStarted(action.request, attempt, TICK_US))
 
     def deliver(self, event: Event) -> list[Event]:
         if isinstance(event, StreamStarted):
-            if (event.request, event.attempt) not in self.out or event.request in self.ended:
+            if (
+                event.request,
+                event.attempt,
+            ) not in self.in_flight or event.request in self.finished:
                 return []
-            self.ended.add(event.request)
+            self.finished.add(event.request)
         return super().deliver(event)
 
     def step(self, events: list[Event]) -> None:
@@ -108,20 +115,20 @@
             values = (self.now, type(action).__name__, tuple(action))
             self.digest.update(repr(values).encode())
         self.actions += len(actions)
-        self.carry_out(actions)
+        self.apply(actions)
 
 
-def recorded(seed: int) -> list[str | int]:
+def replay(seed: int) -> list[str | int]:
     history = RecordedHistory(seed)
-    history.play(TICKS)
+    history.run(TICKS)
     return [history.digest.hexdigest(), history.actions]
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_the_actions_are_those_recorded(seed: int) -> None:
-    assert recorded(seed) == json.loads(RECORDING.read_text())[str(seed)]
+def test_actions_match_the_recording(seed: int) -> None:
+    assert replay(seed) == json.loads(RECORDING.read_text())[str(seed)]
 
 
 if __name__ == "__main__":
     RECORDING.parent.mkdir(exist_ok=True)
-    RECORDING.write_text(json.dumps({str(seed): recorded(seed) for seed in SEEDS}, indent=1) + "\n")
+    RECORDING.write_text(json.dumps({str(seed): replay(seed) for seed in SEEDS}, indent=1) + "\n")
--- a/tests/balancer/test_simulator_adapter.py
+++ b/tests/balancer/test_simulator_adapter.py
@@ -22,15 +22,15 @@
     "limits": {"attempts_cap": 3, "cancelling": True},
 }
 START = ["provision", 5, PROFILE]
-LISTED = [["ledger", 0, [[51, None, 0, 0, 1, 1, 0], [52]]], ["endpoints", 0, 1, 1]]
+SERVER_LIST = [["ledger", 0, [[51, None, 0, 0, 1, 1, 0], [52]]], ["endpoints", 0, 1, 1]]
 
 
 def batch(moment: int, *news: list[Any], gateway: int = 0) -> str:
     return json.dumps({"moment": moment, "parts": [{"gateway": gateway, "news": list(news)}]})
 
 
-def run(*lines: str) -> tuple[int, list[Any], str]:
-    done = subprocess.run(
+def run_adapter(*lines: str) -> tuple[int, list[Any], str]:
+    process = subprocess.run(
         [sys.executable, "-m", "roselink.balancer.simulator_adapter"],
         input="".join(line + "\n" for line in lines),
         capture_output=True,
@@ -38,16 +38,20 @@
         check=False,
         timeout=60,
     )
-    return done.returncode, [json.loads(line) for line in done.stdout.splitlines()], done.stderr
+    return (
+        process.returncode,
+        [json.loads(line) for line in process.stdout.splitlines()],
+        process.stderr,
+    )
 
 
 def test_round_trip_and_end_of_input() -> None:
-    status, replies, errors = run(
+    status, replies, errors = run_adapter(
         '{"moment":1,"parts":[]}',
-        batch(1000, START, *LISTED),
+        batch(1000, START, *SERVER_LIST),
         batch(2000, ["job_in", 9, 0, 500000, 0, None]),
         batch(3000, ["verdict", 9, 51, True, "success", 0, 900]),
-        batch(4000, ["detach"], START, *LISTED),
+        batch(4000, ["detach"], START, *SERVER_LIST),
     )
     assert (status, errors) == (0, "")
     assert replies[0] == {"parts": []}
@@ -57,9 +61,9 @@
     assert replies[3] == {"parts": []}
 
 
-def test_bad_lines_end_with_one_plain_line_and_status_2() -> None:
-    start = batch(1000, START, *LISTED)
-    for bad in [
+def test_invalid_batch_prints_one_line_and_exits_with_status_2() -> None:
+    start = batch(1000, START, *SERVER_LIST)
+    for invalid in [
         "{",
         "[]",
         '{"parts":[]}',
@@ -80,17 +84,17 @@
         batch(2000, ["provision", 5, {"lanes": [{"deadline": 5}]}]),
         batch(2000, ["provision", 5, {**PROFILE, "balancers": -1}]),
     ]:
-        status, replies, errors = run(start, bad)
-        assert status == 2, bad
+        status, replies, errors = run_adapter(start, invalid)
+        assert status == 2, invalid
         assert len(replies) == 1
         assert errors.startswith("benchlink: line 2: "), errors
         assert errors.count("\n") == 1, errors
 
 
-def test_a_fault_of_one_instance_is_its_own(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_error_in_one_instance_does_not_affect_another(monkeypatch: pytest.MonkeyPatch) -> None:
     host = SimulatorHost()
-    host.reply(json.loads(batch(1000, START, *LISTED)))
-    host.reply(json.loads(batch(1000, START, *LISTED, gateway=1)))
+    host.reply(json.loads(batch(1000, START, *SERVER_LIST)))
+    host.reply(json.loads(batch(1000, START, *SERVER_LIST, gateway=1)))
 
     def fail(now_us: int, events: list[Any]) -> list[Any]:
         raise KeyError("broken")
@@ -103,20 +107,20 @@
     assert reply["parts"][1]["decisions"][0][:2] == ["route", 9]
 
 
-def test_class_and_tenant_0_are_legal_where_none_are_told() -> None:
-    bare = {key: value for key, value in PROFILE.items() if key != "lanes"}
-    status, replies, errors = run(
-        batch(1000, ["provision", 5, bare], *LISTED),
+def test_class_0_and_tenant_0_are_valid_without_configured_ones() -> None:
+    settings = {key: value for key, value in PROFILE.items() if key != "lanes"}
+    status, replies, errors = run_adapter(
+        batch(1000, ["provision", 5, settings], *SERVER_LIST),
         batch(2000, ["job_in", 9, 0, 500000, 0, None, None, 0]),
     )
     assert (status, errors) == (0, "")
     assert replies[1]["parts"][0]["decisions"][0][:2] == ["route", 9]
 
 
-def test_two_groupings_of_the_same_events_act_alike() -> None:
+def test_instances_decide_alike_in_shared_and_separate_processes() -> None:
     def news(moment: int) -> list[list[Any]]:
         if moment == 1000:
-            return [START, *LISTED]
+            return [START, *SERVER_LIST]
         return [["job_in", moment + k, 0, moment + 400000] for k in range(3)]
 
     moments = range(1000, 30000, 1000)
@@ -124,8 +128,8 @@
         json.dumps({"moment": m, "parts": [{"gateway": g, "news": news(m)} for g in (0, 1)]})
         for m in moments
     ]
-    _, together, _ = run(*joined)
+    _, together, _ = run_adapter(*joined)
     for g in (0, 1):
-        _, alone, _ = run(*[batch(m, *news(m), gateway=g) for m in moments])
+        _, alone, _ = run_adapter(*[batch(m, *news(m), gateway=g) for m in moments])
         mine = [[p for p in reply["parts"] if p["gateway"] == g] for reply in together]
         assert mine == [reply["parts"] for reply in alone]
