--- a/tests/balancer/test_balance.py
+++ b/tests/balancer/test_balance.py
@@ -1,4 +1,4 @@
-"""The parts of the module, each on its own."""
+"""Unit tests of the balancer's modules."""
 
 from __future__ import annotations
 
@@ -133,7 +133,9 @@
     attempts = sum(map(len, harness.sends.values()))
     harness.pass_time(2_000_000)
     assert not harness.balancer.requests
-    assert len(harness.sends) >= 400 * MIN_ADMITTED / 2  # the pick falls back to the whole fleet
+    assert (
+        len(harness.sends) >= 400 * MIN_ADMITTED / 2
+    )  # ejected servers are used when none is available
     assert attempts <= len(harness.sends) * (1 + TOKENS_PER_REQUEST) + 2
 
 
@@ -162,7 +164,7 @@
 
 
 def test_failed_request_is_refused_when_a_hedge_spent_the_last_token() -> None:
-    """Recorded beside load: with little traffic the bucket holds one token, which a hedge takes."""
+    """With little traffic the retry budget holds one token, which a hedge may spend."""
     harness = BalancerHarness(settings(parallel_tries=True), 4)
     for _ in range(5):
         harness.done(harness.arrive(), Outcome.SUCCESS, 1000)
@@ -249,7 +251,7 @@
     assert times
     for t in times:
         warmth = 0.2 + 0.8 * (t - started) / 10_000_000
-        # one core's worth of 4 ms requests, our half of it
+        # half of one core's capacity for 4 ms requests
         assert (
             sum(1 for u in times if t - 1_000_000 < u <= t) <= 2.0 * warmth * 1_000_000 / 4000 / 2
         )
@@ -331,8 +333,8 @@
 
 
 def test_latencies_under_overload_do_not_raise_the_learned_cost() -> None:
-    """Incidents i46ffc5 and id5e42c: limits grew to many times the start as the jam itself was
-    learned.
+    """Concurrency limits grew to many times their start when the cost of a request was learned from
+    latencies under overload (incidents i46ffc5 and id5e42c).
     """
     harness = BalancerHarness(settings(), 3)
     harness.warm_up(300, 10_000)
@@ -343,9 +345,9 @@
 
 
 def test_concurrency_limit_follows_the_queue_in_a_full_server() -> None:
-    """A churn day refused 4 of 100: the limit grew while nearly all were in time, and hosts of two
-    cores held six requests each. It grows only while requests wait here and a full server is as
-    quick as an idle one.
+    """With frequent server changes 4 of 100 requests were refused: the limit grew while nearly all
+    answers were in time, until two-core servers held six requests each. It may grow only while
+    requests are queued here and a full server is as fast as an idle one.
     """
     balancer = BalancerHarness(settings(), 3).balancer
     start = balancer.limit.server_limit
@@ -363,8 +365,9 @@
 
 
 def test_many_balancers_do_not_overload_the_remaining_servers() -> None:
-    """Zone day of seed 11: 40 balancers with one request each at every server held nine at a time
-    at servers of two cores, which choked and stayed so after the lost zone was back.
+    """After the loss of a zone, 40 balancers with one request each at every server held nine at a
+    time at two-core servers, which stayed overloaded after the zone was back (scenario Zone day,
+    seed 11).
     """
     balancers, left = 40, 24
     out = 0
@@ -373,13 +376,13 @@
         for _ in range(60):
             harness.arrive()
         out += sum(len(sent) for sent in harness.sends.values())
-    assert left < out <= 4 * left  # all busy, and none with more than a few that wait
+    assert left < out <= 4 * left  # all servers busy, each with a short queue
 
 
 @pytest.mark.parametrize("outcome", [Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.RESET])
 def test_server_faults_do_not_shed_load_that_other_servers_can_take(outcome: Outcome) -> None:
-    """Zone day, 2f012191: three in ten requests were refused for seven seconds while the rest were
-    idle.
+    """After the loss of a zone, 3 of 10 requests were refused for seven seconds while the remaining
+    servers were idle (scenario Zone day, 2f012191).
     """
     harness = BalancerHarness(settings(clients_mark_repeats=True), 12)
     harness.warm_up(100)
@@ -407,13 +410,13 @@
 
 
 def test_lost_answers_do_not_exhaust_the_retry_budget() -> None:
-    """While a quarter of the answers got lost, 26 requests a second were refused for want of
+    """With a quarter of the answers lost, 26 requests per second were refused for lack of retry
     tokens.
     """
     harness = BalancerHarness(settings(), 9)
     harness.warm_up(200)
     for number in range(1000):
-        harness.balancer.shedder.admitted_fraction = 1.0  # load shedding is not what is tested
+        harness.balancer.shedder.admitted_fraction = 1.0  # no load shedding in this test
         request = harness.arrive()
         if number % 4 == 0:
             assert not any(
@@ -425,7 +428,7 @@
 
 
 def one_of_many(**changes: Any) -> Settings:
-    """One balancer of many on a large fleet, with a little of the traffic."""
+    """Settings of one of many balancers on a large fleet, with a small part of the traffic."""
     return settings(**{"balancers": 400, "number": 100, **changes})
 
 
@@ -434,8 +437,8 @@
 
 
 def test_balancer_with_little_traffic_uses_a_window() -> None:
-    """Ljubljana quiet, d6d89745: 66 balancers that know nothing of most servers choked three of
-    them.
+    """66 balancers without estimates of most servers overloaded three of them (scenario Ljubljana
+    quiet, d6d89745).
     """
     used: list[set[int]] = []
     for number in (0, 200):
@@ -450,22 +453,22 @@
 
 
 def test_window_gives_each_server_enough_requests() -> None:
-    """Join day, 69330487: 22 requests a second spread over 57 servers told too little of any one of
-    them.
+    """22 requests per second over 57 servers gave too few outcomes of each (scenario Join day,
+    69330487).
     """
     harness = BalancerHarness(one_of_many(balancers=40, number=7), fleet())
     for _ in range(220):
         request = harness.arrive()
         harness.pass_time(45_000)
         harness.done(request, Outcome.SUCCESS, 10_000)
-    late = [sent[0] for sent in list(harness.sends.values())[-110:]]  # of the last 5 s
+    late = [sent[0] for sent in list(harness.sends.values())[-110:]]  # sends of the last 5 s
     assert len(set(late)) >= 4
     assert len(late) / len(set(late)) >= 8.0
 
 
 def test_small_fleet_with_little_traffic_keeps_a_minimum_window() -> None:
-    """Quiet day of the simulator, c26b0385: with a few requests a second windows of five of ten
-    servers left keyed requests, which only a cell may repeat, with nowhere to go.
+    """At a few requests per second, windows of five of ten servers left no server for retries of
+    keyed requests, which only their cell may run (scenario Quiet day, c26b0385).
     """
     balancer = BalancerHarness(settings(balancers=3), 10).balancer
     balancer.state.recent_arrivals = 30.0
@@ -488,8 +491,8 @@
 
 
 def test_window_has_no_partition_for_long_requests() -> None:
-    """Estado big-2: a blocking lane of one server, the same at all, drew 150 of 363 balancers in 3
-    s.
+    """150 of 363 balancers sent to the same server within 3 s, the only one of their partition for
+    long requests (scenario Estado big-2).
     """
     short, long = route(aim_us=100_000), route(aim_us=2_000_000, deadline_us=4_000_000)
     one_zone = [s._replace(zone=0) for s in fleet()]
@@ -507,7 +510,9 @@
 
 
 def test_window_prefers_the_faster_kind_of_machine() -> None:
-    """Estado big-2: at even shares a slow kind choked while the fast one idled."""
+    """With equal shares the slower kind was overloaded while the faster one was idle (scenario
+    Estado big-2).
+    """
     harness = BalancerHarness(one_of_many(), [s._replace(kind=s.id % 2) for s in fleet()])
     for _ in range(150):
         request = harness.arrive()
@@ -539,8 +544,8 @@
 
 
 def test_balancer_sheds_load_while_attempts_fail_and_recovers() -> None:
-    """Duluth big-1, b4c271b7: under a shared slow-down all requests were sent and none answered in
-    time.
+    """During a slowdown of all servers every request was sent and none was answered in time
+    (scenario Duluth big-1, b4c271b7).
     """
     balancer = BalancerHarness(settings(), 3).balancer
     server = balancer.state.candidates[0]
@@ -561,8 +566,8 @@
 
 
 def test_retry_budget_is_small_with_little_traffic() -> None:
-    """Ljubljana big-2, first 5 s: 441 full buckets sent 981 attempts at one full server of a pod of
-    two.
+    """In the first 5 s, 441 full retry budgets sent 981 attempts to one full server of a group of
+    two (scenario Ljubljana big-2).
     """
     harness = BalancerHarness(one_of_many(), fleet())
     for _ in range(50):
@@ -597,9 +602,7 @@
 
 @pytest.mark.parametrize("balancers", [1, 7, 400])
 def test_all_balancers_together_keep_a_cold_server_within_its_budget(balancers: int) -> None:
-    """Rule 4 at its worst: every balancer knows of one cold server only and has requests without
-    end.
-    """
+    """Worst case of rule 4: every balancer knows only one cold server and always has requests."""
     window_us, cold_us, work_us = 1_000_000, 10_000_000, 20_000
     changes = {"balancers": balancers, "cold_us": cold_us, "cold_from": 0.2, "fall_multiple": 2.5}
     start = 50_000_000
@@ -625,7 +628,7 @@
                     )
                 else:
                     balancer.handle(now, [Departed(number)])
-    assert len(sent) > 20  # the budget is put to use, not only kept
+    assert len(sent) > 20  # the budget is used
     for first in sent:
         warmth = 0.2 + 0.8 * (first - start) / cold_us
         work = work_us * sum(1 for t in sent if first <= t < first + window_us)
@@ -633,8 +636,8 @@
 
 
 def test_small_shares_of_many_cold_servers_are_used() -> None:
-    """Join day, e48f6231: 40 balancers with turns at each of 36 cold servers used a fifth of them
-    in all.
+    """40 balancers that shared 36 cold servers used a fifth of the total capacity (scenario Join
+    day, e48f6231).
     """
     changes: dict[str, Any] = {
         "balancers": 40,
@@ -663,9 +666,7 @@
 
 
 def count_cold_sends(outcome: Outcome) -> tuple[int, int]:
-    """How many requests a balancer sends to cold servers in its first and in its last half
-    second.
-    """
+    """Returns the sends to cold servers in the first and in the last half second."""
     changes: dict[str, Any] = {"cold_us": 400_000_000, "cold_from": 0.5, "fall_multiple": 3.0}
     start, work_us = 50_000_000, 20_000
     safe = route(aim_us=1_000_000, deadline_us=2_000_000)
@@ -696,7 +697,7 @@
 
 
 def test_queued_request_is_refused_by_half_of_its_client_time_out() -> None:
-    """A client in a hurry was told to come back when hardly any of its time was left."""
+    """Clients with a short time-out were refused when hardly any time for a retry was left."""
     harness = BalancerHarness(settings(clients_mark_repeats=True), 1)
     while not harness.balancer.state.queued:
         harness.arrive()
@@ -707,8 +708,8 @@
 
 @pytest.mark.parametrize("late_worth", [0.0, 0.2])
 def test_queue_time_is_limited_to_a_fraction_of_the_objective(late_worth: float) -> None:
-    """On bratislava-desks, where late answers have a worth, requests waited their whole aim away at
-    balancers with no room, and others had some.
+    """Where late answers have a value, requests spent their whole objective queued at balancers
+    without capacity while others had some (scenario bratislava-desks).
     """
     harness = BalancerHarness(settings(route(late_worth=late_worth), clients_mark_repeats=True), 1)
     while not harness.balancer.state.queued:
@@ -724,8 +725,8 @@
 def test_retry_after_is_long_only_while_load_is_shed(
     admitted: float, retry_after_us: float
 ) -> None:
-    """Clients that did as told came back when their aim was long over, though others had room at
-    once.
+    """Clients that followed the retry-after time came back long after their objective, though other
+    balancers had capacity at once.
     """
     harness = BalancerHarness(settings(retry_after=True, max_retry_after_us=1_500_000), 1)
     while not harness.balancer.state.queued:
@@ -735,8 +736,8 @@
 
 
 def test_queue_serves_the_newest_request_first() -> None:
-    """Served in the order of arrival all wait their aim away; the newest has the most of it
-    left.
+    """First in, first out would let all requests spend their objective waiting; the newest has most
+    of it left.
     """
     harness = BalancerHarness(settings(), 1)
     while not harness.balancer.state.queued:
@@ -766,8 +767,8 @@
 
 
 def test_marked_repeats_are_served_after_first_attempts() -> None:
-    """In an overload most repeats have lost their aim already; they must not take room from first
-    tries.
+    """Under overload most repeats have already missed their objective and must not displace first
+    attempts.
     """
     harness = BalancerHarness(settings(), 1)
     while not harness.balancer.state.queued:
@@ -791,8 +792,8 @@
 
 
 def test_one_long_client_time_out_does_not_turn_others_into_repeats() -> None:
-    """Duluth rough-2: one try of the full deadline had every shorter first try refused as a late
-    repeat.
+    """A single request with the full time-out had every later one with a shorter time-out refused
+    as a repeat (scenario Duluth rough-2).
     """
     harness = BalancerHarness(settings(), 3)
     harness.warm_up(20)
@@ -803,7 +804,9 @@
 
 
 def test_window_prefers_local_servers_of_equal_quality() -> None:
-    """Estado quiet: eight points of the result went to crossings no server's state called for."""
+    """Cross-zone requests without a reason in the state of the servers cost 8 points of the score
+    (scenario Estado quiet).
+    """
     harness = BalancerHarness(one_of_many(price_cross_zone=0.1), fleet())
     for _ in range(80):
         request = harness.arrive()
@@ -815,7 +818,9 @@
 
 
 def test_cross_zone_price_sets_the_local_fraction_of_a_window() -> None:
-    """Estado quiet: windows with no local server paid for five points of crossings."""
+    """Windows without a local server cost 5 points of the score in cross-zone requests (scenario
+    Estado quiet).
+    """
     high_price, low_price = (
         BalancerHarness(one_of_many(price_cross_zone=p), fleet()).balancer for p in (0.3, 0.01)
     )
--- a/tests/balancer/test_cold_fleet.py
+++ b/tests/balancer/test_cold_fleet.py
@@ -1,6 +1,4 @@
-"""Rule 4 over a whole fleet: what all balancers together send to a cold server, against what tips
-it.
-"""
+"""Slow start (rule 4) of a fleet: load that all balancers together put on a cold server."""
 
 from __future__ import annotations
 
@@ -38,7 +36,7 @@
 
 
 class Deployment(NamedTuple):
-    """A deployment in short: what it tells, and what machines and requests truly are like."""
+    """Settings of a deployment, and the actual properties of its machines and requests."""
 
     objectives_us: tuple[int, int]
     deadlines_us: tuple[int, int]
@@ -47,12 +45,12 @@
     work_cv: float
     work_hints: bool
     cores: int
-    speeds: tuple[float, ...]  # of each kind
+    speeds: tuple[float, ...]  # of each kind of machine
     speed_cv: float
     cold_us: int
     cold_from: float
     fall_window_us: int
-    max_requests: int  # requests that a server holds, waiting ones included
+    max_requests: int  # capacity of a server, with queued requests
     parallel: bool = True
     attempts: int = 3
 
@@ -110,9 +108,7 @@
 
 @dataclass
 class Machine:
-    """A server as it truly is. Work is served in turn by its cores; what it holds beyond that is
-    refused.
-    """
+    """A simulated server: cores serve requests in order; those beyond its capacity are refused."""
 
     spec: Server
     speed: float
@@ -122,9 +118,7 @@
 
 
 class Fleet:
-    """All balancers and cold servers of a deployment, with a request at hand wherever one may be
-    sent.
-    """
+    """All balancers and servers of a deployment, with a request for every send that is allowed."""
 
     def __init__(
         self,
@@ -140,7 +134,7 @@
         self.deployment, self.rng, self.now = deployment, random.Random(seed), START_US
         self.ids, self.sequence = itertools.count(1), itertools.count()
         self.heap: list[tuple[float, int, int, Event]] = []
-        self.request_work: dict[int, float] = {}  # of each request that was offered, its true work
+        self.request_work: dict[int, float] = {}  # actual work by request
         values: dict[str, Any] = {
             "balancers": balancers,
             "cold_us": deployment.cold_us,
@@ -205,7 +199,7 @@
         return Arrived(number, route, now + self.deployment.deadlines_us[route], work_us=hint)
 
     def train(self, b: Balancer, warm: list[Server], answers: int) -> None:
-        """A calm stretch: no queues, so that the latency is that of the machine."""
+        """Answers requests without queueing, so that latencies show the speed of the machines."""
         b.handle(START_US - 30_000_000, [ServerList(ListKind.FULL, tuple(warm))])
         for i in range(answers):
             now = START_US - 25_000_000 + i * 100_000
@@ -229,7 +223,7 @@
         return self.deployment.cold_from + (1.0 - self.deployment.cold_from) * elapsed
 
     def handle(self, n: int, events: list[Event]) -> bool:
-        """Give a balancer its events and carry out what it decides; whether it sent anything."""
+        """Gives a balancer events and applies its actions; returns whether it sent anything."""
         sent = False
         for a in self.balancers[n].handle(self.now, events):
             if isinstance(a, SetAlarm):
@@ -286,7 +280,7 @@
                         break
 
     def load_ratios(self) -> tuple[float, float]:
-        """The worst window's work over what makes a cold server fall; the mean window's over N."""
+        """Returns the peak over the load at which a server fails, and the mean over the nominal."""
         worst, means = 0.0, []
         window, mean = self.deployment.fall_window_us, sum(self.deployment.mean_work_us) / 2
         for m in self.cold:
@@ -319,7 +313,9 @@
 def test_fleet_keeps_a_cold_server_within_its_budget(
     deployment: str, balancers: int, samples: int
 ) -> None:
-    """Term 3 of the operators, under requests without end, also with all that answers can teach."""
+    """The budget holds with unlimited requests, with and without learned estimates (term 3 of the
+    operators).
+    """
     fleet = Fleet(DEPLOYMENTS[deployment], balancers, balancers, samples)
     fleet.run(3_000_000)
     assert fleet.cold[0].received
@@ -328,9 +324,7 @@
 
 @pytest.mark.parametrize("samples", [0, 150])
 def test_burst_after_idle_time_does_not_use_all_missed_send_slots(samples: int) -> None:
-    """All are restarted while a server warms, then hear of no request for ten seconds, and then of
-    many.
-    """
+    """All balancers restart while a server warms up, get no request for ten seconds, then many."""
     for seed in range(1, 5):
         fleet = Fleet(DEPLOYMENTS["split-clinic"], 200, seed, samples, known_after_us=8_000_000)
         fleet.run(12_000_000, idle_us=10_000_000)
@@ -338,9 +332,7 @@
 
 
 def test_unknown_request_work_does_not_bias_learned_speeds() -> None:
-    """Most requests are under the mean that stands for the cost of each, and a few are far over
-    it.
-    """
+    """Without hints the cost is a mean: most requests are below it and a few far above."""
     uniform = DEPLOYMENTS["bratislava-desks"]._replace(io_us=0, speeds=(1.0,), speed_cv=0.0)
     balancers = [b for seed in range(1, 6) for b in Fleet(uniform, 5, seed, 150).balancers]
     assert 0.8 < sum(2.0 ** -b.speeds.log2_slowness[0] for b in balancers) / len(balancers) < 1.25
@@ -349,8 +341,8 @@
 @pytest.mark.parametrize("work_hints", [False, True])
 @pytest.mark.parametrize("samples", [0, 2, 8])
 def test_first_pauses_account_for_expensive_request_classes(samples: int, work_hints: bool) -> None:
-    """A short class beside a long one: spread over the short one's work, the first turns all come
-    at once.
+    """With a cheap and an expensive class, pauses based on the cheap one would make all first sends
+    coincide.
     """
     deployment = DEPLOYMENTS["upisnik-zagreb"]._replace(
         objectives_us=(100_000, 2_000_000), mean_work_us=(20_000, 500_000)
--- a/tests/balancer/test_property.py
+++ b/tests/balancer/test_property.py
@@ -1,4 +1,4 @@
-"""Random legal histories against the independent checker, and the checker against broken rules."""
+"""Random valid histories against an independent rule checker, and the checker against faults."""
 
 from __future__ import annotations
 
@@ -61,9 +61,7 @@
 
 
 class RandomHistory:
-    """Plays a legal, troubled history: servers that err, hang, die, drain, restart; clients that
-    leave.
-    """
+    """Runs a valid random history: servers fail, hang, stop, drain and restart, clients leave."""
 
     def __init__(self, seed: int, parallel: bool, memory_span_us: int, failure_rate: float) -> None:
         self.rng = random.Random(seed)
--- a/tests/balancer/test_recorded_histories.py
+++ b/tests/balancer/test_recorded_histories.py
@@ -1,8 +1,8 @@
-"""The decider's actions over fixed random histories, compared with a recording.
+"""Actions of the balancer over fixed random histories, compared with a recording.
 
-The recording (`data/recorded_actions.json`) was made by the decider while it was one module, before
-it was split by concern. Equal digests show that a change of shape changes no decision. A change
-that is meant to alter decisions records anew: `python -m tests.balancer.test_recorded_histories`.
+The recording (`data/recorded_actions.json`) dates from before the balancer was split into modules.
+Equal digests show that a refactoring changes no decision. After an intended change of decisions,
+record again: `python -m tests.balancer.test_recorded_histories`.
 """
 
 from __future__ import annotations
@@ -28,11 +28,11 @@
 
 
 class RecordedHistory(RandomHistory):
-    """A random legal history that keeps a digest of every action, field by field.
+    """A random valid history that keeps a digest of every action, field by field.
 
-    Beside those of `RandomHistory` it varies the settings that only larger fleets use: many balancers, so
-    that the host window is in force, prices of zones, hints of work and of size, marked repeats,
-    late answers that have a worth, and streams.
+    Varies settings that only larger fleets use, besides those of `RandomHistory`: many balancers
+    (so that the host window is used), zone prices, hints of work and size, marked repeats, late
+    answers with a value, and streams.
     """
 
     def __init__(self, seed: int) -> None:
@@ -44,7 +44,7 @@
         )
         self.digest = hashlib.sha256()
         self.actions = 0
-        self.slows_under_load = seed % 4 >= 2  # latency grows with what is in flight
+        self.slows_under_load = seed % 4 >= 2  # latency grows with the attempts in flight
         balancers = self.rng.choice([1, 3, 40])
         servers = self.rng.choice([4, 12, 40])
         self.settings = dataclasses.replace(
--- a/tests/balancer/test_simulator_adapter.py
+++ b/tests/balancer/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The wire, through the real process."""
+"""The simulator protocol, mostly through a real process."""
 
 from __future__ import annotations
 
