--- a/roselink/balancer/interface.py
+++ b/roselink/balancer/interface.py
@@ -89,7 +89,7 @@
         _require("route.aim_us", "must be above 0", valid=self.aim_us is None or self.aim_us > 0)
         _require("route.deadline_us", "must be above 0", valid=self.deadline_us > 0)
         _require("route.worth", "must not be negative", valid=self.worth >= 0)
-        _require("route.late_worth", "must lie between 0 and 1", valid=0 <= self.late_worth <= 1)
+        _require("route.late_worth", "must be between 0 and 1", valid=0 <= self.late_worth <= 1)
         _require("route.memory_span_us", "must not be negative", valid=self.memory_span_us >= 0)
         _require("route.aim_stretch", "must not be negative", valid=self.aim_stretch >= 0)
 
@@ -158,10 +158,12 @@
         """Raises `SettingsError` for an invalid value."""
         _require("balancers", "must be at least 1", valid=self.balancers >= 1)
         _require(
-            "number", "must lie from 0 to below balancers", valid=0 <= self.number < self.balancers
+            "number",
+            "must be at least 0 and below balancers",
+            valid=0 <= self.number < self.balancers,
         )
         _require("max_attempts", "must be at least 1", valid=self.max_attempts >= 1)
-        _require("cold_from", "must lie above 0, and be 1 at most", valid=0 < self.cold_from <= 1)
+        _require("cold_from", "must be above 0 and at most 1", valid=0 < self.cold_from <= 1)
         _require("fall_multiple", "must be above 0", valid=self.fall_multiple > 0)
         _require("fall_window_us", "must be above 0", valid=self.fall_window_us > 0)
         _require("ask_within_us", "must be above 0", valid=self.ask_within_us > 0)
--- a/roselink/balancer/settings_reader.py
+++ b/roselink/balancer/settings_reader.py
@@ -79,7 +79,7 @@
 def _object(data: JsonObject, key: str) -> JsonObject:
     value = data.get(key)
     if value is not None and not isinstance(value, dict):
-        raise SettingsError(key, f"needs an object, not {value!r}")
+        raise SettingsError(key, f"must be an object, not {value!r}")
     return value or {}
 
 
@@ -88,7 +88,7 @@
     if value is None:
         return []
     if not isinstance(value, list) or not all(isinstance(item, dict) for item in value):
-        raise SettingsError(key, "needs a list of objects")
+        raise SettingsError(key, "must be a list of objects")
     return value
 
 
@@ -101,7 +101,7 @@
     if value is None:
         return default
     if not _is_integer(value):
-        raise SettingsError(f"{prefix}{key}", f"needs a whole number, not {value!r}")
+        raise SettingsError(f"{prefix}{key}", f"must be an integer, not {value!r}")
     return int(value)
 
 
@@ -116,7 +116,7 @@
         return default
     if _is_integer(value) or (isinstance(value, float) and math.isfinite(value)):
         return value  # type: ignore[no-any-return]
-    raise SettingsError(f"{prefix}{key}", f"needs a number, not {value!r}")
+    raise SettingsError(f"{prefix}{key}", f"must be a finite number, not {value!r}")
 
 
 def _choice(value: str, choices: type[Choice], field: str) -> Choice:
@@ -124,4 +124,4 @@
         return choices(value)
     except ValueError:
         known = ", ".join(str(choice.value) for choice in choices)
-        raise SettingsError(field, f"needs one of {known}, not {value!r}") from None
+        raise SettingsError(field, f"must be one of {known}, not {value!r}") from None
--- a/roselink/balancer/simulator_adapter.py
+++ b/roselink/balancer/simulator_adapter.py
@@ -74,7 +74,7 @@
 
 def _integer(value: Any) -> int:
     if type(value) is not int:
-        raise BatchError(problem=f"a whole number is needed, not {value!r}")
+        raise BatchError(problem=f"expected an integer, not {value!r}")
     return value
 
 
@@ -260,9 +260,9 @@
             BatchError: The batch is invalid.
         """
         if not isinstance(batch, dict) or type(batch.get("moment")) is not int:
-            raise BatchError(problem="a batch is an object with a whole number in 'moment'")
+            raise BatchError(problem="a batch must be an object with an integer 'moment'")
         if not isinstance(batch.get("parts"), list):
-            raise BatchError(problem="a batch holds an array in 'parts'")
+            raise BatchError(problem="a batch must have an array 'parts'")
         replies = []
         for index, entry in enumerate(batch["parts"]):
             path_element = f"parts[{index}]"
@@ -273,7 +273,7 @@
             except BatchError as error:
                 raise error.within(path_element) from None
             except (KeyError, TypeError) as error:
-                problem = f"needs 'gateway' and 'news' ({error!r})"
+                problem = f"'gateway' and 'news' are required ({error!r})"
                 raise BatchError(problem=problem, path=(path_element,)) from None
             if instance.decisions:
                 replies.append({"gateway": number, "decisions": instance.decisions})
