--- a/roselink/balancer/decider.py
+++ b/roselink/balancer/decider.py
@@ -293,8 +293,8 @@
         if not request.attempts:
             # Recent traffic bounds the tokens: the full buckets of many balancers could together
             # cause a retry storm.
-            saved = MAX_TOKENS_PER_RECENT_REQUEST * state.recent_arrivals
-            route.retry_budget.earn(TOKENS_PER_REQUEST, max(1.0, min(MAX_TOKENS, saved)))
+            max_saved = MAX_TOKENS_PER_RECENT_REQUEST * state.recent_arrivals
+            route.retry_budget.earn(TOKENS_PER_REQUEST, max(1.0, min(MAX_TOKENS, max_saved)))
         request.attempts.append(attempt)
         request.in_flight += 1
         server.in_flight += 1
--- a/roselink/balancer/load_shedding.py
+++ b/roselink/balancer/load_shedding.py
@@ -16,7 +16,7 @@
 # target. Higher reacts sooner; lower is steadier.
 SHEDDING_GAIN = 4.0
 # Least admitted fraction. Higher notices the end of an overload sooner; lower adds less to it.
-MIN_ADMITTED = 0.1
+MIN_ADMITTED_FRACTION = 0.1
 
 
 class LoadShedder:
@@ -34,4 +34,6 @@
         """Updates the fraction from one outcome: 1 if it was in time, else 0."""
         step = SHEDDING_GAIN / max(1.0 / EWMA_WEIGHT, self._state.recent_arrivals)
         change = (value - IN_TIME_TARGET) * step
-        self.admitted_fraction = min(1.0, max(MIN_ADMITTED, self.admitted_fraction + change))
+        self.admitted_fraction = min(
+            1.0, max(MIN_ADMITTED_FRACTION, self.admitted_fraction + change)
+        )
--- a/roselink/balancer/outlier_ejection.py
+++ b/roselink/balancer/outlier_ejection.py
@@ -34,6 +34,6 @@
     ejection_us = int(base_us * min(MAX_EJECTION_MULTIPLE, 2**server.ejections))
     server.ejections += 1
     server.ejected_until_us = state.now_us + ejection_us
-    server.observed_us = server.ejected_until_us
+    server.last_outcome_us = server.ejected_until_us
     server.payoff = INITIAL_PAYOFF
     return Log(f"eject server={server.spec.id} for_ms={ejection_us // 1000}")
--- a/roselink/balancer/payoff.py
+++ b/roselink/balancer/payoff.py
@@ -25,7 +25,7 @@
 
     def freshness(self, server: ServerState) -> float:
         """Weight that the last outcome of a server still has, between 0 and 1."""
-        age_us = self._state.now_us - server.observed_us
+        age_us = self._state.now_us - server.last_outcome_us
         return math.exp(-max(0, age_us) / self._state.decay_time_us)
 
     def payoff(self, server: ServerState) -> float:
@@ -37,5 +37,5 @@
         previous = self.payoff(server)
         weight = max(EWMA_WEIGHT, 1.0 - self.freshness(server))
         server.payoff = previous + (value - previous) * weight
-        server.observed_us = self._state.now_us
+        server.last_outcome_us = self._state.now_us
         self.mean += (value - self.mean) * EWMA_WEIGHT
--- a/roselink/balancer/server_state.py
+++ b/roselink/balancer/server_state.py
@@ -25,7 +25,7 @@
         self.in_flight = 0
         self.overdue = 0
         # Time of the last outcome.
-        self.observed_us = 0
+        self.last_outcome_us = 0
         # Outlier ejections in a row, and the end of the latest.
         self.ejections = 0
         self.ejected_until_us = 0
--- a/roselink/balancer/server_table.py
+++ b/roselink/balancer/server_table.py
@@ -41,12 +41,12 @@
     def _update_server(self, spec: Server) -> None:
         """Applies one entry; a server that has restarted gets a new state."""
         servers = self._state.servers
-        known = servers.get(spec.id)
+        existing = servers.get(spec.id)
         self._speeds.add(spec.kind)
         if spec.state is State.GONE:
             servers.pop(spec.id, None)
-        elif known is None or (spec.started_us or 0) > (known.spec.started_us or 0):
+        elif existing is None or (spec.started_us or 0) > (existing.spec.started_us or 0):
             servers[spec.id] = ServerState(spec)
             self._slow_start.start(servers[spec.id])
         else:
-            known.spec = spec
+            existing.spec = spec
--- a/tests/balancer/test_balance.py
+++ b/tests/balancer/test_balance.py
@@ -35,7 +35,7 @@
     State,
     Watch,
 )
-from roselink.balancer.load_shedding import MIN_ADMITTED
+from roselink.balancer.load_shedding import MIN_ADMITTED_FRACTION
 from roselink.balancer.server_state import INITIAL_PAYOFF
 from roselink.routing.latency_tracker import LatencyTracker
 from roselink.routing.outcome import Outcome
@@ -133,9 +133,8 @@
     attempts = sum(map(len, harness.sends.values()))
     harness.pass_time(2_000_000)
     assert not harness.balancer.requests
-    assert (
-        len(harness.sends) >= 400 * MIN_ADMITTED / 2
-    )  # ejected servers are used when none is available
+    # Ejected servers are used when none is available.
+    assert len(harness.sends) >= 400 * MIN_ADMITTED_FRACTION / 2
     assert attempts <= len(harness.sends) * (1 + TOKENS_PER_REQUEST) + 2
 
 
@@ -551,7 +550,7 @@
     server = balancer.state.candidates[0]
     for _ in range(20):
         balancer.record_outcome(server, 0.0)
-    assert balancer.shedder.admitted_fraction == MIN_ADMITTED
+    assert balancer.shedder.admitted_fraction == MIN_ADMITTED_FRACTION
     for _ in range(20):
         balancer.record_outcome(server, 1.0)
     assert balancer.shedder.admitted_fraction == 1.0
@@ -596,7 +595,7 @@
     candidates = harness.balancer.state.candidates
     here, there = (next(s for s in candidates if s.spec.zone == zone) for zone in (0, 1))
     assert harness.balancer.chooser.score(here) > harness.balancer.chooser.score(there)
-    here.payoff, here.observed_us = 0.3, harness.now
+    here.payoff, here.last_outcome_us = 0.3, harness.now
     assert harness.balancer.chooser.score(here) < harness.balancer.chooser.score(there)
 
 
