--- a/roselink/balancer/request_state.py
+++ b/roselink/balancer/request_state.py
@@ -94,7 +94,7 @@
         )
         self.attempts: list[Attempt] = []
         self.in_flight = 0
-        # Retry groups that have ended without an answer.
+        # Retry groups (an attempt and its hedge) that have ended without an answer.
         self.retry_groups = 0
         self.closed = False
 
--- a/roselink/balancer/server_state.py
+++ b/roselink/balancer/server_state.py
@@ -24,7 +24,7 @@
         # Attempts of this balancer in flight, and how many of them are overdue.
         self.in_flight = 0
         self.overdue = 0
-        # Time of the last outcome.
+        # Time of the last outcome, or the end of an ejection after it.
         self.last_outcome_us = 0
         # Outlier ejections in a row, and the end of the latest.
         self.ejections = 0
