--- a/roselink/balancer/host_choice.py
+++ b/roselink/balancer/host_choice.py
@@ -1,16 +1,16 @@
-"""Host choice: the better of two random servers, among those that may have the request."""
+"""Host choice: the better of two random servers that may take the request."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from roselink.balancer.host_window import LOCAL_FRACTION, window
+from roselink.balancer.host_window import LOCAL_FRACTION, candidate_window
 from roselink.balancer.interface import Effect, State
 from roselink.balancer.outcome_classifier import may_repeat_at
 
 if TYPE_CHECKING:
     from roselink.balancer.concurrency_limit import ConcurrencyLimit
-    from roselink.balancer.host_window import BlockingLanes
+    from roselink.balancer.host_window import LongRequestPartition
     from roselink.balancer.interface import Route, Settings
     from roselink.balancer.payoff import PayoffEstimator
     from roselink.balancer.request_state import Request
@@ -18,7 +18,8 @@
     from roselink.balancer.slow_start import SlowStart
     from roselink.balancer.state import BalancerState
 
-# Fraction of choices that take the lower-scored of the two drawn.
+# Fraction of choices that take the lower-scored server. Higher keeps payoffs fresher; lower sends
+# fewer requests to worse servers.
 EXPLORATION_FRACTION = 0.05
 
 
@@ -36,48 +37,52 @@
         payoffs: PayoffEstimator,
         slow_start: SlowStart,
         limit: ConcurrencyLimit,
-        lanes: BlockingLanes,
+        partition: LongRequestPartition,
     ) -> None:
-        """Reads the balancer's state and what each concern has learned; keeps none of its own."""
+        """Reads the state of the balancer and of its modules; keeps none of its own."""
         self._state = state
         self._payoffs = payoffs
         self._speeds = slow_start.speeds
         self._slow_start = slow_start
         self._limit = limit
-        self._lanes = lanes
+        self._partition = partition
 
     def choose(self, request: Request) -> ServerState | None:
-        """The server for the next attempt; None while none may have it.
+        """Returns the server for the next attempt; None while none may take it.
 
-        Of two drawn the one with the higher payoff / (1 + in flight) wins, and now and then the
-        lower, so that its record stays fresh ("The Power of Two Choices in Randomized Load
+        Of two random servers the one with the higher payoff / (1 + in flight) is taken, at times
+        the lower, so that its payoff stays fresh ("The Power of Two Choices in Randomized Load
         Balancing", Mitzenmacher 2001).
         """
         state = self._state
-        # A turn unused is lost to all: guards against a fleet left cold by a deploy.
+        # Cold servers first: a send slot not used is lost, and a deploy would leave a fleet cold.
         for server in state.cold:
             if (
                 self._slow_start.is_cold(server)
                 and server.is_available(state.now_us)
-                and self._is_open(request, server)
+                and self._can_send(request, server)
             ):
                 return server
-        near = window(state)
-        # In a window there are no lanes: only a full view shows the blocking fraction of the work.
-        lane = state.candidates if near else self._lanes.lane(request.route)
-        fraction = 1.0 if near else LOCAL_FRACTION
-        local = [server for server in near or lane if server.spec.zone == state.settings.zone]
-        pool = near or local
-        first = self._draw(request, local, fraction) or self._draw(request, pool, fraction)
+        window = candidate_window(state)
+        # No partition in a window: only a full view shows the fraction of long-running work.
+        partition = state.candidates if window else self._partition.servers_for(request.route)
+        limit_fraction = 1.0 if window else LOCAL_FRACTION
+        local = [
+            server for server in window or partition if server.spec.zone == state.settings.zone
+        ]
+        pool = window or local
+        first = self._draw(request, local, limit_fraction) or self._draw(
+            request, pool, limit_fraction
+        )
         if not first:
-            pool = lane
-            fraction = 1.0
-            # Guards against ejecting a whole fleet.
-            panic = not any(server.is_available(state.now_us) for server in lane)
-            first = self._draw(request, lane, panic=panic)
+            pool = partition
+            limit_fraction = 1.0
+            # Ejected servers are used when no server is available, as in a fleet ejected entirely.
+            panic = not any(server.is_available(state.now_us) for server in partition)
+            first = self._draw(request, partition, panic=panic)
             if not first:
                 return None
-        second = self._draw(request, pool, fraction, other=first) or first
+        second = self._draw(request, pool, limit_fraction, excluded=first) or first
         if self.score(first) >= self.score(second):
             better = first
             worse = second
@@ -87,14 +92,14 @@
         return worse if state.random.random() < EXPLORATION_FRACTION else better
 
     def score(self, server: ServerState) -> float:
-        """Payoff less the price of crossing zones, discounted by what is in flight."""
+        """Payoff minus the cross-zone price, divided by the load of attempts in flight."""
         settings = self._state.settings
-        crossing = settings.price_cross_zone * (server.spec.zone != settings.zone)
-        load = 1.0 + server.in_flight / max(1.0, self._limit.share)
-        return (self._payoffs.payoff(server) - crossing) / load
+        cross_zone_price = settings.price_cross_zone * (server.spec.zone != settings.zone)
+        load = 1.0 + server.in_flight / max(1.0, self._limit.server_limit)
+        return (self._payoffs.payoff(server) - cross_zone_price) / load
 
     def may_send(self, request: Request, server: ServerState) -> bool:
-        """The one gate before every send: rule 2, then 3, then 4."""
+        """Checks rules 2, 3 and 4 before every send."""
         settings = self._state.settings
         if request.closed or len(request.attempts) >= settings.max_attempts:
             return False
@@ -109,37 +114,37 @@
         self,
         request: Request,
         pool: list[ServerState],
-        fraction: float = 1.0,
+        limit_fraction: float = 1.0,
         *,
-        other: ServerState | None = None,
+        excluded: ServerState | None = None,
         panic: bool = False,
     ) -> ServerState | None:
-        """The first open server from a random position on.
+        """Returns the first server, from a random position on, that can take the request.
 
-        One that had an attempt of the request counts only where there is no other server. `panic`
-        draws ejected ones as well.
+        A server that had an attempt of the request counts only if it is the only server. `panic`
+        includes ejected servers.
         """
         state = self._state
         count = len(pool)
         tried = [attempt.server for attempt in request.attempts]
         start = int(state.random.random() * count)
         if len(self._speeds.log2_slowness) > 1 and 0 < count < len(state.candidates):
-            # Drawn by the speed of its kind: in a window too few are in flight for the discount in
-            # the score to show it.
+            # Weighted by the speed of the kind of machine: a window has too few attempts in flight
+            # for the score to show it.
             weights = [self._speeds.speed(server.spec.kind) for server in pool]
             start = state.random.choices(range(count), weights)[0]
         for index in range(start, start + count):
             server = pool[index % count]
             untried = server not in tried or (len(state.candidates) == 1 and not request.in_flight)
             if (
-                server is not other
+                server is not excluded
                 and untried
                 and (panic or server.is_available(state.now_us))
-                and self._is_open(request, server, fraction)
+                and self._can_send(request, server, limit_fraction)
             ):
                 return server
         return None
 
-    def _is_open(self, request: Request, server: ServerState, fraction: float = 1.0) -> bool:
-        """Whether limit and gate allow a send now."""
-        return self._limit.allows(server, fraction) and self.may_send(request, server)
+    def _can_send(self, request: Request, server: ServerState, limit_fraction: float = 1.0) -> bool:
+        """Whether the concurrency limit and `may_send` allow a send now."""
+        return self._limit.allows(server, limit_fraction) and self.may_send(request, server)
