--- a/roselink/dataplane/admission.py
+++ b/roselink/dataplane/admission.py
@@ -17,17 +17,17 @@
 
 DEFAULT_DEADLINE_S = 30.0
 # Before the client's deadline by this much the last word is said: room for the way to the client.
-MARGIN_S = 0.030
+DEADLINE_MARGIN_S = 0.030
 # Of the time that a client in a hurry gives: the margin shrinks to fit into that.
-MARGIN_FRACTION = 0.25
+DEADLINE_MARGIN_FRACTION = 0.25
 # Configuration, keys or places are missing here: other gateways have them.
 NOT_CONFIRMED_RETRY_S = 0.25
 # From a start to a list of hosts after a loss of all, about (docs/policy.md).
 UNCONFIGURED_RETRY_S = 1.2
 # Part of it, either way.
-UNCONFIGURED_SPREAD = 0.4
+UNCONFIGURED_RETRY_JITTER = 0.4
 # Clients wait a third of the time they have left, and not longer.
-CLIENT_FRACTION = 0.3
+CLIENT_DEADLINE_FRACTION = 0.3
 
 
 class Refusal(NamedTuple):
@@ -50,19 +50,19 @@
 NOT_CONFIRMED = Refusal(503, NOT_CONFIRMED_RETRY_S)
 
 
-def unconfigured_retry_s(request: ProxyRequest, chance: float) -> float:
-    """When a client is to come back to a gateway that was never configured, in seconds.
+def unconfigured_retry_s(request: ProxyRequest, random_value: float) -> float:
+    """Return the retry delay, in seconds, for a client of a gateway without a configuration.
 
-    Most likely many gateways start, and the others are no better off. A client that comes back
-    before there are hosts is refused again, and few come a third time; one that comes later than it
-    had to loses little. `chance` is drawn from 0 to 1, so that those who were refused together come
-    back apart.
+    Usually many gateways are starting at the same time, so another gateway would not help. A client
+    that retries before hosts are known is refused again, and few clients retry a second time; a
+    client that retries later than necessary loses little. `random_value`, from 0 to 1, spreads the
+    retries of clients that were refused together.
     """
-    retry_s = UNCONFIGURED_RETRY_S * (1 + UNCONFIGURED_SPREAD * (2 * chance - 1))
+    retry_s = UNCONFIGURED_RETRY_S * (1 + UNCONFIGURED_RETRY_JITTER * (2 * random_value - 1))
     return (
         retry_s
         if request.deadline_s is None
-        else min(retry_s, CLIENT_FRACTION * request.deadline_s)
+        else min(retry_s, CLIENT_DEADLINE_FRACTION * request.deadline_s)
     )
 
 
@@ -79,7 +79,7 @@
     entry = table.find(request.host, request.path)
     if entry is None:
         return Refusal(404) if keys_usable else NOT_CONFIRMED
-    if not table.keyed or entry.route.public:
+    if not table.requires_keys or entry.route.public:
         return Admitted(entry, None)
     if not keys_usable:
         return NOT_CONFIRMED
@@ -93,9 +93,11 @@
     return min(allowed_s, route.timeout_ms / 1000) if route.timeout_ms > 0 else allowed_s
 
 
-def give_up_time(since: float, expires_at: float) -> float:
+def give_up_time(received_at: float, expires_at: float) -> float:
     """When the last word is said."""
-    return expires_at - min(MARGIN_S, MARGIN_FRACTION * max(0.0, expires_at - since))
+    return expires_at - min(
+        DEADLINE_MARGIN_S, DEADLINE_MARGIN_FRACTION * max(0.0, expires_at - received_at)
+    )
 
 
 def quota_cost(request: ProxyRequest, tenant: Tenant) -> float:
@@ -116,7 +118,7 @@
         service=exchange.service,
         repeatable=route.repeatable,
         streaming=exchange.streaming,
-        arrived_at=request.since,
+        arrived_at=request.received_at,
         deadline=exchange.give_up_at,
         target_latency_s=route.target_latency_ms / 1000,
         max_attempts=route.max_attempts,
--- a/roselink/dataplane/attempt_runner.py
+++ b/roselink/dataplane/attempt_runner.py
@@ -20,7 +20,7 @@
     from roselink.dataplane.fleet_host_pool import FleetHost, FleetHostPool
 
 # Hosts get so much less: what they send at their deadline is still relayed.
-HOST_MARGIN_MS = 5
+HOST_DEADLINE_MARGIN_MS = 5
 # An attempt that nothing else has ended ends so long after its request's deadline.
 TIMEOUT_AFTER_DEADLINE_S = 1.0
 
@@ -85,7 +85,7 @@
             exchange.expires_at + TIMEOUT_AFTER_DEADLINE_S - now,
             response,
             partial(self._still_wanted, exchange),
-            single_run=not exchange.route.repeatable,
+            non_repeatable=not exchange.route.repeatable,
         )
         exchange.attempts[action.attempt] = response
         self._owner.counts["resumed" if resume else "attempts"] += 1
@@ -108,16 +108,22 @@
         What may run once only is never sent while another attempt of it may have run, whatever the
         decider says.
         """
-        once = not exchange.route.repeatable
-        return not (once and exchange.may_run) and self._owner.still_wanted(exchange)
+        non_repeatable = not exchange.route.repeatable
+        return not (non_repeatable and exchange.may_run) and self._owner.still_wanted(exchange)
 
     def _render(self, exchange: Exchange, host: FleetHost, *, resume: bool) -> bytes:
         """The request as a host gets it now."""
-        left_ms = max(1, int((exchange.give_up_at - self._loop.time()) * 1000) - HOST_MARGIN_MS)
-        last = exchange.request.last_event_id
+        remaining_ms = max(
+            1, int((exchange.give_up_at - self._loop.time()) * 1000) - HOST_DEADLINE_MARGIN_MS
+        )
+        last_event_id = exchange.request.last_event_id
         if resume:
-            last = b"%d" % (exchange.progress.last_id or 0)
-        return exchange.common_head + attempt_head(host.name, left_ms, last) + exchange.request.body
+            last_event_id = b"%d" % (exchange.progress.last_id or 0)
+        return (
+            exchange.common_head
+            + attempt_head(host.name, remaining_ms, last_event_id)
+            + exchange.request.body
+        )
 
     def _first_event(self, response: AttemptResponse) -> None:
         self._owner.handle_event(FirstEvent(response.exchange.number, response.number))
--- a/roselink/dataplane/client_connection.py
+++ b/roselink/dataplane/client_connection.py
@@ -19,7 +19,7 @@
 log = logging.getLogger("roselink.dataplane")
 
 # Statuses whose responses have no body (RFC 9110, sections 15.3.5 and 15.4.5).
-BODILESS = (204, 304)
+STATUSES_WITHOUT_BODY = (204, 304)
 
 
 class FleetClientConnection(ServerConnection):
@@ -30,21 +30,21 @@
         super().__init__(server)
         self._owner = server
         self._exchange: Exchange | None = None
-        self._version = "1.1"
-        self._head_only = self._chunked = self._kept = False
-        self._unwritten = b""
+        self._http_version = "1.1"
+        self._head_only = self._chunked = self._keeps_connection = False
+        self._pending_head = b""
 
     def _client_left(self) -> None:
         if self._exchange is not None:
             exchange = self._exchange
             self._exchange = None
-            self._owner.driver.client_left(exchange)
+            self._owner.driver.client_disconnected(exchange)
 
     def resume_writing(self) -> None:
         """Note that the kernel has the last byte (asyncio)."""
         super().resume_writing()
         if self._exchange is not None:
-            self._exchange.client_ready()
+            self._exchange.client_writable()
 
     def on_headers_complete(self) -> None:
         """The head is complete (parser)."""
@@ -70,11 +70,11 @@
         if not isinstance(request, ProxyRequest):
             log.info("request_invalid status=%d why=%s", pending.status, pending.why)
             self._head_only = False
-            self._version = "1.1"
+            self._http_version = "1.1"
             self.send_status(pending.status)
             return
         self._head_only = request.method == b"HEAD"
-        self._version = request.version
+        self._http_version = request.version
         if self._owner.is_overloaded():
             self.send_status(503, NOT_CONFIRMED_RETRY_S)
             return
@@ -101,14 +101,16 @@
 
     def send_complete(self, status: int, headers: Headers, body: bytes) -> None:
         """One complete response."""
-        bare = self._head_only or status in BODILESS
-        head = self._head_of(status, headers, [] if bare else [b"Content-Length: %d" % len(body)])
-        self._write(head if bare else head + body)
-        self._end()
+        without_body = self._head_only or status in STATUSES_WITHOUT_BODY
+        head = self._render_head(
+            status, headers, [] if without_body else [b"Content-Length: %d" % len(body)]
+        )
+        self._write(head if without_body else head + body)
+        self._finish_response()
 
     def send_head(self, status: int, headers: Headers, length: int | None) -> None:
         """Begin a response in pieces; without a stated length it is chunked."""
-        self._chunked = length is None and self._version != "1.0"
+        self._chunked = length is None and self._http_version != "1.0"
         if length is not None:
             framing = [b"Content-Length: %d" % length]
         elif self._chunked:
@@ -117,20 +119,22 @@
             # the end of the connection is that of the response
             framing = []
             self._keep_alive = False
-        self._unwritten = self._head_of(status, headers, framing)  # goes out with the first part
+        self._pending_head = self._render_head(
+            status, headers, framing
+        )  # goes out with the first part
 
-    def send_piece(self, data: bytes) -> None:
+    def send_body(self, data: bytes) -> None:
         """Bytes of the body, now."""
-        head = self._unwritten
-        self._unwritten = b""
+        head = self._pending_head
+        self._pending_head = b""
         self._write(head + (b"%x\r\n%b\r\n" % (len(data), data) if self._chunked else data))
 
     def send_end(self) -> None:
         """The body is complete."""
-        head = self._unwritten
-        self._unwritten = b""
+        head = self._pending_head
+        self._pending_head = b""
         self._write(head + (b"0\r\n\r\n" if self._chunked else b""))
-        self._end()
+        self._finish_response()
 
     def abort_response(self) -> None:
         """End the connection so that the response does not look complete."""
@@ -140,18 +144,18 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.abort()
 
-    def is_backed_up(self) -> bool:
+    def is_write_paused(self) -> bool:
         """Whether parts pile up, as the client does not take them."""
         return self._writing_paused
 
-    def _head_of(self, status: int, headers: Headers, framing: list[bytes]) -> bytes:
-        self._kept = self._may_keep_alive()
+    def _render_head(self, status: int, headers: Headers, framing: list[bytes]) -> bytes:
+        self._keeps_connection = self._may_keep_alive()
         lines = [b"HTTP/1.1 %d %b" % (status, REASON_PHRASES.get(status, b""))]
         lines += [b"%b: %b" % header for header in headers]
         lines += framing
-        lines.append(b"Connection: keep-alive" if self._kept else b"Connection: close")
+        lines.append(b"Connection: keep-alive" if self._keeps_connection else b"Connection: close")
         return b"\r\n".join(lines) + b"\r\n\r\n"
 
-    def _end(self) -> None:
+    def _finish_response(self) -> None:
         self._exchange = None
-        self._response_finished(keep=self._kept)
+        self._response_finished(keep=self._keeps_connection)
--- a/roselink/dataplane/client_server.py
+++ b/roselink/dataplane/client_server.py
@@ -18,13 +18,13 @@
     from roselink.http.server_connection import ServerConnection
 
 # For a body to be complete, behind the head's own time.
-BODY_S = 10.0
+BODY_TIMEOUT_S = 10.0
 # For a client to take what waits for it.
-UNREAD_S = 10.0
+UNREAD_RESPONSE_TIMEOUT_S = 10.0
 # Connections stay idle here for so much longer than the configuration states.
-IDLE_OVER_S = 1.0
+IDLE_TIMEOUT_SLACK_S = 1.0
 # Bytes of the bodies of all open requests.
-BODIES_LIMIT = 64 * 1024 * 1024
+OPEN_BODIES_LIMIT_BYTES = 64 * 1024 * 1024
 
 
 class FleetServer(HttpServer):
@@ -35,16 +35,16 @@
         loop: asyncio.AbstractEventLoop,
         driver: DecisionDriver,
         descriptors: Descriptors,
-        make_room: Callable[[], bool],
+        drop_idle_connection: Callable[[], bool],
     ) -> None:
         """Start with the default limits, until a configuration states others."""
         self.driver = driver
         self._limits: tuple[Limits, ...] = (Limits(),)  # the latest last
         self._limits_are_configured = False  # whether they are a configuration's
-        super().__init__(loop, descriptors, make_room, _sizes(0, 0))
-        self._apply()
+        super().__init__(loop, descriptors, drop_idle_connection, _size_limits(0, 0))
+        self._update_limits()
 
-    def limit(self, limits: Limits) -> None:
+    def apply_limits(self, limits: Limits) -> None:
         """Apply a configuration's limits.
 
         Those before hold on where they allow more: clients that do not know the new ones yet, or
@@ -52,21 +52,26 @@
         """
         if limits != self._limits[-1]:
             self._limits = (self._limits[-1], limits) if self._limits_are_configured else (limits,)
-            self._apply()
+            self._update_limits()
         self._limits_are_configured = True
 
-    def _apply(self) -> None:
-        self.size_limits = _sizes(
+    def _update_limits(self) -> None:
+        self.size_limits = _size_limits(
             max(limits.max_header_bytes for limits in self._limits),
             max(limits.max_body_bytes for limits in self._limits),
         )
         head_s = max(limits.header_timeout_ms for limits in self._limits) / 1000
         idle_s = max(limits.idle_timeout_ms for limits in self._limits) / 1000
-        self._times = TimeLimits(head_s, head_s + BODY_S, UNREAD_S, (idle_s + IDLE_OVER_S,))
+        self._time_limits = TimeLimits(
+            head_s,
+            head_s + BODY_TIMEOUT_S,
+            UNREAD_RESPONSE_TIMEOUT_S,
+            (idle_s + IDLE_TIMEOUT_SLACK_S,),
+        )
 
     def time_limits(self) -> TimeLimits:
         """How long clients may take, as it is in force now."""
-        return self._times
+        return self._time_limits
 
     def make_connection(self) -> ServerConnection:
         """A new client connection."""
@@ -74,8 +79,8 @@
 
     def is_overloaded(self) -> bool:
         """Whether there is no room to serve one more request."""
-        return super().is_overloaded() or self.driver.body_bytes > BODIES_LIMIT
+        return super().is_overloaded() or self.driver.body_bytes > OPEN_BODIES_LIMIT_BYTES
 
 
-def _sizes(head: int, body: int) -> SizeLimits:
+def _size_limits(head: int, body: int) -> SizeLimits:
     return SizeLimits(head, body, head + 4 * body)
--- a/roselink/dataplane/decision_driver.py
+++ b/roselink/dataplane/decision_driver.py
@@ -80,7 +80,7 @@
         self._quotas = quotas
         self._budget = budget
         self._random = random.Random(seed)
-        self._numbers = itertools.count(1)
+        self._request_numbers = itertools.count(1)
         self._queue = EventQueue(loop, decider, self._perform, self._fail)
         # While draining: when all must have their response.
         self._drain_ends_at: float | None = None
@@ -124,13 +124,13 @@
         if self.route_table is None:
             self._refuse(client, 503, unconfigured_retry_s(request, self._random.random()))
             return None
-        verdict = decide_admission(
+        admission = decide_admission(
             self.route_table, request, keys_usable=self._authority.may_use_keys()
         )
-        if isinstance(verdict, Refusal):
-            self._refuse(client, *verdict)
+        if isinstance(admission, Refusal):
+            self._refuse(client, *admission)
             return None
-        return self._open(request, verdict, client)
+        return self._open(request, admission, client)
 
     def _refuse(
         self, client: ClientResponse, status: int, retry_after_s: float | None = None
@@ -144,12 +144,12 @@
         entry, tenant = admitted
         route = entry.route
         exchange = Exchange(request, route, tenant, host_head(request, route, tenant), client)
-        exchange.number = next(self._numbers)
-        exchange.service = entry.draw(self._random)
-        exchange.expires_at = request.since + time_limit_s(request, route)
+        exchange.number = next(self._request_numbers)
+        exchange.service = entry.choose_service(self._random)
+        exchange.expires_at = request.received_at + time_limit_s(request, route)
         if self._drain_ends_at is not None:
             exchange.expires_at = min(exchange.expires_at, self._drain_ends_at)
-        exchange.give_up_at = give_up_time(request.since, exchange.expires_at)
+        exchange.give_up_at = give_up_time(request.received_at, exchange.expires_at)
         if exchange.give_up_at <= self._loop.time():
             self._refuse(client, 503, 0.0)
             return None
@@ -183,7 +183,7 @@
         exchange.quota_charged = exchange.tenant is not None and exchange.tenant.rate_per_s > 0
         self.handle_event(RequestArrived(exchange.facts))
 
-    def client_left(self, exchange: Exchange) -> None:
+    def client_disconnected(self, exchange: Exchange) -> None:
         """The client has gone."""
         if not exchange.closed:
             self.counts["departed"] += 1
@@ -195,15 +195,15 @@
         for exchange in self.open_requests.values():
             if exchange.expires_at > ends_at:
                 exchange.expires_at = ends_at
-                exchange.give_up_at = give_up_time(exchange.request.since, ends_at)
+                exchange.give_up_at = give_up_time(exchange.request.received_at, ends_at)
                 self._set_deadline_timer(exchange, exchange.give_up_at)
 
     # Time.
 
-    def _set_deadline_timer(self, exchange: Exchange, at: float) -> None:
+    def _set_deadline_timer(self, exchange: Exchange, time: float) -> None:
         if exchange.deadline_timer is not None:
             exchange.deadline_timer.cancel()
-        exchange.deadline_timer = self._loop.call_at(at, self._deadline_reached, exchange)
+        exchange.deadline_timer = self._loop.call_at(time, self._deadline_reached, exchange)
 
     def _deadline_reached(self, exchange: Exchange) -> None:
         """Time out the attempts and end the request.
@@ -263,7 +263,7 @@
         if exchange.closed:
             return False
         if exchange.client.has_left():
-            self.client_left(exchange)
+            self.client_disconnected(exchange)
             return False
         if exchange.tenant is not None and not self._key_is_valid(exchange):
             exchange.key_rejected = True
--- a/roselink/dataplane/event_streams.py
+++ b/roselink/dataplane/event_streams.py
@@ -8,12 +8,12 @@
 import re
 from typing import NamedTuple
 
-_END = re.compile(rb"\n\r?\n")
+_EVENT_END = re.compile(rb"\n\r?\n")
 _ID = re.compile(rb"^id:[ ]?(\d{1,18})\r?$", re.MULTILINE)
 # A line that is no comment.
 _FIELD = re.compile(rb"^[^:\r\n]", re.MULTILINE)
 # Bytes of an end that may have come before.
-_END_OVERLAP = 2
+_EVENT_END_OVERLAP = 2
 
 
 class StreamEvent(NamedTuple):
@@ -44,13 +44,13 @@
 
     def feed(self, data: bytes) -> list[StreamEvent]:
         """The events that `data` completes."""
-        looked = max(0, len(self.remainder) - _END_OVERLAP)
+        search_from = max(0, len(self.remainder) - _EVENT_END_OVERLAP)
         buffer = self.remainder + data
         events = []
         start = 0
-        while found := _END.search(buffer, looked):
+        while found := _EVENT_END.search(buffer, search_from):
             events.append(read_event(buffer[start : found.end()]))
-            start = looked = found.end()
+            start = search_from = found.end()
         self.remainder = buffer[start:]
         return events
 
@@ -61,8 +61,8 @@
     def __init__(self, resume_from: int = 0) -> None:
         """`resume_from`: the client's own `Last-Event-Id`, 0 without one."""
         self.last_id: int | None = None
-        self._before = resume_from
-        self._widest_step = 0  # the widest step from one id to the next
+        self._resume_from = resume_from
+        self._max_id_increment = 0  # the widest step from one id to the next
         # An event without id went on behind the last one with an id.
         self._has_event_without_id = False
 
@@ -76,14 +76,14 @@
         if event.id is None:
             self._has_event_without_id = self._has_event_without_id or not event.comment
             return
-        before = self._before if self.last_id is None else self.last_id
-        self._widest_step = max(self._widest_step, event.id - before)
+        previous_id = self._resume_from if self.last_id is None else self.last_id
+        self._max_id_increment = max(self._max_id_increment, event.id - previous_id)
         self.last_id = event.id
         self._has_event_without_id = False
 
     def leaves_gap(self, event_id: int) -> bool:
         """Whether an event that is next in a resumed stream leaves some out."""
-        return self.last_id is not None and event_id > self.last_id + max(1, self._widest_step)
+        return self.last_id is not None and event_id > self.last_id + max(1, self._max_id_increment)
 
 
 class StreamFilter:
@@ -98,20 +98,22 @@
         self._progress = progress
         self._resumed = resumed
         self._splitter = EventSplitter()
-        self._repeating = False  # in a resumed stream: behind an event that the client has
-        self._joined = not resumed  # its first new event has gone on
-        self._waiting: list[bytes] = []  # comments ahead of the first event
+        self._skipping_known_events = (
+            False  # in a resumed stream: behind an event that the client has
+        )
+        self._has_relayed_new_event = not resumed  # its first new event has gone on
+        self._pending_comments: list[bytes] = []  # comments ahead of the first event
         self.gap = False
         self.relayed_content = False  # an event with content went on
 
     @property
     def buffered_bytes(self) -> int:
         """Bytes that wait for the rest of their event."""
-        return len(self._splitter.remainder) + sum(map(len, self._waiting))
+        return len(self._splitter.remainder) + sum(map(len, self._pending_comments))
 
     def feed(self, data: bytes) -> bytes:
         """The complete events in `data` that go on now. Comments wait for the first event."""
-        out = self._waiting
+        relayed = self._pending_comments
         for event in self._splitter.feed(data):
             if not self._is_relayed(event):
                 if self.gap:
@@ -119,16 +121,16 @@
                 continue
             self._progress.record_relayed(event)
             self.relayed_content = self.relayed_content or not event.comment
-            out.append(event.data)
+            relayed.append(event.data)
         if not self.relayed_content:
             return b""
-        self._waiting = []
-        return b"".join(out)
+        self._pending_comments = []
+        return b"".join(relayed)
 
     def finish(self) -> bytes:
         """What is left at the proper end of the body."""
-        rest = b"" if self._repeating or self.gap else self._splitter.remainder
-        return b"".join(self._waiting) + rest
+        rest = b"" if self._skipping_known_events or self.gap else self._splitter.remainder
+        return b"".join(self._pending_comments) + rest
 
     @property
     def ends_within_event(self) -> bool:
@@ -139,13 +141,15 @@
         if not self._resumed:
             return True
         if event.id is None:
-            return not self._repeating and (self._joined or not event.comment)
-        last = self._progress.last_id
-        self._repeating = last is not None and event.id <= last
-        if self._repeating:
+            return not self._skipping_known_events and (
+                self._has_relayed_new_event or not event.comment
+            )
+        last_id = self._progress.last_id
+        self._skipping_known_events = last_id is not None and event.id <= last_id
+        if self._skipping_known_events:
             return False
-        if not self._joined and self._progress.leaves_gap(event.id):
+        if not self._has_relayed_new_event and self._progress.leaves_gap(event.id):
             self.gap = True
             return False
-        self._joined = True
+        self._has_relayed_new_event = True
         return True
--- a/roselink/dataplane/exchange.py
+++ b/roselink/dataplane/exchange.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING, NamedTuple, Protocol
 
 from roselink.dataplane.event_streams import StreamFilter, StreamProgress
-from roselink.dataplane.fleet_host_connection import PROMISES, FleetAttempt, outcome_of
+from roselink.dataplane.fleet_host_connection import NOT_EXECUTED_STATUSES, FleetAttempt, outcome_of
 from roselink.dataplane.proxy_request import Headers, ProxyRequest, relayed_headers
 from roselink.http.status_codes import is_success
 from roselink.model.configuration import Route, RouteKind, Tenant
@@ -46,7 +46,7 @@
         """Begin a response in pieces; `length` in bytes, None if unknown."""
         ...
 
-    def send_piece(self, data: bytes) -> None:
+    def send_body(self, data: bytes) -> None:
         """Send bytes of the body."""
         ...
 
@@ -62,7 +62,7 @@
         """Whether the client has left, though the loop has not told so yet."""
         ...
 
-    def is_backed_up(self) -> bool:
+    def is_write_paused(self) -> bool:
         """Whether parts pile up, as the client does not take them."""
         ...
 
@@ -94,14 +94,14 @@
         request: ProxyRequest,
         route: Route,
         tenant: Tenant | None,
-        base: bytes,
+        common_head: bytes,
         client: ClientResponse,
     ) -> None:
-        """Start an exchange without attempts; `base` is the head that all hosts get."""
+        """Start an exchange without attempts; `common_head` is the head that all hosts get."""
         self.request = request
         self.route = route
         self.tenant = tenant
-        self.common_head = base
+        self.common_head = common_head
         self.client = client
         self.facts: RequestFacts | None = None  # None: the decider has not heard of it
         self.number = 0
@@ -117,9 +117,9 @@
         self.key_rejected = False  # its key may not be used any more
         self.quota_charged = False  # against its tenant's quota
         self.host_failure: CompleteResponse | None = None
-        taken_up = request.last_event_id
+        resume_id = request.last_event_id
         self.progress = StreamProgress(
-            int(taken_up) if taken_up.isdigit() and len(taken_up) <= EVENT_ID_DIGITS_LIMIT else 0
+            int(resume_id) if resume_id.isdigit() and len(resume_id) <= EVENT_ID_DIGITS_LIMIT else 0
         )
         self.deadline_timer: asyncio.TimerHandle | None = None
 
@@ -148,7 +148,7 @@
             and self.progress.resumable
         )
 
-    def client_ready(self) -> None:
+    def client_writable(self) -> None:
         """The client takes parts again."""
         if self.relayed_attempt is not None and self.relayed_attempt.attempt is not None:
             self.relayed_attempt.attempt.resume()
@@ -229,9 +229,9 @@
         if not self.may_relay:
             self.cancel()  # before its events count as relayed
             return
-        out = stream.feed(data)
-        if out and self._become_relayed(None):
-            self._relay(out)
+        relayed = stream.feed(data)
+        if relayed and self._become_relayed(None):
+            self._relay(relayed)
         if stream.gap or stream.buffered_bytes > BUFFER_LIMIT_BYTES:
             self._abandon()
 
@@ -277,8 +277,8 @@
         exchange = self.exchange
         if exchange.closed:
             return
-        exchange.client.send_piece(data)
-        if self.attempt is not None and exchange.client.is_backed_up():
+        exchange.client.send_body(data)
+        if self.attempt is not None and exchange.client.is_write_paused():
             self.attempt.pause()
 
     def _abandon(self) -> None:
@@ -314,6 +314,10 @@
 
         It may not where the status promises what nobody knows.
         """
-        if self._outcome is not Outcome.ERROR or self.status in PROMISES or is_success(self.status):
+        if (
+            self._outcome is not Outcome.ERROR
+            or self.status in NOT_EXECUTED_STATUSES
+            or is_success(self.status)
+        ):
             return None
         return self.complete()
--- a/roselink/dataplane/fleet_host_connection.py
+++ b/roselink/dataplane/fleet_host_connection.py
@@ -32,11 +32,11 @@
     from roselink.http.host_pool import HostPool
 
 # Unacknowledged bytes for so long: the machine is gone.
-USER_TIMEOUT_MS = 2500
+TCP_USER_TIMEOUT_MS = 2500
 # TCP keep-alive probes find the same where nothing is on its way.
-PROBE_IDLE_S = 1
-PROBE_INTERVAL_S = 1
-PROBES = 2
+KEEPALIVE_IDLE_S = 1
+KEEPALIVE_INTERVAL_S = 1
+KEEPALIVE_PROBES = 2
 # Responses to other requests that may lie ahead of the one that counts.
 SURPLUS_LIMIT = 2
 # Hosts that state no idle time have one below a second.
@@ -44,11 +44,11 @@
 # Digits of the idle time in a `Keep-Alive` header, in seconds.
 IDLE_DIGITS_LIMIT = 7
 # A longer request may have reached the host in part when its write fails.
-PROVEN_LIMIT = 64 * 1024
+PROVABLY_UNSENT_LIMIT_BYTES = 64 * 1024
 # Statuses that promise that a request has not run.
-PROMISES = frozenset((408, 421, 429, 503))
+NOT_EXECUTED_STATUSES = frozenset((408, 421, 429, 503))
 # With `X-Not-Executed` the host has kept that promise.
-NOT_RUN = frozenset((400, 421, 429, 503))
+REJECTION_STATUSES = frozenset((400, 421, 429, 503))
 
 
 class ResponseReceiver(Protocol):
@@ -72,7 +72,7 @@
 
     Attributes:
         sent: bytes of it may have reached the host.
-        single_run: its request must not run twice.
+        non_repeatable: its request must not run twice.
         ended_by_close: its response stated no length, the connection's end was its end.
     """
 
@@ -85,13 +85,13 @@
         timeout_s: float,
         receiver: ResponseReceiver,
         still_wanted: StillWanted,
-        single_run: bool = False,
+        non_repeatable: bool = False,
     ) -> None:
         """Start the time-out; `has_no_body` if the response to its method has none."""
         super().__init__(
             loop, host, timeout_s, lambda outcome, _: receiver.done(outcome), still_wanted
         )
-        self.single_run = single_run
+        self.non_repeatable = non_repeatable
         self.request_id = request_id
         self.has_no_body = has_no_body
         self.receiver = receiver
@@ -130,10 +130,10 @@
         super().connection_made(transport)
         sock = transport.get_extra_info("socket")
         for level, option, value in (
-            (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS),
-            (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_IDLE_S),
-            (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_INTERVAL_S),
-            (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES),
+            (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS),
+            (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S),
+            (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S),
+            (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
             (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
         ):
             with suppress(OSError):  # what a machine does not know: deadlines still hold
@@ -151,7 +151,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Clean up after the connection has ended (asyncio)."""
-        if self._sent_bytes > PROVEN_LIMIT:
+        if self._sent_bytes > PROVABLY_UNSENT_LIMIT_BYTES:
             self._has_unsent = False
         super().connection_lost(exc)
 
@@ -254,7 +254,7 @@
                 raise UnrequestedResponseError(response_id)
             self._in_surplus = True
             return
-        self._idle_limit_s = _idle_s(self._headers.get(b"keep-alive", b""))
+        self._idle_limit_s = _parse_idle_limit_s(self._headers.get(b"keep-alive", b""))
         self._head_is_new = True
         if attempt.has_no_body:
             self._is_complete = True
@@ -288,15 +288,17 @@
     """What a complete response says of its attempt. A success without the host's stamp is none."""
     if is_success(status):
         return Outcome.SUCCESS if b"x-response-signature" in headers else Outcome.ERROR
-    if status == MISDIRECTED_REQUEST or (status in NOT_RUN and b"x-not-executed" in headers):
+    if status == MISDIRECTED_REQUEST or (
+        status in REJECTION_STATUSES and b"x-not-executed" in headers
+    ):
         return Outcome.FULL
     return Outcome.ERROR
 
 
-def _idle_s(keep_alive: bytes) -> float:
+def _parse_idle_limit_s(keep_alive: bytes) -> float:
     """How long a connection may rest here so that the host is never the first to end it."""
-    for part in keep_alive.split(b","):
-        name, _, value = part.strip().partition(b"=")
+    for parameter in keep_alive.split(b","):
+        name, _, value = parameter.strip().partition(b"=")
         if (
             name.strip().lower() == b"timeout"
             and value.strip().isdigit()
--- a/roselink/dataplane/fleet_host_pool.py
+++ b/roselink/dataplane/fleet_host_pool.py
@@ -17,7 +17,7 @@
 
 CONNECT_TIMEOUT_S = 0.25
 # A host may have forgotten what rested longer: a request sent there counts as run.
-ONCE_IDLE_S = 0.15
+NON_REPEATABLE_IDLE_LIMIT_S = 0.15
 
 
 class FleetHost(PooledHost):
@@ -46,9 +46,10 @@
         return FleetHostConnection(self, host)
 
     def _may_carry(self, attempt: Attempt, connection: HostConnection) -> bool:
-        single_run = isinstance(attempt, FleetAttempt) and attempt.single_run
-        fresh = self.now() - connection.idle_since <= ONCE_IDLE_S
-        return not single_run or fresh or connection.stale()  # a stale one is taken out and dropped
+        non_repeatable = isinstance(attempt, FleetAttempt) and attempt.non_repeatable
+        fresh = self.now() - connection.idle_since <= NON_REPEATABLE_IDLE_LIMIT_S
+        # A stale connection passes: the pool takes it out and drops it.
+        return not non_repeatable or fresh or connection.stale()
 
     def _may_connect(self, host: PooledHost) -> bool:
         assert isinstance(host, FleetHost)
--- a/roselink/dataplane/gateway_data_plane.py
+++ b/roselink/dataplane/gateway_data_plane.py
@@ -22,16 +22,16 @@
 
 log = logging.getLogger("roselink.dataplane")
 
-SWEEP_S = 0.25
+SWEEP_INTERVAL_S = 0.25
 # A sweep that comes so late ends nothing: what came meanwhile has not been read.
-SWEEP_OVERDUE_S = 1.0
+SWEEP_OVERDUE_LIMIT_S = 1.0
 # After SIGTERM: the platform asks once a second, and sends connections until two misses.
 ACCEPT_AFTER_SIGTERM_S = 2.5
 # Of the time to the kill: for the last responses to leave and the process to end.
 EXIT_RESERVE_S = 1.0
 CLOSE_POLL_S = 0.02
 # Not for clients and hosts: files, peers, libraries.
-OTHER_DESCRIPTORS = 300
+RESERVED_DESCRIPTORS = 300
 
 
 class GatewayDataPlane:
@@ -50,15 +50,15 @@
         self._settings = settings
         self._loop = loop
         self._authority = authority
-        descriptors = Descriptors(max(128, settings.resources.max_fds - OTHER_DESCRIPTORS))
+        descriptors = Descriptors(max(128, settings.resources.max_fds - RESERVED_DESCRIPTORS))
         self.host_pool = FleetHostPool(loop, descriptors)
         seed = zlib.crc32(settings.node_name.encode())
         self.driver = DecisionDriver(
             loop, decider, self.host_pool, authority, quotas, shared_budget, seed
         )
-        make_room = self.host_pool.drop_oldest_idle
-        self.server = FleetServer(loop, self.driver, descriptors, make_room)
-        self.readiness = ReadinessServer(loop, self.ready, descriptors, make_room)
+        drop_idle_connection = self.host_pool.drop_oldest_idle
+        self.server = FleetServer(loop, self.driver, descriptors, drop_idle_connection)
+        self.readiness = ReadinessServer(loop, self.ready, descriptors, drop_idle_connection)
         self.port = self.readiness_port = 0
         self.draining = False
         self._drain_ends_at = 0.0
@@ -69,39 +69,39 @@
 
     def ready(self) -> bool:
         """Whether the platform should send clients here."""
-        known = self.driver.route_table is not None and self.driver.host_directory.any_ready()
-        return known and not self.draining and self._authority.may_use_keys()
+        configured = self.driver.route_table is not None and self.driver.host_directory.any_ready()
+        return configured and not self.draining and self._authority.may_use_keys()
 
     async def start(self) -> None:
         """Listen; raises `OSError` when an address can't be bound."""
-        self._authority.subscribe(self._refresh)
+        self._authority.subscribe(self._apply_snapshot)
         self.port = await self._listen(self.server, "http")
         self.readiness_port = await self._listen(self.readiness, "readiness")
         self._swept_at = self._loop.time()
-        self._sweep_timer = self._loop.call_later(SWEEP_S, self._sweep)
+        self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     async def _listen(self, server: HttpServer, name: str) -> int:
         address = self._settings.bind.get(name)
         return 0 if address is None else await server.listen(*address)
 
-    def _refresh(self, snapshot: Snapshot) -> None:
-        known = self.driver.route_table is not None
-        hosts = self.driver.host_directory.any_ready()
+    def _apply_snapshot(self, snapshot: Snapshot) -> None:
+        configured = self.driver.route_table is not None
+        had_ready_hosts = self.driver.host_directory.any_ready()
         self.driver.apply_snapshot()
-        if not known or hosts != self.driver.host_directory.any_ready():
+        if not configured or had_ready_hosts != self.driver.host_directory.any_ready():
             log.info(
                 "configuration_in_force generation=%d hosts=%d",
                 snapshot.configuration.generation,
                 len(snapshot.hosts),
             )
         if self.driver.route_table is not None:
-            self.server.limit(self.driver.route_table.configuration.limits)
+            self.server.apply_limits(self.driver.route_table.configuration.limits)
 
     def _sweep(self) -> None:
         now = self._loop.time()
-        overdue = now - self._swept_at > SWEEP_S + SWEEP_OVERDUE_S
+        overdue = now - self._swept_at > SWEEP_INTERVAL_S + SWEEP_OVERDUE_LIMIT_S
         self._swept_at = now
-        self._sweep_timer = self._loop.call_later(SWEEP_S, self._sweep)
+        self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         if overdue:
             return
         try:
--- a/roselink/dataplane/host_directory.py
+++ b/roselink/dataplane/host_directory.py
@@ -19,7 +19,7 @@
         self._host_pool = host_pool
         self.hosts: dict[str, FleetHost] = {}
         self._previous: dict[str, Host] = {}  # of the snapshot before
-        self._bounds: tuple[int, dict[str, int]] = (0, {})
+        self._limit_inputs: tuple[int, dict[str, int]] = (0, {})
 
     def update(self, snapshot: Snapshot) -> None:
         """Go by a snapshot.
@@ -31,15 +31,15 @@
         limits = {
             service.name: service.max_connections for service in snapshot.configuration.services
         }
-        same_bounds = self._bounds == (gateways, limits)
-        before = self._previous
+        same_limits = self._limit_inputs == (gateways, limits)
+        previous = self._previous
         listed = {host.id: host for host in snapshot.hosts}
         self._previous = listed
-        self._bounds = (gateways, limits)
-        for name in [name for name in before if name not in listed]:
+        self._limit_inputs = (gateways, limits)
+        for name in [name for name in previous if name not in listed]:
             self._host_pool.retire(self.hosts.pop(name))
         for name, entry in listed.items():
-            if not (same_bounds and before.get(name) is entry):
+            if not (same_limits and previous.get(name) is entry):
                 self._apply_host(
                     entry, max(MIN_CONNECTIONS_PER_HOST, limits.get(entry.service, 0) // gateways)
                 )
--- a/roselink/dataplane/proxy_request.py
+++ b/roselink/dataplane/proxy_request.py
@@ -15,12 +15,12 @@
     b"transfer-encoding upgrade".split()
 )
 # Not relayed to a host as the client sent them: set here, or not for hosts to see.
-_SET_HERE = frozenset(
+_NOT_RELAYED = frozenset(
     b"authorization content-length expect x-tenant-id x-target-instance x-request-deadline "
     b"priority "
     b"expect-version last-event-id".split()
 )
-_SINGLE = frozenset(
+_SINGLE_VALUED = frozenset(
     b"host x-request-id x-request-deadline authorization last-event-id x-token-usage".split()
 )
 # A `Connection` header can't take these away from the host.
@@ -28,7 +28,7 @@
 LOWEST_PRIORITY = 9
 # A tenant's rank goes before the route's.
 PRIORITY_STEP = 3
-PROMPT_PARTS_LIMIT = 256
+PROMPT_ENTRIES_LIMIT = 256
 # A day: longer deadlines are taken for none.
 DEADLINE_LIMIT_S = 86400
 # Digits of a number of tokens.
@@ -39,8 +39,8 @@
 class ProxyRequest:
     """One complete request.
 
-    `since`: loop time from which its deadline counts; `deadline_s`: how long its client waits, None
-    if it does not say; `version`: of HTTP, as its client speaks it.
+    `received_at`: loop time from which the deadline counts; `deadline_s`: how long the client
+    waits, None if not stated; `version`: the client's HTTP version.
     """
 
     method: bytes
@@ -51,7 +51,7 @@
     headers: Headers
     body: bytes
     has_body: bool
-    since: float
+    received_at: float
     deadline_s: float | None
     key: str | None
     last_event_id: bytes
@@ -61,45 +61,45 @@
 
 
 def read_request(
-    method: bytes, url: bytes, headers: Headers, body: bytes, since: float
+    method: bytes, url: bytes, headers: Headers, body: bytes, received_at: float
 ) -> ProxyRequest:
     """A request that may go on as far as its form says; raises `BadRequestError`."""
-    single: dict[bytes, bytes] = {}
+    values: dict[bytes, bytes] = {}
     has_body = bool(body)
     for name, value in headers:
         lower = name.lower()
-        plain = lower.replace(b"_", b"-")
-        if plain != lower and plain in _SINGLE:
-            raise BadRequestError(400, f"{plain.decode()} spelt oddly")
-        if lower in _SINGLE and lower in single:
+        normalized = lower.replace(b"_", b"-")
+        if normalized != lower and normalized in _SINGLE_VALUED:
+            raise BadRequestError(400, f"{normalized.decode()} spelt oddly")
+        if lower in _SINGLE_VALUED and lower in values:
             raise BadRequestError(400, f"two headers {lower.decode()}")
-        single[lower] = value
+        values[lower] = value
         has_body = has_body or lower in (b"content-length", b"transfer-encoding")
     if not url.startswith(b"/"):
         raise BadRequestError(400, "no path")
-    if not single.get(b"host"):
+    if not values.get(b"host"):
         raise BadRequestError(400, "no Host")
-    if not single.get(b"x-request-id"):
+    if not values.get(b"x-request-id"):
         raise BadRequestError(400, "no X-Request-Id")
     return ProxyRequest(
         method=method,
         url=url,
-        host=single[b"host"].decode("latin-1"),
+        host=values[b"host"].decode("latin-1"),
         path=url.partition(b"?")[0].decode("latin-1"),
-        id=single[b"x-request-id"],
+        id=values[b"x-request-id"],
         headers=headers,
         body=body,
         has_body=has_body,
-        since=since,
-        deadline_s=_milliseconds(single.get(b"x-request-deadline")),
-        key=_bearer(single.get(b"authorization")),
-        last_event_id=single.get(b"last-event-id", b""),
-        tokens=_token_usage(single.get(b"x-token-usage")),
-        prompt=_prompt(single.get(b"x-prompt-prefix")),
+        received_at=received_at,
+        deadline_s=_parse_deadline_s(values.get(b"x-request-deadline")),
+        key=_parse_bearer_key(values.get(b"authorization")),
+        last_event_id=values.get(b"last-event-id", b""),
+        tokens=_parse_token_usage(values.get(b"x-token-usage")),
+        prompt=_parse_prompt_prefix(values.get(b"x-prompt-prefix")),
     )
 
 
-def _milliseconds(value: bytes | None) -> float | None:
+def _parse_deadline_s(value: bytes | None) -> float | None:
     """Seconds, or None where there is no number that makes sense."""
     try:
         seconds = float(value or b"") / 1000
@@ -108,12 +108,12 @@
     return seconds if 0 <= seconds < DEADLINE_LIMIT_S else None
 
 
-def _bearer(value: bytes | None) -> str | None:
+def _parse_bearer_key(value: bytes | None) -> str | None:
     scheme, _, key = (value or b"").partition(b" ")
     return key.strip().decode("latin-1") if scheme.lower() == b"bearer" and key.strip() else None
 
 
-def _token_usage(value: bytes | None) -> tuple[int, int] | None:
+def _parse_token_usage(value: bytes | None) -> tuple[int, int] | None:
     first, comma, second = (value or b"").partition(b",")
     first = first.strip()
     second = second.strip()
@@ -128,16 +128,16 @@
     return int(first), int(second)
 
 
-def _prompt(value: bytes | None) -> tuple[PromptPart, ...]:
+def _parse_prompt_prefix(value: bytes | None) -> tuple[PromptPart, ...]:
     if not value:
         return ()
-    parts = []
-    for part in value.split(b",", PROMPT_PARTS_LIMIT):
-        name, colon, tokens = part.strip().partition(b":")
+    entries = []
+    for entry in value.split(b",", PROMPT_ENTRIES_LIMIT):
+        name, colon, tokens = entry.strip().partition(b":")
         if not (colon and tokens.isdigit() and len(tokens) <= TOKEN_DIGITS_LIMIT):
             return ()
-        parts.append(PromptPart(name.decode("latin-1"), int(tokens)))
-    return tuple(parts)
+        entries.append(PromptPart(name.decode("latin-1"), int(tokens)))
+    return tuple(entries)
 
 
 def priority_of(route: Route, tenant: Tenant | None) -> int:
@@ -149,13 +149,13 @@
 def host_head(request: ProxyRequest, route: Route, tenant: Tenant | None) -> bytes:
     """What each host gets of a request's head; `attempt_head` ends it."""
     lines = [b"%b %b HTTP/1.1" % (request.method, request.url)]
-    named = _named_by_connection(request.headers)
+    connection_options = _connection_options(request.headers)
     for name, value in request.headers:
-        plain = name.lower().replace(b"_", b"-")
+        normalized = name.lower().replace(b"_", b"-")
         if (
-            plain in HOP_BY_HOP
-            or plain in _SET_HERE
-            or (plain in named and plain not in _ALWAYS_RELAYED)
+            normalized in HOP_BY_HOP
+            or normalized in _NOT_RELAYED
+            or (normalized in connection_options and normalized not in _ALWAYS_RELAYED)
         ):
             continue
         lines.append(b"%b: %b" % (name, value))
@@ -168,31 +168,31 @@
     return b"\r\n".join(lines) + b"\r\n"
 
 
-def _named_by_connection(headers: Headers) -> set[bytes]:
-    named: set[bytes] = set()
+def _connection_options(headers: Headers) -> set[bytes]:
+    connection_options: set[bytes] = set()
     for name, value in headers:
         if name.lower() == b"connection":
-            named.update(part.strip().lower() for part in value.split(b","))
-    return named
+            connection_options.update(entry.strip().lower() for entry in value.split(b","))
+    return connection_options
 
 
-def attempt_head(host: str, left_ms: int, last_event_id: bytes) -> bytes:
+def attempt_head(host: str, remaining_ms: int, last_event_id: bytes) -> bytes:
     """What differs by attempt, and the end of the head."""
     resume = b"Last-Event-Id: %b\r\n" % last_event_id if last_event_id else b""
     return b"X-Target-Instance: %b\r\nX-Request-Deadline: %d\r\n%b\r\n" % (
         host.encode(),
-        left_ms,
+        remaining_ms,
         resume,
     )
 
 
 def relayed_headers(headers: Headers) -> Headers:
     """A host's headers that are relayed to the client."""
-    named = _named_by_connection(headers)
+    connection_options = _connection_options(headers)
     return [
         (name, value)
         for name, value in headers
         if (lower := name.lower()) not in HOP_BY_HOP
         and lower != b"content-length"
-        and (lower not in named or lower == b"x-response-signature")
+        and (lower not in connection_options or lower == b"x-response-signature")
     ]
--- a/roselink/dataplane/readiness_server.py
+++ b/roselink/dataplane/readiness_server.py
@@ -26,8 +26,10 @@
         self._owner = server
 
     def _read_request(self, method: bytes, *, keep: bool) -> PendingRequest:
-        known = method in (b"GET", b"HEAD") and self._url.partition(b"?")[0] == b"/readyz"
-        if not known:
+        is_readiness_check = (
+            method in (b"GET", b"HEAD") and self._url.partition(b"?")[0] == b"/readyz"
+        )
+        if not is_readiness_check:
             raise BadRequestError(404, "no such page")
         return PendingRequest(None, OK, keep=keep)
 
@@ -53,10 +55,10 @@
         loop: asyncio.AbstractEventLoop,
         ready: Callable[[], bool],
         descriptors: Descriptors,
-        make_room: Callable[[], bool],
+        drop_idle_connection: Callable[[], bool],
     ) -> None:
         """Start with a callable that says whether the gateway is ready."""
-        super().__init__(loop, descriptors, make_room, SizeLimits(8192, 8192, 65536))
+        super().__init__(loop, descriptors, drop_idle_connection, SizeLimits(8192, 8192, 65536))
         self.ready = ready
 
     def time_limits(self) -> TimeLimits:
--- a/roselink/dataplane/route_table.py
+++ b/roselink/dataplane/route_table.py
@@ -17,17 +17,17 @@
     def __init__(self, route: Route) -> None:
         """Prepare the draw of a service by the weights of the split."""
         self.route = route
-        shares = [share for share in route.split if share.weight > 0] or list(route.split)
-        self.services = [share.service for share in shares]
-        self._sums = list(accumulate(share.weight for share in shares))
+        weighted = [entry for entry in route.split if entry.weight > 0] or list(route.split)
+        self.services = [entry.service for entry in weighted]
+        self._cumulative_weights = list(accumulate(entry.weight for entry in weighted))
 
-    def draw(self, generator: random.Random) -> str:
+    def choose_service(self, generator: random.Random) -> str:
         """A service, by the split's weights."""
         if len(self.services) == 1:
             return self.services[0]
-        point = generator.random() * self._sums[-1]
-        for service, upto in zip(self.services, self._sums, strict=True):
-            if point < upto:
+        point = generator.random() * self._cumulative_weights[-1]
+        for service, cumulative_weight in zip(self.services, self._cumulative_weights, strict=True):
+            if point < cumulative_weight:
                 return service
         return self.services[-1]
 
@@ -38,19 +38,25 @@
     def __init__(self, configuration: Configuration) -> None:
         """Index the routes and keys of a configuration."""
         self.configuration = configuration
-        self._prefixes: dict[str, dict[str, RouteEntry]] = {}
+        self._routes_by_prefix: dict[str, dict[str, RouteEntry]] = {}
         for route in configuration.routes:
-            self._prefixes.setdefault(route.hostname, {})[route.path_prefix] = RouteEntry(route)
-        self._longest = max((len(route.path_prefix) for route in configuration.routes), default=0)
+            self._routes_by_prefix.setdefault(route.hostname, {})[route.path_prefix] = RouteEntry(
+                route
+            )
+        self._longest_prefix = max(
+            (len(route.path_prefix) for route in configuration.routes), default=0
+        )
         self._tenants = {key: tenant for tenant in configuration.tenants for key in tenant.api_keys}
-        self.keyed = bool(configuration.tenants)  # whether routes that aren't public take a key
+        self.requires_keys = bool(
+            configuration.tenants
+        )  # whether routes that aren't public take a key
 
     def find(self, host: str, path: str) -> RouteEntry | None:
         """The route of a `Host` header and a path (without its query): the longest prefix wins."""
-        prefixes = self._prefixes.get(hostname(host))
+        prefixes = self._routes_by_prefix.get(hostname(host))
         if prefixes is None:
             return None
-        end = path.rfind("/", 0, self._longest)
+        end = path.rfind("/", 0, self._longest_prefix)
         while end >= 0:
             entry = prefixes.get(path[: end + 1])
             if entry is not None:
--- a/tests/dataplane/test_checks.py
+++ b/tests/dataplane/test_checks.py
@@ -86,7 +86,7 @@
     entry = table(routes=[route | {"traffic_split": split}]).find("h", "/x")
     assert entry is not None
     generator = random.Random(7)
-    drawn = [entry.draw(generator) for _ in range(2000)]
+    drawn = [entry.choose_service(generator) for _ in range(2000)]
     assert set(drawn) == {"a", "b"}
     assert 120 < drawn.count("b") < 280
 
--- a/tests/dataplane/test_clients.py
+++ b/tests/dataplane/test_clients.py
@@ -10,7 +10,7 @@
 import pytest
 
 from roselink.dataplane import gateway_data_plane
-from roselink.dataplane.client_server import IDLE_OVER_S
+from roselink.dataplane.client_server import IDLE_TIMEOUT_SLACK_S
 from tests.dataplane.harness import (
     KEY,
     DataPlaneHarness,
@@ -131,7 +131,7 @@
         connection.last_progress_at -= 4.9
         harness.data_plane.server.sweep()
         assert (await client.ask("/once/x")).status == 200
-        connection.last_progress_at -= 5.0 + IDLE_OVER_S
+        connection.last_progress_at -= 5.0 + IDLE_TIMEOUT_SLACK_S
         harness.data_plane.server.sweep()
         assert await client.ended()
 
--- a/tests/dataplane/test_fleet_host_pool.py
+++ b/tests/dataplane/test_fleet_host_pool.py
@@ -68,7 +68,7 @@
     ],
 )
 def test_no_connection_rests_as_long_as_its_host_keeps_it(header: bytes, seconds: float) -> None:
-    assert fleet_host_connection._idle_s(header) == seconds
+    assert fleet_host_connection._parse_idle_limit_s(header) == seconds
 
 
 @on_loop
--- a/tests/dataplane/test_guards.py
+++ b/tests/dataplane/test_guards.py
@@ -11,7 +11,7 @@
 import pytest
 
 from roselink.dataplane import fleet_host_pool
-from roselink.dataplane.fleet_host_connection import PROVEN_LIMIT
+from roselink.dataplane.fleet_host_connection import PROVABLY_UNSENT_LIMIT_BYTES
 from roselink.dataplane.proxy_request import Headers, read_request
 from roselink.http import host_pool
 from roselink.routing.events_and_actions import Action, AttemptEnded, RequestArrived
@@ -180,18 +180,20 @@
     reset(writer)
 
 
-@pytest.mark.parametrize("size", [40 * PROVEN_LIMIT, 100 * PROVEN_LIMIT])
+@pytest.mark.parametrize(
+    "size", [40 * PROVABLY_UNSENT_LIMIT_BYTES, 100 * PROVABLY_UNSENT_LIMIT_BYTES]
+)
 @on_loop
 async def test_a_long_request_that_fails_while_it_is_written_may_have_run(size: int) -> None:
     listener = await asyncio.start_server(resets_unread, "127.0.0.1", 0, limit=1024)
     address = f"127.0.0.1:{listener.sockets[0].getsockname()[1]}"
     async with running_data_plane(
-        plain(), plain(), limits={"max_body_bytes": 200 * PROVEN_LIMIT}
+        plain(), plain(), limits={"max_body_bytes": 200 * PROVABLY_UNSENT_LIMIT_BYTES}
     ) as harness:
         breaking = host_line(harness.hosts[0], id="i-breaking", address=address)
         lines = (breaking, host_line(harness.hosts[1]))
         harness.authority.tell(
-            harness.snapshot(*lines, limits={"max_body_bytes": 200 * PROVEN_LIMIT})
+            harness.snapshot(*lines, limits={"max_body_bytes": 200 * PROVABLY_UNSENT_LIMIT_BYTES})
         )
         async with harness.client() as client:
             assert (await client.ask("/once/x", body=bytes(size))).status == 502
@@ -218,7 +220,7 @@
     def send_head(self, status: int, headers: Headers, length: int | None) -> None:
         self.answers.append(status)
 
-    def send_piece(self, data: bytes) -> None: ...
+    def send_body(self, data: bytes) -> None: ...
 
     def send_end(self) -> None: ...
 
@@ -227,7 +229,7 @@
     def has_left(self) -> bool:
         return True
 
-    def is_backed_up(self) -> bool:
+    def is_write_paused(self) -> bool:
         return False
 
 
@@ -281,7 +283,7 @@
     settle: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(host_pool, "REUSE_DELAY_S", settle)
-    monkeypatch.setattr(fleet_host_pool, "ONCE_IDLE_S", 1.0)
+    monkeypatch.setattr(fleet_host_pool, "NON_REPEATABLE_IDLE_LIMIT_S", 1.0)
 
     async def doubled(message: Message, writer: asyncio.StreamWriter) -> None:
         answered = head(message, "200 OK", "Keep-Alive: timeout=9") + b"Content-Length: 4\r\n\r\n"
@@ -329,16 +331,18 @@
             writer.close()
 
 
-@pytest.mark.parametrize("size", [1000, 20 * PROVEN_LIMIT, 80 * PROVEN_LIMIT])
+@pytest.mark.parametrize(
+    "size", [1000, 20 * PROVABLY_UNSENT_LIMIT_BYTES, 80 * PROVABLY_UNSENT_LIMIT_BYTES]
+)
 @on_loop
 async def test_no_other_request_goes_where_the_rest_of_a_long_body_is_due(
     size: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(host_pool, "REUSE_DELAY_S", -1.0)
-    monkeypatch.setattr(fleet_host_pool, "ONCE_IDLE_S", 1.0)
+    monkeypatch.setattr(fleet_host_pool, "NON_REPEATABLE_IDLE_LIMIT_S", 1.0)
     early = await EarlyHost("i-early").start()
     assert isinstance(early, EarlyHost)
-    limits = {"max_body_bytes": 200 * PROVEN_LIMIT}
+    limits = {"max_body_bytes": 200 * PROVABLY_UNSENT_LIMIT_BYTES}
     async with running_data_plane(plain(), limits=limits) as harness:
         harness.authority.tell(harness.snapshot(host_line(early), limits=limits))
         for _ in range(3):
@@ -474,7 +478,7 @@
                 }
                 message = Message(top.split("\r\n")[0], lines, b"")
                 keeps = "Keep-Alive: timeout=9"
-                if int(lines["content-length"]) > PROVEN_LIMIT:
+                if int(lines["content-length"]) > PROVABLY_UNSENT_LIMIT_BYTES:
                     await rejects("503 Full", "X-Not-Executed: 1", keeps)(message, writer)
                     await asyncio.Event().wait()
                 await plain(b"ok", "200 OK", keeps)(message, writer)
@@ -488,11 +492,13 @@
 ) -> None:
     monkeypatch.setattr(host_pool, "REUSE_DELAY_S", -1.0)
     stuck = await StuckHost("i-stuck").start()
-    limits = {"max_body_bytes": 200 * PROVEN_LIMIT}
+    limits = {"max_body_bytes": 200 * PROVABLY_UNSENT_LIMIT_BYTES}
     async with running_data_plane(plain(), limits=limits) as harness:
         harness.authority.tell(harness.snapshot(host_line(stuck), limits=limits))
         async with harness.client() as client:
-            assert (await client.ask("/once/x", body=bytes(150 * PROVEN_LIMIT))).status == 503
+            assert (
+                await client.ask("/once/x", body=bytes(150 * PROVABLY_UNSENT_LIMIT_BYTES))
+            ).status == 503
         async with harness.client() as client:
             assert (await client.ask("/safe/x", X_Request_Deadline="1000")).status == 200
     stuck.down()
--- a/tests/mutations/dataplane.py
+++ b/tests/mutations/dataplane.py
@@ -12,8 +12,8 @@
         DATAPLANE,
         (
             "a second attempt of what runs once",
-            "return not (once and exchange.may_run) and self._owner.still_wanted(exchange)",
-            "return self._owner.still_wanted(exchange)",
+            "return not (non_repeatable and exchange.may_run) and self._owner.still_wanted(",
+            "return self._owner.still_wanted(",
         ),
         (
             "a host of another service",
@@ -28,11 +28,11 @@
         (
             "a host is handed the whole time",
             "(exchange.give_up_at - self._loop.time())",
-            "(exchange.give_up_at - exchange.request.since)",
+            "(exchange.give_up_at - exchange.request.received_at)",
         ),
         (
             "a resumed stream begins anew",
-            '            last = b"%d" % (exchange.progress.last_id or 0)\n',
+            '            last_event_id = b"%d" % (exchange.progress.last_id or 0)\n',
             "            pass\n",
         ),
         (
@@ -76,7 +76,11 @@
             "if stream.gap or stream.buffered_bytes > BUFFER_LIMIT_BYTES:",
             "if stream.buffered_bytes > BUFFER_LIMIT_BYTES:",
         ),
-        ("a host's promise is passed on", " or self.status in PROMISES or", " or"),
+        (
+            "a host's promise is passed on",
+            "            or self.status in NOT_EXECUTED_STATUSES\n",
+            "",
+        ),
         (
             "bytes that were sent count as unsent",
             "return self.attempt is not None and self.attempt.sent",
@@ -182,7 +186,11 @@
             "if response_id != attempt.request_id and not rejected:",
             "if not response_id and not rejected:",
         ),
-        ("a long request counts as never sent", "if self._sent_bytes > PROVEN_LIMIT:", "if False:"),
+        (
+            "a long request counts as never sent",
+            "if self._sent_bytes > PROVABLY_UNSENT_LIMIT_BYTES:",
+            "if False:",
+        ),
         (
             "a connection is kept behind a surplus response",
             "should_keep_alive() and not self._surplus_count",
@@ -195,8 +203,8 @@
         ),
         (
             "a rejection without X-Not-Executed counts as one",
-            '(status in NOT_RUN and b"x-not-executed" in headers)',
-            "status in NOT_RUN",
+            'status in REJECTION_STATUSES and b"x-not-executed" in headers\n',
+            "status in REJECTION_STATUSES\n",
         ),
         (
             "a success without its signature is accepted",
@@ -219,7 +227,7 @@
         DATAPLANE,
         (
             "an old connection for what runs once",
-            "return not single_run or fresh or connection.stale()",
+            "return not non_repeatable or fresh or connection.stale()",
             "return True",
         ),
         (
@@ -234,12 +242,12 @@
         ("a gap in events is not seen", "            self.gap = True\n", "            pass\n"),
         (
             "events that the client has come again",
-            "        if self._repeating:\n            return False\n",
+            "        if self._skipping_known_events:\n            return False\n",
             "",
         ),
         (
             "half an event goes on",
-            'rest = b"" if self._repeating or self.gap else',
+            'rest = b"" if self._skipping_known_events or self.gap else',
             'rest = b"" if self.gap else',
         ),
         (
@@ -255,7 +263,7 @@
         ("keys go on to hosts", '"authorization content-length', '"content-length'),
         (
             "two headers that must stand once",
-            "        if lower in _SINGLE and lower in single:",
+            "        if lower in _SINGLE_VALUED and lower in values:",
             "        if False:",
         ),
     ),
