--- a/roselink/dataplane/__init__.py
+++ b/roselink/dataplane/__init__.py
@@ -1,5 +1,5 @@
 """The fleet gateway's data plane: client connections, requests, attempts at hosts, event streams.
 
-What it needs of the rest of the process stands in `interfaces`. Loop callbacks only; no task per
-event.
+`interfaces` defines what the data plane needs from the rest of the process. Requests are handled in
+event loop callbacks; no task is created per event.
 """
--- a/roselink/dataplane/attempt_runner.py
+++ b/roselink/dataplane/attempt_runner.py
@@ -1,4 +1,4 @@
-"""Attempts of requests at hosts: started when the decider says so, reported to it exactly once."""
+"""Starts the attempts that the decider requests and reports the end of each exactly once."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
     from roselink.dataplane.fleet_host_pool import FleetHost, FleetHostPool
 
-# Hosts get so much less: what they send at their deadline is still relayed.
+# Hosts get a deadline this much earlier, so that a response sent right then is still relayed.
 HOST_DEADLINE_MARGIN_MS = 5
-# An attempt that nothing else has ended ends so long after its request's deadline.
+# Time after the request's deadline at which an attempt that is still open times out.
 TIMEOUT_AFTER_DEADLINE_S = 1.0
 
 
 class RequestOwner(Protocol):
-    """Who has the requests."""
+    """Owner of the open requests."""
 
     counts: Counter[str]
 
@@ -39,12 +39,12 @@
         ...
 
     def end_if_stuck(self, exchange: Exchange) -> None:
-        """End a request that has no way to go on."""
+        """End a request that can no longer complete."""
         ...
 
 
 class AttemptRunner:
-    """Starts attempts and judges their ends."""
+    """Starts attempts and determines their outcomes."""
 
     def __init__(
         self,
@@ -53,16 +53,16 @@
         hosts: Mapping[str, FleetHost],
         owner: RequestOwner,
     ) -> None:
-        """Start with the pool that attempts go through and the owner that learns their ends."""
+        """Start with the connection pool for attempts and the owner to which ends are reported."""
         self._loop = loop
         self._host_pool = host_pool
         self._hosts = hosts
         self._owner = owner
 
     def send(self, exchange: Exchange | None, action: SendAttempt) -> None:
-        """Begin an attempt, or report that it is moot.
+        """Begin an attempt, or report it as moot.
 
-        It is moot if its request is over, its host gone, or its key in doubt.
+        An attempt is moot if its request is closed, its host is gone or its key is unconfirmed.
         """
         host = self._hosts.get(action.host)
         if exchange is not None:
@@ -103,16 +103,16 @@
         return in_time and self._still_wanted(exchange)
 
     def _still_wanted(self, exchange: Exchange) -> bool:
-        """Called right before each write.
+        """Whether to write the request; called right before each write.
 
-        What may run once only is never sent while another attempt of it may have run, whatever the
-        decider says.
+        A non-repeatable request is never sent if another attempt of it may have run, whatever the
+        decider requests.
         """
         non_repeatable = not exchange.route.repeatable
         return not (non_repeatable and exchange.may_run) and self._owner.still_wanted(exchange)
 
     def _render(self, exchange: Exchange, host: FleetHost, *, resume: bool) -> bytes:
-        """The request as a host gets it now."""
+        """The request's bytes for a host, with the time that remains now."""
         remaining_ms = max(
             1, int((exchange.give_up_at - self._loop.time()) * 1000) - HOST_DEADLINE_MARGIN_MS
         )
@@ -159,10 +159,7 @@
         self._owner.end_if_stuck(exchange)
 
     def _succeeded(self, response: AttemptResponse) -> bool:
-        """A complete response with its stamp: relay what of it has not gone on.
-
-        False if it turns out cut.
-        """
+        """Relay the rest of a complete, signed response; False if it turns out to be truncated."""
         exchange = response.exchange
         if exchange.closed or not response.may_relay:
             return True
@@ -177,10 +174,9 @@
         return True
 
     def _failed(self, response: AttemptResponse) -> bool:
-        """A complete response that is no success.
+        """Handle a complete error response; whether it was relayed to the client.
 
-        A host's 4xx is the client's own; a failure is kept while the decider may try again. Whether
-        the client has it.
+        A 4xx is relayed, as it is the client's error. A 5xx is kept while the decider may retry.
         """
         exchange = response.exchange
         failure = response.failure()
--- a/roselink/dataplane/client_server.py
+++ b/roselink/dataplane/client_server.py
@@ -1,4 +1,4 @@
-"""The listener for clients, under the configuration's limits."""
+"""The listener for clients, with the limits of the configuration."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
     from roselink.http.descriptors import Descriptors
     from roselink.http.server_connection import ServerConnection
 
-# For a body to be complete, behind the head's own time.
+# Time for a body to arrive, in addition to the time for the head.
 BODY_TIMEOUT_S = 10.0
-# For a client to take what waits for it.
+# Time for a client to read buffered response bytes.
 UNREAD_RESPONSE_TIMEOUT_S = 10.0
-# Connections stay idle here for so much longer than the configuration states.
+# Connections may be idle this much longer than the configuration states to clients.
 IDLE_TIMEOUT_SLACK_S = 1.0
-# Bytes of the bodies of all open requests.
+# Total bytes of the bodies of all open requests; above it, new requests are refused.
 OPEN_BODIES_LIMIT_BYTES = 64 * 1024 * 1024
 
 
@@ -37,18 +37,18 @@
         descriptors: Descriptors,
         drop_idle_connection: Callable[[], bool],
     ) -> None:
-        """Start with the default limits, until a configuration states others."""
+        """Start with the default limits, which hold until a configuration is applied."""
         self.driver = driver
-        self._limits: tuple[Limits, ...] = (Limits(),)  # the latest last
-        self._limits_are_configured = False  # whether they are a configuration's
+        self._limits: tuple[Limits, ...] = (Limits(),)  # the latest is last
+        self._limits_are_configured = False  # False: the defaults
         super().__init__(loop, descriptors, drop_idle_connection, _size_limits(0, 0))
         self._update_limits()
 
     def apply_limits(self, limits: Limits) -> None:
         """Apply a configuration's limits.
 
-        Those before hold on where they allow more: clients that do not know the new ones yet, or
-        sent before them, keep within the old.
+        The previous limits stay in force where they are higher, for clients that have not learnt of
+        the new ones yet or sent their request before the change.
         """
         if limits != self._limits[-1]:
             self._limits = (self._limits[-1], limits) if self._limits_are_configured else (limits,)
@@ -70,15 +70,15 @@
         )
 
     def time_limits(self) -> TimeLimits:
-        """How long clients may take, as it is in force now."""
+        """Time limits for clients that are in force now."""
         return self._time_limits
 
     def make_connection(self) -> ServerConnection:
-        """A new client connection."""
+        """Create the protocol of a new client connection."""
         return FleetClientConnection(self)
 
     def is_overloaded(self) -> bool:
-        """Whether there is no room to serve one more request."""
+        """Whether no further request can be served."""
         return super().is_overloaded() or self.driver.body_bytes > OPEN_BODIES_LIMIT_BYTES
 
 
--- a/roselink/dataplane/decision_driver.py
+++ b/roselink/dataplane/decision_driver.py
@@ -1,8 +1,8 @@
-"""Drives the decider: events in, actions out, timers, one clock. Owns the open requests.
+"""Passes events to the decider, performs its actions and timers, and owns the open requests.
 
-Nothing about hosts, retries or refusals is decided here. What the driver adds is what real sockets
-need: a response in time even if the decider says nothing, promises kept whatever it says, and a
-fault in one request that stays that request's own.
+The driver does not choose hosts, retries or refusals. It guarantees what must hold whatever the
+decider does: a response before the deadline, statuses that never deny an execution which may have
+happened, and faults that affect only the request in which they occur.
 """
 
 from __future__ import annotations
@@ -57,12 +57,12 @@
 
 log = logging.getLogger("roselink.dataplane")
 
-# A running stream ends so long after its deadline.
+# Time after its deadline at which a stream that is still being relayed is aborted.
 STREAM_GRACE_S = 0.1
 
 
 class DecisionDriver:
-    """One decider, one clock: the loop's."""
+    """Connects one decider to the event loop, whose clock is the only one."""
 
     def __init__(
         self,
@@ -74,7 +74,7 @@
         budget: SharedBudget,
         seed: int,
     ) -> None:
-        """Start without a configuration; `seed` fixes the draws of services and retry times."""
+        """Start without a configuration; `seed` makes random choices repeatable."""
         self._loop = loop
         self._authority = authority
         self._quotas = quotas
@@ -82,7 +82,7 @@
         self._random = random.Random(seed)
         self._request_numbers = itertools.count(1)
         self._queue = EventQueue(loop, decider, self._perform, self._fail)
-        # While draining: when all must have their response.
+        # While draining: loop time by which every request must have its response.
         self._drain_ends_at: float | None = None
         self._topology: TopologyChanged | None = None
         self.route_table: RouteTable | None = None
@@ -93,13 +93,13 @@
         self.counts: Counter[str] = Counter()
         self._attempts = AttemptRunner(loop, host_pool, self.hosts, self)
 
-    # From the authority.
+    # Events from the authority.
 
     def apply_snapshot(self) -> None:
-        """Take over the snapshot in force.
+        """Apply the snapshot in force.
 
-        It takes effect on the sockets first: what it ends must not get a byte more. The decider
-        hears of it before it hears what became of that.
+        Connections are updated first, because retired hosts must not get another byte. The
+        decider receives the new topology before the ends of the attempts that this update causes.
         """
         snapshot = self._authority.snapshot()
         if snapshot is None:
@@ -113,12 +113,12 @@
         with self._queue.deferred():
             self.host_directory.update(snapshot)
 
-    # From the client side.
+    # Events from clients.
 
     def accept(self, request: ProxyRequest, client: ClientResponse) -> Exchange | None:
-        """Take a request; None if it is answered already.
+        """Accept a request; returns None if it already has its final response.
 
-        The client gets one response, unless it leaves.
+        The client gets exactly one response unless it disconnects.
         """
         self.counts["requests"] += 1
         if self.route_table is None:
@@ -169,7 +169,7 @@
             self._quotas.admit(
                 tenant, quota_cost(exchange.request, tenant), partial(self._quota_decided, exchange)
             )
-        except Exception:  # it must not be answered twice: here, and when its time is up
+        except Exception:  # respond now, not a second time at the deadline
             log.exception("quota_failed tenant=%s", tenant.name)
             self._give_up(exchange, FailureReason.NOT_RUN, NOT_CONFIRMED_RETRY_S)
 
@@ -184,13 +184,13 @@
         self.handle_event(RequestArrived(exchange.facts))
 
     def client_disconnected(self, exchange: Exchange) -> None:
-        """The client has gone."""
+        """Close the request of a client that has disconnected."""
         if not exchange.closed:
             self.counts["departed"] += 1
             self._close(exchange)
 
     def drain(self, ends_at: float) -> None:
-        """All requests have their response at `ends_at`, loop time."""
+        """Limit the deadline of all requests, open and new, to `ends_at` in loop time."""
         self._drain_ends_at = ends_at
         for exchange in self.open_requests.values():
             if exchange.expires_at > ends_at:
@@ -198,7 +198,7 @@
                 exchange.give_up_at = give_up_time(exchange.request.received_at, ends_at)
                 self._set_deadline_timer(exchange, exchange.give_up_at)
 
-    # Time.
+    # Deadlines.
 
     def _set_deadline_timer(self, exchange: Exchange, time: float) -> None:
         if exchange.deadline_timer is not None:
@@ -208,7 +208,7 @@
     def _deadline_reached(self, exchange: Exchange) -> None:
         """Time out the attempts and end the request.
 
-        The decider learns that they were timed out; the final response goes out now in any case.
+        The decider receives the time-outs; the final response is sent now in any case.
         """
         if exchange.closed:
             return
@@ -224,7 +224,7 @@
     # The decider.
 
     def handle_event(self, event: Event) -> None:
-        """Give the decider one event and carry out what it says."""
+        """Pass one event to the decider and perform the actions that it returns."""
         self._queue.handle(event)
 
     def _fail(self, number: int) -> None:
@@ -253,12 +253,12 @@
     def _budget_decided(self, number: int, allowed: bool) -> None:
         self.handle_event(BudgetDecided(number, allowed))
 
-    # What the attempts ask and tell.
+    # `RequestOwner`, called by the attempt runner.
 
     def still_wanted(self, exchange: Exchange) -> bool:
         """Whether a request may still be written to a host.
 
-        It may if its client waits and its key is valid. Called right before each write.
+        Requires that its client is connected and its key is valid. Called right before each write.
         """
         if exchange.closed:
             return False
@@ -278,7 +278,7 @@
         return key_is_known and self._authority.may_use_keys()
 
     def end_if_stuck(self, exchange: Exchange) -> None:
-        """Behind the end of an attempt: end the request if that leaves it no way to go on."""
+        """End a request that can't complete after the end of one of its attempts."""
         if exchange.closed:
             self._close(exchange)
         elif exchange.response_begun and exchange.interrupted and not exchange.awaits_resume:
@@ -289,10 +289,14 @@
         elif exchange.key_rejected and not exchange.attempts:
             self._give_up(exchange, FailureReason.NOT_RUN, NOT_CONFIRMED_RETRY_S)
 
-    # The end of a request.
+    # Ends of requests.
 
     def _give_up(self, exchange: Exchange, reason: FailureReason, retry_after_s: float) -> None:
-        """The final response of ours. What it promises is true, whatever the reason given."""
+        """Send the gateway's final response, or abort a response that has begun.
+
+        503, which says that the request has not run, is sent only if no host can have run it,
+        whatever the `reason`.
+        """
         if exchange.closed:
             return
         if exchange.response_begun:
@@ -316,15 +320,15 @@
         self._close(exchange)
 
     def _return_quota(self, exchange: Exchange) -> None:
-        """What was counted for a request that has not run, and now never will, is free again."""
+        """Return the quota charged for a request that has not run and never will."""
         if exchange.quota_charged and exchange.tenant is not None and not exchange.may_run:
             exchange.quota_charged = False
             self._quotas.give_back(exchange.tenant, quota_cost(exchange.request, exchange.tenant))
 
     def _close(self, exchange: Exchange) -> None:
-        """It has its final response, or nobody waits for one.
+        """Close a request that has its final response or whose client has disconnected.
 
-        The decider learns, and what is out ends.
+        The decider is notified and open attempts are cancelled.
         """
         exchange.closed = True
         if self.open_requests.pop(exchange.number, None) is None:
@@ -338,6 +342,6 @@
             self._queue.enqueue(RequestClosed(exchange.number))
         for response in list(exchange.attempts.values()):
             response.cancel()
-        # Nothing is left that refers in circles: no work for the collector.
+        # Break the reference cycle, so that the garbage collector has no work.
         exchange.relayed_attempt = None
         self._queue.process()
--- a/roselink/dataplane/event_queue.py
+++ b/roselink/dataplane/event_queue.py
@@ -1,4 +1,4 @@
-"""Events on their way to the decider: one after the other, never from inside it."""
+"""Queue of events for the decider, which is never called re-entrantly."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
 
 
 class EventQueue:
-    """Feeds one decider.
+    """Passes events to one decider in order.
 
-    `perform` carries an action out; `fail` ends a request that a fault has struck.
+    `perform` executes an action; `fail` ends the request in which an exception occurred.
     """
 
     def __init__(
@@ -48,20 +48,20 @@
         self._busy = False
 
     def handle(self, event: Event) -> None:
-        """Give the decider one event.
+        """Pass one event to the decider.
 
-        What an action brings about at once is fed after it, in order.
+        Events that its actions cause immediately are passed after it, in order.
         """
         self._events.append(event)
         self.process()
 
     def enqueue(self, event: Event) -> None:
-        """Put one behind those that wait."""
+        """Append an event without processing it."""
         self._events.append(event)
 
     @contextmanager
     def deferred(self) -> Iterator[None]:
-        """Let events wait until the block is over."""
+        """Defer the processing of events to the end of the block."""
         busy = self._busy
         self._busy = True
         try:
@@ -71,7 +71,7 @@
             self.process()
 
     def process(self) -> None:
-        """Feed all that waits, unless that is being done."""
+        """Process all queued events, unless processing is already under way."""
         if self._busy:
             return
         self._busy = True
@@ -84,7 +84,7 @@
     def _step(self, event: Event) -> None:
         try:
             actions = self._decider.handle(self._loop.time(), event)
-        except Exception:  # one request's fault must not take the gateway down
+        except Exception:  # an error in one request must not stop the gateway
             log.exception("decider_failed event=%s", type(event).__name__)
             if isinstance(event, RequestArrived):
                 self._fail(event.facts.number)
--- a/roselink/dataplane/event_streams.py
+++ b/roselink/dataplane/event_streams.py
@@ -1,6 +1,6 @@
-"""Event streams without I/O: complete events, and resumed streams without gap or repeat.
+"""Server-sent event streams, without I/O: splitting, and resumption without gaps or duplicates.
 
-An event ends with an empty line (WHATWG HTML, section 9.2.6). Ids are whole numbers that rise.
+An event ends with an empty line (WHATWG HTML, section 9.2.6). Ids are increasing integers.
 """
 
 from __future__ import annotations
@@ -10,16 +10,16 @@
 
 _EVENT_END = re.compile(rb"\n\r?\n")
 _ID = re.compile(rb"^id:[ ]?(\d{1,18})\r?$", re.MULTILINE)
-# A line that is no comment.
+# The start of a line that is not a comment.
 _FIELD = re.compile(rb"^[^:\r\n]", re.MULTILINE)
-# Bytes of an end that may have come before.
+# Bytes of an event's end that may already be in the remainder.
 _EVENT_END_OVERLAP = 2
 
 
 class StreamEvent(NamedTuple):
-    """One complete event as it came.
+    """One complete event, unmodified.
 
-    `id`: None where it has none; `comment`: it has no field at all.
+    `id`: None if absent; `comment`: the event has no fields, only comments or empty lines.
     """
 
     data: bytes
@@ -28,7 +28,7 @@
 
 
 def read_event(data: bytes) -> StreamEvent:
-    """The event in `data`, its empty line included."""
+    """Parse `data`, one complete event with its empty line."""
     found = _ID.search(data)
     return StreamEvent(
         data, int(found.group(1)) if found else None, not found and not _FIELD.search(data)
@@ -36,14 +36,14 @@
 
 
 class EventSplitter:
-    """Cuts a body into complete events. `remainder`: the bytes behind the last whole one."""
+    """Splits a body into complete events. `remainder`: the bytes after the last complete one."""
 
     def __init__(self) -> None:
         """Start without a remainder."""
         self.remainder = b""
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """The events that `data` completes."""
+        """Return the events that `data` completes."""
         search_from = max(0, len(self.remainder) - _EVENT_END_OVERLAP)
         buffer = self.remainder + data
         events = []
@@ -56,23 +56,23 @@
 
 
 class StreamProgress:
-    """What of one response's stream went on to the client, over all its attempts."""
+    """What the client has received of one response's stream, over all attempts."""
 
     def __init__(self, resume_from: int = 0) -> None:
         """`resume_from`: the client's own `Last-Event-Id`, 0 without one."""
         self.last_id: int | None = None
         self._resume_from = resume_from
-        self._max_id_increment = 0  # the widest step from one id to the next
-        # An event without id went on behind the last one with an id.
+        self._max_id_increment = 0  # largest difference between consecutive ids
+        # An event without an id was relayed after the last one with an id.
         self._has_event_without_id = False
 
     @property
     def resumable(self) -> bool:
-        """Whether an id tells exactly what the client has."""
+        """Whether the last id identifies exactly what the client has received."""
         return self.last_id is not None and not self._has_event_without_id
 
     def record_relayed(self, event: StreamEvent) -> None:
-        """Note an event that goes on."""
+        """Record an event that is relayed."""
         if event.id is None:
             self._has_event_without_id = self._has_event_without_id or not event.comment
             return
@@ -82,38 +82,41 @@
         self._has_event_without_id = False
 
     def leaves_gap(self, event_id: int) -> bool:
-        """Whether an event that is next in a resumed stream leaves some out."""
+        """Whether resuming with this event would skip events.
+
+        Ids may increase in steps, so a step up to the largest one seen is no gap.
+        """
         return self.last_id is not None and event_id > self.last_id + max(1, self._max_id_increment)
 
 
 class StreamFilter:
-    """One attempt's stream on its way: what of it goes on.
+    """Selects the events of one attempt's stream that are relayed.
 
-    With `resumed`, events that the client has are left out, and a stream that leaves some out sets
-    `gap`.
+    With `resumed`, events that the client has already received are dropped, and a stream that skips
+    events sets `gap`.
     """
 
     def __init__(self, progress: StreamProgress, *, resumed: bool) -> None:
-        """Filter one attempt's stream; `resumed` if it takes up one that broke."""
+        """Filter one attempt's stream; `resumed` if it continues an interrupted one."""
         self._progress = progress
         self._resumed = resumed
         self._splitter = EventSplitter()
-        self._skipping_known_events = (
-            False  # in a resumed stream: behind an event that the client has
-        )
-        self._has_relayed_new_event = not resumed  # its first new event has gone on
-        self._pending_comments: list[bytes] = []  # comments ahead of the first event
+        # In a resumed stream: the latest id belongs to an event that the client has received.
+        self._skipping_known_events = False
+        # Always True if the stream is not resumed.
+        self._has_relayed_new_event = not resumed
+        self._pending_comments: list[bytes] = []  # comments before the first event
         self.gap = False
-        self.relayed_content = False  # an event with content went on
+        self.relayed_content = False  # an event with fields was relayed
 
     @property
     def buffered_bytes(self) -> int:
-        """Bytes that wait for the rest of their event."""
+        """Bytes of incomplete events and of buffered comments."""
         return len(self._splitter.remainder) + sum(map(len, self._pending_comments))
 
     def feed(self, data: bytes) -> bytes:
-        """The complete events in `data` that go on now. Comments wait for the first event."""
-        relayed = self._pending_comments
+        """Return the complete events to relay; comments are buffered until the first event."""
+        relayable = self._pending_comments
         for event in self._splitter.feed(data):
             if not self._is_relayed(event):
                 if self.gap:
@@ -121,20 +124,20 @@
                 continue
             self._progress.record_relayed(event)
             self.relayed_content = self.relayed_content or not event.comment
-            relayed.append(event.data)
+            relayable.append(event.data)
         if not self.relayed_content:
             return b""
         self._pending_comments = []
-        return b"".join(relayed)
+        return b"".join(relayable)
 
     def finish(self) -> bytes:
-        """What is left at the proper end of the body."""
+        """Return the remaining bytes to relay at the regular end of the body."""
         rest = b"" if self._skipping_known_events or self.gap else self._splitter.remainder
         return b"".join(self._pending_comments) + rest
 
     @property
     def ends_within_event(self) -> bool:
-        """Whether the body stops within an event."""
+        """Whether the body ends in the middle of an event."""
         return bool(self._splitter.remainder.strip())
 
     def _is_relayed(self, event: StreamEvent) -> bool:
--- a/roselink/dataplane/exceptions.py
+++ b/roselink/dataplane/exceptions.py
@@ -1,4 +1,4 @@
-"""Exceptions of the request path."""
+"""Exceptions of the data plane."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 
 class UnrequestedResponseError(DataPlaneError):
-    """A response that belongs to no request of this connection.
+    """A host's response that belongs to no request of its connection.
 
     Attributes:
-        response_id: its `X-Request-Id`, None where it has none.
+        response_id: its `X-Request-Id`, None if absent.
     """
 
     code = "DPL-001"
 
     def __init__(self, response_id: bytes | None) -> None:
         """Keep the id of the response."""
-        super().__init__(f"response to {response_id!r}")
+        super().__init__(f"response with X-Request-Id {response_id!r} matches no request")
         self.response_id = response_id
--- a/roselink/dataplane/fleet_host_connection.py
+++ b/roselink/dataplane/fleet_host_connection.py
@@ -1,7 +1,7 @@
-"""One connection to a host of the fleet: it passes a response on as it comes.
+"""Connection to a host of the fleet that passes on a response as it is received.
 
-What parts it from `HostConnection`: bodies go on piece by piece, silence is no failure, and a
-surplus response is recognised by its id.
+Unlike `HostConnection`, it streams bodies, does not take silence for a failure, and recognises
+responses to other requests by their id.
 """
 
 from __future__ import annotations
@@ -31,49 +31,49 @@
     from roselink.dataplane.proxy_request import Headers
     from roselink.http.host_pool import HostPool
 
-# Unacknowledged bytes for so long: the machine is gone.
+# A machine that acknowledges no bytes for this long, in milliseconds, counts as lost.
 TCP_USER_TIMEOUT_MS = 2500
-# TCP keep-alive probes find the same where nothing is on its way.
+# TCP keep-alive probes detect the loss of a machine while no bytes are in flight.
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 2
-# Responses to other requests that may lie ahead of the one that counts.
+# Responses to other requests that may precede the expected one.
 SURPLUS_LIMIT = 2
-# Hosts that state no idle time have one below a second.
+# Idle limit for hosts that state none; theirs is below one second.
 DEFAULT_IDLE_S = 0.4
 # Digits of the idle time in a `Keep-Alive` header, in seconds.
 IDLE_DIGITS_LIMIT = 7
-# A longer request may have reached the host in part when its write fails.
+# A request longer than this may have reached the host in part even though its write failed.
 PROVABLY_UNSENT_LIMIT_BYTES = 64 * 1024
-# Statuses that promise that a request has not run.
+# Statuses by which clients conclude that their request has not run.
 NOT_EXECUTED_STATUSES = frozenset((408, 421, 429, 503))
-# With `X-Not-Executed` the host has kept that promise.
+# Statuses that, with `X-Not-Executed`, confirm that the host has not run the request.
 REJECTION_STATUSES = frozenset((400, 421, 429, 503))
 
 
 class ResponseReceiver(Protocol):
-    """Who takes one attempt's response. `done` comes last and once."""
+    """Receiver of one attempt's response."""
 
     def head(self, status: int, headers: Headers) -> None:
-        """The head of the response has come."""
+        """Receive the head of the response."""
         ...
 
     def body(self, data: bytes) -> None:
-        """A piece of the body has come."""
+        """Receive bytes of the body."""
         ...
 
     def done(self, outcome: Outcome) -> None:
-        """The attempt is over; comes last and once."""
+        """Receive the end of the attempt; called once, as the last call."""
         ...
 
 
 class FleetAttempt(Attempt):
-    """One attempt.
+    """One attempt of a request at a host of the fleet.
 
     Attributes:
-        sent: bytes of it may have reached the host.
-        non_repeatable: its request must not run twice.
-        ended_by_close: its response stated no length, the connection's end was its end.
+        sent: bytes of the request may have reached the host.
+        non_repeatable: the request must not run twice.
+        ended_by_close: the response had no length; the end of the connection delimited it.
     """
 
     def __init__(
@@ -87,7 +87,7 @@
         still_wanted: StillWanted,
         non_repeatable: bool = False,
     ) -> None:
-        """Start the time-out; `has_no_body` if the response to its method has none."""
+        """Start the time-out; `has_no_body`: the response has no body because of the method."""
         super().__init__(
             loop, host, timeout_s, lambda outcome, _: receiver.done(outcome), still_wanted
         )
@@ -96,25 +96,25 @@
         self.has_no_body = has_no_body
         self.receiver = receiver
         self.sent = False
-        self.ended_by_close = False  # its response stated no length: it ended with the connection
+        self.ended_by_close = False
 
     def end(self, outcome: Outcome) -> None:
-        """Give it up from this side."""
+        """End the attempt with an outcome determined by the gateway."""
         self._end(outcome)
 
     def pause(self) -> None:
-        """Read nothing more for now: the client does not take it."""
+        """Pause reading from the host because the client reads too slowly."""
         if isinstance(self.connection, FleetHostConnection):
             self.connection.pause_reading()
 
     def resume(self) -> None:
-        """Read on."""
+        """Resume reading."""
         if isinstance(self.connection, FleetHostConnection):
             self.connection.resume_reading()
 
 
 class FleetHostConnection(HostConnection):
-    """One connection to a host; bodies go on to the attempt's receiver."""
+    """Connection to a host that streams responses to the attempt's receiver."""
 
     def __init__(self, pool: HostPool, host: PooledHost) -> None:
         """Start without a transport, for one host."""
@@ -136,7 +136,7 @@
             (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
             (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
         ):
-            with suppress(OSError):  # what a machine does not know: deadlines still hold
+            with suppress(OSError):  # unsupported by the system: deadlines still apply
                 sock.setsockopt(level, option, value)
 
     def send(self, attempt: Attempt, request: bytes) -> None:
@@ -156,24 +156,24 @@
         super().connection_lost(exc)
 
     def pause_reading(self) -> None:
-        """Read nothing more for now."""
+        """Pause reading."""
         if not self._reading_paused and not self.closing() and self.transport is not None:
             self._reading_paused = True
             self.transport.pause_reading()
 
     def resume_reading(self) -> None:
-        """Read on."""
+        """Resume reading."""
         if self._reading_paused:
             self._reading_paused = False
             if not self.closing() and self.transport is not None:
                 self.transport.resume_reading()
 
     def stale(self) -> bool:
-        """Whether it has been idle for longer than its host may keep it."""
+        """Whether it has been idle so long that the host may have closed it."""
         return self.pool.now() - self.idle_since > self._idle_limit_s
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes that have come (asyncio)."""
+        """Process received bytes (asyncio)."""
         attempt = self.attempt
         if not isinstance(attempt, FleetAttempt) or self._parser is None:
             self.drop()  # bytes that belong to no request
@@ -186,7 +186,7 @@
             self._has_excess = True
         self._deliver(attempt)
         if self.attempt is not attempt:
-            return  # given up by what took the bytes
+            return  # ended by the receiver
         if self._is_complete:
             self.resume_reading()
             self._response_complete(attempt)
@@ -203,14 +203,14 @@
             attempt.receiver.body(data)
 
     def eof_received(self) -> bool:
-        """Let the transport close: the peer has ended its sending (asyncio)."""
+        """Let the transport close after the peer's end of stream (asyncio)."""
         if not self._in_surplus and isinstance(self.attempt, FleetAttempt):
             self.attempt.ended_by_close = True
             super().eof_received()
         return False
 
     def _fail_unreadable(self) -> None:
-        """No response, or not the one to this request: it may have run."""
+        """Fail the attempt: no valid response to its request, which may have run."""
         if self.attempt is not None:
             self.attempt.finish(Outcome.RESET)
         self.drop()
@@ -218,7 +218,7 @@
     def _outcome(self) -> Outcome:
         return outcome_of(self._status, self._headers)
 
-    # Callbacks of the parser.
+    # Parser callbacks.
 
     def _start_message(self) -> None:
         super()._start_message()
@@ -227,7 +227,7 @@
         self._in_surplus = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header, or a trailer (parser)."""
+        """Process a header or trailer (parser)."""
         if self._is_complete or not self._in_head:
             return
         super().on_header(name, value)
@@ -235,7 +235,7 @@
         self._bytes_since_progress = 0
 
     def on_headers_complete(self) -> None:
-        """The head is complete (parser)."""
+        """Process the end of the head (parser)."""
         if self._is_complete or self._parser is None:
             return
         self._status = self._parser.get_status_code()
@@ -245,8 +245,8 @@
         if is_interim(self._status) or not isinstance(attempt, FleetAttempt):
             return
         response_id = self._headers.get(b"x-request-id")
-        # A surplus response has the id of its own request. What has none is a rejection, or belongs
-        # to no request.
+        # A surplus response has the id of another request. A response without an id is a rejection,
+        # or belongs to no request.
         rejected = not response_id and self._outcome() is Outcome.FULL
         if response_id != attempt.request_id and not rejected:
             self._surplus_count += 1
@@ -261,13 +261,13 @@
             self._keep_alive = False
 
     def on_body(self, body: bytes) -> None:
-        """A piece of the body (parser)."""
+        """Process bytes of the body (parser)."""
         self._bytes_since_progress = 0
         if not (self._is_complete or self._in_surplus):
             self._body_pieces.append(body)
 
     def on_message_complete(self) -> None:
-        """The message is complete (parser)."""
+        """Process the end of the message (parser)."""
         if self._is_complete or self._parser is None:
             return
         self._in_message = False
@@ -285,7 +285,7 @@
 
 
 def outcome_of(status: int, headers: dict[bytes, bytes]) -> Outcome:
-    """What a complete response says of its attempt. A success without the host's stamp is none."""
+    """Outcome of an attempt with a complete response; a success without a signature is an error."""
     if is_success(status):
         return Outcome.SUCCESS if b"x-response-signature" in headers else Outcome.ERROR
     if status == MISDIRECTED_REQUEST or (
@@ -296,7 +296,7 @@
 
 
 def _parse_idle_limit_s(keep_alive: bytes) -> float:
-    """How long a connection may rest here so that the host is never the first to end it."""
+    """Idle limit of a connection, short enough that the gateway closes it before the host does."""
     for parameter in keep_alive.split(b","):
         name, _, value = parameter.strip().partition(b"=")
         if (
--- a/roselink/dataplane/fleet_host_pool.py
+++ b/roselink/dataplane/fleet_host_pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to the hosts of the fleet: each host takes so many and no more."""
+"""Connection pool for the hosts of the fleet, with a connection limit per host."""
 
 from __future__ import annotations
 
@@ -16,7 +16,9 @@
     from roselink.http.descriptors import Descriptors
 
 CONNECT_TIMEOUT_S = 0.25
-# A host may have forgotten what rested longer: a request sent there counts as run.
+# Non-repeatable requests use no connection that was idle for longer: its host may have dropped it,
+# and a request that fails there counts as possibly run. A larger value reuses more connections; a
+# smaller one opens more.
 NON_REPEATABLE_IDLE_LIMIT_S = 0.15
 
 
@@ -24,8 +26,8 @@
     """One host of the snapshot.
 
     Attributes:
-        service: the service that it belongs to.
-        connection_limit: the most connections that this gateway may have to it.
+        service: the service to which it belongs.
+        connection_limit: maximum number of connections from this gateway.
     """
 
     def __init__(self, name: str, service: str, address: Address, connection_limit: int) -> None:
@@ -36,7 +38,7 @@
 
 
 class FleetHostPool(HostPool):
-    """The pool of all hosts."""
+    """Connections to all hosts of the fleet."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, descriptors: Descriptors) -> None:
         """Start without hosts."""
@@ -54,17 +56,17 @@
     def _may_connect(self, host: PooledHost) -> bool:
         assert isinstance(host, FleetHost)
         if host.open_count >= host.connection_limit and host.idle:
-            connection = host.idle[0]  # not settled yet, or it would have been used
+            connection = host.idle[0]  # not reusable yet, or the pool would have used it
             connection.drop()
             self.forget(connection)
         return host.open_count < host.connection_limit
 
     def begin(self, attempt: FleetAttempt, request: Callable[[], bytes]) -> None:
-        """Start an attempt; `request` is asked right before the write."""
+        """Start an attempt; `request` is called for the bytes right before the write."""
         self.launch(attempt, request)
 
     def sweep(self) -> None:
-        """Close what has taken too long."""
+        """Close stale idle connections."""
         for connection in list(self._idle):
             if connection.stale():
                 connection.drop()
--- a/roselink/dataplane/gateway_data_plane.py
+++ b/roselink/dataplane/gateway_data_plane.py
@@ -1,4 +1,4 @@
-"""The data plane of one gateway, wired: listeners, driver, pool, readiness, draining."""
+"""The data plane of one gateway: listeners, driver, connection pool, readiness and draining."""
 
 from __future__ import annotations
 
@@ -23,19 +23,20 @@
 log = logging.getLogger("roselink.dataplane")
 
 SWEEP_INTERVAL_S = 0.25
-# A sweep that comes so late ends nothing: what came meanwhile has not been read.
+# A sweep delayed by more than this closes nothing, because data received meanwhile is still unread.
 SWEEP_OVERDUE_LIMIT_S = 1.0
-# After SIGTERM: the platform asks once a second, and sends connections until two misses.
+# After SIGTERM. The platform checks readiness every second and sends connections until two checks
+# have failed. A smaller value would refuse connections; a larger one would delay the drain.
 ACCEPT_AFTER_SIGTERM_S = 2.5
-# Of the time to the kill: for the last responses to leave and the process to end.
+# Part of the grace time that is kept for sending the last responses and for exiting.
 EXIT_RESERVE_S = 1.0
 CLOSE_POLL_S = 0.02
-# Not for clients and hosts: files, peers, libraries.
+# File descriptors for uses other than clients and hosts: files, peers, libraries.
 RESERVED_DESCRIPTORS = 300
 
 
 class GatewayDataPlane:
-    """Public face: `start`, `begin_drain`, `drained`, `stop`, `status_line`."""
+    """Public interface: `start`, `begin_drain`, `drained`, `stop`, `status_line`."""
 
     def __init__(
         self,
@@ -46,7 +47,7 @@
         quotas: Quotas,
         shared_budget: SharedBudget,
     ) -> None:
-        """Wire the parts; nothing listens before `start`."""
+        """Create the components; nothing listens before `start`."""
         self._settings = settings
         self._loop = loop
         self._authority = authority
@@ -73,7 +74,7 @@
         return configured and not self.draining and self._authority.may_use_keys()
 
     async def start(self) -> None:
-        """Listen; raises `OSError` when an address can't be bound."""
+        """Start to listen; raises `OSError` if an address can't be bound."""
         self._authority.subscribe(self._apply_snapshot)
         self.port = await self._listen(self.server, "http")
         self.readiness_port = await self._listen(self.readiness, "readiness")
@@ -108,17 +109,17 @@
             self.server.sweep()
             self.readiness.sweep()
             self.host_pool.sweep()
-        except Exception:  # one connection's fault must not end the care for all others
+        except Exception:  # an error in one connection must not stop the sweeps
             log.exception("sweep_failed")
 
-    # The end.
+    # Payoffs, draining and shutdown.
 
     def pool_payoffs(self, payoffs: tuple[tuple[str, float], ...]) -> None:
-        """Payoffs of hosts over all gateways, by id, 0 to 1; those not named have 1."""
+        """Apply the payoffs of hosts over all gateways: id and 0 to 1; hosts not listed have 1."""
         self.driver.handle_event(PooledPayoffs(payoffs))
 
     def begin_drain(self) -> None:
-        """Not ready at once; connections are taken while the platform may still send them."""
+        """Report not ready at once; accept connections while the platform may still send them."""
         if self.draining:
             return
         self.draining = self.server.draining = True
@@ -140,7 +141,7 @@
         self._drained.set()
 
     async def drained(self) -> None:
-        """Returns once all that was read has its response, or there is no more time."""
+        """Wait until every request has its response or the grace time is used up."""
         await self._drained.wait()
 
     def stop(self) -> None:
@@ -157,7 +158,7 @@
             self.host_pool.retire(host)
 
     def status_line(self) -> str:
-        """Counters and what is open, for a log."""
+        """Counters and the numbers of open requests and connections, for the log."""
         counts = " ".join(f"{name}={count}" for name, count in sorted(self.driver.counts.items()))
         return (
             f"open={len(self.driver.open_requests)} clients={len(self.server.connections)} {counts}"
--- a/roselink/dataplane/host_directory.py
+++ b/roselink/dataplane/host_directory.py
@@ -1,13 +1,13 @@
-"""The hosts of the snapshot in force, as the pool of connections knows them."""
+"""The hosts of the snapshot in force, as the connection pool uses them."""
 
 from __future__ import annotations
 
 from roselink.dataplane.fleet_host_pool import FleetHost, FleetHostPool
 from roselink.model.fleet import Host, HostState, Snapshot
 
-# To each host.
+# Per host, however many gateways share the service's limit.
 MIN_CONNECTIONS_PER_HOST = 4
-# Gateways, where the roster is not known.
+# Number of gateways that is assumed while the roster is unknown.
 DEFAULT_GATEWAY_COUNT = 6
 
 
@@ -18,14 +18,14 @@
         """Start without hosts."""
         self._host_pool = host_pool
         self.hosts: dict[str, FleetHost] = {}
-        self._previous: dict[str, Host] = {}  # of the snapshot before
+        self._previous: dict[str, Host] = {}  # in the previous snapshot
         self._limit_inputs: tuple[int, dict[str, int]] = (0, {})
 
     def update(self, snapshot: Snapshot) -> None:
-        """Go by a snapshot.
+        """Apply a snapshot.
 
-        What drains or is gone gets nothing new; what runs there runs on. Hosts whose entry is the
-        very same as before, under the same bounds, are passed over.
+        Hosts that are draining or removed get no new requests; open requests continue. Hosts with
+        an identical entry under the same limits are skipped.
         """
         gateways = len(snapshot.roster) or DEFAULT_GATEWAY_COUNT
         limits = {
@@ -64,7 +64,7 @@
             self._host_pool.retire(current)
 
     def any_ready(self) -> bool:
-        """Whether some host takes requests."""
+        """Whether any host takes requests."""
         return any(host.ready for host in self.hosts.values())
 
 
--- a/roselink/dataplane/interfaces.py
+++ b/roselink/dataplane/interfaces.py
@@ -1,6 +1,6 @@
-"""What the data plane is given by the rest of the process.
+"""Interfaces that the rest of the process implements for the data plane.
 
-All calls are made on the loop's thread.
+All calls are made on the event loop's thread.
 """
 
 from __future__ import annotations
@@ -16,28 +16,28 @@
 
 
 class Decider(Protocol):
-    """Which host gets which attempt, and when to give up.
+    """Chooses the host of each attempt and decides when to give up.
 
-    The driver feeds it, in this order for each request: `RequestArrived`; then `FirstEvent` (of
-    each attempt whose events go on, once), `AttemptEnded` and `BudgetDecided` as they come;
-    `RequestClosed` once. Each attempt that was requested ends with one `AttemptEnded`, also one
-    called off by the close, behind `RequestClosed`.
+    For each request the driver passes, in this order: `RequestArrived`; then `FirstEvent` (once for
+    each attempt whose events are relayed), `AttemptEnded` and `BudgetDecided` as they occur; then
+    `RequestClosed` once. Each requested attempt ends with one `AttemptEnded`, which follows
+    `RequestClosed` if closing the request cancelled the attempt.
     """
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Give the decider one event; the actions that it asks for."""
+        """Process one event and return the actions to perform."""
         ...
 
 
 class Authority(Protocol):
-    """What is in force here, and whether this gateway may still go by it."""
+    """The snapshot in force and whether its API keys may still be used."""
 
     def snapshot(self) -> Snapshot | None:
-        """What is in force here; None before the first configuration."""
+        """The snapshot in force; None before the first configuration."""
         ...
 
     def may_use_keys(self) -> bool:
-        """Whether the keys of the snapshot are confirmed to be still held."""
+        """Whether the API keys of the snapshot are confirmed as still valid."""
         ...
 
     def subscribe(self, callback: Callable[[Snapshot], None]) -> None:
@@ -46,23 +46,23 @@
 
 
 class Quotas(Protocol):
-    """The tenants' quotas over all gateways."""
+    """Quotas of the tenants, shared by all gateways."""
 
     def admit(self, tenant: Tenant, amount: float, decide: Callable[[bool, float], None]) -> None:
-        """Request `amount` requests or tokens.
+        """Request admission for `amount` requests or tokens.
 
-        `decide(allowed, retry_after_s)` is called once, maybe later.
+        `decide(allowed, retry_after_s)` is called once, now or later.
         """
         ...
 
     def give_back(self, tenant: Tenant, amount: float) -> None:
-        """A request that was admitted for `amount` has not run and never will."""
+        """Return `amount` of an admitted request that has not run and never will."""
         ...
 
 
 class SharedBudget(Protocol):
-    """The repeats that all gateways share, by service."""
+    """Retry budget per service, shared by all gateways."""
 
     def ask(self, service: str, decide: Callable[[bool], None]) -> None:
-        """Ask for one repeat; `decide(allowed)` is called once, now or later."""
+        """Request one retry; `decide(allowed)` is called once, now or later."""
         ...
--- a/roselink/dataplane/proxy_request.py
+++ b/roselink/dataplane/proxy_request.py
@@ -1,4 +1,4 @@
-"""A client's request as typed values, and the head that a host gets for it."""
+"""Parsing of a client's request, and the head that is sent to a host for it."""
 
 from __future__ import annotations
 
@@ -14,30 +14,31 @@
     b"connection keep-alive proxy-connection proxy-authenticate proxy-authorization te trailer "
     b"transfer-encoding upgrade".split()
 )
-# Not relayed to a host as the client sent them: set here, or not for hosts to see.
+# Client headers that are not relayed to hosts: the gateway sets them, or hosts must not see them.
 _NOT_RELAYED = frozenset(
     b"authorization content-length expect x-tenant-id x-target-instance x-request-deadline "
     b"priority "
     b"expect-version last-event-id".split()
 )
+# Headers that a request may have only once.
 _SINGLE_VALUED = frozenset(
     b"host x-request-id x-request-deadline authorization last-event-id x-token-usage".split()
 )
-# A `Connection` header can't take these away from the host.
+# Relayed even if the client's `Connection` header lists them.
 _ALWAYS_RELAYED = frozenset(b"host x-request-id x-model x-token-usage x-prompt-prefix".split())
 LOWEST_PRIORITY = 9
-# A tenant's rank goes before the route's.
+# Weight of the tenant's priority relative to the route's.
 PRIORITY_STEP = 3
 PROMPT_ENTRIES_LIMIT = 256
-# A day: longer deadlines are taken for none.
+# One day; a request with a longer deadline counts as having none.
 DEADLINE_LIMIT_S = 86400
-# Digits of a number of tokens.
+# Maximum digits of a token count.
 TOKEN_DIGITS_LIMIT = 9
 
 
 @dataclass(slots=True)
 class ProxyRequest:
-    """One complete request.
+    """One complete client request.
 
     `received_at`: loop time from which the deadline counts; `deadline_s`: how long the client
     waits, None if not stated; `version`: the client's HTTP version.
@@ -63,24 +64,24 @@
 def read_request(
     method: bytes, url: bytes, headers: Headers, body: bytes, received_at: float
 ) -> ProxyRequest:
-    """A request that may go on as far as its form says; raises `BadRequestError`."""
+    """Validate and parse a request; raises `BadRequestError`."""
     values: dict[bytes, bytes] = {}
     has_body = bool(body)
     for name, value in headers:
         lower = name.lower()
         normalized = lower.replace(b"_", b"-")
         if normalized != lower and normalized in _SINGLE_VALUED:
-            raise BadRequestError(400, f"{normalized.decode()} spelt oddly")
+            raise BadRequestError(400, f"header {normalized.decode()} is spelt with an underscore")
         if lower in _SINGLE_VALUED and lower in values:
-            raise BadRequestError(400, f"two headers {lower.decode()}")
+            raise BadRequestError(400, f"header {lower.decode()} occurs more than once")
         values[lower] = value
         has_body = has_body or lower in (b"content-length", b"transfer-encoding")
     if not url.startswith(b"/"):
-        raise BadRequestError(400, "no path")
+        raise BadRequestError(400, "the request target is not a path")
     if not values.get(b"host"):
-        raise BadRequestError(400, "no Host")
+        raise BadRequestError(400, "the Host header is missing")
     if not values.get(b"x-request-id"):
-        raise BadRequestError(400, "no X-Request-Id")
+        raise BadRequestError(400, "the X-Request-Id header is missing")
     return ProxyRequest(
         method=method,
         url=url,
@@ -100,7 +101,7 @@
 
 
 def _parse_deadline_s(value: bytes | None) -> float | None:
-    """Seconds, or None where there is no number that makes sense."""
+    """Seconds from milliseconds; None if the value is missing or not a valid deadline."""
     try:
         seconds = float(value or b"") / 1000
     except ValueError:
@@ -141,13 +142,13 @@
 
 
 def priority_of(route: Route, tenant: Tenant | None) -> int:
-    """0 goes first, 9 last."""
+    """Priority of a request; 0 is the highest, 9 the lowest."""
     rank = tenant.priority if tenant is not None else 0
     return max(0, min(LOWEST_PRIORITY, PRIORITY_STEP * rank + route.priority))
 
 
 def host_head(request: ProxyRequest, route: Route, tenant: Tenant | None) -> bytes:
-    """What each host gets of a request's head; `attempt_head` ends it."""
+    """The part of a request's head that all hosts get; `attempt_head` completes it."""
     lines = [b"%b %b HTTP/1.1" % (request.method, request.url)]
     connection_options = _connection_options(request.headers)
     for name, value in request.headers:
@@ -177,7 +178,7 @@
 
 
 def attempt_head(host: str, remaining_ms: int, last_event_id: bytes) -> bytes:
-    """What differs by attempt, and the end of the head."""
+    """The headers that differ by attempt, and the end of the head."""
     resume = b"Last-Event-Id: %b\r\n" % last_event_id if last_event_id else b""
     return b"X-Target-Instance: %b\r\nX-Request-Deadline: %d\r\n%b\r\n" % (
         host.encode(),
@@ -187,7 +188,7 @@
 
 
 def relayed_headers(headers: Headers) -> Headers:
-    """A host's headers that are relayed to the client."""
+    """The headers of a host's response that are relayed to the client."""
     connection_options = _connection_options(headers)
     return [
         (name, value)
--- a/roselink/dataplane/readiness_server.py
+++ b/roselink/dataplane/readiness_server.py
@@ -18,7 +18,7 @@
 
 
 class ReadinessConnection(ServerConnection):
-    """A caller that asks whether this gateway is ready."""
+    """Connection of a readiness check."""
 
     def __init__(self, server: ReadinessServer) -> None:
         """Start on a connection of `server`."""
@@ -30,7 +30,7 @@
             method in (b"GET", b"HEAD") and self._url.partition(b"?")[0] == b"/readyz"
         )
         if not is_readiness_check:
-            raise BadRequestError(404, "no such page")
+            raise BadRequestError(404, "only GET and HEAD of /readyz are served")
         return PendingRequest(None, OK, keep=keep)
 
     def _serve_request(self, pending: PendingRequest) -> None:
@@ -48,7 +48,7 @@
 
 
 class ReadinessServer(HttpServer):
-    """`GET /readyz`: 200 while `ready`."""
+    """Serves `GET /readyz`: 200 while `ready` returns true, else 503."""
 
     def __init__(
         self,
@@ -57,14 +57,14 @@
         descriptors: Descriptors,
         drop_idle_connection: Callable[[], bool],
     ) -> None:
-        """Start with a callable that says whether the gateway is ready."""
+        """Start with `ready`, which returns whether the gateway takes requests."""
         super().__init__(loop, descriptors, drop_idle_connection, SizeLimits(8192, 8192, 65536))
         self.ready = ready
 
     def time_limits(self) -> TimeLimits:
-        """How long clients may take, as it is in force now."""
+        """Time limits for clients."""
         return TimeLimits(3.0, 3.0, 3.0, (30.0,))
 
     def make_connection(self) -> ServerConnection:
-        """A new client connection."""
+        """Create the protocol of a new connection."""
         return ReadinessConnection(self)
--- a/roselink/dataplane/route_table.py
+++ b/roselink/dataplane/route_table.py
@@ -1,4 +1,4 @@
-"""Which route, service and tenant a request has under one configuration. Built once for each."""
+"""Lookup of the route, service and tenant of a request; built once per configuration."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 class RouteEntry:
-    """One route with its split ready for the draw."""
+    """One route with its traffic split, prepared for the choice of a service."""
 
     def __init__(self, route: Route) -> None:
-        """Prepare the draw of a service by the weights of the split."""
+        """Prepare the random choice of a service by the weights of the split."""
         self.route = route
         weighted = [entry for entry in route.split if entry.weight > 0] or list(route.split)
         self.services = [entry.service for entry in weighted]
         self._cumulative_weights = list(accumulate(entry.weight for entry in weighted))
 
     def choose_service(self, generator: random.Random) -> str:
-        """A service, by the split's weights."""
+        """Choose a service at random, by the weights of the split."""
         if len(self.services) == 1:
             return self.services[0]
         point = generator.random() * self._cumulative_weights[-1]
@@ -47,12 +47,10 @@
             (len(route.path_prefix) for route in configuration.routes), default=0
         )
         self._tenants = {key: tenant for tenant in configuration.tenants for key in tenant.api_keys}
-        self.requires_keys = bool(
-            configuration.tenants
-        )  # whether routes that aren't public take a key
+        self.requires_keys = bool(configuration.tenants)  # on routes that aren't public
 
     def find(self, host: str, path: str) -> RouteEntry | None:
-        """The route of a `Host` header and a path (without its query): the longest prefix wins."""
+        """The route with the longest prefix of a path (without query) for a `Host` header."""
         prefixes = self._routes_by_prefix.get(hostname(host))
         if prefixes is None:
             return None
@@ -65,7 +63,7 @@
         return None
 
     def tenant(self, key: str | None) -> Tenant | None:
-        """Who holds a key."""
+        """The tenant to which an API key belongs."""
         return None if key is None else self._tenants.get(key)
 
 
--- a/tests/mutations/dataplane.py
+++ b/tests/mutations/dataplane.py
@@ -150,8 +150,8 @@
             "attempts outlive their request",
             "        for response in list(exchange.attempts.values()):\n"
             "            response.cancel()\n"
-            "        # Nothing is left",
-            "        # Nothing is left",
+            "        # Break the reference",
+            "        # Break the reference",
         ),
         (
             "no last word at the end of the time",
