--- a/tests/mutations/dataplane.py
+++ b/tests/mutations/dataplane.py
@@ -1,4 +1,4 @@
-"""Guards of `roselink/dataplane`, with the edit that removes each and the tests that miss it."""
+"""Mutations of `roselink/dataplane`: each removes one guard, which its tests must detect."""
 
 from __future__ import annotations
 
@@ -11,42 +11,42 @@
         "dataplane/attempt_runner.py",
         DATAPLANE,
         (
-            "a second attempt of what runs once",
+            "non-repeatable request is sent a second time",
             "return not (non_repeatable and exchange.may_run) and self._owner.still_wanted(",
             "return self._owner.still_wanted(",
         ),
         (
-            "a host of another service",
+            "attempt goes to host of another service",
             "exchange.closed or host.service != exchange.service or",
             "exchange.closed or",
         ),
         (
-            "sent again after its time",
+            "attempt is sent after the deadline",
             "in_time = self._loop.time() < exchange.give_up_at",
             "in_time = True",
         ),
         (
-            "a host is handed the whole time",
+            "host gets the full deadline instead of the remaining time",
             "(exchange.give_up_at - self._loop.time())",
             "(exchange.give_up_at - exchange.request.received_at)",
         ),
         (
-            "a resumed stream begins anew",
+            "resumed stream starts from the beginning",
             '            last_event_id = b"%d" % (exchange.progress.last_id or 0)\n',
             "            pass\n",
         ),
         (
-            "an end that may have run is forgotten",
+            "ended attempt that may have run is not recorded",
             "            exchange.may_have_run = True\n",
             "            pass\n",
         ),
         (
-            "a stream cut short is complete",
+            "truncated stream is ended as complete",
             "        elif response.finish_stream():",
             "        elif response.finish_stream() or True:",
         ),
         (
-            "a failure of a host is held for nobody",
+            "host error is not kept for the client",
             "            exchange.host_failure = failure\n",
             "            pass\n",
         ),
@@ -55,34 +55,34 @@
         "dataplane/exchange.py",
         DATAPLANE,
         (
-            "streams resume on any route",
+            "streams resume on non-resumable routes",
             "            and self.route.resumable\n",
             "",
         ),
-        ("streams resume where ids tell nothing", " and self.progress.resumable", ""),
+        ("streams without ids resume", " and self.progress.resumable", ""),
         (
-            "two responses are relayed",
+            "responses of two attempts are relayed",
             "return exchange.relayed_attempt in (None, self) or ("
             "exchange.awaits_resume and self.resumed)",
             "return True",
         ),
         (
-            "half an event at a close is complete",
+            "stream closed within an event is ended as complete",
             "if (by_close and stream.ends_within_event) or not self._become_relayed(None):",
             "if not self._become_relayed(None):",
         ),
         (
-            "a gap is passed over",
+            "stream with a gap is not aborted",
             "if stream.gap or stream.buffered_bytes > BUFFER_LIMIT_BYTES:",
             "if stream.buffered_bytes > BUFFER_LIMIT_BYTES:",
         ),
         (
-            "a host's promise is passed on",
+            "host's not-executed status is relayed without proof",
             "            or self.status in NOT_EXECUTED_STATUSES\n",
             "",
         ),
         (
-            "bytes that were sent count as unsent",
+            "sent request counts as unsent",
             "return self.attempt is not None and self.attempt.sent",
             "return False",
         ),
@@ -91,70 +91,70 @@
         "dataplane/decision_driver.py",
         DATAPLANE,
         (
-            "sent for a client that has left",
+            "attempt is sent for disconnected client",
             "        if exchange.client.has_left():",
             "        if False:",
         ),
         (
-            "sent with a key that is gone",
+            "attempt is sent with removed key",
             "return key_is_known and self._authority.may_use_keys()",
             "return self._authority.may_use_keys()",
         ),
         (
-            "sent with a key that is not confirmed",
+            "attempt is sent with unconfirmed key",
             "return key_is_known and self._authority.may_use_keys()",
             "return key_is_known",
         ),
         (
-            "a promise for what may have run",
+            "503 is sent for request that may have run",
             "        elif not exchange.may_run:\n",
             "        elif True:\n",
         ),
         (
-            "a response that has begun is ended as whole",
+            "interrupted response is ended as complete",
             "            exchange.client.abort_response()\n",
             "            exchange.client.send_end()\n",
         ),
         (
-            "admitted twice",
+            "duplicate quota decision admits request twice",
             "if exchange.closed or exchange.facts is not None:",
             "if exchange.closed:",
         ),
         (
-            "an expired request is accepted",
+            "expired request is accepted",
             "        if exchange.give_up_at <= self._loop.time():\n            self._refuse(",
             "        if False:\n            self._refuse(",
         ),
         (
-            "a request is accepted in a drain without its deadline",
+            "request accepted during drain keeps its own deadline",
             "        if self._drain_ends_at is not None:\n            exchange.expires_at =",
             "        if False:\n            exchange.expires_at =",
         ),
         (
-            "a drain leaves guards where they were",
+            "drain does not move deadline timers of open requests",
             "                self._set_deadline_timer(exchange, exchange.give_up_at)\n",
             "",
         ),
         (
-            "an unconfigured gateway is judged as any",
+            "unconfigured gateway uses the ordinary retry delay",
             "unconfigured_retry_s(request, self._random.random())",
             "0.25",
         ),
-        ("a quota's no is passed over", "        if not allowed:\n", "        if False:\n"),
+        ("quota refusal is ignored", "        if not allowed:\n", "        if False:\n"),
         (
-            "what may have run is given back",
+            "quota is returned for request that may have run",
             "exchange.tenant is not None and not exchange.may_run:",
             "exchange.tenant is not None:",
         ),
         (
-            "attempts outlive their request",
+            "attempts continue after request is closed",
             "        for response in list(exchange.attempts.values()):\n"
             "            response.cancel()\n"
             "        # Break the reference",
             "        # Break the reference",
         ),
         (
-            "no last word at the end of the time",
+            "no final response at the deadline",
             "        self._give_up(exchange, FailureReason.OUT_OF_TIME, 0.0)\n\n    # The decider.",
             "\n    # The decider.",
         ),
@@ -163,17 +163,17 @@
         "dataplane/admission.py",
         DATAPLANE,
         (
-            "an unknown route is refused without a confirmed configuration",
+            "unknown route gives 404 without confirmed keys",
             "return Refusal(404) if keys_usable else NOT_CONFIRMED",
             "return Refusal(404)",
         ),
         (
-            "keys are judged without being sure",
+            "keys are checked while unconfirmed",
             "    if not keys_usable:\n        return NOT_CONFIRMED\n",
             "",
         ),
         (
-            "the client's time alone counts",
+            "route timeout is ignored",
             "return min(allowed_s, route.timeout_ms / 1000) if route.timeout_ms > 0 else allowed_s",
             "return allowed_s",
         ),
@@ -182,42 +182,42 @@
         "dataplane/fleet_host_connection.py",
         DATAPLANE,
         (
-            "a response to another request is accepted",
+            "response to another request is accepted",
             "if response_id != attempt.request_id and not rejected:",
             "if not response_id and not rejected:",
         ),
         (
-            "a long request counts as never sent",
+            "long request with failed write counts as unsent",
             "if self._sent_bytes > PROVABLY_UNSENT_LIMIT_BYTES:",
             "if False:",
         ),
         (
-            "a connection is kept behind a surplus response",
+            "connection is reused after response to another request",
             "should_keep_alive() and not self._surplus_count",
             "should_keep_alive()",
         ),
         (
-            "a connection that its host may have ended",
+            "stale connection is used",
             "return self.pool.now() - self.idle_since > self._idle_limit_s",
             "return False",
         ),
         (
-            "a rejection without X-Not-Executed counts as one",
+            "rejection without X-Not-Executed is accepted as not executed",
             'status in REJECTION_STATUSES and b"x-not-executed" in headers\n',
             "status in REJECTION_STATUSES\n",
         ),
         (
-            "a success without its signature is accepted",
+            "success without signature is accepted",
             'Outcome.SUCCESS if b"x-response-signature" in headers else Outcome.ERROR',
             "Outcome.SUCCESS",
         ),
         (
-            "unrequested bytes are kept",
+            "unrequested bytes do not close the connection",
             "            self.drop()  # bytes that belong to no request\n",
             "",
         ),
         (
-            "surplus responses without a limit",
+            "number of responses to other requests is unlimited",
             "if not response_id or self._surplus_count > SURPLUS_LIMIT:",
             "if not response_id:",
         ),
@@ -226,12 +226,12 @@
         "dataplane/fleet_host_pool.py",
         DATAPLANE,
         (
-            "an old connection for what runs once",
+            "non-repeatable request uses long idle connection",
             "return not non_repeatable or fresh or connection.stale()",
             "return True",
         ),
         (
-            "more connections than a host takes",
+            "connection limit per host is ignored",
             "return host.open_count < host.connection_limit",
             "return True",
         ),
@@ -239,19 +239,23 @@
     *mutations_of(
         "dataplane/event_streams.py",
         DATAPLANE,
-        ("a gap in events is not seen", "            self.gap = True\n", "            pass\n"),
         (
-            "events that the client has come again",
+            "gap in resumed stream is not detected",
+            "            self.gap = True\n",
+            "            pass\n",
+        ),
+        (
+            "events already received are relayed again",
             "        if self._skipping_known_events:\n            return False\n",
             "",
         ),
         (
-            "half an event goes on",
+            "incomplete event already received is relayed",
             'rest = b"" if self._skipping_known_events or self.gap else',
             'rest = b"" if self.gap else',
         ),
         (
-            "an event without id is no matter",
+            "event without id does not prevent resumption",
             "self._has_event_without_id = self._has_event_without_id or not event.comment",
             "pass",
         ),
@@ -259,10 +263,10 @@
     *mutations_of(
         "dataplane/proxy_request.py",
         DATAPLANE,
-        ("a client names its tenant", "x-tenant-id x-target-instance", "x-target-instance"),
-        ("keys go on to hosts", '"authorization content-length', '"content-length'),
+        ("client can set X-Tenant-Id", "x-tenant-id x-target-instance", "x-target-instance"),
+        ("API keys are relayed to hosts", '"authorization content-length', '"content-length'),
         (
-            "two headers that must stand once",
+            "duplicate single-valued headers are accepted",
             "        if lower in _SINGLE_VALUED and lower in values:",
             "        if False:",
         ),
@@ -271,12 +275,12 @@
         "dataplane/host_directory.py",
         DATAPLANE,
         (
-            "an address that another host has",
+            "host with changed address keeps its old connections",
             "            self._host_pool.retire(current)\n            current = None",
             "            pass",
         ),
         (
-            "a draining host takes requests",
+            "draining host gets requests",
             "        elif current.ready:\n            self._host_pool.retire(current)\n",
             "",
         ),
@@ -285,7 +289,7 @@
         "dataplane/client_connection.py",
         DATAPLANE,
         (
-            "a truncated response ends as if it were whole",
+            "truncated response is closed as if complete",
             "        if self._transport is not None and not self._chunked:\n            sock",
             "        if False and self._transport is not None:\n            sock",
         ),
