--- a/roselink/dataplane/admission.py
+++ b/roselink/dataplane/admission.py
@@ -21,9 +21,10 @@
 DEADLINE_MARGIN_S = 0.030
 # Upper bound of the margin, as a fraction of the request's time limit, for short deadlines.
 DEADLINE_MARGIN_FRACTION = 0.25
-# This gateway lacks a configuration, confirmed keys or capacity; other gateways may have them.
+# Retry delay if this gateway lacks a configuration, confirmed keys or capacity; others have them.
 NOT_CONFIRMED_RETRY_S = 0.25
-# Approximate time from a start to a host list after a total outage (docs/policy.md).
+# Retry delay of a gateway that was never configured: about the time from a start to a host list
+# after a total outage (docs/policy.md).
 UNCONFIGURED_RETRY_S = 1.2
 # Jitter of that delay in either direction, as a fraction.
 UNCONFIGURED_RETRY_JITTER = 0.4
--- a/roselink/dataplane/attempt_runner.py
+++ b/roselink/dataplane/attempt_runner.py
@@ -31,7 +31,7 @@
     counts: Counter[str]
 
     def handle_event(self, event: Event) -> None:
-        """Give the decider one event."""
+        """Pass one event to the decider."""
         ...
 
     def still_wanted(self, exchange: Exchange) -> bool:
--- a/roselink/dataplane/client_connection.py
+++ b/roselink/dataplane/client_connection.py
@@ -47,7 +47,7 @@
             self._exchange.client_writable()
 
     def on_headers_complete(self) -> None:
-        """The head is complete (parser)."""
+        """Process the end of the head and answer `Expect: 100-continue` (parser)."""
         super().on_headers_complete()
         expects_continue = any(
             n.lower() == b"expect" and v.lower() == b"100-continue" for n, v in self._headers
@@ -119,9 +119,8 @@
             # HTTP/1.0: the end of the connection delimits the body.
             framing = []
             self._keep_alive = False
-        self._pending_head = self._render_head(
-            status, headers, framing
-        )  # sent with the first bytes of the body
+        # Sent with the first bytes of the body.
+        self._pending_head = self._render_head(status, headers, framing)
 
     def send_body(self, data: bytes) -> None:
         """Send bytes of the body."""
--- a/roselink/dataplane/fleet_host_connection.py
+++ b/roselink/dataplane/fleet_host_connection.py
@@ -31,13 +31,13 @@
     from roselink.dataplane.proxy_request import Headers
     from roselink.http.host_pool import HostPool
 
-# A machine that acknowledges no bytes for this long, in milliseconds, counts as lost.
+# A machine that leaves sent bytes unacknowledged for this long counts as lost.
 TCP_USER_TIMEOUT_MS = 2500
 # TCP keep-alive probes detect the loss of a machine while no bytes are in flight.
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 2
-# Responses to other requests that may precede the expected one.
+# Surplus responses, which belong to other requests, that may precede the expected one.
 SURPLUS_LIMIT = 2
 # Idle limit for hosts that state none; theirs is below one second.
 DEFAULT_IDLE_S = 0.4
--- a/roselink/dataplane/host_directory.py
+++ b/roselink/dataplane/host_directory.py
@@ -5,7 +5,7 @@
 from roselink.dataplane.fleet_host_pool import FleetHost, FleetHostPool
 from roselink.model.fleet import Host, HostState, Snapshot
 
-# Per host, however many gateways share the service's limit.
+# Minimum of the connection limit per host, however many gateways share the service's limit.
 MIN_CONNECTIONS_PER_HOST = 4
 # Number of gateways that is assumed while the roster is unknown.
 DEFAULT_GATEWAY_COUNT = 6
--- a/tests/dataplane/test_clients.py
+++ b/tests/dataplane/test_clients.py
@@ -193,7 +193,7 @@
         assert response.status == 503
         assert (
             0.7 < float(response.headers["retry-after"]) <= 1.5
-        )  # longer than for a single gateway
+        )  # time for the whole fleet to start
 
 
 # Draining.
--- a/tests/dataplane/test_host_faults.py
+++ b/tests/dataplane/test_host_faults.py
@@ -41,7 +41,7 @@
 SERVED = {
     "fake": 70,
     "fleet": 20,
-}  # Minimum of 160 for a meaningful test; the fleet's decider may refuse requests.
+}  # Minimum served, of 160, for a meaningful test; the fleet's decider may refuse.
 NOT_EXECUTED_STATUSES = (408, 421, 429, 503)
 FAULTS = (
     ["none"] * 8
