--- a/roselink/dataplane/exchange.py
+++ b/roselink/dataplane/exchange.py
@@ -87,7 +87,8 @@
 class Exchange:
     """One client request and its state.
 
-    `attempts`: those still open; `closed`: the final response was sent or the client disconnected.
+    `attempts`: those still open; `closed`: the final response was sent or the client disconnected;
+    `expires_at`: the deadline in loop time; `give_up_at`: when the final response is due.
     """
 
     def __init__(
--- a/tests/dataplane/test_data_plane.py
+++ b/tests/dataplane/test_data_plane.py
@@ -102,20 +102,20 @@
 
 
 @pytest.mark.parametrize("end", ["reset", "close", "garbage"])
-@pytest.mark.parametrize("half", [b"id: 9\nda", b""])
+@pytest.mark.parametrize("incomplete_event", [b"id: 9\nda", b""])
 @on_loop
 async def test_interrupted_stream_resumes_at_another_host_in_same_response(
-    end: str, half: bytes
+    end: str, incomplete_event: bytes
 ) -> None:
-    first = stream(6, cut_after=2, incomplete_event=half or b"\n", end=end)
+    first = stream(6, cut_after=2, incomplete_event=incomplete_event or b"\n", end=end)
     async with running_data_plane(first, stream(6)) as harness, harness.client() as client:
         response = await client.send_request("/chat/x")
         assert (response.status, response.complete, response.ids) == (200, True, [1, 2, 3, 4, 5, 6])
         assert response.body == b"".join(event(number) for number in range(1, 7))
         assert harness.hosts[1].seen[0].headers["last-event-id"] == "2"
         assert harness.hosts[1].seen[0].headers["x-target-instance"] == "i-1"
-        cut, whole = harness.decider.attempt_ends()
-        assert (cut.outcome, cut.progressed, whole.outcome) == (
+        interrupted, resumed = harness.decider.attempt_ends()
+        assert (interrupted.outcome, interrupted.progressed, resumed.outcome) == (
             Outcome.RESET,
             True,
             Outcome.SUCCESS,
@@ -300,11 +300,11 @@
         assert not harness.hosts[1].seen
 
 
-@pytest.mark.parametrize("later", [False, True])
+@pytest.mark.parametrize("delayed", [False, True])
 @on_loop
-async def test_quota_is_requested_once_and_refusal_gives_429(later: bool) -> None:
+async def test_quota_is_requested_once_and_refusal_gives_429(delayed: bool) -> None:
     async with running_data_plane(respond()) as harness, harness.client() as client:
-        harness.quotas.delayed = later
+        harness.quotas.delayed = delayed
         assert (await client.send_request(X_Token_Usage="1460,80")).status == 200
         assert (await client.send_request()).status == 200
         assert (
--- a/tests/dataplane/test_event_streams.py
+++ b/tests/dataplane/test_event_streams.py
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize(
-    ("body", "events", "rest"),
+    ("body", "events", "remainder"),
     [
         (b"", [], b""),
         (b"data: a\n\n", [b"data: a\n\n"], b""),
@@ -24,12 +24,12 @@
 )
 @pytest.mark.parametrize("step", [1, 2, 3, 100])
 def test_splitter_returns_complete_events_for_any_chunking(
-    body: bytes, events: list[bytes], rest: bytes, step: int
+    body: bytes, events: list[bytes], remainder: bytes, step: int
 ) -> None:
     splitter, got = EventSplitter(), list[bytes]()
     for start in range(0, len(body), step):
         got += [event.data for event in splitter.feed(body[start : start + step])]
-    assert (got, splitter.remainder) == (events, rest)
+    assert (got, splitter.remainder) == (events, remainder)
 
 
 @settings(max_examples=200, derandomize=True, deadline=None)
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize(
-    ("before", "resumed", "passed", "gap"),
+    ("before", "resumed", "relayed", "gap"),
     [
         (numbered(1, 2), numbered(3, 4), numbered(3, 4), False),
         (numbered(1, 2), numbered(1, 2, 3), numbered(3), False),
@@ -103,7 +103,7 @@
 )
 @pytest.mark.parametrize("step", [1, 1000])
 def test_resumed_stream_drops_duplicates_and_reports_gaps(
-    before: bytes, resumed: bytes, passed: bytes, gap: bool, step: int
+    before: bytes, resumed: bytes, relayed: bytes, gap: bool, step: int
 ) -> None:
     progress = StreamProgress()
     first = StreamFilter(progress, resumed=False)
@@ -113,7 +113,7 @@
     for start in range(0, len(resumed), step):
         got += second.feed(resumed[start : start + step])
     got += second.finish()
-    assert (got, second.gap) == (passed, gap)
+    assert (got, second.gap) == (relayed, gap)
 
 
 @pytest.mark.parametrize(
--- a/tests/dataplane/test_fleet_host_pool.py
+++ b/tests/dataplane/test_fleet_host_pool.py
@@ -140,10 +140,12 @@
 
 @on_loop
 async def test_refused_connection_gives_503_with_retry_after() -> None:
-    with socket.socket() as nobody:
-        nobody.bind(("127.0.0.1", 0))
+    with socket.socket() as closed_port:
+        closed_port.bind(("127.0.0.1", 0))
         async with running_data_plane(hang) as harness, harness.client() as client:
-            entry = host_entry(harness.hosts[0], address=f"127.0.0.1:{nobody.getsockname()[1]}")
+            entry = host_entry(
+                harness.hosts[0], address=f"127.0.0.1:{closed_port.getsockname()[1]}"
+            )
             harness.authority.publish(harness.snapshot(entry))
             response = await client.send_request("/once/x")
             assert (response.status, response.headers["retry-after"]) == (503, "0.400")
@@ -310,25 +312,25 @@
 
 
 @pytest.mark.parametrize(
-    ("body_end", "whole"),
+    ("body_end", "complete"),
     [
-        ("no length, whole events", True),
-        ("no length, half an event", False),
+        ("no length, complete events", True),
+        ("no length, incomplete event", False),
     ],
 )
 @on_loop
 async def test_stream_delimited_by_close_is_complete_only_at_event_end(
-    body_end: str, whole: bool
+    body_end: str, complete: bool
 ) -> None:
     async def until_close(message: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(response_head(message, "200 OK", "Connection: close") + b"\r\n" + event(1))
-        if not whole:
+        if not complete:
             writer.write(b"id: 2\nda")
         writer.close()
 
     async with running_data_plane(until_close) as harness, harness.client() as client:
         response = await client.send_request("/plan/x")
-        assert (response.body, response.complete) == (event(1), whole)
+        assert (response.body, response.complete) == (event(1), complete)
 
 
 @on_loop
