--- a/roselink/dataplane/gateway_data_plane.py
+++ b/roselink/dataplane/gateway_data_plane.py
@@ -1,4 +1,4 @@
-"""The data plane of one gateway, wired: listeners, driver, pool, readiness, draining."""
+"""The data plane of one gateway: listeners, driver, connection pool, readiness and draining."""
 
 from __future__ import annotations
 
@@ -22,20 +22,21 @@
 
 log = logging.getLogger("roselink.dataplane")
 
-SWEEP_S = 0.25
-# A sweep that comes so late ends nothing: what came meanwhile has not been read.
-SWEEP_OVERDUE_S = 1.0
-# After SIGTERM: the platform asks once a second, and sends connections until two misses.
+SWEEP_INTERVAL_S = 0.25
+# A sweep delayed by more than this closes nothing, because data received meanwhile is still unread.
+SWEEP_OVERDUE_LIMIT_S = 1.0
+# After SIGTERM. The platform checks readiness every second and sends connections until two checks
+# have failed. A smaller value would refuse connections; a larger one would delay the drain.
 ACCEPT_AFTER_SIGTERM_S = 2.5
-# Of the time to the kill: for the last responses to leave and the process to end.
+# Part of the grace time that is kept for sending the last responses and for exiting.
 EXIT_RESERVE_S = 1.0
 CLOSE_POLL_S = 0.02
-# Not for clients and hosts: files, peers, libraries.
-OTHER_DESCRIPTORS = 300
+# File descriptors for uses other than clients and hosts: files, peers, libraries.
+RESERVED_DESCRIPTORS = 300
 
 
 class GatewayDataPlane:
-    """Public face: `start`, `begin_drain`, `drained`, `stop`, `status_line`."""
+    """Public interface: `start`, `begin_drain`, `drained`, `stop`, `status_line`."""
 
     def __init__(
         self,
@@ -46,19 +47,19 @@
         quotas: Quotas,
         shared_budget: SharedBudget,
     ) -> None:
-        """Wire the parts; nothing listens before `start`."""
+        """Create the components; nothing listens before `start`."""
         self._settings = settings
         self._loop = loop
         self._authority = authority
-        descriptors = Descriptors(max(128, settings.resources.max_fds - OTHER_DESCRIPTORS))
+        descriptors = Descriptors(max(128, settings.resources.max_fds - RESERVED_DESCRIPTORS))
         self.host_pool = FleetHostPool(loop, descriptors)
         seed = zlib.crc32(settings.node_name.encode())
         self.driver = DecisionDriver(
             loop, decider, self.host_pool, authority, quotas, shared_budget, seed
         )
-        make_room = self.host_pool.drop_oldest_idle
-        self.server = FleetServer(loop, self.driver, descriptors, make_room)
-        self.readiness = ReadinessServer(loop, self.ready, descriptors, make_room)
+        drop_idle_connection = self.host_pool.drop_oldest_idle
+        self.server = FleetServer(loop, self.driver, descriptors, drop_idle_connection)
+        self.readiness = ReadinessServer(loop, self.ready, descriptors, drop_idle_connection)
         self.port = self.readiness_port = 0
         self.draining = False
         self._drain_ends_at = 0.0
@@ -69,56 +70,56 @@
 
     def ready(self) -> bool:
         """Whether the platform should send clients here."""
-        known = self.driver.route_table is not None and self.driver.host_directory.any_ready()
-        return known and not self.draining and self._authority.may_use_keys()
+        configured = self.driver.route_table is not None and self.driver.host_directory.any_ready()
+        return configured and not self.draining and self._authority.may_use_keys()
 
     async def start(self) -> None:
-        """Listen; raises `OSError` when an address can't be bound."""
-        self._authority.subscribe(self._refresh)
+        """Start to listen; raises `OSError` if an address can't be bound."""
+        self._authority.subscribe(self._apply_snapshot)
         self.port = await self._listen(self.server, "http")
         self.readiness_port = await self._listen(self.readiness, "readiness")
         self._swept_at = self._loop.time()
-        self._sweep_timer = self._loop.call_later(SWEEP_S, self._sweep)
+        self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     async def _listen(self, server: HttpServer, name: str) -> int:
         address = self._settings.bind.get(name)
         return 0 if address is None else await server.listen(*address)
 
-    def _refresh(self, snapshot: Snapshot) -> None:
-        known = self.driver.route_table is not None
-        hosts = self.driver.host_directory.any_ready()
+    def _apply_snapshot(self, snapshot: Snapshot) -> None:
+        configured = self.driver.route_table is not None
+        had_ready_hosts = self.driver.host_directory.any_ready()
         self.driver.apply_snapshot()
-        if not known or hosts != self.driver.host_directory.any_ready():
+        if not configured or had_ready_hosts != self.driver.host_directory.any_ready():
             log.info(
                 "configuration_in_force generation=%d hosts=%d",
                 snapshot.configuration.generation,
                 len(snapshot.hosts),
             )
         if self.driver.route_table is not None:
-            self.server.limit(self.driver.route_table.configuration.limits)
+            self.server.apply_limits(self.driver.route_table.configuration.limits)
 
     def _sweep(self) -> None:
         now = self._loop.time()
-        overdue = now - self._swept_at > SWEEP_S + SWEEP_OVERDUE_S
+        overdue = now - self._swept_at > SWEEP_INTERVAL_S + SWEEP_OVERDUE_LIMIT_S
         self._swept_at = now
-        self._sweep_timer = self._loop.call_later(SWEEP_S, self._sweep)
+        self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         if overdue:
             return
         try:
             self.server.sweep()
             self.readiness.sweep()
             self.host_pool.sweep()
-        except Exception:  # one connection's fault must not end the care for all others
+        except Exception:  # an error in one connection must not stop the sweeps
             log.exception("sweep_failed")
 
-    # The end.
+    # Payoffs, draining and shutdown.
 
     def pool_payoffs(self, payoffs: tuple[tuple[str, float], ...]) -> None:
-        """Payoffs of hosts over all gateways, by id, 0 to 1; those not named have 1."""
+        """Apply the payoffs of hosts over all gateways: id and 0 to 1; hosts not listed have 1."""
         self.driver.handle_event(PooledPayoffs(payoffs))
 
     def begin_drain(self) -> None:
-        """Not ready at once; connections are taken while the platform may still send them."""
+        """Report not ready at once; accept connections while the platform may still send them."""
         if self.draining:
             return
         self.draining = self.server.draining = True
@@ -140,7 +141,7 @@
         self._drained.set()
 
     async def drained(self) -> None:
-        """Returns once all that was read has its response, or there is no more time."""
+        """Wait until every request has its response or the grace time is used up."""
         await self._drained.wait()
 
     def stop(self) -> None:
@@ -157,7 +158,7 @@
             self.host_pool.retire(host)
 
     def status_line(self) -> str:
-        """Counters and what is open, for a log."""
+        """Counters and the numbers of open requests and connections, for the log."""
         counts = " ".join(f"{name}={count}" for name, count in sorted(self.driver.counts.items()))
         return (
             f"open={len(self.driver.open_requests)} clients={len(self.server.connections)} {counts}"
