--- a/roselink/dataplane/proxy_request.py
+++ b/roselink/dataplane/proxy_request.py
@@ -6,7 +6,7 @@
 
 from roselink.http.exceptions import BadRequestError
 from roselink.model.configuration import Route, RouteKind, Tenant
-from roselink.routing.events_and_actions import PromptPart
+from roselink.routing.events_and_actions import PromptSegment
 
 Headers = list[tuple[bytes, bytes]]
 
@@ -56,7 +56,7 @@
     key: str | None
     last_event_id: bytes
     tokens: tuple[int, int] | None
-    prompt: tuple[PromptPart, ...]
+    prompt: tuple[PromptSegment, ...]
     version: str = "1.1"
 
 
@@ -128,7 +128,7 @@
     return int(first), int(second)
 
 
-def _prompt(value: bytes | None) -> tuple[PromptPart, ...]:
+def _prompt(value: bytes | None) -> tuple[PromptSegment, ...]:
     if not value:
         return ()
     parts = []
@@ -136,7 +136,7 @@
         name, colon, tokens = part.strip().partition(b":")
         if not (colon and tokens.isdigit() and len(tokens) <= TOKEN_DIGITS_LIMIT):
             return ()
-        parts.append(PromptPart(name.decode("latin-1"), int(tokens)))
+        parts.append(PromptSegment(name.decode("latin-1"), int(tokens)))
     return tuple(parts)
 
 
--- a/roselink/routing/affinity.py
+++ b/roselink/routing/affinity.py
@@ -19,15 +19,15 @@
 from typing import TYPE_CHECKING, TypeVar
 
 if TYPE_CHECKING:
-    from roselink.routing.events_and_actions import PromptPart, RequestFacts
+    from roselink.routing.events_and_actions import PromptSegment, RequestFacts
 
 # Prompt parts whose hosts are remembered.
-MAX_REMEMBERED_PARTS = 8192
+MAX_TRACKED_SEGMENTS = 8192
 # Hosts remembered for each of these parts.
-MAX_HOSTS_PER_PART = 16
+MAX_HOSTS_PER_SEGMENT = 16
 # Last parts remembered, to detect those that recur.
-MAX_REMEMBERED_LAST_PARTS = 2048
-MAX_REMEMBERED_ROUTES = 1024
+MAX_TRACKED_LAST_SEGMENTS = 2048
+MAX_TRACKED_ROUTES = 1024
 # A host is assumed to cache a part for this long after its last use there.
 CACHE_LIFETIME_S = 20.0
 # Fraction of the shared tokens that the home is assumed to have cached when nothing is known.
@@ -42,34 +42,36 @@
 
 
 @dataclass(slots=True)
-class _LastParts:
+class _LastSegmentRecurrence:
     """How often a route's last parts recur."""
 
     recurrence: float = 0.0
 
 
-class PrefixMemory:
+class PrefixCacheTracker:
     """The prompt parts that this gateway has seen, and the hosts that read them; bounded."""
 
     def __init__(self) -> None:
         """Start with nothing known."""
-        self._hosts_by_part: OrderedDict[str, dict[str, float]] = OrderedDict()
-        self._last_parts: OrderedDict[str, None] = OrderedDict()
-        self._routes: OrderedDict[str, _LastParts] = OrderedDict()
+        self._hosts_by_segment: OrderedDict[str, dict[str, float]] = OrderedDict()
+        self._recent_last_segments: OrderedDict[str, None] = OrderedDict()
+        self._routes: OrderedDict[str, _LastSegmentRecurrence] = OrderedDict()
 
     def observe_arrival(self, facts: RequestFacts) -> None:
         """Learn from an arrival whether its route's last parts recur."""
         if not facts.prompt:
             return
-        route = self._routes.setdefault(facts.route, _LastParts())
+        route = self._routes.setdefault(facts.route, _LastSegmentRecurrence())
         last = facts.prompt[-1].id
-        route.recurrence += ((last in self._last_parts) - route.recurrence) * RECURRENCE_SMOOTHING
-        self._last_parts[last] = None
-        self._last_parts.move_to_end(last)
-        _evict_oldest(self._last_parts, MAX_REMEMBERED_LAST_PARTS)
-        _evict_oldest(self._routes, MAX_REMEMBERED_ROUTES)
-
-    def shared_parts(self, facts: RequestFacts) -> tuple[PromptPart, ...]:
+        route.recurrence += (
+            (last in self._recent_last_segments) - route.recurrence
+        ) * RECURRENCE_SMOOTHING
+        self._recent_last_segments[last] = None
+        self._recent_last_segments.move_to_end(last)
+        _evict_oldest(self._recent_last_segments, MAX_TRACKED_LAST_SEGMENTS)
+        _evict_oldest(self._routes, MAX_TRACKED_ROUTES)
+
+    def shared_segments(self, facts: RequestFacts) -> tuple[PromptSegment, ...]:
         """The leading parts that other requests share; the last of them is the affinity key."""
         parts = facts.prompt
         route = self._routes.get(facts.route)
@@ -78,18 +80,18 @@
         )
         return parts[:-1] if last_is_unique else parts
 
-    def record_read(self, host: str, shared: tuple[PromptPart, ...], now: float) -> None:
+    def record_prefill(self, host: str, shared: tuple[PromptSegment, ...], now: float) -> None:
         """Note that a host has read these parts, in order; `now` in seconds."""
         for part in shared:
-            hosts = self._hosts_by_part.setdefault(part.id, {})
-            if len(hosts) >= MAX_HOSTS_PER_PART and host not in hosts:
+            hosts = self._hosts_by_segment.setdefault(part.id, {})
+            if len(hosts) >= MAX_HOSTS_PER_SEGMENT and host not in hosts:
                 del hosts[min(hosts, key=hosts.__getitem__)]
             hosts[host] = now
-            self._hosts_by_part.move_to_end(part.id)
-        _evict_oldest(self._hosts_by_part, MAX_REMEMBERED_PARTS)
+            self._hosts_by_segment.move_to_end(part.id)
+        _evict_oldest(self._hosts_by_segment, MAX_TRACKED_SEGMENTS)
 
     def uncached_tokens(
-        self, host: str, shared: tuple[PromptPart, ...], now: float, *, is_home: bool
+        self, host: str, shared: tuple[PromptSegment, ...], now: float, *, is_home: bool
     ) -> float:
         """Shared tokens that a host is expected to have to read.
 
@@ -104,7 +106,7 @@
         prefix_cached = True
         for part in shared:
             total += part.tokens
-            read_at = self._hosts_by_part.get(part.id, _NO_HOSTS).get(host)
+            read_at = self._hosts_by_segment.get(part.id, _NO_HOSTS).get(host)
             prefix_cached = (
                 prefix_cached and read_at is not None and now - read_at < CACHE_LIFETIME_S
             )
--- a/roselink/routing/events_and_actions.py
+++ b/roselink/routing/events_and_actions.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PromptPart:
+class PromptSegment:
     """One part of a prompt, in order; equal leading ids share the parts in a host's cache."""
 
     id: str
@@ -56,7 +56,7 @@
     max_attempts: int
     priority: int
     affinity: bool
-    prompt: tuple[PromptPart, ...]
+    prompt: tuple[PromptSegment, ...]
     tokens_in: int
     tokens_out: int
 
--- a/roselink/routing/fleet_decider.py
+++ b/roselink/routing/fleet_decider.py
@@ -10,7 +10,7 @@
 import random
 from typing import TYPE_CHECKING, assert_never
 
-from roselink.routing.affinity import PrefixMemory
+from roselink.routing.affinity import PrefixCacheTracker
 from roselink.routing.events_and_actions import (
     AttemptEnded,
     BudgetDecided,
@@ -49,7 +49,7 @@
             retry_window_s: The window over which they are counted, in seconds.
         """
         randomness = random.Random(seed)
-        self._memory = PrefixMemory()
+        self._memory = PrefixCacheTracker()
         self._topology = Topology()
         self._learner = Learner(self._topology, self._memory)
         self._routes = RouteLatencyTable()
--- a/roselink/routing/host_choice.py
+++ b/roselink/routing/host_choice.py
@@ -15,8 +15,8 @@
     import random
     from collections.abc import Collection
 
-    from roselink.routing.affinity import PrefixMemory
-    from roselink.routing.events_and_actions import PromptPart, RequestFacts
+    from roselink.routing.affinity import PrefixCacheTracker
+    from roselink.routing.events_and_actions import PromptSegment, RequestFacts
     from roselink.routing.host_record import HostRecord
     from roselink.routing.ready_hosts import Condition, ReadyHosts
 
@@ -50,7 +50,7 @@
 class HostChooser:
     """Picks hosts for one gateway."""
 
-    def __init__(self, zone: str, randomness: random.Random, memory: PrefixMemory) -> None:
+    def __init__(self, zone: str, randomness: random.Random, memory: PrefixCacheTracker) -> None:
         """Start with no exploration deferred.
 
         Args:
@@ -83,7 +83,7 @@
             None if no other host was found.
         """
         if facts.affinity and facts.prompt:
-            shared = self._memory.shared_parts(facts)
+            shared = self._memory.shared_segments(facts)
             ranked = self._ranked_pair(ready, shared, excluded, now)
             if ranked:
                 scores = [self._affinity_score(each, shared, now) for each in ranked]
@@ -101,7 +101,7 @@
         """Prompt tokens that a host is expected to read for a request."""
         if not facts.prompt:
             return facts.tokens_in
-        shared = self._memory.shared_parts(facts)
+        shared = self._memory.shared_segments(facts)
         home = next(iter(ready.ranked(shared[-1].id, 1)), None) if facts.affinity else None
         uncached = self._memory.uncached_tokens(host.spec.id, shared, now, is_home=host is home)
         cached = sum(part.tokens for part in shared) - uncached
@@ -112,7 +112,9 @@
         zone_factor = 1.0 if host.spec.zone == self._zone else OTHER_ZONE_FACTOR
         return zone_factor * host.effective_payoff() / (1.0 + host.in_flight)
 
-    def _affinity_score(self, ranked: _Ranked, shared: tuple[PromptPart, ...], now: float) -> float:
+    def _affinity_score(
+        self, ranked: _Ranked, shared: tuple[PromptSegment, ...], now: float
+    ) -> float:
         host = ranked.host
         uncached = self._memory.uncached_tokens(host.spec.id, shared, now, is_home=ranked.is_home)
         tokens = host.pending_prompt_tokens + REREAD_WEIGHT * uncached
@@ -122,7 +124,7 @@
     def _ranked_pair(
         self,
         ready: ReadyHosts,
-        shared: tuple[PromptPart, ...],
+        shared: tuple[PromptSegment, ...],
         excluded: Collection[HostRecord],
         now: float,
     ) -> list[_Ranked]:
--- a/roselink/routing/learning.py
+++ b/roselink/routing/learning.py
@@ -7,7 +7,7 @@
 from roselink.routing.outcome import Outcome
 
 if TYPE_CHECKING:
-    from roselink.routing.affinity import PrefixMemory
+    from roselink.routing.affinity import PrefixCacheTracker
     from roselink.routing.events_and_actions import AttemptEnded
     from roselink.routing.host_record import HostRecord
     from roselink.routing.request_state import Attempt, Request
@@ -21,7 +21,7 @@
 class Learner:
     """Turns outcomes into payoffs, ejections, limits, latencies and the memory of prompt parts."""
 
-    def __init__(self, topology: Topology, memory: PrefixMemory) -> None:
+    def __init__(self, topology: Topology, memory: PrefixCacheTracker) -> None:
         """Learn into `topology`'s hosts and services, and `memory`'s prompt parts."""
         self._topology = topology
         self._memory = memory
@@ -44,7 +44,9 @@
             host.record_payoff(in_time=request.route.is_in_time(request.policy, elapsed_s))
         request.route.learn(elapsed_s)
         if request.facts.affinity and request.facts.prompt:
-            self._memory.record_read(host.spec.id, self._memory.shared_parts(request.facts), now)
+            self._memory.record_prefill(
+                host.spec.id, self._memory.shared_segments(request.facts), now
+            )
 
     def record_overdue(self, request: Request, attempt: Attempt, now: float) -> None:
         """An attempt passes the target latency: count a miss at once.
--- a/tests/routing/builders.py
+++ b/tests/routing/builders.py
@@ -11,7 +11,7 @@
     AttemptEnded,
     Event,
     FinalResponse,
-    PromptPart,
+    PromptSegment,
     RequestArrived,
     RequestFacts,
     SendAttempt,
@@ -52,8 +52,8 @@
     return tuple(host(f"h{number}", service) for number in range(count))
 
 
-def prompt(*parts: str, tokens: int = 1000) -> tuple[PromptPart, ...]:
-    return tuple(PromptPart(part, tokens) for part in parts)
+def prompt(*parts: str, tokens: int = 1000) -> tuple[PromptSegment, ...]:
+    return tuple(PromptSegment(part, tokens) for part in parts)
 
 
 @dataclass
--- a/tests/routing/test_affinity_simulation.py
+++ b/tests/routing/test_affinity_simulation.py
@@ -15,7 +15,7 @@
     AttemptEnded,
     Event,
     FirstEvent,
-    PromptPart,
+    PromptSegment,
     RequestArrived,
     RequestFacts,
     SendAttempt,
@@ -46,7 +46,7 @@
     kept: OrderedDict[str, int] = field(default_factory=OrderedDict)
     free_at: float = 0.0
 
-    def read(self, parts: tuple[PromptPart, ...], now: float) -> tuple[int, float]:
+    def read(self, parts: tuple[PromptSegment, ...], now: float) -> tuple[int, float]:
         """Tokens that had to be read, and when that is done."""
         missing = 0
         leading = True
@@ -76,7 +76,7 @@
     gateways = [FleetDecider("z", number, 0.2, 10.0) for number in range(GATEWAYS)]
     order = count()
     queue: list[tuple[float, int, FleetDecider, Event]] = []
-    prompts: dict[int, tuple[float, tuple[PromptPart, ...]]] = {}
+    prompts: dict[int, tuple[float, tuple[PromptSegment, ...]]] = {}
     for gateway in gateways:
         gateway.handle(0.0, TopologyChanged(hosts(HOSTS), ()))
     now = 0.0
@@ -84,7 +84,7 @@
         number = len(prompts)
         session = draw.randrange(120)
         sizes = ((f"g{session % 4}", GROUP), (f"s{session}", SESSION), (f"o{number}", OWN))
-        prompts[number] = now, tuple(PromptPart(*size) for size in sizes)
+        prompts[number] = now, tuple(PromptSegment(*size) for size in sizes)
         facts = RequestFacts(
             number=number,
             route="r",
--- a/tests/routing/test_host_choice.py
+++ b/tests/routing/test_host_choice.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from roselink.routing.affinity import PrefixMemory
+from roselink.routing.affinity import PrefixCacheTracker
 from roselink.routing.host_choice import HostChooser
 from roselink.routing.host_record import HostRecord, new_host_record
 from roselink.routing.ready_hosts import ReadyHosts
@@ -34,8 +34,10 @@
     return ready_of(*(new_host_record(host(f"h{n}", zone=zone)) for n in range(count)))
 
 
-def chooser(seed: int = 1, zone: str = "z", memory: PrefixMemory | None = None) -> HostChooser:
-    return HostChooser(zone, random.Random(seed), memory or PrefixMemory())
+def chooser(
+    seed: int = 1, zone: str = "z", memory: PrefixCacheTracker | None = None
+) -> HostChooser:
+    return HostChooser(zone, random.Random(seed), memory or PrefixCacheTracker())
 
 
 def picked(
@@ -228,13 +230,13 @@
 
 def test_a_host_known_to_cache_the_prefix_is_preferred() -> None:
     ready = ready_hosts(6)
-    memory = PrefixMemory()
+    memory = PrefixCacheTracker()
     home, second = list(ready.ranked("session", 2))
     choose = chooser(memory=memory)
     home.in_flight = 32  # loads of 4 requests
     lost = sum(choose.pick(ready, MODEL, (), 0.0) is second for _ in range(200))
     home.in_flight = 4
-    memory.record_read(second.spec.id, MODEL.prompt[:2], 0.0)
+    memory.record_prefill(second.spec.id, MODEL.prompt[:2], 0.0)
     kept = sum(choose.pick(ready, MODEL, (), 1.0) is second for _ in range(200))
     forgotten = sum(choose.pick(ready, MODEL, (), 60.0) is second for _ in range(200))
     assert lost > 170
@@ -275,11 +277,11 @@
 def test_the_key_is_the_last_shared_part(
     parts: tuple[str, ...], *, comes_again: bool, key: str
 ) -> None:
-    memory = PrefixMemory()
+    memory = PrefixCacheTracker()
     for number in range(100):
         last = parts[-1] if comes_again else f"{parts[-1]}{number}"
         memory.observe_arrival(replace(MODEL, prompt=prompt(*parts[:-1], last)))
-    assert memory.shared_parts(replace(MODEL, prompt=prompt(*parts)))[-1].id == key
+    assert memory.shared_segments(replace(MODEL, prompt=prompt(*parts)))[-1].id == key
 
 
 @pytest.mark.parametrize(
@@ -293,21 +295,21 @@
     ],
 )
 def test_uncached_tokens(read: tuple[str, ...], *, home: bool, expected: float) -> None:
-    memory = PrefixMemory()
-    memory.record_read("h0", prompt(*read), 0.0)
+    memory = PrefixCacheTracker()
+    memory.record_prefill("h0", prompt(*read), 0.0)
     assert memory.uncached_tokens("h0", MODEL.prompt[:2], 1.0, is_home=home) == pytest.approx(
         expected
     )
 
 
 def test_prefix_memory_is_bounded() -> None:
-    memory = PrefixMemory()
+    memory = PrefixCacheTracker()
     for number in range(20_000):
         facts = replace(MODEL, route=f"r{number}", prompt=prompt(f"s{number}", f"o{number}"))
         memory.observe_arrival(facts)
-        memory.record_read(f"h{number}", facts.prompt, 0.0)
-        memory.record_read(f"h{number}", prompt("hot"), 0.0)
-    assert len(memory._hosts_by_part) <= 8192
-    assert len(memory._last_parts) <= 2048
+        memory.record_prefill(f"h{number}", facts.prompt, 0.0)
+        memory.record_prefill(f"h{number}", prompt("hot"), 0.0)
+    assert len(memory._hosts_by_segment) <= 8192
+    assert len(memory._recent_last_segments) <= 2048
     assert len(memory._routes) <= 1024
-    assert len(memory._hosts_by_part["hot"]) <= 16
+    assert len(memory._hosts_by_segment["hot"]) <= 16
--- a/tools/decider.py
+++ b/tools/decider.py
@@ -11,11 +11,11 @@
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING
 
-from roselink.routing.affinity import MAX_REMEMBERED_PARTS, PrefixMemory
+from roselink.routing.affinity import MAX_TRACKED_SEGMENTS, PrefixCacheTracker
 from roselink.routing.events_and_actions import (
     AttemptEnded,
     FirstEvent,
-    PromptPart,
+    PromptSegment,
     RequestArrived,
     RequestFacts,
     SendAttempt,
@@ -103,7 +103,7 @@
         number = next(self._numbers)
         self._now += REQUEST_INTERVAL_S
         subject = number * 7919 % SUBJECTS
-        parts = (PromptPart(f"{subject % 20:08x}", 800), PromptPart(f"s{subject:07x}", 410))
+        parts = (PromptSegment(f"{subject % 20:08x}", 800), PromptSegment(f"s{subject:07x}", 410))
         facts = replace(
             FACTS,
             number=number,
@@ -111,7 +111,7 @@
             route=f"r-{number % 50}",
             arrived_at=self._now,
             deadline=self._now + 5.0,
-            prompt=(*parts, PromptPart(f"n{number:07x}", 250)),
+            prompt=(*parts, PromptSegment(f"n{number:07x}", 250)),
         )
         sent = self.decider.handle(self._now, RequestArrived(facts))
         if not any(isinstance(action, SendAttempt) for action in sent):
@@ -160,12 +160,12 @@
 def prompt_memory(holders: int, parts: int) -> int:
     """Measure the bytes of a memory of prompts with so many hosts for each of its parts."""
 
-    def build() -> PrefixMemory:
-        memory = PrefixMemory()
+    def build() -> PrefixCacheTracker:
+        memory = PrefixCacheTracker()
         names = [make_host(number).id for number in range(holders)]
         for number in range(parts):
             for name in names:
-                memory.record_read(name, (PromptPart(f"{number:08x}", 400),), float(number))
+                memory.record_prefill(name, (PromptSegment(f"{number:08x}", 400),), float(number))
         return memory
 
     return heap_bytes(build)
@@ -175,7 +175,7 @@
     sizes: Sequence[int] = HOSTS,
     requests: int = REQUESTS,
     changes: int = CHANGES,
-    parts: int = MAX_REMEMBERED_PARTS,
+    parts: int = MAX_TRACKED_SEGMENTS,
 ) -> list[Cost]:
     """Measure and print."""
     print(machine())
