--- a/roselink/model/settings.py
+++ b/roselink/model/settings.py
@@ -15,7 +15,7 @@
 ENVIRONMENT_VARIABLE = "ROSELINK_BOOT"
 DEFAULT_PATH = "/etc/roselink/boot.json"
 MAX_PORT = 65535
-PORTS_OF_A_RANGE = 2
+PORT_RANGE_LENGTH = 2
 
 Address = tuple[str, int]
 
@@ -157,7 +157,7 @@
         SettingsError: with every fault.
     """
     reader = _SectionReader(document)
-    settings = _read(reader)
+    settings = _read_process_settings(reader)
     if reader.faults:
         raise SettingsError(reader.faults)
     return settings
@@ -175,30 +175,30 @@
             document = {}
         self._document = document
 
-    def _fault(self, key: str, reason: str) -> None:
+    def _add_fault(self, key: str, reason: str) -> None:
         self.faults.append(f"{self._path}{key}: {reason}")
 
     def text(self, key: str, default: str | None = None) -> str:
         value = self._document.get(key, default)
         if not isinstance(value, str) or not value:
-            self._fault(key, "missing" if value is None else "must be text")
+            self._add_fault(key, "missing" if value is None else "must be text")
             return ""
         return value
 
     def number(self, key: str, default: float | None = None, minimum: float = 0.0) -> float:
         value = self._document.get(key, default)
         if isinstance(value, bool) or not isinstance(value, int | float):
-            self._fault(key, "missing" if value is None else "must be a number")
+            self._add_fault(key, "missing" if value is None else "must be a number")
             return minimum
         if not minimum <= value < float("inf"):
-            self._fault(key, f"must be {minimum:g} at least")
+            self._add_fault(key, f"must be {minimum:g} at least")
             return minimum
         return float(value)
 
     def boolean(self, key: str, *, default: bool) -> bool:
         value = self._document.get(key, default)
         if not isinstance(value, bool):
-            self._fault(key, "must be true or false")
+            self._add_fault(key, "must be true or false")
             return default
         return value
 
@@ -216,14 +216,14 @@
         if not (
             colon and host and port.isascii() and port.isdigit() and 0 <= int(port) <= MAX_PORT
         ):
-            self._fault(key, f"needs address:port, not {value!r}")
+            self._add_fault(key, f"needs address:port, not {value!r}")
             return "", 0
         return host, int(port)
 
     def addresses(self, key: str) -> tuple[Address, ...]:
         value = self._document.get(key)
         if not isinstance(value, list):
-            self._fault(key, "must be a list")
+            self._add_fault(key, "must be a list")
             return ()
         return tuple(self.address(key, item) for item in value)
 
@@ -231,7 +231,7 @@
         return list(self._document.items())
 
 
-def _read(reader: _SectionReader) -> ProcessSettings:
+def _read_process_settings(reader: _SectionReader) -> ProcessSettings:
     bind = reader.section("bind")
     return ProcessSettings(
         node_name=reader.text("node_name"),
@@ -257,7 +257,7 @@
     value = reader.optional("port_range")
     if (
         not isinstance(value, list)
-        or len(value) != PORTS_OF_A_RANGE
+        or len(value) != PORT_RANGE_LENGTH
         or not all(isinstance(port, int) and 0 <= port <= MAX_PORT for port in value)
         or value[0] > value[1]
     ):
--- a/roselink/router/app.py
+++ b/roselink/router/app.py
@@ -32,8 +32,8 @@
 log = logging.getLogger("roselink.router")
 
 EXIT_START_FAILED = 3
-MakeDecider = Callable[..., Decider]
-MakeDataPlane = Callable[..., DataPlane]
+DeciderFactory = Callable[..., Decider]
+DataPlaneFactory = Callable[..., DataPlane]
 
 
 def run(settings: ProcessSettings) -> None:
@@ -57,8 +57,8 @@
 async def serve(
     settings: ProcessSettings,
     settings_path: str,
-    make_decider: MakeDecider,
-    make_data_plane: MakeDataPlane,
+    make_decider: DeciderFactory,
+    make_data_plane: DataPlaneFactory,
 ) -> None:
     """Start the gateway, wait for the signal to stop, and drain.
 
@@ -74,8 +74,8 @@
     """
     loop = asyncio.get_running_loop()
     stopping = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopping.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopping.set)
     services = ControlServices(settings, settings_path)
     await services.start()
     thresholds = settings.thresholds
--- a/roselink/routing/affinity.py
+++ b/roselink/routing/affinity.py
@@ -1,15 +1,15 @@
 """Prompt caches of hosts: a request's affinity key, and what a host would have to read.
 
-A prompt comes in parts; a host that has cached a part and all parts before it reads none of them
-again. Affinity shapes the draw: the two hosts that are compared are the first two of the ring for
-the request's key, in place of two random ones, and each is charged the shared tokens that it would
+A prompt comes in segments; a host that has cached a segment and all segments before it reads none
+of them again. Affinity shapes the draw: the two hosts that are compared are the first two of the
+ring for the request's key, in place of two random ones, and each is charged the shared tokens that it would
 have to read as if they were requests in flight. So the host with the larger cached prefix wins,
 unless it is more loaded by that much. The first host of the ring (the key's home) is assumed to
-have cached the shared parts even if this gateway has not sent them: the other gateways send them
+have cached the shared segments even if this gateway has not sent them: the other gateways send them
 there too.
 
-The key is the last shared part. The last part of a prompt belongs to the request alone, or to its
-session: how often a route's last parts recur distinguishes the two.
+The key is the last shared segment. The last segment of a prompt belongs to the request alone, or to
+its session: how often a route's last segments recur distinguishes the two.
 """
 
 from __future__ import annotations
@@ -21,20 +21,20 @@
 if TYPE_CHECKING:
     from roselink.routing.events_and_actions import PromptSegment, RequestFacts
 
-# Prompt parts whose hosts are remembered.
+# Prompt segments whose hosts are remembered.
 MAX_TRACKED_SEGMENTS = 8192
-# Hosts remembered for each of these parts.
+# Hosts remembered for each of these segments.
 MAX_HOSTS_PER_SEGMENT = 16
-# Last parts remembered, to detect those that recur.
+# Last segments remembered, to detect those that recur.
 MAX_TRACKED_LAST_SEGMENTS = 2048
 MAX_TRACKED_ROUTES = 1024
-# A host is assumed to cache a part for this long after its last use there.
+# A host is assumed to cache a segment for this long after its last use there.
 CACHE_LIFETIME_S = 20.0
 # Fraction of the shared tokens that the home is assumed to have cached when nothing is known.
 HOME_CACHED_FRACTION = 0.9
 # Weight of the newest arrival in a route's recurrence rate.
 RECURRENCE_SMOOTHING = 1 / 32
-# A route's last parts belong to sessions when more than this fraction of them recurs.
+# A route's last segments belong to sessions when more than this fraction of them recurs.
 SESSION_RECURRENCE = 0.25
 
 
@@ -43,13 +43,13 @@
 
 @dataclass(slots=True)
 class _LastSegmentRecurrence:
-    """How often a route's last parts recur."""
+    """How often a route's last segments recur."""
 
     recurrence: float = 0.0
 
 
 class PrefixCacheTracker:
-    """The prompt parts that this gateway has seen, and the hosts that read them; bounded."""
+    """The prompt segments that this gateway has seen, and the hosts that read them; bounded."""
 
     def __init__(self) -> None:
         """Start with nothing known."""
@@ -58,36 +58,36 @@
         self._routes: OrderedDict[str, _LastSegmentRecurrence] = OrderedDict()
 
     def observe_arrival(self, facts: RequestFacts) -> None:
-        """Learn from an arrival whether its route's last parts recur."""
+        """Learn from an arrival whether its route's last segments recur."""
         if not facts.prompt:
             return
         route = self._routes.setdefault(facts.route, _LastSegmentRecurrence())
-        last = facts.prompt[-1].id
+        last_id = facts.prompt[-1].id
         route.recurrence += (
-            (last in self._recent_last_segments) - route.recurrence
+            (last_id in self._recent_last_segments) - route.recurrence
         ) * RECURRENCE_SMOOTHING
-        self._recent_last_segments[last] = None
-        self._recent_last_segments.move_to_end(last)
+        self._recent_last_segments[last_id] = None
+        self._recent_last_segments.move_to_end(last_id)
         _evict_oldest(self._recent_last_segments, MAX_TRACKED_LAST_SEGMENTS)
         _evict_oldest(self._routes, MAX_TRACKED_ROUTES)
 
     def shared_segments(self, facts: RequestFacts) -> tuple[PromptSegment, ...]:
-        """The leading parts that other requests share; the last of them is the affinity key."""
-        parts = facts.prompt
+        """The leading segments that other requests share; the last of them is the affinity key."""
+        segments = facts.prompt
         route = self._routes.get(facts.route)
-        last_is_unique = len(parts) > 1 and (
+        last_is_unique = len(segments) > 1 and (
             route is None or route.recurrence <= SESSION_RECURRENCE
         )
-        return parts[:-1] if last_is_unique else parts
+        return segments[:-1] if last_is_unique else segments
 
     def record_prefill(self, host: str, shared: tuple[PromptSegment, ...], now: float) -> None:
-        """Note that a host has read these parts, in order; `now` in seconds."""
-        for part in shared:
-            hosts = self._hosts_by_segment.setdefault(part.id, {})
+        """Note that a host has read these segments, in order; `now` in seconds."""
+        for segment in shared:
+            hosts = self._hosts_by_segment.setdefault(segment.id, {})
             if len(hosts) >= MAX_HOSTS_PER_SEGMENT and host not in hosts:
                 del hosts[min(hosts, key=hosts.__getitem__)]
             hosts[host] = now
-            self._hosts_by_segment.move_to_end(part.id)
+            self._hosts_by_segment.move_to_end(segment.id)
         _evict_oldest(self._hosts_by_segment, MAX_TRACKED_SEGMENTS)
 
     def uncached_tokens(
@@ -97,20 +97,20 @@
 
         Args:
             host: Its id.
-            shared: The shared parts, in order.
+            shared: The shared segments, in order.
             now: Seconds.
             is_home: Whether the host is the first of the ring for the key.
         """
         cached = 0
         total = 0
         prefix_cached = True
-        for part in shared:
-            total += part.tokens
-            read_at = self._hosts_by_segment.get(part.id, _NO_HOSTS).get(host)
+        for segment in shared:
+            total += segment.tokens
+            prefilled_at = self._hosts_by_segment.get(segment.id, _NO_HOSTS).get(host)
             prefix_cached = (
-                prefix_cached and read_at is not None and now - read_at < CACHE_LIFETIME_S
+                prefix_cached and prefilled_at is not None and now - prefilled_at < CACHE_LIFETIME_S
             )
-            cached += part.tokens * prefix_cached
+            cached += segment.tokens * prefix_cached
         return total - max(cached, HOME_CACHED_FRACTION * total if is_home else 0.0)
 
 
--- a/roselink/routing/fleet_decider.py
+++ b/roselink/routing/fleet_decider.py
@@ -22,12 +22,12 @@
     TopologyChanged,
 )
 from roselink.routing.host_choice import HostChooser
-from roselink.routing.learning import Learner
+from roselink.routing.outcome_recorder import OutcomeRecorder
 from roselink.routing.policy import EffectivePolicy, RouteLatencyTable
 from roselink.routing.request_lifecycle import RequestLifecycle, RoutingState
 from roselink.routing.request_state import Request, RequestPhase
 from roselink.routing.retry_budget import RetryBudgets
-from roselink.routing.timers import RequestTimer, TimerKind, Timers
+from roselink.routing.timers import RequestTimer, TimerKind, TimerQueue
 from roselink.routing.topology import Topology, UnreportedOutcomes
 
 if TYPE_CHECKING:
@@ -48,20 +48,20 @@
             retry_budget_ratio: Retries allowed for each request of a service, over all gateways.
             retry_window_s: The window over which they are counted, in seconds.
         """
-        randomness = random.Random(seed)
-        self._memory = PrefixCacheTracker()
+        rng = random.Random(seed)
+        self._prefix_cache = PrefixCacheTracker()
         self._topology = Topology()
-        self._learner = Learner(self._topology, self._memory)
+        self._outcome_recorder = OutcomeRecorder(self._topology, self._prefix_cache)
         self._routes = RouteLatencyTable()
-        self._timers = Timers()
+        self._timers = TimerQueue()
         self._lifecycle = RequestLifecycle(
             RoutingState(
                 topology=self._topology,
-                chooser=HostChooser(zone, randomness, self._memory),
-                learner=self._learner,
+                chooser=HostChooser(zone, rng, self._prefix_cache),
+                outcome_recorder=self._outcome_recorder,
                 budgets=RetryBudgets(retry_budget_ratio, retry_window_s),
                 timers=self._timers,
-                randomness=randomness,
+                rng=rng,
             )
         )
 
@@ -75,10 +75,10 @@
         Returns:
             What is to be done, in this order.
         """
-        self._lifecycle.begin(now)
+        self._lifecycle.begin_event(now)
         self._topology.expire_pooled_payoffs(now)
         # Before the timers: they must not use a host that the event takes away.
-        self._take(event, now)
+        self._dispatch(event, now)
         while (timer := self._timers.pop_due(now)) is not None:
             self._on_timer(timer, now)
         start = self._timers.rearm()
@@ -90,7 +90,7 @@
         """Outcomes since the last call, by host, for the other gateways."""
         return self._topology.take_unreported_outcomes()
 
-    def _take(self, event: Event, now: float) -> None:
+    def _dispatch(self, event: Event, now: float) -> None:
         match event:
             case AttemptEnded():
                 self._on_attempt_ended(event, now)
@@ -122,7 +122,7 @@
         facts = event.facts
         request = Request(facts, EffectivePolicy.of(facts), self._routes.find(facts.route))
         if facts.affinity:
-            self._memory.observe_arrival(facts)
+            self._prefix_cache.observe_arrival(facts)
         self._lifecycle.admit(request)
 
     def _on_budget_decided(self, event: BudgetDecided) -> None:
@@ -142,7 +142,7 @@
         if attempt.first_event_seen:
             return
         attempt.first_event_seen = True
-        self._learner.record_first_event(request, attempt, now)
+        self._outcome_recorder.record_first_event(request, attempt, now)
         if request.closed:
             return
         if request.winner is None or request.winner.outcome is not None:
@@ -157,7 +157,7 @@
         request, attempt = found
         attempt.outcome = event.outcome
         request.in_flight -= 1
-        self._learner.record_end(request, attempt, event, now)
+        self._outcome_recorder.record_end(request, attempt, event, now)
         if not request.closed:
             request.progressed = request.progressed or event.progressed
             self._lifecycle.attempt_ended(request, event)
@@ -167,7 +167,7 @@
     def _on_timer(self, timer: RequestTimer, now: float) -> None:
         request = timer.request
         if timer.kind is TimerKind.OVERDUE:
-            self._learner.record_overdue(request, request.attempts[timer.attempt], now)
+            self._outcome_recorder.record_overdue(request, request.attempts[timer.attempt], now)
             return
         if request.closed:
             return
--- a/roselink/routing/host_choice.py
+++ b/roselink/routing/host_choice.py
@@ -18,29 +18,29 @@
     from roselink.routing.affinity import PrefixCacheTracker
     from roselink.routing.events_and_actions import PromptSegment, RequestFacts
     from roselink.routing.host_record import HostRecord
-    from roselink.routing.ready_hosts import Condition, ReadyHosts
+    from roselink.routing.ready_hosts import HostPredicate, ReadyHosts
 
 # Fraction of picks that go to the lower-scored of the two.
 EXPLORATION_RATE = 0.05
 # Shared tokens read again up to which a pick is a cheap one to explore with.
-CHEAP_REREAD_TOKENS = 1000.0
+CHEAP_RECOMPUTE_TOKENS = 1000.0
 # Explorations deferred to cheaper picks; past this the next pick explores, whatever it costs.
-MAX_DEFERRED_EXPLORATIONS = 2.0
-# Bound on a cheap pick's chance to explore while explorations are deferred.
-MAX_EXPLORATION_CHANCE = 0.25
+MAX_EXPLORATION_CREDIT = 2.0
+# Bound on a cheap pick's probability to explore while explorations are deferred.
+MAX_EXPLORATION_PROBABILITY = 0.25
 # Weight of a shared token read again against one that is read anyway: it is wasted work.
-REREAD_WEIGHT = 3.0
+RECOMPUTE_WEIGHT = 3.0
 # Prompt tokens to read that weigh as one request in flight.
-TOKENS_PER_REQUEST = 2000.0
+TOKENS_PER_REQUEST_LOAD = 2000.0
 # Factor on the score of a host of another zone.
 OTHER_ZONE_FACTOR = 0.95
 # Hosts of a key that are considered before a random draw.
 RANKED_CANDIDATES = 4
 # Hosts that are compared.
-PAIR = 2
+CANDIDATES_PER_PICK = 2
 
 
-class _Ranked(NamedTuple):
+class _RankedHost(NamedTuple):
     """A host of a key, and whether it is the first of the ring for it."""
 
     host: HostRecord
@@ -50,19 +50,19 @@
 class HostChooser:
     """Picks hosts for one gateway."""
 
-    def __init__(self, zone: str, randomness: random.Random, memory: PrefixCacheTracker) -> None:
+    def __init__(self, zone: str, rng: random.Random, prefix_cache: PrefixCacheTracker) -> None:
         """Start with no exploration deferred.
 
         Args:
             zone: The gateway's zone.
-            randomness: All draws come from it.
-            memory: The prompt parts that hosts have read.
+            rng: All draws come from it.
+            prefix_cache: The prompt parts that hosts have read.
         """
         self._zone = zone
-        self._random = randomness
-        self._memory = memory
+        self._rng = rng
+        self._prefix_cache = prefix_cache
         # Explorations that picks so far have earned and not had.
-        self._deferred = 0.0
+        self._exploration_credit = 0.0
 
     def pick(
         self,
@@ -83,28 +83,32 @@
             None if no other host was found.
         """
         if facts.affinity and facts.prompt:
-            shared = self._memory.shared_segments(facts)
-            ranked = self._ranked_pair(ready, shared, excluded, now)
+            shared_segments = self._prefix_cache.shared_segments(facts)
+            ranked = self._ranked_pair(ready, shared_segments, excluded, now)
             if ranked:
-                scores = [self._affinity_score(each, shared, now) for each in ranked]
-                uncached = [
-                    self._memory.uncached_tokens(host.spec.id, shared, now, is_home=is_home)
+                scores = [self._affinity_score(each, shared_segments, now) for each in ranked]
+                uncached_tokens = [
+                    self._prefix_cache.uncached_tokens(
+                        host.spec.id, shared_segments, now, is_home=is_home
+                    )
                     for host, is_home in ranked
                 ]
-                return self._compare([each.host for each in ranked], scores, uncached)
+                return self._compare([each.host for each in ranked], scores, uncached_tokens)
         hosts = self._random_pair(ready, excluded, now)
         return self._compare(hosts, [self.score(host) for host in hosts]) if hosts else None
 
-    def tokens_to_read(
+    def tokens_to_prefill(
         self, ready: ReadyHosts, facts: RequestFacts, host: HostRecord, now: float
     ) -> int:
         """Prompt tokens that a host is expected to read for a request."""
         if not facts.prompt:
             return facts.tokens_in
-        shared = self._memory.shared_segments(facts)
-        home = next(iter(ready.ranked(shared[-1].id, 1)), None) if facts.affinity else None
-        uncached = self._memory.uncached_tokens(host.spec.id, shared, now, is_home=host is home)
-        cached = sum(part.tokens for part in shared) - uncached
+        shared_segments = self._prefix_cache.shared_segments(facts)
+        home = next(iter(ready.ranked(shared_segments[-1].id, 1)), None) if facts.affinity else None
+        uncached_tokens = self._prefix_cache.uncached_tokens(
+            host.spec.id, shared_segments, now, is_home=host is home
+        )
+        cached = sum(segment.tokens for segment in shared_segments) - uncached_tokens
         return max(0, int(facts.tokens_in - cached))
 
     def score(self, host: HostRecord) -> float:
@@ -113,27 +117,29 @@
         return zone_factor * host.effective_payoff() / (1.0 + host.in_flight)
 
     def _affinity_score(
-        self, ranked: _Ranked, shared: tuple[PromptSegment, ...], now: float
+        self, ranked: _RankedHost, shared_segments: tuple[PromptSegment, ...], now: float
     ) -> float:
         host = ranked.host
-        uncached = self._memory.uncached_tokens(host.spec.id, shared, now, is_home=ranked.is_home)
-        tokens = host.pending_prompt_tokens + REREAD_WEIGHT * uncached
-        load = host.request_weight() * host.in_flight + tokens / TOKENS_PER_REQUEST
+        uncached_tokens = self._prefix_cache.uncached_tokens(
+            host.spec.id, shared_segments, now, is_home=ranked.is_home
+        )
+        tokens = host.pending_prompt_tokens + RECOMPUTE_WEIGHT * uncached_tokens
+        load = host.request_weight() * host.in_flight + tokens / TOKENS_PER_REQUEST_LOAD
         return host.effective_payoff() / (1.0 + load)
 
     def _ranked_pair(
         self,
         ready: ReadyHosts,
-        shared: tuple[PromptSegment, ...],
+        shared_segments: tuple[PromptSegment, ...],
         excluded: Collection[HostRecord],
         now: float,
-    ) -> list[_Ranked]:
+    ) -> list[_RankedHost]:
         """The key's first two hosts that are available and not saturated."""
-        pair: list[_Ranked] = []
-        for rank, host in enumerate(ready.ranked(shared[-1].id, RANKED_CANDIDATES)):
+        pair: list[_RankedHost] = []
+        for rank, host in enumerate(ready.ranked(shared_segments[-1].id, RANKED_CANDIDATES)):
             if host not in excluded and host.is_available(now) and not host.is_saturated():
-                pair.append(_Ranked(host, is_home=rank == 0))
-                if len(pair) == PAIR:
+                pair.append(_RankedHost(host, is_home=rank == 0))
+                if len(pair) == CANDIDATES_PER_PICK:
                     break
         return pair
 
@@ -141,50 +147,57 @@
         self, ready: ReadyHosts, excluded: Collection[HostRecord], now: float
     ) -> list[HostRecord]:
         """Two random hosts below their limits, or any available, or any not excluded."""
-        conditions: tuple[Condition, ...] = (
+        predicates: tuple[HostPredicate, ...] = (
             lambda host: host not in excluded and host.is_available(now) and host.below_limit(),
             lambda host: host not in excluded and host.is_available(now),
             lambda host: host not in excluded,
         )
-        for condition in conditions:
-            first = ready.draw(condition, self._random)
+        for predicate in predicates:
+            first = ready.draw(predicate, self._rng)
             if first is not None:
-                second = ready.draw(_another(condition, first), self._random)
+                second = ready.draw(_excluding(predicate, first), self._rng)
                 return [first] if second is None else [first, second]
         return []
 
     def _compare(
-        self, pair: list[HostRecord], scores: list[float], uncached: list[float] | None = None
+        self,
+        pair: list[HostRecord],
+        scores: list[float],
+        uncached_tokens: list[float] | None = None,
     ) -> HostRecord:
         """The better of the two, or the other when the pick explores.
 
         Args:
             pair: One host or two.
             scores: Of each.
-            uncached: Shared tokens that each would read; None on a route without affinity.
+            uncached_tokens: Shared tokens that each would read; None on a route without affinity.
         """
         if len(pair) == 1:
             return pair[0]
-        better = 0 if scores[0] >= scores[1] else 1
-        reread = 0.0 if uncached is None else uncached[1 - better] - uncached[better]
-        return pair[1 - better if self._explores(reread) else better]
+        better_index = 0 if scores[0] >= scores[1] else 1
+        recomputed = (
+            0.0
+            if uncached_tokens is None
+            else uncached_tokens[1 - better_index] - uncached_tokens[better_index]
+        )
+        return pair[1 - better_index if self._should_explore(recomputed) else better_index]
 
-    def _explores(self, reread_tokens: float) -> bool:
+    def _should_explore(self, recomputed_tokens: float) -> bool:
         """Whether this pick goes to the lower-scored host: one in twenty of all.
 
         A pick by which many more shared tokens would be read defers its exploration to a cheaper
         pick, as long as such picks come.
         """
-        self._deferred += EXPLORATION_RATE
-        if reread_tokens > CHEAP_REREAD_TOKENS:
-            if self._deferred <= MAX_DEFERRED_EXPLORATIONS:
+        self._exploration_credit += EXPLORATION_RATE
+        if recomputed_tokens > CHEAP_RECOMPUTE_TOKENS:
+            if self._exploration_credit <= MAX_EXPLORATION_CREDIT:
                 return False
-            self._deferred -= 1.0
+            self._exploration_credit -= 1.0
             return True
-        chance = min(MAX_EXPLORATION_CHANCE, self._deferred)
-        self._deferred -= chance
-        return self._random.random() < chance
+        probability = min(MAX_EXPLORATION_PROBABILITY, self._exploration_credit)
+        self._exploration_credit -= probability
+        return self._rng.random() < probability
 
 
-def _another(condition: Condition, first: HostRecord) -> Condition:
-    return lambda host: host is not first and condition(host)
+def _excluding(predicate: HostPredicate, first: HostRecord) -> HostPredicate:
+    return lambda host: host is not first and predicate(host)
--- a/roselink/routing/host_record.py
+++ b/roselink/routing/host_record.py
@@ -9,7 +9,7 @@
     from roselink.model.fleet import Host
 
 # Payoff of a host that nothing is known of.
-UNKNOWN_PAYOFF = 0.5
+INITIAL_PAYOFF = 0.5
 # Weight of the newest outcome in a payoff.
 PAYOFF_SMOOTHING = 0.12
 # Consecutive failures without any response that eject a host.
@@ -50,7 +50,7 @@
 
     spec: Host
     limit: float
-    payoff: float = UNKNOWN_PAYOFF
+    payoff: float = INITIAL_PAYOFF
     pooled_payoff: float = 1.0
     unreported_in_time: int = 0
     unreported_missed: int = 0
--- a/roselink/routing/learning.py
+++ b/roselink/routing/outcome_recorder.py
@@ -13,18 +13,18 @@
     from roselink.routing.request_state import Attempt, Request
     from roselink.routing.topology import Topology
 
-BROKEN = frozenset({Outcome.CONNECT_FAILED, Outcome.RESET})
+CONNECTION_FAILURES = frozenset({Outcome.CONNECT_FAILED, Outcome.RESET})
 # Outcomes that show nothing about a host.
-UNINFORMATIVE = frozenset({Outcome.CANCELLED, Outcome.MOOT})
+NEUTRAL_OUTCOMES = frozenset({Outcome.CANCELLED, Outcome.MOOT})
 
 
-class Learner:
-    """Turns outcomes into payoffs, ejections, limits, latencies and the memory of prompt parts."""
+class OutcomeRecorder:
+    """Turns outcomes into payoffs, ejections, limits, latencies and the prefix cache."""
 
-    def __init__(self, topology: Topology, memory: PrefixCacheTracker) -> None:
-        """Learn into `topology`'s hosts and services, and `memory`'s prompt parts."""
+    def __init__(self, topology: Topology, prefix_cache: PrefixCacheTracker) -> None:
+        """Learn into `topology`'s hosts and services, and `prefix_cache`."""
         self._topology = topology
-        self._memory = memory
+        self._prefix_cache = prefix_cache
 
     def record_sent(self, attempt: Attempt) -> None:
         """An attempt goes out; at a host on probation it may be the probe request."""
@@ -42,10 +42,10 @@
         host.record_response(now)
         if not attempt.overdue:
             host.record_payoff(in_time=request.route.is_in_time(request.policy, elapsed_s))
-        request.route.learn(elapsed_s)
+        request.route.record_latency(elapsed_s)
         if request.facts.affinity and request.facts.prompt:
-            self._memory.record_prefill(
-                host.spec.id, self._memory.shared_segments(request.facts), now
+            self._prefix_cache.record_prefill(
+                host.spec.id, self._prefix_cache.shared_segments(request.facts), now
             )
 
     def record_overdue(self, request: Request, attempt: Attempt, now: float) -> None:
@@ -69,7 +69,7 @@
         _clear_pending_tokens(attempt)
         if attempt.is_probe and host.probation:
             host.probe_in_flight = False
-        if event.outcome in UNINFORMATIVE:
+        if event.outcome in NEUTRAL_OUTCOMES:
             return
         rejected = event.outcome is Outcome.FULL and not event.wrong_host
         self._topology.ready_hosts(request.facts.service).record_outcome(rejected=rejected)
@@ -93,7 +93,7 @@
         host = attempt.host
         if not attempt.overdue:
             host.record_payoff(in_time=False)
-        if event.outcome in BROKEN or event.wrong_host:
+        if event.outcome in CONNECTION_FAILURES or event.wrong_host:
             self._record_failure(request, host, now, certain=True, at_once=event.wrong_host)
             return
         if event.outcome is Outcome.FULL:
--- a/roselink/routing/policy.py
+++ b/roselink/routing/policy.py
@@ -21,7 +21,7 @@
 HEDGE_PERCENTILE = 0.95
 MIN_HEDGE_WAIT_S = 0.01
 # New latencies after which the percentile is computed again.
-HEDGE_SAMPLES = 32
+LATENCIES_PER_RECOMPUTE = 32
 # A hedge needs an attempt beyond the first.
 MIN_HEDGE_ATTEMPTS = 2
 # A hedged stream costs a full prompt: only far past the percentile and the target latency, at a
@@ -71,7 +71,7 @@
         self._hedge_wait_s: float | None = None
         self._new_latencies = 0
 
-    def learn(self, elapsed_s: float) -> None:
+    def record_latency(self, elapsed_s: float) -> None:
         """Take the latency of one success."""
         self._latencies.append(int(elapsed_s * MICROSECONDS_PER_S))
         self._new_latencies += 1
@@ -86,7 +86,7 @@
     def hedge_wait_s(self, policy: EffectivePolicy) -> float | None:
         """How long to wait before a hedge; None: never.
 
-        The percentile is computed again after every `HEDGE_SAMPLES` new latencies only.
+        The percentile is computed again after every `LATENCIES_PER_RECOMPUTE` new latencies only.
         """
         if (
             not policy.repeatable
@@ -94,7 +94,7 @@
             or (policy.streaming and not HEDGE_STREAMS)
         ):
             return None
-        if self._new_latencies >= HEDGE_SAMPLES:
+        if self._new_latencies >= LATENCIES_PER_RECOMPUTE:
             percentile_us = self._latencies.percentile(HEDGE_PERCENTILE) or 0
             self._hedge_wait_s = max(MIN_HEDGE_WAIT_S, percentile_us / MICROSECONDS_PER_S)
             self._new_latencies = 0
--- a/roselink/routing/ready_hosts.py
+++ b/roselink/routing/ready_hosts.py
@@ -12,14 +12,14 @@
 if TYPE_CHECKING:
     import random
 
-# Random draws for a host that satisfies a condition, before a scan.
+# Random draws for a host that satisfies a predicate, before a scan.
 MAX_DRAWS = 8
 # Hosts that the scan then checks in a row.
 MAX_SCANNED = 64
 # Weight of the newest outcome in the rejection rate.
 REJECTION_SMOOTHING = 0.1
 
-Condition = Callable[[HostRecord], bool]
+HostPredicate = Callable[[HostRecord], bool]
 
 
 class ReadyHosts:
@@ -57,21 +57,21 @@
             self._ring = HashRing(self._by_id)
         return (self._by_id[host] for host in islice(self._ring.walk(key), limit))
 
-    def draw(self, condition: Condition, randomness: random.Random) -> HostRecord | None:
-        """Draw a host that satisfies a condition at random; the number of checks is bounded.
+    def draw(self, predicate: HostPredicate, rng: random.Random) -> HostRecord | None:
+        """Draw a host that satisfies a predicate at random; the number of checks is bounded.
 
         Returns:
             None if none was found, though one may exist among more hosts than are checked.
         """
         count = len(self.hosts)
         for _ in range(min(MAX_DRAWS, count * 2)):
-            host = self.hosts[int(randomness.random() * count)]
-            if condition(host):
+            host = self.hosts[int(rng.random() * count)]
+            if predicate(host):
                 return host
-        start = int(randomness.random() * count)
+        start = int(rng.random() * count)
         for step in range(min(MAX_SCANNED, count)):
             host = self.hosts[(start + step) % count]
-            if condition(host):
+            if predicate(host):
                 return host
         return None
 
@@ -91,9 +91,9 @@
         if host in self._ejected:
             return False
         count = len(self.hosts)
-        min_left = 1 if certain else max(1, (count + 1) // 2)
+        min_remaining = 1 if certain else max(1, (count + 1) // 2)
         is_listed = self._by_id.get(host.spec.id) is host
-        if not is_listed or count - len(self._ejected) <= min_left:
+        if not is_listed or count - len(self._ejected) <= min_remaining:
             host.consecutive_failures = 0
             return False
         host.eject(now)
--- a/roselink/routing/request_lifecycle.py
+++ b/roselink/routing/request_lifecycle.py
@@ -20,7 +20,7 @@
 )
 from roselink.routing.outcome import Outcome
 from roselink.routing.request_state import Attempt, Request, RequestPhase
-from roselink.routing.timers import TimerKind, Timers
+from roselink.routing.timers import TimerKind, TimerQueue
 
 if TYPE_CHECKING:
     import random
@@ -29,7 +29,7 @@
     from roselink.routing.events_and_actions import Action, AttemptEnded
     from roselink.routing.host_choice import HostChooser
     from roselink.routing.host_record import HostRecord
-    from roselink.routing.learning import Learner
+    from roselink.routing.outcome_recorder import OutcomeRecorder
     from roselink.routing.ready_hosts import ReadyHosts
     from roselink.routing.retry_budget import RetryBudgets
     from roselink.routing.topology import Topology
@@ -49,18 +49,18 @@
     Attributes:
         topology: The hosts in force.
         chooser: Picks among them.
-        learner: Takes what attempts show about them.
+        outcome_recorder: Takes what attempts show about them.
         budgets: The local retry budgets of all services.
         timers: The timers of all requests.
-        randomness: Draws the jitter of waits.
+        rng: Draws the jitter of waits.
     """
 
     topology: Topology
     chooser: HostChooser
-    learner: Learner
+    outcome_recorder: OutcomeRecorder
     budgets: RetryBudgets
-    timers: Timers
-    randomness: random.Random
+    timers: TimerQueue
+    rng: random.Random
 
 
 class RequestLifecycle:
@@ -81,7 +81,7 @@
         self.requests: dict[int, Request] = {}
         self.awaiting_host: dict[int, Request] = {}
 
-    def begin(self, now: float) -> None:
+    def begin_event(self, now: float) -> None:
         """Start an event: the actions that follow go into a new list."""
         self.now = now
         self.actions = []
@@ -129,13 +129,13 @@
         elif decision is RetryDecision.STOP:
             self.finish(request)
         elif not request.in_flight:  # a retry group has failed
-            self._back_off(request)
+            self._schedule_backoff(request)
 
-    def _back_off(self, request: Request) -> None:
+    def _schedule_backoff(self, request: Request) -> None:
         request.failed_groups += 1
         target_s = request.policy.target_latency_s
-        wait_s = backoff_s(request.failed_groups, target_s, self._state.randomness)
-        if not request.may_attempt() or self.now + wait_s >= request.facts.deadline:
+        wait_s = backoff_s(request.failed_groups, target_s, self._state.rng)
+        if not request.has_attempts_left() or self.now + wait_s >= request.facts.deadline:
             self.finish(request)
             return
         request.phase = RequestPhase.BACKING_OFF
@@ -175,7 +175,7 @@
         """
         if request.phase is not RequestPhase.IN_FLIGHT or request.in_flight != 1:
             return
-        if request.progressed or not request.may_attempt():
+        if request.progressed or not request.has_attempts_left():
             return
         if request.policy.streaming and not _seems_unresponsive(request):
             return
@@ -199,7 +199,7 @@
         if not request.may_have_run():
             ready = self._ready_hosts(request)
             wait_s = (
-                retry_after_s(ready.rejection_rate, self._state.randomness)
+                retry_after_s(ready.rejection_rate, self._state.rng)
                 if ready.hosts
                 else NO_HOST_RETRY_AFTER_S
             )
@@ -244,9 +244,9 @@
 
     def _send(self, request: Request, host: HostRecord) -> None:
         ready = self._ready_hosts(request)
-        tokens = self._state.chooser.tokens_to_read(ready, request.facts, host, self.now)
+        tokens = self._state.chooser.tokens_to_prefill(ready, request.facts, host, self.now)
         attempt = Attempt(host, self.now, tokens, resumed=request.progressed)
-        self._state.learner.record_sent(attempt)
+        self._state.outcome_recorder.record_sent(attempt)
         number = len(request.attempts)
         request.attempts.append(attempt)
         request.in_flight += 1
@@ -255,9 +255,9 @@
             SendAttempt(request.facts.number, number, host.spec.id, resume=request.progressed)
         )
         if not request.progressed:
-            self._schedule_for_attempt(request, number)
+            self._schedule_attempt_timers(request, number)
 
-    def _schedule_for_attempt(self, request: Request, number: int) -> None:
+    def _schedule_attempt_timers(self, request: Request, number: int) -> None:
         timers = self._state.timers
         target_s = request.policy.target_latency_s
         if target_s > 0:
--- a/roselink/routing/request_state.py
+++ b/roselink/routing/request_state.py
@@ -95,7 +95,7 @@
         """Whether it may run again; only a stream may once the client has part of it."""
         return self.policy.repeatable and (self.policy.streaming or not self.progressed)
 
-    def may_attempt(self) -> bool:
+    def has_attempts_left(self) -> bool:
         """Whether the bound on attempts leaves one more; a few that ended unsent are free."""
         unsent = sum(attempt.outcome in NEVER_SENT for attempt in self.attempts)
         sent = len(self.attempts) - unsent
--- a/roselink/routing/retry_budget.py
+++ b/roselink/routing/retry_budget.py
@@ -43,8 +43,8 @@
         """Count a first send: it needs no token and earns a fraction of one."""
         self._expire(now)
         self._first_send_count += 1
-        _count(self._first_sends, self._slice(now))
-        self._bucket.earn(self._earned_per_send, self._cap())
+        _increment(self._first_sends, self._slice_index(now))
+        self._bucket.earn(self._earned_per_send, self._max_tokens())
 
     def spend(self, now: float) -> bool:
         """Take one token for a retry or a hedge; False when there is none."""
@@ -52,13 +52,13 @@
         if not self._bucket.spend():
             return False
         self._retry_count += 1
-        _count(self._retries, self._slice(now))
+        _increment(self._retries, self._slice_index(now))
         return True
 
     def tokens(self, now: float) -> float:
         """Tokens that may be spent now."""
         self._expire(now)
-        self._bucket.earn(0.0, self._cap())
+        self._bucket.earn(0.0, self._max_tokens())
         return self._bucket.tokens
 
     def allows_hedge(self, now: float) -> bool:
@@ -67,10 +67,10 @@
         earned = self._earned_per_send * self._first_send_count
         return tokens >= max(MIN_HEDGE_TOKENS, earned / 2)
 
-    def _cap(self) -> float:
+    def _max_tokens(self) -> float:
         return max(0.0, self._earned_per_send * self._first_send_count - self._retry_count)
 
-    def _slice(self, now: float) -> int:
+    def _slice_index(self, now: float) -> int:
         return int(now // self._slice_s)
 
     def _expire(self, now: float) -> None:
@@ -78,7 +78,7 @@
 
         First sends count while their whole slice lies in the window, retries while any of it does.
         """
-        current = self._slice(now)
+        current = self._slice_index(now)
         while self._first_sends and self._first_sends[0].index <= current - SLICES:
             self._first_send_count -= self._first_sends.popleft().count
         while self._retries and self._retries[0].index < current - SLICES:
@@ -96,10 +96,10 @@
 
     def of(self, service: str) -> LocalRetryBudget:
         """The budget of a service."""
-        known = self._budgets.get(service)
-        if known is None:
-            known = self._budgets[service] = LocalRetryBudget(self._ratio, self._window_s)
-        return known
+        budget = self._budgets.get(service)
+        if budget is None:
+            budget = self._budgets[service] = LocalRetryBudget(self._ratio, self._window_s)
+        return budget
 
 
 @dataclass(slots=True)
@@ -110,7 +110,7 @@
     count: int
 
 
-def _count(slices: deque[_SliceCount], index: int) -> None:
+def _increment(slices: deque[_SliceCount], index: int) -> None:
     if slices and slices[-1].index >= index:
         slices[-1].count += 1
     else:
--- a/roselink/routing/ring.py
+++ b/roselink/routing/ring.py
@@ -18,17 +18,17 @@
     from collections.abc import Iterable, Iterator
 
 # Numbers of hosts up to which a host has more points.
-MANY_HOSTS = 64
-VERY_MANY_HOSTS = 1024
+SMALL_RING_HOSTS = 64
+MEDIUM_RING_HOSTS = 1024
 # Points of each host in a ring of few, many and very many hosts.
-POINTS = 128
-POINTS_OF_MANY = 32
-POINTS_OF_VERY_MANY = 8
+SMALL_RING_POINTS = 128
+MEDIUM_RING_POINTS = 32
+LARGE_RING_POINTS = 8
 # Points that one digest of 64 bytes gives.
 POINTS_PER_DIGEST = 8
 # The low bits of a point are its host's index: a million hosts at most.
-INDEX_BITS = 20
-INDEX_MASK = (1 << INDEX_BITS) - 1
+HOST_INDEX_BITS = 20
+HOST_INDEX_MASK = (1 << HOST_INDEX_BITS) - 1
 
 
 class HashRing:
@@ -40,11 +40,11 @@
     def __init__(self, ids: Iterable[str]) -> None:
         """Build the ring of these hosts; equal ids count once."""
         self._ids = sorted(set(ids))
-        blocks = _points_per_host(len(self._ids)) // POINTS_PER_DIGEST
+        digests = _points_per_host(len(self._ids)) // POINTS_PER_DIGEST
         points: list[int] = []
         for index, host in enumerate(self._ids):
-            for block in range(blocks):
-                points += [point | index for point in _block(host, block)]
+            for digest_index in range(digests):
+                points += [point | index for point in _points_of_digest(host, digest_index)]
         points.sort()
         self._points = array("Q", points)
 
@@ -58,7 +58,7 @@
         seen = set()
         start = bisect_right(self._points, key_hash(key))
         for step in range(size):
-            index = self._points[(start + step) % size] & INDEX_MASK
+            index = self._points[(start + step) % size] & HOST_INDEX_MASK
             if index not in seen:
                 seen.add(index)
                 yield self._ids[index]
@@ -70,13 +70,16 @@
 
 
 def _points_per_host(hosts: int) -> int:
-    if hosts <= MANY_HOSTS:
-        return POINTS
-    return POINTS_OF_MANY if hosts <= VERY_MANY_HOSTS else POINTS_OF_VERY_MANY
+    if hosts <= SMALL_RING_HOSTS:
+        return SMALL_RING_POINTS
+    return MEDIUM_RING_POINTS if hosts <= MEDIUM_RING_HOSTS else LARGE_RING_POINTS
 
 
 @lru_cache(maxsize=16384)
-def _block(host: str, block: int) -> tuple[int, ...]:
+def _points_of_digest(host: str, digest_index: int) -> tuple[int, ...]:
     """Eight of a host's points, with the bits for its index left zero."""
-    digest = blake2b(host.encode(), salt=block.to_bytes(2, "big"), person=b"host").digest()
-    return tuple(int.from_bytes(digest[at : at + 8], "big") & ~INDEX_MASK for at in range(0, 64, 8))
+    digest = blake2b(host.encode(), salt=digest_index.to_bytes(2, "big"), person=b"host").digest()
+    return tuple(
+        int.from_bytes(digest[offset : offset + 8], "big") & ~HOST_INDEX_MASK
+        for offset in range(0, 64, 8)
+    )
--- a/roselink/routing/timers.py
+++ b/roselink/routing/timers.py
@@ -52,20 +52,20 @@
         return self.request.closed
 
 
-class Timers:
+class TimerQueue:
     """Timers in order. Obsolete ones are dropped without a wake-up when they are the next."""
 
     def __init__(self) -> None:
         """Start with none."""
         self._timers: list[RequestTimer] = []
-        self._scheduled = 0
+        self._last_sequence = 0
         self._tag = 0
         self._armed_at: float | None = None
 
     def schedule(self, at: float, kind: TimerKind, request: Request, attempt: int = 0) -> None:
         """Set a timer for a time in seconds."""
-        self._scheduled += 1
-        heappush(self._timers, RequestTimer(at, self._scheduled, kind, request, attempt))
+        self._last_sequence += 1
+        heappush(self._timers, RequestTimer(at, self._last_sequence, kind, request, attempt))
 
     def driver_timer_fired(self, tag: int) -> None:
         """The driver's timer fired; one with an older tag was replaced, and is ignored."""
--- a/roselink/routing/topology.py
+++ b/roselink/routing/topology.py
@@ -45,9 +45,9 @@
         ready: dict[str, list[HostRecord]] = {service.name: [] for service in event.services}
         hosts: dict[str, HostRecord] = {}
         for spec in event.hosts:
-            known = hosts[spec.id] = self._record_of(spec)
+            record = hosts[spec.id] = self._find_or_create_record(spec)
             if spec.state is HostState.READY:
-                ready.setdefault(spec.service, []).append(known)
+                ready.setdefault(spec.service, []).append(record)
         self._hosts = hosts
         for service in self._ready.keys() - ready.keys():
             del self._ready[service]
@@ -78,9 +78,9 @@
                 host.unreported_missed = 0
         return unreported
 
-    def _record_of(self, spec: Host) -> HostRecord:
-        known = self._hosts.get(spec.id)
-        if known is None or known.spec.service != spec.service:
+    def _find_or_create_record(self, spec: Host) -> HostRecord:
+        record = self._hosts.get(spec.id)
+        if record is None or record.spec.service != spec.service:
             return new_host_record(spec)
-        known.spec = spec
-        return known
+        record.spec = spec
+        return record
