--- a/roselink/model/__init__.py
+++ b/roselink/model/__init__.py
@@ -1,4 +1,5 @@
-"""What the fleet's parts share: the typed configuration, hosts, settings of a process, versions.
+"""Types that the fleet's packages share: configuration, hosts, process settings, versions.
 
-Types only: no I/O, no clock, no decisions. Imports nothing else of roselink but the record codec.
+Types only: no clock, no decisions, and no I/O but reading the settings file. Of the rest of
+roselink only the base of its exceptions is imported.
 """
--- a/roselink/model/configuration.py
+++ b/roselink/model/configuration.py
@@ -1,6 +1,6 @@
 """The operator's configuration as typed values.
 
-`roselink.controller.validation` validates the document that these are read from.
+`roselink.controller.validation` validates the document that they are read from.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class RouteKind(Enum):
-    """What a second run of the same request would do."""
+    """Whether a route's requests may run twice, and whether their responses are streams."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -33,7 +33,7 @@
 class Route:
     """One route, selected by hostname and the longest matching path prefix.
 
-    Times are in milliseconds; 0: none.
+    Times are in milliseconds; 0 stands for none.
     """
 
     name: str
@@ -73,7 +73,7 @@
     Attributes:
         name: its name.
         health_check: the path of its hosts' health check.
-        max_connections: that each of its hosts takes.
+        max_connections: bound on the connections to each of its hosts.
         engine: its hosts' capacity, if it is a model service.
     """
 
@@ -98,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """The limits of a client's request: sizes, time for its header, and idle time."""
+    """Limits of client requests: sizes, header time-out and idle time-out."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 4194304
--- a/roselink/model/fleet.py
+++ b/roselink/model/fleet.py
@@ -1,6 +1,6 @@
-"""What gateways receive beside the configuration: hosts, and which gateways are live.
+"""What gateways receive in addition to the configuration: the hosts and the live gateways.
 
-These are fields of records (`roselink.protocol`), never records of their own.
+These types are fields of records (`roselink.protocol`), not records themselves.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Host:
-    """One host of the platform's list. `id` is new with each start; `address` is "ip:port"."""
+    """One host in the platform's list. Each start has a new `id`; `address` is "ip:port"."""
 
     id: str
     service: str
@@ -42,7 +42,7 @@
     Attributes:
         name: its name.
         address: its address for peers, "ip:port".
-        incarnation: a number drawn at random at its start.
+        incarnation: a random number drawn at its start.
     """
 
     name: str
@@ -52,15 +52,15 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionVector:
-    """The versions of a gateway's state; 0 where it has none. Each only rises.
+    """The versions of a gateway's state, which never decrease; 0 where it has none.
 
     The roster's version is the fencing token of every role that is assigned over the roster.
 
     Attributes:
         configuration: the sequence number of a committed write in the chain.
-        hosts: (view epoch << 32) + a counter of the member that published the list, so that a later
-            view's are always newer.
-        roster: likewise, of the roster.
+        hosts: (view epoch << 32) + a counter of the member that published the list, so that the
+            versions of a later view are always greater.
+        roster: the same for the roster.
     """
 
     configuration: int = 0
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """All state that a gateway has in force at one moment."""
+    """All state that a gateway applies at one moment."""
 
     vector: VersionVector
     configuration: Configuration
--- a/roselink/model/settings.py
+++ b/roselink/model/settings.py
@@ -1,6 +1,6 @@
-"""The settings file of one process: read and validated once, before anything starts.
+"""The settings file of one process, read and validated before anything starts.
 
-Unknown keys are ignored. Every fault names its key; `SettingsError` carries them all.
+Unknown keys are ignored. Every fault names its key; `SettingsError` has all of them.
 """
 
 from __future__ import annotations
@@ -30,28 +30,28 @@
     """The settings are invalid.
 
     Attributes:
-        faults: one line a fault, which begins with the key.
+        faults: one line for each fault, beginning with the key.
     """
 
     code = "MDL-001"
 
     def __init__(self, faults: list[str]) -> None:
-        """Note the faults."""
+        """Build the message from all faults."""
         super().__init__("; ".join(faults))
         self.faults = faults
 
 
 @dataclass(frozen=True, slots=True)
 class Resources:
-    """The limits of a process's resources.
+    """The resource limits of a process.
 
     Attributes:
         cpu_share: the fraction of the cores' time that it may use.
         cpu_cores: the number of cores.
-        memory_mb: beyond it the process is killed.
-        max_fds: all its file descriptors.
-        bandwidth_mbps: of its network.
-        disk_mb: of its disk.
+        memory_mb: the memory limit; the process is killed beyond it.
+        max_fds: the limit of open file descriptors.
+        bandwidth_mbps: the network bandwidth.
+        disk_mb: the disk space.
     """
 
     cpu_share: float
@@ -90,12 +90,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformSettings:
-    """The platform's interface to the list of hosts.
+    """The platform's API for the list of hosts.
 
     Attributes:
-        address: where it is served.
-        rate_per_s: calls a second that all processes together may make.
-        max_lag_ms: how far its list may lag behind the hosts' states.
+        address: the API's address.
+        rate_per_s: calls per second that all processes together may make.
+        max_lag_ms: the maximum lag of its list behind the hosts' states.
     """
 
     address: Address
@@ -126,19 +126,19 @@
 
     @property
     def peer_port(self) -> int:
-        """The port of the protocol between roselink's processes: the same on every machine."""
+        """The port of the protocol between roselink's processes, the same on every machine."""
         return self.port_range[0]
 
     def seed_peers(self) -> tuple[Address, ...]:
-        """The seeds' addresses for peers (the file has their `admin` addresses)."""
+        """The peer addresses of the seeds; the file has their `admin` addresses."""
         return tuple((host, self.peer_port) for host, _ in self.seeds)
 
 
 def load_settings(path: str) -> ProcessSettings:
-    """The settings in a file.
+    """Read the settings from a file.
 
     Raises:
-        SettingsError: the file can't be read, or its settings are invalid.
+        SettingsError: the file cannot be read, or its settings are invalid.
     """
     try:
         with open(path, encoding="utf-8") as file:
@@ -151,10 +151,10 @@
 
 
 def read_settings(document: object) -> ProcessSettings:
-    """The settings in a document.
+    """Read the settings from a parsed document.
 
     Raises:
-        SettingsError: with every fault.
+        SettingsError: the settings are invalid; it has all faults.
     """
     reader = _SectionReader(document)
     settings = _read_process_settings(reader)
@@ -164,10 +164,10 @@
 
 
 class _SectionReader:
-    """Reads typed values of one section by key, and collects the faults of all sections."""
+    """Reads the typed values of one section, and collects the faults of all sections."""
 
     def __init__(self, document: object, path: str = "", faults: list[str] | None = None) -> None:
-        """Read `document`, whose keys begin with `path` in the faults."""
+        """Read from `document`; `path` is the prefix of its keys in the faults."""
         self.faults: list[str] = [] if faults is None else faults
         self._path = path
         if not isinstance(document, Mapping):
--- a/roselink/router/__init__.py
+++ b/roselink/router/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway process of the fleet: assembly, signals, drain, exit."""
+"""The gateway process of the fleet: start-up, signal handling, drain and exit."""
--- a/roselink/router/app.py
+++ b/roselink/router/app.py
@@ -1,4 +1,4 @@
-"""Assembly of one gateway process: start, signals, drain, exit."""
+"""Assembles and runs one gateway process: start-up, signal handling, drain and exit."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def run(settings: ProcessSettings) -> None:
-    """Run the gateway until SIGTERM or SIGINT and a drain.
+    """Run the gateway until it has drained after SIGTERM or SIGINT.
 
     Raises:
         SystemExit: with `EXIT_START_FAILED` if an address cannot be bound.
@@ -60,14 +60,15 @@
     make_decider: DeciderFactory,
     make_data_plane: DataPlaneFactory,
 ) -> None:
-    """Start the gateway, wait for the signal to stop, and drain.
+    """Start the gateway, wait for SIGTERM or SIGINT, and drain.
 
     Args:
-        settings: of this process.
+        settings: the settings of this process.
         settings_path: the file that they were read from, for reloads.
-        make_decider: makes the decider, from its zone, seed and the figures of the retry budget.
-        make_data_plane: makes the data plane, from the settings, the loop, the decider, and what
-            `roselink.dataplane.interfaces` names of the rest of the process.
+        make_decider: makes the decider from the zone, the seed, and the ratio and window of the
+            retry budget.
+        make_data_plane: makes the data plane from the settings, the loop, the decider, and the
+            services that `roselink.dataplane.interfaces` declares.
 
     Raises:
         OSError: an address cannot be bound.
@@ -96,7 +97,7 @@
     services.pull_client.set_serving(serving=True)
     loop.add_signal_handler(signal.SIGHUP, services.pull_client.reload)
     gc.collect()
-    # What exists at the start stays: later collections need not traverse it.
+    # Objects that exist now live as long as the process: later collections need not traverse them.
     gc.freeze()
     log.info("gateway_started node=%s", settings.node_name)
     await stopping.wait()
@@ -112,10 +113,10 @@
 
 
 class ControlServices:
-    """All of a gateway beside the data plane: the pull client, budgets and peer sampling."""
+    """A gateway's services outside the data plane: pull client, budgets and peer sampling."""
 
     def __init__(self, settings: ProcessSettings, settings_path: str) -> None:
-        """Make the services. `settings_path` is the file of the settings, for reloads."""
+        """Make the services. `settings_path` is the settings file, for reloads."""
         self._listen: Address = (settings.ip, settings.peer_port)
         incarnation = int.from_bytes(os.urandom(7), "big")
         self.member = Member(settings.node_name, "{}:{}".format(*self._listen), incarnation)
@@ -133,7 +134,7 @@
         self._server = PeerServer(self._handle)
 
     async def start(self) -> None:
-        """Listen for peers, and begin to pull.
+        """Listen for peers, and start pulling.
 
         Raises:
             OSError: the address for peers cannot be bound.
@@ -143,7 +144,7 @@
         self.peer_sampling.start()
 
     def stop(self) -> None:
-        """End all connections and timers."""
+        """Close all connections and cancel all timers."""
         self.pull_client.stop()
         self.peer_sampling.stop()
         self.budgets.stop()
--- a/roselink/router/interfaces.py
+++ b/roselink/router/interfaces.py
@@ -1,4 +1,4 @@
-"""What the assembly of a gateway process uses of the decider and of the data plane."""
+"""Interfaces of the decider and the data plane that the gateway process uses."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
     """The decisions on each request: host choice, retries and hedges."""
 
     def take_unreported_outcomes(self) -> Sequence[tuple[str, int, int]]:
-        """Return the outcomes since the last call, for the other gateways.
+        """Return the outcomes since the last call, to report them to the other gateways.
 
-        Each entry has a host, how many attempts succeeded in time, and how many did not.
+        Each entry has a host, its number of attempts within the target latency, and of others.
         """
         ...
 
@@ -31,15 +31,15 @@
         ...
 
     def pool_payoffs(self, payoffs: tuple[tuple[str, float], ...]) -> None:
-        """Take over the payoffs (0 to 1) of hosts over all gateways."""
+        """Set the payoffs (0 to 1) of hosts, pooled over all gateways."""
         ...
 
     def begin_drain(self) -> None:
-        """Take no new requests."""
+        """Stop accepting new requests."""
         ...
 
     async def drained(self) -> None:
-        """Return when no request is in flight any more."""
+        """Return once no request is in flight."""
         ...
 
     def stop(self) -> None:
@@ -47,5 +47,5 @@
         ...
 
     def status_line(self) -> str:
-        """Return the counters since the start, as `key=value` for the log."""
+        """Return the counters since the start, as `key=value` pairs for the log."""
         ...
--- a/roselink/router/status_log.py
+++ b/roselink/router/status_log.py
@@ -1,4 +1,4 @@
-"""Logs a gateway's status at most once an interval, and only when it has changed."""
+"""Logs a gateway's status at most once per interval, and only if it has changed."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class StatusLog:
-    """Logs what `read_status` returns where it differs from the last status logged."""
+    """Logs the result of `read_status` whenever it differs from the last one logged."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, read_status: Callable[[], str]) -> None:
         """Start without a timer."""
@@ -25,11 +25,11 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Begin; the first status is logged after the first interval."""
+        """Start the timer; the first status is logged after one interval."""
         self._timer = self._loop.call_later(INTERVAL_S, self._on_timer)
 
     def stop(self) -> None:
-        """Cancel the timer; a status that has changed since the last one is logged."""
+        """Cancel the timer, and log the status once more if it has changed."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
--- a/roselink/routing/__init__.py
+++ b/roselink/routing/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of a gateway of the fleet: host choice, retries, hedges and budgets. No I/O."""
+"""Routing decisions of a fleet gateway: host choice, retries, hedges and budgets. No I/O."""
--- a/roselink/routing/affinity.py
+++ b/roselink/routing/affinity.py
@@ -1,15 +1,15 @@
-"""Prompt caches of hosts: a request's affinity key, and what a host would have to read.
-
-A prompt comes in segments; a host that has cached a segment and all segments before it reads none
-of them again. Affinity shapes the draw: the two hosts that are compared are the first two of the
-ring for the request's key, in place of two random ones, and each is charged the shared tokens that it would
-have to read as if they were requests in flight. So the host with the larger cached prefix wins,
-unless it is more loaded by that much. The first host of the ring (the key's home) is assumed to
-have cached the shared segments even if this gateway has not sent them: the other gateways send them
+"""Prefix-cache affinity: a request's affinity key, and the prompt tokens that a host would prefill.
+
+A prompt is a sequence of segments; a host that has cached a segment and all segments before it
+prefills none of them again. Affinity replaces the random draw: the two hosts that are compared are
+the first two of the hash ring for the request's key, and the shared tokens that each would have to
+prefill count as load. So the host with the longer cached prefix wins, unless its load exceeds the
+other's by more than these tokens. The first host of the ring (the key's home) is assumed to have
+cached the shared segments even if this gateway has not sent them: the other gateways send them
 there too.
 
-The key is the last shared segment. The last segment of a prompt belongs to the request alone, or to
-its session: how often a route's last segments recur distinguishes the two.
+The key is the last shared segment. The last segment of a prompt is either unique to the request or
+belongs to its session; the rate at which a route's last segments recur distinguishes the two.
 """
 
 from __future__ import annotations
@@ -21,20 +21,21 @@
 if TYPE_CHECKING:
     from roselink.routing.events_and_actions import PromptSegment, RequestFacts
 
-# Prompt segments whose hosts are remembered.
+# Bound on the prompt segments whose hosts are tracked.
 MAX_TRACKED_SEGMENTS = 8192
-# Hosts remembered for each of these segments.
+# Bound on the hosts tracked for each of these segments.
 MAX_HOSTS_PER_SEGMENT = 16
-# Last segments remembered, to detect those that recur.
+# Bound on the last segments that are kept to detect recurrence.
 MAX_TRACKED_LAST_SEGMENTS = 2048
 MAX_TRACKED_ROUTES = 1024
-# A host is assumed to cache a segment for this long after its last use there.
+# Time for which a host is assumed to cache a segment after its last use there, in seconds. A longer
+# one trusts segments that were evicted; a shorter one charges for segments that are still cached.
 CACHE_LIFETIME_S = 20.0
-# Fraction of the shared tokens that the home is assumed to have cached when nothing is known.
+# Fraction of the shared tokens that the home host is assumed to have cached at least.
 HOME_CACHED_FRACTION = 0.9
-# Weight of the newest arrival in a route's recurrence rate.
+# Weight of the newest arrival in a route's recurrence rate (an exponential moving average).
 RECURRENCE_SMOOTHING = 1 / 32
-# A route's last segments belong to sessions when more than this fraction of them recurs.
+# Recurrence rate above which a route's last segments are taken to belong to sessions.
 SESSION_RECURRENCE = 0.25
 
 
@@ -43,22 +44,22 @@
 
 @dataclass(slots=True)
 class _LastSegmentRecurrence:
-    """How often a route's last segments recur."""
+    """Rate at which a route's last segments recur, from 0 to 1."""
 
     recurrence: float = 0.0
 
 
 class PrefixCacheTracker:
-    """The prompt segments that this gateway has seen, and the hosts that read them; bounded."""
+    """Tracks which hosts have probably cached which prompt segments; bounded."""
 
     def __init__(self) -> None:
-        """Start with nothing known."""
+        """Start with no segment tracked."""
         self._hosts_by_segment: OrderedDict[str, dict[str, float]] = OrderedDict()
         self._recent_last_segments: OrderedDict[str, None] = OrderedDict()
         self._routes: OrderedDict[str, _LastSegmentRecurrence] = OrderedDict()
 
     def observe_arrival(self, facts: RequestFacts) -> None:
-        """Learn from an arrival whether its route's last segments recur."""
+        """Update the recurrence rate of the route's last segments from an arrival."""
         if not facts.prompt:
             return
         route = self._routes.setdefault(facts.route, _LastSegmentRecurrence())
@@ -81,7 +82,7 @@
         return segments[:-1] if last_is_unique else segments
 
     def record_prefill(self, host: str, shared: tuple[PromptSegment, ...], now: float) -> None:
-        """Note that a host has read these segments, in order; `now` in seconds."""
+        """Record that a host has prefilled these segments, in order; `now` in seconds."""
         for segment in shared:
             hosts = self._hosts_by_segment.setdefault(segment.id, {})
             if len(hosts) >= MAX_HOSTS_PER_SEGMENT and host not in hosts:
@@ -93,13 +94,13 @@
     def uncached_tokens(
         self, host: str, shared: tuple[PromptSegment, ...], now: float, *, is_home: bool
     ) -> float:
-        """Shared tokens that a host is expected to have to read.
+        """Shared tokens that a host is expected to have to prefill.
 
         Args:
-            host: Its id.
+            host: The host's id.
             shared: The shared segments, in order.
-            now: Seconds.
-            is_home: Whether the host is the first of the ring for the key.
+            now: The current time, in seconds.
+            is_home: Whether the host is the first of the hash ring for the key.
         """
         cached = 0
         total = 0
--- a/roselink/routing/classifier.py
+++ b/roselink/routing/classifier.py
@@ -1,7 +1,7 @@
-"""Which outcomes may be retried: by the route's kind, and by whether the request surely never ran.
+"""Which outcomes may be retried, by the route's kind and whether the request certainly never ran.
 
 `roselink.balancer.outcome_classifier` differs: it derives `repeatable` from the route's effect, and
-has no response that was relayed to the client. See docs/decisions.md.
+does not know of responses already relayed to the client. See docs/decisions.md.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 class RetryDecision(Enum):
     """What an outcome means for its request."""
 
-    # The client has its response.
+    # The client already has its response.
     DONE = "done"
     RETRY = "retry"
-    # Failed, and must not run again.
+    # The attempt failed, and the request must not run again.
     STOP = "stop"
 
 
 def classify(outcome: Outcome, *, repeatable: bool, relayed: bool = False) -> RetryDecision:
-    """Decide about a retry: always where nothing ran, otherwise only where repeating is harmless.
+    """Decide whether to retry: always if nothing ran, otherwise only if the request is repeatable.
 
     Args:
         outcome: How the attempt ended.
         repeatable: Whether the request may run more than once.
-        relayed: Whether the client already has this attempt's response, whatever it was.
+        relayed: Whether this attempt's response was already sent to the client, even if an error.
     """
     if outcome is Outcome.SUCCESS or relayed:
         return RetryDecision.DONE
--- a/roselink/routing/events_and_actions.py
+++ b/roselink/routing/events_and_actions.py
@@ -1,6 +1,6 @@
-"""What goes into the fleet's decisions and what comes out: facts, events, actions. Types only.
+"""Inputs and outputs of the fleet decider: request facts, events and actions. Types only.
 
-Times are seconds of one monotonic clock that the host program chooses.
+Times are seconds of one monotonic clock that the caller provides.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptSegment:
-    """One part of a prompt, in order; equal leading ids share the parts in a host's cache."""
+    """One segment of a prompt; prompts with equal leading ids share those in a host's cache."""
 
     id: str
     tokens: int
@@ -25,24 +25,24 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestFacts:
-    """All that decisions need of a request.
+    """What the decider uses of a request.
 
     Attributes:
-        number: Names the request in events and actions.
+        number: Identifies the request in events and actions.
         route: The route's name.
         service: The service's name.
-        repeatable: It may run more than once.
-        streaming: Its response is a stream of events.
-        arrived_at: When it came.
-        deadline: When it must have its final response.
-        target_latency_s: Time to the first event, or to the complete response where it is not
-            streaming, within which it counts as served in time; 0 for none.
-        max_attempts: Bound on attempts, those that were not sent aside.
-        priority: Its rank; larger ranks are rejected first.
-        affinity: The route prefers hosts that have cached the prompt.
-        prompt: The prompt's parts; empty if they are unknown.
-        tokens_in: Tokens of the prompt.
-        tokens_out: Expected tokens of the response.
+        repeatable: Whether it may run more than once.
+        streaming: Whether its response is a stream of events.
+        arrived_at: When it arrived.
+        deadline: When the final response is due.
+        target_latency_s: Target for the time to the first event or, if not streaming, to the
+            complete response; 0 for none.
+        max_attempts: Bound on attempts, not counting those that ended before they were sent.
+        priority: 0 is the highest; requests with larger numbers are rejected first.
+        affinity: Whether hosts that have cached the prompt are preferred.
+        prompt: The prompt's segments, in order; empty if unknown.
+        tokens_in: Number of prompt tokens.
+        tokens_out: Expected number of response tokens.
     """
 
     number: int
@@ -63,9 +63,9 @@
 
 @dataclass(frozen=True, slots=True)
 class TopologyChanged:
-    """Event: the hosts and services now in force.
+    """Event: the list of hosts and services has changed.
 
-    A host that is missing or draining takes nothing new.
+    Hosts that are missing from the list or draining get no new attempts.
     """
 
     hosts: tuple[Host, ...]
@@ -74,14 +74,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """Event: a request within its quota. It gets one final response before its deadline."""
+    """Event: a request within its tenant's quota. It gets one final response, by its deadline."""
 
     facts: RequestFacts
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetDecided:
-    """Event: the reply to `AcquireSharedBudget`."""
+    """Event: the reply to an `AcquireSharedBudget`."""
 
     number: int
     allowed: bool
@@ -89,9 +89,9 @@
 
 @dataclass(frozen=True, slots=True)
 class FirstEvent:
-    """Event: the first event of a stream went on to the client.
+    """Event: the first event of a stream was relayed to the client.
 
-    From now on the request can be repeated by resumption only.
+    From then on the request can only be resumed, not started again.
     """
 
     number: int
@@ -100,20 +100,20 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """Event: how an attempt ended.
+    """Event: an attempt has ended.
 
-    SUCCESS: the complete response went on. FULL: the host said that it did not run
-    (`X-Not-Executed`, or 421). ERROR: a response that may have run. TIMEOUT, RESET: sent, no
-    complete response. CONNECT_FAILED, MOOT: nothing was sent.
+    SUCCESS: the complete response was relayed. FULL: the host reported that it did not execute the
+    request (`X-Not-Executed`, or 421). ERROR: an error response; the request may have run. TIMEOUT,
+    RESET: sent, but no complete response. CONNECT_FAILED, MOOT: nothing was sent.
 
     Attributes:
-        number: The request's.
-        attempt: The attempt's.
-        outcome: See above.
-        elapsed_s: Since it was sent.
-        progressed: Part of its stream went on to the client.
-        relayed: The client already has this ERROR response.
-        wrong_host: 421, another host has the address.
+        number: The request's number.
+        attempt: The attempt's number.
+        outcome: How it ended, see above.
+        elapsed_s: Time since it was sent.
+        progressed: Whether a part of its stream was relayed to the client.
+        relayed: Whether this ERROR response was already relayed to the client.
+        wrong_host: Whether the response was 421: another host has the address now.
     """
 
     number: int
@@ -127,23 +127,23 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClosed:
-    """Event: the client has left, or has its final answer."""
+    """Event: the client has disconnected, or has its final response."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """Event: a timer set by `StartTimer` is due."""
+    """Event: a timer started by `StartTimer` is due."""
 
     tag: int
 
 
 @dataclass(frozen=True, slots=True)
 class PooledPayoffs:
-    """Event: payoffs of hosts over all gateways, 0 to 1, by id; those not named have the best.
+    """Event: payoffs pooled over all gateways, from 0 to 1, by host id; hosts not named have 1.
 
-    They hold until the next such event, and for a time of the decider's own.
+    They hold until the next such event or for `topology.POOLED_PAYOFFS_S`, whichever is shorter.
     """
 
     hosts: tuple[tuple[str, float], ...]
@@ -163,9 +163,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SendAttempt:
-    """Action: send the request to a host. Attempts of a request count from 0.
+    """Action: send the request to a host. Attempts of a request are numbered from 0.
 
-    With `resume` the stream resumes after the last event that the client got (`Last-Event-Id`).
+    With `resume` the stream resumes after the last event that the client received
+    (`Last-Event-Id`).
     """
 
     number: int
@@ -176,9 +177,9 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Action: stop waiting for an attempt.
+    """Action: cancel an attempt.
 
-    Its outcome comes as CANCELLED, or as MOOT when nothing was sent.
+    It still ends with an `AttemptEnded`: CANCELLED, or MOOT if nothing was sent.
     """
 
     number: int
@@ -189,7 +190,7 @@
 class AcquireSharedBudget:
     """Action: request one retry from the owner of the service's shared slack.
 
-    `BudgetDecided` replies, once.
+    The reply is one `BudgetDecided`.
     """
 
     number: int
@@ -197,27 +198,27 @@
 
 
 class FailureReason(Enum):
-    """Why a request gets a final response of the gateway's own."""
+    """Why the gateway itself generates a request's final response."""
 
-    # 503: it has not run and never will.
+    # 503: the request has not run and will not.
     NOT_RUN = "not_run"
-    # 502.
+    # 502: the request may have run.
     MAY_HAVE_RUN = "may_have_run"
-    # 504; with nothing sent, 503.
+    # 504: the deadline has passed; 503 if nothing was sent.
     OUT_OF_TIME = "out_of_time"
 
 
 @dataclass(frozen=True, slots=True)
 class FinalResponse:
-    """Action: the gateway's own final response.
+    """Action: send a final response that the gateway generates.
 
-    Where the data plane still has a host's own failure, kept for the time of a retry, it passes
-    that on instead of a 502.
+    If the data plane still holds a host's error response from before a retry, it relays that one
+    instead of a 502.
 
     Attributes:
-        number: The request's.
-        reason: Why.
-        retry_after_s: When the client is to come back, for NOT_RUN; 0: at once.
+        number: The request's number.
+        reason: Determines the status code.
+        retry_after_s: Delay after which the client may retry, for NOT_RUN; 0: at once.
     """
 
     number: int
@@ -227,7 +228,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartTimer:
-    """Action: request a `TimerFired` with this tag at a time."""
+    """Action: start a timer that fires as `TimerFired` with this tag at the time `at`."""
 
     tag: int
     at: float
--- a/roselink/routing/fleet_decider.py
+++ b/roselink/routing/fleet_decider.py
@@ -1,8 +1,8 @@
-"""Every decision of a gateway of the fleet: which host, whether again, when to give up.
+"""The routing decisions of a fleet gateway: host choice, retries, hedges and final responses.
 
-No I/O and no clock: `FleetDecider` takes one event at a time and returns actions; types of both are
-in `events_and_actions`. Each call runs under its route's policy. Decisions on a request are in
-`request_lifecycle`, what outcomes show in `learning`.
+No I/O and no clock: `FleetDecider` handles one event at a time and returns actions, whose types are
+in `events_and_actions`. Each request keeps the policy of its route as it was at the arrival. The
+decisions on a request are in `request_lifecycle`, the records of outcomes in `outcome_recorder`.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class FleetDecider:
-    """One gateway's decisions. The same seed and events bring the same actions."""
+    """The routing decisions of one gateway; deterministic for a given seed and events."""
 
     def __init__(
         self, zone: str, seed: int, retry_budget_ratio: float, retry_window_s: float
@@ -44,9 +44,9 @@
 
         Args:
             zone: The gateway's zone.
-            seed: Of all random draws.
+            seed: Seed of all random draws.
             retry_budget_ratio: Retries allowed for each request of a service, over all gateways.
-            retry_window_s: The window over which they are counted, in seconds.
+            retry_window_s: The window over which retries are counted, in seconds.
         """
         rng = random.Random(seed)
         self._prefix_cache = PrefixCacheTracker()
@@ -66,18 +66,18 @@
         )
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event. What comes for a request that is gone is ignored.
+        """Handle one event. Events for requests that no longer exist are ignored.
 
         Args:
-            now: Seconds; never falls from one call to the next.
+            now: Monotonic time, in seconds.
             event: What happened.
 
         Returns:
-            What is to be done, in this order.
+            The actions to execute, in this order.
         """
         self._lifecycle.begin_event(now)
         self._topology.expire_pooled_payoffs(now)
-        # Before the timers: they must not use a host that the event takes away.
+        # The event comes before due timers, which must not use a host that it removes.
         self._dispatch(event, now)
         while (timer := self._timers.pop_due(now)) is not None:
             self._on_timer(timer, now)
@@ -172,7 +172,7 @@
         if request.closed:
             return
         if timer.kind is TimerKind.DEADLINE:
-            # The data plane ends a stream that is running at its deadline.
+            # A stream that is running at its deadline is ended by the data plane.
             if not request.is_streaming():
                 self._lifecycle.finish(request, out_of_time=True)
         elif timer.kind is TimerKind.HOST_WAIT and request.phase is RequestPhase.AWAITING_HOST:
--- a/roselink/routing/host_choice.py
+++ b/roselink/routing/host_choice.py
@@ -1,10 +1,10 @@
-"""Host choice: of two drawn hosts the one with the higher discounted payoff, sometimes the other.
+"""Host choice: power of two choices by payoff and load, with exploration and prefix affinity.
 
-Two random choices (Mitzenmacher, The Power of Two Choices in Randomized Load Balancing, 2001), by
-payoff / (1 + own requests in flight there); the payoff is this gateway's own times the one over all
-gateways. One pick in twenty explores: it goes to the lower-scored host. On a route with affinity
-prompt tokens are counted as requests, see `affinity`; on one without, hosts of the own zone have a
-slight advantage.
+Of two random hosts the one with the higher score is picked (Mitzenmacher, The Power of Two Choices
+in Randomized Load Balancing, 2001). The score is payoff / (1 + own requests in flight there), where
+the payoff is this gateway's own times the one pooled over all gateways. One pick in twenty
+explores: it goes to the lower-scored host. On a route with affinity prompt tokens count as load,
+see `affinity`; on one without, hosts of the gateway's zone have a slight advantage.
 """
 
 from __future__ import annotations
@@ -20,48 +20,50 @@
     from roselink.routing.host_record import HostRecord
     from roselink.routing.ready_hosts import HostPredicate, ReadyHosts
 
-# Fraction of picks that go to the lower-scored of the two.
+# Fraction of picks that go to the lower-scored of the two. A larger one notices recovered hosts
+# sooner; a smaller one sends fewer requests to hosts that look worse.
 EXPLORATION_RATE = 0.05
-# Shared tokens read again up to which a pick is a cheap one to explore with.
+# Additional shared tokens to prefill up to which exploring with a pick counts as cheap.
 CHEAP_RECOMPUTE_TOKENS = 1000.0
-# Explorations deferred to cheaper picks; past this the next pick explores, whatever it costs.
+# Explorations that may be deferred to cheaper picks; beyond it the next pick explores at any cost.
 MAX_EXPLORATION_CREDIT = 2.0
-# Bound on a cheap pick's probability to explore while explorations are deferred.
+# Bound on the probability that a cheap pick explores while explorations are deferred.
 MAX_EXPLORATION_PROBABILITY = 0.25
-# Weight of a shared token read again against one that is read anyway: it is wasted work.
+# Weight of a shared token to prefill, relative to a pending prompt token: prefilling it again is
+# wasted work. A larger weight follows the cached prefix, a smaller one spreads the load.
 RECOMPUTE_WEIGHT = 3.0
-# Prompt tokens to read that weigh as one request in flight.
+# Prompt tokens to prefill that count as one request in flight.
 TOKENS_PER_REQUEST_LOAD = 2000.0
-# Factor on the score of a host of another zone.
+# Factor of the score of a host in another zone.
 OTHER_ZONE_FACTOR = 0.95
-# Hosts of a key that are considered before a random draw.
+# Hosts in a key's ring order that are considered before a random draw.
 RANKED_CANDIDATES = 4
-# Hosts that are compared.
+# Hosts that are compared in each pick.
 CANDIDATES_PER_PICK = 2
 
 
 class _RankedHost(NamedTuple):
-    """A host of a key, and whether it is the first of the ring for it."""
+    """A host in a key's ring order, and whether it is the first."""
 
     host: HostRecord
     is_home: bool
 
 
 class HostChooser:
-    """Picks hosts for one gateway."""
+    """Picks the hosts of one gateway's attempts."""
 
     def __init__(self, zone: str, rng: random.Random, prefix_cache: PrefixCacheTracker) -> None:
-        """Start with no exploration deferred.
+        """Start without exploration credit.
 
         Args:
             zone: The gateway's zone.
-            rng: All draws come from it.
-            prefix_cache: The prompt parts that hosts have read.
+            rng: Source of all random draws.
+            prefix_cache: What the hosts have probably cached.
         """
         self._zone = zone
         self._rng = rng
         self._prefix_cache = prefix_cache
-        # Explorations that picks so far have earned and not had.
+        # Explorations that are due according to the rate and have not taken place.
         self._exploration_credit = 0.0
 
     def pick(
@@ -76,11 +78,11 @@
         Args:
             ready: The ready hosts of the request's service.
             facts: The request.
-            excluded: Hosts that must not be picked: those that it went to before.
-            now: Seconds.
+            excluded: Hosts that must not be picked, such as those attempted before.
+            now: The current time, in seconds.
 
         Returns:
-            None if no other host was found.
+            None if no host was found.
         """
         if facts.affinity and facts.prompt:
             shared_segments = self._prefix_cache.shared_segments(facts)
@@ -100,7 +102,7 @@
     def tokens_to_prefill(
         self, ready: ReadyHosts, facts: RequestFacts, host: HostRecord, now: float
     ) -> int:
-        """Prompt tokens that a host is expected to read for a request."""
+        """Prompt tokens that a host is expected to prefill for a request."""
         if not facts.prompt:
             return facts.tokens_in
         shared_segments = self._prefix_cache.shared_segments(facts)
@@ -112,7 +114,7 @@
         return max(0, int(facts.tokens_in - cached))
 
     def score(self, host: HostRecord) -> float:
-        """The design's discounted payoff."""
+        """The payoff discounted by own requests in flight, and for hosts in another zone."""
         zone_factor = 1.0 if host.spec.zone == self._zone else OTHER_ZONE_FACTOR
         return zone_factor * host.effective_payoff() / (1.0 + host.in_flight)
 
@@ -134,7 +136,7 @@
         excluded: Collection[HostRecord],
         now: float,
     ) -> list[_RankedHost]:
-        """The key's first two hosts that are available and not saturated."""
+        """The first two hosts in the key's ring order that are available and not saturated."""
         pair: list[_RankedHost] = []
         for rank, host in enumerate(ready.ranked(shared_segments[-1].id, RANKED_CANDIDATES)):
             if host not in excluded and host.is_available(now) and not host.is_saturated():
@@ -146,7 +148,7 @@
     def _random_pair(
         self, ready: ReadyHosts, excluded: Collection[HostRecord], now: float
     ) -> list[HostRecord]:
-        """Two random hosts below their limits, or any available, or any not excluded."""
+        """Two random hosts below their limits; else two available ones; else two not excluded."""
         predicates: tuple[HostPredicate, ...] = (
             lambda host: host not in excluded and host.is_available(now) and host.below_limit(),
             lambda host: host not in excluded and host.is_available(now),
@@ -165,12 +167,13 @@
         scores: list[float],
         uncached_tokens: list[float] | None = None,
     ) -> HostRecord:
-        """The better of the two, or the other when the pick explores.
+        """The higher-scored host, or the other one when the pick explores.
 
         Args:
             pair: One host or two.
-            scores: Of each.
-            uncached_tokens: Shared tokens that each would read; None on a route without affinity.
+            scores: The score of each host.
+            uncached_tokens: Shared tokens that each host would have to prefill; None without
+                affinity.
         """
         if len(pair) == 1:
             return pair[0]
@@ -183,10 +186,10 @@
         return pair[1 - better_index if self._should_explore(recomputed) else better_index]
 
     def _should_explore(self, recomputed_tokens: float) -> bool:
-        """Whether this pick goes to the lower-scored host: one in twenty of all.
+        """Whether this pick goes to the lower-scored host, at the rate `EXPLORATION_RATE`.
 
-        A pick by which many more shared tokens would be read defers its exploration to a cheaper
-        pick, as long as such picks come.
+        A pick that would prefill many more shared tokens defers its exploration to a cheaper pick,
+        up to `MAX_EXPLORATION_CREDIT`.
         """
         self._exploration_credit += EXPLORATION_RATE
         if recomputed_tokens > CHEAP_RECOMPUTE_TOKENS:
--- a/roselink/routing/host_record.py
+++ b/roselink/routing/host_record.py
@@ -1,4 +1,4 @@
-"""What one gateway knows of one host: payoff, its own requests there, failures and ejections."""
+"""One gateway's record of one host: payoff, own requests in flight, limit and ejections."""
 
 from __future__ import annotations
 
@@ -8,43 +8,46 @@
 if TYPE_CHECKING:
     from roselink.model.fleet import Host
 
-# Payoff of a host that nothing is known of.
+# Payoff of a new host.
 INITIAL_PAYOFF = 0.5
-# Weight of the newest outcome in a payoff.
+# Weight of the newest outcome in a payoff (an exponential moving average). A larger one reacts to
+# changes sooner; a smaller one varies less with single outcomes.
 PAYOFF_SMOOTHING = 0.12
-# Consecutive failures without any response that eject a host.
+# Consecutive failures without any response after which a host is ejected.
 FAILURES_TO_EJECT = 2
-# The first ejection; each further one is twice as long, up to the longest.
+# Duration of the first ejection; each further one is twice as long, up to the longest.
 FIRST_EJECTION_S = 0.2
 LONGEST_EJECTION_S = 2.0
-# On a host of this capacity or less each request weighs as a full one.
+# Capacity up to which each request in flight counts as a full one; above it, as less.
 FULL_WEIGHT_CAPACITY = 8.0
-# Fraction of a host's limit that one gateway may use before the host counts as saturated.
+# Fraction of a host's limit from which one gateway's own requests count as saturating it.
 SATURATED_FRACTION = 0.25
-# Own requests in flight at which no host counts as saturated yet.
+# Own requests in flight below which no host with a higher limit counts as saturated.
 MIN_SATURATED = 2.0
-# The new limit after a rejection, as a fraction of the own requests in flight.
+# Multiplicative decrease: the limit after a rejection, relative to own requests in flight,
+# including the rejected one.
 LIMIT_DECREASE = 0.8
 
 
 @dataclass(slots=True, eq=False)
 class HostRecord:
-    """One host. Times in seconds of the decider's clock.
+    """One gateway's record of one host; times in seconds of the decider's clock.
 
     Attributes:
-        spec: The host as listed.
-        limit: Own requests in flight that it is believed to accept.
-        payoff: Fraction of recent outcomes that met their target, 0 to 1.
-        pooled_payoff: The payoff over all gateways; 1 where no gateway reports anything worse.
-        unreported_in_time: Outcomes within their target not yet reported to the other gateways.
-        unreported_missed: Outcomes that missed it, not yet reported.
-        in_flight: Own attempts in flight there.
-        pending_prompt_tokens: Own prompt tokens sent there whose attempts have no first event yet.
-        last_response_at: When a first event or a response last came from it.
-        consecutive_failures: Failures since then or since the last ejection.
+        spec: The host's entry in the platform's list.
+        limit: Adaptive limit of own requests in flight.
+        payoff: Moving average of outcomes that met the target latency, from 0 to 1.
+        pooled_payoff: The payoff pooled over all gateways; 1 unless they report a lower one.
+        unreported_in_time: Outcomes that met the target, not yet reported to other gateways.
+        unreported_missed: Outcomes that missed the target, not yet reported.
+        in_flight: Own attempts in flight.
+        pending_prompt_tokens: Prompt tokens to prefill for own attempts without a first event.
+        last_response_at: When it last sent a first event or a response.
+        consecutive_failures: Failures since the last response or ejection.
         ejections: Ejections since the last response.
-        ejected_until: No attempts before this time.
-        probation: It was ejected, and has not responded since: one probe request at a time.
+        ejected_until: Time before which it gets no attempts.
+        probation: Whether it was ejected and has not responded since; it then gets one probe
+            request at a time.
         probe_in_flight: Whether that probe request is in flight.
     """
 
@@ -64,25 +67,25 @@
     probe_in_flight: bool = False
 
     def is_available(self, now: float) -> bool:
-        """Whether it may get a request: not ejected, and no probe request of it in flight."""
+        """Whether it may get a request: not ejected, and no probe request in flight."""
         return self.ejected_until <= now and not (self.probation and self.probe_in_flight)
 
     def below_limit(self) -> bool:
-        """Whether own requests in flight are fewer than it is believed to accept."""
+        """Whether own requests in flight are below the limit."""
         return self.in_flight < self.limit
 
     def is_saturated(self) -> bool:
-        """Whether own requests use as much of it as one gateway should."""
+        """Whether own requests in flight reach the fraction of it that one gateway may use."""
         return self.in_flight >= min(
             self.limit, max(MIN_SATURATED, SATURATED_FRACTION * self.limit)
         )
 
     def request_weight(self) -> float:
-        """Load of one running request on it, in full requests."""
+        """The load that one request in flight counts as, at most 1."""
         return min(1.0, FULL_WEIGHT_CAPACITY / max(1, self.spec.capacity))
 
     def record_payoff(self, *, in_time: bool) -> None:
-        """Learn from one outcome: payoff 1 if served within the target latency, else 0."""
+        """Update the payoff from one outcome: 1 if it met the target latency, else 0."""
         if in_time:
             self.payoff += (1.0 - self.payoff) * PAYOFF_SMOOTHING
             self.unreported_in_time += 1
@@ -91,11 +94,11 @@
             self.unreported_missed += 1
 
     def effective_payoff(self) -> float:
-        """The payoff by which it is compared: the own one times the one over all gateways."""
+        """The payoff that host choice uses: the own one times the pooled one."""
         return self.payoff * self.pooled_payoff
 
     def record_response(self, now: float) -> None:
-        """A first event or a response came from it: end failures, ejections and probation."""
+        """Reset failures, ejections and probation after a first event or a response."""
         self.last_response_at = now
         self.consecutive_failures = 0
         self.ejections = 0
@@ -103,20 +106,20 @@
         self.probe_in_flight = False
 
     def raise_limit(self) -> None:
-        """After a success: additive increase, one for each window of successes."""
+        """Additive increase after a success: by 1 per `limit` successes, up to the capacity."""
         self.limit = min(float(self.spec.capacity), self.limit + 1.0 / self.limit)
 
     def lower_limit(self) -> None:
-        """After a rejection: it was full with the own requests in flight."""
+        """Multiplicative decrease after the host rejected an attempt as full."""
         self.limit = max(1.0, min(self.limit, LIMIT_DECREASE * (self.in_flight + 1)))
 
     def record_failure(self) -> bool:
-        """Count a failure without any response; True when it is to be ejected."""
+        """Count a failure without any response; True if the host should be ejected."""
         self.consecutive_failures += 1
         return self.probation or self.consecutive_failures >= FAILURES_TO_EJECT
 
     def eject(self, now: float) -> None:
-        """Send nothing there until `ejected_until`, twice as long each time."""
+        """Eject the host, for twice as long each time up to `LONGEST_EJECTION_S`."""
         duration_s = min(LONGEST_EJECTION_S, FIRST_EJECTION_S * 2.0**self.ejections)
         self.ejected_until = now + duration_s
         self.ejections += 1
@@ -126,5 +129,5 @@
 
 
 def new_host_record(spec: Host) -> HostRecord:
-    """A host that nothing is known of."""
+    """A record of a new host, whose limit is its capacity."""
     return HostRecord(spec, limit=float(max(1, spec.capacity)))
--- a/roselink/routing/latency_tracker.py
+++ b/roselink/routing/latency_tracker.py
@@ -1,4 +1,4 @@
-"""The latest latencies of one route, and their percentiles."""
+"""A sliding window of latencies and its percentiles."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class LatencyTracker(deque[int]):
-    """Latencies in microseconds, the newest last; `maxlen` bounds how many are kept."""
+    """Latencies in microseconds, the newest last; `maxlen` bounds their number."""
 
     def percentile(self, fraction: float) -> int | None:
         """The nearest-rank percentile at `fraction` (0 to below 1); None without latencies."""
--- a/roselink/routing/outcome.py
+++ b/roselink/routing/outcome.py
@@ -1,4 +1,4 @@
-"""How an attempt at a host ended, and which of these outcomes prove that nothing ran there."""
+"""How an attempt at a host ended, and which outcomes prove that the request did not run there."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
     """How an attempt or a probe ended."""
 
     SUCCESS = "success"
-    # The host replied with an error; it may have run.
+    # The host replied with an error; the request may have run.
     ERROR = "error"
-    # Rejected by the host before it began to work on the request.
+    # The host rejected the request before executing it.
     FULL = "full"
-    # No response in time; it may have run or may still run.
+    # No response in time; the request may have run or may still be running.
     TIMEOUT = "timeout"
-    # The host was never reached.
+    # No connection to the host could be opened.
     CONNECT_FAILED = "connect_failed"
     # The connection broke while the attempt was in flight.
     RESET = "reset"
-    # Cancelled by the gateway; it may have run.
+    # Cancelled by the gateway; the request may have run.
     CANCELLED = "cancelled"
-    # Not sent at all.
+    # Ended before it was sent.
     MOOT = "moot"
 
 
--- a/roselink/routing/outcome_recorder.py
+++ b/roselink/routing/outcome_recorder.py
@@ -1,4 +1,4 @@
-"""What each outcome shows about its host, its route and its service."""
+"""Records what each outcome implies for its host, route and service."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
     from roselink.routing.topology import Topology
 
 CONNECTION_FAILURES = frozenset({Outcome.CONNECT_FAILED, Outcome.RESET})
-# Outcomes that show nothing about a host.
+# Outcomes that say nothing about the host.
 NEUTRAL_OUTCOMES = frozenset({Outcome.CANCELLED, Outcome.MOOT})
 
 
 class OutcomeRecorder:
-    """Turns outcomes into payoffs, ejections, limits, latencies and the prefix cache."""
+    """Updates payoffs, limits, ejections, route latencies and the prefix cache from outcomes."""
 
     def __init__(self, topology: Topology, prefix_cache: PrefixCacheTracker) -> None:
-        """Learn into `topology`'s hosts and services, and `prefix_cache`."""
+        """Record into the hosts and services of `topology`, and into `prefix_cache`."""
         self._topology = topology
         self._prefix_cache = prefix_cache
 
     def record_sent(self, attempt: Attempt) -> None:
-        """An attempt goes out; at a host on probation it may be the probe request."""
+        """Record that an attempt is sent; to a host on probation it may be the probe request."""
         host = attempt.host
         attempt.is_probe = host.probation and not host.probe_in_flight
         host.probe_in_flight = host.probe_in_flight or attempt.is_probe
@@ -35,7 +35,7 @@
         host.pending_prompt_tokens += attempt.pending_prompt_tokens
 
     def record_first_event(self, request: Request, attempt: Attempt, now: float) -> None:
-        """The first event, or the complete response where no event came before."""
+        """Record the first event, or the complete response if no event came before it."""
         host = attempt.host
         elapsed_s = now - attempt.sent_at
         _clear_pending_tokens(attempt)
@@ -49,9 +49,9 @@
             )
 
     def record_overdue(self, request: Request, attempt: Attempt, now: float) -> None:
-        """An attempt passes the target latency: count a miss at once.
+        """Count a miss as soon as an attempt exceeds the target latency.
 
-        It is a failure too if its host has not responded since it was sent.
+        It also counts as a failure if its host has not responded since it was sent.
         """
         if attempt.outcome is not None or attempt.first_event_seen:
             return
@@ -63,7 +63,7 @@
     def record_end(
         self, request: Request, attempt: Attempt, event: AttemptEnded, now: float
     ) -> None:
-        """An attempt ended, with any outcome."""
+        """Record the end of an attempt, whatever its outcome."""
         host = attempt.host
         host.in_flight -= 1
         _clear_pending_tokens(attempt)
--- a/roselink/routing/policy.py
+++ b/roselink/routing/policy.py
@@ -1,4 +1,4 @@
-"""The policy of each call, and what was learned of each route's latencies."""
+"""The policy of each request, and the recent latencies of each route."""
 
 from __future__ import annotations
 
@@ -14,34 +14,35 @@
 # The route's name.
 PolicyKey = str
 
-# Latencies kept for a route.
+# Latencies kept for each route.
 MAX_LATENCIES = 128
 MAX_ROUTES = 1024
-# A request slower than this percentile of its route may be hedged.
+# Latency percentile of the route after which a request may be hedged. A higher one hedges fewer
+# requests; a lower one cuts tail latency earlier, for more load.
 HEDGE_PERCENTILE = 0.95
 MIN_HEDGE_WAIT_S = 0.01
-# New latencies after which the percentile is computed again.
+# New latencies after which the percentile is recomputed.
 LATENCIES_PER_RECOMPUTE = 32
-# A hedge needs an attempt beyond the first.
+# Lowest attempt limit of a route with hedges: a hedge is a second attempt.
 MIN_HEDGE_ATTEMPTS = 2
-# A hedged stream costs a full prompt: only far past the percentile and the target latency, at a
-# host that seems unresponsive.
+# Streams are hedged only long after the percentile and the target latency, and only when the host
+# seems unresponsive: each hedge costs the prefill of a full prompt.
 HEDGE_STREAMS = True
-# Multiple of the percentile after which a stream may be hedged.
+# Factor of the percentile after which a stream may be hedged.
 STREAM_HEDGE_FACTOR = 2.0
 MICROSECONDS_PER_S = 1e6
 
 
 @dataclass(frozen=True, slots=True)
 class EffectivePolicy:
-    """What binds one call.
+    """The limits that apply to one request.
 
     Attributes:
         key: The route's name.
-        repeatable: Whether the call may run more than once.
+        repeatable: Whether the request may run more than once.
         streaming: Whether its response is a stream of events.
         max_attempts: At least 1.
-        target_latency_s: Seconds; 0 for none.
+        target_latency_s: Target latency in seconds; 0 for none.
     """
 
     key: PolicyKey
@@ -52,7 +53,7 @@
 
     @staticmethod
     def of(facts: RequestFacts) -> EffectivePolicy:
-        """The policy in a request's facts, normalized: at least one attempt, no negative time."""
+        """The policy of a request, normalized: at least one attempt, no negative target."""
         return EffectivePolicy(
             facts.route,
             facts.repeatable,
@@ -63,30 +64,30 @@
 
 
 class RouteLatencies:
-    """Latencies of one route's calls, to the first event or the complete response; bounded."""
+    """Recent latencies of one route, to the first event or the complete response; bounded."""
 
     def __init__(self) -> None:
-        """Start with no latency known."""
+        """Start without latencies."""
         self._latencies = LatencyTracker(maxlen=MAX_LATENCIES)
         self._hedge_wait_s: float | None = None
         self._new_latencies = 0
 
     def record_latency(self, elapsed_s: float) -> None:
-        """Take the latency of one success."""
+        """Add the latency of one success."""
         self._latencies.append(int(elapsed_s * MICROSECONDS_PER_S))
         self._new_latencies += 1
 
     def is_in_time(self, policy: EffectivePolicy, elapsed_s: float) -> bool:
-        """Whether that is within the target latency, or without one, the route's own median."""
+        """Whether a latency meets the target or, without a target, the route's median."""
         if policy.target_latency_s > 0:
             return elapsed_s <= policy.target_latency_s
         median = self._latencies.percentile(0.5)
         return median is None or elapsed_s * MICROSECONDS_PER_S <= median
 
     def hedge_wait_s(self, policy: EffectivePolicy) -> float | None:
-        """How long to wait before a hedge; None: never.
+        """The delay before a hedge, in seconds; None if the request must not be hedged.
 
-        The percentile is computed again after every `LATENCIES_PER_RECOMPUTE` new latencies only.
+        The percentile is recomputed only after every `LATENCIES_PER_RECOMPUTE` new latencies.
         """
         if (
             not policy.repeatable
@@ -105,14 +106,14 @@
 
 
 class RouteLatencyTable:
-    """The latencies of the routes that were added last; bounded."""
+    """The latencies of the most recently added routes; bounded."""
 
     def __init__(self) -> None:
-        """Start with no route known."""
+        """Start without routes."""
         self._routes: OrderedDict[PolicyKey, RouteLatencies] = OrderedDict()
 
     def find(self, key: PolicyKey) -> RouteLatencies:
-        """The latencies of a route, added if it is new."""
+        """The latencies of a route, which is added if it is new."""
         latencies = self._routes.get(key)
         if latencies is None:
             latencies = self._routes[key] = RouteLatencies()
--- a/roselink/routing/ready_hosts.py
+++ b/roselink/routing/ready_hosts.py
@@ -1,4 +1,4 @@
-"""The ready hosts of one service, as one gateway sees them: random draws, the ring, ejections."""
+"""The ready hosts of one service, as one gateway sees them: random draws, hash ring, ejections."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 if TYPE_CHECKING:
     import random
 
-# Random draws for a host that satisfies a predicate, before a scan.
+# Random draws before falling back to a linear scan.
 MAX_DRAWS = 8
-# Hosts that the scan then checks in a row.
+# Bound on the hosts that the scan checks.
 MAX_SCANNED = 64
-# Weight of the newest outcome in the rejection rate.
+# Weight of the newest outcome in the rejection rate (an exponential moving average).
 REJECTION_SMOOTHING = 0.1
 
 HostPredicate = Callable[[HostRecord], bool]
 
 
 class ReadyHosts:
-    """Ready hosts of one service.
+    """The ready hosts of one service.
 
     Attributes:
-        hosts: All of them, those that are ejected included.
-        rejection_rate: Fraction of recent outcomes by which a host rejected the attempt as full.
+        hosts: All ready hosts, including ejected ones.
+        rejection_rate: Moving average of the fraction of attempts that hosts rejected as full.
     """
 
     def __init__(self) -> None:
-        """Start with no host."""
+        """Start without hosts."""
         self.hosts: list[HostRecord] = []
         self.rejection_rate = 0.0
         self._by_id: dict[str, HostRecord] = {}
@@ -39,7 +39,7 @@
         self._ejected: list[HostRecord] = []
 
     def replace(self, hosts: list[HostRecord]) -> None:
-        """Take a new list; the ring is built again only when the set of ids changed."""
+        """Replace the list; the hash ring is rebuilt only if the set of ids has changed."""
         by_id = {host.spec.id: host for host in hosts}
         if by_id.keys() != self._by_id.keys():
             self._ring = None
@@ -48,20 +48,20 @@
         self._ejected = [host for host in self._ejected if host.spec.id in by_id]
 
     def record_outcome(self, *, rejected: bool) -> None:
-        """Learn from one outcome how crowded the service is."""
+        """Update the rejection rate from one outcome."""
         self.rejection_rate += (rejected - self.rejection_rate) * REJECTION_SMOOTHING
 
     def ranked(self, key: str, limit: int) -> Iterator[HostRecord]:
-        """The first hosts in a key's order, the same at every gateway that has the same list."""
+        """The first hosts in a key's ring order; equal at all gateways that have the same list."""
         if self._ring is None:
             self._ring = HashRing(self._by_id)
         return (self._by_id[host] for host in islice(self._ring.walk(key), limit))
 
     def draw(self, predicate: HostPredicate, rng: random.Random) -> HostRecord | None:
-        """Draw a host that satisfies a predicate at random; the number of checks is bounded.
+        """Draw a random host that satisfies the predicate, with a bounded number of checks.
 
         Returns:
-            None if none was found, though one may exist among more hosts than are checked.
+            None if no checked host satisfies it; in a large service not all hosts are checked.
         """
         count = len(self.hosts)
         for _ in range(min(MAX_DRAWS, count * 2)):
@@ -76,13 +76,14 @@
         return None
 
     def eject(self, host: HostRecord, now: float, *, certain: bool) -> bool:
-        """Eject a host, unless too few of the service would be left.
+        """Eject a host, unless too few hosts of the service would remain.
 
         Args:
             host: The host.
-            now: Seconds.
-            certain: Whether it surely failed; then one other host must be left. Of hosts that only
-                did not respond, half must be left: an overloaded service looks the same.
+            now: The current time, in seconds.
+            certain: Whether the failure is certain; then one host must remain. If the host merely
+                did not respond, half of the hosts must remain, since an overloaded service looks
+                the same.
 
         Returns:
             Whether it was ejected.
--- a/roselink/routing/request_lifecycle.py
+++ b/roselink/routing/request_lifecycle.py
@@ -1,7 +1,7 @@
-"""Decisions on one request: where it is sent, whether it is retried or hedged, when it is given up.
+"""Decisions on one request: first send, retries, hedges and the final response.
 
-The service's local retry budget is consulted before every attempt but the first; when it is empty,
-the owner of the shared slack is.
+Every attempt but the first needs a token of the service's local retry budget; when a retry finds it
+empty, the owner of the shared slack decides.
 """
 
 from __future__ import annotations
@@ -34,25 +34,26 @@
     from roselink.routing.retry_budget import RetryBudgets
     from roselink.routing.topology import Topology
 
-# Bound on the wait for a ready host, as a fraction of the target latency.
+# Time-out of the wait for a ready host, as a fraction of the target latency. A longer one bridges
+# longer gaps in the host list; a shorter one rejects sooner, so that the client can retry.
 HOST_WAIT_FRACTION = 0.2
-# The same where the route has no target latency.
+# Time-out of that wait on a route without a target latency, in seconds.
 HOST_WAIT_S = 0.1
-# From this rank on a request is rejected at once where every host is full.
+# Priority number from which a request is rejected at once if the picked host is at its limit.
 LOW_PRIORITY = 2
 
 
 @dataclass(frozen=True, slots=True)
 class RoutingState:
-    """What decisions on all requests use and change.
+    """State shared by the decisions on all requests.
 
     Attributes:
-        topology: The hosts in force.
-        chooser: Picks among them.
-        outcome_recorder: Takes what attempts show about them.
+        topology: The current hosts and services.
+        chooser: Picks hosts.
+        outcome_recorder: Records the outcomes of attempts.
         budgets: The local retry budgets of all services.
         timers: The timers of all requests.
-        rng: Draws the jitter of waits.
+        rng: Source of the jitter of backoffs and `Retry-After`.
     """
 
     topology: Topology
@@ -64,17 +65,17 @@
 
 
 class RequestLifecycle:
-    """Takes each request from its first send to its final response.
+    """Drives each request from its first send to its final response.
 
     Attributes:
         now: The time of the current event, in seconds.
-        actions: What the current event has brought so far.
+        actions: The actions of the current event so far.
         requests: Open requests by number, and closed ones with attempts in flight.
-        awaiting_host: Those of them that no ready host was found for yet.
+        awaiting_host: Open requests for which no ready host was found yet, by number.
     """
 
     def __init__(self, state: RoutingState) -> None:
-        """Start with no request."""
+        """Start without requests."""
         self._state = state
         self.now = 0.0
         self.actions: list[Action] = []
@@ -82,14 +83,14 @@
         self.awaiting_host: dict[int, Request] = {}
 
     def begin_event(self, now: float) -> None:
-        """Start an event: the actions that follow go into a new list."""
+        """Begin an event: the actions that follow go into a new list."""
         self.now = now
         self.actions = []
 
     # --- the first send
 
     def admit(self, request: Request) -> None:
-        """Take a new request: send or reject it, or let it wait for a ready host."""
+        """Admit a new request: send it, reject it, or let it wait for a ready host."""
         facts = request.facts
         self.requests[facts.number] = request
         self._state.timers.schedule(facts.deadline, TimerKind.DEADLINE, request)
@@ -100,7 +101,7 @@
             self._state.timers.schedule(self.now + wait_s, TimerKind.HOST_WAIT, request)
 
     def send_first(self, request: Request) -> bool:
-        """Send a request for the first time, or reject it; False when no host is ready."""
+        """Send the first attempt of a request, or reject it; False if no host is ready."""
         if self.now >= request.facts.deadline:
             self.finish(request)
             return True
@@ -118,7 +119,7 @@
     # --- retries
 
     def attempt_ended(self, request: Request, event: AttemptEnded) -> None:
-        """Decide what the end of an attempt means for its open request."""
+        """Finish, close or retry an open request after one of its attempts has ended."""
         decision = classify(event.outcome, repeatable=request.may_repeat(), relayed=event.relayed)
         if decision is RetryDecision.DONE:
             self.close(request)
@@ -128,7 +129,7 @@
             return
         elif decision is RetryDecision.STOP:
             self.finish(request)
-        elif not request.in_flight:  # a retry group has failed
+        elif not request.in_flight:  # the retry group has failed
             self._schedule_backoff(request)
 
     def _schedule_backoff(self, request: Request) -> None:
@@ -142,7 +143,7 @@
         self._state.timers.schedule(self.now + wait_s, TimerKind.RETRY, request)
 
     def acquire_budget(self, request: Request) -> None:
-        """After a backoff: retry from the local budget, or ask the owner of the shared slack."""
+        """Retry after a backoff if the local budget allows it, else request shared budget."""
         service = request.facts.service
         if self.now >= request.facts.deadline:
             self.finish(request)
@@ -153,7 +154,7 @@
             self.actions.append(AcquireSharedBudget(request.facts.number, service))
 
     def send_retry(self, request: Request) -> None:
-        """Send a request again, to a host that it did not go to before if there is one."""
+        """Retry a request, at a host that it was not sent to before if there is one."""
         if self.now >= request.facts.deadline:
             self.finish(request)
             return
@@ -168,9 +169,9 @@
     # --- hedges
 
     def hedge(self, request: Request) -> None:
-        """Send a second copy of a slow request, if the budget has plenty and a host has room.
+        """Hedge a slow request if the retry budget allows it and another host is below its limit.
 
-        A stream is hedged only before its first event, and only when its host was ejected for its
+        A stream is hedged only before its first event, and only if its host was ejected for its
         failures and has not responded since the attempt was sent.
         """
         if request.phase is not RequestPhase.IN_FLIGHT or request.in_flight != 1:
@@ -189,11 +190,11 @@
     # --- the end
 
     def finish(self, request: Request, *, out_of_time: bool = False) -> None:
-        """Give the gateway's own final response; nothing else does.
+        """Close a request with a final response of the gateway; nothing else generates one.
 
         Args:
             request: An open request.
-            out_of_time: Its deadline has come, whatever the clock shows.
+            out_of_time: Whether its deadline timer fired, whatever the clock shows.
         """
         number = request.facts.number
         if not request.may_have_run():
@@ -211,7 +212,7 @@
         self.close(request)
 
     def close(self, request: Request) -> None:
-        """Send nothing from here on, and cancel what is in flight."""
+        """Close a request: cancel its attempts in flight, and send no more."""
         self.awaiting_host.pop(request.facts.number, None)
         if not request.closed:
             self.cancel_others(request, None)
@@ -220,7 +221,7 @@
             self.requests.pop(request.facts.number, None)
 
     def cancel_others(self, request: Request, kept: Attempt | None) -> None:
-        """Cancel all attempts in flight but `kept`."""
+        """Cancel all attempts in flight except `kept`."""
         for number, attempt in enumerate(request.attempts):
             if attempt.outcome is None and attempt is not kept:
                 self.actions.append(CancelAttempt(request.facts.number, number))
@@ -228,7 +229,7 @@
     # --- helpers
 
     def find_in_flight(self, number: int, attempt: int) -> tuple[Request, Attempt] | None:
-        """An attempt without an outcome, and its request; None if there is no such attempt."""
+        """An attempt in flight and its request; None if there is no such attempt."""
         request = self.requests.get(number)
         if request is None or attempt >= len(request.attempts):
             return None
@@ -268,7 +269,10 @@
 
 
 def _seems_unresponsive(request: Request) -> bool:
-    """Whether the host of the only attempt in flight was ejected and has been silent since then."""
+    """Whether the host of the only attempt in flight seems unresponsive.
+
+    It is on probation, and has not responded since the attempt was sent.
+    """
     waiting = next(attempt for attempt in request.attempts if attempt.outcome is None)
     host = waiting.host
     return host.probation and host.last_response_at <= waiting.sent_at
--- a/roselink/routing/request_state.py
+++ b/roselink/routing/request_state.py
@@ -1,4 +1,4 @@
-"""One request and its attempts, from its arrival to its final response and its last outcome."""
+"""The state of one request and its attempts, until its final response and last outcome."""
 
 from __future__ import annotations
 
@@ -14,36 +14,36 @@
     from roselink.routing.host_record import HostRecord
     from roselink.routing.policy import EffectivePolicy, RouteLatencies
 
-# Attempts that may end unsent beyond the bound on attempts.
+# Attempts that may end unsent without counting against the bound on attempts.
 MAX_UNSENT_ATTEMPTS = 3
 
 
 class RequestPhase(Enum):
-    """What a request is waiting for."""
+    """The phase of a request, by what it waits for."""
 
     AWAITING_HOST = auto()
-    # For the outcomes of its attempts.
+    # Waits for the outcomes of its attempts.
     IN_FLIGHT = auto()
     BACKING_OFF = auto()
-    # For the owner of the service's shared slack.
+    # Waits for the decision of the owner of the service's shared slack.
     AWAITING_BUDGET = auto()
-    # For the outcomes of attempts that no longer matter.
+    # Has its final response; attempts that no longer matter may still be in flight.
     CLOSED = auto()
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt.
+    """One attempt of a request.
 
     Attributes:
-        host: Where it went.
-        sent_at: When, in seconds.
-        pending_prompt_tokens: Prompt tokens still counted at its host.
-        resumed: It resumes a stream of which the client has a part; it has no first event.
-        is_probe: It is the probe request of a host on probation.
+        host: The host that it was sent to.
+        sent_at: When it was sent, in seconds.
+        pending_prompt_tokens: Prompt tokens that it still adds to its host's pending ones.
+        resumed: Whether it resumes a stream that was relayed in part; it has no first event.
+        is_probe: Whether it is the probe request of a host on probation.
         outcome: How it ended; None while it is in flight.
-        first_event_seen: Whether its first event came.
-        overdue: It is past the target latency, and was counted as a miss.
+        first_event_seen: Whether its first event was received.
+        overdue: Whether it exceeded the target latency and was counted as a miss.
     """
 
     host: HostRecord
@@ -61,15 +61,15 @@
     """A client's request.
 
     Attributes:
-        facts: What decisions need of it.
-        policy: Its route's policy, as it was at the arrival.
-        route: What was learned of its route's latencies.
-        phase: What it is waiting for.
-        attempts: In the order in which they were sent.
-        in_flight: Attempts without an outcome.
-        failed_groups: Retry groups (an attempt and its hedges) that failed.
-        progressed: Part of its stream went on to the client.
-        winner: The attempt whose stream goes on to the client.
+        facts: The facts that decisions use.
+        policy: The policy of its route, as it was at the arrival.
+        route: The latencies of its route.
+        phase: What it waits for.
+        attempts: Its attempts, in the order in which they were sent.
+        in_flight: Number of attempts without an outcome.
+        failed_groups: Number of retry groups (an attempt and its hedges) that failed.
+        progressed: Whether a part of its stream was relayed to the client.
+        winner: The attempt whose stream is relayed to the client.
     """
 
     facts: RequestFacts
@@ -84,25 +84,25 @@
 
     @property
     def closed(self) -> bool:
-        """Whether it has its final response."""
+        """Whether it has its final response or its client has left."""
         return self.phase is RequestPhase.CLOSED
 
     def is_streaming(self) -> bool:
-        """Whether its response is on its way to the client."""
+        """Whether a stream is being relayed to the client."""
         return self.winner is not None and self.winner.outcome is None
 
     def may_repeat(self) -> bool:
-        """Whether it may run again; only a stream may once the client has part of it."""
+        """Whether it may run again; once a part was relayed, only a stream may."""
         return self.policy.repeatable and (self.policy.streaming or not self.progressed)
 
     def has_attempts_left(self) -> bool:
-        """Whether the bound on attempts leaves one more; a few that ended unsent are free."""
+        """Whether the bound on attempts allows one more; some that ended unsent don't count."""
         unsent = sum(attempt.outcome in NEVER_SENT for attempt in self.attempts)
         sent = len(self.attempts) - unsent
         return sent < self.policy.max_attempts and unsent <= MAX_UNSENT_ATTEMPTS
 
     def may_have_run(self) -> bool:
-        """Whether a host may have begun to work on it."""
+        """Whether a host may have executed it, in part or completely."""
         return any(attempt.outcome not in NEVER_RAN for attempt in self.attempts)
 
     def attempted_hosts(self) -> set[HostRecord]:
--- a/roselink/routing/retry_budget.py
+++ b/roselink/routing/retry_budget.py
@@ -1,9 +1,9 @@
 """The local retry budget of a service: a token bucket whose tokens expire with the window.
 
-The rule counts over all gateways: in any window, retries <= ratio * requests + slack. Each gateway
-keeps its own retries within its fraction of the ratio, over its own first sends of the last window,
-so the sum over any number of gateways keeps the ratio. The slack is lent by one owner for all
-gateways and never counted here.
+The rule holds over all gateways: in any window, retries <= ratio * requests + slack. Each gateway
+limits its own retries to a fraction of the ratio over its own first sends of the last window, so
+the sum over any number of gateways keeps the ratio. The slack is granted by one owner for all
+gateways and is not counted here.
 """
 
 from __future__ import annotations
@@ -13,23 +13,25 @@
 
 from roselink.routing.token_bucket import TokenBucket
 
-# Fraction of the configured ratio: first sends that fail before they arrive earn as well.
+# Fraction of the configured ratio that a first send earns; below 1 since first sends that fail
+# before they arrive at a host earn as well.
 EARNED_FRACTION = 0.9
-# Slices of the window that are counted together.
+# Slices into which the window is divided; sends of one slice expire together. More of them expire
+# closer to the window's exact end, and cost more memory.
 SLICES = 20
-# Hedges need this many tokens at least, so that retries find some left.
+# Tokens below which no hedge is sent, so that some remain for retries.
 MIN_HEDGE_TOKENS = 2.0
 
 
 class LocalRetryBudget:
-    """Consulted before every attempt beyond the first. Times in seconds."""
+    """A gateway's budget for the retries and hedges of one service. Times in seconds."""
 
     def __init__(self, ratio: float, window_s: float) -> None:
-        """Start empty.
+        """Start without tokens.
 
         Args:
-            ratio: Retries allowed for each first send, over all gateways.
-            window_s: The window of the rule, in seconds.
+            ratio: Retries allowed per first send, over all gateways.
+            window_s: The window over which both are counted, in seconds.
         """
         self._earned_per_send = EARNED_FRACTION * ratio
         self._slice_s = window_s / SLICES
@@ -40,14 +42,14 @@
         self._retry_count = 0
 
     def record_first_send(self, now: float) -> None:
-        """Count a first send: it needs no token and earns a fraction of one."""
+        """Count a first send, which needs no token and earns a fraction of one."""
         self._expire(now)
         self._first_send_count += 1
         _increment(self._first_sends, self._slice_index(now))
         self._bucket.earn(self._earned_per_send, self._max_tokens())
 
     def spend(self, now: float) -> bool:
-        """Take one token for a retry or a hedge; False when there is none."""
+        """Take one token for a retry or a hedge; False if there is none."""
         self.tokens(now)
         if not self._bucket.spend():
             return False
@@ -56,13 +58,13 @@
         return True
 
     def tokens(self, now: float) -> float:
-        """Tokens that may be spent now."""
+        """The tokens that may be spent now."""
         self._expire(now)
         self._bucket.earn(0.0, self._max_tokens())
         return self._bucket.tokens
 
     def allows_hedge(self, now: float) -> bool:
-        """Whether half of what the window earned is unspent, and `MIN_HEDGE_TOKENS`."""
+        """Whether at least half of the earned tokens and `MIN_HEDGE_TOKENS` are unspent."""
         tokens = self.tokens(now)
         earned = self._earned_per_send * self._first_send_count
         return tokens >= max(MIN_HEDGE_TOKENS, earned / 2)
@@ -74,9 +76,10 @@
         return int(now // self._slice_s)
 
     def _expire(self, now: float) -> None:
-        """Drop counts that left the window.
+        """Drop counts that have left the window.
 
-        First sends count while their whole slice lies in the window, retries while any of it does.
+        First sends count while their slice lies entirely in the window, retries while any of it
+        does, so rounding never allows more retries.
         """
         current = self._slice_index(now)
         while self._first_sends and self._first_sends[0].index <= current - SLICES:
@@ -86,10 +89,10 @@
 
 
 class RetryBudgets:
-    """The local budgets of all services, each made when it is first needed."""
+    """The local budgets of all services, each created on first use."""
 
     def __init__(self, ratio: float, window_s: float) -> None:
-        """Keep what every budget is made with; see `LocalRetryBudget`."""
+        """Set the arguments of each `LocalRetryBudget`."""
         self._ratio = ratio
         self._window_s = window_s
         self._budgets: dict[str, LocalRetryBudget] = {}
@@ -104,7 +107,7 @@
 
 @dataclass(slots=True)
 class _SliceCount:
-    """How many sends fell into one slice of time, numbered from the clock's zero."""
+    """Number of sends in one slice; slices are numbered from the clock's zero."""
 
     index: int
     count: int
--- a/roselink/routing/ring.py
+++ b/roselink/routing/ring.py
@@ -1,9 +1,9 @@
-"""Consistent hashing: every gateway finds the same hosts for a key; a lost host moves only its own.
+"""Consistent hashing: all gateways map a key to the same hosts; a lost host moves only its keys.
 
-Each host has a number of points on a ring of 64-bit hashes, and a key's hosts are those of the
-points that follow its hash (Karger et al., Consistent Hashing and Random Trees, STOC 1997).
-Hashes are blake2b of the id, so they do not depend on the process. A lookup is a bisection and a
-short walk.
+Each host has a number of points (virtual nodes) on a ring of 64-bit hashes, and a key's hosts are
+those of the points that follow its hash (Karger et al., Consistent Hashing and Random Trees, STOC
+1997). Hashes are blake2b of the id, so they do not depend on the process. A lookup is a bisection
+and a short walk.
 """
 
 from __future__ import annotations
@@ -17,28 +17,29 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
 
-# Numbers of hosts up to which a host has more points.
+# Largest numbers of hosts of a small and of a medium ring.
 SMALL_RING_HOSTS = 64
 MEDIUM_RING_HOSTS = 1024
-# Points of each host in a ring of few, many and very many hosts.
+# Points of each host by size of the ring. More points spread the keys more evenly, and cost memory
+# and time to build.
 SMALL_RING_POINTS = 128
 MEDIUM_RING_POINTS = 32
 LARGE_RING_POINTS = 8
-# Points that one digest of 64 bytes gives.
+# Points obtained from one digest of 64 bytes.
 POINTS_PER_DIGEST = 8
-# The low bits of a point are its host's index: a million hosts at most.
+# The low bits of a point are its host's index, which limits a ring to about a million hosts.
 HOST_INDEX_BITS = 20
 HOST_INDEX_MASK = (1 << HOST_INDEX_BITS) - 1
 
 
 class HashRing:
-    """The hosts of one service by id.
+    """A hash ring of one service's hosts.
 
-    In a larger fleet each host has fewer points: its fraction of the keys is small anyway.
+    In a larger ring each host has fewer points: its fraction of the keys is small anyway.
     """
 
     def __init__(self, ids: Iterable[str]) -> None:
-        """Build the ring of these hosts; equal ids count once."""
+        """Build the ring from host ids; duplicates count once."""
         self._ids = sorted(set(ids))
         digests = _points_per_host(len(self._ids)) // POINTS_PER_DIGEST
         points: list[int] = []
@@ -53,7 +54,7 @@
         return len(self._points)
 
     def walk(self, key: str) -> Iterator[str]:
-        """Every host once, in the key's order."""
+        """All hosts in the key's ring order, each once."""
         size = len(self._points)
         seen = set()
         start = bisect_right(self._points, key_hash(key))
@@ -77,7 +78,7 @@
 
 @lru_cache(maxsize=16384)
 def _points_of_digest(host: str, digest_index: int) -> tuple[int, ...]:
-    """Eight of a host's points, with the bits for its index left zero."""
+    """The points of a host from one of its digests, with the bits of the host's index zero."""
     digest = blake2b(host.encode(), salt=digest_index.to_bytes(2, "big"), person=b"host").digest()
     return tuple(
         int.from_bytes(digest[offset : offset + 8], "big") & ~HOST_INDEX_MASK
--- a/roselink/routing/timers.py
+++ b/roselink/routing/timers.py
@@ -1,4 +1,4 @@
-"""Many timers of requests behind one timer of the driver, set again only for an earlier time."""
+"""Timers of all requests, multiplexed onto one timer of the driver."""
 
 from __future__ import annotations
 
@@ -13,29 +13,29 @@
 
 
 class TimerKind(Enum):
-    """What is to happen to a request at its time."""
+    """What happens to a request when its timer is due."""
 
-    # The time of its final response.
+    # The request's deadline has passed.
     DEADLINE = auto()
-    # The end of the wait for a ready host.
+    # The wait for a ready host has timed out.
     HOST_WAIT = auto()
-    # The end of a backoff.
+    # A backoff is over.
     RETRY = auto()
-    # An attempt passes the target latency.
+    # An attempt has exceeded the target latency.
     OVERDUE = auto()
     # A hedge may be sent.
     HEDGE = auto()
 
 
 class RequestTimer(NamedTuple):
-    """One timer; ordered by `due_at`, then by `sequence`, which no other timer has.
+    """One timer; ordered by `due_at`, then by `sequence`, which is unique.
 
     Attributes:
-        due_at: Seconds of the decider's clock.
-        sequence: Number of the timer, in the order in which they were scheduled.
-        kind: What is to happen.
-        request: To which request.
-        attempt: The number of its attempt, for OVERDUE and HEDGE.
+        due_at: When it is due, in seconds of the decider's clock.
+        sequence: Number of the timer, in the order of scheduling.
+        kind: What happens when it is due.
+        request: The request that it belongs to.
+        attempt: Number of the request's attempt, for OVERDUE and HEDGE.
     """
 
     due_at: float
@@ -45,7 +45,7 @@
     attempt: int
 
     def is_obsolete(self) -> bool:
-        """Whether nothing is left to do at that time."""
+        """Whether nothing remains to be done when it is due."""
         if self.kind is TimerKind.OVERDUE:
             attempt = self.request.attempts[self.attempt]
             return attempt.outcome is not None or attempt.first_event_seen
@@ -53,31 +53,34 @@
 
 
 class TimerQueue:
-    """Timers in order. Obsolete ones are dropped without a wake-up when they are the next."""
+    """A priority queue of timers. The driver's timer is restarted only for an earlier due time.
+
+    Obsolete timers at the head are dropped without a wake-up.
+    """
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without timers."""
         self._timers: list[RequestTimer] = []
         self._last_sequence = 0
         self._tag = 0
         self._armed_at: float | None = None
 
     def schedule(self, at: float, kind: TimerKind, request: Request, attempt: int = 0) -> None:
-        """Set a timer for a time in seconds."""
+        """Add a timer that is due at `at`, in seconds."""
         self._last_sequence += 1
         heappush(self._timers, RequestTimer(at, self._last_sequence, kind, request, attempt))
 
     def driver_timer_fired(self, tag: int) -> None:
-        """The driver's timer fired; one with an older tag was replaced, and is ignored."""
+        """Handle the driver's timer; one with an older tag was replaced and is ignored."""
         if tag == self._tag:
             self._armed_at = None
 
     def pop_due(self, now: float) -> RequestTimer | None:
-        """Remove and return the next timer that is due."""
+        """Remove and return the next due timer, if any."""
         return heappop(self._timers) if self._timers and self._timers[0].due_at <= now else None
 
     def rearm(self) -> StartTimer | None:
-        """The driver's timer to start, if one is needed."""
+        """The driver timer to start, if the running one would fire too late or none is running."""
         while self._timers and self._timers[0].is_obsolete():
             heappop(self._timers)
         if not self._timers:
--- a/roselink/routing/token_bucket.py
+++ b/roselink/routing/token_bucket.py
@@ -1,13 +1,13 @@
-"""A token bucket that whoever owns it fills explicitly; it reads no clock."""
+"""A token bucket that its owner fills explicitly; it reads no clock."""
 
 from __future__ import annotations
 
 
 class TokenBucket:
-    """A capped number of tokens. On retries: without a cap they multiply the load of an outage.
+    """A capped number of tokens. Uncapped retries would multiply the load during an outage.
 
     Attributes:
-        tokens: What is left, in tokens.
+        tokens: The tokens available.
         filled_us: When it was last filled, in microseconds, for owners that fill it by time; the
             bucket itself does not use it.
     """
@@ -18,10 +18,10 @@
         self.filled_us = 0
 
     def earn(self, tokens: float, cap: float) -> None:
-        """Add `tokens`, up to at most `cap` in all; tokens above a lower `cap` are lost."""
+        """Add `tokens`, up to `cap` in total; tokens above a lowered `cap` are lost."""
         self.tokens = min(cap, self.tokens + tokens)
 
     def spend(self) -> bool:
-        """Take one whole token; False, with nothing taken, when there is less than one."""
+        """Take one token; False, with nothing taken, if less than one is available."""
         self.tokens -= (allowed := self.tokens >= 1.0)
         return allowed
--- a/roselink/routing/topology.py
+++ b/roselink/routing/topology.py
@@ -1,4 +1,4 @@
-"""The hosts and services in force, and what is known of each host while it stays listed."""
+"""The current hosts and services, with a record of each host while it is listed."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from roselink.routing.host_record import HostRecord, new_host_record
 from roselink.routing.ready_hosts import ReadyHosts
 
-# Payoffs over all gateways hold for this long.
+# Lifetime of pooled payoffs that are not renewed, in seconds.
 POOLED_PAYOFFS_S = 2.0
 
 
 class UnreportedOutcomes(NamedTuple):
-    """Outcomes at one host, for the other gateways.
+    """Numbers of outcomes at one host, to be reported to the other gateways.
 
     Attributes:
-        host: Its id.
-        in_time: Outcomes served within the target latency.
-        missed: The others.
+        host: The host's id.
+        in_time: Number of outcomes that met the target latency.
+        missed: Number of outcomes that did not.
     """
 
     host: str
@@ -28,10 +28,10 @@
 
 
 class Topology:
-    """The ready hosts of each service. Draining hosts are remembered, but not ready."""
+    """The ready hosts of each service. Draining hosts keep their records, but are not ready."""
 
     def __init__(self) -> None:
-        """Start with no host and no service."""
+        """Start without hosts and services."""
         self._hosts: dict[str, HostRecord] = {}
         self._ready: dict[str, ReadyHosts] = {}
         self._pooled_until = float("inf")
@@ -41,7 +41,7 @@
         return self._ready.setdefault(service, ReadyHosts())
 
     def replace(self, event: TopologyChanged) -> None:
-        """Take a new list in place of the old."""
+        """Replace the list of hosts and services."""
         ready: dict[str, list[HostRecord]] = {service.name: [] for service in event.services}
         hosts: dict[str, HostRecord] = {}
         for spec in event.hosts:
@@ -55,19 +55,19 @@
             self.ready_hosts(service).replace(members)
 
     def set_pooled_payoffs(self, event: PooledPayoffs, now: float) -> None:
-        """Take the payoffs over all gateways; hosts that are not named have the best."""
+        """Set the payoffs pooled over all gateways; hosts that are not named get 1."""
         payoffs = dict(event.hosts)
         self._pooled_until = now + POOLED_PAYOFFS_S if payoffs else float("inf")
         for name, host in self._hosts.items():
             host.pooled_payoff = payoffs.get(name, 1.0)
 
     def expire_pooled_payoffs(self, now: float) -> None:
-        """Drop the payoffs over all gateways when they were not renewed in time."""
+        """Reset the pooled payoffs if they were not renewed within `POOLED_PAYOFFS_S`."""
         if now > self._pooled_until:
             self.set_pooled_payoffs(PooledPayoffs(()), now)
 
     def take_unreported_outcomes(self) -> list[UnreportedOutcomes]:
-        """Hosts with outcomes since the last call, and their numbers."""
+        """Return and reset the numbers of outcomes since the last call, by host."""
         unreported = []
         for name, host in self._hosts.items():
             if host.unreported_in_time or host.unreported_missed:
