--- a/roselink/routing/request_lifecycle.py
+++ b/roselink/routing/request_lifecycle.py
@@ -136,7 +136,7 @@
         request.failed_groups += 1
         target_s = request.policy.target_latency_s
         wait_s = backoff_s(request.failed_groups, target_s, self._state.rng)
-        if not request.has_attempts_left() or self.now + wait_s >= request.facts.deadline:
+        if not request.allows_another_attempt() or self.now + wait_s >= request.facts.deadline:
             self.finish(request)
             return
         request.phase = RequestPhase.BACKING_OFF
@@ -176,7 +176,7 @@
         """
         if request.phase is not RequestPhase.IN_FLIGHT or request.in_flight != 1:
             return
-        if request.progressed or not request.has_attempts_left():
+        if request.progressed or not request.allows_another_attempt():
             return
         if request.policy.streaming and not _seems_unresponsive(request):
             return
--- a/roselink/routing/request_state.py
+++ b/roselink/routing/request_state.py
@@ -95,7 +95,7 @@
         """Whether it may run again; once a part was relayed, only a stream may."""
         return self.policy.repeatable and (self.policy.streaming or not self.progressed)
 
-    def has_attempts_left(self) -> bool:
+    def allows_another_attempt(self) -> bool:
         """Whether the bound on attempts allows one more; some that ended unsent don't count."""
         unsent = sum(attempt.outcome in NEVER_SENT for attempt in self.attempts)
         sent = len(self.attempts) - unsent
