--- a/tests/model/test_settings_file.py
+++ b/tests/model/test_settings_file.py
@@ -41,7 +41,7 @@
     }
 
 
-def test_a_whole_file_is_read() -> None:
+def test_complete_document_is_read_with_defaults_for_missing_thresholds() -> None:
     settings = read_settings(document())
     assert settings.seed_peers() == (("127.0.0.2", 7500), ("127.0.0.3", 7500))
     assert settings.thresholds.contact_ms == 4000
@@ -73,34 +73,34 @@
         ("cloud_api", {"address": 7}, "cloud_api.address: needs address:port, not 7"),
     ],
 )
-def test_a_fault_is_named_by_its_key(key: str, value: Any, fault: str) -> None:
+def test_invalid_value_is_reported_by_its_key(key: str, value: Any, fault: str) -> None:
     changed = document() | {key: value}
     with pytest.raises(SettingsError) as caught:
         read_settings(changed)
     assert fault in caught.value.faults
 
 
-def test_all_faults_are_told_at_once() -> None:
+def test_all_faults_are_reported_together() -> None:
     with pytest.raises(SettingsError) as caught:
         read_settings(document() | {"ip": None, "zone": 3, "seeds": None})
     assert len(caught.value.faults) == 3
 
 
 @pytest.mark.parametrize("text", ["", "{", "[]", "7"])
-def test_a_file_that_is_no_object_is_refused(tmp_path: Path, text: str) -> None:
+def test_file_without_a_json_object_is_rejected(tmp_path: Path, text: str) -> None:
     path = tmp_path / "boot.json"
     path.write_text(text)
     with pytest.raises(SettingsError):
         load_settings(str(path))
 
 
-def test_a_missing_file_is_refused(tmp_path: Path) -> None:
+def test_missing_file_is_rejected(tmp_path: Path) -> None:
     with pytest.raises(SettingsError, match="cannot be read"):
         load_settings(str(tmp_path / "none.json"))
 
 
 @pytest.mark.parametrize("command", ["router", "controller"])
-def test_a_program_with_bad_settings_says_so_and_ends(
+def test_program_with_invalid_settings_prints_the_fault_and_exits(
     command: str,
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
--- a/tests/router/test_app.py
+++ b/tests/router/test_app.py
@@ -35,7 +35,7 @@
 }
 
 
-class Core:
+class SimulatedCore:
     """Replies to pulls; the roster is all gateways that have pulled and serve."""
 
     def __init__(self) -> None:
@@ -47,7 +47,7 @@
         self.confirmed = True
         self.pulls: list[PullRequest] = []
 
-    async def start(self) -> Core:
+    async def start(self) -> SimulatedCore:
         self.port = await self.server.listen(HOST, 0)
         return self
 
@@ -78,11 +78,11 @@
 
 
 def free_port() -> int:
-    with socket.create_server((HOST, 0)) as found:
-        return int(found.getsockname()[1])
+    with socket.create_server((HOST, 0)) as listener:
+        return int(listener.getsockname()[1])
 
 
-def write_settings(path: Path, name: str, port: int, **more: Any) -> ProcessSettings:
+def write_settings(path: Path, name: str, port: int, **overrides: Any) -> ProcessSettings:
     """Settings whose seeds are at `port` too: all processes use the same port for peers."""
     document = {
         "node_name": name,
@@ -93,14 +93,14 @@
         "limits": {},
         "thresholds": {"retry_slack": 50},
     }
-    path.write_text(json.dumps({**document, **more}))
+    path.write_text(json.dumps({**document, **overrides}))
     return load_settings(str(path))
 
 
 class Gateways:
     """Control services that find the core by hints: on one machine its port differs from theirs."""
 
-    def __init__(self, core: Core, folder: Path, count: int) -> None:
+    def __init__(self, core: SimulatedCore, folder: Path, count: int) -> None:
         self.members = []
         for index in range(count):
             path = folder / f"{index}.json"
@@ -113,18 +113,18 @@
             await gateway.start()
             gateway.pull_client.set_serving(serving=True)
 
-    async def until(self, reached: Callable[[Snapshot], bool]) -> None:
-        """Until each has a snapshot in force that satisfies `reached`."""
+    async def wait_for_snapshot(self, satisfied: Callable[[Snapshot], bool]) -> None:
+        """Until each has a snapshot in force that satisfies `satisfied`."""
         waits = []
         for gateway in self.members:
-            seen: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+            reached: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
-            def check(snapshot: Snapshot, seen: asyncio.Future[None] = seen) -> None:
-                if reached(snapshot) and not seen.done():
-                    seen.set_result(None)
+            def check(snapshot: Snapshot, reached: asyncio.Future[None] = reached) -> None:
+                if satisfied(snapshot) and not reached.done():
+                    reached.set_result(None)
 
             gateway.pull_client.subscribe(check)
-            waits.append(seen)
+            waits.append(reached)
         await asyncio.wait_for(asyncio.gather(*waits), 10)
 
     def stop(self) -> None:
@@ -132,8 +132,8 @@
             gateway.stop()
 
 
-def play(scene: Callable[[], Awaitable[None]]) -> None:
-    asyncio.run(asyncio.wait_for(scene(), 20))
+def run_scenario(scenario: Callable[[], Awaitable[None]]) -> None:
+    asyncio.run(asyncio.wait_for(scenario(), 20))
 
 
 async def admit(gateway: ControlServices, amount: float) -> bool:
@@ -142,59 +142,59 @@
     return await decided
 
 
-async def retry(gateway: ControlServices) -> bool:
+async def acquire_retry(gateway: ControlServices) -> bool:
     decided: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
     gateway.budgets.ask("llm", decided.set_result)
     return await decided
 
 
-def test_gateways_find_the_core_and_share_a_quota(tmp_path: Path) -> None:
-    async def scene() -> None:
-        core = await Core().start()
+def test_gateways_find_the_core_and_share_quota_and_retry_budget(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        core = await SimulatedCore().start()
         gateways = Gateways(core, tmp_path, 3)
         await gateways.start()
-        await gateways.until(lambda snapshot: len(snapshot.roster) == 3)
+        await gateways.wait_for_snapshot(lambda snapshot: len(snapshot.roster) == 3)
         assert all(gateway.pull_client.may_use_keys() for gateway in gateways.members)
         first = gateways.members[0]
-        free = Tenant("free", (), 0, "requests", 1, 0.0, 0.0)
-        undecided: list[bool] = []
-        first.budgets.admit(free, 1e9, lambda allowed, _: undecided.append(allowed))
-        assert undecided == [True]
+        unlimited = Tenant("unlimited", (), 0, "requests", 1, 0.0, 0.0)
+        decisions: list[bool] = []
+        first.budgets.admit(unlimited, 1e9, lambda allowed, _: decisions.append(allowed))
+        assert decisions == [True]
         results = [await admit(gateway, 100.0) for gateway in gateways.members * 20]
         # the burst, its grace, and what a second or so refills; each gateway got some
         assert any(results)
         assert not all(results)
-        retries = [await retry(gateway) for gateway in gateways.members * 4]
+        retries = [await acquire_retry(gateway) for gateway in gateways.members * 4]
         assert (
             sum(retries) <= FIRST_WINDOW_FRACTION * 50
         )  # of a term's first window, however slow the machine is
         gateways.stop()
         core.server.close()
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_new_configuration_comes_into_force_and_none_goes_back(tmp_path: Path) -> None:
-    async def scene() -> None:
-        core = await Core().start()
+def test_newer_configuration_is_applied_and_older_one_ignored(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        core = await SimulatedCore().start()
         gateways = Gateways(core, tmp_path, 2)
         await gateways.start()
-        await gateways.until(lambda snapshot: snapshot.vector.configuration == 1)
+        await gateways.wait_for_snapshot(lambda snapshot: snapshot.vector.configuration == 1)
         core.configuration = 7
-        await gateways.until(lambda snapshot: snapshot.configuration.generation == 7)
+        await gateways.wait_for_snapshot(lambda snapshot: snapshot.configuration.generation == 7)
         core.configuration = 5
-        seen = len(core.pulls)
-        enough = asyncio.get_running_loop().create_future()
+        pulls_before = len(core.pulls)
+        enough_pulls = asyncio.get_running_loop().create_future()
         handle = core.server._handler
 
         def count(peer: Address, message: Any, reply: ReplySender) -> None:
             handle(peer, message, reply)
-            if len(core.pulls) > seen + 6 and not enough.done():
-                enough.set_result(None)
+            if len(core.pulls) > pulls_before + 6 and not enough_pulls.done():
+                enough_pulls.set_result(None)
 
         for connection in core.server._connections:
             connection._handler = count
-        await enough
+        await enough_pulls
         for gateway in gateways.members:
             snapshot = gateway.pull_client.snapshot()
             assert snapshot is not None
@@ -202,32 +202,32 @@
         gateways.stop()
         core.server.close()
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_settings_file_that_changed_without_a_signal_brings_its_seeds(tmp_path: Path) -> None:
-    async def scene() -> None:
-        core = await Core().start()
+def test_seeds_are_reloaded_from_a_changed_settings_file_without_a_signal(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        core = await SimulatedCore().start()
         path = tmp_path / "boot.json"
-        dead = free_port()
-        gateway = ControlServices(write_settings(path, "edge", dead), str(path))
+        unused_port = free_port()
+        gateway = ControlServices(write_settings(path, "edge", unused_port), str(path))
         await gateway.start()
         path.write_text("{ half a file")
         gateway.pull_client.reload()
         assert gateway.pull_client.snapshot() is None
-        moved = json.dumps(
-            {**json.loads(settings_text(dead)), "port_range": [core.port, core.port]}
+        changed_document = json.dumps(
+            {**json.loads(settings_text(unused_port)), "port_range": [core.port, core.port]}
         )
-        path.write_text(moved)
-        reached = asyncio.get_running_loop().create_future()
+        path.write_text(changed_document)
+        snapshot_received = asyncio.get_running_loop().create_future()
         gateway.pull_client.subscribe(
-            lambda _: None if reached.done() else reached.set_result(None)
+            lambda _: None if snapshot_received.done() else snapshot_received.set_result(None)
         )
-        await asyncio.wait_for(reached, 10)
+        await asyncio.wait_for(snapshot_received, 10)
         gateway.stop()
         core.server.close()
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def settings_text(port: int) -> str:
@@ -286,7 +286,7 @@
 DATA_PLANES: list[FakeDataPlane] = []
 
 
-def test_a_signal_to_stop_drains_and_ends(tmp_path: Path) -> None:
+def test_sigterm_drains_and_stops_the_gateway(tmp_path: Path) -> None:
     path = tmp_path / "boot.json"
     settings = write_settings(path, "edge", free_port())
     DECIDERS.clear()
@@ -300,7 +300,7 @@
     assert isinstance(seed, int)
 
 
-def test_a_port_that_is_taken_is_an_error_at_the_start(tmp_path: Path) -> None:
+def test_start_fails_if_the_peer_port_is_in_use(tmp_path: Path) -> None:
     path = tmp_path / "boot.json"
     with socket.create_server((HOST, 0)) as taken:
         settings = write_settings(path, "edge", taken.getsockname()[1])
--- a/tests/router/test_status_log.py
+++ b/tests/router/test_status_log.py
@@ -14,29 +14,29 @@
     from collections.abc import Callable
 
 
-class Timer:
-    def __init__(self, work: Callable[[], None]) -> None:
-        self.work = work
+class FakeTimer:
+    def __init__(self, callback: Callable[[], None]) -> None:
+        self.callback = callback
         self.cancelled = False
 
     def cancel(self) -> None:
         self.cancelled = True
 
 
-class Loop:
+class FakeLoop:
     """What the status log uses of an event loop."""
 
     def __init__(self) -> None:
-        self.timers: list[Timer] = []
+        self.timers: list[FakeTimer] = []
 
-    def call_later(self, delay_s: float, work: Callable[[], None], *_: Any) -> Timer:
+    def call_later(self, delay_s: float, callback: Callable[[], None], *_: Any) -> FakeTimer:
         assert delay_s == INTERVAL_S
-        self.timers.append(Timer(work))
+        self.timers.append(FakeTimer(callback))
         return self.timers[-1]
 
 
 @pytest.mark.parametrize(
-    ("states", "written"),
+    ("statuses", "expected"),
     [
         (["a"], ["a"]),
         (["a", "a", "a"], ["a"]),
@@ -44,26 +44,26 @@
         (["", ""], []),
     ],
 )
-def test_only_what_changed_is_written(
-    caplog: pytest.LogCaptureFixture, states: list[str], written: list[str]
+def test_only_changed_statuses_are_logged(
+    caplog: pytest.LogCaptureFixture, statuses: list[str], expected: list[str]
 ) -> None:
-    loop = Loop()
-    remaining = iter(states)
+    loop = FakeLoop()
+    remaining = iter(statuses)
     status_log = StatusLog(cast("asyncio.AbstractEventLoop", loop), lambda: next(remaining))
     with caplog.at_level(logging.INFO, "roselink.router"):
         status_log.start()
-        for number in range(len(states)):
-            loop.timers[number].work()
+        for number in range(len(statuses)):
+            loop.timers[number].callback()
     assert [record.getMessage() for record in caplog.records] == [
-        f"gateway_status {x}" for x in written
+        f"gateway_status {x}" for x in expected
     ]
-    assert len(loop.timers) == len(states) + 1
+    assert len(loop.timers) == len(statuses) + 1
 
 
-def test_the_last_state_is_written_at_the_end_and_no_timer_is_left(
+def test_stop_logs_the_last_status_once_and_cancels_the_timer(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    loop = Loop()
+    loop = FakeLoop()
     status_log = StatusLog(cast("asyncio.AbstractEventLoop", loop), lambda: "a")
     with caplog.at_level(logging.INFO, "roselink.router"):
         status_log.stop()
--- a/tests/routing/builders.py
+++ b/tests/routing/builders.py
@@ -38,7 +38,7 @@
     tokens_in=0,
     tokens_out=0,
 )
-Kind = TypeVar("Kind")
+ActionType = TypeVar("ActionType")
 
 
 def host(
@@ -52,8 +52,8 @@
     return tuple(host(f"h{number}", service) for number in range(count))
 
 
-def prompt(*parts: str, tokens: int = 1000) -> tuple[PromptSegment, ...]:
-    return tuple(PromptSegment(part, tokens) for part in parts)
+def prompt(*segment_ids: str, tokens: int = 1000) -> tuple[PromptSegment, ...]:
+    return tuple(PromptSegment(segment_id, tokens) for segment_id in segment_ids)
 
 
 @dataclass
@@ -71,18 +71,18 @@
         ]
         return [action for action in actions if not isinstance(action, StartTimer)]
 
-    def list_hosts(self, *listed: Host) -> list[Action]:
+    def set_hosts(self, *listed: Host) -> list[Action]:
         return self.handle(TopologyChanged(tuple(listed), ()))
 
     def arrive(self, facts: RequestFacts = FACTS, /, **changes: object) -> list[Action]:
         facts = replace(facts, **changes)  # type: ignore[arg-type]
-        shifted = replace(facts, arrived_at=self.now, deadline=self.now + facts.deadline)
-        return self.handle(RequestArrived(shifted))
+        arriving = replace(facts, arrived_at=self.now, deadline=self.now + facts.deadline)
+        return self.handle(RequestArrived(arriving))
 
     def end_attempt(
-        self, outcome: Outcome, attempt: int = 0, number: int = 1, **more: bool
+        self, outcome: Outcome, attempt: int = 0, number: int = 1, **flags: bool
     ) -> list[Action]:
-        return self.handle(AttemptEnded(number, attempt, outcome, 0.01, **more))
+        return self.handle(AttemptEnded(number, attempt, outcome, 0.01, **flags))
 
     def advance(self, until: float) -> list[Action]:
         """Fire the timers that are due by a time, each at its own."""
@@ -105,37 +105,37 @@
             self.end_attempt(Outcome.SUCCESS, number=number)
 
 
-def only(kind: type[Kind], actions: list[Action]) -> list[Kind]:
+def of_type(kind: type[ActionType], actions: list[Action]) -> list[ActionType]:
     return [action for action in actions if isinstance(action, kind)]
 
 
 # What `result_of` finds in actions.
-AGAIN = "again"
+RETRIED = "retried"
 NOT_RUN = "not_run"
 MAY_HAVE_RUN = "may_have_run"
-NOTHING = "nothing"
+NO_ACTION = "nothing"
 
 
 def new_harness(count: int = 3, *, tokens: bool = True) -> DeciderHarness:
     """A decider with hosts h0, h1 and so on, and with or without tokens in the retry budget."""
     harness = DeciderHarness()
-    harness.list_hosts(*hosts(count))
+    harness.set_hosts(*hosts(count))
     if tokens:
         harness.earn_tokens()
     return harness
 
 
-def with_backoff(
+def after_backoff(
     harness: DeciderHarness, actions: list[Action], until: float = 1.0
 ) -> list[Action]:
     """These actions and those of the backoff that follows."""
-    if only(FinalResponse, actions):
+    if of_type(FinalResponse, actions):
         return actions
     return actions + harness.advance(harness.now + until)
 
 
 def result_of(actions: list[Action]) -> str:
     """The final response's reason, else whether anything was sent."""
-    if finals := only(FinalResponse, actions):
-        return finals[0].reason.value
-    return AGAIN if only(SendAttempt, actions) else NOTHING
+    if final_responses := of_type(FinalResponse, actions):
+        return final_responses[0].reason.value
+    return RETRIED if of_type(SendAttempt, actions) else NO_ACTION
--- a/tests/routing/test_fleet_decider.py
+++ b/tests/routing/test_fleet_decider.py
@@ -14,22 +14,22 @@
 from roselink.routing.fleet_decider import FleetDecider
 from roselink.routing.outcome import Outcome
 from tests.routing.builders import (
-    AGAIN,
     FACTS,
     MAY_HAVE_RUN,
+    RETRIED,
+    after_backoff,
     hosts,
     new_harness,
     result_of,
-    with_backoff,
 )
 
 
-def test_the_same_seed_and_events_bring_the_same_actions() -> None:
-    def play(seed: int) -> list[list[Action]]:
+def test_same_seed_and_events_produce_the_same_actions() -> None:
+    def run_events(seed: int) -> list[list[Action]]:
         decider = FleetDecider("z", seed, 0.2, 10.0)
-        draw = random.Random(7)
-        log = []
-        log.append(decider.handle(0.0, TopologyChanged(hosts(5), ())))
+        rng = random.Random(7)
+        actions = []
+        actions.append(decider.handle(0.0, TopologyChanged(hosts(5), ())))
         for number in range(300):
             now = number * 0.02
             facts = RequestArrived(
@@ -37,16 +37,16 @@
                     FACTS, number=number, arrived_at=now, deadline=now + 2, target_latency_s=0.5
                 )
             )
-            log.append(decider.handle(now, facts))
-            ended = AttemptEnded(number, 0, draw.choice(list(Outcome)), 0.01)
-            log.append(decider.handle(now + 0.01, ended))
-        return log
+            actions.append(decider.handle(now, facts))
+            ended = AttemptEnded(number, 0, rng.choice(list(Outcome)), 0.01)
+            actions.append(decider.handle(now + 0.01, ended))
+        return actions
 
-    assert play(3) == play(3)
-    assert play(3) != play(4)
+    assert run_events(3) == run_events(3)
+    assert run_events(3) != run_events(4)
 
 
-def test_state_is_bounded_by_requests_in_flight() -> None:
+def test_state_of_finished_requests_is_removed() -> None:
     harness = new_harness()
     for number in range(20_000, 20_500):
         harness.arrive(number=number)
@@ -57,12 +57,12 @@
     assert FACTS.number not in harness.decider._lifecycle.awaiting_host
 
 
-def test_a_call_keeps_the_policy_of_its_arrival() -> None:
+def test_request_keeps_the_policy_of_its_arrival() -> None:
     harness = new_harness(count=8)
     harness.arrive(number=1, repeatable=True, max_attempts=3)
     harness.arrive(number=2, repeatable=False, max_attempts=1)  # a new configuration
     assert (
-        result_of(with_backoff(harness, harness.end_attempt(Outcome.ERROR, number=1), until=0.1))
-        == AGAIN
+        result_of(after_backoff(harness, harness.end_attempt(Outcome.ERROR, number=1), until=0.1))
+        == RETRIED
     )
     assert result_of(harness.end_attempt(Outcome.ERROR, number=2)) == MAY_HAVE_RUN
--- a/tests/routing/test_hedges.py
+++ b/tests/routing/test_hedges.py
@@ -13,11 +13,11 @@
 from tests.routing.builders import (
     DeciderHarness,
     new_harness,
-    only,
+    of_type,
 )
 
 
-def slow_route(harness: DeciderHarness, **changes: object) -> None:
+def record_latencies(harness: DeciderHarness, **changes: object) -> None:
     """Teach the route a latency of 10 ms."""
     for number in range(100, 200):
         harness.arrive(number=number, **changes)
@@ -25,11 +25,11 @@
         harness.end_attempt(Outcome.SUCCESS, number=number)
 
 
-def test_a_slow_repeatable_request_is_hedged_and_the_first_success_cancels_the_other() -> None:
+def test_slow_repeatable_request_is_hedged_and_first_success_cancels_the_other_attempt() -> None:
     harness = new_harness()
-    slow_route(harness)
-    first = only(SendAttempt, harness.arrive(number=1))[0]
-    (hedge,) = only(SendAttempt, harness.advance(harness.now + 0.3))
+    record_latencies(harness)
+    first = of_type(SendAttempt, harness.arrive(number=1))[0]
+    (hedge,) = of_type(SendAttempt, harness.advance(harness.now + 0.3))
     assert (hedge.attempt, hedge.resume) == (1, False)
     assert hedge.host != first.host
     assert harness.end_attempt(Outcome.SUCCESS, 1) == [CancelAttempt(1, 0)]
@@ -37,9 +37,9 @@
     assert harness.advance(harness.now + 10.0) == []
 
 
-def test_a_failed_hedge_leaves_the_other_attempt_running() -> None:
+def test_failed_hedge_leaves_the_first_attempt_in_flight() -> None:
     harness = new_harness()
-    slow_route(harness)
+    record_latencies(harness)
     harness.arrive(number=1)
     harness.advance(harness.now + 0.3)
     assert harness.end_attempt(Outcome.RESET, 1) == []
@@ -47,16 +47,18 @@
 
 
 @pytest.mark.parametrize(
-    "changes", [{"repeatable": False}, {"max_attempts": 1}], ids=["may not run twice", "one host"]
+    "changes", [{"repeatable": False}, {"max_attempts": 1}], ids=["not_repeatable", "one_attempt"]
 )
-def test_no_hedge_of_what_may_not_run_twice(changes: dict[str, object]) -> None:
+def test_request_is_not_hedged_if_not_repeatable_or_limited_to_one_attempt(
+    changes: dict[str, object],
+) -> None:
     harness = new_harness()
-    slow_route(harness, **changes)
+    record_latencies(harness, **changes)
     harness.arrive(number=1, **changes)
     assert harness.advance(harness.now + 3.0) == []
 
 
-def test_no_hedge_without_plenty_of_budget() -> None:
+def test_no_hedge_without_retry_budget_tokens() -> None:
     harness = new_harness(tokens=False)
     harness.arrive(streaming=True)
     assert harness.advance(harness.now + 3.0) == []
@@ -64,21 +66,21 @@
 
 def send_streams(harness: DeciderHarness, numbers: range) -> list[SendAttempt]:
     """Streams, of which h0 serves none and the others all; returns those that went to h0."""
-    unresponsive: list[SendAttempt] = []
+    unanswered: list[SendAttempt] = []
     for number in numbers:
-        sent = only(SendAttempt, harness.arrive(number=number, streaming=True))[0]
+        sent = of_type(SendAttempt, harness.arrive(number=number, streaming=True))[0]
         if sent.host == "h0":
-            unresponsive.append(sent)
+            unanswered.append(sent)
         else:
             harness.end_attempt(Outcome.SUCCESS, number=number)
-    return unresponsive
+    return unanswered
 
 
-def test_a_stream_is_hedged_when_its_host_is_unresponsive_and_the_first_event_wins() -> None:
+def test_stream_at_unresponsive_host_is_hedged_and_first_event_cancels_the_other_attempt() -> None:
     harness = new_harness()
-    unresponsive = send_streams(harness, range(100, 300))
-    assert len(unresponsive) >= 2
-    hedges = only(SendAttempt, harness.advance(0.7))
+    unanswered = send_streams(harness, range(100, 300))
+    assert len(unanswered) >= 2
+    hedges = of_type(SendAttempt, harness.advance(0.7))
     assert hedges
     number = hedges[0].number
     assert hedges[0].host != "h0"
@@ -89,15 +91,15 @@
     assert harness.end_attempt(Outcome.SUCCESS, 1, number) == []
 
 
-def test_a_stream_is_not_hedged_when_its_host_has_responded() -> None:
+def test_stream_is_not_hedged_if_its_host_has_responded() -> None:
     harness = new_harness()
-    unresponsive = send_streams(harness, range(100, 300))
+    unanswered = send_streams(harness, range(100, 300))
     harness.now = 0.5
-    harness.handle(FirstEvent(unresponsive[0].number, 0))
-    assert only(SendAttempt, harness.advance(3.0)) == []
+    harness.handle(FirstEvent(unanswered[0].number, 0))
+    assert of_type(SendAttempt, harness.advance(3.0)) == []
 
 
-def test_no_hedge_after_the_first_event() -> None:
+def test_stream_is_not_hedged_after_its_first_event() -> None:
     harness = new_harness()
     harness.arrive(streaming=True)
     harness.handle(FirstEvent(1, 0))
--- a/tests/routing/test_host_choice.py
+++ b/tests/routing/test_host_choice.py
@@ -20,13 +20,15 @@
         RequestFacts,
     )
 
-PLAIN = FACTS
-MODEL = replace(FACTS, affinity=True, prompt=prompt("group", "session", "own"), tokens_in=3000)
+WITHOUT_AFFINITY = FACTS
+WITH_AFFINITY = replace(
+    FACTS, affinity=True, prompt=prompt("group", "session", "own"), tokens_in=3000
+)
 
 
-def ready_of(*states: HostRecord) -> ReadyHosts:
+def ready_of(*records: HostRecord) -> ReadyHosts:
     ready = ReadyHosts()
-    ready.replace(list(states))
+    ready.replace(list(records))
     return ready
 
 
@@ -35,24 +37,24 @@
 
 
 def chooser(
-    seed: int = 1, zone: str = "z", memory: PrefixCacheTracker | None = None
+    seed: int = 1, zone: str = "z", prefix_cache: PrefixCacheTracker | None = None
 ) -> HostChooser:
-    return HostChooser(zone, random.Random(seed), memory or PrefixCacheTracker())
+    return HostChooser(zone, random.Random(seed), prefix_cache or PrefixCacheTracker())
 
 
-def picked(
+def pick_counts(
     ready: ReadyHosts, facts: RequestFacts, seed: int = 1, times: int = 2000
 ) -> dict[str, int]:
-    choose = chooser(seed)
+    host_chooser = chooser(seed)
     counts = dict.fromkeys((h.spec.id for h in ready.hosts), 0)
     for _ in range(times):
-        found = choose.pick(ready, facts, (), 0.0)
+        found = host_chooser.pick(ready, facts, (), 0.0)
         assert found is not None
         counts[found.spec.id] += 1
     return counts
 
 
-def test_an_unknown_host_scores_one_half() -> None:
+def test_new_host_has_score_one_half() -> None:
     assert chooser().score(new_host_record(host("a"))) == 0.5
 
 
@@ -66,93 +68,97 @@
         (1.0, 0, "y", 0.95),
     ],
 )
-def test_payoff_over_one_plus_in_flight(
+def test_score_is_payoff_over_one_plus_in_flight_times_zone_factor(
     payoff: float, in_flight: int, zone: str, expected: float
 ) -> None:
-    state = replace(new_host_record(host("a", zone=zone)), payoff=payoff, in_flight=in_flight)
-    assert chooser().score(state) == pytest.approx(expected)
+    record = replace(new_host_record(host("a", zone=zone)), payoff=payoff, in_flight=in_flight)
+    assert chooser().score(record) == pytest.approx(expected)
 
 
-def test_one_in_twenty_goes_to_the_lower() -> None:
+def test_one_pick_in_twenty_goes_to_the_lower_scored_host() -> None:
     better = new_host_record(host("a"))
     worse = new_host_record(host("b"))
     better.payoff = 1.0
     worse.payoff = 0.2
-    counts = picked(ready_of(better, worse), PLAIN, times=20_000)
+    counts = pick_counts(ready_of(better, worse), WITHOUT_AFFINITY, times=20_000)
     assert 0.04 < counts["b"] / 20_000 < 0.06
 
 
-LONG = replace(FACTS, affinity=True, prompt=prompt("group", "session", "own"), tokens_in=9000)
-SHORT = replace(FACTS, affinity=True, prompt=prompt("other", "chat", "own"), tokens_in=300)
+LONG_PROMPT = replace(
+    FACTS, affinity=True, prompt=prompt("group", "session", "own"), tokens_in=9000
+)
+SHORT_PROMPT = replace(FACTS, affinity=True, prompt=prompt("other", "chat", "own"), tokens_in=300)
 
 
-def lower_picks(kinds: list[RequestFacts], times: int) -> list[int]:
+def picks_outside_home(requests: list[RequestFacts], times: int) -> list[int]:
     """How many picks of each kind of request went to a host that is not the key's home."""
     ready = ready_hosts(6)
-    choose = chooser()
-    homes = [next(iter(ready.ranked(facts.prompt[-2].id, 1))) for facts in kinds]
-    elsewhere = [0] * len(kinds)
+    host_chooser = chooser()
+    homes = [next(iter(ready.ranked(facts.prompt[-2].id, 1))) for facts in requests]
+    outside_home = [0] * len(requests)
     for turn in range(times):
-        kind = turn % len(kinds)
-        elsewhere[kind] += choose.pick(ready, kinds[kind], (), 0.0) is not homes[kind]
-    return elsewhere
+        index = turn % len(requests)
+        outside_home[index] += (
+            host_chooser.pick(ready, requests[index], (), 0.0) is not homes[index]
+        )
+    return outside_home
 
 
-def parts(facts: RequestFacts, *tokens: int) -> RequestFacts:
-    sized = tuple(
-        replace(part, tokens=size) for part, size in zip(facts.prompt, tokens, strict=True)
+def with_segment_tokens(facts: RequestFacts, *tokens: int) -> RequestFacts:
+    segments = tuple(
+        replace(segment, tokens=size) for segment, size in zip(facts.prompt, tokens, strict=True)
     )
-    return replace(facts, prompt=sized)
+    return replace(facts, prompt=segments)
 
 
-def test_a_pick_that_would_reread_many_tokens_defers_its_exploration_to_a_cheaper_one() -> None:
-    long = parts(LONG, 2500, 3800, 2900)
-    short = parts(SHORT, 100, 70, 200)
-    expensive, cheap = lower_picks([long, short], 20_000)
+def test_exploration_is_deferred_from_expensive_to_cheap_picks() -> None:
+    long = with_segment_tokens(LONG_PROMPT, 2500, 3800, 2900)
+    short = with_segment_tokens(SHORT_PROMPT, 100, 70, 200)
+    expensive, cheap = picks_outside_home([long, short], 20_000)
     assert expensive == 0
     assert 0.045 < cheap / 20_000 < 0.055  # of all picks, as ever
 
 
-def test_where_no_pick_is_cheap_one_in_twenty_still_goes_to_the_lower() -> None:
-    (expensive,) = lower_picks([parts(LONG, 2500, 3800, 2900)], 20_000)
+def test_exploration_rate_holds_if_every_pick_is_expensive() -> None:
+    (expensive,) = picks_outside_home([with_segment_tokens(LONG_PROMPT, 2500, 3800, 2900)], 20_000)
     assert 0.045 < expensive / 20_000 < 0.055
 
 
-def test_of_two_hosts_the_busier_loses() -> None:
+def test_less_loaded_of_two_hosts_is_preferred() -> None:
     idle = new_host_record(host("a"))
     busy = new_host_record(host("b"))
     busy.in_flight = 3
-    counts = picked(ready_of(idle, busy), PLAIN)
+    counts = pick_counts(ready_of(idle, busy), WITHOUT_AFFINITY)
     assert counts["a"] > 0.9 * 2000
 
 
-def test_the_draw_reaches_every_host_evenly() -> None:
-    counts = picked(ready_hosts(10), PLAIN, times=20_000)
+def test_random_picks_are_spread_evenly() -> None:
+    counts = pick_counts(ready_hosts(10), WITHOUT_AFFINITY, times=20_000)
     assert min(counts.values()) > 1600
     assert max(counts.values()) < 2400
 
 
-def test_an_excluded_host_is_not_picked() -> None:
+def test_excluded_host_is_not_picked() -> None:
     ready = ready_hosts(3)
     for _ in range(200):
-        found = chooser().pick(ready, PLAIN, set(ready.hosts[:2]), 0.0)
+        found = chooser().pick(ready, WITHOUT_AFFINITY, set(ready.hosts[:2]), 0.0)
         assert found is ready.hosts[2]
-    assert chooser().pick(ready, PLAIN, set(ready.hosts), 0.0) is None
+    assert chooser().pick(ready, WITHOUT_AFFINITY, set(ready.hosts), 0.0) is None
 
 
-def test_a_full_host_is_picked_only_if_all_are() -> None:
+def test_host_at_its_limit_is_picked_only_if_all_are() -> None:
     ready = ready_hosts(3)
-    for full in ready.hosts[:2]:
-        full.limit = full.in_flight = 2
-    assert {h for h, n in picked(ready, PLAIN).items() if n} == {"h2"}
+    for host_at_limit in ready.hosts[:2]:
+        host_at_limit.limit = host_at_limit.in_flight = 2
+    assert {h for h, n in pick_counts(ready, WITHOUT_AFFINITY).items() if n} == {"h2"}
     ready.hosts[2].limit = ready.hosts[2].in_flight = 2
-    assert all(picked(ready, PLAIN).values())
+    assert all(pick_counts(ready, WITHOUT_AFFINITY).values())
 
 
 # --- the ring
 
 
-def test_every_gateway_finds_the_same_hosts_for_a_key() -> None:
+def test_ring_order_does_not_depend_on_the_order_of_the_host_list() -> None:
     names = [f"i-{n:08x}" for n in range(50)]
     shuffled = names[:]
     random.Random(3).shuffle(shuffled)
@@ -162,27 +168,27 @@
         assert list(one.walk(f"{key}")) == list(other.walk(f"{key}"))
 
 
-def test_positions_on_the_ring_do_not_depend_on_the_process() -> None:
+def test_ring_order_does_not_depend_on_the_process() -> None:
     walk = list(HashRing(["a", "b", "c", "d"]).walk("5c1e07a2"))
-    assert walk == FIXED_WALK
+    assert walk == EXPECTED_RING_ORDER
 
 
-FIXED_WALK = ["c", "b", "a", "d"]
+EXPECTED_RING_ORDER = ["c", "b", "a", "d"]
 
 
 @pytest.mark.parametrize("count", [2, 6, 9, 70, 1100])
-def test_only_the_lost_hosts_sessions_move(count: int) -> None:
+def test_removing_a_host_moves_only_its_keys(count: int) -> None:
     names = [f"i-{n:08x}" for n in range(count)]
-    before = HashRing(names)
-    after = HashRing(names[1:])
+    full_ring = HashRing(names)
+    reduced_ring = HashRing(names[1:])
     for key in range(500):
-        first, second = list(before.walk(f"{key}"))[:2]
-        (now, *_) = after.walk(f"{key}")
+        first, second = list(full_ring.walk(f"{key}"))[:2]
+        (now, *_) = reduced_ring.walk(f"{key}")
         assert now == (first if first != names[0] else second)
 
 
 @pytest.mark.parametrize("count", [3, 6, 9, 30])
-def test_homes_are_spread_evenly(count: int) -> None:
+def test_homes_of_keys_are_spread_evenly(count: int) -> None:
     ring = HashRing(f"i-{n:08x}" for n in range(count))
     counts: dict[str, int] = {}
     for key in range(count * 300):
@@ -192,7 +198,7 @@
     assert max(counts.values()) < 300 * 1.4
 
 
-def test_a_ring_of_very_many_hosts_is_walked_in_a_few_steps() -> None:
+def test_large_ring_has_eight_points_per_host() -> None:
     ring = HashRing(f"i-{n:08x}" for n in range(12_000))
     assert len(ring) == 96_000
     walk = ring.walk("key")
@@ -203,13 +209,13 @@
 
 
 def homes(ready: ReadyHosts, key: str) -> list[str]:
-    return [state.spec.id for state in ready.ranked(key, 4)]
+    return [record.spec.id for record in ready.ranked(key, 4)]
 
 
-def test_gateways_agree_on_a_sessions_home() -> None:
+def test_all_gateways_pick_the_same_home_for_a_session() -> None:
     homes_picked = set()
     for seed in range(20):
-        counts = picked(ready_hosts(6), MODEL, seed, times=200)
+        counts = pick_counts(ready_hosts(6), WITH_AFFINITY, seed, times=200)
         best = max(counts, key=counts.__getitem__)
         assert counts[best] > 0.85 * 200
         homes_picked.add(best)
@@ -217,56 +223,62 @@
     assert len(homes_picked) == 1
 
 
-def test_the_other_of_the_pair_wins_when_the_home_is_more_loaded() -> None:
+def test_second_host_of_the_ring_is_picked_if_the_home_is_more_loaded() -> None:
     ready = ready_hosts(6)
     home, second = list(ready.ranked("session", 2))
     home.pending_prompt_tokens = 20_000
-    counts = picked(ready, MODEL, times=400)
+    counts = pick_counts(ready, WITH_AFFINITY, times=400)
     assert counts[second.spec.id] > 0.85 * 400
     second.pending_prompt_tokens = 20_000
-    counts = picked(ready, MODEL, times=400)
+    counts = pick_counts(ready, WITH_AFFINITY, times=400)
     assert counts[home.spec.id] > 0.85 * 400
 
 
-def test_a_host_known_to_cache_the_prefix_is_preferred() -> None:
+def test_host_with_cached_prefix_is_preferred_for_the_cache_lifetime() -> None:
     ready = ready_hosts(6)
-    memory = PrefixCacheTracker()
+    prefix_cache = PrefixCacheTracker()
     home, second = list(ready.ranked("session", 2))
-    choose = chooser(memory=memory)
+    host_chooser = chooser(prefix_cache=prefix_cache)
     home.in_flight = 32  # loads of 4 requests
-    lost = sum(choose.pick(ready, MODEL, (), 0.0) is second for _ in range(200))
+    second_before_prefill = sum(
+        host_chooser.pick(ready, WITH_AFFINITY, (), 0.0) is second for _ in range(200)
+    )
     home.in_flight = 4
-    memory.record_prefill(second.spec.id, MODEL.prompt[:2], 0.0)
-    kept = sum(choose.pick(ready, MODEL, (), 1.0) is second for _ in range(200))
-    forgotten = sum(choose.pick(ready, MODEL, (), 60.0) is second for _ in range(200))
-    assert lost > 170
-    assert kept > 170
-    assert forgotten < 30
+    prefix_cache.record_prefill(second.spec.id, WITH_AFFINITY.prompt[:2], 0.0)
+    second_while_cached = sum(
+        host_chooser.pick(ready, WITH_AFFINITY, (), 1.0) is second for _ in range(200)
+    )
+    second_after_expiry = sum(
+        host_chooser.pick(ready, WITH_AFFINITY, (), 60.0) is second for _ in range(200)
+    )
+    assert second_before_prefill > 170
+    assert second_while_cached > 170
+    assert second_after_expiry < 30
 
 
-def test_saturated_hosts_of_the_pair_give_way_to_the_next_of_the_ring_then_to_any() -> None:
+def test_saturated_hosts_are_replaced_by_the_next_of_the_ring_then_by_any() -> None:
     ready = ready_hosts(8)
     ranked = list(ready.ranked("session", 8))
-    for state in ranked[:2]:
-        state.in_flight = 16
-    counts = picked(ready, MODEL, times=400)
+    for record in ranked[:2]:
+        record.in_flight = 16
+    counts = pick_counts(ready, WITH_AFFINITY, times=400)
     assert {h for h, n in counts.items() if n} == {ranked[2].spec.id, ranked[3].spec.id}
-    for state in ranked[2:4]:
-        state.in_flight = 16
-    counts = picked(ready, MODEL, times=2000)
+    for record in ranked[2:4]:
+        record.in_flight = 16
+    counts = pick_counts(ready, WITH_AFFINITY, times=2000)
     assert sum(n > 0 for n in counts.values()) >= 5
 
 
-def test_an_ejected_hosts_sessions_go_to_the_next() -> None:
+def test_sessions_of_an_ejected_host_move_to_the_next_hosts_of_the_ring() -> None:
     ready = ready_hosts(6)
     home, second, third, _ = ready.ranked("session", 4)
     assert ready.eject(home, 0.0, certain=True)
-    counts = picked(ready, MODEL, times=400)
+    counts = pick_counts(ready, WITH_AFFINITY, times=400)
     assert {h for h, n in counts.items() if n} == {second.spec.id, third.spec.id}
 
 
 @pytest.mark.parametrize(
-    ("parts", "comes_again", "key"),
+    ("segment_ids", "recurs", "key"),
     [
         (("group", "session", "own"), False, "session"),
         (("group", "session"), True, "session"),
@@ -274,18 +286,21 @@
         (("own",), False, "own"),
     ],
 )
-def test_the_key_is_the_last_shared_part(
-    parts: tuple[str, ...], *, comes_again: bool, key: str
+def test_affinity_key_is_the_last_shared_segment(
+    segment_ids: tuple[str, ...], *, recurs: bool, key: str
 ) -> None:
-    memory = PrefixCacheTracker()
+    prefix_cache = PrefixCacheTracker()
     for number in range(100):
-        last = parts[-1] if comes_again else f"{parts[-1]}{number}"
-        memory.observe_arrival(replace(MODEL, prompt=prompt(*parts[:-1], last)))
-    assert memory.shared_segments(replace(MODEL, prompt=prompt(*parts)))[-1].id == key
+        last = segment_ids[-1] if recurs else f"{segment_ids[-1]}{number}"
+        prefix_cache.observe_arrival(replace(WITH_AFFINITY, prompt=prompt(*segment_ids[:-1], last)))
+    assert (
+        prefix_cache.shared_segments(replace(WITH_AFFINITY, prompt=prompt(*segment_ids)))[-1].id
+        == key
+    )
 
 
 @pytest.mark.parametrize(
-    ("read", "home", "expected"),
+    ("prefilled", "is_home", "expected"),
     [
         ((), False, 2000),
         ((), True, 200),
@@ -294,22 +309,26 @@
         (("group", "session"), False, 0),
     ],
 )
-def test_uncached_tokens(read: tuple[str, ...], *, home: bool, expected: float) -> None:
-    memory = PrefixCacheTracker()
-    memory.record_prefill("h0", prompt(*read), 0.0)
-    assert memory.uncached_tokens("h0", MODEL.prompt[:2], 1.0, is_home=home) == pytest.approx(
-        expected
-    )
+def test_uncached_tokens_by_prefilled_segments(
+    prefilled: tuple[str, ...], *, is_home: bool, expected: float
+) -> None:
+    prefix_cache = PrefixCacheTracker()
+    prefix_cache.record_prefill("h0", prompt(*prefilled), 0.0)
+    assert prefix_cache.uncached_tokens(
+        "h0", WITH_AFFINITY.prompt[:2], 1.0, is_home=is_home
+    ) == pytest.approx(expected)
 
 
-def test_prefix_memory_is_bounded() -> None:
-    memory = PrefixCacheTracker()
+def test_prefix_cache_tracker_is_bounded() -> None:
+    prefix_cache = PrefixCacheTracker()
     for number in range(20_000):
-        facts = replace(MODEL, route=f"r{number}", prompt=prompt(f"s{number}", f"o{number}"))
-        memory.observe_arrival(facts)
-        memory.record_prefill(f"h{number}", facts.prompt, 0.0)
-        memory.record_prefill(f"h{number}", prompt("hot"), 0.0)
-    assert len(memory._hosts_by_segment) <= 8192
-    assert len(memory._recent_last_segments) <= 2048
-    assert len(memory._routes) <= 1024
-    assert len(memory._hosts_by_segment["hot"]) <= 16
+        facts = replace(
+            WITH_AFFINITY, route=f"r{number}", prompt=prompt(f"s{number}", f"o{number}")
+        )
+        prefix_cache.observe_arrival(facts)
+        prefix_cache.record_prefill(f"h{number}", facts.prompt, 0.0)
+        prefix_cache.record_prefill(f"h{number}", prompt("hot"), 0.0)
+    assert len(prefix_cache._hosts_by_segment) <= 8192
+    assert len(prefix_cache._recent_last_segments) <= 2048
+    assert len(prefix_cache._routes) <= 1024
+    assert len(prefix_cache._hosts_by_segment["hot"]) <= 16
--- a/tests/routing/test_invariants.py
+++ b/tests/routing/test_invariants.py
@@ -42,7 +42,7 @@
     """A data plane that ends attempts as a seed determines, and checks every action."""
 
     def __init__(self, seed: int, outcomes: list[Outcome], granted_fraction: float) -> None:
-        self.draw = random.Random(seed)
+        self.rng = random.Random(seed)
         self.outcomes = outcomes
         self.granted_fraction = granted_fraction
         self.harness = DeciderHarness()
@@ -52,9 +52,9 @@
         self.ended: dict[int, list[Outcome]] = {}
         self.awaiting_response: set[int] = set()  # for the final one
         self.cancelled: set[tuple[int, int]] = set()
-        self.started: set[int] = set()  # streams of which the client has a part
+        self.started_streams: set[int] = set()  # streams of which the client has a part
         self.retries: list[float] = []
-        self.firsts: list[float] = []
+        self.first_sends: list[float] = []
         self.granted: set[int] = set()
         self.requested: Counter[int] = Counter()
 
@@ -65,7 +65,7 @@
         requested = []
         for action in actions:
             if isinstance(action, SendAttempt):
-                self.sent(action)
+                self.on_send(action)
             elif isinstance(action, CancelAttempt):
                 assert (action.number, action.attempt) in self.in_flight
                 self.cancelled.add((action.number, action.attempt))
@@ -74,39 +74,39 @@
                 assert self.requested[action.number] <= self.facts[action.number].max_attempts + 3
                 requested.append(action.number)
             elif isinstance(action, FinalResponse):
-                self.final(action)
+                self.on_final(action)
         for number in requested:
             if number in self.awaiting_response:
-                allowed = self.draw.random() < self.granted_fraction
+                allowed = self.rng.random() < self.granted_fraction
                 self.granted |= {number} if allowed else set()
                 self.handle(BudgetDecided(number, allowed=allowed))
 
-    def sent(self, action: SendAttempt) -> None:
+    def on_send(self, action: SendAttempt) -> None:
         number = action.number
         facts = self.facts[action.number]
         ended = self.ended.setdefault(number, [])
         assert number in self.awaiting_response
         assert self.harness.now < facts.deadline
         assert action.host in self.listed
-        out = [key for key in self.in_flight if key[0] == number]
+        in_flight_keys = [key for key in self.in_flight if key[0] == number]
         if not facts.repeatable:
-            assert not out
+            assert not in_flight_keys
             assert all(outcome in NEVER_RAN for outcome in ended)
-        gone_to = len(out) + sum(outcome not in UNSENT for outcome in ended)
-        assert gone_to < facts.max_attempts
-        assert len(ended) + len(out) <= facts.max_attempts + 3
-        assert action.attempt == len(ended) + len(out)
+        sent_count = len(in_flight_keys) + sum(outcome not in UNSENT for outcome in ended)
+        assert sent_count < facts.max_attempts
+        assert len(ended) + len(in_flight_keys) <= facts.max_attempts + 3
+        assert action.attempt == len(ended) + len(in_flight_keys)
         if action.attempt == 0:
-            self.firsts.append(self.harness.now)
+            self.first_sends.append(self.harness.now)
         elif number in self.granted:
             self.granted.discard(number)
         else:
             self.retries.append(self.harness.now)
-            recent = sum(at > self.harness.now - WINDOW_S for at in self.firsts)
+            recent = sum(at > self.harness.now - WINDOW_S for at in self.first_sends)
             assert sum(at > self.harness.now - WINDOW_S for at in self.retries) <= RATIO * recent
         self.in_flight[(number, action.attempt)] = action.host
 
-    def final(self, action: FinalResponse) -> None:
+    def on_final(self, action: FinalResponse) -> None:
         assert action.number in self.awaiting_response
         self.awaiting_response.discard(action.number)
         ran = any(number == action.number for number, _ in self.in_flight)
@@ -115,11 +115,11 @@
         assert 0 <= action.retry_after_s <= 0.3
 
     def step(self) -> None:
-        self.advance(self.harness.now + self.draw.expovariate(20.0))
-        if self.draw.random() < 0.05:
-            self.topology()
-        elif self.in_flight and self.draw.random() < 0.6:
-            self.end_attempt(self.draw.choice(list(self.in_flight)))
+        self.advance(self.harness.now + self.rng.expovariate(20.0))
+        if self.rng.random() < 0.05:
+            self.change_topology()
+        elif self.in_flight and self.rng.random() < 0.6:
+            self.end_attempt(self.rng.choice(list(self.in_flight)))
         else:
             self.arrive()
 
@@ -130,11 +130,11 @@
             self.handle(TimerFired(due[1]))
         self.harness.now = max(self.harness.now, until)
 
-    def topology(self) -> None:
+    def change_topology(self) -> None:
         hosts: list[Host] = [
-            host(f"h{n}", capacity=4, ready=self.draw.random() < 0.8)
+            host(f"h{n}", capacity=4, ready=self.rng.random() < 0.8)
             for n in range(5)
-            if self.draw.random() < 0.8
+            if self.rng.random() < 0.8
         ]
         self.listed = {h.id for h in hosts if h.state == 1}
         self.handle(TopologyChanged(tuple(hosts), ()))
@@ -163,15 +163,15 @@
 
     def end_attempt(self, key: tuple[int, int]) -> None:
         number, attempt = key
-        if self.facts[number].streaming and self.draw.random() < 0.3:
-            self.started.add(number)
+        if self.facts[number].streaming and self.rng.random() < 0.3:
+            self.started_streams.add(number)
             self.handle(FirstEvent(number, attempt))
             return
-        if self.draw.random() < 0.05:
+        if self.rng.random() < 0.05:
             self.awaiting_response.discard(number)
             self.handle(RequestClosed(number))
             return
-        outcome = Outcome.CANCELLED if key in self.cancelled else self.draw.choice(self.outcomes)
+        outcome = Outcome.CANCELLED if key in self.cancelled else self.rng.choice(self.outcomes)
         del self.in_flight[key]
         self.ended.setdefault(number, []).append(outcome)
         if outcome is Outcome.SUCCESS:
@@ -181,18 +181,18 @@
     def finish(self) -> None:
         """Pass every deadline, then end what is still in flight."""
         self.advance(self.harness.now + 20.0)
-        assert self.awaiting_response <= self.started  # the data plane ends these
+        assert self.awaiting_response <= self.started_streams  # the data plane ends these
         for key in list(self.in_flight):
             del self.in_flight[key]
             outcome = Outcome.CANCELLED if key in self.cancelled else Outcome.TIMEOUT
             self.ended.setdefault(key[0], []).append(outcome)
-            self.handle(AttemptEnded(*key, outcome, 0.1, progressed=key[0] in self.started))
+            self.handle(AttemptEnded(*key, outcome, 0.1, progressed=key[0] in self.started_streams))
         assert not self.awaiting_response
         decider = self.harness.decider
         assert decider._lifecycle.requests == decider._lifecycle.awaiting_host == {}
-        for known in decider._topology._hosts.values():
-            assert (known.in_flight, known.pending_prompt_tokens) == (0, 0)
-            assert 0.0 <= known.payoff <= 1.0
+        for record in decider._topology._hosts.values():
+            assert (record.in_flight, record.pending_prompt_tokens) == (0, 0)
+            assert 0.0 <= record.payoff <= 1.0
 
 
 OUTCOMES = st.lists(
@@ -202,11 +202,11 @@
 
 @settings(max_examples=120, deadline=None)
 @given(st.integers(0, 2**32), OUTCOMES, st.sampled_from([0.0, 0.5, 1.0]), st.integers(20, 250))
-def test_invariants_hold_in_any_order_of_events(
+def test_invariants_hold_for_random_event_sequences(
     seed: int, outcomes: list[Outcome], granted_fraction: float, steps: int
 ) -> None:
     data_plane = SimulatedDataPlane(seed, outcomes, granted_fraction)
-    data_plane.topology()
+    data_plane.change_topology()
     for _ in range(steps):
         data_plane.step()
     data_plane.finish()
--- a/tests/routing/test_pooled_payoffs.py
+++ b/tests/routing/test_pooled_payoffs.py
@@ -10,19 +10,21 @@
 )
 from roselink.routing.outcome import Outcome
 from roselink.routing.topology import POOLED_PAYOFFS_S
-from tests.routing.builders import DeciderHarness, hosts, only, prompt
+from tests.routing.builders import DeciderHarness, hosts, of_type, prompt
 
-SESSION = prompt("shared", "session", "own")
+SESSION_PROMPT = prompt("shared", "session", "own")
 
 
-def homes(
+def pick_counts(
     harness: DeciderHarness, first: int, *, affinity: bool, requests: int = 60
 ) -> dict[str, int]:
     """Where requests of one session go when each is served before the next."""
     counts: dict[str, int] = {}
     for number in range(first, first + requests):
-        changes: dict[str, object] = {"affinity": True, "prompt": SESSION} if affinity else {}
-        (sent,) = only(SendAttempt, harness.arrive(number=number, **changes))
+        changes: dict[str, object] = (
+            {"affinity": True, "prompt": SESSION_PROMPT} if affinity else {}
+        )
+        (sent,) = of_type(SendAttempt, harness.arrive(number=number, **changes))
         counts[sent.host] = counts.get(sent.host, 0) + 1
         harness.end_attempt(Outcome.SUCCESS, number=number)
     return counts
@@ -30,36 +32,36 @@
 
 def new_harness() -> DeciderHarness:
     harness = DeciderHarness()
-    harness.list_hosts(*hosts(6))
+    harness.set_hosts(*hosts(6))
     return harness
 
 
 @pytest.mark.parametrize("affinity", [True, False])
-def test_a_host_that_fails_the_other_gateways_gets_little_from_this_one(*, affinity: bool) -> None:
+def test_host_with_low_pooled_payoff_gets_few_requests(*, affinity: bool) -> None:
     harness = new_harness()
-    before = homes(harness, 1, affinity=affinity)
+    before = pick_counts(harness, 1, affinity=affinity)
     home = max(before, key=before.__getitem__)
     harness.handle(PooledPayoffs(((home, 0.1),)))
-    assert homes(harness, 100, affinity=affinity).get(home, 0) <= 0.15 * 60
+    assert pick_counts(harness, 100, affinity=affinity).get(home, 0) <= 0.15 * 60
 
 
-@pytest.mark.parametrize("ended_by", ["news", "time"])
-def test_pooled_payoffs_end(ended_by: str) -> None:
+@pytest.mark.parametrize("ended_by", ["replacement", "expiry"])
+def test_pooled_payoffs_end_when_replaced_or_expired(ended_by: str) -> None:
     harness = new_harness()
-    before = homes(harness, 1, affinity=True)
+    before = pick_counts(harness, 1, affinity=True)
     home = max(before, key=before.__getitem__)
     harness.handle(PooledPayoffs(((home, 0.0),)))
-    if ended_by == "news":
+    if ended_by == "replacement":
         harness.handle(PooledPayoffs(()))
     else:
         harness.now += POOLED_PAYOFFS_S + 0.1
-    assert homes(harness, 100, affinity=True)[home] > 0.8 * 60
+    assert pick_counts(harness, 100, affinity=True)[home] > 0.8 * 60
 
 
 def test_pooled_payoffs_of_unlisted_hosts_are_ignored() -> None:
     harness = new_harness()
     harness.handle(PooledPayoffs((("gone", 0.0),)))
-    assert homes(harness, 1, affinity=False)
+    assert pick_counts(harness, 1, affinity=False)
 
 
 @pytest.mark.parametrize(
@@ -73,9 +75,9 @@
         (Outcome.CANCELLED, None),
     ],
 )
-def test_outcomes_are_reported_once(outcome: Outcome, expected: tuple[int, int] | None) -> None:
+def test_each_outcome_is_reported_once(outcome: Outcome, expected: tuple[int, int] | None) -> None:
     harness = new_harness()
-    (sent,) = only(SendAttempt, harness.arrive(repeatable=False, max_attempts=1))
+    (sent,) = of_type(SendAttempt, harness.arrive(repeatable=False, max_attempts=1))
     harness.end_attempt(outcome)
     unreported = {
         host: (served, missed)
--- a/tests/routing/test_recorded_decisions.py
+++ b/tests/routing/test_recorded_decisions.py
@@ -31,11 +31,13 @@
     from collections.abc import Iterable
 
 STEPS = 1500
-ENDINGS: list[Outcome] = [outcome for outcome in Outcome if outcome is not Outcome.CANCELLED]
-MOSTLY_GOOD: list[Outcome] = [Outcome.SUCCESS] * 12 + ENDINGS
+OUTCOMES_EXCEPT_CANCELLED: list[Outcome] = [
+    outcome for outcome in Outcome if outcome is not Outcome.CANCELLED
+]
+MOSTLY_SUCCESSES: list[Outcome] = [Outcome.SUCCESS] * 12 + OUTCOMES_EXCEPT_CANCELLED
 
 # Names of the actions in the record, whatever their classes are called.
-KINDS: dict[type, str] = {
+ACTION_NAMES: dict[type, str] = {
     SendAttempt: "send",
     CancelAttempt: "cancel",
     AcquireSharedBudget: "ask",
@@ -53,7 +55,7 @@
 }
 
 
-class Recording(SimulatedDataPlane):
+class RecordingDataPlane(SimulatedDataPlane):
     """Records every action, and sometimes sends payoffs over all gateways."""
 
     def __init__(self, seed: int, outcomes: list[Outcome]) -> None:
@@ -73,12 +75,12 @@
         for action in actions:
             self.count += 1
             values = [getattr(action, field.name) for field in fields(action)]
-            plain = [value.value if isinstance(value, Enum) else value for value in values]
-            self.record.update(f"{KINDS[type(action)]} {plain!r}\n".encode())
+            plain_values = [value.value if isinstance(value, Enum) else value for value in values]
+            self.record.update(f"{ACTION_NAMES[type(action)]} {plain_values!r}\n".encode())
 
     def handle(self, event: Event) -> None:
         """Change some outcomes: hosts at the wrong address, failures relayed to the client."""
-        if isinstance(event, AttemptEnded) and self.draw.random() < 0.2:
+        if isinstance(event, AttemptEnded) and self.rng.random() < 0.2:
             if event.outcome is Outcome.FULL:
                 event = replace(event, wrong_host=True)
             elif event.outcome is Outcome.ERROR and event.number in self.awaiting_response:
@@ -88,21 +90,23 @@
 
     def step(self) -> None:
         super().step()
-        chance = self.draw.random()
+        chance = self.rng.random()
         if chance < 0.02:
-            hosts = tuple((f"h{n}", self.draw.random()) for n in range(5) if n % 2)
+            hosts = tuple((f"h{n}", self.rng.random()) for n in range(5) if n % 2)
             self.handle(PooledPayoffs(hosts))
         elif chance < 0.04:
             unreported = [tuple(each) for each in self.harness.decider.take_unreported_outcomes()]
             self.record.update(f"untold {unreported!r}\n".encode())
 
 
-@pytest.mark.parametrize(("seed", "kind"), RECORDED, ids=str)
-def test_actions_are_those_recorded(seed: int, kind: str) -> None:
-    data_plane = Recording(seed, MOSTLY_GOOD if kind == "good" else ENDINGS)
-    data_plane.topology()
+@pytest.mark.parametrize(("seed", "outcome_mix"), RECORDED, ids=str)
+def test_actions_equal_the_recorded_ones(seed: int, outcome_mix: str) -> None:
+    data_plane = RecordingDataPlane(
+        seed, MOSTLY_SUCCESSES if outcome_mix == "good" else OUTCOMES_EXCEPT_CANCELLED
+    )
+    data_plane.change_topology()
     for _ in range(STEPS):
         data_plane.step()
     data_plane.finish()
     assert data_plane.count > STEPS
-    assert data_plane.record.hexdigest() == RECORDED[seed, kind]
+    assert data_plane.record.hexdigest() == RECORDED[seed, outcome_mix]
--- a/tests/routing/test_retry_budget.py
+++ b/tests/routing/test_retry_budget.py
@@ -17,27 +17,27 @@
 
 @settings(max_examples=300, deadline=None)
 @given(STEPS, st.floats(0, 1e7), st.sampled_from([0.05, 0.2, 0.5, 1.0]))
-def test_retries_of_a_window_stay_within_the_ratio_of_its_first_sends(
+def test_retries_in_a_window_stay_within_the_ratio_of_its_first_sends(
     steps: list[tuple[str, float, int]], start: float, ratio: float
 ) -> None:
     budget = LocalRetryBudget(ratio, WINDOW_S)
     now = start
-    firsts: list[float] = []
-    repeats: list[float] = []
+    first_sends: list[float] = []
+    retries: list[float] = []
     for kind, gap, count in steps:
         now += gap
         for _ in range(count):
             if kind == "f":
                 budget.record_first_send(now)
-                firsts.append(now)
+                first_sends.append(now)
             elif budget.spend(now):
-                repeats.append(now)
-                in_window = sum(now - WINDOW_S < at <= now for at in firsts)
-                assert sum(now - WINDOW_S < at <= now for at in repeats) <= ratio * in_window
+                retries.append(now)
+                in_window = sum(now - WINDOW_S < at <= now for at in first_sends)
+                assert sum(now - WINDOW_S < at <= now for at in retries) <= ratio * in_window
 
 
 @pytest.mark.parametrize(
-    ("firsts", "pause_s", "granted"),
+    ("first_sends", "pause_s", "granted"),
     [
         (0, 0.0, 0),
         (5, 0.0, 0),
@@ -48,14 +48,14 @@
         (1000, 60.0, 0),
     ],
 )
-def test_tokens_expire_with_the_window(firsts: int, pause_s: float, granted: int) -> None:
+def test_tokens_expire_with_the_window(first_sends: int, pause_s: float, granted: int) -> None:
     budget = LocalRetryBudget(RATIO, WINDOW_S)
-    for _ in range(firsts):
+    for _ in range(first_sends):
         budget.record_first_send(100.0)
     assert sum(budget.spend(100.0 + pause_s) for _ in range(1000)) == granted
 
 
-def test_a_long_time_without_retries_earns_no_more_than_one_window() -> None:
+def test_tokens_without_retries_are_capped_at_one_window() -> None:
     budget = LocalRetryBudget(RATIO, WINDOW_S)
     for step in range(10_000):  # 10 a second
         budget.record_first_send(step * 0.1)
@@ -63,7 +63,7 @@
     assert 15 <= granted <= RATIO * 10 * WINDOW_S
 
 
-def test_hedges_need_half_of_the_window_unspent() -> None:
+def test_hedge_needs_half_of_the_earned_tokens_unspent() -> None:
     budget = LocalRetryBudget(RATIO, WINDOW_S)
     assert not budget.allows_hedge(0.0)
     for _ in range(100):
