--- a/tests/model/test_settings_file.py
+++ b/tests/model/test_settings_file.py
@@ -1,4 +1,4 @@
-"""The settings file of a fleet process: typed, and every fault named by its key."""
+"""Reading and validation of a process's settings file; every fault names its key."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
     assert settings.seed_peers() == (("127.0.0.2", 7500), ("127.0.0.3", 7500))
     assert settings.thresholds.contact_ms == 4000
     assert settings.thresholds.revocation_strict is False
-    assert settings.thresholds.drain_ms == 3000  # not told: its default
+    assert settings.thresholds.drain_ms == 3000  # the default
     assert settings.tolerated_nodes == 2
     assert settings.data_dir is None
     assert settings.platform is not None
--- a/tests/mutations/routing.py
+++ b/tests/mutations/routing.py
@@ -1,4 +1,4 @@
-"""Guards of `roselink/routing`, with the edit that removes each and the tests that miss it."""
+"""Guards of `roselink/routing`, each with an edit that removes it and the tests that detect it."""
 
 from __future__ import annotations
 
@@ -10,9 +10,13 @@
     *mutations_of(
         "routing/classifier.py",
         ROUTING,
-        ("what may have run is tried again", "outcome in NEVER_RAN or repeatable", "True"),
         (
-            "a relayed failure is tried again",
+            "a request that may have run is retried though not repeatable",
+            "outcome in NEVER_RAN or repeatable",
+            "True",
+        ),
+        (
+            "a relayed error response is retried",
             "outcome is Outcome.SUCCESS or relayed",
             "outcome is Outcome.SUCCESS",
         ),
@@ -20,9 +24,9 @@
     *mutations_of(
         "routing/request_state.py",
         ROUTING,
-        ("attempts without end", "sent < self.policy.max_attempts and", ""),
+        ("the number of attempts is not limited", "sent < self.policy.max_attempts and", ""),
         (
-            "a response that has begun is started again",
+            "a partly relayed response that is not a stream is retried",
             "self.policy.repeatable and (self.policy.streaming or not self.progressed)",
             "self.policy.repeatable",
         ),
@@ -31,12 +35,12 @@
         "routing/request_lifecycle.py",
         ROUTING,
         (
-            "retries draw on no budget",
+            "retries do not need a retry budget token",
             "elif self._state.budgets.of(service).spend(self.now):",
             "elif True:",
         ),
         (
-            "sent once its time is up",
+            "a retry is sent after the deadline",
             "        if self.now >= request.facts.deadline:\n"
             "            self.finish(request)\n"
             "            return\n",
@@ -46,6 +50,6 @@
     *mutations_of(
         "routing/fleet_decider.py",
         ROUTING,
-        ("a no of the budget is passed over", "        if event.allowed:\n", "        if True:\n"),
+        ("a denied shared budget is ignored", "        if event.allowed:\n", "        if True:\n"),
     ),
 )
--- a/tests/router/test_app.py
+++ b/tests/router/test_app.py
@@ -1,4 +1,4 @@
-"""The gateway process on real sockets: control services against a simulated core, and its steps."""
+"""The gateway process on real sockets: control services, and the order of start and stop."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class SimulatedCore:
-    """Replies to pulls; the roster is all gateways that have pulled and serve."""
+    """Replies to pulls; its roster has all gateways that pulled and are serving."""
 
     def __init__(self) -> None:
         self.server = PeerServer(self.handle)
@@ -83,7 +83,7 @@
 
 
 def write_settings(path: Path, name: str, port: int, **overrides: Any) -> ProcessSettings:
-    """Settings whose seeds are at `port` too: all processes use the same port for peers."""
+    """Write settings with `port` as the peer port; all processes, seeds too, use the same one."""
     document = {
         "node_name": name,
         "ip": HOST,
@@ -98,7 +98,7 @@
 
 
 class Gateways:
-    """Control services that find the core by hints: on one machine its port differs from theirs."""
+    """Control services that get the core's address as a hint: its port differs from theirs."""
 
     def __init__(self, core: SimulatedCore, folder: Path, count: int) -> None:
         self.members = []
@@ -114,7 +114,7 @@
             gateway.pull_client.set_serving(serving=True)
 
     async def wait_for_snapshot(self, satisfied: Callable[[Snapshot], bool]) -> None:
-        """Until each has a snapshot in force that satisfies `satisfied`."""
+        """Wait until the snapshot of each gateway meets the condition."""
         waits = []
         for gateway in self.members:
             reached: asyncio.Future[None] = asyncio.get_running_loop().create_future()
@@ -161,13 +161,13 @@
         first.budgets.admit(unlimited, 1e9, lambda allowed, _: decisions.append(allowed))
         assert decisions == [True]
         results = [await admit(gateway, 100.0) for gateway in gateways.members * 20]
-        # the burst, its grace, and what a second or so refills; each gateway got some
+        # The burst, its tolerance and about a second of refill are admitted; the rest is rejected.
         assert any(results)
         assert not all(results)
         retries = [await acquire_retry(gateway) for gateway in gateways.members * 4]
         assert (
             sum(retries) <= FIRST_WINDOW_FRACTION * 50
-        )  # of a term's first window, however slow the machine is
+        )  # the limit in the first window of a term, even on a slow machine
         gateways.stop()
         core.server.close()
 
@@ -243,7 +243,7 @@
 
 
 class FakeDecider:
-    """Records what the assembly makes it from."""
+    """Records its constructor arguments."""
 
     def __init__(self, *arguments: Any) -> None:
         self.arguments = arguments
@@ -254,7 +254,7 @@
 
 
 class FakeDataPlane:
-    """Records what the assembly calls."""
+    """Records the calls of `serve`."""
 
     def __init__(self, settings: Any, loop: Any, decider: FakeDecider, *others: Any) -> None:
         self.arguments = (settings, loop, decider, *others)
--- a/tests/router/test_status_log.py
+++ b/tests/router/test_status_log.py
@@ -1,4 +1,4 @@
-"""A gateway's status line: at most one an interval, none while nothing changes."""
+"""The status log writes at most one line per interval, and none while the status is unchanged."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class FakeLoop:
-    """What the status log uses of an event loop."""
+    """The interface of an event loop that the status log uses."""
 
     def __init__(self) -> None:
         self.timers: list[FakeTimer] = []
@@ -67,7 +67,7 @@
     status_log = StatusLog(cast("asyncio.AbstractEventLoop", loop), lambda: "a")
     with caplog.at_level(logging.INFO, "roselink.router"):
         status_log.stop()
-        assert caplog.records == []  # it had not started
+        assert caplog.records == []  # it was not started
         status_log.start()
         status_log.stop()
         status_log.stop()
--- a/tests/routing/__init__.py
+++ b/tests/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the fleet's decisions."""
+"""Tests of the fleet gateway's routing decisions."""
--- a/tests/routing/builders.py
+++ b/tests/routing/builders.py
@@ -1,4 +1,4 @@
-"""Hosts, requests and a decider driven by hand, for tables of cases."""
+"""Builders of hosts and requests, and a harness that drives a decider step by step."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
 
 @dataclass
 class DeciderHarness:
-    """A decider with its clock; keeps the timers that it requested."""
+    """A decider with a manual clock; keeps the timers that the decider started."""
 
     decider: FleetDecider = field(default_factory=lambda: FleetDecider("z", 1, 0.2, 10.0))
     now: float = 0.0
@@ -85,7 +85,7 @@
         return self.handle(AttemptEnded(number, attempt, outcome, 0.01, **flags))
 
     def advance(self, until: float) -> list[Action]:
-        """Fire the timers that are due by a time, each at its own."""
+        """Advance the clock, and fire each timer at its due time."""
         actions: list[Action] = []
         while (due := min(self.timers, default=None)) is not None and due[0] <= until:
             self.timers.remove(due)
@@ -95,7 +95,7 @@
         return actions
 
     def earn_tokens(self, requests: int = 60, service: str = "s") -> None:
-        """First sends that succeed, so that the bucket holds tokens."""
+        """Fill the service's retry budget by first sends that succeed."""
         for number in range(10_000, 10_000 + requests):
             self.arrive(
                 replace(
@@ -109,7 +109,7 @@
     return [action for action in actions if isinstance(action, kind)]
 
 
-# What `result_of` finds in actions.
+# Results of `result_of`.
 RETRIED = "retried"
 NOT_RUN = "not_run"
 MAY_HAVE_RUN = "may_have_run"
@@ -117,7 +117,7 @@
 
 
 def new_harness(count: int = 3, *, tokens: bool = True) -> DeciderHarness:
-    """A decider with hosts h0, h1 and so on, and with or without tokens in the retry budget."""
+    """A decider with hosts h0, h1 and so on, with or without tokens in the retry budget."""
     harness = DeciderHarness()
     harness.set_hosts(*hosts(count))
     if tokens:
@@ -128,14 +128,14 @@
 def after_backoff(
     harness: DeciderHarness, actions: list[Action], until: float = 1.0
 ) -> list[Action]:
-    """These actions and those of the backoff that follows."""
+    """The given actions, and those after the backoff unless they include a final response."""
     if of_type(FinalResponse, actions):
         return actions
     return actions + harness.advance(harness.now + until)
 
 
 def result_of(actions: list[Action]) -> str:
-    """The final response's reason, else whether anything was sent."""
+    """The reason of the final response; else whether an attempt was sent."""
     if final_responses := of_type(FinalResponse, actions):
         return final_responses[0].reason.value
     return RETRIED if of_type(SendAttempt, actions) else NO_ACTION
--- a/tests/routing/test_affinity_simulation.py
+++ b/tests/routing/test_affinity_simulation.py
@@ -1,6 +1,6 @@
-"""A simulation of gateways that share hosts with prompt caches: what affinity saves.
+"""Simulates gateways that share hosts with prefix caches, with and without prefix affinity.
 
-It is closed, with a fixed seed.
+The simulation is deterministic: its random draws have a fixed seed.
 """
 
 from __future__ import annotations
@@ -41,13 +41,13 @@
 
 @dataclass
 class SimulatedEngine:
-    """Reads prompts one after the other and keeps the segments used last."""
+    """Prefills prompts one after the other, with an LRU cache of segments."""
 
     cached: OrderedDict[str, int] = field(default_factory=OrderedDict)
     free_at: float = 0.0
 
     def prefill(self, segments: tuple[PromptSegment, ...], now: float) -> tuple[int, float]:
-        """Tokens that had to be prefilled, and when that is done."""
+        """The number of prefilled tokens, and the time when the prefill is complete."""
         uncached = 0
         prefix_cached = True
         for segment in segments:
--- a/tests/routing/test_ejection.py
+++ b/tests/routing/test_ejection.py
@@ -1,4 +1,4 @@
-"""Which hosts get requests: listed, draining, full, ejected, on probation."""
+"""Which hosts get requests, by state: listed, draining, at the limit, ejected, on probation."""
 
 from __future__ import annotations
 
--- a/tests/routing/test_fleet_decider.py
+++ b/tests/routing/test_fleet_decider.py
@@ -1,4 +1,4 @@
-"""The decider as a whole: it is deterministic, and its state is bounded."""
+"""The fleet decider is deterministic, and keeps no state of finished requests."""
 
 from __future__ import annotations
 
@@ -60,7 +60,8 @@
 def test_request_keeps_the_policy_of_its_arrival() -> None:
     harness = new_harness(count=8)
     harness.arrive(number=1, repeatable=True, max_attempts=3)
-    harness.arrive(number=2, repeatable=False, max_attempts=1)  # a new configuration
+    # As after a change of the configuration.
+    harness.arrive(number=2, repeatable=False, max_attempts=1)
     assert (
         result_of(after_backoff(harness, harness.end_attempt(Outcome.ERROR, number=1), until=0.1))
         == RETRIED
--- a/tests/routing/test_hedges.py
+++ b/tests/routing/test_hedges.py
@@ -1,4 +1,4 @@
-"""When a slow request is hedged, and which attempt then wins."""
+"""When a slow request is hedged, and which of its attempts is cancelled."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def record_latencies(harness: DeciderHarness, **changes: object) -> None:
-    """Teach the route a latency of 10 ms."""
+    """Record latencies of 10 ms for the route."""
     for number in range(100, 200):
         harness.arrive(number=number, **changes)
         harness.now += 0.01
@@ -65,7 +65,7 @@
 
 
 def send_streams(harness: DeciderHarness, numbers: range) -> list[SendAttempt]:
-    """Streams, of which h0 serves none and the others all; returns those that went to h0."""
+    """Send streams, to which h0 does not respond; returns the attempts that went to h0."""
     unanswered: list[SendAttempt] = []
     for number in numbers:
         sent = of_type(SendAttempt, harness.arrive(number=number, streaming=True))[0]
@@ -86,7 +86,8 @@
     assert hedges[0].host != "h0"
     assert (hedges[0].attempt, hedges[0].resume) == (1, False)
     assert harness.handle(FirstEvent(number, 1)) == [CancelAttempt(number, 0)]
-    assert harness.handle(FirstEvent(number, 0)) == [CancelAttempt(number, 0)]  # too late: it lost
+    # A late event of the cancelled attempt.
+    assert harness.handle(FirstEvent(number, 0)) == [CancelAttempt(number, 0)]
     assert harness.end_attempt(Outcome.CANCELLED, 0, number) == []
     assert harness.end_attempt(Outcome.SUCCESS, 1, number) == []
 
--- a/tests/routing/test_host_choice.py
+++ b/tests/routing/test_host_choice.py
@@ -1,4 +1,4 @@
-"""The draw of two, its scores, and how affinity shapes it."""
+"""Power of two choices: scores, exploration, the hash ring and prefix affinity."""
 
 from __future__ import annotations
 
@@ -91,7 +91,7 @@
 
 
 def picks_outside_home(requests: list[RequestFacts], times: int) -> list[int]:
-    """How many picks of each kind of request went to a host that is not the key's home."""
+    """Number of picks of each request that went to another host than the key's home."""
     ready = ready_hosts(6)
     host_chooser = chooser()
     homes = [next(iter(ready.ranked(facts.prompt[-2].id, 1))) for facts in requests]
@@ -116,7 +116,7 @@
     short = with_segment_tokens(SHORT_PROMPT, 100, 70, 200)
     expensive, cheap = picks_outside_home([long, short], 20_000)
     assert expensive == 0
-    assert 0.045 < cheap / 20_000 < 0.055  # of all picks, as ever
+    assert 0.045 < cheap / 20_000 < 0.055  # the rate over all picks, cheap and expensive
 
 
 def test_exploration_rate_holds_if_every_pick_is_expensive() -> None:
@@ -155,7 +155,7 @@
     assert all(pick_counts(ready, WITHOUT_AFFINITY).values())
 
 
-# --- the ring
+# --- hash ring
 
 
 def test_ring_order_does_not_depend_on_the_order_of_the_host_list() -> None:
@@ -239,7 +239,7 @@
     prefix_cache = PrefixCacheTracker()
     home, second = list(ready.ranked("session", 2))
     host_chooser = chooser(prefix_cache=prefix_cache)
-    home.in_flight = 32  # loads of 4 requests
+    home.in_flight = 32  # weighs as 4 requests at a capacity of 64
     second_before_prefill = sum(
         host_chooser.pick(ready, WITH_AFFINITY, (), 0.0) is second for _ in range(200)
     )
@@ -305,7 +305,7 @@
         ((), False, 2000),
         ((), True, 200),
         (("group",), False, 1000),
-        (("session",), False, 2000),  # a part without those before it is of no use
+        (("session",), False, 2000),  # not usable without the segment before it
         (("group", "session"), False, 0),
     ],
 )
--- a/tests/routing/test_imports.py
+++ b/tests/routing/test_imports.py
@@ -1,4 +1,4 @@
-"""The decisions depend on nothing but the model: no I/O, no other package of the tree."""
+"""`roselink.routing` depends only on `roselink.model`, and on no module that does I/O."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 MODULES = sorted(Path(roselink.routing.__file__).parent.glob("*.py"))
 ALLOWED_PACKAGES = {"roselink.routing", "roselink.model"}
-# Standard modules that read clocks, files or sockets, or start threads and processes.
+# Standard modules that read clocks, files or sockets, or that start threads or processes.
 IMPURE = {"asyncio", "os", "pathlib", "signal", "socket", "subprocess", "threading", "time"}
 
 
 def imported_modules(path: Path) -> set[str]:
-    """Names of all modules that a file imports, those for type checks only included."""
+    """Names of all modules that a file imports, including those imported for type checks only."""
     names: set[str] = set()
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.Import):
--- a/tests/routing/test_invariants.py
+++ b/tests/routing/test_invariants.py
@@ -1,4 +1,4 @@
-"""Any order of events: bounded attempts, one final response, listed hosts, no unsafe repeat."""
+"""Invariants under random events: bounded attempts, one final response, no unsafe retry."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class SimulatedDataPlane:
-    """A data plane that ends attempts as a seed determines, and checks every action."""
+    """A data plane that generates events from a seed, and checks every action."""
 
     def __init__(self, seed: int, outcomes: list[Outcome], granted_fraction: float) -> None:
         self.rng = random.Random(seed)
@@ -50,9 +50,9 @@
         self.facts: dict[int, RequestFacts] = {}
         self.in_flight: dict[tuple[int, int], str] = {}
         self.ended: dict[int, list[Outcome]] = {}
-        self.awaiting_response: set[int] = set()  # for the final one
+        self.awaiting_response: set[int] = set()  # requests without a final response
         self.cancelled: set[tuple[int, int]] = set()
-        self.started_streams: set[int] = set()  # streams of which the client has a part
+        self.started_streams: set[int] = set()  # requests whose stream was relayed in part
         self.retries: list[float] = []
         self.first_sends: list[float] = []
         self.granted: set[int] = set()
@@ -179,9 +179,11 @@
         self.handle(AttemptEnded(number, attempt, outcome, 0.1))
 
     def finish(self) -> None:
-        """Pass every deadline, then end what is still in flight."""
+        """Advance past every deadline, then end the attempts that are still in flight."""
         self.advance(self.harness.now + 20.0)
-        assert self.awaiting_response <= self.started_streams  # the data plane ends these
+        assert (
+            self.awaiting_response <= self.started_streams
+        )  # running streams, which the data plane ends
         for key in list(self.in_flight):
             del self.in_flight[key]
             outcome = Outcome.CANCELLED if key in self.cancelled else Outcome.TIMEOUT
--- a/tests/routing/test_pooled_payoffs.py
+++ b/tests/routing/test_pooled_payoffs.py
@@ -1,4 +1,4 @@
-"""Payoffs pooled over gateways: a host that fails the others is avoided here before it fails us."""
+"""Payoffs pooled over gateways: hosts that fail other gateways get fewer requests."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 def pick_counts(
     harness: DeciderHarness, first: int, *, affinity: bool, requests: int = 60
 ) -> dict[str, int]:
-    """Where requests of one session go when each is served before the next."""
+    """Number of picks by host for consecutive requests of one session."""
     counts: dict[str, int] = {}
     for number in range(first, first + requests):
         changes: dict[str, object] = (
--- a/tests/routing/test_recorded_decisions.py
+++ b/tests/routing/test_recorded_decisions.py
@@ -1,7 +1,7 @@
-"""Random event sequences replayed: every action is the one recorded from version 0.3.0's decider.
+"""For random event sequences every action equals that recorded from version 0.3.0.
 
-A digest stands for all actions of one sequence, in order, with every field. A change of shape must
-leave the digests as they are; a change of what the decider does records them anew, and says why.
+Each digest covers all actions of one sequence, in order, with every field. Refactoring must not
+change the digests; a change of the decider's behaviour records new ones and gives the reason.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 ]
 MOSTLY_SUCCESSES: list[Outcome] = [Outcome.SUCCESS] * 12 + OUTCOMES_EXCEPT_CANCELLED
 
-# Names of the actions in the record, whatever their classes are called.
+# Names of the actions in the digests, which do not change with the names of the classes.
 ACTION_NAMES: dict[type, str] = {
     SendAttempt: "send",
     CancelAttempt: "cancel",
@@ -56,7 +56,7 @@
 
 
 class RecordingDataPlane(SimulatedDataPlane):
-    """Records every action, and sometimes sends payoffs over all gateways."""
+    """Records every action, and sometimes sends pooled payoffs."""
 
     def __init__(self, seed: int, outcomes: list[Outcome]) -> None:
         super().__init__(seed, outcomes, granted_fraction=0.5)
@@ -79,7 +79,7 @@
             self.record.update(f"{ACTION_NAMES[type(action)]} {plain_values!r}\n".encode())
 
     def handle(self, event: Event) -> None:
-        """Change some outcomes: hosts at the wrong address, failures relayed to the client."""
+        """Turn some outcomes into those of a wrong host, or of an error relayed to the client."""
         if isinstance(event, AttemptEnded) and self.rng.random() < 0.2:
             if event.outcome is Outcome.FULL:
                 event = replace(event, wrong_host=True)
--- a/tests/routing/test_retries.py
+++ b/tests/routing/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries, shared budget, deadlines and final responses: sequences of events and their actions."""
+"""Retries, shared budget, deadlines and final responses."""
 
 from __future__ import annotations
 
@@ -187,7 +187,9 @@
     )
     record = harness.decider._topology._hosts[retry.host]
     before = record.payoff
-    harness.advance(harness.now + 3.0)  # past the aim: no first event tells of it
+    harness.advance(
+        harness.now + 3.0
+    )  # past the target latency: a resumed stream has no first event
     assert record.payoff == before
     harness.end_attempt(Outcome.SUCCESS, 1, progressed=True)
     assert record.payoff > before or before == 1.0
@@ -200,7 +202,7 @@
     assert actions == [AcquireSharedBudget(1, "s")]
     (sent,) = of_type(SendAttempt, harness.handle(BudgetDecided(1, allowed=True)))
     assert sent.attempt == 1
-    assert harness.handle(BudgetDecided(1, allowed=True)) == []  # answered once
+    assert harness.handle(BudgetDecided(1, allowed=True)) == []  # a second reply is ignored
 
 
 @pytest.mark.parametrize(
--- a/tests/routing/test_retry_budget.py
+++ b/tests/routing/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""The local bucket: never above its share of the window, whatever the order of events."""
+"""The local retry budget never exceeds its ratio of the window's first sends."""
 
 from __future__ import annotations
 
