--- a/roselink/router/status_log.py
+++ b/roselink/router/status_log.py
@@ -11,6 +11,8 @@
 
 log = logging.getLogger("roselink.router")
 
+# Shortest time between two status lines, in seconds. A longer one makes the log smaller, a shorter
+# one the status in it more recent.
 INTERVAL_S = 10.0
 
 
--- a/roselink/routing/affinity.py
+++ b/roselink/routing/affinity.py
@@ -4,7 +4,7 @@
 prefills none of them again. Affinity replaces the random draw: the two hosts that are compared are
 the first two of the hash ring for the request's key, and the shared tokens that each would have to
 prefill count as load. So the host with the longer cached prefix wins, unless its load exceeds the
-other's by more than these tokens. The first host of the ring (the key's home) is assumed to have
+other's by more than that. The first host of the ring (the key's home) is assumed to have
 cached the shared segments even if this gateway has not sent them: the other gateways send them
 there too.
 
@@ -31,9 +31,11 @@
 # Time for which a host is assumed to cache a segment after its last use there, in seconds. A longer
 # one trusts segments that were evicted; a shorter one charges for segments that are still cached.
 CACHE_LIFETIME_S = 20.0
-# Fraction of the shared tokens that the home host is assumed to have cached at least.
+# Fraction of the shared tokens that the home host is assumed to have cached at least. A larger one
+# keeps keys at their home, a smaller one at the host that this gateway has sent them to.
 HOME_CACHED_FRACTION = 0.9
-# Weight of the newest arrival in a route's recurrence rate (an exponential moving average).
+# Weight of the newest arrival in a route's recurrence rate (an exponential moving average). A
+# larger one follows changes of the traffic sooner; a smaller one varies less.
 RECURRENCE_SMOOTHING = 1 / 32
 # Recurrence rate above which a route's last segments are taken to belong to sessions.
 SESSION_RECURRENCE = 0.25
--- a/roselink/routing/classifier.py
+++ b/roselink/routing/classifier.py
@@ -10,6 +10,7 @@
 
 from roselink.routing.outcome import NEVER_RAN, Outcome
 
+# Outcomes of attempts that ended before anything was sent.
 NEVER_SENT = frozenset({Outcome.CONNECT_FAILED, Outcome.MOOT})
 
 
--- a/roselink/routing/host_choice.py
+++ b/roselink/routing/host_choice.py
@@ -23,7 +23,8 @@
 # Fraction of picks that go to the lower-scored of the two. A larger one notices recovered hosts
 # sooner; a smaller one sends fewer requests to hosts that look worse.
 EXPLORATION_RATE = 0.05
-# Additional shared tokens to prefill up to which exploring with a pick counts as cheap.
+# Additional shared tokens to prefill up to which exploring with a pick counts as cheap. A larger
+# bound defers fewer explorations, a smaller one recomputes fewer tokens.
 CHEAP_RECOMPUTE_TOKENS = 1000.0
 # Explorations that may be deferred to cheaper picks; beyond it the next pick explores at any cost.
 MAX_EXPLORATION_CREDIT = 2.0
@@ -32,9 +33,11 @@
 # Weight of a shared token to prefill, relative to a pending prompt token: prefilling it again is
 # wasted work. A larger weight follows the cached prefix, a smaller one spreads the load.
 RECOMPUTE_WEIGHT = 3.0
-# Prompt tokens to prefill that count as one request in flight.
+# Prompt tokens to prefill that count as one request in flight. A smaller number gives prefill more
+# weight relative to the number of requests, a larger one less.
 TOKENS_PER_REQUEST_LOAD = 2000.0
-# Factor of the score of a host in another zone.
+# Factor of the score of a host in another zone. A smaller one keeps more traffic in the zone; one
+# nearer to 1 balances load and payoff across zones.
 OTHER_ZONE_FACTOR = 0.95
 # Hosts in a key's ring order that are considered before a random draw.
 RANKED_CANDIDATES = 4
--- a/roselink/routing/host_record.py
+++ b/roselink/routing/host_record.py
@@ -13,19 +13,22 @@
 # Weight of the newest outcome in a payoff (an exponential moving average). A larger one reacts to
 # changes sooner; a smaller one varies less with single outcomes.
 PAYOFF_SMOOTHING = 0.12
-# Consecutive failures without any response after which a host is ejected.
+# Consecutive failures without any response after which a host is ejected. More of them tolerate
+# isolated failures; fewer eject a failed host sooner.
 FAILURES_TO_EJECT = 2
-# Duration of the first ejection; each further one is twice as long, up to the longest.
+# Duration of the first ejection; each further one is twice as long, up to the longest. Longer ones
+# probe a failed host less often; shorter ones use a recovered host sooner.
 FIRST_EJECTION_S = 0.2
 LONGEST_EJECTION_S = 2.0
 # Capacity up to which each request in flight counts as a full one; above it, as less.
 FULL_WEIGHT_CAPACITY = 8.0
-# Fraction of a host's limit from which one gateway's own requests count as saturating it.
+# Fraction of a host's limit from which one gateway's own requests count as saturating it. A larger
+# one keeps keys at their hosts under load; a smaller one moves them to the next hosts of the ring.
 SATURATED_FRACTION = 0.25
 # Own requests in flight below which no host with a higher limit counts as saturated.
 MIN_SATURATED = 2.0
 # Multiplicative decrease: the limit after a rejection, relative to own requests in flight,
-# including the rejected one.
+# including the rejected one. A smaller factor backs off further, and recovers later.
 LIMIT_DECREASE = 0.8
 
 
--- a/roselink/routing/outcome.py
+++ b/roselink/routing/outcome.py
@@ -25,4 +25,5 @@
     MOOT = "moot"
 
 
+# Outcomes that prove that the request did not run.
 NEVER_RAN = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT})
--- a/roselink/routing/outcome_recorder.py
+++ b/roselink/routing/outcome_recorder.py
@@ -13,6 +13,7 @@
     from roselink.routing.request_state import Attempt, Request
     from roselink.routing.topology import Topology
 
+# Outcomes that count as a certain failure of the host.
 CONNECTION_FAILURES = frozenset({Outcome.CONNECT_FAILED, Outcome.RESET})
 # Outcomes that say nothing about the host.
 NEUTRAL_OUTCOMES = frozenset({Outcome.CANCELLED, Outcome.MOOT})
--- a/roselink/routing/policy.py
+++ b/roselink/routing/policy.py
@@ -14,21 +14,23 @@
 # The route's name.
 PolicyKey = str
 
-# Latencies kept for each route.
+# Latencies kept for each route. More of them give a steadier percentile, fewer a more recent one.
 MAX_LATENCIES = 128
 MAX_ROUTES = 1024
 # Latency percentile of the route after which a request may be hedged. A higher one hedges fewer
 # requests; a lower one cuts tail latency earlier, for more load.
 HEDGE_PERCENTILE = 0.95
 MIN_HEDGE_WAIT_S = 0.01
-# New latencies after which the percentile is recomputed.
+# New latencies after which the percentile is recomputed. More of them save sorting; fewer follow
+# changes of the latency sooner.
 LATENCIES_PER_RECOMPUTE = 32
 # Lowest attempt limit of a route with hedges: a hedge is a second attempt.
 MIN_HEDGE_ATTEMPTS = 2
 # Streams are hedged only long after the percentile and the target latency, and only when the host
 # seems unresponsive: each hedge costs the prefill of a full prompt.
 HEDGE_STREAMS = True
-# Factor of the percentile after which a stream may be hedged.
+# Factor of the percentile after which a stream may be hedged. A larger one saves prefills; a
+# smaller one hedges streams earlier.
 STREAM_HEDGE_FACTOR = 2.0
 MICROSECONDS_PER_S = 1e6
 
--- a/roselink/routing/ready_hosts.py
+++ b/roselink/routing/ready_hosts.py
@@ -16,7 +16,8 @@
 MAX_DRAWS = 8
 # Bound on the hosts that the scan checks.
 MAX_SCANNED = 64
-# Weight of the newest outcome in the rejection rate (an exponential moving average).
+# Weight of the newest outcome in the rejection rate (an exponential moving average). A larger one
+# reacts to overload sooner; a smaller one varies less.
 REJECTION_SMOOTHING = 0.1
 
 HostPredicate = Callable[[HostRecord], bool]
--- a/roselink/routing/retry_budget.py
+++ b/roselink/routing/retry_budget.py
@@ -19,7 +19,8 @@
 # Slices into which the window is divided; sends of one slice expire together. More of them expire
 # closer to the window's exact end, and cost more memory.
 SLICES = 20
-# Tokens below which no hedge is sent, so that some remain for retries.
+# Tokens below which no hedge is sent. More of them reserve more for retries; fewer allow hedges on
+# services with little traffic.
 MIN_HEDGE_TOKENS = 2.0
 
 
--- a/roselink/routing/topology.py
+++ b/roselink/routing/topology.py
@@ -9,7 +9,8 @@
 from roselink.routing.host_record import HostRecord, new_host_record
 from roselink.routing.ready_hosts import ReadyHosts
 
-# Lifetime of pooled payoffs that are not renewed, in seconds.
+# Lifetime of pooled payoffs that are not renewed, in seconds. A longer one bridges more lost
+# updates; a shorter one drops outdated payoffs sooner.
 POOLED_PAYOFFS_S = 2.0
 
 
