--- a/tests/routing/builders.py
+++ b/tests/routing/builders.py
@@ -110,7 +110,7 @@
 
 
 # Results of `result_of`.
-RETRIED = "retried"
+ATTEMPT_SENT = "attempt_sent"
 NOT_RUN = "not_run"
 MAY_HAVE_RUN = "may_have_run"
 NO_ACTION = "nothing"
@@ -138,4 +138,4 @@
     """The reason of the final response; else whether an attempt was sent."""
     if final_responses := of_type(FinalResponse, actions):
         return final_responses[0].reason.value
-    return RETRIED if of_type(SendAttempt, actions) else NO_ACTION
+    return ATTEMPT_SENT if of_type(SendAttempt, actions) else NO_ACTION
--- a/tests/routing/test_ejection.py
+++ b/tests/routing/test_ejection.py
@@ -15,8 +15,8 @@
 from roselink.routing.outcome import Outcome
 from roselink.routing.ready_hosts import ReadyHosts
 from tests.routing.builders import (
+    ATTEMPT_SENT,
     NOT_RUN,
-    RETRIED,
     DeciderHarness,
     after_backoff,
     host,
@@ -63,7 +63,8 @@
     harness = new_harness(1)
     harness.arrive()
     assert (
-        result_of(after_backoff(harness, harness.end_attempt(Outcome.FULL), until=0.1)) == RETRIED
+        result_of(after_backoff(harness, harness.end_attempt(Outcome.FULL), until=0.1))
+        == ATTEMPT_SENT
     )
 
 
@@ -71,11 +72,11 @@
     harness = DeciderHarness()
     harness.set_hosts(host("a", capacity=2), host("b", capacity=2))
     for number in range(4):
-        assert result_of(harness.arrive(number=number, priority=2)) == RETRIED
+        assert result_of(harness.arrive(number=number, priority=2)) == ATTEMPT_SENT
     assert result_of(harness.arrive(number=5, priority=2)) == NOT_RUN
-    assert result_of(harness.arrive(number=6, priority=1)) == RETRIED
+    assert result_of(harness.arrive(number=6, priority=1)) == ATTEMPT_SENT
     harness.end_attempt(Outcome.SUCCESS, number=0)
-    assert result_of(harness.arrive(number=7, priority=2)) == RETRIED
+    assert result_of(harness.arrive(number=7, priority=2)) == ATTEMPT_SENT
 
 
 @pytest.mark.parametrize(("certain", "ejected"), [(True, 5), (False, 3)])
--- a/tests/routing/test_fleet_decider.py
+++ b/tests/routing/test_fleet_decider.py
@@ -14,9 +14,9 @@
 from roselink.routing.fleet_decider import FleetDecider
 from roselink.routing.outcome import Outcome
 from tests.routing.builders import (
+    ATTEMPT_SENT,
     FACTS,
     MAY_HAVE_RUN,
-    RETRIED,
     after_backoff,
     hosts,
     new_harness,
@@ -64,6 +64,6 @@
     harness.arrive(number=2, repeatable=False, max_attempts=1)
     assert (
         result_of(after_backoff(harness, harness.end_attempt(Outcome.ERROR, number=1), until=0.1))
-        == RETRIED
+        == ATTEMPT_SENT
     )
     assert result_of(harness.end_attempt(Outcome.ERROR, number=2)) == MAY_HAVE_RUN
--- a/tests/routing/test_retries.py
+++ b/tests/routing/test_retries.py
@@ -19,10 +19,10 @@
 from roselink.routing.fleet_decider import FleetDecider
 from roselink.routing.outcome import Outcome
 from tests.routing.builders import (
+    ATTEMPT_SENT,
     MAY_HAVE_RUN,
     NO_ACTION,
     NOT_RUN,
-    RETRIED,
     DeciderHarness,
     after_backoff,
     hosts,
@@ -37,25 +37,25 @@
     [
         (Outcome.SUCCESS, True, False, NO_ACTION),
         (Outcome.SUCCESS, False, False, NO_ACTION),
-        (Outcome.ERROR, True, False, RETRIED),
+        (Outcome.ERROR, True, False, ATTEMPT_SENT),
         (Outcome.ERROR, False, False, MAY_HAVE_RUN),
-        (Outcome.ERROR, True, True, RETRIED),
+        (Outcome.ERROR, True, True, ATTEMPT_SENT),
         (Outcome.ERROR, False, True, MAY_HAVE_RUN),
-        (Outcome.TIMEOUT, True, False, RETRIED),
+        (Outcome.TIMEOUT, True, False, ATTEMPT_SENT),
         (Outcome.TIMEOUT, False, False, MAY_HAVE_RUN),
-        (Outcome.TIMEOUT, True, True, RETRIED),
+        (Outcome.TIMEOUT, True, True, ATTEMPT_SENT),
         (Outcome.TIMEOUT, False, True, MAY_HAVE_RUN),
-        (Outcome.RESET, True, False, RETRIED),
+        (Outcome.RESET, True, False, ATTEMPT_SENT),
         (Outcome.RESET, False, False, MAY_HAVE_RUN),
-        (Outcome.RESET, True, True, RETRIED),
+        (Outcome.RESET, True, True, ATTEMPT_SENT),
         (Outcome.RESET, False, True, MAY_HAVE_RUN),
-        (Outcome.FULL, True, False, RETRIED),
-        (Outcome.FULL, False, False, RETRIED),
-        (Outcome.FULL, False, True, RETRIED),
-        (Outcome.CONNECT_FAILED, True, False, RETRIED),
-        (Outcome.CONNECT_FAILED, False, False, RETRIED),
-        (Outcome.CONNECT_FAILED, False, True, RETRIED),
-        (Outcome.MOOT, False, False, RETRIED),
+        (Outcome.FULL, True, False, ATTEMPT_SENT),
+        (Outcome.FULL, False, False, ATTEMPT_SENT),
+        (Outcome.FULL, False, True, ATTEMPT_SENT),
+        (Outcome.CONNECT_FAILED, True, False, ATTEMPT_SENT),
+        (Outcome.CONNECT_FAILED, False, False, ATTEMPT_SENT),
+        (Outcome.CONNECT_FAILED, False, True, ATTEMPT_SENT),
+        (Outcome.MOOT, False, False, ATTEMPT_SENT),
     ],
 )
 def test_retry_decision_by_outcome_and_kind_of_route(
@@ -187,9 +187,8 @@
     )
     record = harness.decider._topology._hosts[retry.host]
     before = record.payoff
-    harness.advance(
-        harness.now + 3.0
-    )  # past the target latency: a resumed stream has no first event
+    # Past the target latency, which does not apply: a resumed stream has no first event.
+    harness.advance(harness.now + 3.0)
     assert record.payoff == before
     harness.end_attempt(Outcome.SUCCESS, 1, progressed=True)
     assert record.payoff > before or before == 1.0
@@ -235,7 +234,7 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.RESET, Outcome.ERROR, Outcome.TIMEOUT])
-@pytest.mark.parametrize(("repeatable", "expected"), [(True, RETRIED), (False, MAY_HAVE_RUN)])
+@pytest.mark.parametrize(("repeatable", "expected"), [(True, ATTEMPT_SENT), (False, MAY_HAVE_RUN)])
 def test_interrupted_stream_is_resumed_at_another_host_if_repeatable(
     outcome: Outcome, *, repeatable: bool, expected: str
 ) -> None:
@@ -260,6 +259,6 @@
     harness = new_harness()
     first = of_type(SendAttempt, harness.arrive(repeatable=False))[0]
     actions = after_backoff(harness, harness.end_attempt(Outcome.FULL, wrong_host=True), until=0.1)
-    assert result_of(actions) == RETRIED
+    assert result_of(actions) == ATTEMPT_SENT
     picks = {of_type(SendAttempt, harness.arrive(number=n))[0].host for n in range(2, 40)}
     assert first.host not in picks
