--- a/roselink/model/settings.py
+++ b/roselink/model/settings.py
@@ -1,6 +1,6 @@
-"""The settings file of one process: read and validated once, before anything starts.
+"""The settings file of one process, read and validated before anything starts.
 
-Unknown keys are ignored. Every fault names its key; `SettingsError` carries them all.
+Unknown keys are ignored. Every fault names its key; `SettingsError` has all of them.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 ENVIRONMENT_VARIABLE = "ROSELINK_BOOT"
 DEFAULT_PATH = "/etc/roselink/boot.json"
 MAX_PORT = 65535
-PORTS_OF_A_RANGE = 2
+PORT_RANGE_LENGTH = 2
 
 Address = tuple[str, int]
 
@@ -30,28 +30,28 @@
     """The settings are invalid.
 
     Attributes:
-        faults: one line a fault, which begins with the key.
+        faults: one line for each fault, beginning with the key.
     """
 
     code = "MDL-001"
 
     def __init__(self, faults: list[str]) -> None:
-        """Note the faults."""
+        """Build the message from all faults."""
         super().__init__("; ".join(faults))
         self.faults = faults
 
 
 @dataclass(frozen=True, slots=True)
 class Resources:
-    """The limits of a process's resources.
+    """The resource limits of a process.
 
     Attributes:
         cpu_share: the fraction of the cores' time that it may use.
         cpu_cores: the number of cores.
-        memory_mb: beyond it the process is killed.
-        max_fds: all its file descriptors.
-        bandwidth_mbps: of its network.
-        disk_mb: of its disk.
+        memory_mb: the memory limit; the process is killed beyond it.
+        max_fds: the limit of open file descriptors.
+        bandwidth_mbps: the network bandwidth.
+        disk_mb: the disk space.
     """
 
     cpu_share: float
@@ -90,12 +90,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformSettings:
-    """The platform's interface to the list of hosts.
+    """The platform's API for the list of hosts.
 
     Attributes:
-        address: where it is served.
-        rate_per_s: calls a second that all processes together may make.
-        max_lag_ms: how far its list may lag behind the hosts' states.
+        address: the API's address.
+        rate_per_s: calls per second that all processes together may make.
+        max_lag_ms: the maximum lag of its list behind the hosts' states.
     """
 
     address: Address
@@ -126,19 +126,19 @@
 
     @property
     def peer_port(self) -> int:
-        """The port of the protocol between roselink's processes: the same on every machine."""
+        """The port of the protocol between roselink's processes, the same on every machine."""
         return self.port_range[0]
 
     def seed_peers(self) -> tuple[Address, ...]:
-        """The seeds' addresses for peers (the file has their `admin` addresses)."""
+        """The peer addresses of the seeds; the file has their `admin` addresses."""
         return tuple((host, self.peer_port) for host, _ in self.seeds)
 
 
 def load_settings(path: str) -> ProcessSettings:
-    """The settings in a file.
+    """Read the settings from a file.
 
     Raises:
-        SettingsError: the file can't be read, or its settings are invalid.
+        SettingsError: the file cannot be read, or its settings are invalid.
     """
     try:
         with open(path, encoding="utf-8") as file:
@@ -151,23 +151,23 @@
 
 
 def read_settings(document: object) -> ProcessSettings:
-    """The settings in a document.
+    """Read the settings from a parsed document.
 
     Raises:
-        SettingsError: with every fault.
+        SettingsError: the settings are invalid; it has all faults.
     """
     reader = _SectionReader(document)
-    settings = _read(reader)
+    settings = _read_process_settings(reader)
     if reader.faults:
         raise SettingsError(reader.faults)
     return settings
 
 
 class _SectionReader:
-    """Reads typed values of one section by key, and collects the faults of all sections."""
+    """Reads the typed values of one section, and collects the faults of all sections."""
 
     def __init__(self, document: object, path: str = "", faults: list[str] | None = None) -> None:
-        """Read `document`, whose keys begin with `path` in the faults."""
+        """Read from `document`; `path` is the prefix of its keys in the faults."""
         self.faults: list[str] = [] if faults is None else faults
         self._path = path
         if not isinstance(document, Mapping):
@@ -175,30 +175,30 @@
             document = {}
         self._document = document
 
-    def _fault(self, key: str, reason: str) -> None:
+    def _add_fault(self, key: str, reason: str) -> None:
         self.faults.append(f"{self._path}{key}: {reason}")
 
     def text(self, key: str, default: str | None = None) -> str:
         value = self._document.get(key, default)
         if not isinstance(value, str) or not value:
-            self._fault(key, "missing" if value is None else "must be text")
+            self._add_fault(key, "missing" if value is None else "must be text")
             return ""
         return value
 
     def number(self, key: str, default: float | None = None, minimum: float = 0.0) -> float:
         value = self._document.get(key, default)
         if isinstance(value, bool) or not isinstance(value, int | float):
-            self._fault(key, "missing" if value is None else "must be a number")
+            self._add_fault(key, "missing" if value is None else "must be a number")
             return minimum
         if not minimum <= value < float("inf"):
-            self._fault(key, f"must be {minimum:g} at least")
+            self._add_fault(key, f"must be {minimum:g} at least")
             return minimum
         return float(value)
 
     def boolean(self, key: str, *, default: bool) -> bool:
         value = self._document.get(key, default)
         if not isinstance(value, bool):
-            self._fault(key, "must be true or false")
+            self._add_fault(key, "must be true or false")
             return default
         return value
 
@@ -216,14 +216,14 @@
         if not (
             colon and host and port.isascii() and port.isdigit() and 0 <= int(port) <= MAX_PORT
         ):
-            self._fault(key, f"needs address:port, not {value!r}")
+            self._add_fault(key, f"needs address:port, not {value!r}")
             return "", 0
         return host, int(port)
 
     def addresses(self, key: str) -> tuple[Address, ...]:
         value = self._document.get(key)
         if not isinstance(value, list):
-            self._fault(key, "must be a list")
+            self._add_fault(key, "must be a list")
             return ()
         return tuple(self.address(key, item) for item in value)
 
@@ -231,7 +231,7 @@
         return list(self._document.items())
 
 
-def _read(reader: _SectionReader) -> ProcessSettings:
+def _read_process_settings(reader: _SectionReader) -> ProcessSettings:
     bind = reader.section("bind")
     return ProcessSettings(
         node_name=reader.text("node_name"),
@@ -257,7 +257,7 @@
     value = reader.optional("port_range")
     if (
         not isinstance(value, list)
-        or len(value) != PORTS_OF_A_RANGE
+        or len(value) != PORT_RANGE_LENGTH
         or not all(isinstance(port, int) and 0 <= port <= MAX_PORT for port in value)
         or value[0] > value[1]
     ):
--- a/roselink/routing/learning.py
+++ b/roselink/routing/outcome_recorder.py
@@ -1,4 +1,4 @@
-"""What each outcome shows about its host, its route and its service."""
+"""Records what each outcome implies for its host, route and service."""
 
 from __future__ import annotations
 
@@ -7,27 +7,28 @@
 from roselink.routing.outcome import Outcome
 
 if TYPE_CHECKING:
-    from roselink.routing.affinity import PrefixMemory
+    from roselink.routing.affinity import PrefixCacheTracker
     from roselink.routing.events_and_actions import AttemptEnded
     from roselink.routing.host_record import HostRecord
     from roselink.routing.request_state import Attempt, Request
     from roselink.routing.topology import Topology
 
-BROKEN = frozenset({Outcome.CONNECT_FAILED, Outcome.RESET})
-# Outcomes that show nothing about a host.
-UNINFORMATIVE = frozenset({Outcome.CANCELLED, Outcome.MOOT})
+# Outcomes that count as a certain failure of the host.
+CONNECTION_FAILURES = frozenset({Outcome.CONNECT_FAILED, Outcome.RESET})
+# Outcomes that say nothing about the host.
+NEUTRAL_OUTCOMES = frozenset({Outcome.CANCELLED, Outcome.MOOT})
 
 
-class Learner:
-    """Turns outcomes into payoffs, ejections, limits, latencies and the memory of prompt parts."""
+class OutcomeRecorder:
+    """Updates payoffs, limits, ejections, route latencies and the prefix cache from outcomes."""
 
-    def __init__(self, topology: Topology, memory: PrefixMemory) -> None:
-        """Learn into `topology`'s hosts and services, and `memory`'s prompt parts."""
+    def __init__(self, topology: Topology, prefix_cache: PrefixCacheTracker) -> None:
+        """Record into the hosts and services of `topology`, and into `prefix_cache`."""
         self._topology = topology
-        self._memory = memory
+        self._prefix_cache = prefix_cache
 
     def record_sent(self, attempt: Attempt) -> None:
-        """An attempt goes out; at a host on probation it may be the probe request."""
+        """Record that an attempt is sent; to a host on probation it may be the probe request."""
         host = attempt.host
         attempt.is_probe = host.probation and not host.probe_in_flight
         host.probe_in_flight = host.probe_in_flight or attempt.is_probe
@@ -35,21 +36,23 @@
         host.pending_prompt_tokens += attempt.pending_prompt_tokens
 
     def record_first_event(self, request: Request, attempt: Attempt, now: float) -> None:
-        """The first event, or the complete response where no event came before."""
+        """Record the first event, or the complete response if no event came before it."""
         host = attempt.host
         elapsed_s = now - attempt.sent_at
         _clear_pending_tokens(attempt)
         host.record_response(now)
         if not attempt.overdue:
             host.record_payoff(in_time=request.route.is_in_time(request.policy, elapsed_s))
-        request.route.learn(elapsed_s)
+        request.route.record_latency(elapsed_s)
         if request.facts.affinity and request.facts.prompt:
-            self._memory.record_read(host.spec.id, self._memory.shared_parts(request.facts), now)
+            self._prefix_cache.record_prefill(
+                host.spec.id, self._prefix_cache.shared_segments(request.facts), now
+            )
 
     def record_overdue(self, request: Request, attempt: Attempt, now: float) -> None:
-        """An attempt passes the target latency: count a miss at once.
+        """Count a miss as soon as an attempt exceeds the target latency.
 
-        It is a failure too if its host has not responded since it was sent.
+        It also counts as a failure if its host has not responded since it was sent.
         """
         if attempt.outcome is not None or attempt.first_event_seen:
             return
@@ -61,13 +64,13 @@
     def record_end(
         self, request: Request, attempt: Attempt, event: AttemptEnded, now: float
     ) -> None:
-        """An attempt ended, with any outcome."""
+        """Record the end of an attempt, whatever its outcome."""
         host = attempt.host
         host.in_flight -= 1
         _clear_pending_tokens(attempt)
         if attempt.is_probe and host.probation:
             host.probe_in_flight = False
-        if event.outcome in UNINFORMATIVE:
+        if event.outcome in NEUTRAL_OUTCOMES:
             return
         rejected = event.outcome is Outcome.FULL and not event.wrong_host
         self._topology.ready_hosts(request.facts.service).record_outcome(rejected=rejected)
@@ -91,7 +94,7 @@
         host = attempt.host
         if not attempt.overdue:
             host.record_payoff(in_time=False)
-        if event.outcome in BROKEN or event.wrong_host:
+        if event.outcome in CONNECTION_FAILURES or event.wrong_host:
             self._record_failure(request, host, now, certain=True, at_once=event.wrong_host)
             return
         if event.outcome is Outcome.FULL:
--- a/roselink/routing/ring.py
+++ b/roselink/routing/ring.py
@@ -1,9 +1,9 @@
-"""Consistent hashing: every gateway finds the same hosts for a key; a lost host moves only its own.
+"""Consistent hashing: all gateways map a key to the same hosts; a lost host moves only its keys.
 
-Each host has a number of points on a ring of 64-bit hashes, and a key's hosts are those of the
-points that follow its hash (Karger et al., Consistent Hashing and Random Trees, STOC 1997).
-Hashes are blake2b of the id, so they do not depend on the process. A lookup is a bisection and a
-short walk.
+Each host has a number of points (virtual nodes) on a ring of 64-bit hashes, and a key's hosts are
+those of the points that follow its hash (Karger et al., Consistent Hashing and Random Trees, STOC
+1997). Hashes are blake2b of the id, so they do not depend on the process. A lookup is a bisection
+and a short walk.
 """
 
 from __future__ import annotations
@@ -17,34 +17,35 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
 
-# Numbers of hosts up to which a host has more points.
-MANY_HOSTS = 64
-VERY_MANY_HOSTS = 1024
-# Points of each host in a ring of few, many and very many hosts.
-POINTS = 128
-POINTS_OF_MANY = 32
-POINTS_OF_VERY_MANY = 8
-# Points that one digest of 64 bytes gives.
+# Largest numbers of hosts of a small and of a medium ring.
+SMALL_RING_HOSTS = 64
+MEDIUM_RING_HOSTS = 1024
+# Points of each host by size of the ring. More points spread the keys more evenly, and cost memory
+# and time to build.
+SMALL_RING_POINTS = 128
+MEDIUM_RING_POINTS = 32
+LARGE_RING_POINTS = 8
+# Points obtained from one digest of 64 bytes.
 POINTS_PER_DIGEST = 8
-# The low bits of a point are its host's index: a million hosts at most.
-INDEX_BITS = 20
-INDEX_MASK = (1 << INDEX_BITS) - 1
+# The low bits of a point are its host's index, which limits a ring to about a million hosts.
+HOST_INDEX_BITS = 20
+HOST_INDEX_MASK = (1 << HOST_INDEX_BITS) - 1
 
 
 class HashRing:
-    """The hosts of one service by id.
+    """A hash ring of one service's hosts.
 
-    In a larger fleet each host has fewer points: its fraction of the keys is small anyway.
+    In a larger ring each host has fewer points: its fraction of the keys is small anyway.
     """
 
     def __init__(self, ids: Iterable[str]) -> None:
-        """Build the ring of these hosts; equal ids count once."""
+        """Build the ring from host ids; duplicates count once."""
         self._ids = sorted(set(ids))
-        blocks = _points_per_host(len(self._ids)) // POINTS_PER_DIGEST
+        digests = _points_per_host(len(self._ids)) // POINTS_PER_DIGEST
         points: list[int] = []
         for index, host in enumerate(self._ids):
-            for block in range(blocks):
-                points += [point | index for point in _block(host, block)]
+            for digest_index in range(digests):
+                points += [point | index for point in _points_of_digest(host, digest_index)]
         points.sort()
         self._points = array("Q", points)
 
@@ -53,12 +54,12 @@
         return len(self._points)
 
     def walk(self, key: str) -> Iterator[str]:
-        """Every host once, in the key's order."""
+        """All hosts in the key's ring order, each once."""
         size = len(self._points)
         seen = set()
         start = bisect_right(self._points, key_hash(key))
         for step in range(size):
-            index = self._points[(start + step) % size] & INDEX_MASK
+            index = self._points[(start + step) % size] & HOST_INDEX_MASK
             if index not in seen:
                 seen.add(index)
                 yield self._ids[index]
@@ -70,13 +71,16 @@
 
 
 def _points_per_host(hosts: int) -> int:
-    if hosts <= MANY_HOSTS:
-        return POINTS
-    return POINTS_OF_MANY if hosts <= VERY_MANY_HOSTS else POINTS_OF_VERY_MANY
+    if hosts <= SMALL_RING_HOSTS:
+        return SMALL_RING_POINTS
+    return MEDIUM_RING_POINTS if hosts <= MEDIUM_RING_HOSTS else LARGE_RING_POINTS
 
 
 @lru_cache(maxsize=16384)
-def _block(host: str, block: int) -> tuple[int, ...]:
-    """Eight of a host's points, with the bits for its index left zero."""
-    digest = blake2b(host.encode(), salt=block.to_bytes(2, "big"), person=b"host").digest()
-    return tuple(int.from_bytes(digest[at : at + 8], "big") & ~INDEX_MASK for at in range(0, 64, 8))
+def _points_of_digest(host: str, digest_index: int) -> tuple[int, ...]:
+    """The points of a host from one of its digests, with the bits of the host's index zero."""
+    digest = blake2b(host.encode(), salt=digest_index.to_bytes(2, "big"), person=b"host").digest()
+    return tuple(
+        int.from_bytes(digest[offset : offset + 8], "big") & ~HOST_INDEX_MASK
+        for offset in range(0, 64, 8)
+    )
