--- a/roselink/budgets/budget_service.py
+++ b/roselink/budgets/budget_service.py
@@ -131,12 +131,12 @@
         self._quota_callbacks[number] = decide
         self._perform(self._quota_client.admit(number, tenant.name, amount, self._clock()))
 
-    def give_back(self, tenant: Tenant, amount: float) -> None:
+    def refund(self, tenant: Tenant, amount: float) -> None:
         """Return the amount of a request that was admitted, has not run, and will not run."""
-        self._quota_client.give_back(tenant.name, amount, self._clock())
+        self._quota_client.refund(tenant.name, amount, self._clock())
         self._perform(())
 
-    def ask(self, service: str, decide: DecideRetry) -> None:
+    def request_retry(self, service: str, decide: DecideRetry) -> None:
         """Decide whether a retry may draw on its service's budget; `decide` is called once."""
         number = next(self._numbers)
         self._retry_callbacks[number] = decide
--- a/roselink/budgets/quota_client.py
+++ b/roselink/budgets/quota_client.py
@@ -189,7 +189,7 @@
         state.pending.append(entry)
         return self._send_if_due(tenant, state, now)
 
-    def give_back(self, tenant: str, amount: float, now: float) -> None:
+    def refund(self, tenant: str, amount: float, now: float) -> None:
         """Return the amount of a request that was admitted, has not run, and will not run."""
         state = self._tenants.get(tenant)
         if state is not None:
--- a/roselink/dataplane/decision_driver.py
+++ b/roselink/dataplane/decision_driver.py
@@ -246,7 +246,7 @@
             if response is not None:
                 response.cancel()
         elif isinstance(action, AcquireSharedBudget):
-            self._budget.ask(action.service, partial(self._budget_decided, action.number))
+            self._budget.request_retry(action.service, partial(self._budget_decided, action.number))
         elif isinstance(action, FinalResponse):
             self._give_up(exchange, action.reason, action.retry_after_s)
 
@@ -319,7 +319,7 @@
         """What was counted for a request that has not run, and now never will, is free again."""
         if exchange.quota_charged and exchange.tenant is not None and not exchange.may_run:
             exchange.quota_charged = False
-            self._quotas.give_back(exchange.tenant, quota_cost(exchange.request, exchange.tenant))
+            self._quotas.refund(exchange.tenant, quota_cost(exchange.request, exchange.tenant))
 
     def _close(self, exchange: Exchange) -> None:
         """It has its final response, or nobody waits for one.
--- a/roselink/dataplane/interfaces.py
+++ b/roselink/dataplane/interfaces.py
@@ -55,7 +55,7 @@
         """
         ...
 
-    def give_back(self, tenant: Tenant, amount: float) -> None:
+    def refund(self, tenant: Tenant, amount: float) -> None:
         """A request that was admitted for `amount` has not run and never will."""
         ...
 
@@ -63,6 +63,6 @@
 class SharedBudget(Protocol):
     """The repeats that all gateways share, by service."""
 
-    def ask(self, service: str, decide: Callable[[bool], None]) -> None:
+    def request_retry(self, service: str, decide: Callable[[bool], None]) -> None:
         """Ask for one repeat; `decide(allowed)` is called once, now or later."""
         ...
--- a/tests/budgets/test_quota_client.py
+++ b/tests/budgets/test_quota_client.py
@@ -291,8 +291,8 @@
 
 def test_what_did_not_run_is_given_back() -> None:
     client, _ = connected_client()
-    client.give_back("t", 40.0, 10.05)
-    client.give_back("unknown", 40.0, 10.05)
+    client.refund("t", 40.0, 10.05)
+    client.refund("unknown", 40.0, 10.05)
     sent_request = sent(client.admit(2, "t", 5.0, 10.1)).request
     assert sent_request.returned == 40.0
 
--- a/tests/budgets/test_quota_wake_times.py
+++ b/tests/budgets/test_quota_wake_times.py
@@ -52,7 +52,7 @@
             sent = requests.pop(chance.randrange(len(requests)))
             effects = client.handle_reply(sent.call, make_reply(sent.request, chance), now)
         elif chosen < 0.55:
-            client.give_back(chance.choice(NAMES), 1.0, now)
+            client.refund(chance.choice(NAMES), 1.0, now)
             effects = []
         elif chosen < 0.57:
             kept = chance.sample(NAMES, 6)
--- a/tests/dataplane/harness.py
+++ b/tests/dataplane/harness.py
@@ -179,12 +179,12 @@
         else:
             decide(self.allowed, 0.7)
 
-    def give_back(self, tenant: Tenant, amount: float) -> None:
+    def refund(self, tenant: Tenant, amount: float) -> None:
         self.given_back.append((tenant.name, amount))
 
 
 class FakeBudget:
-    def ask(self, service: str, decide: Callable[[bool], None]) -> None:
+    def request_retry(self, service: str, decide: Callable[[bool], None]) -> None:
         decide(True)
 
 
--- a/tests/router/test_app.py
+++ b/tests/router/test_app.py
@@ -144,7 +144,7 @@
 
 async def retry(gateway: ControlServices) -> bool:
     decided: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
-    gateway.budgets.ask("llm", decided.set_result)
+    gateway.budgets.request_retry("llm", decided.set_result)
     return await decided
 
 
