--- a/roselink/budgets/budget_service.py
+++ b/roselink/budgets/budget_service.py
@@ -91,7 +91,7 @@
         self._retry_client = RetryBudgetClient(self._ownership, slack)
         self._tenants: list[str] = []
         self._services: list[str] = []
-        self._numbers = itertools.count(1)
+        self._request_numbers = itertools.count(1)
         self._quota_callbacks: dict[int, DecideQuota] = {}
         self._retry_callbacks: dict[int, DecideRetry] = {}
         self._effects: deque[Effect] = deque()
@@ -127,7 +127,7 @@
         if tenant.rate_per_s <= 0:
             decide(True, 0.0)  # noqa: FBT003 - a Callable takes no keywords
             return
-        number = next(self._numbers)
+        number = next(self._request_numbers)
         self._quota_callbacks[number] = decide
         self._perform(self._quota_client.admit(number, tenant.name, amount, self._clock()))
 
@@ -138,7 +138,7 @@
 
     def request_retry(self, service: str, decide: DecideRetry) -> None:
         """Decide whether a retry may draw on its service's budget; `decide` is called once."""
-        number = next(self._numbers)
+        number = next(self._request_numbers)
         self._retry_callbacks[number] = decide
         self._perform(self._retry_client.request(number, service, self._clock()))
 
@@ -234,13 +234,13 @@
 
     def _handle_quota_reply(self, call: int, reply: object) -> None:
         """Process a reply; a record of another kind counts as none."""
-        known = reply if isinstance(reply, QuotaReply) else None
-        self._perform(self._quota_client.handle_reply(call, known, self._clock()))
+        valid_reply = reply if isinstance(reply, QuotaReply) else None
+        self._perform(self._quota_client.handle_reply(call, valid_reply, self._clock()))
 
     def _handle_retry_reply(self, number: int, reply: object) -> None:
         """Process a reply; a record of another kind counts as none."""
-        known = reply if isinstance(reply, RetryBudgetReply) else None
-        self._perform(self._retry_client.handle_reply(number, known, self._clock()))
+        valid_reply = reply if isinstance(reply, RetryBudgetReply) else None
+        self._perform(self._retry_client.handle_reply(number, valid_reply, self._clock()))
 
     def _schedule(self) -> None:
         """Set the timer for the quota client's next wake-up, unless one is set that is earlier."""
--- a/roselink/budgets/ownership.py
+++ b/roselink/budgets/ownership.py
@@ -64,12 +64,12 @@
         if fencing_token <= self.fencing_token:
             return False
         self.fencing_token = fencing_token
-        self.note_token(fencing_token)
+        self.record_token(fencing_token)
         self.roster = roster
         self._owners.clear()
         return True
 
-    def note_token(self, fencing_token: int) -> None:
+    def record_token(self, fencing_token: int) -> None:
         """Note a token that another gateway uses; under a lower one nothing is done any more."""
         self.newest_token = max(self.newest_token, fencing_token)
 
@@ -98,8 +98,8 @@
 
     def owns(self, key: str) -> bool:
         """Return whether this process owns the key under its token, confirmed or not."""
-        found = self.find(key)
-        return found is not None and found.owner == self.own
+        fenced_owner = self.find(key)
+        return fenced_owner is not None and fenced_owner.owner == self.own
 
     def is_confirmed(self, now: float) -> bool:
         """Return whether this gateway's view was confirmed recently enough to act as an owner."""
@@ -107,7 +107,7 @@
 
     def check_request(self, key: str, fencing_token: int, now: float) -> ReplyStatus:
         """Return `DECIDED` if this gateway may decide a request, else the reason why it may not."""
-        self.note_token(fencing_token)
+        self.record_token(fencing_token)
         if fencing_token < self.newest_token:
             return ReplyStatus.STALE_TOKEN
         if self.is_superseded or not self.is_confirmed(now):
--- a/roselink/budgets/quota_client.py
+++ b/roselink/budgets/quota_client.py
@@ -17,7 +17,7 @@
 from roselink.budgets.retry_budget import RefreshRoster
 from roselink.budgets.usage import (
     LOCAL_FRACTION,
-    NEWCOMER_FRACTION,
+    MIN_LOCAL_FRACTION,
     QuotaLimit,
     QuotaRule,
     UsageWindow,
@@ -36,7 +36,7 @@
 # A request waits no longer for a decision.
 MAX_WAIT_S = 0.2
 # A faster failure is a broken connection: the request is retried at once, one time.
-FAST_FAILURE_S = 0.05
+CONNECTION_FAILURE_S = 0.05
 # After a reply that decided nothing.
 RETRY_INTERVAL_S = 0.03
 # Between requests to an owner that doesn't reply.
@@ -48,7 +48,7 @@
 # `retry_after_s` of a request that local admission refuses.
 LOCAL_RETRY_AFTER_S = 0.3
 # Weight of the newest amount in the moving average of a request's amount.
-TYPICAL_WEIGHT = 0.1
+TYPICAL_AMOUNT_WEIGHT = 0.1
 
 
 @dataclass(frozen=True, slots=True)
@@ -175,7 +175,7 @@
         self, number: int, tenant: str, state: _TenantState, amount: float, now: float
     ) -> list[Effect]:
         if state.typical_amount:
-            state.typical_amount += TYPICAL_WEIGHT * (amount - state.typical_amount)
+            state.typical_amount += TYPICAL_AMOUNT_WEIGHT * (amount - state.typical_amount)
         else:
             state.typical_amount += amount
         _expire_lease(state, now)
@@ -223,14 +223,14 @@
         effects: list[Effect] = []
         if reply is None:
             state.failures += 1
-            if state.failures > 1 or now - completed.sent_at > FAST_FAILURE_S:
+            if state.failures > 1 or now - completed.sent_at > CONNECTION_FAILURE_S:
                 state.not_before = now + PROBE_INTERVAL_S
                 effects = self._switch_to_local(state, now)
         elif reply.status is ReplyStatus.REPORT_WANTED and state.reported_token:
             state.reported_token = 0
         else:
             if reply.status is ReplyStatus.STALE_TOKEN:
-                self._ownership.note_token(reply.fencing_token)
+                self._ownership.record_token(reply.fencing_token)
             state.not_before = now + RETRY_INTERVAL_S
             effects.append(RefreshRoster())
         return effects + self._send_if_due(tenant, state, now)
@@ -262,7 +262,7 @@
         if state.pending:
             return min(deadline, state.not_before)
         next_send_at = max(state.not_before, _next_keep_alive(state))
-        if not _is_in_use(state, now):
+        if not _needs_keep_alive(state, now):
             # Returned amounts may outweigh the rest of the usage, once some of that has expired.
             next_send_at = max(next_send_at, state.usage.oldest_expires_at())
         return min(deadline, next_send_at)
@@ -271,14 +271,16 @@
         """Send the next quota request if one is due and none is in flight."""
         if state.in_flight is not None or now < state.not_before:
             return []
-        if not state.pending and (not _is_in_use(state, now) or now < _next_keep_alive(state)):
+        if not state.pending and (
+            not _needs_keep_alive(state, now) or now < _next_keep_alive(state)
+        ):
             return []
         if self._ownership.is_superseded:
             # A token that was refused is not used again: what waits does so for the next roster.
             state.not_before = now + RETRY_INTERVAL_S
             return []
-        found = self._ownership.find(KEY_PREFIX + tenant)
-        if found is None:
+        fenced_owner = self._ownership.find(KEY_PREFIX + tenant)
+        if fenced_owner is None:
             state.not_before = now + PROBE_INTERVAL_S
             return self._switch_to_local(state, now)
         amounts = list(state.pending)
@@ -287,10 +289,10 @@
         self._calls[self._last_call] = tenant
         state.in_flight = _InFlightRequest(self._last_call, now, amounts, state.admitted_locally)
         state.last_sent_at = now
-        request = self._make_request(tenant, found.fencing_token, state, amounts, now)
+        request = self._make_request(tenant, fenced_owner.fencing_token, state, amounts, now)
         earliest = min((entry.deadline for entry in amounts), default=float("inf"))
         timeout_s = max(MIN_REQUEST_TIMEOUT_S, min(REQUEST_TIMEOUT_S, earliest - now))
-        return [SendQuotaRequest(self._last_call, found.owner.address, request, timeout_s)]
+        return [SendQuotaRequest(self._last_call, fenced_owner.owner.address, request, timeout_s)]
 
     def _make_request(
         self,
@@ -341,7 +343,7 @@
         self, state: _TenantState, entry: _PendingAmount, now: float
     ) -> QuotaDecided:
         fraction = max(
-            state.usage_fraction * LOCAL_FRACTION, NEWCOMER_FRACTION / self._ownership.size
+            state.usage_fraction * LOCAL_FRACTION, MIN_LOCAL_FRACTION / self._ownership.size
         )
         unreserved_limit = fraction * self._rule.allowance(state.limit)
         if not state.local.admit(entry.amount, unreserved_limit, now):
@@ -355,7 +357,7 @@
     return QuotaDecided(number, allowed=True, retry_after_s=0.0)
 
 
-def _is_in_use(state: _TenantState, now: float) -> bool:
+def _needs_keep_alive(state: _TenantState, now: float) -> bool:
     """Whether an owner has to know of this gateway's usage: then it gets keep-alives."""
     return bool(state.returned or state.lease or state.usage.total(now))
 
--- a/roselink/budgets/quota_owner.py
+++ b/roselink/budgets/quota_owner.py
@@ -17,7 +17,7 @@
 from typing import TYPE_CHECKING
 
 from roselink.budgets.usage import (
-    GRACE_FRACTION,
+    OVERDRAFT_FRACTION,
     START_FRACTION,
     QuotaLimit,
     QuotaRule,
@@ -41,11 +41,11 @@
 # A requester admits at its recent rate for no longer (local_admission.RECENT_RATE_S).
 MAX_RESERVE_S = 3.0
 # What an older level has gained since may have been used by other gateways.
-LEVEL_TRUSTED_S = 1.0
+LEVEL_VALID_S = 1.0
 # A new term gains its start credit evenly over this time.
 START_CREDIT_S = 1.0
 # Fraction of the burst above which tokens are leased.
-LEASE_ABOVE_FRACTION = 0.5
+LEASE_MIN_LEVEL_FRACTION = 0.5
 MAX_RETRY_AFTER_S = 2.0
 
 # Name and incarnation of a gateway process.
@@ -116,7 +116,7 @@
         if previous.term == self.term or learnt_at <= self.previous_level_at:
             return
         level = self._refilled(previous.level, now - learnt_at)
-        if now - learnt_at > LEVEL_TRUSTED_S:
+        if now - learnt_at > LEVEL_VALID_S:
             self.start_credit = min(self.start_credit, max(level, self.credit_gained))
             level = min(level, 0.0)
         else:
@@ -202,7 +202,7 @@
         requester = (request.requester, request.incarnation)
         if requester not in bucket.requesters and request.usage_report is None:
             return QuotaReply(ReplyStatus.REPORT_WANTED, request.fencing_token)
-        known = self._update_requester(bucket, requester, request.usage_report, now)
+        requester_usage = self._update_requester(bucket, requester, request.usage_report, now)
         bucket.refill(now)
         if (
             request.last_level is not None
@@ -211,15 +211,21 @@
             bucket.adopt_level(request.last_level, now)
         bucket.take(request.admitted_locally - request.returned)
         if request.returned:
-            known.usage.add(now, -request.returned)
-        admitted, retry_after_s = self._admit_amounts(bucket, known, request.amounts, now)
+            requester_usage.usage.add(now, -request.returned)
+        admitted, retry_after_s = self._admit_amounts(bucket, requester_usage, request.amounts, now)
         lease = (
-            self._grant_lease(bucket, known, request.lease_wanted, now) if all(admitted) else 0.0
+            self._grant_lease(bucket, requester_usage, request.lease_wanted, now)
+            if all(admitted)
+            else 0.0
+        )
+        requester_usage.last_request_at = now
+        requester_usage.rate_per_s = (
+            0.0 if request.draining else requester_usage.usage.total(now) / self._rule.window_s
         )
-        known.last_request_at = now
-        known.rate_per_s = 0.0 if request.draining else known.usage.total(now) / self._rule.window_s
         usage = self._recent_usage(bucket, now)
-        fraction = max(0.0, min(1.0, known.usage.total(now) / usage)) if usage > 0 else 0.0
+        fraction = (
+            max(0.0, min(1.0, requester_usage.usage.total(now) / usage)) if usage > 0 else 0.0
+        )
         return QuotaReply(
             ReplyStatus.DECIDED,
             request.fencing_token,
@@ -278,12 +284,12 @@
             A decision for each amount, and after how many seconds the first refused one may be
             requested again.
         """
-        grace = GRACE_FRACTION * self._rule.allowance(bucket.limit)
+        overdraft = OVERDRAFT_FRACTION * self._rule.allowance(bucket.limit)
         reserved = bucket.reserved(requester, now)
         decisions = []
         retry_after_s = 0.0
         for amount in amounts:
-            missing = min(amount, bucket.limit.burst) - (bucket.level + grace - reserved)
+            missing = min(amount, bucket.limit.burst) - (bucket.level + overdraft - reserved)
             decisions.append(missing <= 0)
             if missing <= 0:
                 bucket.take(amount)
@@ -295,8 +301,10 @@
     def _grant_lease(
         self, bucket: _TenantBucket, requester: _RequesterUsage, wanted: float, now: float
     ) -> float:
-        """Take tokens for a lease from what is above `LEASE_ABOVE_FRACTION`; return the amount."""
-        granted = max(0.0, min(wanted, bucket.level - LEASE_ABOVE_FRACTION * bucket.limit.burst))
+        """Grant up to `wanted` tokens above `LEASE_MIN_LEVEL_FRACTION`; return the amount."""
+        granted = max(
+            0.0, min(wanted, bucket.level - LEASE_MIN_LEVEL_FRACTION * bucket.limit.burst)
+        )
         if granted > 0:
             bucket.take(granted)
             requester.usage.add(now, granted)
@@ -307,11 +315,14 @@
 
         Requesters without usage in the window are forgotten.
         """
-        for requester, known in list(bucket.requesters.items()):
-            if not known.usage.total(now) and now - known.last_request_at > self._rule.window_s:
+        for requester, requester_usage in list(bucket.requesters.items()):
+            if (
+                not requester_usage.usage.total(now)
+                and now - requester_usage.last_request_at > self._rule.window_s
+            ):
                 del bucket.requesters[requester]
         return sum(
-            max(0.0, known.usage.total(now))
-            for known in bucket.requesters.values()
-            if known.rate_per_s > 0
+            max(0.0, requester_usage.usage.total(now))
+            for requester_usage in bucket.requesters.values()
+            if requester_usage.rate_per_s > 0
         )
--- a/roselink/budgets/retry_budget.py
+++ b/roselink/budgets/retry_budget.py
@@ -123,13 +123,13 @@
 
     def request(self, number: int, service: str, now: float) -> list[RetryBudgetEffect]:
         """Request one retry to a service; `number` is the caller's and unique."""
-        found = self._ownership.find(KEY_PREFIX + service)
+        fenced_owner = self._ownership.find(KEY_PREFIX + service)
         refused = now < self._refused_until.get(service, 0.0)
-        if self._slack < 1 or found is None or refused or self._ownership.is_superseded:
+        if self._slack < 1 or fenced_owner is None or refused or self._ownership.is_superseded:
             return [RetryBudgetDecided(number, allowed=False)]
         self._in_flight[number] = service
-        request = RetryBudgetRequest(service, found.fencing_token)
-        return [SendRetryBudgetRequest(number, found.owner.address, request)]
+        request = RetryBudgetRequest(service, fenced_owner.fencing_token)
+        return [SendRetryBudgetRequest(number, fenced_owner.owner.address, request)]
 
     def handle_reply(
         self, number: int, reply: RetryBudgetReply | None, now: float
@@ -143,7 +143,7 @@
             return [RetryBudgetDecided(number, allowed=False)]
         if reply.status is not ReplyStatus.DECIDED:
             if reply.status is ReplyStatus.STALE_TOKEN:
-                self._ownership.note_token(reply.fencing_token)
+                self._ownership.record_token(reply.fencing_token)
             return [RefreshRoster(), RetryBudgetDecided(number, allowed=False)]
         if not reply.allowed:
             self._refused_until[service] = now + reply.retry_after_s
--- a/roselink/budgets/usage.py
+++ b/roselink/budgets/usage.py
@@ -18,11 +18,11 @@
 # The credit of a new term whose predecessor's bucket level is not known.
 START_FRACTION = 0.35
 # Overdraft of the exact bucket, for requests that cross each other on the way.
-GRACE_FRACTION = 0.15
+OVERDRAFT_FRACTION = 0.15
 # What all gateways together admit locally without an owner that reserves it for them.
 LOCAL_FRACTION = 0.4
 # The same, for gateways without recent usage of the tenant.
-NEWCOMER_FRACTION = 0.1
+MIN_LOCAL_FRACTION = 0.1
 
 
 @dataclass(frozen=True, slots=True)
--- a/roselink/distribution/host_changes.py
+++ b/roselink/distribution/host_changes.py
@@ -27,7 +27,7 @@
         None if the reply can't be decoded, or its changes are from another version.
     """
     try:
-        new_hosts = _new_hosts(reply, hosts_version, hosts)
+        new_hosts = _decode_hosts(reply, hosts_version, hosts)
         configuration = (
             None if reply.configuration is None else zlib.decompress(reply.configuration)
         )
@@ -46,7 +46,7 @@
     )
 
 
-def _new_hosts(
+def _decode_hosts(
     reply: DeltaPullReply, hosts_version: int, hosts: tuple[Host, ...]
 ) -> tuple[Host, ...] | None:
     if reply.host_list is not None:
--- a/roselink/distribution/pull_client.py
+++ b/roselink/distribution/pull_client.py
@@ -68,8 +68,8 @@
         self._clock = clock
         self._revoke_s = settings.thresholds.revoke_ms / 1000
         self._strict = settings.thresholds.revocation_strict
-        chance = random.Random(os.urandom(8))
-        self._machine = PullStateMachine(member, settings.seed_peers(), chance)
+        rng = random.Random(os.urandom(8))
+        self._machine = PullStateMachine(member, settings.seed_peers(), rng)
         self._on_snapshot: list[SnapshotCallback] = []
         self._on_confirmed: list[Callable[[float], None]] = []
         self._on_payoffs: Callable[[PayoffsReceived], None] | None = None
@@ -156,10 +156,10 @@
 
     def _read_stamp(self) -> FileStamp | None:
         try:
-            found = os.stat(self._path)
+            file_status = os.stat(self._path)
         except OSError:
             return None
-        return FileStamp(found.st_mtime_ns, found.st_size, found.st_ino)
+        return FileStamp(file_status.st_mtime_ns, file_status.st_size, file_status.st_ino)
 
     def _wake(self) -> None:
         self._timer = None
@@ -193,8 +193,8 @@
                 case PayoffsReceived():
                     if self._on_payoffs is not None:
                         self._on_payoffs(effect)
-                case ConfigurationUnreadable(version, why):
-                    log.error("configuration_unreadable version=%d why=%s", version, why)
+                case ConfigurationUnreadable(version, reason):
+                    log.error("configuration_unreadable version=%d why=%s", version, reason)
         self._schedule()
 
     def _publish(self, snapshot: Snapshot) -> None:
--- a/roselink/distribution/pull_state_machine.py
+++ b/roselink/distribution/pull_state_machine.py
@@ -35,15 +35,15 @@
 TIMEOUT_GROWTH = 1.5
 MAX_TIMEOUT_S = 1.0
 # Between pulls while there is no list of hosts; it grows to the ordinary interval.
-FIRST_INTERVAL_S = 0.03
+INITIAL_INTERVAL_S = 0.03
 # After every known member failed once.
 INITIAL_BACKOFF_S = 0.05
 BACKOFF_GROWTH = 1.5
 MAX_BACKOFF_S = 0.25
 # Until a pull that `pull_soon` asks for.
-MIN_INTERVAL_S = 0.05
+PULL_SOON_DELAY_S = 0.05
 # The lease on keys ends so much earlier, for clocks of different rates.
-KEY_MARGIN_S = 0.2
+KEY_LEASE_MARGIN_S = 0.2
 MAX_HINTS = 16
 
 
@@ -76,7 +76,7 @@
     """Effect: a configuration came that can't be read; the old one stays in force."""
 
     version: int
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
@@ -103,7 +103,7 @@
     called for each pull, and returns the attempts at hosts since its call before.
     """
 
-    def __init__(self, member: Member, seeds: Iterable[Address], chance: random.Random) -> None:
+    def __init__(self, member: Member, seeds: Iterable[Address], rng: random.Random) -> None:
         """`member` is this gateway; `seeds` are core members from the settings."""
         self.serving = False
         self.snapshot: Snapshot | None = None
@@ -111,7 +111,7 @@
         self.due_at = 0.0
         self.outcomes: Callable[[], tuple[HostOutcomes, ...]] = tuple
         self._member = member
-        self._chance = chance
+        self._rng = rng
         self._seeds: tuple[Address, ...] = ()
         self._cores: tuple[Address, ...] = ()
         self._hints: tuple[Address, ...] = ()
@@ -127,7 +127,7 @@
         self._backoff_s = INITIAL_BACKOFF_S
         self._encoded_payoffs = b""
         self._payoffs = PayoffsReceived(())
-        self._first_interval_s = FIRST_INTERVAL_S
+        self._initial_interval_s = INITIAL_INTERVAL_S
         self.set_seeds(seeds)
 
     @property
@@ -143,14 +143,14 @@
     def set_seeds(self, seeds: Iterable[Address]) -> None:
         """Replace the core members that the settings name."""
         self._seeds = tuple(dict.fromkeys(seeds))
-        self._arrange_candidates()
+        self._order_candidates()
 
     def add_core_hints(self, cores: Iterable[str]) -> None:
         """Add core members ("ip:port") that others named; tried after the core's own list."""
         hints = tuple(dict.fromkeys((*_parse_addresses(cores), *self._hints)))[:MAX_HINTS]
         if set(hints) != set(self._hints):
             self._hints = hints
-            self._arrange_candidates()
+            self._order_candidates()
 
     def wake(self, now: float) -> list[Effect]:
         """Send a pull if one is due and none is in flight."""
@@ -163,7 +163,7 @@
 
     def pull_soon(self, now: float) -> None:
         """Bring the next pull forward: something newer exists."""
-        self.due_at = min(self.due_at, now + MIN_INTERVAL_S)
+        self.due_at = min(self.due_at, now + PULL_SOON_DELAY_S)
 
     def reply_received(
         self, call: int, reply: PullReply | DeltaPullReply | None, now: float
@@ -205,10 +205,10 @@
         """
         if self.snapshot is None or self.confirmed_at is None:
             return False
-        return not strict or now < self.confirmed_at + revoke_s - KEY_MARGIN_S
+        return not strict or now < self.confirmed_at + revoke_s - KEY_LEASE_MARGIN_S
 
     def _jittered(self, seconds: float) -> float:
-        return seconds * (1 + JITTER * (2 * self._chance.random() - 1))
+        return seconds * (1 + JITTER * (2 * self._rng.random() - 1))
 
     def _next_interval_s(self) -> float:
         """Until the next pull.
@@ -218,8 +218,8 @@
         """
         if self._vector.hosts:
             return PULL_INTERVAL_S
-        self._first_interval_s = min(PULL_INTERVAL_S, self._first_interval_s * BACKOFF_GROWTH)
-        return self._first_interval_s
+        self._initial_interval_s = min(PULL_INTERVAL_S, self._initial_interval_s * BACKOFF_GROWTH)
+        return self._initial_interval_s
 
     def _pull_failed(self, now: float) -> None:
         """Try the next member at once; after each round of all, wait for a growing backoff."""
@@ -237,15 +237,15 @@
         cores = tuple(dict.fromkeys(_parse_addresses(texts)))
         if cores and set(cores) != set(self._cores):
             self._cores = cores
-            self._arrange_candidates()
+            self._order_candidates()
 
-    def _arrange_candidates(self) -> None:
+    def _order_candidates(self) -> None:
         """Order: the member that replied last, the core's own list, hints, seeds; each shuffled."""
         first = self._candidates[:1] if self._failures == 0 and self._last_call else []
         candidates: list[Address] = [address for address in first if address in self._cores]
         for group in (self._cores, self._hints, self._seeds):
             rest = [address for address in group if address not in candidates]
-            self._chance.shuffle(rest)
+            self._rng.shuffle(rest)
             candidates += rest
         self._candidates = candidates or self._candidates
 
@@ -303,7 +303,7 @@
 
 def _parse_addresses(texts: Iterable[str]) -> list[Address]:
     """Addresses from "ip:port"; malformed ones are left out."""
-    parts = [text.rpartition(":") for text in texts]
+    pairs = [text.rpartition(":") for text in texts]
     return [
-        (host, int(port)) for host, _, port in parts if host and port.isascii() and port.isdigit()
+        (host, int(port)) for host, _, port in pairs if host and port.isascii() and port.isdigit()
     ]
--- a/roselink/gossip/peer_sampling.py
+++ b/roselink/gossip/peer_sampling.py
@@ -68,11 +68,11 @@
 class PeerSampling:
     """One gateway's view. One exchange of its own is in flight at a time."""
 
-    def __init__(self, own: Member, chance: random.Random) -> None:
+    def __init__(self, own: Member, rng: random.Random) -> None:
         """`own` is this gateway; it is never part of its view."""
         self.due_at = 0.0
         self._own = own
-        self._chance = chance
+        self._rng = rng
         self._view: dict[str, ViewEntry] = {}
         self._vector = VersionVector()
         self._cores: tuple[str, ...] = ()
@@ -87,7 +87,7 @@
     def add_members(self, members: Iterable[Member]) -> None:
         """Fill free slots of the view with members from another source."""
         others = [member for member in members if member.name not in (self._own.name, *self._view)]
-        self._chance.shuffle(others)
+        self._rng.shuffle(others)
         for member in others[: VIEW_SIZE - len(self._view)]:
             self._view[member.name] = ViewEntry(member, 0)
 
@@ -105,7 +105,7 @@
         if now < self.due_at:
             return []
         interval_s = UNCONFIRMED_INTERVAL_S if unconfirmed else CONFIRMED_INTERVAL_S
-        self.due_at = now + interval_s * (1 + JITTER * (2 * self._chance.random() - 1))
+        self.due_at = now + interval_s * (1 + JITTER * (2 * self._rng.random() - 1))
         if self._pending is not None or not self._view:
             return []
         self._view = {name: replace(entry, age=entry.age + 1) for name, entry in self._view.items()}
@@ -123,7 +123,7 @@
         """Take a peer's exchange; returns the reply, and what this gateway learns."""
         subset = self._subset(SHUFFLE_SIZE)
         self._merge(shuffle.entries, [entry.member.name for entry in subset])
-        return ShuffleReply(subset, self._digest(now)), self._learn(shuffle.digest, now)
+        return ShuffleReply(subset, self._digest(now)), self._process_digest(shuffle.digest, now)
 
     def reply_received(self, reply: ShuffleReply | None, now: float) -> list[Effect]:
         """Take the outcome of the own exchange.
@@ -137,10 +137,10 @@
         if reply is None:
             return []
         self._merge(reply.entries, sent)
-        return self._learn(reply.digest, now)
+        return self._process_digest(reply.digest, now)
 
     def _subset(self, size: int) -> tuple[ViewEntry, ...]:
-        return tuple(self._chance.sample(list(self._view.values()), min(size, len(self._view))))
+        return tuple(self._rng.sample(list(self._view.values()), min(size, len(self._view))))
 
     def _digest(self, now: float) -> GossipDigest:
         age_ms = UNKNOWN_AGE_MS
@@ -168,7 +168,7 @@
             if len(self._view) < VIEW_SIZE:
                 self._view[name] = entry
 
-    def _learn(self, digest: GossipDigest, now: float) -> list[Effect]:
+    def _process_digest(self, digest: GossipDigest, now: float) -> list[Effect]:
         effects: list[Effect] = []
         confirmed_at = now - digest.age_ms / 1000
         if digest.cores and confirmed_at > self._confirmed_at + CONFIRMATION_MAX_AGE_S:
--- a/tests/budgets/checks.py
+++ b/tests/budgets/checks.py
@@ -10,7 +10,7 @@
     from tests.budgets.fleet import Decision
 
 
-def largest_window(events: Iterable[tuple[float, float]], window_s: float) -> float:
+def max_window_sum(events: Iterable[tuple[float, float]], window_s: float) -> float:
     """The largest sum of amounts within any span of the window's length."""
     ordered = sorted(events)
     largest = total = 0.0
@@ -24,7 +24,7 @@
     return largest
 
 
-def admitted(decisions: Iterable[Decision], tenant: str) -> list[tuple[float, float]]:
+def admitted_amounts(decisions: Iterable[Decision], tenant: str) -> list[tuple[float, float]]:
     """When and how much ran."""
     return [
         (entry.decided_at, entry.amount)
@@ -33,12 +33,12 @@
     ]
 
 
-def within_limit(
+def reference_admissions(
     decisions: Iterable[Decision], tenant: str, rate: float, burst: float
 ) -> list[Decision]:
     """The requests that an exact bucket, fed in the order of arrival, lets pass."""
     level, at = burst, 0.0
-    passed = []
+    admissions = []
     for entry in sorted(decisions, key=lambda decision: decision.arrived_at):
         if entry.tenant != tenant:
             continue
@@ -46,5 +46,5 @@
         at = entry.arrived_at
         if level >= entry.amount:
             level -= entry.amount
-            passed.append(entry)
-    return passed
+            admissions.append(entry)
+    return admissions
--- a/tests/budgets/faults.py
+++ b/tests/budgets/faults.py
@@ -12,62 +12,62 @@
 
 def inject_faults(fleet: Fleet, until: float, kinds: list[str]) -> None:
     """Schedule faults of these kinds, one after the other or at once, from 4 s on."""
-    chance = random.Random(f"{fleet.seed} trouble")
+    rng = random.Random(f"{fleet.seed} trouble")
     at = fleet.now + 4
     while at < until:
-        FAULTS[chance.choice(kinds)](fleet, chance, chance.choice(fleet.gateways), at)
-        at += chance.uniform(0.5, 6)
+        FAULTS[rng.choice(kinds)](fleet, rng, rng.choice(fleet.gateways), at)
+        at += rng.uniform(0.5, 6)
 
 
-def _kill(fleet: Fleet, chance: random.Random, gateway: Gateway, at: float) -> None:
-    fleet.at(at, gateway.end)
-    fleet.at(at + chance.uniform(0.3, 2), gateway.begin)
+def _kill(fleet: Fleet, rng: random.Random, gateway: Gateway, at: float) -> None:
+    fleet.at(at, gateway.crash)
+    fleet.at(at + rng.uniform(0.3, 2), gateway.start)
 
 
-def _freeze(fleet: Fleet, chance: random.Random, gateway: Gateway, at: float) -> None:
+def _freeze(fleet: Fleet, rng: random.Random, gateway: Gateway, at: float) -> None:
     def freeze() -> None:
-        gateway.frozen_until = fleet.now + length_s
+        gateway.frozen_until = fleet.now + duration_s
 
-    length_s = chance.uniform(0.3, 6)
+    duration_s = rng.uniform(0.3, 6)
     fleet.at(at, freeze)
 
 
-def _stop(fleet: Fleet, chance: random.Random, gateway: Gateway, at: float) -> None:
-    fleet.at(at, gateway.leave)
-    fleet.at(at + 1, gateway.end)
-    fleet.at(at + 2, gateway.begin)
+def _stop(fleet: Fleet, rng: random.Random, gateway: Gateway, at: float) -> None:
+    fleet.at(at, gateway.drain)
+    fleet.at(at + 1, gateway.crash)
+    fleet.at(at + 2, gateway.start)
 
 
-def _kill_all(fleet: Fleet, chance: random.Random, gateway: Gateway, at: float) -> None:
+def _kill_all(fleet: Fleet, rng: random.Random, gateway: Gateway, at: float) -> None:
     for each in fleet.gateways:
-        _kill(fleet, chance, each, at)
+        _kill(fleet, rng, each, at)
 
 
-def _cut(fleet: Fleet, chance: random.Random, pairs: list[frozenset[int]], at: float) -> None:
-    fleet.at(at, lambda: fleet.cuts.update(pairs))
-    fleet.at(at + chance.uniform(0.3, 6), lambda: fleet.cuts.difference_update(pairs))
+def _block_links(fleet: Fleet, rng: random.Random, pairs: list[frozenset[int]], at: float) -> None:
+    fleet.at(at, lambda: fleet.blocked_links.update(pairs))
+    fleet.at(at + rng.uniform(0.3, 6), lambda: fleet.blocked_links.difference_update(pairs))
 
 
-def _isolate(fleet: Fleet, chance: random.Random, gateway: Gateway, at: float) -> None:
+def _isolate(fleet: Fleet, rng: random.Random, gateway: Gateway, at: float) -> None:
     others = [index for index in range(-1, fleet.size) if index != gateway.index]
-    _cut(fleet, chance, [frozenset((gateway.index, other)) for other in others], at)
+    _block_links(fleet, rng, [frozenset((gateway.index, other)) for other in others], at)
 
 
-def _cut_core(fleet: Fleet, chance: random.Random, gateway: Gateway, at: float) -> None:
-    _cut(fleet, chance, [frozenset((index, -1)) for index in range(fleet.size)], at)
+def _block_core_links(fleet: Fleet, rng: random.Random, gateway: Gateway, at: float) -> None:
+    _block_links(fleet, rng, [frozenset((index, -1)) for index in range(fleet.size)], at)
 
 
-def _cut_link(fleet: Fleet, chance: random.Random, gateway: Gateway, at: float) -> None:
-    other = chance.choice([each for each in fleet.gateways if each is not gateway])
-    _cut(fleet, chance, [frozenset((gateway.index, other.index))], at)
+def _block_link(fleet: Fleet, rng: random.Random, gateway: Gateway, at: float) -> None:
+    other = rng.choice([each for each in fleet.gateways if each is not gateway])
+    _block_links(fleet, rng, [frozenset((gateway.index, other.index))], at)
 
 
-def _partition(fleet: Fleet, chance: random.Random, gateway: Gateway, at: float) -> None:
+def _partition(fleet: Fleet, rng: random.Random, gateway: Gateway, at: float) -> None:
     half = fleet.size // 2
     pairs = [frozenset((one, other)) for one in range(half) for other in range(half, fleet.size)]
-    if chance.random() < 0.5:
+    if rng.random() < 0.5:
         pairs += [frozenset((one, -1)) for one in range(half)]
-    _cut(fleet, chance, pairs, at)
+    _block_links(fleet, rng, pairs, at)
 
 
 FAULTS: dict[str, Fault] = {
@@ -76,7 +76,7 @@
     "stop": _stop,
     "kill all": _kill_all,
     "isolate": _isolate,
-    "cut core": _cut_core,
-    "link": _cut_link,
+    "cut core": _block_core_links,
+    "link": _block_link,
     "partition": _partition,
 }
--- a/tests/budgets/fleet.py
+++ b/tests/budgets/fleet.py
@@ -40,7 +40,7 @@
 CORE_TIMEOUT_S = 1.2
 CORE_PAUSE_S = 0.6
 LINK_S = 0.0014
-Step = Callable[[], None]
+Callback = Callable[[], None]
 
 
 @dataclass
@@ -73,30 +73,30 @@
     requests_sent: int = 0
 
     def __post_init__(self) -> None:
-        self.chance = random.Random(self.seed)
-        self._events: list[tuple[float, int, Step]] = []
-        self._count = 0
+        self.rng = random.Random(self.seed)
+        self._events: list[tuple[float, int, Callback]] = []
+        self._last_event_number = 0
         self.version = 0
         self.roster: tuple[Member, ...] = ()
         self.last_pulls: dict[Member, float] = {}
         self.last_pull = self.now
-        self.cuts: set[frozenset[int]] = set()  # pairs of gateways; -1 is the core
+        self.blocked_links: set[frozenset[int]] = set()  # pairs of gateways; -1 is the core
         self.gateways = [Gateway(self, index) for index in range(self.size)]
         for gateway in self.gateways:
-            gateway.begin()
+            gateway.start()
 
-    def at(self, when: float, step: Step) -> None:
-        self._count += 1
-        heapq.heappush(self._events, (max(when, self.now), self._count, step))
+    def at(self, when: float, callback: Callback) -> None:
+        self._last_event_number += 1
+        heapq.heappush(self._events, (max(when, self.now), self._last_event_number, callback))
 
     def run(self, until: float) -> None:
         while self._events and self._events[0][0] <= until:
-            self.now, _, step = heapq.heappop(self._events)
-            step()
+            self.now, _, callback = heapq.heappop(self._events)
+            callback()
         self.now = until
 
     def reachable(self, one: int, other: int) -> bool:
-        return frozenset((one, other)) not in self.cuts
+        return frozenset((one, other)) not in self.blocked_links
 
     def pull(self, member: Member, *, serving: bool) -> None:
         """The core receives a pull, and removes the gateways that have not pulled."""
@@ -132,15 +132,15 @@
                 in_flight = False
                 done(reply)
 
-        def back(reply: Any) -> None:
+        def send_reply(reply: Any) -> None:
             if self.reachable(caller.index, callee.index):
                 caller.when_awake(self.now + LINK_S, lambda: complete(reply))
 
         def deliver() -> None:
             if callee.alive:
-                back(callee.serve(request))
+                send_reply(callee.serve(request))
             else:
-                back(None)
+                send_reply(None)
 
         caller.when_awake(self.now + timeout_s, lambda: complete(None))
         if caller is callee:
@@ -160,7 +160,7 @@
         self.frozen_until = 0.0
         self.serving = True
 
-    def begin(self) -> None:
+    def start(self) -> None:
         fleet = self.fleet
         self.incarnation += 1
         self.alive = True
@@ -175,39 +175,39 @@
         self.retry_client = RetryBudgetClient(self.ownership, fleet.slack)
         self._requests: dict[int, tuple[str, float, float]] = {}
         self._retries: dict[int, str] = {}
-        self._numbers = 0
+        self._last_request_number = 0
         self._wake_at = float("inf")
         self.configure(fleet.limits)
-        self.later(fleet.chance.random() * 0.05, self.pull)
+        self.later(fleet.rng.random() * 0.05, self.pull)
 
-    def leave(self) -> None:
+    def drain(self) -> None:
         """Drain, as after SIGTERM: own no keys any more."""
         self.serving = False
         self.client.draining = True
         self.pull(again=False)
 
-    def end(self) -> None:
+    def crash(self) -> None:
         """Crash: all state is lost."""
         self.alive = False
         self.incarnation += 1
 
-    def when_awake(self, when: float, step: Step) -> None:
-        def attempt() -> None:
+    def when_awake(self, when: float, callback: Callback) -> None:
+        def run_when_awake() -> None:
             if self.fleet.now < self.frozen_until:
-                self.fleet.at(self.frozen_until, attempt)
+                self.fleet.at(self.frozen_until, run_when_awake)
             else:
-                step()
+                callback()
 
-        self.fleet.at(when, attempt)
+        self.fleet.at(when, run_when_awake)
 
-    def later(self, delay_s: float, step: Step) -> None:
+    def later(self, delay_s: float, callback: Callback) -> None:
         incarnation = self.incarnation
 
-        def attempt() -> None:
+        def run_when_awake() -> None:
             if self.incarnation == incarnation:
-                step()
+                callback()
 
-        self.when_awake(self.fleet.now + delay_s, attempt)
+        self.when_awake(self.fleet.now + delay_s, run_when_awake)
 
     def configure(self, limits: dict[str, QuotaLimit]) -> None:
         self.quota_owner.configure(limits, self.fleet.now)
@@ -219,11 +219,11 @@
         if fleet.reachable(self.index, -1):
             fleet.pull(self.member, serving=self.serving)
             version, roster = fleet.version, fleet.roster
-            self.later(2 * LINK_S, lambda: self.pulled(version, roster, sent_at))
+            self.later(2 * LINK_S, lambda: self.pull_reply_received(version, roster, sent_at))
         if again:
-            self.later(PULL_S * fleet.chance.uniform(0.8, 1.2), self.pull)
+            self.later(PULL_S * fleet.rng.uniform(0.8, 1.2), self.pull)
 
-    def pulled(self, version: int, roster: tuple[Member, ...], sent_at: float) -> None:
+    def pull_reply_received(self, version: int, roster: tuple[Member, ...], sent_at: float) -> None:
         now = self.fleet.now
         self.ownership.update(version, roster)
         unconfirmed_s = self.ownership.confirm(sent_at, now)
@@ -267,17 +267,21 @@
 
         def arrive() -> None:
             if self.incarnation == incarnation and self.alive:
-                self._numbers += 1
-                self._requests[self._numbers] = (tenant, amount, arrived_at)
-                self.perform(self.client.admit(self._numbers, tenant, amount, self.fleet.now))
+                self._last_request_number += 1
+                self._requests[self._last_request_number] = (tenant, amount, arrived_at)
+                self.perform(
+                    self.client.admit(self._last_request_number, tenant, amount, self.fleet.now)
+                )
 
         self.when_awake(self.fleet.now, arrive)
 
     def retry(self, service: str) -> None:
         if self.alive and self.fleet.now >= self.frozen_until:
-            self._numbers += 1
-            self._retries[self._numbers] = service
-            self.perform(self.retry_client.request(self._numbers, service, self.fleet.now))
+            self._last_request_number += 1
+            self._retries[self._last_request_number] = service
+            self.perform(
+                self.retry_client.request(self._last_request_number, service, self.fleet.now)
+            )
 
     def perform(self, effects: Iterable[Any]) -> None:
         fleet = self.fleet
--- a/tests/budgets/test_deadline_index.py
+++ b/tests/budgets/test_deadline_index.py
@@ -36,15 +36,15 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_as_a_plain_table(seed: int) -> None:
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     deadlines, table = DeadlineIndex(), dict[str, float]()
     for step in range(3000):
-        name = f"n{chance.randrange(30)}"
-        at = chance.choice((step + chance.randrange(50), NEVER, step))
+        name = f"n{rng.randrange(30)}"
+        at = rng.choice((step + rng.randrange(50), NEVER, step))
         deadlines.set(name, at)
         table[name] = at
         assert deadlines.earliest() == min(table.values())
-        if chance.random() < 0.2:
+        if rng.random() < 0.2:
             due = deadlines.pop_due(step)
             assert sorted(due) == sorted(each for each, when in table.items() if when <= step)
             assert [table[each] for each in due] == sorted(table[each] for each in due)
--- a/tests/budgets/test_fleet.py
+++ b/tests/budgets/test_fleet.py
@@ -7,7 +7,7 @@
 import pytest
 
 from roselink.budgets.usage import QuotaLimit, QuotaRule
-from tests.budgets.checks import admitted, largest_window, within_limit
+from tests.budgets.checks import admitted_amounts, max_window_sum, reference_admissions
 from tests.budgets.faults import FAULTS, inject_faults
 from tests.budgets.fleet import Fleet
 
@@ -15,81 +15,87 @@
 RULE = QuotaRule(window_s=8.0, over=0.1, slack=110_000.0)
 BOUND = (RATE * RULE.window_s + BURST) * (1 + RULE.over) + RULE.slack
 SIZES = (9200.0, 9200.0, 2400.0, 2400.0, 700.0)
-PLAY_S = 30.0
+RUN_S = 30.0
 
 
 def send(fleet: Fleet, tenant: str, tokens_per_s: float, until: float) -> None:
     """Requests at random moments, at gateways with uneven load."""
-    chance = random.Random(f"{fleet.seed} {tenant}")
-    weights = [chance.uniform(0.3, 2.0) for _ in fleet.gateways]
+    rng = random.Random(f"{fleet.seed} {tenant}")
+    weights = [rng.uniform(0.3, 2.0) for _ in fleet.gateways]
     per_s = tokens_per_s * len(SIZES) / sum(SIZES)
-    at = fleet.now + 1.0 + chance.expovariate(per_s)
+    at = fleet.now + 1.0 + rng.expovariate(per_s)
     while at < until:
-        gateway = chance.choices(fleet.gateways, weights)[0]
-        amount = chance.choice(SIZES)
+        gateway = rng.choices(fleet.gateways, weights)[0]
+        amount = rng.choice(SIZES)
         fleet.at(at, lambda gateway=gateway, amount=amount: gateway.request(tenant, amount))  # type: ignore[misc]
-        at += chance.expovariate(per_s)
+        at += rng.expovariate(per_s)
 
 
-def fleet_of(seed: int, *tenants: str) -> Fleet:
+def make_fleet(seed: int, *tenants: str) -> Fleet:
     return Fleet(6, seed, {name: QuotaLimit(RATE, BURST) for name in tenants}, RULE)
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_calm_refuses_nothing_that_is_within_the_limit(seed: int) -> None:
-    fleet = fleet_of(seed, "near", "small")
-    until = fleet.now + PLAY_S
+    fleet = make_fleet(seed, "near", "small")
+    until = fleet.now + RUN_S
     send(fleet, "near", RATE / 1.3, until)
     send(fleet, "small", RATE / 5, until)
     fleet.run(until + 1)
     for tenant in ("near", "small"):
-        passed = within_limit(fleet.decisions, tenant, RATE, BURST)
-        assert len(passed) > 100
-        assert [entry for entry in passed if not entry.allowed] == []
+        expected_admissions = reference_admissions(fleet.decisions, tenant, RATE, BURST)
+        assert len(expected_admissions) > 100
+        assert [entry for entry in expected_admissions if not entry.allowed] == []
     assert max(entry.decided_at - entry.arrived_at for entry in fleet.decisions) < 0.02
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_calm_gives_a_pressing_tenant_its_limit_and_no_more(seed: int) -> None:
-    fleet = fleet_of(seed, "hot")
-    until = fleet.now + PLAY_S
+    fleet = make_fleet(seed, "hot")
+    until = fleet.now + RUN_S
     send(fleet, "hot", 6 * RATE, until)
     fleet.run(until + 1)
-    got = admitted(fleet.decisions, "hot")
-    owed = sum(entry.amount for entry in within_limit(fleet.decisions, "hot", RATE, BURST))
-    assert sum(amount for _, amount in got) >= 0.99 * owed
+    admitted = admitted_amounts(fleet.decisions, "hot")
+    expected = sum(
+        entry.amount for entry in reference_admissions(fleet.decisions, "hot", RATE, BURST)
+    )
+    assert sum(amount for _, amount in admitted) >= 0.99 * expected
     # the exact bucket, and the grace for requests that cross each other
-    assert largest_window(
-        got, RULE.window_s
+    assert max_window_sum(
+        admitted, RULE.window_s
     ) <= RATE * RULE.window_s + BURST + 0.16 * RULE.allowance(QuotaLimit(RATE, BURST))
 
 
 @pytest.mark.parametrize("fault", [*FAULTS, "any"])
 @pytest.mark.parametrize("seed", range(3))
 def test_no_fault_exceeds_the_rules_bound(fault: str, seed: int) -> None:
-    fleet = fleet_of(seed, "hot")
-    until = fleet.now + PLAY_S
+    fleet = make_fleet(seed, "hot")
+    until = fleet.now + RUN_S
     send(fleet, "hot", 6 * RATE, until)
     inject_faults(fleet, until - 3, list(FAULTS) if fault == "any" else [fault])
     fleet.run(until + 1)
-    assert largest_window(admitted(fleet.decisions, "hot"), RULE.window_s) <= BOUND
-    awake = [entry for entry in fleet.decisions if fleet.gateways[entry.gateway].frozen_until == 0]
-    assert max(entry.decided_at - entry.arrived_at for entry in awake) <= 0.25
+    assert max_window_sum(admitted_amounts(fleet.decisions, "hot"), RULE.window_s) <= BOUND
+    never_frozen = [
+        entry for entry in fleet.decisions if fleet.gateways[entry.gateway].frozen_until == 0
+    ]
+    assert max(entry.decided_at - entry.arrived_at for entry in never_frozen) <= 0.25
 
 
-@pytest.mark.parametrize(("fault", "max_lost"), [("stop", 0.005), ("kill", 0.03), ("link", 0.04)])
-def test_a_tenant_near_its_limit_loses_little(fault: str, max_lost: float) -> None:
-    lost = owed = 0.0
+@pytest.mark.parametrize(
+    ("fault", "max_refused"), [("stop", 0.005), ("kill", 0.03), ("link", 0.04)]
+)
+def test_a_tenant_near_its_limit_loses_little(fault: str, max_refused: float) -> None:
+    refused = expected = 0.0
     for seed in range(3):
-        fleet = fleet_of(seed, "near")
-        until = fleet.now + PLAY_S
+        fleet = make_fleet(seed, "near")
+        until = fleet.now + RUN_S
         send(fleet, "near", RATE / 1.3, until)
         inject_faults(fleet, until - 3, [fault])
         fleet.run(until + 1)
-        passed = within_limit(fleet.decisions, "near", RATE, BURST)
-        owed += sum(entry.amount for entry in passed)
-        lost += sum(entry.amount for entry in passed if not entry.allowed)
-    assert lost <= max_lost * owed
+        expected_admissions = reference_admissions(fleet.decisions, "near", RATE, BURST)
+        expected += sum(entry.amount for entry in expected_admissions)
+        refused += sum(entry.amount for entry in expected_admissions if not entry.allowed)
+    assert refused <= max_refused * expected
 
 
 @pytest.mark.parametrize("fault", [None, *FAULTS, "any"])
@@ -98,26 +104,26 @@
     slack, window_s = 52.0, 10.0
     fleet = Fleet(6, seed, {}, RULE, ("one", "two"), slack, window_s)
     until = fleet.now + 60
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     at = fleet.now + 1
     while at < until:
-        gateway, service = chance.choice(fleet.gateways), chance.choice(("one", "two"))
+        gateway, service = rng.choice(fleet.gateways), rng.choice(("one", "two"))
         fleet.at(at, lambda gateway=gateway, service=service: gateway.retry(service))  # type: ignore[misc]
-        at += chance.expovariate(60)
+        at += rng.expovariate(60)
     if fault is not None:
         inject_faults(fleet, until - 3, list(FAULTS) if fault == "any" else [fault])
     fleet.run(until + 1)
     for service in ("one", "two"):
-        lent = [(at, 1.0) for at, name in fleet.retries if name == service]
-        assert largest_window(lent, window_s) <= slack
+        granted = [(at, 1.0) for at, name in fleet.retries if name == service]
+        assert max_window_sum(granted, window_s) <= slack
         if fault is None:
-            late = [entry for entry in lent if entry[0] > until - 30]
+            late = [entry for entry in granted if entry[0] > until - 30]
             assert len(late) > 2.5 * 0.8 * slack
 
 
 def test_a_lower_limit_binds_one_window_after_it_came() -> None:
-    fleet = fleet_of(7, "hot")
-    until = fleet.now + PLAY_S
+    fleet = make_fleet(7, "hot")
+    until = fleet.now + RUN_S
     send(fleet, "hot", 6 * RATE, until)
     change_at = fleet.now + 10
     for gateway in fleet.gateways:
@@ -125,7 +131,9 @@
         fleet.at(change_at, lambda gateway=gateway, limits=limits: gateway.configure(limits))  # type: ignore[misc]
     fleet.run(until + 1)
     later = [
-        entry for entry in admitted(fleet.decisions, "hot") if entry[0] > change_at + RULE.window_s
+        entry
+        for entry in admitted_amounts(fleet.decisions, "hot")
+        if entry[0] > change_at + RULE.window_s
     ]
     bound = (RATE / 2 * RULE.window_s + BURST / 2) * (1 + RULE.over) + RULE.slack
-    assert largest_window(later, RULE.window_s) <= bound
+    assert max_window_sum(later, RULE.window_s) <= bound
--- a/tests/budgets/test_quota_client.py
+++ b/tests/budgets/test_quota_client.py
@@ -11,7 +11,7 @@
 from roselink.budgets.retry_budget import (
     RefreshRoster,
 )
-from roselink.budgets.usage import LOCAL_FRACTION, NEWCOMER_FRACTION, QuotaLimit, QuotaRule
+from roselink.budgets.usage import LOCAL_FRACTION, MIN_LOCAL_FRACTION, QuotaLimit, QuotaRule
 from roselink.model.fleet import Member
 from roselink.protocol.budgets import QuotaReply, QuotaRequest, ReplyStatus
 
@@ -205,13 +205,13 @@
     while now < 10.6 + 2 * RECENT_RATE_S:
         total += sum(decided(client.admit(int(now * 1000), "t", 1.0, now)).values())
         now += 0.02
-    newcomer = NEWCOMER_FRACTION * ALLOWANCE
+    newcomer = MIN_LOCAL_FRACTION * ALLOWANCE
     assert rate * RECENT_RATE_S <= total <= rate * RECENT_RATE_S + 1 + newcomer
 
 
 @pytest.mark.parametrize(
     ("usage_fraction", "local_fraction"),
-    [(0.5, 0.5 * LOCAL_FRACTION), (0.0, NEWCOMER_FRACTION), (1.0, LOCAL_FRACTION)],
+    [(0.5, 0.5 * LOCAL_FRACTION), (0.0, MIN_LOCAL_FRACTION), (1.0, LOCAL_FRACTION)],
 )
 def test_after_that_only_a_fraction_of_the_allowance_is_used(
     usage_fraction: float, local_fraction: float
--- a/tests/budgets/test_quota_owner.py
+++ b/tests/budgets/test_quota_owner.py
@@ -6,7 +6,7 @@
 
 from roselink.budgets import quota_owner as module
 from roselink.budgets.quota_owner import QuotaOwner
-from roselink.budgets.usage import GRACE_FRACTION, START_FRACTION, QuotaLimit, QuotaRule
+from roselink.budgets.usage import OVERDRAFT_FRACTION, START_FRACTION, QuotaLimit, QuotaRule
 from roselink.model.fleet import Member
 from roselink.protocol.budgets import (
     BucketLevel,
@@ -116,7 +116,7 @@
 
 
 def test_requests_that_cross_have_a_grace_out_of_the_allowance() -> None:
-    grace = GRACE_FRACTION * ALLOWANCE
+    grace = OVERDRAFT_FRACTION * ALLOWANCE
     owner = full_owner(LOOSE)
     assert owner.decide(request(100.0, grace - 0.01, 1.0), 10.0).admitted == (True, True, False)
 
--- a/tests/budgets/test_quota_wake_times.py
+++ b/tests/budgets/test_quota_wake_times.py
@@ -17,14 +17,14 @@
 ROSTER = tuple(Member(f"edge-{number}", f"10.1.0.{number}:7500", 1) for number in range(4))
 
 
-def make_reply(request: QuotaRequest, chance: random.Random) -> QuotaReply | None:
-    if chance.random() < 0.15:
+def make_reply(request: QuotaRequest, rng: random.Random) -> QuotaReply | None:
+    if rng.random() < 0.15:
         return None
-    if chance.random() < 0.1:
+    if rng.random() < 0.1:
         return QuotaReply(
-            chance.choice((ReplyStatus.NOT_READY, ReplyStatus.REPORT_WANTED)), request.fencing_token
+            rng.choice((ReplyStatus.NOT_READY, ReplyStatus.REPORT_WANTED)), request.fencing_token
         )
-    admitted = tuple(chance.random() < 0.8 for _ in request.amounts)
+    admitted = tuple(rng.random() < 0.8 for _ in request.amounts)
     lease = request.lease_wanted if all(admitted) else 0.0
     return QuotaReply(
         ReplyStatus.DECIDED, request.fencing_token, admitted, lease, 0.1, 0.3, 7, 100.0
@@ -33,7 +33,7 @@
 
 @pytest.mark.parametrize("seed", range(40))
 def test_no_tenant_has_a_deadline_that_is_too_late(seed: int) -> None:
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     ownership = OwnershipView(ROSTER[0])
     ownership.update(1, ROSTER)
     client = QuotaClient(ownership, RULE)
@@ -41,21 +41,21 @@
     client.configure(limits)
     now, requests = 0.0, list[SendQuotaRequest]()
     for number in range(2000):
-        now += chance.choice((0.0, 0.003, 0.02, 0.3))
+        now += rng.choice((0.0, 0.003, 0.02, 0.3))
         if number % 400 == 399:
             now += 10.0  # all use leaves the window
         ownership.confirm(now, now)
-        chosen = chance.random()
+        chosen = rng.random()
         if chosen < 0.3:
-            effects = client.admit(number, chance.choice(NAMES), chance.choice((1.0, 40.0)), now)
+            effects = client.admit(number, rng.choice(NAMES), rng.choice((1.0, 40.0)), now)
         elif chosen < 0.5 and requests:
-            sent = requests.pop(chance.randrange(len(requests)))
-            effects = client.handle_reply(sent.call, make_reply(sent.request, chance), now)
+            sent = requests.pop(rng.randrange(len(requests)))
+            effects = client.handle_reply(sent.call, make_reply(sent.request, rng), now)
         elif chosen < 0.55:
-            client.refund(chance.choice(NAMES), 1.0, now)
+            client.refund(rng.choice(NAMES), 1.0, now)
             effects = []
         elif chosen < 0.57:
-            kept = chance.sample(NAMES, 6)
+            kept = rng.sample(NAMES, 6)
             effects = client.configure({name: limits[name] for name in kept})
         elif chosen < 0.6:
             effects = client.configure(limits)
--- a/tests/distribution/test_host_changes.py
+++ b/tests/distribution/test_host_changes.py
@@ -212,24 +212,24 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_whatever_changes_and_whatever_is_lost_the_lists_agree(seed: int) -> None:
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     pair = Pair()
-    listed = {f"h{number}": host(f"h{number}") for number in range(chance.randrange(30))}
+    listed = {f"h{number}": host(f"h{number}") for number in range(rng.randrange(30))}
     for step in range(150):
-        for _ in range(chance.choice((0, 0, 1, 1, 3, 30))):
-            name = f"h{chance.randrange(40)}"
-            if chance.random() < 0.4:
+        for _ in range(rng.choice((0, 0, 1, 1, 3, 30))):
+            name = f"h{rng.randrange(40)}"
+            if rng.random() < 0.4:
                 listed.pop(name, None)
             else:
-                state = chance.choice((HostState.READY, HostState.DRAINING))
-                listed[name] = host(name, state, chance.choice((0.0, 1000.0 - step)))
-        if chance.random() < 0.05:
+                state = rng.choice((HostState.READY, HostState.DRAINING))
+                listed[name] = host(name, state, rng.choice((0.0, 1000.0 - step)))
+        if rng.random() < 0.05:
             pair.view(pair.epoch + 1)
         shuffled = list(listed.values())
-        chance.shuffle(shuffled)
+        rng.shuffle(shuffled)
         pair.listed(*shuffled)
-        if chance.random() < 0.5:
-            pair.pull(lost=chance.random() < 0.3)
+        if rng.random() < 0.5:
+            pair.pull(lost=rng.random() < 0.3)
     pair.pull()
     pair.pull()
     assert [_plain(entry) for entry in pair.hosts] == [
--- a/tests/distribution/test_pull_state_machine.py
+++ b/tests/distribution/test_pull_state_machine.py
@@ -238,8 +238,8 @@
     ("now", "strict", "allowed"),
     [
         (1.0, True, True),
-        (1.0 + 5 - module.KEY_MARGIN_S - 0.001, True, True),
-        (1.0 + 5 - module.KEY_MARGIN_S, True, False),
+        (1.0 + 5 - module.KEY_LEASE_MARGIN_S - 0.001, True, True),
+        (1.0 + 5 - module.KEY_LEASE_MARGIN_S, True, False),
         (100.0, True, False),
         (100.0, False, True),
     ],
@@ -274,9 +274,9 @@
     pulls = machine()
     exchange(pulls, 1.0, reply(3, 1))
     pulls.pull_soon(1.01)
-    assert pulls.due_at == 1.01 + module.MIN_INTERVAL_S
+    assert pulls.due_at == 1.01 + module.PULL_SOON_DELAY_S
     pulls.pull_soon(1.05)
-    assert pulls.due_at == 1.01 + module.MIN_INTERVAL_S
+    assert pulls.due_at == 1.01 + module.PULL_SOON_DELAY_S
 
 
 def test_without_any_list_of_hosts_the_next_pulls_come_soon_and_then_at_the_ordinary_pace() -> None:
@@ -319,23 +319,23 @@
     old.
     """
     for seed in range(30):
-        chance = random.Random(seed)
+        rng = random.Random(seed)
         pulls = machine(seed)
         acknowledged: list[tuple[float, int]] = [(0.0, 1)]
         now, newest = 0.0, 0
         open_call: tuple[SendPull, float] | None = None
         for _ in range(3000):
-            now += chance.uniform(0.0, 0.05) if chance.random() > 0.003 else chance.uniform(1, 9)
-            if chance.random() < 0.01:
-                acknowledged.append((now, acknowledged[-1][1] + chance.randint(1, 3)))
-            if open_call is not None and chance.random() < 0.7:
+            now += rng.uniform(0.0, 0.05) if rng.random() > 0.003 else rng.uniform(1, 9)
+            if rng.random() < 0.01:
+                acknowledged.append((now, acknowledged[-1][1] + rng.randint(1, 3)))
+            if open_call is not None and rng.random() < 0.7:
                 call, sent_at = open_call
                 open_call = None
                 known = max(version for at, version in acknowledged if at <= sent_at)
-                old = chance.randint(1, known)
-                confirmed = chance.random() < 0.5
+                old = rng.randint(1, known)
+                confirmed = rng.random() < 0.5
                 answer = reply(known if confirmed else old, confirmed=confirmed)
-                pulls.reply_received(call.call, None if chance.random() < 0.2 else answer, now)
+                pulls.reply_received(call.call, None if rng.random() < 0.2 else answer, now)
             for effect in pulls.wake(now):
                 assert isinstance(effect, SendPull)
                 open_call = effect, now
--- a/tests/gossip/test_peer_sampling.py
+++ b/tests/gossip/test_peer_sampling.py
@@ -123,7 +123,7 @@
 
 
 def test_views_stay_connected_and_forget_the_dead() -> None:
-    chance = random.Random(3)
+    rng = random.Random(3)
     members = OTHERS[:20]
     views = {
         member.address: PeerSampling(member, random.Random(member.incarnation))
@@ -137,9 +137,7 @@
         now += 0.02
         if step == 3000:
             dead = {member.address for member in members[:8]}
-        address = chance.choice(
-            [member.address for member in members if member.address not in dead]
-        )
+        address = rng.choice([member.address for member in members if member.address not in dead])
         for effect in views[address].wake(now):
             assert isinstance(effect, SendShuffleRequest)
             if effect.address in dead:
--- a/tests/mutations/budgets.py
+++ b/tests/mutations/budgets.py
@@ -18,7 +18,8 @@
         ),
         (
             "an owner forgets that a higher token is in use",
-            "        self.note_token(fencing_token)\n        if fencing_token < self.newest_token:",
+            "        self.record_token(fencing_token)\n"
+            "        if fencing_token < self.newest_token:",
             "        if fencing_token < self.fencing_token:",
         ),
         (
@@ -51,7 +52,11 @@
             "if requester not in bucket.requesters and request.usage_report is None:",
             "if False:",
         ),
-        ("nothing is reserved for unreachable requesters", "+ grace - reserved)", "+ grace)"),
+        (
+            "nothing is reserved for unreachable requesters",
+            "+ overdraft - reserved)",
+            "+ overdraft)",
+        ),
         ("a term begins full", "START_FRACTION * self._rule.allowance(limit))", "limit.burst)"),
         ("terms never end", "        self._buckets.clear()\n", "        pass\n"),
         (
--- a/tests/mutations/distribution.py
+++ b/tests/mutations/distribution.py
@@ -4,12 +4,12 @@
 
 from tests.mutations.mutation import Mutation, mutations_of
 
-PULLER = ("tests/distribution", "tests/simulation/test_scenarios.py")
+DISTRIBUTION = ("tests/distribution", "tests/simulation/test_scenarios.py")
 
 MUTATIONS: tuple[Mutation, ...] = (
     *mutations_of(
         "distribution/pull_state_machine.py",
-        PULLER,
+        DISTRIBUTION,
         ("a late reply to an earlier pull is applied", " or self._pending.call != call", ""),
         (
             "an older configuration is applied",
@@ -43,13 +43,13 @@
         ),
         (
             "keys outlive their lease",
-            "self.confirmed_at + revoke_s - KEY_MARGIN_S",
+            "self.confirmed_at + revoke_s - KEY_LEASE_MARGIN_S",
             "self.confirmed_at + 2 * revoke_s",
         ),
     ),
     *mutations_of(
         "distribution/host_changes.py",
-        PULLER,
+        DISTRIBUTION,
         (
             "differences from another version are applied",
             "if changes.base == hosts_version else None",
