--- a/roselink/budgets/budget_service.py
+++ b/roselink/budgets/budget_service.py
@@ -1,6 +1,6 @@
-"""Runs both sides of quotas and retry budgets of one gateway over the internal protocol.
+"""Runs the owner and the requester side of one gateway's budgets over the internal protocol.
 
-Requests to keys that this gateway owns itself are decided directly, without the network.
+Requests for keys that this gateway owns are decided in the process, without the network.
 """
 
 from __future__ import annotations
@@ -43,11 +43,14 @@
 
 log = logging.getLogger("roselink.budgets")
 
+# Time-out of a retry budget request; without a reply the retry is refused. A larger value delays
+# retries when an owner is unreachable, a smaller one refuses them when it is only slow.
 RETRY_BUDGET_TIMEOUT_S = 0.1
-# A timer is set for no shorter delay, so that the loop is not kept busy.
+# Shortest delay of the timer. A smaller value wakes the event loop more often, a larger one delays
+# local decisions and keep-alives.
 MIN_WAKE_DELAY_S = 0.002
 
-# Called with whether a request is admitted, and after how many seconds a refused one may come
+# Called with whether a request is admitted, and after how many seconds a refused one may be sent
 # again.
 DecideQuota = Callable[[bool, float], None]
 # Called with whether a retry is allowed.
@@ -58,7 +61,7 @@
 
 
 class BudgetService:
-    """Quotas and retry budgets at one gateway, as owner and as requester."""
+    """Quotas and retry budgets of one gateway, as owner and as requester."""
 
     def __init__(
         self,
@@ -72,10 +75,10 @@
 
         Args:
             own: this gateway.
-            thresholds: the figures of both budgets' rules, from the settings.
+            thresholds: the limits of both budget rules, from the settings.
             pool: sends requests to other gateways.
-            refresh: called when this gateway's roster seems to be outdated.
-            clock: the time in seconds.
+            refresh: called when this gateway's roster may be outdated.
+            clock: returns the monotonic time in seconds.
         """
         rule = QuotaRule(thresholds.quota_window_s, thresholds.quota_over, thresholds.quota_slack)
         window_s = thresholds.retry_window_s
@@ -100,7 +103,7 @@
         self._timer_at = float("inf")
 
     def apply(self, snapshot: Snapshot) -> None:
-        """Take over the limits and the roster of a new snapshot."""
+        """Apply the limits and the roster of a new snapshot."""
         now = self._clock()
         limits = {
             tenant.name: QuotaLimit(tenant.rate_per_s, tenant.burst)
@@ -114,7 +117,7 @@
         self._perform(self._quota_client.configure(limits))
 
     def confirm(self, at: float) -> None:
-        """Record that the snapshot in force was the newest one after `at`."""
+        """Record a confirmation that the snapshot in force was still the newest one after `at`."""
         now = self._clock()
         unconfirmed_s = self._ownership.confirm(at, now)
         if unconfirmed_s >= CONFIRMATION_VALID_S:
@@ -132,7 +135,7 @@
         self._perform(self._quota_client.admit(number, tenant.name, amount, self._clock()))
 
     def refund(self, tenant: Tenant, amount: float) -> None:
-        """Return the amount of a request that was admitted, has not run, and will not run."""
+        """Refund the amount of an admitted request that has not run and will not run."""
         self._quota_client.refund(tenant.name, amount, self._clock())
         self._perform(())
 
@@ -153,7 +156,7 @@
         return True
 
     def begin_drain(self) -> None:
-        """This gateway takes no new requests, and admits none locally any more."""
+        """Report this gateway as draining: it takes no new requests, so owners reserve nothing."""
         self._quota_client.draining = True
 
     def stop(self) -> None:
@@ -192,7 +195,7 @@
         return status
 
     def _perform(self, effects: Iterable[Effect]) -> None:
-        """Perform effects in order, and those that they cause, before the next timer is set."""
+        """Perform effects in order, including those that they cause, then set the timer."""
         self._effects.extend(effects)
         if self._performing:
             return
@@ -202,7 +205,7 @@
                 effect = self._effects.popleft()
                 try:
                     self._perform_one(effect)
-                # A fault of one request must not keep the others from their decisions.
+                # An exception in one callback must not prevent the remaining decisions.
                 except Exception:
                     log.exception("decision_failed")
         finally:
@@ -233,17 +236,17 @@
                 self._refresh()
 
     def _handle_quota_reply(self, call: int, reply: object) -> None:
-        """Process a reply; a record of another kind counts as none."""
+        """Process a reply; a record of another type counts as a failed request."""
         valid_reply = reply if isinstance(reply, QuotaReply) else None
         self._perform(self._quota_client.handle_reply(call, valid_reply, self._clock()))
 
     def _handle_retry_reply(self, number: int, reply: object) -> None:
-        """Process a reply; a record of another kind counts as none."""
+        """Process a reply; a record of another type counts as a failed request."""
         valid_reply = reply if isinstance(reply, RetryBudgetReply) else None
         self._perform(self._retry_client.handle_reply(number, valid_reply, self._clock()))
 
     def _schedule(self) -> None:
-        """Set the timer for the quota client's next wake-up, unless one is set that is earlier."""
+        """Set the timer for the quota client's next deadline unless it is already set earlier."""
         now = self._clock()
         wake_at = self._quota_client.next_wake_at(now)
         if self._timer is not None:
--- a/roselink/budgets/deadline_index.py
+++ b/roselink/budgets/deadline_index.py
@@ -1,4 +1,4 @@
-"""An index of deadlines by name, which finds the earliest one without a walk over all names."""
+"""An index of deadlines by name that finds the earliest one without iterating over all names."""
 
 from __future__ import annotations
 
@@ -6,12 +6,13 @@
 
 NEVER = float("inf")
 
-# Outdated heap entries that may stay beside the current ones before the heap is rebuilt.
+# Outdated heap entries tolerated before a rebuild, beyond one for each current deadline. A larger
+# value uses more memory, a smaller one rebuilds the heap more often.
 _MAX_OUTDATED = 64
 
 
 class DeadlineIndex:
-    """One deadline for each name, in seconds on the caller's clock; the last one set counts.
+    """One deadline for each name, in seconds on the caller's clock; setting one replaces the last.
 
     The heap keeps outdated entries until they come to its top (lazy deletion) or outnumber the
     current ones.
@@ -48,7 +49,7 @@
         return self._heap[0][0] if self._heap else NEVER
 
     def pop_due(self, now: float) -> list[str]:
-        """Remove the deadlines that have come by `now`; return their names, earliest first."""
+        """Remove the deadlines that are due at `now`; return their names, earliest first."""
         names = []
         while self.earliest() <= now:
             name = heappop(self._heap)[1]
--- a/roselink/budgets/local_admission.py
+++ b/roselink/budgets/local_admission.py
@@ -1,25 +1,27 @@
 """Admission of one tenant's requests at a gateway whose quota owner is unreachable.
 
-For a limited time the gateway continues at a fraction of its own recent rate, whether its roster is
-confirmed or not: the owner that knew its usage reserves as much for it, and so does a new owner
-that learnt from other gateways how much all had used (`quota_owner`). Beyond that, requests must
-fit into a fraction of the rule's allowance, for which no owner reserves anything.
+For a limited time the gateway admits at a fraction of its own recent rate, whether its roster is
+confirmed or not. The owner that knew its usage reserves that amount for it, and so does a new owner
+that learnt the total usage from other gateways (`quota_owner`). Beyond that, requests must fit into
+a fraction of the rule's allowance, for which no owner reserves anything.
 """
 
 from __future__ import annotations
 
 from roselink.budgets.usage import UsageWindow
 
-# Of the recent rate.
+# Fraction of the recent rate at which requests are admitted. It stays below 1, the rate that the
+# owner reserves; a smaller value refuses more requests.
 RECENT_RATE_FRACTION = 0.8
-# How long at that rate; also the most of it that runs in any window, in seconds of the rate.
+# How long requests are admitted at that rate, and the most that is admitted in any window, in
+# seconds of that rate. The owner reserves for as long (quota_owner.MAX_RESERVE_S).
 RECENT_RATE_S = 3.0
-# What may come at once, in seconds of that rate.
+# Burst of the local bucket, in seconds of that rate.
 BURST_S = 0.6
 
 
 class LocalAdmission:
-    """Local decisions on one tenant at one gateway, in periods without a reachable owner."""
+    """Admits requests of one tenant at one gateway while the owner is unreachable."""
 
     def __init__(self, window_s: float) -> None:
         """Start with a reachable owner. `window_s` is the quota rule's window."""
@@ -36,9 +38,9 @@
         """Begin a period without a reachable owner.
 
         Args:
-            rate: own recent usage per second.
+            rate: this gateway's recent usage per second.
             now: the time in seconds.
-            reserved: whether an owner knew of that usage and so reserves for it.
+            reserved: whether an owner knows that usage and reserves for it.
         """
         self.active = True
         self._began_at = now
@@ -55,8 +57,8 @@
         """Decide whether an amount may run.
 
         Args:
-            amount: what the request wants to use.
-            unreserved_limit: what may run in a window without an owner's reservation.
+            amount: the amount that the request uses.
+            unreserved_limit: the amount admitted in a window without an owner's reservation.
             now: the time in seconds.
         """
         refill = self._rate * max(0.0, now - self._updated_at)
--- a/roselink/budgets/ownership.py
+++ b/roselink/budgets/ownership.py
@@ -3,8 +3,8 @@
 The owner of a key is the member with the highest hash of key and name: rendezvous hashing (Thaler
 and Ravishankar, "Using name-based mappings to increase hit rates", IEEE/ACM Transactions on
 Networking 6(1), 1998). The fencing token is the roster's version. An owner serves only requests
-under its own token, and only while its view is confirmed: once the control plane has missed this
-gateway for longer, another one may own the key.
+under its own token, and only while its view is confirmed. If the control plane has
+received no pull for longer, it may have removed this gateway, and another one may own the key.
 """
 
 from __future__ import annotations
@@ -20,7 +20,9 @@
 
     from roselink.model.fleet import Member
 
-# How long an owner may act after it sent its newest confirmed pull.
+# How long an owner may act after it sent its newest confirmed pull, in seconds. A larger value than
+# the core's `gateway_timeout_s` permits two owners of one key at once; a smaller one makes owners
+# refuse requests after fewer failed pulls.
 CONFIRMATION_VALID_S = 1.0
 
 
@@ -33,7 +35,7 @@
 
 
 def rendezvous_owner(key: str, roster: Iterable[Member]) -> Member | None:
-    """Return the owner of a key by rendezvous hashing; None of an empty roster."""
+    """Return the owner of a key by rendezvous hashing; None if the roster is empty."""
     return max(roster, key=lambda member: (_weight(key, member.name), member.name), default=None)
 
 
@@ -48,7 +50,7 @@
         """Start without a roster. `own` is this process."""
         self.own = own
         self.fencing_token = 0
-        # The highest token that any gateway has used; a roster with it is in force.
+        # The highest token that any gateway is known to use; that roster version is in force.
         self.newest_token = 0
         self.roster: tuple[Member, ...] = ()
         self._confirmed_at = float("-inf")
@@ -56,11 +58,11 @@
 
     @property
     def size(self) -> int:
-        """Number of live gateways; 1 at least."""
+        """Number of live gateways, at least 1."""
         return max(1, len(self.roster))
 
     def update(self, fencing_token: int, roster: tuple[Member, ...]) -> bool:
-        """Adopt a roster, unless it is older; return whether it is new."""
+        """Adopt a roster if its token is newer; return whether it was adopted."""
         if fencing_token <= self.fencing_token:
             return False
         self.fencing_token = fencing_token
@@ -70,7 +72,7 @@
         return True
 
     def record_token(self, fencing_token: int) -> None:
-        """Note a token that another gateway uses; under a lower one nothing is done any more."""
+        """Record a token that another gateway uses; it invalidates all lower ones."""
         self.newest_token = max(self.newest_token, fencing_token)
 
     @property
@@ -79,30 +81,30 @@
         return self.fencing_token < self.newest_token
 
     def confirm(self, at: float, now: float) -> float:
-        """Record that the view in force was the newest one after `at`.
+        """Record a confirmation that the view in force was still the newest one after `at`.
 
         Returns:
-            For how long it had not been confirmed, in seconds. From `CONFIRMATION_VALID_S` on,
-            another gateway may have owned this one's keys meanwhile.
+            For how long the view had been unconfirmed, in seconds. If `CONFIRMATION_VALID_S` or
+            longer, another gateway may have owned this one's keys in that time.
         """
         unconfirmed_s = now - self._confirmed_at
         self._confirmed_at = max(self._confirmed_at, at)
         return unconfirmed_s
 
     def find(self, key: str) -> FencedOwner | None:
-        """Return the owner of a key as far as known here."""
+        """Return the owner of a key under the roster in force; None without a roster."""
         if key not in self._owners:
             self._owners[key] = rendezvous_owner(key, self.roster)
         owner = self._owners[key]
         return None if owner is None else FencedOwner(owner, self.fencing_token)
 
     def owns(self, key: str) -> bool:
-        """Return whether this process owns the key under its token, confirmed or not."""
+        """Return whether this process owns the key under its roster, confirmed or not."""
         fenced_owner = self.find(key)
         return fenced_owner is not None and fenced_owner.owner == self.own
 
     def is_confirmed(self, now: float) -> bool:
-        """Return whether this gateway's view was confirmed recently enough to act as an owner."""
+        """Return whether this gateway's view was confirmed recently enough to act as owner."""
         return now - self._confirmed_at < CONFIRMATION_VALID_S
 
     def check_request(self, key: str, fencing_token: int, now: float) -> ReplyStatus:
--- a/roselink/budgets/quota_client.py
+++ b/roselink/budgets/quota_client.py
@@ -1,8 +1,8 @@
-"""The requester's side of quotas: requests wait together, for a bounded time, for the owner.
+"""The requester's side of quotas: batches requests to the owner and bounds how long they wait.
 
-One quota request for each tenant is in flight; amounts that arrive meanwhile go with the next one.
-A gateway with recent usage sends at least a keep-alive every `KEEP_ALIVE_INTERVAL_S`, by which the
-owner knows that it is reachable. While the owner is unreachable, requests are decided here
+One quota request for each tenant is in flight; amounts that arrive meanwhile are sent with the next
+one. A gateway with recent usage sends at least a keep-alive every `KEEP_ALIVE_INTERVAL_S`, by which
+the owner knows that it is reachable. While the owner is unreachable, requests are decided locally
 (`local_admission`).
 """
 
@@ -30,24 +30,32 @@
     from roselink.budgets.ownership import OwnershipView
 
 KEY_PREFIX = "quota/"
+# Time-out of a quota request. A larger value delays local decisions when the owner is unreachable;
+# a smaller one decides locally when the owner is only slow.
 REQUEST_TIMEOUT_S = 0.15
-# For amounts that waited behind a quota request that failed.
+# Shortest time-out, for amounts that already waited for a quota request that failed.
 MIN_REQUEST_TIMEOUT_S = 0.03
-# A request waits no longer for a decision.
+# A request that has waited for this time is decided locally.
 MAX_WAIT_S = 0.2
-# A faster failure is a broken connection: the request is retried at once, one time.
+# A failure within this time is a broken connection: the request is sent again once, immediately.
 CONNECTION_FAILURE_S = 0.05
-# After a reply that decided nothing.
+# Delay of the next request after a reply without a decision, while the rosters differ.
 RETRY_INTERVAL_S = 0.03
-# Between requests to an owner that doesn't reply.
+# Interval of requests to an owner that doesn't reply.
 PROBE_INTERVAL_S = 0.1
+# Interval of keep-alives. A larger value must stay below quota_owner.UNREACHABLE_AFTER_S, or the
+# owner reserves for reachable gateways; a smaller one sends more requests.
 KEEP_ALIVE_INTERVAL_S = 0.4
+# How long leased tokens may be used. A larger value saves requests and withholds the unused tokens
+# from the other gateways for longer.
 LEASE_DURATION_S = 0.3
-# A lease is for the recent usage of this time, if that is a typical request's amount or more.
+# A lease covers this time at the recent rate, if that is at least a typical request's amount. A
+# larger value saves requests and withholds more from the other gateways.
 LEASE_AHEAD_S = 0.25
-# `retry_after_s` of a request that local admission refuses.
+# The `retry_after_s` of a request that is refused locally.
 LOCAL_RETRY_AFTER_S = 0.3
-# Weight of the newest amount in the moving average of a request's amount.
+# Weight of the newest amount in the moving average of request amounts. A larger value follows
+# changes faster, a smaller one smooths more.
 TYPICAL_AMOUNT_WEIGHT = 0.1
 
 
@@ -63,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaDecided:
-    """Effect: the decision on one request, and when a refused one may be sent again."""
+    """Effect: the decision on one request, and after how long a refused one may be sent again."""
 
     number: int
     allowed: bool
@@ -84,7 +92,7 @@
 
 @dataclass(slots=True)
 class _InFlightRequest:
-    """The quota request in flight, and how much of `admitted_locally` it reported."""
+    """The quota request in flight, and the `admitted_locally` amount that it reported."""
 
     call: int
     sent_at: float
@@ -94,7 +102,7 @@
 
 @dataclass(slots=True)
 class _TenantState:
-    """One tenant at this gateway."""
+    """The state of one tenant at this gateway."""
 
     limit: QuotaLimit
     usage: UsageWindow
@@ -104,22 +112,22 @@
     last_sent_at: float = float("-inf")
     not_before: float = 0.0
     failures: int = 0
-    # The fencing token under which the owner has this gateway's usage report; 0 for none.
+    # Fencing token under which the owner has this gateway's usage report; 0 if it has none.
     reported_token: int = 0
-    # Admitted locally and not yet known to an owner.
+    # Amount that was admitted locally and not yet reported to an owner.
     admitted_locally: float = 0.0
-    # The bucket's level in the last reply, and when that reply came.
+    # The bucket's level in the last reply, and when that reply was received.
     last_level: tuple[BucketLevel, float] | None = None
     lease: float = 0.0
     lease_expires_at: float = 0.0
     returned: float = 0.0
     usage_fraction: float = 0.0
-    # Moving average of a request's amount.
+    # Moving average of request amounts.
     typical_amount: float = 0.0
 
 
 class QuotaClient:
-    """Decisions on the requests of all tenants at one gateway."""
+    """Decides the requests of all tenants at one gateway, by the owners or locally."""
 
     def __init__(self, ownership: OwnershipView, rule: QuotaRule) -> None:
         """Start without tenants."""
@@ -132,7 +140,7 @@
         self._last_call = 0
 
     def configure(self, limits: Mapping[str, QuotaLimit]) -> list[Effect]:
-        """Apply the limits of a configuration; requests of tenants without one are admitted."""
+        """Apply the limits of a configuration; tenants without a limit are always admitted."""
         effects: list[Effect] = []
         for name in list(self._tenants):
             limit = limits.get(name)
@@ -149,19 +157,19 @@
         return effects
 
     def _remove(self, tenant: str) -> list[Effect]:
-        """Remove a tenant and admit its requests."""
+        """Remove a tenant and admit its pending requests."""
         removed = self._tenants.pop(tenant)
         self._deadlines.set(tenant, NEVER)
         sent = removed.in_flight.amounts if removed.in_flight is not None else []
         return [_admitted(entry.number) for entry in [*sent, *removed.pending]]
 
     def admit(self, number: int, tenant: str, amount: float, now: float) -> list[Effect]:
-        """Decide a request; `QuotaDecided` comes once, in this result or in a later one.
+        """Decide a request; `QuotaDecided` is returned once, by this call or by a later one.
 
         Args:
-            number: the caller's number of the request, unique.
+            number: the caller's unique number of the request.
             tenant: name of the request's tenant.
-            amount: what the request wants to use of the quota.
+            amount: the amount of the quota that the request uses.
             now: the time in seconds.
         """
         state = self._tenants.get(tenant)
@@ -190,7 +198,7 @@
         return self._send_if_due(tenant, state, now)
 
     def refund(self, tenant: str, amount: float, now: float) -> None:
-        """Return the amount of a request that was admitted, has not run, and will not run."""
+        """Refund the amount of an admitted request that has not run and will not run."""
         state = self._tenants.get(tenant)
         if state is not None:
             state.usage.add(now, -amount)
@@ -198,7 +206,7 @@
             self._update_deadline(tenant, state, now)
 
     def handle_reply(self, call: int, reply: QuotaReply | None, now: float) -> list[Effect]:
-        """Process the outcome of a quota request: the owner's reply, or None without one."""
+        """Process the outcome of a quota request: the owner's reply, or None if there was none."""
         tenant = self._calls.pop(call, "")
         state = self._tenants.get(tenant)
         if state is None or state.in_flight is None or state.in_flight.call != call:
@@ -236,7 +244,7 @@
         return effects + self._send_if_due(tenant, state, now)
 
     def wake(self, now: float) -> list[Effect]:
-        """Decide locally what has waited for too long, and send the quota requests that are due."""
+        """Decide requests locally whose wait is over; send the quota requests that are due."""
         effects: list[Effect] = []
         for tenant in self._deadlines.pop_due(now):
             state = self._tenants[tenant]
@@ -252,7 +260,7 @@
         return max(now, self._deadlines.earliest())
 
     def _update_deadline(self, tenant: str, state: _TenantState, now: float) -> None:
-        """Set when a tenant is due, after any change to its state; never later than it is."""
+        """Update when a tenant needs `wake`, after any change to its state; may be too early."""
         self._deadlines.set(tenant, self._deadline(state, now))
 
     def _deadline(self, state: _TenantState, now: float) -> float:
@@ -263,7 +271,7 @@
             return min(deadline, state.not_before)
         next_send_at = max(state.not_before, _next_keep_alive(state))
         if not _needs_keep_alive(state, now):
-            # Returned amounts may outweigh the rest of the usage, once some of that has expired.
+            # The total may be 0 because refunds cancel usage, and change once that has expired.
             next_send_at = max(next_send_at, state.usage.oldest_expires_at())
         return min(deadline, next_send_at)
 
@@ -276,7 +284,7 @@
         ):
             return []
         if self._ownership.is_superseded:
-            # A token that was refused is not used again: what waits does so for the next roster.
+            # A refused token is not used again: pending amounts wait for the next roster.
             state.not_before = now + RETRY_INTERVAL_S
             return []
         fenced_owner = self._ownership.find(KEY_PREFIX + tenant)
@@ -330,7 +338,7 @@
         return wanted if wanted >= state.typical_amount else 0.0
 
     def _switch_to_local(self, state: _TenantState, now: float) -> list[Effect]:
-        """Decide all that is pending locally, and what comes until an owner replies."""
+        """Decide pending requests locally, and new ones too until an owner replies."""
         if not state.local.active:
             rate = max(0.0, state.usage.total(now)) / self._rule.window_s
             reserved = state.reported_token != 0 and not self.draining
@@ -358,17 +366,17 @@
 
 
 def _needs_keep_alive(state: _TenantState, now: float) -> bool:
-    """Whether an owner has to know of this gateway's usage: then it gets keep-alives."""
+    """Whether the owner must be informed of this gateway's usage by keep-alives."""
     return bool(state.returned or state.lease or state.usage.total(now))
 
 
 def _next_keep_alive(state: _TenantState) -> float:
-    """When the owner is due for a keep-alive; an unreachable one, for a probe."""
+    """Return when the next keep-alive is due, or the next probe of an unreachable owner."""
     return state.last_sent_at + (PROBE_INTERVAL_S if state.local.active else KEEP_ALIVE_INTERVAL_S)
 
 
 def _expire_lease(state: _TenantState, now: float) -> None:
-    """Return what is left of a lease that has expired."""
+    """Return the unused rest of a lease that has expired."""
     if state.lease and now >= state.lease_expires_at:
         state.returned += state.lease
         state.lease = 0.0
@@ -377,7 +385,7 @@
 def _apply_decisions(
     state: _TenantState, completed: _InFlightRequest, reply: QuotaReply, now: float
 ) -> list[Effect]:
-    """Take over what an owner decided."""
+    """Apply an owner's decisions to the tenant's state; return the effects."""
     state.local.end()
     state.failures = 0
     state.reported_token = reply.fencing_token
--- a/roselink/budgets/quota_owner.py
+++ b/roselink/budgets/quota_owner.py
@@ -1,14 +1,14 @@
-"""The owner's side of quotas: one exact token bucket for each tenant, and each requester's usage.
+"""The owner's side of quotas: an exact token bucket per tenant, and the usage per requester.
 
-A term begins when this gateway becomes the owner of a tenant. Each requester reports the level of
-the previous owner's bucket that its last reply had, and what it has admitted locally since then:
-the newest such level and the sum of the local admissions give the level of the bucket now. Where no
-level is known, the term starts with a fraction of the rule's allowance, because gateways that are
-gone may have used any amount.
+A term begins when this gateway becomes the owner of a tenant. Each requester reports the previous
+owner's bucket level, as in its last reply, and the amount that it has admitted locally since then.
+The newest such level and the sum of the local admissions give the current level. If no level is
+known, the term starts with a fraction of the rule's allowance, because gateways that have left may
+have used any amount.
 
-A requester whose requests stop may be unreachable and admit at its recent rate locally
-(`local_admission`): the owner reserves that much and withholds it from the others. A new owner does
-the same for all usage that it knows from the previous owner only, not from those who used it.
+A requester that stops sending may be unreachable and admit requests locally at its recent rate
+(`local_admission`): the owner reserves that amount and withholds it from the others. A new owner
+does the same for usage that the previous owner counted and no requester has reported yet.
 """
 
 from __future__ import annotations
@@ -36,16 +36,22 @@
 
     from roselink.model.fleet import Member
 
-# Requesters with recent usage send about twice as often (quota_client.KEEP_ALIVE_INTERVAL_S).
+# A requester counts as unreachable this long after its last request. Requesters with recent usage
+# send about twice as often (quota_client.KEEP_ALIVE_INTERVAL_S). A smaller value reserves for
+# requesters that are only slow, a larger one starts the reservation later.
 UNREACHABLE_AFTER_S = 0.65
-# A requester admits at its recent rate for no longer (local_admission.RECENT_RATE_S).
+# Longest reservation: a requester admits at its recent rate for as long
+# (local_admission.RECENT_RATE_S).
 MAX_RESERVE_S = 3.0
-# What an older level has gained since may have been used by other gateways.
+# Age up to which a reported level is refilled to now. What an older one has gained may have been
+# used by other gateways.
 LEVEL_VALID_S = 1.0
-# A new term gains its start credit evenly over this time.
+# A new term receives its start credit evenly over this time.
 START_CREDIT_S = 1.0
-# Fraction of the burst above which tokens are leased.
+# Fraction of the burst that leases leave in the bucket. A larger value leaves more for requests of
+# the other gateways, a smaller one saves requests to the owner.
 LEASE_MIN_LEVEL_FRACTION = 0.5
+# Upper bound of a refused request's `retry_after_s`.
 MAX_RETRY_AFTER_S = 2.0
 
 # Name and incarnation of a gateway process.
@@ -54,14 +60,14 @@
 
 @dataclass(slots=True)
 class _RequesterUsage:
-    """What the owner knows of one requester: its usage, and its rate at its last request."""
+    """One requester as the owner knows it: its usage, and its rate as of its last request."""
 
     usage: UsageWindow
     last_request_at: float
     rate_per_s: float = 0.0
 
     def reserved(self, now: float) -> float:
-        """Return what the requester may have admitted locally since it became unreachable."""
+        """Return the amount that the requester may have admitted locally while unreachable."""
         unreachable_s = now - self.last_request_at
         if unreachable_s <= UNREACHABLE_AFTER_S or unreachable_s > self.usage.window_s:
             return 0.0
@@ -72,11 +78,11 @@
 class _TenantBucket:
     """The token bucket of one tenant in this owner's term.
 
-    `baseline_level` at `baseline_at` is where this term assumes that the previous owner's bucket
-    stood, and counts from. `previous_level_at` is when a requester learnt the newest level of that
-    owner; `previous_usage` is what all had used by then, and `reported_usage` what the requesters
-    of this term had used of it. `start_credit` is what a term without a trusted level gains, and
-    `credit_gained` what it has gained so far.
+    `baseline_level` at `baseline_at` is the assumed level of the previous owner's bucket, from
+    which this term counts. `previous_level_at` is when a requester received that owner's newest
+    known level; `previous_usage` is the total usage at that time, and `reported_usage` the part of
+    it that requesters of this term have reported. `start_credit` is the credit of a term without a
+    valid level, and `credit_gained` the part of it received so far.
     """
 
     limit: QuotaLimit
@@ -93,7 +99,7 @@
     requesters: dict[Requester, _RequesterUsage] = field(default_factory=dict)
 
     def refill(self, now: float) -> None:
-        """Add the tokens and the start credit of the time since the last update."""
+        """Add the tokens and the start credit for the time since the last update."""
         elapsed_s = max(0.0, now - self.updated_at)
         gain = min(
             self.start_credit - self.credit_gained, self.start_credit * elapsed_s / START_CREDIT_S
@@ -103,14 +109,14 @@
         self.updated_at = max(self.updated_at, now)
 
     def take(self, amount: float) -> None:
-        """Remove an amount; a negative one is returned, up to the burst."""
+        """Remove an amount; a negative one is added, up to the burst."""
         self.level = min(self.limit.burst, self.level - amount)
 
     def adopt_level(self, previous: BucketLevel, now: float) -> None:
-        """Count from the previous owner's level as a requester learnt it; the newest one stays.
+        """Count from the previous owner's level as a requester received it, if it is the newest.
 
-        What an old level seems to have gained since, other gateways may have used: it counts as the
-        start credit at most.
+        Other gateways may have used what an old level would have gained since: that counts at most
+        as the start credit.
         """
         learnt_at = now - previous.age_ms / 1000
         if previous.term == self.term or learnt_at <= self.previous_level_at:
@@ -131,7 +137,7 @@
         self.previous_usage = previous.recent_usage
 
     def reserved(self, requester: _RequesterUsage, now: float) -> float:
-        """Return what unreachable gateways other than the requester may have admitted locally."""
+        """Return the amount that unreachable gateways but this one may have admitted locally."""
         reserved = sum(
             other.reserved(now) for other in self.requesters.values() if other is not requester
         )
@@ -143,7 +149,7 @@
         return reserved
 
     def change_limit(self, limit: QuotaLimit, now: float) -> None:
-        """Apply a new limit: a higher burst is available at once, a lower one caps the level."""
+        """Apply a new limit: added burst is available immediately, a lower one caps the level."""
         self.refill(now)
         self.level = min(limit.burst, self.level + max(0.0, limit.burst - self.limit.burst))
         self.limit = limit
@@ -153,10 +159,10 @@
 
 
 class QuotaOwner:
-    """The buckets of all tenants that this gateway owns."""
+    """Decides requests by the buckets of all tenants that this gateway owns."""
 
     def __init__(self, rule: QuotaRule, incarnation: int) -> None:
-        """Start without tenants. Terms count up from `incarnation`, so that no two are equal."""
+        """Start without tenants. Terms count up from `incarnation`, which makes them unique."""
         self._rule = rule
         self._last_term = incarnation
         self._limits: dict[str, QuotaLimit] = {}
@@ -173,9 +179,9 @@
                 self._buckets[tenant].change_limit(limit, now)
 
     def set_owned(self, tenants: Iterable[str], roster: Iterable[Member], now: float) -> None:
-        """Begin and end terms so that they are those of the tenants that this gateway owns.
+        """Begin terms of newly owned tenants and end those of tenants no longer owned.
 
-        Nothing stays reserved for a process that was restarted.
+        Reservations for processes that were restarted since end.
         """
         owned = {
             name for name in tenants if name in self._limits and self._limits[name].rate_per_s > 0
@@ -191,11 +197,11 @@
                     requester.rate_per_s = 0.0
 
     def end_terms(self) -> None:
-        """End all terms: this gateway was unconfirmed for so long that others may have owned."""
+        """End all terms: the view was unconfirmed so long that others may have been owners."""
         self._buckets.clear()
 
     def decide(self, request: QuotaRequest, now: float) -> QuotaReply:
-        """Decide a request, whose fencing token the caller has checked."""
+        """Decide a request; the caller has checked its fencing token."""
         bucket = self._buckets.get(request.tenant)
         if bucket is None:
             return QuotaReply(ReplyStatus.NOT_READY, request.fencing_token)
@@ -257,7 +263,7 @@
         report: tuple[UsageSample, ...] | None,
         now: float,
     ) -> _RequesterUsage:
-        """Return what is known of a requester, replaced by its report if there is one."""
+        """Return a requester's usage, replaced by its report if there is one."""
         if report is not None:
             usage = self._reported_usage(report, now)
             if requester not in bucket.requesters:
@@ -278,10 +284,10 @@
         amounts: tuple[float, ...],
         now: float,
     ) -> tuple[tuple[bool, ...], float]:
-        """Admit each amount that the bucket has; one above the burst requires a full bucket.
+        """Admit each amount that the bucket covers; one above the burst requires a full bucket.
 
         Returns:
-            A decision for each amount, and after how many seconds the first refused one may be
+            A decision for each amount, and the seconds after which the first refused one may be
             requested again.
         """
         overdraft = OVERDRAFT_FRACTION * self._rule.allowance(bucket.limit)
@@ -311,9 +317,9 @@
         return granted
 
     def _recent_usage(self, bucket: _TenantBucket, now: float) -> float:
-        """Return the usage of the last window, without requesters that drain.
+        """Return the usage of the last window, without that of draining requesters.
 
-        Requesters without usage in the window are forgotten.
+        Requesters without usage in the window are removed.
         """
         for requester, requester_usage in list(bucket.requesters.items()):
             if (
--- a/roselink/budgets/retry_budget.py
+++ b/roselink/budgets/retry_budget.py
@@ -1,11 +1,11 @@
 """The retry budget that all gateways share for a service: the owner's and the requester's sides.
 
-The rule adds `retry_slack` retries of a service to those that its requests earn, in any window,
-over all gateways. An owner grants at most `GRANTED_FRACTION` of it within any window. No gateway
-can know what the previous owner granted up to its end, which may have been unreachable together
-with some of the gateways. So a term grants at most `FIRST_WINDOW_FRACTION` in its first window, and
-nothing in its first `START_DELAY_S`, because ownership moves quickly while a roster forms. Four
-moves of ownership within one window stay under the slack.
+Beyond the retries that a service's requests earn, the rule allows `retry_slack` retries within any
+window over all gateways. An owner grants at most `GRANTED_FRACTION` of it within any window. What
+the previous owner granted last is unknown, since it may have been unreachable together with some of
+the gateways. So a term grants at most `FIRST_WINDOW_FRACTION` in its first window, and nothing in
+its first `START_DELAY_S`, because ownership changes often while a roster forms. Four changes of
+ownership within one window stay below the slack.
 """
 
 from __future__ import annotations
@@ -23,15 +23,16 @@
 
 GRANTED_FRACTION = 0.8
 FIRST_WINDOW_FRACTION = 0.05
-# A new term grants nothing for this time.
+# Time at the start of a term in which nothing is granted.
 START_DELAY_S = 0.5
-# A requester refuses for this time after a refusal, without a request to the owner.
+# After a refusal, a requester refuses for this time without a request to the owner. A larger value
+# saves requests, a smaller one uses a budget that is available again sooner.
 REFUSAL_VALID_S = 0.1
 KEY_PREFIX = "retry/"
 
 
 class _Term:
-    """One service in this owner's term: when it began, and when each retry was granted."""
+    """This owner's term for one service: when it began, and when each retry was granted."""
 
     def __init__(self, began_at: float) -> None:
         self.began_at = began_at
@@ -49,7 +50,7 @@
         self._terms: dict[str, _Term] = {}
 
     def set_owned(self, services: Iterable[str], now: float) -> None:
-        """Begin and end terms so that they are those of the services that this gateway owns."""
+        """Begin terms of newly owned services and end those of services no longer owned."""
         owned = set(services)
         for service in [name for name in self._terms if name not in owned]:
             del self._terms[service]
@@ -59,14 +60,14 @@
     def end_terms(self, unconfirmed_s: float) -> None:
         """End all terms if this gateway's view was unconfirmed for a window or longer.
 
-        Another owner may have granted `FIRST_WINDOW_FRACTION` within less than a window, for which
-        the fractions leave room.
+        Within less than a window another owner can have granted at most `FIRST_WINDOW_FRACTION`,
+        for which the fractions leave room.
         """
         if unconfirmed_s >= self._window_s:
             self._terms.clear()
 
     def decide(self, request: RetryBudgetRequest, now: float) -> RetryBudgetReply:
-        """Decide a request, whose fencing token the caller has checked."""
+        """Decide a request; the caller has checked its fencing token."""
         term = self._terms.get(request.service)
         if term is None:
             return RetryBudgetReply(ReplyStatus.NOT_READY, request.fencing_token, allowed=False)
@@ -80,7 +81,7 @@
         )
 
     def _window_limit(self, age_s: float) -> float:
-        """Return the number of retries that a term of this age may grant within a window."""
+        """Return how many retries a term of this age may grant within a window."""
         if age_s < START_DELAY_S:
             return 0.0
         return self._first_window_limit if age_s < self._window_s else self._limit
@@ -105,24 +106,24 @@
 
 @dataclass(frozen=True, slots=True)
 class RefreshRoster:
-    """Effect: the owner's roster differs from this gateway's, which pulls soon."""
+    """Effect: pull soon, because the owner's roster differs from this gateway's."""
 
 
 RetryBudgetEffect = SendRetryBudgetRequest | RetryBudgetDecided | RefreshRoster
 
 
 class RetryBudgetClient:
-    """The requester's side. Without a reachable owner every retry is refused."""
+    """The requester's side. Every retry is refused while the owner is unreachable."""
 
     def __init__(self, ownership: OwnershipView, slack: float) -> None:
-        """Start without requests. A `slack` below 1 refuses all."""
+        """Start without requests. A `slack` below 1 refuses every retry."""
         self._ownership = ownership
         self._slack = slack
         self._in_flight: dict[int, str] = {}
         self._refused_until: dict[str, float] = {}
 
     def request(self, number: int, service: str, now: float) -> list[RetryBudgetEffect]:
-        """Request one retry to a service; `number` is the caller's and unique."""
+        """Request one retry to a service; `number` is the caller's unique number of it."""
         fenced_owner = self._ownership.find(KEY_PREFIX + service)
         refused = now < self._refused_until.get(service, 0.0)
         if self._slack < 1 or fenced_owner is None or refused or self._ownership.is_superseded:
@@ -134,7 +135,7 @@
     def handle_reply(
         self, number: int, reply: RetryBudgetReply | None, now: float
     ) -> list[RetryBudgetEffect]:
-        """Decide by the owner's reply; without one (None) the retry is refused."""
+        """Apply the owner's decision; without a reply (None) the retry is refused."""
         service = self._in_flight.pop(number, None)
         if service is None:
             return []
--- a/roselink/budgets/usage.py
+++ b/roselink/budgets/usage.py
@@ -1,4 +1,4 @@
-"""The figures of the quota rule, and a sliding window of recent usage.
+"""The parameters of the quota rule, and a sliding window of recent usage.
 
 Amounts are in the unit of the tenant's quota: requests or language model tokens.
 """
@@ -10,24 +10,25 @@
 
 from roselink.protocol.budgets import UsageSample
 
-# Resolution of a usage window.
+# Resolution of a usage window. A larger value uses less memory and shorter reports; a smaller one
+# lets usage expire closer to its true age.
 SLOT_S = 0.5
 
-# How the rule's allowance is divided; the fractions sum up to 1.
+# Division of the rule's allowance; the fractions add up to 1.
 
-# The credit of a new term whose predecessor's bucket level is not known.
+# Credit of a new term if the level of the previous owner's bucket is unknown.
 START_FRACTION = 0.35
-# Overdraft of the exact bucket, for requests that cross each other on the way.
+# Overdraft of the owner's bucket, for requests of several gateways that reach it out of order.
 OVERDRAFT_FRACTION = 0.15
-# What all gateways together admit locally without an owner that reserves it for them.
+# Local admissions of all gateways together for which no owner reserves anything.
 LOCAL_FRACTION = 0.4
-# The same, for gateways without recent usage of the tenant.
+# Lower bound of the same, divided equally among all gateways, for those without recent usage.
 MIN_LOCAL_FRACTION = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaLimit:
-    """One tenant's quota: a token bucket's rate and burst. A rate of 0 sets no limit."""
+    """One tenant's quota: rate and burst of a token bucket. A rate of 0 means no limit."""
 
     rate_per_s: float
     burst: float
@@ -35,9 +36,9 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaRule:
-    """How far the sum over all gateways may exceed a tenant's limit within a window.
+    """How far usage over all gateways may exceed a tenant's limit within a window.
 
-    `over` is a fraction of the limit, `slack` an amount on top.
+    `over` is a fraction of the limit, `slack` an additional constant amount.
     """
 
     window_s: float
@@ -45,14 +46,14 @@
     slack: float
 
     def allowance(self, limit: QuotaLimit) -> float:
-        """Return the amount that may run in one window beyond rate x window + burst."""
+        """Return the amount admitted in one window beyond rate x window + burst."""
         return self.over * (limit.rate_per_s * self.window_s + limit.burst) + self.slack
 
 
 class UsageWindow:
-    """Amounts of the last `window_s` seconds, summed by slot of `SLOT_S`.
+    """Amounts of the last `window_s` seconds, summed by slots of `SLOT_S`.
 
-    A slot counts until its newest moment leaves the window.
+    A slot counts until its end leaves the window.
     """
 
     __slots__ = ("_slots", "_total", "window_s")
@@ -65,7 +66,7 @@
         self._total = 0.0
 
     def add(self, at: float, amount: float) -> None:
-        """Count an amount at a moment, which may be older than the newest one."""
+        """Add an amount at a time, which may be older than the newest one."""
         end = (at // SLOT_S + 1) * SLOT_S
         self._total += amount
         for slot in reversed(self._slots):
@@ -89,11 +90,11 @@
         return self._total
 
     def oldest_expires_at(self) -> float:
-        """Return when the oldest amount leaves the window; infinity where there is none."""
+        """Return when the oldest slot leaves the window; infinity if there is none."""
         return self._slots[0][0] + self.window_s if self._slots else float("inf")
 
     def report(self, now: float) -> tuple[UsageSample, ...]:
-        """Return the last window as a request reports it to an owner."""
+        """Return the last window in the form in which requests report it to an owner."""
         self.total(now)
         return tuple(
             UsageSample(int(max(0.0, now - end) * 1000), amount) for end, amount in self._slots
--- a/roselink/distribution/__init__.py
+++ b/roselink/distribution/__init__.py
@@ -1,1 +1,1 @@
-"""How the newest configuration, hosts and roster come to a gateway: pulls by version vector."""
+"""Distribution of configuration, hosts and roster to gateways by pulls with a version vector."""
--- a/roselink/distribution/host_changes.py
+++ b/roselink/distribution/host_changes.py
@@ -1,4 +1,4 @@
-"""A gateway's configuration and list of hosts, out of what a `DeltaPullReply` brings."""
+"""Decodes the configuration and the host list of a `DeltaPullReply`."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 def expand_reply(
     reply: DeltaPullReply, hosts_version: int, hosts: tuple[Host, ...]
 ) -> PullReply | None:
-    """The reply with the full document and the full list of hosts.
+    """Return the reply with the full document and the full host list.
 
     Args:
-        reply: as it came from the core.
-        hosts_version: the version of the gateway's list.
+        reply: the reply of the core.
+        hosts_version: the version of the gateway's host list.
         hosts: that list, to which the reply's changes are applied.
 
     Returns:
-        None if the reply can't be decoded, or its changes are from another version.
+        None if the reply can't be decoded or its changes are based on another version.
     """
     try:
         new_hosts = _decode_hosts(reply, hosts_version, hosts)
@@ -58,7 +58,7 @@
 
 
 def apply_host_changes(hosts: tuple[Host, ...], changes: HostChanges) -> tuple[Host, ...]:
-    """The list after the changes, by id."""
+    """Return the host list after the changes, sorted by id."""
     by_id = {host.id: host for host in hosts}
     for host_id in changes.removed:
         by_id.pop(host_id, None)
--- a/roselink/distribution/pull_client.py
+++ b/roselink/distribution/pull_client.py
@@ -1,4 +1,4 @@
-"""Drives a `PullStateMachine`: calls over a `PeerPool`, a timer, and seeds from the settings."""
+"""Runs a `PullStateMachine`: calls over a `PeerPool`, a timer, and seeds from the settings."""
 
 from __future__ import annotations
 
@@ -31,16 +31,16 @@
 
 log = logging.getLogger("roselink.distribution")
 
-# Versions of hosts and roster are epoch and counter (`VersionVector`).
+# Versions of hosts and roster are epoch * EPOCH_SPAN + counter (`VersionVector`).
 EPOCH_SPAN = 1 << 32
-# The settings file may change without a signal.
+# Interval of checks of the settings file, which may change without a signal.
 SETTINGS_CHECK_INTERVAL_S = 1.0
 Clock = Callable[[], float]
 SnapshotCallback = Callable[["Snapshot"], None]
 
 
 class FileStamp(NamedTuple):
-    """What changes when the settings file is written or replaced."""
+    """File attributes that change when the settings file is written or replaced."""
 
     modified_ns: int
     size: int
@@ -48,10 +48,10 @@
 
 
 class PullClient:
-    """Keeps what is in force at this gateway up to date.
+    """Keeps the snapshot in force at this gateway up to date.
 
-    Times are of `time.monotonic`: an event loop's cached clock is behind after a freeze, and a
-    lease judged by it would last too long.
+    Times are of `time.monotonic`: an event loop's cached time is late after the process was
+    suspended, and a lease checked against it would last too long.
     """
 
     def __init__(
@@ -62,7 +62,7 @@
         member: Member,
         clock: Clock = time.monotonic,
     ) -> None:
-        """`settings_path` is the file whose seeds are followed; `member` is this gateway."""
+        """`settings_path` is the file that names the seeds; `member` is this gateway."""
         self._path = settings_path
         self._pool = pool
         self._clock = clock
@@ -79,33 +79,33 @@
         self._stopped = False
 
     def start(self) -> None:
-        """Begin to pull; needs a running loop."""
+        """Start to pull and to watch the settings file; needs a running event loop."""
         self._watch_settings()
         self._wake()
 
     def stop(self) -> None:
-        """Pull no more."""
+        """Cancel the timers and ignore outstanding replies."""
         self._stopped = True
         for timer in (self._timer, self._settings_timer):
             if timer is not None:
                 timer.cancel()
 
     def snapshot(self) -> Snapshot | None:
-        """What is in force; None until a configuration is known."""
+        """Return the snapshot in force; None until a configuration is known."""
         return self._machine.snapshot
 
     def may_use_keys(self) -> bool:
-        """Whether a request with a key may be sent to a host at this moment."""
+        """Whether a request with an API key may be sent to a host now."""
         return self._machine.may_use_keys(self._clock(), self._revoke_s, strict=self._strict)
 
     def subscribe(self, callback: SnapshotCallback) -> None:
-        """Call with each new snapshot, and with the one in force, if any."""
+        """Call `callback` with each new snapshot, and at once with the one in force, if any."""
         self._on_snapshot.append(callback)
         if self._machine.snapshot is not None:
             callback(self._machine.snapshot)
 
     def subscribe_confirmed(self, callback: Callable[[float], None]) -> None:
-        """Call with the time after which what is in force was the newest."""
+        """Call `callback` on each confirmation, with a time after which the snapshot was newest."""
         self._on_confirmed.append(callback)
 
     def exchange_payoffs(
@@ -113,31 +113,31 @@
         outcomes: Callable[[], tuple[HostOutcomes, ...]],
         on_payoffs: Callable[[PayoffsReceived], None],
     ) -> None:
-        """Send `outcomes()` with each pull; `on_payoffs` gets the payoffs pooled over gateways."""
+        """Send `outcomes()` with each pull; call `on_payoffs` with payoffs pooled over gateways."""
         self._machine.outcomes = outcomes
         self._on_payoffs = on_payoffs
 
     def cores(self) -> tuple[str, ...]:
-        """The core's members ("ip:port"), as a confirmed reply named them last."""
+        """Return the core members ("ip:port") of the last confirmed reply."""
         return tuple(f"{host}:{port}" for host, port in self._machine.cores)
 
     def add_core_hints(self, cores: Iterable[str]) -> None:
-        """Add addresses ("ip:port") of core members that a peer named."""
+        """Add core addresses ("ip:port") received from a peer."""
         self._machine.add_core_hints(cores)
 
     def set_serving(self, *, serving: bool) -> None:
-        """Set whether this gateway may hold roles, from the next pull on, which comes soon."""
+        """Set whether this gateway may hold roles; the next pull reports it and is sent soon."""
         if serving != self._machine.serving:
             self._machine.serving = serving
             self.pull_soon()
 
     def pull_soon(self) -> None:
-        """Bring the next pull forward: something newer exists."""
+        """Send the next pull soon, because a newer version exists."""
         self._machine.pull_soon(self._clock())
         self._schedule()
 
     def reload(self) -> None:
-        """Read the seeds from the settings again; a file that can't be read changes nothing."""
+        """Reload the seeds from the settings file; an invalid file changes nothing."""
         self._stamp = self._read_stamp()
         try:
             settings = load_settings(self._path)
@@ -208,6 +208,6 @@
         for callback in self._on_snapshot:
             try:
                 callback(snapshot)
-            # A fault in one subscriber must not keep the others, or the pulls, from going on.
+            # An exception in one subscriber must not stop the other subscribers or the pulls.
             except Exception:
                 log.exception("snapshot_callback_failed")
--- a/roselink/distribution/pull_state_machine.py
+++ b/roselink/distribution/pull_state_machine.py
@@ -1,10 +1,11 @@
-"""When a gateway pulls and from which core member, what is in force, and how long keys may be used.
-
-No clock and no I/O: `now` is in seconds of one monotonic clock. Each part of the snapshot only
-moves forward. The lease on keys begins when a confirmed pull was SENT: a key's removal that was
-acknowledged before then is in the reply, and one acknowledged later leaves `revoke_ms` from a
-moment after it. A request was sent by its client before the gateway checks, so the check itself
-needs no more than a margin for clock rates.
+"""The state machine of pulls: timing, choice of the core member, snapshot and lease on API keys.
+
+This module reads no clock and performs no I/O: `now` is in seconds of one monotonic clock. The
+version of each section of the snapshot only increases. The lease on API keys starts when a
+confirmed pull was sent, not when its reply was received: a key's removal that was acknowledged
+before that is in the reply, and one acknowledged later has `revoke_ms` from a time after the start
+of the lease. Clients send requests before the gateway checks the lease, so the check needs only a
+margin for differing clock rates.
 """
 
 from __future__ import annotations
@@ -27,29 +28,34 @@
 
     from roselink.protocol.peer_connection import Address
 
+# Interval of pulls. A smaller value distributes changes sooner and loads the core more.
 PULL_INTERVAL_S = 0.2
-# Fraction of an interval or a backoff, either way.
+# Largest random deviation of an interval or a backoff, as a fraction of it. It keeps gateways from
+# pulling at the same time.
 JITTER = 0.2
+# Time-out of a pull, before any failure. A larger value delays the next member if one has failed; a
+# smaller one counts slow members as failed.
 TIMEOUT_S = 0.3
-# After each round of failures: the core may be slow, not dead.
+# Growth of the time-out after all members failed: the core may be slow rather than down.
 TIMEOUT_GROWTH = 1.5
 MAX_TIMEOUT_S = 1.0
-# Between pulls while there is no list of hosts; it grows to the ordinary interval.
+# Initial interval while no host list is known; it grows to `PULL_INTERVAL_S`.
 INITIAL_INTERVAL_S = 0.03
-# After every known member failed once.
+# Backoff after all known members failed.
 INITIAL_BACKOFF_S = 0.05
 BACKOFF_GROWTH = 1.5
 MAX_BACKOFF_S = 0.25
-# Until a pull that `pull_soon` asks for.
+# Longest delay of the next pull after `pull_soon`. A larger value merges more calls into one pull.
 PULL_SOON_DELAY_S = 0.05
-# The lease on keys ends so much earlier, for clocks of different rates.
+# The lease on API keys ends earlier by this margin, for differing clock rates.
 KEY_LEASE_MARGIN_S = 0.2
+# Number of hinted core addresses that are kept.
 MAX_HINTS = 16
 
 
 @dataclass(frozen=True, slots=True)
 class SendPull:
-    """Effect: call a core member; the outcome goes to `PullStateMachine.reply_received`."""
+    """Effect: call a core member; `PullStateMachine.reply_received` takes the outcome."""
 
     call: int
     address: Address
@@ -59,21 +65,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ApplySnapshot:
-    """Effect: this snapshot is in force now."""
+    """Effect: a new snapshot is in force."""
 
     snapshot: Snapshot
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotConfirmed:
-    """Effect: what is in force was the newest at a moment after `at`, when the pull was sent."""
+    """Effect: the snapshot was the newest at a time after `at`, when the pull was sent."""
 
     at: float
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationUnreadable:
-    """Effect: a configuration came that can't be read; the old one stays in force."""
+    """Effect: a received configuration can't be decoded; the old one stays in force."""
 
     version: int
     reason: str
@@ -81,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PayoffsReceived:
-    """Effect: the hosts' pooled payoffs, 0 to 1; those not named are 1."""
+    """Effect: the hosts' pooled payoffs, 0 to 1; 1 for hosts not listed."""
 
     hosts: tuple[tuple[str, float], ...]
 
@@ -90,17 +96,17 @@
 
 
 class _PendingPull(NamedTuple):
-    """The pull whose outcome is awaited."""
+    """The pull in flight."""
 
     call: int
     sent_at: float
 
 
 class PullStateMachine:
-    """Pulls for ever, from one core member after the other until one replies.
+    """Pulls repeatedly; after a failure it tries the next core member.
 
-    One pull is in flight at a time. `due_at` is when `wake` sends the next one; `outcomes` is
-    called for each pull, and returns the attempts at hosts since its call before.
+    At most one pull is in flight. `due_at` is when `wake` sends the next one; `outcomes` is called
+    for each pull and returns the attempts at hosts since its previous call.
     """
 
     def __init__(self, member: Member, seeds: Iterable[Address], rng: random.Random) -> None:
@@ -115,10 +121,10 @@
         self._seeds: tuple[Address, ...] = ()
         self._cores: tuple[Address, ...] = ()
         self._hints: tuple[Address, ...] = ()
-        # Core members in the sequence in which they are tried.
+        # Core members in the order in which they are tried.
         self._candidates: list[Address] = []
         self._vector = VersionVector()
-        # The newest of each part; it becomes `snapshot` once there is a configuration.
+        # The newest sections received; published as `snapshot` once a configuration is known.
         self._latest = Snapshot(self._vector, Configuration(0, (), (), Limits(), ()), (), ())
         self._last_call = 0
         self._pending: _PendingPull | None = None
@@ -132,25 +138,25 @@
 
     @property
     def in_flight(self) -> bool:
-        """Whether a pull's outcome is awaited; `wake` does nothing until then."""
+        """Whether a pull is in flight; `wake` does nothing until its outcome is processed."""
         return self._pending is not None
 
     @property
     def cores(self) -> tuple[Address, ...]:
-        """The core's members, as a confirmed reply named them last."""
+        """The core members of the last confirmed reply."""
         return self._cores
 
     def set_seeds(self, seeds: Iterable[Address]) -> None:
-        """Replace the core members that the settings name."""
+        """Replace the core members from the settings."""
         self._seeds = tuple(dict.fromkeys(seeds))
-        self._order_candidates()
+        self._rebuild_candidates()
 
     def add_core_hints(self, cores: Iterable[str]) -> None:
-        """Add core members ("ip:port") that others named; tried after the core's own list."""
+        """Add core members ("ip:port") from other sources, tried after the core's own list."""
         hints = tuple(dict.fromkeys((*_parse_addresses(cores), *self._hints)))[:MAX_HINTS]
         if set(hints) != set(self._hints):
             self._hints = hints
-            self._order_candidates()
+            self._rebuild_candidates()
 
     def wake(self, now: float) -> list[Effect]:
         """Send a pull if one is due and none is in flight."""
@@ -162,15 +168,15 @@
         return [SendPull(self._last_call, self._candidates[0], pull, self._timeout_s)]
 
     def pull_soon(self, now: float) -> None:
-        """Bring the next pull forward: something newer exists."""
+        """Send the next pull soon, because a newer version exists."""
         self.due_at = min(self.due_at, now + PULL_SOON_DELAY_S)
 
     def reply_received(
         self, call: int, reply: PullReply | DeltaPullReply | None, now: float
     ) -> list[Effect]:
-        """Take the outcome of a pull: the reply, or None.
+        """Process the outcome of a pull: the reply, or None if there was none.
 
-        A reply whose hosts can't be decoded counts as none.
+        A `DeltaPullReply` that can't be expanded counts as None.
         """
         if self._pending is None or self._pending.call != call:
             return []
@@ -196,12 +202,12 @@
         return effects
 
     def may_use_keys(self, now: float, revoke_s: float, *, strict: bool) -> bool:
-        """Whether a request with a key may be sent to a host now.
+        """Whether a request with an API key may be sent to a host now.
 
         Args:
-            now: seconds of the machine's clock.
-            revoke_s: within how many seconds the removal of a key takes effect.
-            strict: whether keys end with their lease when no pull is confirmed.
+            now: the time in seconds.
+            revoke_s: the time within which the removal of a key must take effect.
+            strict: whether keys become invalid when the lease expires without a confirmed pull.
         """
         if self.snapshot is None or self.confirmed_at is None:
             return False
@@ -211,10 +217,10 @@
         return seconds * (1 + JITTER * (2 * self._rng.random() - 1))
 
     def _next_interval_s(self) -> float:
-        """Until the next pull.
+        """Return the interval until the next pull.
 
-        Without any list of hosts the gateway serves nothing: the core will have a list soon, so
-        the first pulls follow each other closely.
+        A gateway without a host list can't serve, and the core will have a list soon, so the first
+        intervals are short.
         """
         if self._vector.hosts:
             return PULL_INTERVAL_S
@@ -222,7 +228,7 @@
         return self._initial_interval_s
 
     def _pull_failed(self, now: float) -> None:
-        """Try the next member at once; after each round of all, wait for a growing backoff."""
+        """Schedule the next member at once, or after a growing backoff once all have failed."""
         self._candidates.append(self._candidates.pop(0))
         self._failures += 1
         if self._failures % len(self._candidates):
@@ -233,14 +239,14 @@
         self._backoff_s = min(MAX_BACKOFF_S, self._backoff_s * BACKOFF_GROWTH)
 
     def _set_cores(self, texts: Iterable[str]) -> None:
-        """Take the core's own list of its members; an empty one changes nothing."""
+        """Adopt the core's own list of its members; an empty one changes nothing."""
         cores = tuple(dict.fromkeys(_parse_addresses(texts)))
         if cores and set(cores) != set(self._cores):
             self._cores = cores
-            self._order_candidates()
+            self._rebuild_candidates()
 
-    def _order_candidates(self) -> None:
-        """Order: the member that replied last, the core's own list, hints, seeds; each shuffled."""
+    def _rebuild_candidates(self) -> None:
+        """Order: the last member that replied, the core's own list, hints, seeds; each shuffled."""
         first = self._candidates[:1] if self._failures == 0 and self._last_call else []
         candidates: list[Address] = [address for address in first if address in self._cores]
         for group in (self._cores, self._hints, self._seeds):
@@ -250,9 +256,9 @@
         self._candidates = candidates or self._candidates
 
     def _apply_reply(self, reply: PullReply, sent_at: float) -> list[Effect]:
-        """Move each part forward.
+        """Apply the newer sections of a reply.
 
-        A reply that names a newer configuration and lacks it confirms nothing.
+        A reply that names a newer configuration and doesn't include it confirms nothing.
         """
         current = self._vector
         newest = reply.vector
@@ -284,7 +290,7 @@
         return effects
 
     def _apply_payoffs(self, encoded: bytes) -> list[Effect]:
-        """Payoffs are passed on with every reply, but empty ones only once."""
+        """Return the payoffs as an effect of every reply, but empty ones only once."""
         before = self._encoded_payoffs
         if encoded != before:
             self._payoffs = PayoffsReceived(_decode_payoffs(encoded))
@@ -293,7 +299,7 @@
 
 
 def _decode_payoffs(encoded: bytes) -> tuple[tuple[str, float], ...]:
-    """Payoffs are advice only: with bytes that can't be decoded every host has a payoff of 1."""
+    """Decode payoffs; none if malformed: they are advisory, and hosts not listed have 1."""
     try:
         pooled = decode_as(PooledPayoffs, encoded) if encoded else PooledPayoffs(())
     except RecordError:
@@ -302,7 +308,7 @@
 
 
 def _parse_addresses(texts: Iterable[str]) -> list[Address]:
-    """Addresses from "ip:port"; malformed ones are left out."""
+    """Parse addresses of the form "ip:port"; malformed ones are omitted."""
     pairs = [text.rpartition(":") for text in texts]
     return [
         (host, int(port)) for host, _, port in pairs if host and port.isascii() and port.isdigit()
--- a/roselink/gossip/__init__.py
+++ b/roselink/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""Gossip between gateways: peer sampling, by which they learn of others and of core machines."""
+"""Gossip between gateways: peer sampling, which spreads addresses of gateways and core members."""
--- a/roselink/gossip/peer_sampling.py
+++ b/roselink/gossip/peer_sampling.py
@@ -1,11 +1,11 @@
 """The state machine of peer sampling: a small, shuffled view of other gateways.
 
 Two gateways exchange subsets of their views (CYCLON's enhanced shuffling; the paper is named in
-`roselink.protocol.gossip`). A gateway that reaches no core member learns from peers where the core
-is now; all learn that something newer is in force. Exchanges are rare while pulls are confirmed,
-for these bring the same, and frequent without a confirmed pull.
+`roselink.protocol.gossip`). A gateway that reaches no core member learns the core's current
+addresses from peers, and every gateway learns of newer versions. Exchanges are rare while pulls are
+confirmed, which deliver the same information, and frequent otherwise.
 
-No clock and no I/O: `now` is in seconds of one monotonic clock.
+This module reads no clock and performs no I/O: `now` is in seconds of one monotonic clock.
 """
 
 from __future__ import annotations
@@ -20,16 +20,23 @@
     import random
     from collections.abc import Iterable
 
+# Entries of a view. A larger view stays connected when more gateways fail; a smaller one drops
+# entries of failed gateways sooner.
 VIEW_SIZE = 8
+# Entries of a shuffle message; those of a request include the sender's own.
 SHUFFLE_SIZE = 4
-# Between exchanges while pulls are confirmed.
+# Interval of exchanges while pulls are confirmed. A larger value sends less, a smaller one
+# refreshes the view more often.
 CONFIRMED_INTERVAL_S = 10.0
-# Between exchanges without a confirmed pull.
+# Interval of exchanges without a confirmed pull. A smaller value finds the core sooner and sends
+# more.
 UNCONFIRMED_INTERVAL_S = 1.0
-# A confirmation that is older counts as none.
+# Age from which a confirmation no longer counts; also by how much a peer's must be newer than the
+# own one before its core addresses are adopted.
 CONFIRMATION_MAX_AGE_S = 1.0
+# Time-out of an exchange.
 TIMEOUT_S = 0.5
-# Fraction of an interval, either way.
+# Largest random deviation of an interval, as a fraction of it. It spreads exchanges over time.
 JITTER = 0.2
 # The age of a digest whose sender knows no core member.
 UNKNOWN_AGE_MS = 10**9
@@ -37,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendShuffleRequest:
-    """Effect: call a peer; the outcome goes to `PeerSampling.reply_received`."""
+    """Effect: call a peer; `PeerSampling.reply_received` takes the outcome."""
 
     address: str
     shuffle: ShuffleRequest
@@ -45,14 +52,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CoreAddressesLearned:
-    """Effect: a peer knows more recent addresses of the core ("ip:port") than this gateway."""
+    """Effect: a peer knows more recent core addresses ("ip:port") than this gateway."""
 
     cores: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class NewerVersionLearned:
-    """Effect: a peer has something newer in force."""
+    """Effect: a peer has a newer version in force."""
 
 
 Effect = SendShuffleRequest | CoreAddressesLearned | NewerVersionLearned
@@ -60,13 +67,13 @@
 
 @dataclass(frozen=True, slots=True)
 class _PendingExchange:
-    """The own exchange that is in flight; `sent` are the names of the entries in it."""
+    """This gateway's exchange in flight; `sent` are the names of the entries sent."""
 
     sent: list[str]
 
 
 class PeerSampling:
-    """One gateway's view. One exchange of its own is in flight at a time."""
+    """One gateway's view. It has at most one exchange of its own in flight."""
 
     def __init__(self, own: Member, rng: random.Random) -> None:
         """`own` is this gateway; it is never part of its view."""
@@ -85,20 +92,20 @@
         return tuple(self._view.values())
 
     def add_members(self, members: Iterable[Member]) -> None:
-        """Fill free slots of the view with members from another source."""
+        """Fill free slots of the view with random members of the given ones."""
         others = [member for member in members if member.name not in (self._own.name, *self._view)]
         self._rng.shuffle(others)
         for member in others[: VIEW_SIZE - len(self._view)]:
             self._view[member.name] = ViewEntry(member, 0)
 
     def pull_confirmed(self, vector: VersionVector, cores: tuple[str, ...], at: float) -> None:
-        """Take what a pull sent at `at` confirmed: what is in force here, and where the core is."""
+        """Record the versions in force and the core addresses confirmed by a pull sent at `at`."""
         self._vector = vector
         self._cores = cores or self._cores
         self._confirmed_at = max(at, self._confirmed_at)
 
     def wake(self, now: float) -> list[Effect]:
-        """Start an exchange if one is due; to be called about twice a second."""
+        """Start an exchange if one is due; call this about twice a second."""
         unconfirmed = now - self._confirmed_at > CONFIRMATION_MAX_AGE_S
         if unconfirmed:
             self.due_at = min(self.due_at, now + UNCONFIRMED_INTERVAL_S)
@@ -110,7 +117,7 @@
             return []
         self._view = {name: replace(entry, age=entry.age + 1) for name, entry in self._view.items()}
         partner = max(self._view.values(), key=lambda entry: (entry.age, entry.member.name))
-        # The partner's entry comes back with its reply.
+        # The partner's reply contains its entry again.
         del self._view[partner.member.name]
         subset = self._subset(SHUFFLE_SIZE - 1)
         self._pending = _PendingExchange([entry.member.name for entry in subset])
@@ -120,15 +127,15 @@
     def request_received(
         self, shuffle: ShuffleRequest, now: float
     ) -> tuple[ShuffleReply, list[Effect]]:
-        """Take a peer's exchange; returns the reply, and what this gateway learns."""
+        """Process a peer's request; return the reply and the effects of its digest."""
         subset = self._subset(SHUFFLE_SIZE)
         self._merge(shuffle.entries, [entry.member.name for entry in subset])
         return ShuffleReply(subset, self._digest(now)), self._process_digest(shuffle.digest, now)
 
     def reply_received(self, reply: ShuffleReply | None, now: float) -> list[Effect]:
-        """Take the outcome of the own exchange.
+        """Process the outcome of this gateway's exchange.
 
-        A partner that doesn't reply stays out of the view.
+        A partner that doesn't reply stays removed from the view.
         """
         if self._pending is None:
             return []
@@ -149,10 +156,10 @@
         return GossipDigest(self._vector, self._cores, age_ms)
 
     def _merge(self, entries: tuple[ViewEntry, ...], sent: list[str]) -> None:
-        """Take a peer's entries.
+        """Merge a peer's entries into the view.
 
-        A younger entry replaces an older one of the same gateway. New gateways take free slots,
-        then the slots of the entries that were sent to the peer.
+        A younger entry replaces an older one of the same gateway. Entries of unknown gateways fill
+        free slots first, then replace those that were sent to the peer.
         """
         for entry in entries[:VIEW_SIZE]:
             name = entry.member.name
--- a/roselink/gossip/peer_sampling_service.py
+++ b/roselink/gossip/peer_sampling_service.py
@@ -1,4 +1,4 @@
-"""Drives a `PeerSampling`: calls over a `PeerPool`, a timer, and callbacks for what it learns."""
+"""Runs a `PeerSampling`: calls over a `PeerPool`, a timer, and callbacks for learned facts."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
     from roselink.protocol.peer_pool import PeerPool
     from roselink.protocol.records import Record
 
-# Between checks whether an exchange is due.
+# Interval of the checks whether an exchange is due.
 CHECK_INTERVAL_S = 0.5
 
 
 class PeerSamplingService:
-    """One gateway's part in peer sampling."""
+    """Peer sampling of one gateway over the internal protocol."""
 
     def __init__(
         self,
@@ -41,14 +41,14 @@
         pull_soon: Callable[[], None],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Make the service of the gateway `own`.
+        """Create the service; it is idle until `start`.
 
         Args:
             own: this gateway.
             pool: connections to peers.
-            add_core_hints: gets addresses ("ip:port") of core members that peers name.
-            pull_soon: called when a peer has something newer in force.
-            clock: seconds of a monotonic clock.
+            add_core_hints: called with core addresses ("ip:port") received from peers.
+            pull_soon: called when a peer has a newer version in force.
+            clock: returns the monotonic time in seconds.
         """
         self._pool = pool
         self._add_core_hints = add_core_hints
@@ -59,29 +59,29 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Begin to exchange views; needs a running loop."""
+        """Check for a due exchange now and at each interval; needs a running event loop."""
         self._perform(self._machine.wake(self._clock()))
         self._timer = asyncio.get_running_loop().call_later(CHECK_INTERVAL_S, self.start)
 
     def stop(self) -> None:
-        """Exchange no more."""
+        """Start no more exchanges."""
         if self._timer is not None:
             self._timer.cancel()
 
     def apply(self, snapshot: Snapshot) -> None:
-        """Take a new snapshot that is in force: its versions and its roster."""
+        """Apply the versions and the roster of a new snapshot."""
         self._vector = snapshot.vector
         self._machine.add_members(snapshot.roster)
 
     def confirm(self, at: float, cores: Iterable[str]) -> None:
-        """Take a confirmation of what is in force, by a pull sent at `at`.
+        """Record that a pull sent at `at` confirmed the versions in force.
 
-        `cores` are the core's members ("ip:port"), as the reply named them.
+        `cores` are the core members ("ip:port") in its reply.
         """
         self._machine.pull_confirmed(self._vector, tuple(cores), at)
 
     def handle(self, message: Record, reply: ReplySender) -> bool:
-        """Reply to a peer's exchange; returns False for records of other kinds."""
+        """Reply to a peer's shuffle request; return False for records of other types."""
         if not isinstance(message, ShuffleRequest):
             return False
         shuffle_reply, effects = self._machine.request_received(message, self._clock())
