--- a/tests/budgets/fleet.py
+++ b/tests/budgets/fleet.py
@@ -184,7 +184,7 @@
         """Drain, as after SIGTERM: own no keys any more."""
         self.serving = False
         self.client.draining = True
-        self.pull(again=False)
+        self.pull(schedule_next=False)
 
     def crash(self) -> None:
         """Crash: all state is lost."""
@@ -213,14 +213,14 @@
         self.quota_owner.configure(limits, self.fleet.now)
         self.perform(self.client.configure(limits))
 
-    def pull(self, *, again: bool = True) -> None:
+    def pull(self, *, schedule_next: bool = True) -> None:
         fleet = self.fleet
         sent_at = fleet.now
         if fleet.reachable(self.index, -1):
             fleet.pull(self.member, serving=self.serving)
             version, roster = fleet.version, fleet.roster
             self.later(2 * LINK_S, lambda: self.pull_reply_received(version, roster, sent_at))
-        if again:
+        if schedule_next:
             self.later(PULL_S * fleet.rng.uniform(0.8, 1.2), self.pull)
 
     def pull_reply_received(self, version: int, roster: tuple[Member, ...], sent_at: float) -> None:
@@ -309,7 +309,7 @@
                 case SendRetryBudgetRequest(number, address, retry_request):
                     fleet.call(self, address, retry_request, 0.1, self._retry_done(number))
                 case RefreshRoster():
-                    self.later(0.05, lambda: self.pull(again=False))
+                    self.later(0.05, lambda: self.pull(schedule_next=False))
         self._schedule()
 
     def _quota_done(self, call: int) -> Callable[[Any], None]:
--- a/tests/budgets/test_deadline_index.py
+++ b/tests/budgets/test_deadline_index.py
@@ -26,7 +26,9 @@
         ([("a", NEVER)], 2.0, [], NEVER),
     ],
 )
-def test_what_is_due(steps: list[Step], now: float, due: list[str], first: float) -> None:
+def test_pop_due_returns_due_names_earliest_first(
+    steps: list[Step], now: float, due: list[str], first: float
+) -> None:
     deadlines = DeadlineIndex()
     for name, at in steps:
         deadlines.set(name, at)
@@ -35,19 +37,19 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_as_a_plain_table(seed: int) -> None:
+def test_index_agrees_with_a_plain_dict_under_random_updates(seed: int) -> None:
     rng = random.Random(seed)
-    deadlines, table = DeadlineIndex(), dict[str, float]()
+    deadlines, expected = DeadlineIndex(), dict[str, float]()
     for step in range(3000):
         name = f"n{rng.randrange(30)}"
         at = rng.choice((step + rng.randrange(50), NEVER, step))
         deadlines.set(name, at)
-        table[name] = at
-        assert deadlines.earliest() == min(table.values())
+        expected[name] = at
+        assert deadlines.earliest() == min(expected.values())
         if rng.random() < 0.2:
             due = deadlines.pop_due(step)
-            assert sorted(due) == sorted(each for each, when in table.items() if when <= step)
-            assert [table[each] for each in due] == sorted(table[each] for each in due)
-            table = {each: when for each, when in table.items() if when > step}
-            assert deadlines.earliest() == min(table.values(), default=NEVER)
+            assert sorted(due) == sorted(each for each, when in expected.items() if when <= step)
+            assert [expected[each] for each in due] == sorted(expected[each] for each in due)
+            expected = {each: when for each, when in expected.items() if when > step}
+            assert deadlines.earliest() == min(expected.values(), default=NEVER)
         assert len(deadlines._heap) <= 2 * 30 + 65
--- a/tests/budgets/test_fleet.py
+++ b/tests/budgets/test_fleet.py
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_calm_refuses_nothing_that_is_within_the_limit(seed: int) -> None:
+def test_without_faults_no_request_within_the_limit_is_refused(seed: int) -> None:
     fleet = make_fleet(seed, "near", "small")
     until = fleet.now + RUN_S
     send(fleet, "near", RATE / 1.3, until)
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_calm_gives_a_pressing_tenant_its_limit_and_no_more(seed: int) -> None:
+def test_without_faults_an_overloading_tenant_gets_its_limit_and_no_more(seed: int) -> None:
     fleet = make_fleet(seed, "hot")
     until = fleet.now + RUN_S
     send(fleet, "hot", 6 * RATE, until)
@@ -68,7 +68,7 @@
 
 @pytest.mark.parametrize("fault", [*FAULTS, "any"])
 @pytest.mark.parametrize("seed", range(3))
-def test_no_fault_exceeds_the_rules_bound(fault: str, seed: int) -> None:
+def test_admitted_amounts_stay_within_the_quota_bound_under_faults(fault: str, seed: int) -> None:
     fleet = make_fleet(seed, "hot")
     until = fleet.now + RUN_S
     send(fleet, "hot", 6 * RATE, until)
@@ -84,7 +84,9 @@
 @pytest.mark.parametrize(
     ("fault", "max_refused"), [("stop", 0.005), ("kill", 0.03), ("link", 0.04)]
 )
-def test_a_tenant_near_its_limit_loses_little(fault: str, max_refused: float) -> None:
+def test_faults_refuse_few_requests_of_a_tenant_near_its_limit(
+    fault: str, max_refused: float
+) -> None:
     refused = expected = 0.0
     for seed in range(3):
         fleet = make_fleet(seed, "near")
@@ -100,7 +102,7 @@
 
 @pytest.mark.parametrize("fault", [None, *FAULTS, "any"])
 @pytest.mark.parametrize("seed", range(2))
-def test_retry_budgets_stay_under_the_slack(fault: str | None, seed: int) -> None:
+def test_granted_retries_stay_within_the_slack_under_faults(fault: str | None, seed: int) -> None:
     slack, window_s = 52.0, 10.0
     fleet = Fleet(6, seed, {}, RULE, ("one", "two"), slack, window_s)
     until = fleet.now + 60
@@ -121,7 +123,7 @@
             assert len(late) > 2.5 * 0.8 * slack
 
 
-def test_a_lower_limit_binds_one_window_after_it_came() -> None:
+def test_a_lowered_limit_holds_one_window_after_the_change() -> None:
     fleet = make_fleet(7, "hot")
     until = fleet.now + RUN_S
     send(fleet, "hot", 6 * RATE, until)
--- a/tests/budgets/test_ownership.py
+++ b/tests/budgets/test_ownership.py
@@ -20,12 +20,12 @@
     assert OwnershipView(ROSTER[0]).find("quota/x") is None
 
 
-def test_the_order_of_the_roster_does_not_matter() -> None:
+def test_the_owner_does_not_depend_on_roster_order() -> None:
     for key in KEYS[:50]:
         assert rendezvous_owner(key, ROSTER) == rendezvous_owner(key, tuple(reversed(ROSTER)))
 
 
-def test_keys_spread_over_the_members() -> None:
+def test_keys_are_distributed_over_all_members() -> None:
     counts = {member.name: 0 for member in ROSTER}
     for key in KEYS:
         owner = rendezvous_owner(key, ROSTER)
@@ -34,22 +34,25 @@
     assert min(counts.values()) > 60
 
 
-def test_only_the_keys_of_a_member_that_leaves_move() -> None:
+def test_only_the_keys_of_a_removed_member_change_owner() -> None:
     for key in KEYS:
         before, after = rendezvous_owner(key, ROSTER), rendezvous_owner(key, ROSTER[1:])
         assert before == after or before == ROSTER[0]
 
 
-def test_a_new_start_of_a_member_keeps_its_keys() -> None:
-    again = Member(ROSTER[0].name, ROSTER[0].address, 99)
+def test_a_restarted_member_keeps_its_keys() -> None:
+    restarted = Member(ROSTER[0].name, ROSTER[0].address, 99)
     for key in KEYS:
-        before, after = rendezvous_owner(key, ROSTER), rendezvous_owner(key, (again, *ROSTER[1:]))
+        before, after = (
+            rendezvous_owner(key, ROSTER),
+            rendezvous_owner(key, (restarted, *ROSTER[1:])),
+        )
         assert before is not None
         assert after is not None
         assert before.name == after.name
 
 
-def test_rosters_only_move_forward() -> None:
+def test_an_older_or_equal_roster_is_not_adopted() -> None:
     view = OwnershipView(ROSTER[0])
     assert view.update(5, ROSTER)
     assert not view.update(5, ROSTER[1:])
@@ -76,7 +79,7 @@
         (0, 4, 10.0 + CONFIRMATION_VALID_S + 0.001, ReplyStatus.STALE_TOKEN),
     ],
 )
-def test_an_owner_checks_the_fencing_token(
+def test_check_request_status_by_owner_token_and_confirmation_age(
     owner: int, token: int, at: float, status: ReplyStatus
 ) -> None:
     view = OwnershipView(ROSTER[0])
@@ -85,7 +88,7 @@
     assert view.check_request(key_of(ROSTER[owner]), token, at) is status
 
 
-def test_an_owner_that_has_seen_a_higher_token_decides_nothing_under_its_own() -> None:
+def test_a_superseded_owner_decides_nothing_until_it_adopts_the_newer_roster() -> None:
     """Its own roster is not the newest, so that another gateway may own the key already."""
     view = OwnershipView(ROSTER[0])
     view.update(5, ROSTER)
@@ -98,20 +101,20 @@
     assert view.check_request(key, 6, 10.1) is ReplyStatus.DECIDED
 
 
-def test_a_member_that_never_pulled_owns_nothing_yet() -> None:
+def test_a_member_without_a_confirmation_is_not_ready() -> None:
     view = OwnershipView(ROSTER[0])
     view.update(5, ROSTER)
     assert view.check_request(key_of(ROSTER[0]), 5, 0.0) is ReplyStatus.NOT_READY
 
 
-def test_an_earlier_incarnation_of_this_member_in_the_roster_owns_no_key_here() -> None:
+def test_a_process_does_not_own_keys_of_its_earlier_incarnation() -> None:
     view = OwnershipView(Member(ROSTER[0].name, ROSTER[0].address, 99))
     view.update(5, ROSTER)
     view.confirm(10.0, 10.0)
     assert view.check_request(key_of(ROSTER[0]), 5, 10.1) is ReplyStatus.NOT_OWNER
 
 
-def test_confirm_returns_how_long_the_view_was_not_confirmed() -> None:
+def test_confirm_returns_how_long_the_view_was_unconfirmed() -> None:
     view = OwnershipView(ROSTER[0])
     assert view.confirm(10.0, 10.1) == float("inf")
     assert view.confirm(10.2, 10.3) == pytest.approx(0.3)
--- a/tests/budgets/test_quota_client.py
+++ b/tests/budgets/test_quota_client.py
@@ -32,12 +32,12 @@
     return client, ownership
 
 
-def sent(effects: list[Effect]) -> SendQuotaRequest:
+def only_request(effects: list[Effect]) -> SendQuotaRequest:
     [effect] = [each for each in effects if isinstance(each, SendQuotaRequest)]
     return effect
 
 
-def decided(effects: list[Effect]) -> dict[int, bool]:
+def decisions_by_number(effects: list[Effect]) -> dict[int, bool]:
     return {each.number: each.allowed for each in effects if isinstance(each, QuotaDecided)}
 
 
@@ -54,20 +54,22 @@
 def connected_client(amount: float = 40.0) -> tuple[QuotaClient, OwnershipView]:
     """A client whose owner has replied once, at 10; its next request is due later."""
     client, ownership = make_client()
-    client.handle_reply(sent(client.admit(1, "t", amount, 10.0)).call, make_reply((True,)), 10.003)
+    client.handle_reply(
+        only_request(client.admit(1, "t", amount, 10.0)).call, make_reply((True,)), 10.003
+    )
     return client, ownership
 
 
 @pytest.mark.parametrize("tenant", ["free", "unknown"])
-def test_a_tenant_without_a_limit_needs_no_owner(tenant: str) -> None:
+def test_a_tenant_without_a_limit_is_admitted_without_an_owner(tenant: str) -> None:
     client, _ = make_client()
     assert client.admit(1, tenant, 5.0, 10.0) == [QuotaDecided(1, allowed=True, retry_after_s=0.0)]
     assert client.next_wake_at(10.0) == float("inf")
 
 
-def test_the_first_request_has_a_report_and_what_arrives_meanwhile_goes_together_next() -> None:
+def test_first_request_has_a_usage_report_and_later_amounts_are_batched() -> None:
     client, _ = make_client()
-    first = sent(client.admit(1, "t", 40.0, 10.0))
+    first = only_request(client.admit(1, "t", 40.0, 10.0))
     assert first.address == OTHER.address
     assert first.timeout_s == module.REQUEST_TIMEOUT_S
     assert first.request == QuotaRequest(
@@ -76,8 +78,8 @@
     assert client.admit(2, "t", 10.0, 10.001) == []
     assert client.admit(3, "t", 20.0, 10.002) == []
     effects = client.handle_reply(first.call, make_reply((True,)), 10.003)
-    assert decided(effects) == {1: True}
-    second = sent(effects)
+    assert decisions_by_number(effects) == {1: True}
+    second = only_request(effects)
     assert second.request.amounts == (10.0, 20.0)
     assert second.request.usage_report is None
     effects = client.handle_reply(second.call, make_reply((False, True)), 10.006)
@@ -87,76 +89,83 @@
     ]
 
 
-def test_an_owner_that_wants_a_report_gets_one_at_once() -> None:
+def test_report_wanted_resends_the_request_with_a_usage_report() -> None:
     client, _ = connected_client()
-    sent_request = sent(client.admit(2, "t", 5.0, 10.1))
-    again = sent(
+    sent_request = only_request(client.admit(2, "t", 5.0, 10.1))
+    second = only_request(
         client.handle_reply(sent_request.call, QuotaReply(ReplyStatus.REPORT_WANTED, 5), 10.102)
     )
-    assert again.request.amounts == (5.0,)
-    assert again.request.usage_report is not None
-    assert sum(used.amount for used in again.request.usage_report) == 40.0
-    assert again.request.last_level is not None
+    assert second.request.amounts == (5.0,)
+    assert second.request.usage_report is not None
+    assert sum(used.amount for used in second.request.usage_report) == 40.0
+    assert second.request.last_level is not None
     assert (
-        again.request.last_level.term,
-        again.request.last_level.level,
+        second.request.last_level.term,
+        second.request.last_level.level,
     ) == (
         77,
         42.0,
     )
 
 
-def test_a_new_token_brings_the_report_again() -> None:
+def test_a_new_fencing_token_resends_the_usage_report() -> None:
     client, ownership = connected_client()
     ownership.update(6, (OTHER,))
-    sent_request = sent(client.admit(2, "t", 5.0, 10.1)).request
+    sent_request = only_request(client.admit(2, "t", 5.0, 10.1)).request
     assert sent_request.fencing_token == 6
     assert sent_request.usage_report is not None
     assert sent_request.last_level is not None
     assert sent_request.last_level.age_ms in (96, 97)
 
 
-def test_a_token_that_was_refused_is_not_used_again() -> None:
+def test_a_token_refused_as_stale_is_not_used_again() -> None:
     """NEWS-24, duty: who was refused by a higher token does nothing more with its own."""
     client, ownership = connected_client()
-    sent_request = sent(client.admit(2, "t", 5.0, 10.1))
+    sent_request = only_request(client.admit(2, "t", 5.0, 10.1))
     refused = QuotaReply(ReplyStatus.STALE_TOKEN, 6)
     assert client.handle_reply(sent_request.call, refused, 10.102) == [RefreshRoster()]
     assert client.next_wake_at(10.102) == pytest.approx(10.102 + module.RETRY_INTERVAL_S)
     assert client.wake(10.14) == client.admit(3, "t", 5.0, 10.15) == []
     ownership.update(6, (OTHER,))
-    again = sent(client.wake(10.18))
-    assert (again.request.fencing_token, again.request.amounts) == (6, (5.0, 5.0))
+    second = only_request(client.wake(10.18))
+    assert (second.request.fencing_token, second.request.amounts) == (6, (5.0, 5.0))
     reply = make_reply((True, True))
-    assert decided(client.handle_reply(again.call, reply, 10.182)) == {2: True, 3: True}
+    assert decisions_by_number(client.handle_reply(second.call, reply, 10.182)) == {
+        2: True,
+        3: True,
+    }
 
 
-def test_what_waits_for_a_newer_roster_is_decided_locally_in_time() -> None:
+def test_a_request_waiting_for_a_newer_roster_is_decided_locally_after_max_wait() -> None:
     client, _ = connected_client()
-    sent_request = sent(client.admit(2, "t", 5.0, 10.1))
+    sent_request = only_request(client.admit(2, "t", 5.0, 10.1))
     client.handle_reply(sent_request.call, QuotaReply(ReplyStatus.STALE_TOKEN, 6), 10.102)
     now = 10.102
     effects: list[Effect] = []
     while not effects:
         now = client.next_wake_at(now)
         effects = client.wake(now)
-    assert decided(effects) == {2: True}
+    assert decisions_by_number(effects) == {2: True}
     assert now == pytest.approx(10.1 + module.MAX_WAIT_S)
 
 
 @pytest.mark.parametrize("status", [ReplyStatus.NOT_READY, ReplyStatus.NOT_OWNER])
-def test_when_rosters_differ_it_pulls_and_retries_soon(status: ReplyStatus) -> None:
+def test_differing_rosters_refresh_the_roster_and_retry_after_the_interval(
+    status: ReplyStatus,
+) -> None:
     client, _ = connected_client()
-    sent_request = sent(client.admit(2, "t", 5.0, 10.1))
+    sent_request = only_request(client.admit(2, "t", 5.0, 10.1))
     assert client.handle_reply(sent_request.call, QuotaReply(status, 6), 10.102) == [
         RefreshRoster()
     ]
     assert client.next_wake_at(10.102) == pytest.approx(10.102 + module.RETRY_INTERVAL_S)
-    again = sent(client.wake(10.14))
-    assert decided(client.handle_reply(again.call, make_reply((True,)), 10.142)) == {2: True}
+    second = only_request(client.wake(10.14))
+    assert decisions_by_number(client.handle_reply(second.call, make_reply((True,)), 10.142)) == {
+        2: True
+    }
 
 
-def test_a_request_waits_no_longer_than_the_bound() -> None:
+def test_a_request_waits_at_most_max_wait() -> None:
     client, _ = connected_client(100.0)
     now = 10.1
     decisions: dict[int, bool] = {}
@@ -169,91 +178,92 @@
                 )
         now = client.next_wake_at(now)
         effects = client.wake(now)
-        decisions = decided(effects)
+        decisions = decisions_by_number(effects)
     assert decisions == {2: True}  # at the own recent rate
     assert now <= 10.1 + module.MAX_WAIT_S + 0.001
 
 
-def test_a_broken_connection_is_retried_at_once_and_a_time_out_is_not() -> None:
+def test_a_broken_connection_is_retried_immediately_and_a_time_out_is_not() -> None:
     client, _ = connected_client()
-    sent_request = sent(client.admit(2, "t", 5.0, 10.1))
-    again = sent(client.handle_reply(sent_request.call, None, 10.103))
-    effects = client.handle_reply(again.call, None, 10.105)
-    assert decided(effects) == {2: True}
+    sent_request = only_request(client.admit(2, "t", 5.0, 10.1))
+    second = only_request(client.handle_reply(sent_request.call, None, 10.103))
+    effects = client.handle_reply(second.call, None, 10.105)
+    assert decisions_by_number(effects) == {2: True}
     client, _ = connected_client()
-    sent_request = sent(client.admit(2, "t", 5.0, 10.1))
-    assert decided(client.handle_reply(sent_request.call, None, 10.25)) == {2: True}
+    sent_request = only_request(client.admit(2, "t", 5.0, 10.1))
+    assert decisions_by_number(client.handle_reply(sent_request.call, None, 10.25)) == {2: True}
 
 
-def unreachable_owner(usage_fraction: float = 0.5) -> QuotaClient:
+def client_with_unreachable_owner(usage_fraction: float = 0.5) -> QuotaClient:
     """A client with a use of 100 in its window, whose owner is unreachable from 10.4 on."""
     client, _ = make_client()
     client.handle_reply(
-        sent(client.admit(1, "t", 100.0, 10.0)).call,
+        only_request(client.admit(1, "t", 100.0, 10.0)).call,
         make_reply((True,), usage_fraction=usage_fraction),
         10.003,
     )
-    sent_request = sent(client.wake(10.41))
+    sent_request = only_request(client.wake(10.41))
     client.handle_reply(sent_request.call, None, 10.56)
     return client
 
 
-def test_without_an_owner_it_admits_at_its_recent_rate_for_a_limited_time() -> None:
-    client = unreachable_owner(usage_fraction=0.0)
+def test_an_unreachable_owner_admits_the_recent_rate_for_a_limited_time() -> None:
+    client = client_with_unreachable_owner(usage_fraction=0.0)
     rate = RECENT_RATE_FRACTION * 100 / 8
     total, now = 0.0, 10.6
     while now < 10.6 + 2 * RECENT_RATE_S:
-        total += sum(decided(client.admit(int(now * 1000), "t", 1.0, now)).values())
+        total += sum(decisions_by_number(client.admit(int(now * 1000), "t", 1.0, now)).values())
         now += 0.02
-    newcomer = MIN_LOCAL_FRACTION * ALLOWANCE
-    assert rate * RECENT_RATE_S <= total <= rate * RECENT_RATE_S + 1 + newcomer
+    min_local = MIN_LOCAL_FRACTION * ALLOWANCE
+    assert rate * RECENT_RATE_S <= total <= rate * RECENT_RATE_S + 1 + min_local
 
 
 @pytest.mark.parametrize(
     ("usage_fraction", "local_fraction"),
     [(0.5, 0.5 * LOCAL_FRACTION), (0.0, MIN_LOCAL_FRACTION), (1.0, LOCAL_FRACTION)],
 )
-def test_after_that_only_a_fraction_of_the_allowance_is_used(
+def test_after_the_recent_rate_period_a_fraction_of_the_allowance_is_admitted(
     usage_fraction: float, local_fraction: float
 ) -> None:
-    client = unreachable_owner(usage_fraction)
+    client = client_with_unreachable_owner(usage_fraction)
     late = 10.56 + RECENT_RATE_S
     total = sum(
-        decided(client.admit(number, "t", 1.0, late)).get(number, False) for number in range(2, 500)
+        decisions_by_number(client.admit(number, "t", 1.0, late)).get(number, False)
+        for number in range(2, 500)
     )
     assert total == int(local_fraction * ALLOWANCE + 1e-9)
 
 
-def test_an_owner_that_replies_again_gets_all_local_admissions() -> None:
-    client = unreachable_owner()
+def test_local_admissions_are_reported_once_the_owner_replies_again() -> None:
+    client = client_with_unreachable_owner()
     effects = client.admit(2, "t", 5.0, 10.7)
-    assert decided(effects) == {2: True}
-    probe = sent(effects)
+    assert decisions_by_number(effects) == {2: True}
+    probe = only_request(effects)
     assert probe.request.amounts == ()
     assert probe.request.admitted_locally == 5.0
     assert probe.request.usage_report is not None
     client.handle_reply(probe.call, make_reply(), 10.703)
-    sent_request = sent(client.admit(3, "t", 5.0, 10.71)).request
+    sent_request = only_request(client.admit(3, "t", 5.0, 10.71)).request
     assert sent_request.amounts == (5.0,)
     assert sent_request.admitted_locally == 0.0
     assert sent_request.usage_report is None
 
 
-def test_for_a_gateway_that_drains_nothing_is_reserved() -> None:
+def test_a_draining_gateway_does_not_admit_at_its_recent_rate() -> None:
     client, _ = connected_client()
     client.draining = True
-    sent_request = sent(client.admit(2, "t", 50.0, 10.1))
+    sent_request = only_request(client.admit(2, "t", 50.0, 10.1))
     assert sent_request.request.draining
-    assert decided(client.handle_reply(sent_request.call, None, 10.25)) == {2: False}
+    assert decisions_by_number(client.handle_reply(sent_request.call, None, 10.25)) == {2: False}
 
 
 def test_a_gateway_without_a_roster_decides_locally() -> None:
     client, _ = make_client(token=0)
-    assert decided(client.admit(1, "t", 1.0, 10.0)) == {1: True}
-    assert decided(client.admit(2, "t", 50.0, 10.0)) == {2: False}
+    assert decisions_by_number(client.admit(1, "t", 1.0, 10.0)) == {1: True}
+    assert decisions_by_number(client.admit(2, "t", 50.0, 10.0)) == {2: False}
 
 
-def test_keep_alives_are_sent_while_there_is_recent_usage() -> None:
+def test_keep_alives_are_sent_only_while_there_is_recent_usage() -> None:
     client, _ = connected_client()
     now = 10.003
     keep_alives = 0
@@ -268,7 +278,7 @@
     assert now < 19
 
 
-def test_a_lease_decides_at_once_and_its_rest_is_returned() -> None:
+def test_a_lease_admits_immediately_and_its_unused_rest_is_returned() -> None:
     client, _ = make_client()
     now = 10.0
     for number in range(1, 400):  # many small requests: the lease has a request's amount
@@ -283,23 +293,23 @@
             )
     assert requests[0].request.lease_wanted >= 1.0
     client.handle_reply(requests[0].call, make_reply((True,), lease=2.5), now)
-    assert decided(client.admit(1000, "t", 1.0, now + 0.01)) == {1000: True}
-    assert decided(client.admit(1001, "t", 1.0, now + 0.02)) == {1001: True}
-    late = sent(client.wake(now + module.KEEP_ALIVE_INTERVAL_S + module.LEASE_DURATION_S))
+    assert decisions_by_number(client.admit(1000, "t", 1.0, now + 0.01)) == {1000: True}
+    assert decisions_by_number(client.admit(1001, "t", 1.0, now + 0.02)) == {1001: True}
+    late = only_request(client.wake(now + module.KEEP_ALIVE_INTERVAL_S + module.LEASE_DURATION_S))
     assert late.request.returned == pytest.approx(0.5)
 
 
-def test_what_did_not_run_is_given_back() -> None:
+def test_refunded_amounts_are_returned_with_the_next_request() -> None:
     client, _ = connected_client()
     client.refund("t", 40.0, 10.05)
     client.refund("unknown", 40.0, 10.05)
-    sent_request = sent(client.admit(2, "t", 5.0, 10.1)).request
+    sent_request = only_request(client.admit(2, "t", 5.0, 10.1)).request
     assert sent_request.returned == 40.0
 
 
-def test_requests_of_a_tenant_whose_limit_is_removed_are_admitted() -> None:
+def test_pending_requests_are_admitted_when_the_limit_is_removed() -> None:
     client, _ = make_client()
     client.admit(1, "t", 5.0, 10.0)
     client.admit(2, "t", 5.0, 10.0)
-    assert decided(client.configure({})) == {1: True, 2: True}
+    assert decisions_by_number(client.configure({})) == {1: True, 2: True}
     assert client.handle_reply(1, make_reply((True,)), 10.02) == []
--- a/tests/budgets/test_quota_owner.py
+++ b/tests/budgets/test_quota_owner.py
@@ -59,7 +59,7 @@
     return make_owner(rule, 0.0)
 
 
-def test_a_tenant_that_is_not_owned_is_not_decided() -> None:
+def test_a_tenant_that_is_not_owned_is_not_ready() -> None:
     owner = QuotaOwner(EXACT, 1000)
     owner.configure({"t": LIMIT}, 0.0)
     assert owner.decide(request(1.0), 0.0).status is ReplyStatus.NOT_READY
@@ -93,7 +93,7 @@
     assert full_owner().decide(request(*amounts), 10.0).admitted == admitted
 
 
-def test_the_bucket_refills_at_the_rate_and_debts_are_paid_back() -> None:
+def test_the_bucket_refills_at_the_rate_from_a_negative_level() -> None:
     owner = full_owner()
     owner.decide(request(250.0), 10.0)
     refused = owner.decide(request(10.0), 10.5)
@@ -115,18 +115,20 @@
     assert owner.decide(request(500.0), 1.0).retry_after_s == module.MAX_RETRY_AFTER_S
 
 
-def test_requests_that_cross_have_a_grace_out_of_the_allowance() -> None:
-    grace = OVERDRAFT_FRACTION * ALLOWANCE
+def test_the_overdraft_is_a_fraction_of_the_allowance() -> None:
+    overdraft = OVERDRAFT_FRACTION * ALLOWANCE
     owner = full_owner(LOOSE)
-    assert owner.decide(request(100.0, grace - 0.01, 1.0), 10.0).admitted == (True, True, False)
+    assert owner.decide(request(100.0, overdraft - 0.01, 1.0), 10.0).admitted == (True, True, False)
 
 
 @pytest.mark.parametrize(
-    ("at", "most"), [(0.0, 0.0), (0.5, 50 + START_FRACTION * 120 / 2), (1.0, 100.0)]
+    ("at", "expected_level"), [(0.0, 0.0), (0.5, 50 + START_FRACTION * 120 / 2), (1.0, 100.0)]
 )
-def test_a_term_without_a_known_level_starts_empty(at: float, most: float) -> None:
+def test_a_term_without_a_known_level_starts_empty_and_gains_credit(
+    at: float, expected_level: float
+) -> None:
     reply = make_owner(LOOSE).decide(request(), at)
-    assert reply.level == pytest.approx(most)
+    assert reply.level == pytest.approx(expected_level)
 
 
 @pytest.mark.parametrize(
@@ -147,7 +149,7 @@
     assert reply.level == pytest.approx(starts_at)
 
 
-def test_the_newest_level_counts_whoever_reports_it_and_own_decisions_count_on_top() -> None:
+def test_the_newest_reported_level_is_adopted_less_own_admissions() -> None:
     owner = make_owner()
     assert owner.decide(
         request(30.0, last_level=BucketLevel(7, 40.0, 0.0, 200)), 0.0
@@ -158,21 +160,21 @@
     assert older.level == pytest.approx(newer.level)
 
 
-def test_a_level_of_this_very_term_changes_nothing() -> None:
+def test_a_reported_level_of_the_current_term_is_ignored() -> None:
     owner = full_owner()
     first = owner.decide(request(60.0), 10.0)
     again = owner.decide(request(last_level=BucketLevel(first.term, 100.0, 0.0, 0)), 10.1)
     assert again.level == pytest.approx(50.0)
 
 
-def test_local_admissions_are_taken_and_returned_amounts_are_added() -> None:
+def test_local_admissions_lower_the_level_and_returned_amounts_raise_it() -> None:
     owner = full_owner()
     assert owner.decide(request(admitted_locally=70.0), 10.0).level == pytest.approx(30.0)
     assert owner.decide(request(returned=20.0), 10.0).level == pytest.approx(50.0)
     assert owner.decide(request(returned=500.0), 10.0).level == pytest.approx(100.0)
 
 
-def test_a_term_ends_with_the_ownership_or_with_a_lapsed_confirmation() -> None:
+def test_a_new_term_begins_empty_after_end_terms() -> None:
     owner = full_owner()
     first = owner.decide(request(50.0), 10.0)
     owner.set_owned(["t"], (A, B), 10.0)
@@ -197,7 +199,7 @@
     assert owner.decide(request(100.0), 10.0 + LOOSE.window_s + 5).admitted == (True,)
 
 
-def test_a_new_owner_reserves_for_usage_that_it_knows_from_the_previous_owner() -> None:
+def test_a_new_owner_reserves_for_usage_that_only_the_previous_owner_reported() -> None:
     """All had used 120 in the window, and the one that reports 40: 10 a second are unreachable."""
     owner = make_owner()
     owner.decide(
@@ -209,7 +211,7 @@
     assert owner.decide(request(91.0), later).admitted == (True,)
 
 
-def test_recent_usage_leaves_out_requesters_that_drain() -> None:
+def test_recent_usage_excludes_draining_requesters() -> None:
     owner = full_owner()
     owner.decide(request(30.0), 10.0)
     assert owner.decide(request(20.0, member=B), 10.0).recent_usage == pytest.approx(50.0)
@@ -227,14 +229,14 @@
     assert owner.decide(request(100.0), 13.0).admitted == (True,)
 
 
-def test_leases_are_granted_only_from_a_bucket_that_is_more_than_half_full() -> None:
+def test_leases_are_granted_only_above_half_of_the_burst() -> None:
     owner = full_owner()
     assert owner.decide(request(10.0, lease_wanted=20.0), 10.0).lease_granted == 20.0
     assert owner.decide(request(10.0, lease_wanted=20.0), 10.0).lease_granted == pytest.approx(10.0)
     assert owner.decide(request(10.0, lease_wanted=20.0), 10.0).lease_granted == 0.0
 
 
-def test_usage_fractions_are_those_of_the_requesters() -> None:
+def test_usage_fraction_is_the_requesters_part_of_recent_usage() -> None:
     owner = full_owner()
     assert owner.decide(request(), 10.0).usage_fraction == 0.0
     assert owner.decide(request(30.0), 10.0).usage_fraction == 1.0
@@ -254,14 +256,14 @@
         (LIMIT, 40.0),
     ],
 )
-def test_a_new_limit_is_adopted_at_once(limit: QuotaLimit, level: float) -> None:
+def test_a_changed_limit_applies_immediately(limit: QuotaLimit, level: float) -> None:
     owner = full_owner()
     owner.decide(request(60.0), 10.0)
     owner.configure({"t": limit}, 10.0)
     assert owner.decide(request(), 10.0).level == pytest.approx(level)
 
 
-def test_a_tenant_whose_limit_was_removed_is_forgotten() -> None:
+def test_a_tenant_whose_limit_was_removed_is_not_ready() -> None:
     owner = full_owner()
     owner.configure({"t": QuotaLimit(0.0, 100.0)}, 10.0)
     owner.set_owned(["t"], (A,), 10.0)
--- a/tests/budgets/test_quota_wake_times.py
+++ b/tests/budgets/test_quota_wake_times.py
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_no_tenant_has_a_deadline_that_is_too_late(seed: int) -> None:
+def test_next_wake_is_never_later_than_the_earliest_tenant_deadline(seed: int) -> None:
     rng = random.Random(seed)
     ownership = OwnershipView(ROSTER[0])
     ownership.update(1, ROSTER)
@@ -55,8 +55,8 @@
             client.refund(rng.choice(NAMES), 1.0, now)
             effects = []
         elif chosen < 0.57:
-            kept = rng.sample(NAMES, 6)
-            effects = client.configure({name: limits[name] for name in kept})
+            configured = rng.sample(NAMES, 6)
+            effects = client.configure({name: limits[name] for name in configured})
         elif chosen < 0.6:
             effects = client.configure(limits)
         else:
--- a/tests/budgets/test_retry_budget.py
+++ b/tests/budgets/test_retry_budget.py
@@ -27,7 +27,7 @@
     return sum(owner.decide(RetryBudgetRequest("s", 5), at).allowed for _ in range(times))
 
 
-def test_a_term_grants_nothing_then_little_then_most_of_the_slack() -> None:
+def test_a_term_grants_nothing_then_the_first_window_fraction_then_the_granted_fraction() -> None:
     owner = RetryBudgetOwner(10.0, 100.0)
     assert owner.decide(RetryBudgetRequest("s", 5), 0.0).status is ReplyStatus.NOT_READY
     owner.set_owned(["s"], 0.0)
@@ -41,9 +41,7 @@
 
 
 @pytest.mark.parametrize(("unconfirmed_s", "granted"), [(1.3, 80), (9.9, 80), (10.0, 0)])
-def test_a_lapsed_confirmation_ends_a_term_after_a_full_window(
-    unconfirmed_s: float, granted: int
-) -> None:
+def test_a_term_ends_if_unconfirmed_for_a_full_window(unconfirmed_s: float, granted: int) -> None:
     owner = RetryBudgetOwner(10.0, 100.0)
     owner.set_owned(["s"], 0.0)
     owner.end_terms(unconfirmed_s)
@@ -51,7 +49,7 @@
     assert grant(owner, 30.0, 200) == granted
 
 
-def test_a_service_that_moves_away_and_back_starts_a_new_term() -> None:
+def test_a_service_owned_again_starts_a_new_term() -> None:
     owner = RetryBudgetOwner(10.0, 100.0)
     owner.set_owned(["s"], 0.0)
     owner.set_owned([], 30.0)
@@ -59,7 +57,7 @@
     assert grant(owner, 32.0, 200) == 100 * FIRST_WINDOW_FRACTION
 
 
-def test_without_a_slack_nothing_is_granted() -> None:
+def test_zero_slack_grants_nothing() -> None:
     owner = RetryBudgetOwner(10.0, 0.0)
     owner.set_owned(["s"], 0.0)
     assert grant(owner, 50.0, 5) == 0
@@ -90,7 +88,7 @@
         ),
     ],
 )
-def test_a_retry_is_allowed_only_by_the_owner(
+def test_a_retry_is_allowed_only_by_a_decided_reply(
     outcome: RetryBudgetReply | None, effects: list[object]
 ) -> None:
     client = retry_client()
@@ -102,7 +100,7 @@
     assert client.handle_reply(1, outcome, 10.01) == []
 
 
-def test_a_token_that_was_refused_is_not_used_again() -> None:
+def test_a_token_refused_as_stale_is_not_used_again() -> None:
     ownership = OwnershipView(OWN)
     ownership.update(5, (OTHER,))
     client = RetryBudgetClient(ownership, 52.0)
@@ -115,7 +113,7 @@
     assert isinstance(client.request(4, "s", 11.0)[0], SendRetryBudgetRequest)
 
 
-def test_a_refusal_is_valid_for_a_moment() -> None:
+def test_a_refusal_is_reused_until_retry_after() -> None:
     client = retry_client()
     client.request(1, "s", 10.0)
     client.handle_reply(1, RetryBudgetReply(OK, 5, allowed=False, retry_after_s=0.1), 10.0)
@@ -124,7 +122,7 @@
     assert isinstance(client.request(4, "s", 10.11)[0], SendRetryBudgetRequest)
 
 
-def test_without_a_slack_or_a_roster_every_retry_is_refused() -> None:
+def test_zero_slack_or_no_roster_refuses_every_retry() -> None:
     assert retry_client(0.0).request(1, "s", 10.0) == [RetryBudgetDecided(1, allowed=False)]
     assert RetryBudgetClient(OwnershipView(OWN), 52.0).request(1, "s", 10.0) == [
         RetryBudgetDecided(1, allowed=False)
--- a/tests/distribution/test_host_changes.py
+++ b/tests/distribution/test_host_changes.py
@@ -48,7 +48,7 @@
 DRAINING = host("b", HostState.DRAINING)
 
 
-def reply(host_list: bytes | None = None, host_changes: bytes | None = None) -> DeltaPullReply:
+def make_reply(host_list: bytes | None = None, host_changes: bytes | None = None) -> DeltaPullReply:
     return DeltaPullReply(
         confirmed=True,
         vector=VECTOR,
@@ -60,7 +60,7 @@
     )
 
 
-def expanded(configuration: bytes | None, hosts: tuple[Host, ...] | None) -> PullReply:
+def make_expanded_reply(configuration: bytes | None, hosts: tuple[Host, ...] | None) -> PullReply:
     """What a reply should come to."""
     return PullReply(
         confirmed=True,
@@ -72,54 +72,62 @@
     )
 
 
-def change(base: int, removed: tuple[str, ...] = (), updated: tuple[Host, ...] = ()) -> bytes:
+def encode_changes(
+    base: int, removed: tuple[str, ...] = (), updated: tuple[Host, ...] = ()
+) -> bytes:
     return encode(HostChanges(base, removed, updated))
 
 
 @pytest.mark.parametrize(
     ("delta", "hosts"),
     [
-        (reply(), None),
-        (reply(encode(HostList((A, C)))), (A, C)),
-        (reply(encode(HostList(()))), ()),
-        (reply(None, change(5, ("a",))), (B,)),
-        (reply(None, change(5, (), (C,))), (A, B, C)),
-        (reply(None, change(5, (), (DRAINING,))), (A, DRAINING)),
-        (reply(None, change(5, ("a", "b"), (C,))), (C,)),
-        (reply(None, change(5, ("unknown",))), (A, B)),
-        (reply(encode(HostList((C,))), change(5, ("a",))), (C,)),
+        (make_reply(), None),
+        (make_reply(encode(HostList((A, C)))), (A, C)),
+        (make_reply(encode(HostList(()))), ()),
+        (make_reply(None, encode_changes(5, ("a",))), (B,)),
+        (make_reply(None, encode_changes(5, (), (C,))), (A, B, C)),
+        (make_reply(None, encode_changes(5, (), (DRAINING,))), (A, DRAINING)),
+        (make_reply(None, encode_changes(5, ("a", "b"), (C,))), (C,)),
+        (make_reply(None, encode_changes(5, ("unknown",))), (A, B)),
+        (make_reply(encode(HostList((C,))), encode_changes(5, ("a",))), (C,)),
     ],
 )
-def test_the_list_after_a_reply(delta: DeltaPullReply, hosts: tuple[Host, ...] | None) -> None:
-    assert expand_reply(delta, 5, (B, A)) == expanded(None, hosts)
+def test_expand_reply_applies_full_lists_and_changes(
+    delta: DeltaPullReply, hosts: tuple[Host, ...] | None
+) -> None:
+    assert expand_reply(delta, 5, (B, A)) == make_expanded_reply(None, hosts)
 
 
 @pytest.mark.parametrize(
     "delta",
     [
-        reply(None, change(4, ("a",))),
-        reply(None, change(6, ("a",))),
-        reply(None, change(5, ("a",))[:-1]),
-        reply(None, b""),
-        reply(encode(HostList((A,)))[:-3]),
-        reply(b"\xff" * 9),
+        make_reply(None, encode_changes(4, ("a",))),
+        make_reply(None, encode_changes(6, ("a",))),
+        make_reply(None, encode_changes(5, ("a",))[:-1]),
+        make_reply(None, b""),
+        make_reply(encode(HostList((A,)))[:-3]),
+        make_reply(b"\xff" * 9),
     ],
 )
-def test_a_reply_whose_hosts_are_of_no_use_is_none(delta: DeltaPullReply) -> None:
+def test_expand_reply_returns_none_for_malformed_hosts_or_another_base(
+    delta: DeltaPullReply,
+) -> None:
     assert expand_reply(delta, 5, (A, B)) is None
 
 
-def test_a_configuration_comes_compressed() -> None:
-    delta = replace(reply(), configuration=zlib.compress(DOCUMENT))
-    assert expand_reply(delta, 5, ()) == expanded(DOCUMENT, None)
+def test_expand_reply_decompresses_the_configuration() -> None:
+    delta = replace(make_reply(), configuration=zlib.compress(DOCUMENT))
+    assert expand_reply(delta, 5, ()) == make_expanded_reply(DOCUMENT, None)
 
 
 @pytest.mark.parametrize("malformed", [b"", DOCUMENT, zlib.compress(DOCUMENT)[:-1]])
-def test_a_configuration_that_cannot_be_read_makes_the_reply_none(malformed: bytes) -> None:
-    assert expand_reply(replace(reply(), configuration=malformed), 5, ()) is None
+def test_expand_reply_returns_none_for_an_invalid_compressed_configuration(
+    malformed: bytes,
+) -> None:
+    assert expand_reply(replace(make_reply(), configuration=malformed), 5, ()) is None
 
 
-class Pair:
+class PullPair:
     """A gateway's machine and the pull server of a tail; messages go through their frames."""
 
     def __init__(self) -> None:
@@ -127,13 +135,13 @@
         self.pull_server = PullServer()
         self.now, self.epoch = 10.0, EPOCH
         self.lists = self.changes = 0
-        self.view(EPOCH)
+        self.set_view(EPOCH)
 
-    def view(self, epoch: int) -> None:
+    def set_view(self, epoch: int) -> None:
         self.epoch = epoch
         self.pull_server.view_changed(self.now, epoch, None, CORES, is_tail=True)
 
-    def listed(self, *hosts: Host) -> None:
+    def set_hosts(self, *hosts: Host) -> None:
         self.pull_server.hosts_listed(self.now, self.epoch, hosts)
 
     def pull(self, *, lost: bool = False) -> list[Effect]:
@@ -165,81 +173,81 @@
         return self.machine.snapshot.hosts
 
 
-def test_a_gateway_gets_the_list_once_and_then_changes() -> None:
-    pair = Pair()
-    pair.listed(A, B, C, host("d"))
+def test_a_gateway_gets_the_full_list_first_and_small_changes_afterwards() -> None:
+    pair = PullPair()
+    pair.set_hosts(A, B, C, host("d"))
     pair.pull()
     assert (pair.hosts, pair.lists, pair.changes) == ((A, B, C, host("d")), 1, 0)
     assert [type(effect) for effect in pair.pull()] == [SnapshotConfirmed]
-    pair.listed(A, DRAINING, host("d"), host("e"))
+    pair.set_hosts(A, DRAINING, host("d"), host("e"))
     assert [type(effect) for effect in pair.pull()] == [ApplySnapshot, SnapshotConfirmed]
     # Most of the list was new, so all of it came.
     assert (pair.hosts, pair.lists) == ((A, DRAINING, host("d"), host("e")), 2)
-    pair.listed(A, host("d"), host("e"))
+    pair.set_hosts(A, host("d"), host("e"))
     pair.pull()
     assert (pair.hosts, pair.lists, pair.changes) == ((A, host("d"), host("e")), 2, 1)
 
 
-def test_the_tail_of_another_view_sends_its_whole_list() -> None:
-    pair = Pair()
-    pair.listed(A, B)
+def test_the_tail_of_a_new_view_sends_its_full_list() -> None:
+    pair = PullPair()
+    pair.set_hosts(A, B)
     pair.pull()
-    pair.view(EPOCH + 1)
+    pair.set_view(EPOCH + 1)
     pair.pull()
     assert pair.hosts == (A, B)
-    pair.listed(A, B)
+    pair.set_hosts(A, B)
     pair.pull()
     assert (pair.hosts, pair.lists, pair.changes) == ((A, B), 2, 0)
     assert pair.machine.snapshot is not None
     assert pair.machine.snapshot.vector.hosts == pair.pull_server.versions.hosts
 
 
-def test_a_reply_that_cannot_be_read_moves_nothing_and_the_next_one_does() -> None:
-    pair = Pair()
-    pair.listed(A, B, C)
+def test_an_undecodable_reply_changes_nothing_and_the_next_one_applies() -> None:
+    pair = PullPair()
+    pair.set_hosts(A, B, C)
     pair.pull()
     before = pair.hosts
-    pair.listed(A, B)
+    pair.set_hosts(A, B)
     pair.now = max(pair.now + 0.1, pair.machine.due_at)
     (send,) = pair.machine.wake(pair.now)
     assert isinstance(send, SendPull)
-    torn = replace(pair.send_reply(DeltaPullRequest(send.pull)), host_changes=b"?")
-    assert pair.machine.reply_received(send.call, torn, pair.now) == []
+    malformed_reply = replace(pair.send_reply(DeltaPullRequest(send.pull)), host_changes=b"?")
+    assert pair.machine.reply_received(send.call, malformed_reply, pair.now) == []
     assert pair.hosts is before
     pair.pull()
     assert pair.hosts == (A, B)
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_whatever_changes_and_whatever_is_lost_the_lists_agree(seed: int) -> None:
+def test_host_lists_agree_after_random_changes_and_lost_replies(seed: int) -> None:
     rng = random.Random(seed)
-    pair = Pair()
-    listed = {f"h{number}": host(f"h{number}") for number in range(rng.randrange(30))}
+    pair = PullPair()
+    current = {f"h{number}": host(f"h{number}") for number in range(rng.randrange(30))}
     for step in range(150):
         for _ in range(rng.choice((0, 0, 1, 1, 3, 30))):
             name = f"h{rng.randrange(40)}"
             if rng.random() < 0.4:
-                listed.pop(name, None)
+                current.pop(name, None)
             else:
                 state = rng.choice((HostState.READY, HostState.DRAINING))
-                listed[name] = host(name, state, rng.choice((0.0, 1000.0 - step)))
+                current[name] = host(name, state, rng.choice((0.0, 1000.0 - step)))
         if rng.random() < 0.05:
-            pair.view(pair.epoch + 1)
-        shuffled = list(listed.values())
+            pair.set_view(pair.epoch + 1)
+        shuffled = list(current.values())
         rng.shuffle(shuffled)
-        pair.listed(*shuffled)
+        pair.set_hosts(*shuffled)
         if rng.random() < 0.5:
             pair.pull(lost=rng.random() < 0.3)
     pair.pull()
     pair.pull()
-    assert [_plain(entry) for entry in pair.hosts] == [
-        _plain(listed[name]) for name in sorted(listed)
+    assert [_with_binary_warmup(entry) for entry in pair.hosts] == [
+        _with_binary_warmup(current[name]) for name in sorted(current)
     ]
     assert pair.lists
     assert pair.changes
 
 
-def _plain(entry: Host) -> Host:
+def _with_binary_warmup(entry: Host) -> Host:
     """A host with what is left of its warm-up as yes or no, which is all that counts as a
     change.
     """
--- a/tests/distribution/test_payoffs.py
+++ b/tests/distribution/test_payoffs.py
@@ -12,17 +12,17 @@
 from roselink.protocol.pull import PullReply
 from roselink.protocol.records import encode
 
-FALLEN = encode(PooledPayoffs((HostPayoff("h", 25), HostPayoff("odd", 900))))
+REDUCED_PAYOFFS = encode(PooledPayoffs((HostPayoff("h", 25), HostPayoff("odd", 900))))
 
 
-def machine() -> PullStateMachine:
+def make_machine() -> PullStateMachine:
     return PullStateMachine(Member("a", "10.0.0.9:7500", 1), [("10.0.0.1", 7500)], random.Random(1))
 
 
 def exchange(
-    made: PullStateMachine, now: float, payoffs: bytes
+    machine: PullStateMachine, now: float, payoffs: bytes
 ) -> tuple[SendPull, list[PayoffsReceived]]:
-    (sent,) = made.wake(now)
+    (sent,) = machine.wake(now)
     assert isinstance(sent, SendPull)
     reply = PullReply(
         confirmed=True,
@@ -33,24 +33,24 @@
         cores=(),
         payoffs=payoffs,
     )
-    effects = made.reply_received(sent.call, reply, now + 0.01)
+    effects = machine.reply_received(sent.call, reply, now + 0.01)
     return sent, [effect for effect in effects if isinstance(effect, PayoffsReceived)]
 
 
-def test_each_pull_brings_what_is_new() -> None:
-    made = machine()
-    fresh = [(HostOutcomes("h", 1, 2),), ()]
-    made.outcomes = lambda: fresh.pop(0)
-    assert exchange(made, 0.0, b"")[0].pull.outcomes == (HostOutcomes("h", 1, 2),)
-    assert exchange(made, 1.0, b"")[0].pull.outcomes == ()
+def test_each_pull_sends_only_new_outcomes() -> None:
+    machine = make_machine()
+    pending_outcomes = [(HostOutcomes("h", 1, 2),), ()]
+    machine.outcomes = lambda: pending_outcomes.pop(0)
+    assert exchange(machine, 0.0, b"")[0].pull.outcomes == (HostOutcomes("h", 1, 2),)
+    assert exchange(machine, 1.0, b"")[0].pull.outcomes == ()
 
 
-@pytest.mark.parametrize("unreadable", [b"x", FALLEN + b"x", FALLEN[:-1]])
-def test_payoffs_are_passed_on_while_some_have_fallen_and_once_when_none_has(
+@pytest.mark.parametrize("unreadable", [b"x", REDUCED_PAYOFFS + b"x", REDUCED_PAYOFFS[:-1]])
+def test_payoffs_are_delivered_with_each_reply_and_once_when_they_become_empty(
     unreadable: bytes,
 ) -> None:
-    made = machine()
-    fallen = PayoffsReceived((("h", 0.25), ("odd", 1.0)))
-    replies = [b"", FALLEN, FALLEN, unreadable, b"", b""]
-    received = [exchange(made, float(at), reply)[1] for at, reply in enumerate(replies)]
-    assert received == [[], [fallen], [fallen], [PayoffsReceived(())], [PayoffsReceived(())], []]
+    machine = make_machine()
+    reduced = PayoffsReceived((("h", 0.25), ("odd", 1.0)))
+    replies = [b"", REDUCED_PAYOFFS, REDUCED_PAYOFFS, unreadable, b"", b""]
+    received = [exchange(machine, float(at), reply)[1] for at, reply in enumerate(replies)]
+    assert received == [[], [reduced], [reduced], [PayoffsReceived(())], [PayoffsReceived(())], []]
--- a/tests/gossip/test_peer_sampling.py
+++ b/tests/gossip/test_peer_sampling.py
@@ -34,7 +34,7 @@
     return {entry.member.name for entry in view.view}
 
 
-def test_a_view_is_bounded_and_leaves_out_its_owner() -> None:
+def test_a_view_is_bounded_and_excludes_the_own_gateway() -> None:
     view = PeerSampling(OWN, random.Random(1))
     view.add_members([OWN, *OTHERS])
     assert len(view.view) == module.VIEW_SIZE
@@ -46,7 +46,7 @@
     assert "own" not in names(view)
 
 
-def test_the_oldest_entry_is_the_partner_and_stays_out_until_its_reply() -> None:
+def test_the_oldest_entry_becomes_the_partner_and_is_removed_without_a_reply() -> None:
     view = make_view(1)
     view.request_received(
         ShuffleRequest((ViewEntry(OTHERS[1], 7), ViewEntry(OTHERS[2], 3)), OLD_DIGEST), 10.0
@@ -60,7 +60,7 @@
     assert names(view) == {"edge-0", "edge-2"}
 
 
-def test_a_reply_brings_new_entries_in_place_of_those_that_were_sent() -> None:
+def test_entries_of_a_reply_replace_those_that_were_sent() -> None:
     view = make_view(8)
     [effect] = view.wake(10.0)
     assert isinstance(effect, SendShuffleRequest)
@@ -109,12 +109,14 @@
         (GossipDigest(VersionVector(1, 1, 1), CORES, 0), []),
     ],
 )
-def test_a_newer_version_is_learned(digest: GossipDigest, learned: list[object]) -> None:
+def test_a_digest_with_a_newer_version_is_reported(
+    digest: GossipDigest, learned: list[object]
+) -> None:
     assert make_view().request_received(ShuffleRequest((), digest), 10.5)[1] == learned
 
 
 @pytest.mark.parametrize(("age_ms", "learned"), [(100, True), (3000, True), (6000, False)])
-def test_cores_are_taken_from_a_peer_with_a_later_confirmation(
+def test_core_addresses_are_adopted_from_a_peer_with_a_later_confirmation(
     age_ms: int, *, learned: bool
 ) -> None:
     digest = GossipDigest(VersionVector(), ("10.9.9.9:7500",), age_ms)
@@ -122,7 +124,7 @@
     assert effects == ([CoreAddressesLearned(("10.9.9.9:7500",))] if learned else [])
 
 
-def test_views_stay_connected_and_forget_the_dead() -> None:
+def test_views_stay_connected_and_drop_failed_gateways() -> None:
     rng = random.Random(3)
     members = OTHERS[:20]
     views = {
@@ -159,7 +161,7 @@
     assert stale <= 0.1 * len(alive) * module.VIEW_SIZE
 
 
-def test_traffic_is_tiny_while_pulls_are_confirmed() -> None:
+def test_traffic_while_pulls_are_confirmed_is_below_200_bytes_per_second() -> None:
     entries = tuple(
         ViewEntry(Member("edge-zg-maksimir-1", "10.1.0.16:7500", 2**55), 3) for _ in range(4)
     )
