--- a/tests/budgets/checks.py
+++ b/tests/budgets/checks.py
@@ -1,4 +1,4 @@
-"""Independent checkers of the rules, on lists of what was admitted."""
+"""Checks of the quota rules on lists of admitted amounts, independent of the implementation."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def max_window_sum(events: Iterable[tuple[float, float]], window_s: float) -> float:
-    """The largest sum of amounts within any span of the window's length."""
+    """Return the largest sum of amounts within any window of this length."""
     ordered = sorted(events)
     largest = total = 0.0
     first = 0
@@ -25,7 +25,7 @@
 
 
 def admitted_amounts(decisions: Iterable[Decision], tenant: str) -> list[tuple[float, float]]:
-    """When and how much ran."""
+    """Return time and amount of each admitted request of a tenant."""
     return [
         (entry.decided_at, entry.amount)
         for entry in decisions
@@ -36,7 +36,7 @@
 def reference_admissions(
     decisions: Iterable[Decision], tenant: str, rate: float, burst: float
 ) -> list[Decision]:
-    """The requests that an exact bucket, fed in the order of arrival, lets pass."""
+    """Return the requests that one token bucket admits in the order of their arrival."""
     level, at = burst, 0.0
     admissions = []
     for entry in sorted(decisions, key=lambda decision: decision.arrived_at):
--- a/tests/budgets/faults.py
+++ b/tests/budgets/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a simulated fleet, drawn from its seed."""
+"""Random faults of a simulated fleet, determined by its seed."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def inject_faults(fleet: Fleet, until: float, kinds: list[str]) -> None:
-    """Schedule faults of these kinds, one after the other or at once, from 4 s on."""
+    """Schedule random faults of these kinds, which may overlap, from 4 s on."""
     rng = random.Random(f"{fleet.seed} trouble")
     at = fleet.now + 4
     while at < until:
--- a/tests/budgets/fleet.py
+++ b/tests/budgets/fleet.py
@@ -1,8 +1,8 @@
 """A simulated fleet of gateways: the real state machines on a simulated clock and network.
 
-Of the core only the roster is simulated: a gateway that has not pulled for `CORE_TIMEOUT_S` leaves
-it, but a time longer than `CORE_PAUSE_S` in which the core received no pull at all counts against
-none. Which requests were admitted is recorded for checkers, which share no code with the machines.
+Of the core only the roster is simulated: a gateway that has not pulled for `CORE_TIMEOUT_S` is
+removed, but a pause longer than `CORE_PAUSE_S` in which the core received no pull at all is not
+counted. All decisions are recorded for the checks, which share no code with the state machines.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 
 @dataclass
 class Decision:
-    """One request, as its client saw it."""
+    """The decision on one request, as its client observes it."""
 
     tenant: str
     gateway: int
@@ -58,7 +58,7 @@
 
 @dataclass
 class Fleet:
-    """The network, the core, the gateways, and their decisions."""
+    """The simulated network, core and gateways, and the recorded decisions."""
 
     size: int
     seed: int
@@ -99,7 +99,7 @@
         return frozenset((one, other)) not in self.blocked_links
 
     def pull(self, member: Member, *, serving: bool) -> None:
-        """The core receives a pull, and removes the gateways that have not pulled."""
+        """Process a pull at the core and remove gateways whose pulls have stopped."""
         pause_s = self.now - self.last_pull
         self.last_pull = self.now
         if pause_s > CORE_PAUSE_S:
@@ -120,7 +120,7 @@
         timeout_s: float,
         done: Callable[[Any], None],
     ) -> None:
-        """As `PeerPool.call` has it: `done` runs once, at the caller."""
+        """Call a gateway as `PeerPool.call` does: `done` runs once, at the caller."""
         self.requests_sent += 1
         incarnation = caller.incarnation
         callee = self.gateways[int(address)]
@@ -150,7 +150,7 @@
 
 
 class Gateway:
-    """One gateway: its state machines, and whether it runs."""
+    """One gateway: its state machines and whether its process runs."""
 
     def __init__(self, fleet: Fleet, index: int) -> None:
         self.fleet = fleet
@@ -181,7 +181,7 @@
         self.later(fleet.rng.random() * 0.05, self.pull)
 
     def drain(self) -> None:
-        """Drain, as after SIGTERM: own no keys any more."""
+        """Drain as after SIGTERM: the gateway leaves the roster and owns no keys."""
         self.serving = False
         self.client.draining = True
         self.pull(schedule_next=False)
@@ -261,7 +261,7 @@
         return RetryBudgetReply(status, self.ownership.fencing_token, allowed=False)
 
     def request(self, tenant: str, amount: float) -> None:
-        """A client's request; one that reaches a dead process is lost."""
+        """Send a client's request; it is lost if the process has ended."""
         incarnation = self.incarnation
         arrived_at = self.fleet.now
 
--- a/tests/budgets/test_deadline_index.py
+++ b/tests/budgets/test_deadline_index.py
@@ -1,4 +1,4 @@
-"""Due deadlines of many names, against a plain table of them."""
+"""Deadlines by name: which are due and which is earliest, compared with a plain dict."""
 
 from __future__ import annotations
 
--- a/tests/budgets/test_fleet.py
+++ b/tests/budgets/test_fleet.py
@@ -1,4 +1,4 @@
-"""Quotas and retry budgets of a fleet whose gateways crash, freeze and lose their network."""
+"""Quotas and retry budgets of a fleet under crashes, freezes and network partitions."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def send(fleet: Fleet, tenant: str, tokens_per_s: float, until: float) -> None:
-    """Requests at random moments, at gateways with uneven load."""
+    """Schedule requests at random times to gateways with uneven load."""
     rng = random.Random(f"{fleet.seed} {tenant}")
     weights = [rng.uniform(0.3, 2.0) for _ in fleet.gateways]
     per_s = tokens_per_s * len(SIZES) / sum(SIZES)
@@ -60,7 +60,7 @@
         entry.amount for entry in reference_admissions(fleet.decisions, "hot", RATE, BURST)
     )
     assert sum(amount for _, amount in admitted) >= 0.99 * expected
-    # the exact bucket, and the grace for requests that cross each other
+    # The bucket, and the overdraft for requests that reach the owner out of order.
     assert max_window_sum(
         admitted, RULE.window_s
     ) <= RATE * RULE.window_s + BURST + 0.16 * RULE.allowance(QuotaLimit(RATE, BURST))
--- a/tests/budgets/test_ownership.py
+++ b/tests/budgets/test_ownership.py
@@ -1,4 +1,4 @@
-"""Who owns a key, and which fencing tokens an owner serves."""
+"""Ownership of keys, and the fencing tokens under which an owner serves requests."""
 
 from __future__ import annotations
 
@@ -89,7 +89,7 @@
 
 
 def test_a_superseded_owner_decides_nothing_until_it_adopts_the_newer_roster() -> None:
-    """Its own roster is not the newest, so that another gateway may own the key already."""
+    """Its roster is not the newest, so another gateway may already own the key."""
     view = OwnershipView(ROSTER[0])
     view.update(5, ROSTER)
     view.confirm(10.0, 10.05)
--- a/tests/budgets/test_quota_client.py
+++ b/tests/budgets/test_quota_client.py
@@ -1,4 +1,4 @@
-"""What a gateway requests of a quota's owner, and what it decides without one."""
+"""A gateway's requests to the owner of a quota, and its local decisions without one."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 
 def connected_client(amount: float = 40.0) -> tuple[QuotaClient, OwnershipView]:
-    """A client whose owner has replied once, at 10; its next request is due later."""
+    """Return a client whose owner replied once, at 10; its next keep-alive is due later."""
     client, ownership = make_client()
     client.handle_reply(
         only_request(client.admit(1, "t", amount, 10.0)).call, make_reply((True,)), 10.003
@@ -119,7 +119,7 @@
 
 
 def test_a_token_refused_as_stale_is_not_used_again() -> None:
-    """NEWS-24, duty: who was refused by a higher token does nothing more with its own."""
+    """A higher token in use makes every decision under the client's own token invalid."""
     client, ownership = connected_client()
     sent_request = only_request(client.admit(2, "t", 5.0, 10.1))
     refused = QuotaReply(ReplyStatus.STALE_TOKEN, 6)
@@ -179,7 +179,7 @@
         now = client.next_wake_at(now)
         effects = client.wake(now)
         decisions = decisions_by_number(effects)
-    assert decisions == {2: True}  # at the own recent rate
+    assert decisions == {2: True}  # at its own recent rate
     assert now <= 10.1 + module.MAX_WAIT_S + 0.001
 
 
@@ -195,7 +195,7 @@
 
 
 def client_with_unreachable_owner(usage_fraction: float = 0.5) -> QuotaClient:
-    """A client with a use of 100 in its window, whose owner is unreachable from 10.4 on."""
+    """Return a client with a usage of 100 whose owner is unreachable from 10.4 on."""
     client, _ = make_client()
     client.handle_reply(
         only_request(client.admit(1, "t", 100.0, 10.0)).call,
@@ -281,7 +281,7 @@
 def test_a_lease_admits_immediately_and_its_unused_rest_is_returned() -> None:
     client, _ = make_client()
     now = 10.0
-    for number in range(1, 400):  # many small requests: the lease has a request's amount
+    for number in range(1, 400):  # small requests: only then is a lease worth a request's amount
         effects = client.admit(number, "t", 1.0, now)
         requests = [each for each in effects if isinstance(each, SendQuotaRequest)]
         now += 0.01
--- a/tests/budgets/test_quota_owner.py
+++ b/tests/budgets/test_quota_owner.py
@@ -1,4 +1,4 @@
-"""The owner's decisions on quotas."""
+"""Quota decisions of an owner: bucket level, terms, reservations and leases."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 
 def full_owner(rule: QuotaRule = EXACT) -> QuotaOwner:
-    """An owner whose bucket has filled up; the time is 10."""
+    """Return an owner whose bucket is full at the time 10."""
     return make_owner(rule, 0.0)
 
 
@@ -81,8 +81,8 @@
     [
         ((), ()),
         ((100.0,), (True,)),
-        ((60.0, 60.0, 40.0), (True, False, True)),  # each by itself, in order
-        ((250.0,), (True,)),  # above the whole burst: wants a full bucket, and leaves a debt
+        ((60.0, 60.0, 40.0), (True, False, True)),  # decided one by one, in order
+        ((250.0,), (True,)),  # above the burst: requires a full bucket, makes it negative
         ((1.0, 250.0), (True, False)),
         ((0.0, 0.0), (True, True)),
     ],
@@ -98,7 +98,7 @@
     owner.decide(request(250.0), 10.0)
     refused = owner.decide(request(10.0), 10.5)
     assert refused.admitted == (False,)
-    assert refused.retry_after_s == pytest.approx(1.1)  # level -100, wants 10
+    assert refused.retry_after_s == pytest.approx(1.1)  # level -100, needs 10 at 100 per second
     assert owner.decide(request(10.0), 11.59).admitted == (False,)
     assert owner.decide(request(10.0), 11.61).admitted == (True,)
 
@@ -138,7 +138,7 @@
         (-50.0, 100, -40.0),
         (100.0, 0, 100.0),
         (99.0, 500, 100.0),
-        (80.0, 1500, 0.0),  # old: others may have taken what it gained
+        (80.0, 1500, 0.0),  # old: others may have used the refill since
         (-300.0, 1500, -150.0),
     ],
 )
@@ -188,7 +188,7 @@
 
 def test_the_rate_of_an_unreachable_requester_with_recent_usage_is_reserved() -> None:
     owner = full_owner()
-    owner.decide(request(80.0, member=B), 10.0)  # 10 a second over the window
+    owner.decide(request(80.0, member=B), 10.0)  # a rate of 10 per second over the window
     unreachable = module.UNREACHABLE_AFTER_S
     assert owner.decide(request(100.0), 10.0 + unreachable + 0.5).admitted == (False,)
     assert owner.decide(request(94.0), 10.0 + unreachable + 0.5).admitted == (True,)
@@ -200,7 +200,7 @@
 
 
 def test_a_new_owner_reserves_for_usage_that_only_the_previous_owner_reported() -> None:
-    """All had used 120 in the window, and the one that reports 40: 10 a second are unreachable."""
+    """Of a total usage of 120 only 40 are reported: 10 per second remain reserved."""
     owner = make_owner()
     owner.decide(
         request(report=(UsageSample(100, 40.0),), last_level=BucketLevel(7, 100.0, 120.0, 0)), 0.0
--- a/tests/budgets/test_quota_wake_times.py
+++ b/tests/budgets/test_quota_wake_times.py
@@ -1,4 +1,8 @@
-"""When a gateway's quotas are due to wake: never later than a walk over all tenants finds."""
+"""Wake-ups of the quota client, compared with the deadlines of all tenants.
+
+Guards against a deadline index that isn't updated after a change to a tenant's state: pending
+requests would then be decided too late.
+"""
 
 from __future__ import annotations
 
@@ -43,7 +47,7 @@
     for number in range(2000):
         now += rng.choice((0.0, 0.003, 0.02, 0.3))
         if number % 400 == 399:
-            now += 10.0  # all use leaves the window
+            now += 10.0  # all usage leaves the window
         ownership.confirm(now, now)
         chosen = rng.random()
         if chosen < 0.3:
@@ -66,8 +70,6 @@
             (client._deadline(state, now) for state in client._tenants.values()),
             default=float("inf"),
         )
-        assert client.next_wake_at(now) <= max(earliest, now)  # what is past is due now
-        if (
-            chosen >= 0.6
-        ):  # right after a wake-up nothing is due but what waits for an owner's reply
+        assert client.next_wake_at(now) <= max(earliest, now)  # a past deadline is due now
+        if chosen >= 0.6:  # right after a wake-up only what waits for an owner's reply may be due
             assert client.next_wake_at(now) > now
--- a/tests/budgets/test_retry_budget.py
+++ b/tests/budgets/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget of a service: what its owner grants, and what a requester decides by it."""
+"""The retry budget of a service: grants by its owner and decisions of a requester."""
 
 from __future__ import annotations
 
--- a/tests/distribution/test_host_changes.py
+++ b/tests/distribution/test_host_changes.py
@@ -1,6 +1,6 @@
-"""Lists of hosts out of whole lists and changes.
+"""Host lists from full lists and changes.
 
-Alone, and between a tail's pull server and a gateway's machine.
+The decoder by itself, and the pull server of a tail together with a gateway's state machine.
 """
 
 from __future__ import annotations
@@ -61,7 +61,7 @@
 
 
 def make_expanded_reply(configuration: bytes | None, hosts: tuple[Host, ...] | None) -> PullReply:
-    """What a reply should come to."""
+    """Return the expected result of `expand_reply`."""
     return PullReply(
         confirmed=True,
         vector=VECTOR,
@@ -128,7 +128,7 @@
 
 
 class PullPair:
-    """A gateway's machine and the pull server of a tail; messages go through their frames."""
+    """A gateway's state machine and a tail's pull server; messages are encoded as frames."""
 
     def __init__(self) -> None:
         self.machine = PullStateMachine(MEMBER, [("10.2.0.1", 7500)], random.Random(1))
@@ -145,7 +145,7 @@
         self.pull_server.hosts_listed(self.now, self.epoch, hosts)
 
     def pull(self, *, lost: bool = False) -> list[Effect]:
-        """One pull and its reply, or None in its place."""
+        """Run one pull; if `lost`, the gateway receives None instead of the reply."""
         self.now = max(self.now + 0.1, self.machine.due_at)
         (send,) = self.machine.wake(self.now)
         assert isinstance(send, SendPull)
@@ -181,7 +181,7 @@
     assert [type(effect) for effect in pair.pull()] == [SnapshotConfirmed]
     pair.set_hosts(A, DRAINING, host("d"), host("e"))
     assert [type(effect) for effect in pair.pull()] == [ApplySnapshot, SnapshotConfirmed]
-    # Most of the list was new, so all of it came.
+    # Most of the list changed, so the full list was sent.
     assert (pair.hosts, pair.lists) == ((A, DRAINING, host("d"), host("e")), 2)
     pair.set_hosts(A, host("d"), host("e"))
     pair.pull()
@@ -248,7 +248,5 @@
 
 
 def _with_binary_warmup(entry: Host) -> Host:
-    """A host with what is left of its warm-up as yes or no, which is all that counts as a
-    change.
-    """
+    """Reduce the remaining warm-up to 0 or 1: other differences of it are not sent as changes."""
     return replace(entry, warmup_left_ms=float(entry.warmup_left_ms > 0))
--- a/tests/distribution/test_payoffs.py
+++ b/tests/distribution/test_payoffs.py
@@ -1,4 +1,4 @@
-"""Outcomes go out with each pull; pooled payoffs come back with its reply."""
+"""Outcomes sent with each pull, and pooled payoffs received with its reply."""
 
 from __future__ import annotations
 
--- a/tests/distribution/test_pull_state_machine.py
+++ b/tests/distribution/test_pull_state_machine.py
@@ -1,4 +1,4 @@
-"""Whom a gateway pulls from and when, what comes into force, and how long keys may be used."""
+"""Pulls of a gateway: choice of the member, timing, snapshots, and the lease on API keys."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
 
 def exchange(machine: PullStateMachine, now: float, pull_reply: PullReply | None) -> list[Effect]:
-    """One pull, sent at `now`, and its outcome 2 ms later."""
+    """Send one pull at `now` and deliver its outcome 2 ms later."""
     return machine.reply_received(send(machine, now).call, pull_reply, now + 0.002)
 
 
@@ -120,9 +120,7 @@
 
 
 def test_a_late_reply_to_an_earlier_call_is_ignored() -> None:
-    """Its content may be older than what its number says, were it counted from the second call's
-    sending.
-    """
+    """Taken for the reply to the second call, it would start a lease later than its content."""
     machine = make_machine()
     first = send(machine, 1.0)
     machine.reply_received(first.call, None, 1.3)
@@ -197,14 +195,14 @@
         (
             reply(2, 4, 5),
             False,
-        ),  # an older configuration than is in force here: no confirmation of it
+        ),  # older than the configuration in force: confirms nothing
         (reply(3, 2, 5), True),
         (reply(3, 4, 2), True),
         (reply(3, 0, 0), True),
         (
             reply(9, 4, 5, configuration=None),
             False,
-        ),  # it names a newer one, and lacks it
+        ),  # names a newer configuration without including it
     ],
 )
 def test_an_older_version_never_replaces_a_newer_one(later: PullReply, *, confirmed: bool) -> None:
@@ -317,9 +315,7 @@
 
 
 def test_random_failures_never_regress_versions_or_extend_the_key_lease() -> None:
-    """An operator's versions, acknowledged at known moments; replies late, lost, unconfirmed or
-    old.
-    """
+    """Versions are acknowledged at known times; replies are late, lost, unconfirmed or old."""
     for seed in range(30):
         rng = random.Random(seed)
         machine = make_machine(seed)
--- a/tests/gossip/test_peer_sampling.py
+++ b/tests/gossip/test_peer_sampling.py
@@ -1,4 +1,4 @@
-"""Exchanges of views between gateways, and what is learned by them."""
+"""Exchanges of views between gateways, and the effects of the digests received."""
 
 from __future__ import annotations
 
@@ -131,7 +131,7 @@
         member.address: PeerSampling(member, random.Random(member.incarnation))
         for member in members
     }
-    for index, member in enumerate(members):  # a ring
+    for index, member in enumerate(members):  # initially each view has the next member only: a ring
         views[member.address].add_members([members[(index + 1) % len(members)]])
     now = 0.0
     dead: set[str] = set()
@@ -173,5 +173,5 @@
     )
     assert (
         2 * size / module.CONFIRMED_INTERVAL_S < 200
-    )  # both ends of own and others' exchanges, bytes a second
+    )  # bytes per second, own and peers' exchanges, sent and received
     assert size / module.CONFIRMED_INTERVAL_S < 100
--- a/tests/mutations/budgets.py
+++ b/tests/mutations/budgets.py
@@ -1,4 +1,4 @@
-"""Guards of `roselink/budgets`, with the edit that removes each and the tests that miss it."""
+"""Guards of `roselink/budgets`: the edit that removes each, and the tests that must then fail."""
 
 from __future__ import annotations
 
@@ -17,24 +17,28 @@
             "",
         ),
         (
-            "an owner forgets that a higher token is in use",
+            "an owner does not record that a higher token is in use",
             "        self.record_token(fencing_token)\n"
             "        if fencing_token < self.newest_token:",
             "        if fencing_token < self.fencing_token:",
         ),
         (
-            "an owner serves under a token that its roster does not have",
+            "an owner with a superseded roster decides requests",
             "if self.is_superseded or not self.is_confirmed(now):",
             "if not self.is_confirmed(now):",
         ),
-        ("an owner that is not confirmed serves", " or not self.is_confirmed(now)", ""),
         (
-            "whoever receives a request is the owner",
+            "an owner without a recent confirmation decides requests",
+            " or not self.is_confirmed(now)",
+            "",
+        ),
+        (
+            "a gateway that is not the owner decides requests",
             "if self.owns(key) else ReplyStatus.NOT_OWNER",
             "",
         ),
         (
-            "an older roster is taken",
+            "an older roster is adopted",
             "if fencing_token <= self.fencing_token:",
             "if fencing_token == self.fencing_token:",
         ),
@@ -43,12 +47,12 @@
         "budgets/quota_owner.py",
         BUDGETS,
         (
-            "what is admitted is not counted",
+            "admitted amounts are not taken from the bucket",
             "                bucket.take(amount)\n                requester",
             "                requester",
         ),
         (
-            "an unknown requester needs no report",
+            "an unknown requester is decided without a usage report",
             "if requester not in bucket.requesters and request.usage_report is None:",
             "if False:",
         ),
@@ -57,10 +61,14 @@
             "+ overdraft - reserved)",
             "+ overdraft)",
         ),
-        ("a term begins full", "START_FRACTION * self._rule.allowance(limit))", "limit.burst)"),
-        ("terms never end", "        self._buckets.clear()\n", "        pass\n"),
         (
-            "what was admitted locally is not counted",
+            "a new term begins with the full burst as credit",
+            "START_FRACTION * self._rule.allowance(limit))",
+            "limit.burst)",
+        ),
+        ("end_terms keeps the buckets", "        self._buckets.clear()\n", "        pass\n"),
+        (
+            "local admissions are not taken from the bucket",
             "bucket.take(request.admitted_locally - request.returned)",
             "bucket.take(-request.returned)",
         ),
@@ -74,12 +82,12 @@
             "return self._limit",
         ),
         (
-            "a term grants at its beginning",
+            "a new term grants without the start delay",
             "        if age_s < START_DELAY_S:\n            return 0.0\n",
             "",
         ),
         (
-            "granted retries are forgotten",
+            "granted retries are not counted",
             "            term.granted_at.append(now)\n",
             "            pass\n",
         ),
@@ -88,7 +96,7 @@
         "budgets/quota_client.py",
         BUDGETS,
         (
-            "a token that an owner refused is used again",
+            "a quota request uses a token that an owner refused",
             "        if self._ownership.is_superseded:\n",
             "        if False:\n",
         ),
@@ -97,7 +105,7 @@
         "budgets/retry_budget.py",
         BUDGETS,
         (
-            "a token that an owner of retries refused is used again",
+            "a retry request uses a token that an owner refused",
             " or refused or self._ownership.is_superseded:",
             " or refused:",
         ),
--- a/tests/mutations/distribution.py
+++ b/tests/mutations/distribution.py
@@ -1,4 +1,4 @@
-"""Guards of `roselink/distribution`, with the edit that removes each and the tests that miss it."""
+"""Guards of `roselink/distribution`: the edit removing each, and the tests that must then fail."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
             "newest.hosts != current.hosts and",
         ),
         (
-            "an older roster is taken",
+            "an older roster is applied",
             "newest.roster > current.roster and",
             "newest.roster != current.roster and",
         ),
@@ -32,17 +32,17 @@
             "if reply is None:",
         ),
         (
-            "a reply without the configuration confirms",
+            "a reply that lacks the newer configuration confirms the snapshot",
             "if newest.configuration == current.configuration:",
             "if True:",
         ),
         (
-            "the lease begins with the reply",
+            "the key lease starts when the reply is received",
             "effects = self._apply_reply(reply, sent_at)",
             "effects = self._apply_reply(reply, now)",
         ),
         (
-            "keys outlive their lease",
+            "the key lease lasts longer than the revocation time",
             "self.confirmed_at + revoke_s - KEY_LEASE_MARGIN_S",
             "self.confirmed_at + 2 * revoke_s",
         ),
@@ -51,7 +51,7 @@
         "distribution/host_changes.py",
         DISTRIBUTION,
         (
-            "differences from another version are applied",
+            "host changes based on another version are applied",
             "if changes.base == hosts_version else None",
             "",
         ),
