--- a/roselink/budgets/ownership.py
+++ b/roselink/budgets/ownership.py
@@ -3,8 +3,8 @@
 The owner of a key is the member with the highest hash of key and name: rendezvous hashing (Thaler
 and Ravishankar, "Using name-based mappings to increase hit rates", IEEE/ACM Transactions on
 Networking 6(1), 1998). The fencing token is the roster's version. An owner serves only requests
-under its own token, and only while its view is confirmed. If the control plane has
-received no pull for longer, it may have removed this gateway, and another one may own the key.
+under its own token, and only while its view is confirmed. If the control plane has received no pull
+for longer, it may have removed this gateway, and another one may own the key.
 """
 
 from __future__ import annotations
--- a/roselink/budgets/quota_client.py
+++ b/roselink/budgets/quota_client.py
@@ -43,8 +43,8 @@
 RETRY_INTERVAL_S = 0.03
 # Interval of requests to an owner that doesn't reply.
 PROBE_INTERVAL_S = 0.1
-# Interval of keep-alives. A larger value must stay below quota_owner.UNREACHABLE_AFTER_S, or the
-# owner reserves for reachable gateways; a smaller one sends more requests.
+# Interval of keep-alives. Above quota_owner.UNREACHABLE_AFTER_S the owner would reserve for
+# reachable gateways; a smaller value sends more requests.
 KEEP_ALIVE_INTERVAL_S = 0.4
 # How long leased tokens may be used. A larger value saves requests and withholds the unused tokens
 # from the other gateways for longer.
@@ -114,7 +114,7 @@
     failures: int = 0
     # Fencing token under which the owner has this gateway's usage report; 0 if it has none.
     reported_token: int = 0
-    # Amount that was admitted locally and not yet reported to an owner.
+    # Amount that was admitted locally and that no owner has acknowledged yet.
     admitted_locally: float = 0.0
     # The bucket's level in the last reply, and when that reply was received.
     last_level: tuple[BucketLevel, float] | None = None
--- a/roselink/budgets/quota_owner.py
+++ b/roselink/budgets/quota_owner.py
@@ -137,7 +137,7 @@
         self.previous_usage = previous.recent_usage
 
     def reserved(self, requester: _RequesterUsage, now: float) -> float:
-        """Return the amount that unreachable gateways but this one may have admitted locally."""
+        """Return the amount that other, unreachable gateways may have admitted locally."""
         reserved = sum(
             other.reserved(now) for other in self.requesters.values() if other is not requester
         )
--- a/tests/budgets/test_quota_client.py
+++ b/tests/budgets/test_quota_client.py
@@ -119,7 +119,7 @@
 
 
 def test_a_token_refused_as_stale_is_not_used_again() -> None:
-    """A higher token in use makes every decision under the client's own token invalid."""
+    """After a `STALE_TOKEN` reply, nothing is sent under the old token until a newer roster."""
     client, ownership = connected_client()
     sent_request = only_request(client.admit(2, "t", 5.0, 10.1))
     refused = QuotaReply(ReplyStatus.STALE_TOKEN, 6)
--- a/tests/distribution/test_pull_state_machine.py
+++ b/tests/distribution/test_pull_state_machine.py
@@ -120,7 +120,7 @@
 
 
 def test_a_late_reply_to_an_earlier_call_is_ignored() -> None:
-    """Taken for the reply to the second call, it would start a lease later than its content."""
+    """Taken as the reply to the second call, it would extend the lease for outdated content."""
     machine = make_machine()
     first = send(machine, 1.0)
     machine.reply_received(first.call, None, 1.3)
