--- a/roselink/budgets/deadline_index.py
+++ b/roselink/budgets/deadline_index.py
@@ -14,7 +14,7 @@
 class DeadlineIndex:
     """One deadline for each name, in seconds on the caller's clock; setting one replaces the last.
 
-    The heap keeps outdated entries until they come to its top (lazy deletion) or outnumber the
+    The heap keeps outdated entries until they reach its top (lazy deletion) or outnumber the
     current ones.
 
     >>> deadlines = DeadlineIndex()
--- a/roselink/gossip/peer_sampling.py
+++ b/roselink/gossip/peer_sampling.py
@@ -117,7 +117,7 @@
             return []
         self._view = {name: replace(entry, age=entry.age + 1) for name, entry in self._view.items()}
         partner = max(self._view.values(), key=lambda entry: (entry.age, entry.member.name))
-        # The partner's reply contains its entry again.
+        # Frees a slot for an entry of the reply; the partner's own entry returns in later exchanges.
         del self._view[partner.member.name]
         subset = self._subset(SHUFFLE_SIZE - 1)
         self._pending = _PendingExchange([entry.member.name for entry in subset])
@@ -135,7 +135,7 @@
     def reply_received(self, reply: ShuffleReply | None, now: float) -> list[Effect]:
         """Process the outcome of this gateway's exchange.
 
-        A partner that doesn't reply stays removed from the view.
+        The partner stays removed from the view, whether it replies or not.
         """
         if self._pending is None:
             return []
--- a/tests/budgets/test_quota_owner.py
+++ b/tests/budgets/test_quota_owner.py
@@ -163,8 +163,8 @@
 def test_a_reported_level_of_the_current_term_is_ignored() -> None:
     owner = full_owner()
     first = owner.decide(request(60.0), 10.0)
-    again = owner.decide(request(last_level=BucketLevel(first.term, 100.0, 0.0, 0)), 10.1)
-    assert again.level == pytest.approx(50.0)
+    second = owner.decide(request(last_level=BucketLevel(first.term, 100.0, 0.0, 0)), 10.1)
+    assert second.level == pytest.approx(50.0)
 
 
 def test_local_admissions_lower_the_level_and_returned_amounts_raise_it() -> None:
@@ -218,13 +218,13 @@
     assert owner.decide(request(member=B, draining=True), 10.0).recent_usage == pytest.approx(30.0)
 
 
-@pytest.mark.parametrize("how", ["draining", "restarted", "reachable"])
-def test_nothing_is_reserved_for_a_process_that_admits_nothing_locally(how: str) -> None:
+@pytest.mark.parametrize("state", ["draining", "restarted", "reachable"])
+def test_nothing_is_reserved_for_a_process_that_admits_nothing_locally(state: str) -> None:
     owner = full_owner()
-    owner.decide(request(80.0, member=B, draining=how == "draining"), 10.0)
-    if how == "restarted":
+    owner.decide(request(80.0, member=B, draining=state == "draining"), 10.0)
+    if state == "restarted":
         owner.set_owned(["t"], (A, Member("b", B.address, 3)), 10.1)
-    if how == "reachable":
+    if state == "reachable":
         owner.decide(request(member=B), 12.9)
     assert owner.decide(request(100.0), 13.0).admitted == (True,)
 
--- a/tests/gossip/test_peer_sampling.py
+++ b/tests/gossip/test_peer_sampling.py
@@ -73,12 +73,12 @@
 
 def test_a_younger_entry_replaces_an_older_one() -> None:
     view = make_view(1)
-    again = Member(OTHERS[0].name, OTHERS[0].address, 99)
+    restarted = Member(OTHERS[0].name, OTHERS[0].address, 99)
     view.wake(10.0)
     view.request_received(ShuffleRequest((ViewEntry(OTHERS[0], 5),), OLD_DIGEST), 10.0)
-    view.request_received(ShuffleRequest((ViewEntry(again, 0),), OLD_DIGEST), 10.0)
+    view.request_received(ShuffleRequest((ViewEntry(restarted, 0),), OLD_DIGEST), 10.0)
     view.request_received(ShuffleRequest((ViewEntry(OTHERS[0], 3),), OLD_DIGEST), 10.0)
-    assert view.view == (ViewEntry(again, 0),)
+    assert view.view == (ViewEntry(restarted, 0),)
 
 
 def test_exchanges_are_rare_while_pulls_are_confirmed_and_frequent_otherwise() -> None:
