--- a/roselink/gossip/peer_sampling.py
+++ b/roselink/gossip/peer_sampling.py
@@ -117,7 +117,7 @@
             return []
         self._view = {name: replace(entry, age=entry.age + 1) for name, entry in self._view.items()}
         partner = max(self._view.values(), key=lambda entry: (entry.age, entry.member.name))
-        # Frees a slot for an entry of the reply; the partner's own entry returns in later exchanges.
+        # Frees a slot for the reply's entries; the partner's own entry returns in later exchanges.
         del self._view[partner.member.name]
         subset = self._subset(SHUFFLE_SIZE - 1)
         self._pending = _PendingExchange([entry.member.name for entry in subset])
