--- a/roselink/dataplane/client_connection.py
+++ b/roselink/dataplane/client_connection.py
@@ -34,7 +34,7 @@
         self._head_only = self._chunked = self._kept = False
         self._unwritten = b""
 
-    def _client_left(self) -> None:
+    def _client_disconnected(self) -> None:
         if self._exchange is not None:
             exchange = self._exchange
             self._exchange = None
--- a/roselink/dataplane/client_server.py
+++ b/roselink/dataplane/client_server.py
@@ -35,13 +35,13 @@
         loop: asyncio.AbstractEventLoop,
         driver: DecisionDriver,
         descriptors: Descriptors,
-        make_room: Callable[[], bool],
+        free_descriptor: Callable[[], bool],
     ) -> None:
         """Start with the default limits, until a configuration states others."""
         self.driver = driver
         self._limits: tuple[Limits, ...] = (Limits(),)  # the latest last
         self._limits_are_configured = False  # whether they are a configuration's
-        super().__init__(loop, descriptors, make_room, _sizes(0, 0))
+        super().__init__(loop, descriptors, free_descriptor, _sizes(0, 0))
         self._apply()
 
     def limit(self, limits: Limits) -> None:
--- a/roselink/dataplane/gateway_data_plane.py
+++ b/roselink/dataplane/gateway_data_plane.py
@@ -56,9 +56,9 @@
         self.driver = DecisionDriver(
             loop, decider, self.host_pool, authority, quotas, shared_budget, seed
         )
-        make_room = self.host_pool.drop_oldest_idle
-        self.server = FleetServer(loop, self.driver, descriptors, make_room)
-        self.readiness = ReadinessServer(loop, self.ready, descriptors, make_room)
+        free_descriptor = self.host_pool.drop_oldest_idle
+        self.server = FleetServer(loop, self.driver, descriptors, free_descriptor)
+        self.readiness = ReadinessServer(loop, self.ready, descriptors, free_descriptor)
         self.port = self.readiness_port = 0
         self.draining = False
         self._drain_ends_at = 0.0
--- a/roselink/dataplane/readiness_server.py
+++ b/roselink/dataplane/readiness_server.py
@@ -53,10 +53,10 @@
         loop: asyncio.AbstractEventLoop,
         ready: Callable[[], bool],
         descriptors: Descriptors,
-        make_room: Callable[[], bool],
+        free_descriptor: Callable[[], bool],
     ) -> None:
         """Start with a callable that says whether the gateway is ready."""
-        super().__init__(loop, descriptors, make_room, SizeLimits(8192, 8192, 65536))
+        super().__init__(loop, descriptors, free_descriptor, SizeLimits(8192, 8192, 65536))
         self.ready = ready
 
     def time_limits(self) -> TimeLimits:
--- a/roselink/gateway/__main__.py
+++ b/roselink/gateway/__main__.py
@@ -26,7 +26,7 @@
 from roselink.gateway.server import Server
 from roselink.http.descriptors import Descriptors
 from roselink.http.host_pool import HostPool
-from roselink.http.logs import start_log
+from roselink.http.logs import configure_logging
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -154,7 +154,7 @@
 
 def main() -> int:
     """Runs the program; its exit status is 2 where the configuration cannot work."""
-    start_log()
+    configure_logging()
     # Until there is a gateway that can reload, SIGHUP would end the process.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
--- a/roselink/gateway/server.py
+++ b/roselink/gateway/server.py
@@ -50,7 +50,7 @@
         self._owner = server
         self._opened: OpenRequest | None = None
 
-    def _client_left(self) -> None:
+    def _client_disconnected(self) -> None:
         if self._opened is not None:
             opened = self._opened
             self._opened = None
@@ -125,7 +125,7 @@
         config: Config,
         engine: Engine,
         descriptors: Descriptors,
-        make_room: Callable[[], bool],
+        free_descriptor: Callable[[], bool],
     ) -> None:
         """A server that does not listen yet.
 
@@ -134,10 +134,10 @@
             config: Classes, deadlines and tenants.
             engine: Takes the requests.
             descriptors: Count of the sockets that are open.
-            make_room: Closes an idle connection to a host; whether there was one.
+            free_descriptor: Closes an idle connection to a host; whether there was one.
         """
         super().__init__(
-            loop, descriptors, make_room, SizeLimits(HEAD_LIMIT, BODY_LIMIT, MESSAGE_LIMIT)
+            loop, descriptors, free_descriptor, SizeLimits(HEAD_LIMIT, BODY_LIMIT, MESSAGE_LIMIT)
         )
         self.engine = engine
         self.checks = RequestChecks(config)
--- a/roselink/http/host_pool.py
+++ b/roselink/http/host_pool.py
@@ -71,7 +71,7 @@
                 continue
             connection.send(attempt, request())
             return
-        if not host.ready or not self._may_connect(host) or not self._make_room():
+        if not host.ready or not self._may_connect(host) or not self._free_descriptor():
             self._loop.call_soon(attempt.withdraw)
             return
         host.connecting.add(attempt)
@@ -116,7 +116,7 @@
             connection.drop()
             self.forget(connection)
 
-    def _make_room(self) -> bool:
+    def _free_descriptor(self) -> bool:
         if self._descriptors.spare() <= 0:
             self.drop_oldest_idle()
         return self._descriptors.spare() > 0
--- a/roselink/http/logs.py
+++ b/roselink/http/logs.py
@@ -31,7 +31,7 @@
         return self._count <= LOG_LINES
 
 
-def start_log() -> None:
+def configure_logging() -> None:
     """Send the logs of all modules to standard error."""
     handler = logging.StreamHandler(sys.stderr)
     handler.addFilter(LimitedLog())
--- a/roselink/http/server.py
+++ b/roselink/http/server.py
@@ -50,7 +50,7 @@
         self,
         loop: asyncio.AbstractEventLoop,
         descriptors: Descriptors,
-        make_room: Callable[[], bool],
+        free_descriptor: Callable[[], bool],
         size_limits: SizeLimits,
     ) -> None:
         """Start without a listener.
@@ -58,13 +58,13 @@
         Args:
             loop: the event loop.
             descriptors: the sockets of the whole process.
-            make_room: closes an idle connection to a host; whether there was one.
+            free_descriptor: closes an idle connection to a host; whether there was one.
             size_limits: what a request may hold.
         """
         self.loop = loop
         self.size_limits = size_limits
         self._descriptors = descriptors
-        self._make_room = make_room
+        self._free_descriptor = free_descriptor
         self._used_limit = int(descriptors.limit * USED_FRACTION)
         # The other half is the hosts': each request needs one there.
         self._connection_limit = descriptors.limit // 2
@@ -111,7 +111,7 @@
         self.connections[connection] = self._unused[connection] = None
         if len(self.connections) > self._connection_limit:
             self._end_another(connection)
-        if self._descriptors.spare() <= -REFUSAL_DESCRIPTORS and not self._make_room():
+        if self._descriptors.spare() <= -REFUSAL_DESCRIPTORS and not self._free_descriptor():
             connection.abort()
 
     def _end_another(self, newest: ServerConnection) -> None:
--- a/roselink/http/server_connection.py
+++ b/roselink/http/server_connection.py
@@ -104,7 +104,7 @@
         self._unparsed = b""
         self._parser = None
         self._server.connection_ended(self)
-        self._client_left()
+        self._client_disconnected()
 
     def pause_writing(self) -> None:
         """Note that bytes are left in this process (asyncio)."""
@@ -294,7 +294,7 @@
         """Answer one, at once or later; `begin_answer` first."""
         raise NotImplementedError
 
-    def _client_left(self) -> None:
+    def _client_disconnected(self) -> None:
         """The client has gone, also in the middle of a response."""
 
     # A response.
--- a/roselink/router/app.py
+++ b/roselink/router/app.py
@@ -16,7 +16,7 @@
 from roselink.budgets.budget_service import BudgetService
 from roselink.distribution.pull_client import PullClient
 from roselink.gossip.peer_sampling_service import PeerSamplingService
-from roselink.http.logs import start_log
+from roselink.http.logs import configure_logging
 from roselink.model.fleet import Member
 from roselink.model.settings import DEFAULT_PATH, ENVIRONMENT_VARIABLE, ProcessSettings
 from roselink.protocol.payoffs import HostOutcomes
@@ -42,7 +42,7 @@
     Raises:
         SystemExit: with `EXIT_START_FAILED` if an address cannot be bound.
     """
-    start_log()
+    configure_logging()
     path = os.environ.get(ENVIRONMENT_VARIABLE, DEFAULT_PATH)
     from roselink.dataplane.gateway_data_plane import GatewayDataPlane
     from roselink.routing.fleet_decider import FleetDecider
--- a/tests/dataplane/test_data_plane.py
+++ b/tests/dataplane/test_data_plane.py
@@ -20,7 +20,7 @@
     stream,
 )
 from tests.support.event_loop import on_loop, until
-from tests.support.fake_hosts import Behaviour, hang, say
+from tests.support.fake_hosts import Behaviour, hang, sends
 from tests.support.http_messages import Message
 
 
@@ -183,8 +183,8 @@
 @pytest.mark.parametrize(
     ("behave", "status"),
     [
-        (say(b"", end=True), 502),
-        (say(b"no HTTP\r\n\r\n"), 502),
+        (sends(b"", end=True), 502),
+        (sends(b"no HTTP\r\n\r\n"), 502),
         (plain(b"x", stamp=False), 502),  # a success without its stamp is none
         (plain(b"x", "503 Busy"), 502),  # it does not say that it did not run
         (plain(b"x", "429 Much"), 502),
@@ -194,11 +194,14 @@
         (rejects(), 503),
         (rejects("429 Much"), 503),
         (rejects("421 Other", "X-Any: 1"), 503),
-        (say(b"HTTP/1.1 503 Full\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"), 503),
-        (say(b"HTTP/1.1 421 Other\r\nX-Instance-Id: i-7\r\nContent-Length: 0\r\n\r\n"), 503),
-        (say(b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"), 502),
-        (say(b"HTTP/1.1 500 Fault\r\nX-Response-Signature: s\r\nContent-Length: 0\r\n\r\n"), 502),
-        (say(b"HTTP/1.1 503 Full\r\nX-Request-Id: b\r\nX-Not-Executed: 1\r\n\r\n", end=True), 502),
+        (sends(b"HTTP/1.1 503 Full\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"), 503),
+        (sends(b"HTTP/1.1 421 Other\r\nX-Instance-Id: i-7\r\nContent-Length: 0\r\n\r\n"), 503),
+        (sends(b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"), 502),
+        (sends(b"HTTP/1.1 500 Fault\r\nX-Response-Signature: s\r\nContent-Length: 0\r\n\r\n"), 502),
+        (
+            sends(b"HTTP/1.1 503 Full\r\nX-Request-Id: b\r\nX-Not-Executed: 1\r\n\r\n", end=True),
+            502,
+        ),
     ],
 )
 @on_loop
--- a/tests/dataplane/test_fleet_host_pool.py
+++ b/tests/dataplane/test_fleet_host_pool.py
@@ -29,7 +29,7 @@
     stream,
 )
 from tests.support.event_loop import on_loop, until
-from tests.support.fake_hosts import Behaviour, NeverUp, hang, say
+from tests.support.fake_hosts import Behaviour, FullBacklogListener, hang, sends
 from tests.support.http_messages import Message, reset
 
 KEEPS = "Keep-Alive: timeout=9"
@@ -118,7 +118,7 @@
 @pytest.mark.parametrize("path", ["/once/x", "/plan/x", "/safe/x"])
 @on_loop
 async def test_a_connection_that_never_comes_up_is_tried_elsewhere(path: str) -> None:
-    other = NeverUp()
+    other = FullBacklogListener()
     second = stream(2) if path == "/plan/x" else plain()
     try:
         async with running_data_plane(hang, second) as harness, harness.client() as client:
@@ -177,7 +177,7 @@
 
 @on_loop
 async def test_connecting_attempts_are_withdrawn_when_their_host_leaves() -> None:
-    other = NeverUp()
+    other = FullBacklogListener()
     try:
         async with running_data_plane(hang, plain()) as harness, harness.client() as client:
             line = host_line(harness.hosts[0], address=f"127.0.0.1:{other.address[1]}")
@@ -489,7 +489,7 @@
         assert harness.quotas.given_back == harness.quotas.asked == [("huka", 1540.0)]
 
 
-@pytest.mark.parametrize("behave", [plain(), plain(b"", "500 Fault"), say(b"", end=True), hang])
+@pytest.mark.parametrize("behave", [plain(), plain(b"", "500 Fault"), sends(b"", end=True), hang])
 @on_loop
 async def test_what_may_have_run_counts_against_its_quota(behave: Behaviour) -> None:
     async with running_data_plane(behave) as harness, harness.client() as client:
--- a/tests/gateway/test_client_connections.py
+++ b/tests/gateway/test_client_connections.py
@@ -14,7 +14,7 @@
 from roselink.http import server_connection
 from roselink.http.descriptors import RESERVED
 from tests.support.event_loop import on_loop, until
-from tests.support.fake_hosts import FakeHost, hang, say, serve_ok
+from tests.support.fake_hosts import FakeHost, hang, sends, serve_ok
 from tests.support.gateway_harness import World, world
 from tests.support.http_messages import answer
 
@@ -48,7 +48,7 @@
 @on_loop
 async def test_a_client_that_takes_no_answers_is_ended() -> None:
     """Unread answers would pile up in memory."""
-    async with world(say(answer(b"x" * 60_000))) as w, w.client() as client:
+    async with world(sends(answer(b"x" * 60_000))) as w, w.client() as client:
         client.writer.transport.pause_reading()  # type: ignore[attr-defined]
         connections = w.gateway.server.connections
         while not any(c._writing_paused for c in connections):
@@ -209,7 +209,7 @@
 @on_loop
 async def test_a_connection_with_bytes_unsent_is_not_at_rest() -> None:
     """It would be ended to make room, and the end of its answer be lost."""
-    async with world(say(answer(b"x" * 60_000))) as w, w.client() as client:
+    async with world(sends(answer(b"x" * 60_000))) as w, w.client() as client:
         client.writer.transport.pause_reading()  # type: ignore[attr-defined]
         connection = await joined(w)
         while not connection._writing_paused:
--- a/tests/gateway/test_closes.py
+++ b/tests/gateway/test_closes.py
@@ -17,7 +17,7 @@
 from roselink.http.host_connection import BODY_LIMIT
 from roselink.http.server_connection import ServerConnection
 from tests.support.event_loop import on_loop, until
-from tests.support.fake_hosts import say, serve_ok
+from tests.support.fake_hosts import sends, serve_ok
 from tests.support.gateway_clients import SuddenClient
 from tests.support.gateway_harness import World, taken, world
 from tests.support.http_messages import answer
@@ -124,7 +124,7 @@
 
 @on_loop
 async def test_a_drain_ends_no_answer_that_is_not_yet_with_the_kernel() -> None:
-    async with world(say(answer(b"x" * BODY_LIMIT))) as w:
+    async with world(sends(answer(b"x" * BODY_LIMIT))) as w:
         client, connection = await unread(w)
         w.gateway.server.close_idle()
         assert connection in w.gateway.server.connections
@@ -146,7 +146,7 @@
 
     monkeypatch.setattr(server_connection, "LINGER_S", 0.001)
     monkeypatch.setattr(ServerConnection, "_end_linger", look)
-    async with world(say(answer(b"x" * BODY_LIMIT))) as w:
+    async with world(sends(answer(b"x" * BODY_LIMIT))) as w:
         client, connection = await unread(w)
         connection._keep_alive = False
         connection._close()
@@ -166,7 +166,7 @@
     on.
     """
     monkeypatch.setattr(server_connection, "LINGER_S", 1000.0)
-    async with world(say(answer(b"x" * BODY_LIMIT))) as w:
+    async with world(sends(answer(b"x" * BODY_LIMIT))) as w:
         client = SuddenClient(w.gateway.port, receive_buffer=4096)
         w.gateway.server.draining = True
         client.send()
--- a/tests/gateway/test_discovery.py
+++ b/tests/gateway/test_discovery.py
@@ -24,7 +24,7 @@
 )
 from tests.support.event_loop import on_loop, until
 from tests.support.fake_discovery import FakeDiscovery
-from tests.support.fake_hosts import Behaviour, FakeHost, break_off, hang, say, serve_ok
+from tests.support.fake_hosts import Behaviour, FakeHost, break_off, hang, sends, serve_ok
 from tests.support.gateway_clients import Client
 from tests.support.gateway_harness import World, alone, settings_data, world
 from tests.support.http_messages import Message, answer
@@ -241,7 +241,7 @@
 async def test_a_refusing_discovery_is_asked_again() -> None:
     host = await FakeHost("s-known").start()
     known = {"generation": 41, "reset": True, "instances": [host.entry()]}
-    busy = await FakeHost("discovery", say(answer(b"", "503 Busy"))).start()
+    busy = await FakeHost("discovery", sends(answer(b"", "503 Busy"))).start()
     async with alone(busy, known) as gateway, Client(gateway.port) as client:
         await busy.came.get()
         await busy.came.get()
@@ -331,15 +331,15 @@
     ("behave", "cause"),
     [
         (hang, Cause.UNANSWERED),  # it may be a watch that fell silent before its answer
-        (say(HEAD), Cause.UNRESPONSIVE),
-        (say(HEAD + chunk(b"\n")), Cause.UNRESPONSIVE),
-        (say(HEAD, end=True), Cause.ENDED),
-        (say(HEAD + chunk(EMPTY), end=True), Cause.ENDED),
-        (say(HEAD + chunk(EMPTY + b"[]\n")), Cause.ENDED),
-        (say(HEAD + chunk(EMPTY) + b"no chunk\r\n"), Cause.ENDED),
-        (say(HEAD + chunk(b"[]\n")), Cause.MALFORMED),
-        (say(b"no HTTP\r\n\r\n"), Cause.FAILED),
-        (say(answer(b"", "503 Busy")), Cause.FAILED),
+        (sends(HEAD), Cause.UNRESPONSIVE),
+        (sends(HEAD + chunk(b"\n")), Cause.UNRESPONSIVE),
+        (sends(HEAD, end=True), Cause.ENDED),
+        (sends(HEAD + chunk(EMPTY), end=True), Cause.ENDED),
+        (sends(HEAD + chunk(EMPTY + b"[]\n")), Cause.ENDED),
+        (sends(HEAD + chunk(EMPTY) + b"no chunk\r\n"), Cause.ENDED),
+        (sends(HEAD + chunk(b"[]\n")), Cause.MALFORMED),
+        (sends(b"no HTTP\r\n\r\n"), Cause.FAILED),
+        (sends(answer(b"", "503 Busy")), Cause.FAILED),
         (break_off, Cause.FAILED),
     ],
 )
@@ -373,11 +373,11 @@
         None,
         hang,
         break_off,
-        say(answer(b"", "503 Busy")),
-        say(b"no HTTP\r\n\r\n"),
-        say(HEAD + chunk(b"[]\n")),
-        say(HEAD),
-        say(HEAD, end=True),
+        sends(answer(b"", "503 Busy")),
+        sends(b"no HTTP\r\n\r\n"),
+        sends(HEAD + chunk(b"[]\n")),
+        sends(HEAD),
+        sends(HEAD, end=True),
     ],
     ids=["refused", "nothing", "reset", "503", "noise", "no list", "silent", "ended"],
 )
@@ -413,7 +413,7 @@
         agent.down()
     async with alone(agent, known, settings=settings_data(balancers=200)) as gateway:
         await until(lambda: len(waits) >= 4)
-        agent.behave = say(HEAD + chunk(json.dumps(drain).encode() + b"\n"))
+        agent.behave = sends(HEAD + chunk(json.dumps(drain).encode() + b"\n"))
         if trouble is None:
             await agent.up()
         await until(lambda: not next(iter(gateway.engine.hosts.values())).ready)
--- a/tests/gateway/test_forwarding.py
+++ b/tests/gateway/test_forwarding.py
@@ -9,7 +9,7 @@
 
 from roselink.gateway.engine import ClientRequest
 from tests.support.event_loop import on_loop
-from tests.support.fake_hosts import hang, say, serve_ok
+from tests.support.fake_hosts import hang, sends, serve_ok
 from tests.support.gateway_harness import world
 from tests.support.http_messages import Message, answer
 
@@ -28,7 +28,7 @@
 @on_loop
 async def test_a_request_goes_on_unchanged_and_its_answer_comes_back() -> None:
     async with (
-        world(say(answer(b"seat 7", "200 OK", "Content-Type: text/seat"))) as w,
+        world(sends(answer(b"seat 7", "200 OK", "Content-Type: text/seat"))) as w,
         w.client() as client,
     ):
         got = await client.ask(
--- a/tests/gateway/test_host_changes.py
+++ b/tests/gateway/test_host_changes.py
@@ -15,7 +15,7 @@
 from roselink.gateway.host_list import server_number
 from roselink.routing.outcome import Outcome
 from tests.support.event_loop import on_loop, until
-from tests.support.fake_hosts import FakeHost, NeverUp, hang, serve_ok
+from tests.support.fake_hosts import FakeHost, FullBacklogListener, hang, serve_ok
 from tests.support.gateway_harness import settings_data, world
 from tests.support.http_messages import answer
 
@@ -50,7 +50,7 @@
 
 @on_loop
 async def test_a_drain_in_mid_connect_moves_the_request() -> None:
-    dead = NeverUp()
+    dead = FullBacklogListener()
     async with world() as w, w.client() as client:
         stuck = FakeHost("s-stuck")
         stuck.address = dead.address
@@ -70,7 +70,7 @@
     """Told the other way round it sent the request on by the list before, to a host that drains as
     well.
     """
-    dead = NeverUp()
+    dead = FullBacklogListener()
     async with world() as w, w.client() as client:
         stuck, other = FakeHost("s-stuck"), FakeHost("s-other")
         stuck.address = other.address = dead.address
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -22,7 +22,7 @@
 from roselink.gateway.exceptions import ConfigError
 from tests.support.event_loop import on_loop, until
 from tests.support.fake_discovery import FakeDiscovery
-from tests.support.fake_hosts import FakeHost, hang, say, serve_ok
+from tests.support.fake_hosts import FakeHost, hang, sends, serve_ok
 from tests.support.gateway_clients import Client
 from tests.support.gateway_harness import config_data, settings_data, world
 from tests.support.http_messages import answer
@@ -437,7 +437,7 @@
 async def test_clients_that_take_every_descriptor_leave_discovery_its_own(tmp_path: Path) -> None:
     """While discovery is down, and at a reload: the file has to be read, and the new one called."""
     one, two, three = [
-        await FakeHost(name, say(answer(name.encode()))).start() for name in ("1", "2", "3")
+        await FakeHost(name, sends(answer(name.encode()))).start() for name in ("1", "2", "3")
     ]
     first, second = (
         await FakeDiscovery(one.entry()).start(),
--- a/tests/gateway/test_retries.py
+++ b/tests/gateway/test_retries.py
@@ -10,7 +10,7 @@
 
 from roselink.http.host_connection import HostConnection
 from tests.support.event_loop import on_loop, until
-from tests.support.fake_hosts import break_off, hang, say, serve_ok
+from tests.support.fake_hosts import break_off, hang, sends, serve_ok
 from tests.support.gateway_clients import Client, SuddenClient
 from tests.support.gateway_harness import settings_data, world
 from tests.support.http_messages import Message, answer
@@ -77,14 +77,14 @@
 
 @on_loop
 async def test_half_an_answer_is_never_served() -> None:
-    half = say(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", end=True)
+    half = sends(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", end=True)
     async with world(half) as w, w.client() as client:
         got = await client.ask("/audit/k", b"x")
         assert (got.status, got.body) == (502, b"")
 
 
 @pytest.mark.parametrize(
-    "behave", [break_off, say(answer(b"", "500 Error")), say(answer(b"", "503 Busy"))]
+    "behave", [break_off, sends(answer(b"", "500 Error")), sends(answer(b"", "503 Busy"))]
 )
 @on_loop
 async def test_an_unsafe_request_is_not_sent_again_once_it_may_have_run(behave: Any) -> None:
--- a/tests/http/test_host_pool.py
+++ b/tests/http/test_host_pool.py
@@ -18,7 +18,15 @@
 from roselink.http.host_pool import HostPool
 from roselink.routing.outcome import Outcome
 from tests.support.event_loop import on_loop, until
-from tests.support.fake_hosts import Behaviour, FakeHost, NeverUp, break_off, hang, say, serve_ok
+from tests.support.fake_hosts import (
+    Behaviour,
+    FakeHost,
+    FullBacklogListener,
+    break_off,
+    hang,
+    sends,
+    serve_ok,
+)
 from tests.support.http_messages import Message, answer, close_resets, reset
 
 if TYPE_CHECKING:
@@ -58,7 +66,7 @@
         return self.results[-1]
 
 
-def say_and_reset(data: bytes) -> Behaviour:
+def sends_and_resets(data: bytes) -> Behaviour:
     async def behave(message: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(data)
         reset(writer)
@@ -72,46 +80,54 @@
 @pytest.mark.parametrize(
     ("behave", "outcome", "body"),
     [
-        (say(answer(b"seat 7", "200 OK", "Content-Type: text/plain")), Outcome.SUCCESS, b"seat 7"),
-        (say(answer(b"", "200 OK")), Outcome.SUCCESS, b""),
-        (say(b"HTTP/1.1 100 Continue\r\n\r\n" + answer(b"late")), Outcome.SUCCESS, b"late"),
-        (say(CHUNKED + b"2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"), Outcome.SUCCESS, b"abc"),
-        (say(answer(b"x", "500 Internal Server Error")), Outcome.ERROR, None),
-        (say(answer(b"", "503 Busy", "Not-Started: 1")), Outcome.FULL, None),
-        (say(answer(b"", "504 Late", "Not-Started: 1")), Outcome.FULL, None),
-        (say(answer(b"", "503 Busy")), Outcome.ERROR, None),
-        (say(answer(b"", "504 Late")), Outcome.ERROR, None),
-        (say(answer(b"", "500 Odd", "Not-Started: 1")), Outcome.ERROR, None),
+        (
+            sends(answer(b"seat 7", "200 OK", "Content-Type: text/plain")),
+            Outcome.SUCCESS,
+            b"seat 7",
+        ),
+        (sends(answer(b"", "200 OK")), Outcome.SUCCESS, b""),
+        (sends(b"HTTP/1.1 100 Continue\r\n\r\n" + answer(b"late")), Outcome.SUCCESS, b"late"),
+        (sends(CHUNKED + b"2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"), Outcome.SUCCESS, b"abc"),
+        (sends(answer(b"x", "500 Internal Server Error")), Outcome.ERROR, None),
+        (sends(answer(b"", "503 Busy", "Not-Started: 1")), Outcome.FULL, None),
+        (sends(answer(b"", "504 Late", "Not-Started: 1")), Outcome.FULL, None),
+        (sends(answer(b"", "503 Busy")), Outcome.ERROR, None),
+        (sends(answer(b"", "504 Late")), Outcome.ERROR, None),
+        (sends(answer(b"", "500 Odd", "Not-Started: 1")), Outcome.ERROR, None),
         (break_off, Outcome.RESET, None),
-        (say(b"", end=True), Outcome.RESET, None),
-        (say(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf", end=True), Outcome.RESET, None),
-        (say(CHUNKED + b"5\r\nhalf", end=True), Outcome.RESET, None),
+        (sends(b"", end=True), Outcome.RESET, None),
+        (
+            sends(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf", end=True),
+            Outcome.RESET,
+            None,
+        ),
+        (sends(CHUNKED + b"5\r\nhalf", end=True), Outcome.RESET, None),
         # With no length told an end is the whole, and a reset is no end.
-        (say(b"HTTP/1.1 200 OK\r\n\r\nwhole", end=True), Outcome.SUCCESS, b"whole"),
-        (say(b"HTTP/1.0 200 OK\r\nConnection: close\r\n\r\n", end=True), Outcome.SUCCESS, b""),
-        (say(b"HTTP/1.1 503 Busy\r\nNot-Started: 1\r\n\r\n", end=True), Outcome.FULL, None),
-        (say_and_reset(b"HTTP/1.1 200 OK\r\n\r\nhalf"), Outcome.RESET, None),
-        (say_and_reset(b"HTTP/1.1 503 Busy\r\nNot-Started: 1\r\n\r\n"), Outcome.RESET, None),
-        (say_and_reset(CHUNKED + b"2\r\nab\r\n"), Outcome.RESET, None),
-        (say_and_reset(answer(b"whole")), Outcome.SUCCESS, b"whole"),
-        (say(b"HTTP/1.1 200 OK\r\nX: y\r\n", end=True), Outcome.RESET, None),
-        (say(b"HTTP/1.1 100 Continue\r\n\r\n", end=True), Outcome.RESET, None),
+        (sends(b"HTTP/1.1 200 OK\r\n\r\nwhole", end=True), Outcome.SUCCESS, b"whole"),
+        (sends(b"HTTP/1.0 200 OK\r\nConnection: close\r\n\r\n", end=True), Outcome.SUCCESS, b""),
+        (sends(b"HTTP/1.1 503 Busy\r\nNot-Started: 1\r\n\r\n", end=True), Outcome.FULL, None),
+        (sends_and_resets(b"HTTP/1.1 200 OK\r\n\r\nhalf"), Outcome.RESET, None),
+        (sends_and_resets(b"HTTP/1.1 503 Busy\r\nNot-Started: 1\r\n\r\n"), Outcome.RESET, None),
+        (sends_and_resets(CHUNKED + b"2\r\nab\r\n"), Outcome.RESET, None),
+        (sends_and_resets(answer(b"whole")), Outcome.SUCCESS, b"whole"),
+        (sends(b"HTTP/1.1 200 OK\r\nX: y\r\n", end=True), Outcome.RESET, None),
+        (sends(b"HTTP/1.1 100 Continue\r\n\r\n", end=True), Outcome.RESET, None),
         (
-            say(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nhalf", end=True),
+            sends(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nhalf", end=True),
             Outcome.RESET,
             None,
         ),
-        (say(b"no HTTP at all\r\n\r\n"), Outcome.ERROR, None),
-        (say(answer(b"x" * 70_000)), Outcome.ERROR, None),
-        (say(b"HTTP/1.1 200 OK\r\nX: " + b"y" * 20_000 + b"\r\n\r\n"), Outcome.ERROR, None),
+        (sends(b"no HTTP at all\r\n\r\n"), Outcome.ERROR, None),
+        (sends(answer(b"x" * 70_000)), Outcome.ERROR, None),
+        (sends(b"HTTP/1.1 200 OK\r\nX: " + b"y" * 20_000 + b"\r\n\r\n"), Outcome.ERROR, None),
         # None of these ends, and the connection stays open.
-        (say(b"HTTP/1.1 200 OK\r\nX: " + b"y" * 20_000), Outcome.ERROR, None),
-        (say(b"HTTP/1.1 100 Continue\r\n\r\n" * 20), Outcome.ERROR, None),
-        (say(CHUNKED + b"1;" + b"e" * 300_000), Outcome.ERROR, None),
-        (say(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"), Outcome.ERROR, None),
-        (say(b"HTTP/1.1 200 OK\r\nContent-Length: -7\r\n\r\n"), Outcome.ERROR, None),
+        (sends(b"HTTP/1.1 200 OK\r\nX: " + b"y" * 20_000), Outcome.ERROR, None),
+        (sends(b"HTTP/1.1 100 Continue\r\n\r\n" * 20), Outcome.ERROR, None),
+        (sends(CHUNKED + b"1;" + b"e" * 300_000), Outcome.ERROR, None),
+        (sends(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"), Outcome.ERROR, None),
+        (sends(b"HTTP/1.1 200 OK\r\nContent-Length: -7\r\n\r\n"), Outcome.ERROR, None),
         (
-            say(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n"),
+            sends(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n"),
             Outcome.ERROR,
             None,
         ),
@@ -169,7 +185,7 @@
     """Hosts write an answer at once. A rest that does not come would hold its request to its
     deadline.
     """
-    host = await FakeHost(behave=say(start)).start()
+    host = await FakeHost(behave=sends(start)).start()
     bench = Bench(host.address, connect_s=0.1)
     assert (await bench.run())[0] is Outcome.ERROR
     assert await host.closed.get() == 0
@@ -205,7 +221,7 @@
 
 @on_loop
 async def test_a_connection_that_never_comes_up_never_ran() -> None:
-    dead = NeverUp()
+    dead = FullBacklogListener()
     bench = Bench(dead.address, connect_s=0.1)
     assert (await bench.run())[0] is Outcome.CONNECT_FAILED
     await until(lambda: bench.descriptors.used == 0)
@@ -214,7 +230,7 @@
 
 @on_loop
 async def test_time_up_while_connecting_never_ran() -> None:
-    dead = NeverUp()
+    dead = FullBacklogListener()
     bench = Bench(dead.address)
     assert (await bench.run(timeout_s=0.05))[0] is Outcome.CONNECT_FAILED
     await until(lambda: bench.descriptors.used == 0)
@@ -311,7 +327,7 @@
 @on_loop
 async def test_a_connection_that_brings_too_much_is_not_used_again(extra: bytes) -> None:
     """A second answer that lies in wait would be given to the next client."""
-    host = await FakeHost(behave=say(answer(b"mine") + extra)).start()
+    host = await FakeHost(behave=sends(answer(b"mine") + extra)).start()
     bench = Bench(host.address)
     outcome, reply = await bench.run()
     assert outcome is Outcome.SUCCESS
@@ -327,14 +343,14 @@
     that.
     """
     monkeypatch.setattr(host_pool, "REUSE_DELAY_S", -1.0)
-    host = await FakeHost(behave=say(answer(b"first"))).start()
+    host = await FakeHost(behave=sends(answer(b"first"))).start()
     bench = Bench(host.address)
     await bench.run()
     waiting = bench.host.idle[0]
     host.writers[0].write(answer(b"copy"))  # leaves at once; this loop has not read it yet
     while not waiting.has_unread():
         pass
-    host.behave = say(answer(b"second"))
+    host.behave = sends(answer(b"second"))
     outcome, reply = await bench.run()
     assert (outcome, reply and reply.body) == (Outcome.SUCCESS, b"second")
     assert len(host.writers) == 2
@@ -369,7 +385,7 @@
 
 @on_loop
 async def test_an_answer_with_close_is_not_kept() -> None:
-    host = await FakeHost(behave=say(answer(b"", "200 OK", "Connection: close"))).start()
+    host = await FakeHost(behave=sends(answer(b"", "200 OK", "Connection: close"))).start()
     bench = Bench(host.address)
     assert (await bench.run())[0] is Outcome.SUCCESS
     assert await host.closed.get() == 0
@@ -384,7 +400,7 @@
     """Rule 3: a drain counts for what has not sent its first byte; the module may place it again.
     Its descriptor comes back also where the connect had not taken its first step.
     """
-    dead = NeverUp()
+    dead = FullBacklogListener()
     bench = Bench(dead.address)
     attempt = bench.start()
     for _ in range(turns):
@@ -470,7 +486,7 @@
 
 @on_loop
 async def test_the_rest_of_an_answer_that_waits_for_a_late_loop_is_read() -> None:
-    host = await FakeHost(behave=say(answer(b"whole")[:-3])).start()
+    host = await FakeHost(behave=sends(answer(b"whole")[:-3])).start()
     bench = Bench(host.address)
     attempt = bench.start()
     await host.came.get()
--- a/tests/support/fake_hosts.py
+++ b/tests/support/fake_hosts.py
@@ -20,7 +20,7 @@
     await asyncio.Event().wait()
 
 
-def say(data: bytes, end: bool = False) -> Behaviour:
+def sends(data: bytes, end: bool = False) -> Behaviour:
     async def behave(message: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(data)
         if end:
@@ -92,7 +92,7 @@
         return line | changes
 
 
-class NeverUp:
+class FullBacklogListener:
     """An address whose connections never come up: its queue of connections is full, so SYNs are
     dropped.
     """
