--- a/roselink/http/framing_checks.py
+++ b/roselink/http/framing_checks.py
@@ -26,8 +26,8 @@
     framing = [
         (n.lower().replace(b"_", b"-").strip(), n, v) for n, v in headers if n[:1] in b"cCtT"
     ]
-    lengths = [(n, v) for plain, n, v in framing if plain == b"content-length"]
-    codings = [(n, v) for plain, n, v in framing if plain == b"transfer-encoding"]
+    lengths = [(n, v) for normalized, n, v in framing if normalized == b"content-length"]
+    codings = [(n, v) for normalized, n, v in framing if normalized == b"transfer-encoding"]
     if any(b"_" in name or name != name.strip() for name, _ in lengths + codings):
         raise BadRequestError(400, "a framing header spelt oddly")
     if len(lengths) + len(codings) > 1:
--- a/roselink/http/host_connection.py
+++ b/roselink/http/host_connection.py
@@ -18,7 +18,7 @@
 import httptools
 
 from roselink.http.exceptions import ResponseTooLongError, TooManyInterimResponsesError
-from roselink.http.socket_probe import SocketProbe
+from roselink.http.socket_poller import SocketPoller
 from roselink.http.status_codes import OK, is_interim
 from roselink.routing.outcome import Outcome
 
@@ -154,7 +154,7 @@
         self.holds_descriptor = True  # holds a descriptor, from the connect on
         self._has_unsent = False
         self._parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
-        self._probe: SocketProbe | None = None
+        self._poller: SocketPoller | None = None
         self._overdue_timer: asyncio.TimerHandle | None = None
         self._start_exchange()
 
@@ -177,7 +177,7 @@
         # `resume_writing` for "the kernel has the last byte": what parts a failed connection from a
         # reset.
         self.transport.set_write_buffer_limits(high=0)
-        self._probe = SocketProbe(transport)
+        self._poller = SocketPoller(transport)
 
     def pause_writing(self) -> None:
         """Note that bytes are left in this process (asyncio)."""
@@ -214,7 +214,7 @@
         That is a close, or more than belonged to the last response, which would be taken for the
         next one's.
         """
-        return self._probe is not None and self._probe.has_unread()
+        return self._poller is not None and self._poller.has_unread()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Clean up after the connection has ended (asyncio)."""
@@ -244,7 +244,7 @@
         ):
             self._fail_unreadable()
         elif self._in_message and self._overdue_timer is None:
-            self._overdue_timer = self.pool.call_when_overdue(self._response_overdue)
+            self._overdue_timer = self.pool.call_after_connect_timeout(self._response_overdue)
 
     def eof_received(self) -> bool:
         """The host's end is that of a response that tells no length.
@@ -257,8 +257,8 @@
         if (
             self.attempt is not None
             and ends_by_close
-            and self._probe is not None
-            and not self._probe.was_reset()
+            and self._poller is not None
+            and not self._poller.was_reset()
         ):
             self._keep_alive = False
             self._response_complete(self.attempt)
@@ -280,7 +280,7 @@
     def _response_overdue(self) -> None:
         """The rest of a response is overdue, unless it waits for a loop that runs late."""
         if self.has_unread():
-            self._overdue_timer = self.pool.call_when_overdue(self._response_overdue)
+            self._overdue_timer = self.pool.call_after_connect_timeout(self._response_overdue)
         else:
             self._fail_unreadable()
 
--- a/roselink/http/host_pool.py
+++ b/roselink/http/host_pool.py
@@ -97,12 +97,12 @@
         """The loop's time, in seconds."""
         return self._loop.time()
 
-    def call_when_overdue(self, act: Callable[[], None]) -> asyncio.TimerHandle:
+    def call_after_connect_timeout(self, callback: Callable[[], None]) -> asyncio.TimerHandle:
         """Call back after the connect time-out.
 
         That is the settings' own measure of a network that is stuck.
         """
-        return self._loop.call_later(self._connect_timeout_s, act)
+        return self._loop.call_later(self._connect_timeout_s, callback)
 
     def _connect_ended(self, connection: HostConnection, task: asyncio.Task[bool]) -> None:
         """The connect is over.
@@ -182,8 +182,8 @@
 
         The host must not be first to close, or a request would cross its close.
         """
-        oldest = self._loop.time() - self._idle_s
+        idle_before = self._loop.time() - self._idle_s
         for connection in list(self._idle):
-            if connection.idle_since > oldest:
+            if connection.idle_since > idle_before:
                 break
             connection.drop()
--- a/roselink/http/server.py
+++ b/roselink/http/server.py
@@ -20,25 +20,25 @@
 # Connections that may wait in the kernel to be accepted.
 BACKLOG = 1024
 # After this time a first request would have been read here, or a last response by the client.
-READ_DELAY_S = 0.2
+MAX_READ_DELAY_S = 0.2
 # For connections that wait to be accepted when the listener closes, however many still come.
-ACCEPT_WAITING_S = 0.2
+BACKLOG_ACCEPT_S = 0.2
 # Of the descriptors: past it the longest idle client connection ends, for new ones to come.
 USED_FRACTION = 0.25
 # Connections examined to make room for one: each examination costs a system call.
-END_ATTEMPTS = 8
+MAX_CLOSE_ATTEMPTS = 8
 
 
-def _end_oldest(
+def _close_oldest(
     connections: dict[ServerConnection, None],
-    end: Callable[[ServerConnection], bool],
-    changed_before: float = math.inf,
+    close: Callable[[ServerConnection], bool],
+    progress_before: float = math.inf,
 ) -> bool:
     """End one of the first few, the oldest that can be ended; whether there was one."""
-    for connection in list(itertools.islice(connections, END_ATTEMPTS)):
-        if connection.last_progress_at >= changed_before:
+    for connection in list(itertools.islice(connections, MAX_CLOSE_ATTEMPTS)):
+        if connection.last_progress_at >= progress_before:
             return False
-        if end(connection):
+        if close(connection):
             return True
     return False
 
@@ -94,9 +94,9 @@
         """Listen; the port. Raises `OSError` when the address can't be bound."""
         # Bound here: for a host's name the loop starts threads that resolve it, and imports what
         # encodes it.
-        bound = socket.create_server((host, port), backlog=BACKLOG)
+        listening_socket = socket.create_server((host, port), backlog=BACKLOG)
         self._listener = await self.loop.create_server(
-            self.make_connection, sock=bound, backlog=BACKLOG
+            self.make_connection, sock=listening_socket, backlog=BACKLOG
         )
         port_used: int = self._listener.sockets[0].getsockname()[1]
         return port_used
@@ -110,21 +110,21 @@
         self._descriptors.used += 1
         self.connections[connection] = self._unused[connection] = None
         if len(self.connections) > self._connection_limit:
-            self._end_another(connection)
+            self._close_another(connection)
         if self._descriptors.spare() <= -REFUSAL_DESCRIPTORS and not self._free_descriptor():
             connection.abort()
 
-    def _end_another(self, newest: ServerConnection) -> None:
-        read_before = self.loop.time() - READ_DELAY_S
+    def _close_another(self, newest: ServerConnection) -> None:
+        read_before = self.loop.time() - MAX_READ_DELAY_S
         if (
-            _end_oldest(self._finishing, ServerConnection.close_finished, read_before)
-            or _end_oldest(self._unused, ServerConnection.close_idle, read_before)
-            or _end_oldest(self._idle, ServerConnection.close_idle)
+            _close_oldest(self._finishing, ServerConnection.close_finished, read_before)
+            or _close_oldest(self._unused, ServerConnection.close_idle, read_before)
+            or _close_oldest(self._idle, ServerConnection.close_idle)
         ):
             return
         flooded = len(self.connections) > self._connection_limit + self._connection_limit // 4
         if flooded and next(iter(self._unused)) is not newest:
-            _end_oldest(self._unused, ServerConnection.close_idle)
+            _close_oldest(self._unused, ServerConnection.close_idle)
 
     def request_started(self, connection: ServerConnection) -> None:
         """A request has begun: the connection is not ended to make room."""
@@ -140,7 +140,7 @@
         self._idle[connection] = None
         used = len(self.connections) - len(self._unused) - len(self._finishing)
         if used > self._used_limit and len(self._idle) > 1:
-            _end_oldest(self._idle, ServerConnection.close_idle)
+            _close_oldest(self._idle, ServerConnection.close_idle)
 
     def connection_finishing(self, connection: ServerConnection) -> None:
         """It has its last response, and needs no more than time to read it."""
@@ -152,7 +152,7 @@
         self._finishing.pop(connection, None)
         self.request_started(connection)
 
-    def connection_ended(self, connection: ServerConnection) -> None:
+    def connection_closed(self, connection: ServerConnection) -> None:
         """Its transport has closed: the descriptor is free."""
         self._descriptors.used -= 1
         self.connection_closing(connection)
@@ -182,8 +182,8 @@
             return
         poll = select.poll()
         poll.register(self._listener.sockets[0].fileno(), select.POLLIN)
-        end = self.loop.time() + ACCEPT_WAITING_S
-        while poll.poll(0) and self.loop.time() < end:
+        deadline = self.loop.time() + BACKLOG_ACCEPT_S
+        while poll.poll(0) and self.loop.time() < deadline:
             await asyncio.sleep(0)
         self.stop_listening()
 
@@ -198,7 +198,7 @@
 
         Those that brought no request yet stay for the time that a first one takes.
         """
-        read_before = self.loop.time() - READ_DELAY_S
+        read_before = self.loop.time() - MAX_READ_DELAY_S
         for connection in list(self.connections):
             if connection.idle() and (
                 connection not in self._unused or connection.last_progress_at < read_before
--- a/roselink/http/server_connection.py
+++ b/roselink/http/server_connection.py
@@ -16,7 +16,7 @@
 
 from roselink.http.exceptions import BadRequestError
 from roselink.http.framing_checks import check_framing
-from roselink.http.socket_probe import SocketProbe
+from roselink.http.socket_poller import SocketPoller
 
 if TYPE_CHECKING:
     from roselink.http.limits import TimeLimits
@@ -56,7 +56,7 @@
         """Start without a transport, on a connection of `server`."""
         self._server = server
         self._transport: asyncio.Transport | None = None
-        self._probe: SocketProbe | None = None
+        self._poller: SocketPoller | None = None
         self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self._unparsed = b""  # read, not parsed yet
         # When it was read, which a client's deadline counts from.
@@ -92,18 +92,18 @@
         # With the marks at 0 `_writing_paused` stands for "bytes of a response are left in this
         # process".
         self._transport.set_write_buffer_limits(high=0)
-        self._probe = SocketProbe(transport)
+        self._poller = SocketPoller(transport)
         self._server.connection_opened(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Clean up after the connection has ended (asyncio)."""
-        self._transport = self._probe = None
+        self._transport = self._poller = None
         self._input_ended = True
         self._pending.clear()
         # the parser refers back: a cycle would wait for the collector
         self._unparsed = b""
         self._parser = None
-        self._server.connection_ended(self)
+        self._server.connection_closed(self)
         self._client_disconnected()
 
     def pause_writing(self) -> None:
@@ -146,11 +146,11 @@
         ):
             data = self._unparsed[:PARSE_BYTES]
             self._unparsed = self._unparsed[PARSE_BYTES:]
-            complete = self._completed_requests
+            completed_before = self._completed_requests
             try:
                 self._parser.feed_data(data)
-                if self._in_request and complete == self._completed_requests:
-                    self._count_request_bytes(len(data))
+                if self._in_request and completed_before == self._completed_requests:
+                    self._limit_request_bytes(len(data))
             except httptools.HttpParserUpgrade:
                 # The offer is not taken up: the request is served, and what follows is not HTTP any
                 # more.
@@ -168,7 +168,7 @@
             self._unparsed = b""
         self._pause_or_resume_reading()
 
-    def _count_request_bytes(self, size: int) -> None:
+    def _limit_request_bytes(self, size: int) -> None:
         """Bound a request as a whole.
 
         A header without end, or an endless extension of a chunk, reaches no callback of the parser.
@@ -181,17 +181,21 @@
 
     def _pause_or_resume_reading(self) -> None:
         """Read on once all that was read is parsed."""
-        wait = bool(self._unparsed) and not self._input_ended
-        if self._transport is None or self._probe is None or not (wait or self._reading_paused):
+        must_pause = bool(self._unparsed) and not self._input_ended
+        if (
+            self._transport is None
+            or self._poller is None
+            or not (must_pause or self._reading_paused)
+        ):
             return
         if not self._reading_paused:
             self._last_empty_at = self._read_at
             self._transport.pause_reading()
-        elif not self._probe.has_unread():
-            self._last_empty_at = self._server.loop.time() if wait else math.inf
-        if not wait:
+        elif not self._poller.has_unread():
+            self._last_empty_at = self._server.loop.time() if must_pause else math.inf
+        if not must_pause:
             self._transport.resume_reading()
-        self._reading_paused = wait
+        self._reading_paused = must_pause
 
     # The parser's side.
 
@@ -206,16 +210,16 @@
     def on_url(self, url: bytes) -> None:
         """A piece of the request target (parser)."""
         self._url += url
-        self._count_head_bytes(len(url))
+        self._limit_head_bytes(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """One header, or a trailer (parser)."""
         if not self._in_head:
             return  # a trailer: it must not stand in for a header that was checked
         self._headers.append((name, value.strip()))
-        self._count_head_bytes(len(name) + len(value) + 4)
+        self._limit_head_bytes(len(name) + len(value) + 4)
 
-    def _count_head_bytes(self, size: int) -> None:
+    def _limit_head_bytes(self, size: int) -> None:
         self._section_bytes += size
         if self._section_bytes > self._server.size_limits.head:
             self._reject(431, "head too long")
@@ -305,10 +309,10 @@
         What was sent ahead has been taken and is owed a response, also where it lies in the kernel:
         the last response says `close`.
         """
-        ahead = bool(self._pending) or bool(self._unparsed) or self._in_request
-        if ahead or not self._server.draining or not self._keep_alive:
+        has_pipelined = bool(self._pending) or bool(self._unparsed) or self._in_request
+        if has_pipelined or not self._server.draining or not self._keep_alive:
             return self._keep_alive
-        return self._probe is not None and self._probe.has_unread()
+        return self._poller is not None and self._poller.has_unread()
 
     def _write(self, data: bytes) -> None:
         if self._transport is not None:
@@ -344,15 +348,15 @@
             self._server.connection_finishing(self)
             if self._transport.can_write_eof():
                 self._transport.write_eof()
-            self._server.loop.call_later(LINGER_S, self._end_linger)
+            self._server.loop.call_later(LINGER_S, self._close_after_linger)
 
-    def _end_linger(self) -> None:
+    def _close_after_linger(self) -> None:
         """The end of the time that a last response has.
 
         (`sweep` ends a connection whose client does not take it.)
         """
         if self._transport is not None and not self.close_finished():
-            self._server.loop.call_later(LINGER_S, self._end_linger)
+            self._server.loop.call_later(LINGER_S, self._close_after_linger)
 
     def eof_received(self) -> bool:
         """Let the transport close: the peer has ended its sending (asyncio)."""
@@ -369,7 +373,7 @@
 
         Not read any further, its connection would stay: it ends here.
         """
-        if self._probe is not None and self._probe.peer_closed():
+        if self._poller is not None and self._poller.peer_closed():
             self.abort()
             return True
         return self._transport is None
@@ -396,7 +400,7 @@
         A request that lies unread in the kernel has been taken and is owed a response, and a close
         on it would be a reset.
         """
-        if self._probe is None or self._probe.has_unread():
+        if self._poller is None or self._poller.has_unread():
             return False
         self.abort()
         return True
@@ -407,7 +411,7 @@
         What comes meanwhile is read first: a close on it would be a reset, which takes along what
         the client's kernel has not got.
         """
-        if self._writing_paused or self._probe is None or self._probe.has_unread():
+        if self._writing_paused or self._poller is None or self._poller.has_unread():
             return False
         self.abort()
         return True
--- a/roselink/http/socket_probe.py
+++ b/roselink/http/socket_poller.py
@@ -12,10 +12,10 @@
 if TYPE_CHECKING:
     import asyncio
 
-_LEFT = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+_DISCONNECT_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
-class SocketProbe:
+class SocketPoller:
     """One connection's socket, for as long as its transport is open."""
 
     def __init__(self, transport: asyncio.BaseTransport) -> None:
@@ -37,7 +37,7 @@
 
         Some of what it sent may still be unread.
         """
-        return bool(self._events() & _LEFT)
+        return bool(self._events() & _DISCONNECT_EVENTS)
 
     def was_reset(self) -> bool:
         """Whether the connection is gone in both directions.
--- a/tests/dataplane/test_kept_promises.py
+++ b/tests/dataplane/test_kept_promises.py
@@ -60,7 +60,7 @@
         connection.last_progress_at -= 3600.0
         server.sweep()
         server.close_idle()
-        server._end_another(connection)
+        server._close_another(connection)
         assert list(server.connections) == [connection]
         held.go.set()
         got = await client.answer()
--- a/tests/gateway/test_client_connections.py
+++ b/tests/gateway/test_client_connections.py
@@ -86,7 +86,7 @@
     """Connections between two requests belong to usual clients: the never-heard go before them."""
     async with world(serve_ok, limits={"sockets": RESERVED + 16}) as w, w.client() as usual:
         assert (await usual.ask()).status == 200
-        monkeypatch.setattr(http_server, "READ_DELAY_S", -1.0)
+        monkeypatch.setattr(http_server, "MAX_READ_DELAY_S", -1.0)
         silent = [await w.client().__aenter__() for _ in range(30)]
         assert await at_end(silent[0]) == b""
         assert (await usual.ask()).status == 200
@@ -174,7 +174,7 @@
     them.
     """
     monkeypatch.setattr(server_connection, "LINGER_S", 1000.0)
-    monkeypatch.setattr(http_server, "READ_DELAY_S", -1.0)
+    monkeypatch.setattr(http_server, "MAX_READ_DELAY_S", -1.0)
     async with world(serve_ok, limits={"sockets": RESERVED + 16}) as w:
         bad = [await w.client().__aenter__() for _ in range(8)]
         for client in bad:
--- a/tests/gateway/test_closes.py
+++ b/tests/gateway/test_closes.py
@@ -55,7 +55,7 @@
 
 
 def room(to: Server, connection: ServerConnection) -> None:
-    to._end_another(connection)
+    to._close_another(connection)
 
 
 def drain(to: Server, connection: ServerConnection) -> None:
@@ -96,7 +96,7 @@
 async def test_a_drain_leaves_a_new_connection_the_time_for_its_first_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(http_server, "READ_DELAY_S", 1000.0)
+    monkeypatch.setattr(http_server, "MAX_READ_DELAY_S", 1000.0)
     async with world(serve_ok) as w:
         client = SuddenClient(w.gateway.port)
         await until(lambda: bool(w.gateway.server.connections))
@@ -138,14 +138,14 @@
 @on_loop
 async def test_a_last_answer_is_read_whole_however_slowly(monkeypatch: pytest.MonkeyPatch) -> None:
     looks: list[ServerConnection] = []
-    lingered = ServerConnection._end_linger
+    lingered = ServerConnection._close_after_linger
 
     def look(connection: ServerConnection) -> None:
         looks.append(connection)
         lingered(connection)
 
     monkeypatch.setattr(server_connection, "LINGER_S", 0.001)
-    monkeypatch.setattr(ServerConnection, "_end_linger", look)
+    monkeypatch.setattr(ServerConnection, "_close_after_linger", look)
     async with world(sends(answer(b"x" * BODY_LIMIT))) as w:
         client, connection = await unread(w)
         connection._keep_alive = False
@@ -157,7 +157,9 @@
         assert data.count(b"x") == BODY_LIMIT
 
 
-@pytest.mark.parametrize("close", [ServerConnection._end_linger, ServerConnection.close_finished])
+@pytest.mark.parametrize(
+    "close", [ServerConnection._close_after_linger, ServerConnection.close_finished]
+)
 @on_loop
 async def test_a_last_answer_is_not_reset_by_what_still_comes(
     close: Callable[[ServerConnection], object], monkeypatch: pytest.MonkeyPatch
--- a/tests/mutations/http.py
+++ b/tests/mutations/http.py
@@ -35,9 +35,9 @@
         ),
         (
             "a reset counts as the end",
-            "ends_by_close\n            and self._probe is not None\n"
-            "            and not self._probe.was_reset()",
-            "ends_by_close and self._probe is not None",
+            "ends_by_close\n            and self._poller is not None\n"
+            "            and not self._poller.was_reset()",
+            "ends_by_close and self._poller is not None",
         ),
         (
             "unsent bytes count as sent",
