--- a/roselink/gateway/__main__.py
+++ b/roselink/gateway/__main__.py
@@ -34,15 +34,15 @@
 log = logging.getLogger("roselink.gateway")
 
 # Between two sweeps of the connections for time-outs.
-SWEEP_S = 0.25
+SWEEP_INTERVAL_S = 0.25
 # Connections are accepted so long after SIGTERM: the front sends them for up to 0.4 s more.
-ACCEPT_S = 0.55
-# SIGKILL may come so long after ACCEPT_S, or a longest deadline that is shorter.
-KILL_S = 3.0
+ACCEPT_AFTER_SIGTERM_S = 0.55
+# SIGKILL may come so long after ACCEPT_AFTER_SIGTERM_S, or a longest deadline that is shorter.
+KILL_AFTER_ACCEPT_S = 3.0
 # For the last responses to leave.
 FLUSH_S = 0.1
 # Between two looks whether every connection has ended.
-DRAIN_POLL_S = 0.02
+DRAIN_POLL_INTERVAL_S = 0.02
 
 
 class Gateway:
@@ -57,7 +57,7 @@
         self.engine = Engine(loop, Balancer(config.settings, config.seed), self.upstream)
         self.discovery = Discovery(config, self.engine.update)
         self.server = Server(loop, config, self.engine, descriptors, self.upstream.drop_oldest_idle)
-        self._for_reload = ReservedDescriptor()
+        self._reserved_descriptor = ReservedDescriptor()
         self.port = 0
         self._sweeper: asyncio.Task[None] | None = None
 
@@ -84,7 +84,7 @@
         cannot work changes nothing.
         """
         try:
-            with self._for_reload.lent():
+            with self._reserved_descriptor.released():
                 config = reload(environment)
         except ConfigError as error:
             log.error("the old configuration stands: %s", error)  # noqa: TRY400 - one plain line
@@ -93,11 +93,11 @@
             log.warning("these fields change with a restart only: %s", ", ".join(ignored))
         if config.discovery != self.discovery.address:
             log.info("discovery is now at %s:%d", *config.discovery)
-            self.discovery.follow(config.discovery)
+            self.discovery.switch_to(config.discovery)
 
     async def _sweep(self) -> None:
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             try:
                 self.server.sweep()
                 self.upstream.sweep()
@@ -113,13 +113,15 @@
         longest_s = (
             max((route.deadline_us for route in self.config.settings.routes), default=0) / 1e6
         )
-        self.server.drain(ACCEPT_S, ACCEPT_S + min(longest_s, KILL_S))
-        await asyncio.sleep(ACCEPT_S)
+        self.server.drain(
+            ACCEPT_AFTER_SIGTERM_S, ACCEPT_AFTER_SIGTERM_S + min(longest_s, KILL_AFTER_ACCEPT_S)
+        )
+        await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
         await self.server.stop_accepting()
         end = self.loop.time() + longest_s + FLUSH_S
         while self.server.connections and self.loop.time() < end:
             self.server.close_idle()
-            await asyncio.sleep(DRAIN_POLL_S)
+            await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
 
     def stop(self) -> None:
         """Ends listener, watch and sweeps."""
--- a/roselink/gateway/config.py
+++ b/roselink/gateway/config.py
@@ -21,7 +21,7 @@
     from roselink.balancer.interface import Settings
     from roselink.http.address import Address
 
-PORTS = 65536
+PORT_COUNT = 65536
 MICROSECONDS_PER_S = 1e6
 
 
@@ -33,7 +33,7 @@
         self._reserved = socket.socket()
 
     @contextmanager
-    def lent(self) -> Iterator[None]:
+    def released(self) -> Iterator[None]:
         """Frees the descriptor within a block, which must not wait."""
         self._reserved.close()
         try:
@@ -82,42 +82,42 @@
         ConfigError: It has another form; the error names `field`.
     """
     host, colon, port = str(text).rpartition(":")
-    if not (colon and host and port.isascii() and port.isdigit() and 0 <= int(port) < PORTS):
+    if not (colon and host and port.isascii() and port.isdigit() and 0 <= int(port) < PORT_COUNT):
         raise ConfigError(field, f"needs address:port, not {text!r}")
     return host, int(port)
 
 
-def _value(
-    data: Mapping[str, Any], key: str, kind: type[Any], field: str, default: Any = None
+def _typed_value(
+    data: Mapping[str, Any], key: str, expected: type[Any], field: str, default: Any = None
 ) -> Any:
     value = data.get(key)
     if value is None:
         value = default
     if value is None:
         raise ConfigError(field, "missing")
-    if not isinstance(value, kind) or isinstance(value, bool):
-        raise ConfigError(field, f"needs {kind.__name__}, not {type(value).__name__}")
+    if not isinstance(value, expected) or isinstance(value, bool):
+        raise ConfigError(field, f"needs {expected.__name__}, not {type(value).__name__}")
     return value
 
 
-def _above_zero(data: Mapping[str, Any], key: str, field: str, default: int) -> int:
-    value: int = _value(data, key, int, field, default)
+def _positive_integer(data: Mapping[str, Any], key: str, field: str, default: int) -> int:
+    value: int = _typed_value(data, key, int, field, default)
     if value <= 0:
         raise ConfigError(field, "must be above 0")
     return value
 
 
-def _timeout_s(limits: Mapping[str, Any], key: str, *, default_us: int) -> float:
+def _read_timeout_s(limits: Mapping[str, Any], key: str, *, default_us: int) -> float:
     """A time-out of the settings, which give it in microseconds."""
-    return _above_zero(limits, key, f"settings.limits.{key}", default_us) / MICROSECONDS_PER_S
+    return _positive_integer(limits, key, f"settings.limits.{key}", default_us) / MICROSECONDS_PER_S
 
 
-def _names(data: Mapping[str, Any], key: str) -> tuple[str, ...]:
-    names = _value(data, key, list, f"settings.{key}", [])
+def _read_names(data: Mapping[str, Any], key: str) -> tuple[str, ...]:
+    names = _typed_value(data, key, list, f"settings.{key}", [])
     return tuple(str(name.get("name")) if isinstance(name, dict) else str(name) for name in names)
 
 
-def _seed(value: Any) -> int:
+def _parse_seed(value: Any) -> int:
     """The seed is hexadecimal text as a rule; any other text or number seeds as well."""
     text = str(value)
     try:
@@ -144,8 +144,8 @@
         raise ConfigError("GW_CONFIG", f"{path} is not JSON: {error}") from None
     if not isinstance(data, dict):
         raise ConfigError("GW_CONFIG", f"{path} holds no JSON object")
-    raw_settings = _value(data, "settings", dict, "settings")
-    limits = _value(raw_settings, "limits", dict, "settings.limits", {})
+    raw_settings = _typed_value(data, "settings", dict, "settings")
+    limits = _typed_value(raw_settings, "limits", dict, "settings.limits", {})
     try:
         settings = read_settings(raw_settings)
     except (ValueError, TypeError) as error:
@@ -156,17 +156,17 @@
         discovery=read_address(
             environment.get("GW_DISCOVERY") or data.get("discovery"), "GW_DISCOVERY"
         ),
-        seed=_seed(data.get("seed", 0)),
-        sockets=_above_zero(
-            _value(data, "limits", dict, "limits", {}), "sockets", "limits.sockets", 1024
+        seed=_parse_seed(data.get("seed", 0)),
+        sockets=_positive_integer(
+            _typed_value(data, "limits", dict, "limits", {}), "sockets", "limits.sockets", 1024
         ),
-        known=_value(data, "known", dict, "known", {}),
+        known=_typed_value(data, "known", dict, "known", {}),
         settings=settings,
-        tenants=_names(raw_settings, "orgs"),
-        kinds=_names(raw_settings, "models"),
-        zones=_names(raw_settings, "zones"),
-        connect_timeout_s=_timeout_s(limits, "connect_timeout", default_us=1_000_000),
-        idle_s=_timeout_s(limits, "conn_idle", default_us=15_000_000),
+        tenants=_read_names(raw_settings, "orgs"),
+        kinds=_read_names(raw_settings, "models"),
+        zones=_read_names(raw_settings, "zones"),
+        connect_timeout_s=_read_timeout_s(limits, "connect_timeout", default_us=1_000_000),
+        idle_s=_read_timeout_s(limits, "conn_idle", default_us=15_000_000),
     )
 
 
--- a/roselink/gateway/discovery.py
+++ b/roselink/gateway/discovery.py
@@ -34,7 +34,7 @@
 # Bytes read at a time.
 READ_SIZE = 65536
 # Characters of a list that the log shows.
-MAX_SHOWN = 2000
+MAX_LOGGED_CHARS = 2000
 
 Update = Callable[[ServerList, dict[int, str], dict[int, Address]], None]
 
@@ -54,9 +54,9 @@
         self._needs_full_list = False
         # Whether the present call is a watch by now, and whether it brought a list.
         self._watching = False
-        self._received = False
+        self._received_list = False
         self._task: asyncio.Task[None] | None = None
-        self._reserve = ReservedSocket()
+        self._reserved_socket = ReservedSocket()
         settings = config.settings
         self._connect_timeout_s = PUSHED_TIMEOUT_S
         self._response_timeout_s = PUSHED_TIMEOUT_S
@@ -78,7 +78,7 @@
         """
         if known:
             try:
-                self._take(known, ListKind.CACHED)
+                self._apply(known, ListKind.CACHED)
             except MalformedListError as error:
                 raise ConfigError("known", str(error)) from None
 
@@ -98,7 +98,7 @@
             self._task.cancel()
             self._task = None
 
-    def follow(self, address: Address) -> None:
+    def switch_to(self, address: Address) -> None:
         """Watches another discovery from now on; the list stays in force until its first response.
 
         The old watch takes no step more, so that nothing left in its buffers can undo what the new
@@ -118,8 +118,8 @@
         while True:
             await asyncio.sleep(wait_s)
             self._watching = False
-            self._received = False
-            begun = loop.time()
+            self._received_list = False
+            started_at = loop.time()
             try:
                 await self._watch()
                 cause = Cause.ENDED
@@ -128,7 +128,7 @@
                 cause = Cause.UNRESPONSIVE if self._watching else Cause.UNANSWERED
                 reason = cause.value
             except MalformedListError as error:
-                cause = Cause.ENDED if self._received else Cause.MALFORMED
+                cause = Cause.ENDED if self._received_list else Cause.MALFORMED
                 reason = error.reason
             except OSError as error:
                 cause = Cause.ENDED
@@ -141,7 +141,7 @@
                 reason = "a fault of ours"
             if not self._watching and cause is not Cause.UNANSWERED:
                 cause = Cause.FAILED
-            took_s = loop.time() - begun
+            took_s = loop.time() - started_at
             wait_s = self._wait_s(cause, took_s)
             log.warning(
                 "watch of hosts lost: %s after %.2f s; again in %.2f s", reason, took_s, wait_s
@@ -163,14 +163,14 @@
         """
         loop = asyncio.get_running_loop()
         response = DiscoveryResponse()
-        connection = self._reserve.take()
+        connection = self._reserved_socket.take()
         try:
             try:
                 async with asyncio.timeout(self._connect_timeout_s):
                     await connect(connection, self.address)
                     host = f"{self.address[0]}:{self.address[1]}"
-                    call = f"GET {target} HTTP/1.1\r\nHost: {host}\r\n\r\n"
-                    await loop.sock_sendall(connection, call.encode())
+                    request = f"GET {target} HTTP/1.1\r\nHost: {host}\r\n\r\n"
+                    await loop.sock_sendall(connection, request.encode())
             except TimeoutError:
                 raise ConnectionError(CONNECT_TIMED_OUT) from None
             expires_at = loop.time() + self._response_timeout_s
@@ -179,19 +179,19 @@
                     data = await loop.sock_recv(connection, READ_SIZE)
                 if not data:
                     break
-                begun = response.status
+                previous_status = response.status
                 response.feed(data)
-                if response.status and not begun:
+                if response.status and not previous_status:
                     self._watching = watch
                     expires_at = loop.time() + WATCH_TIMEOUT_S
                 for value in response.values(len(data)):
                     expires_at = loop.time() + WATCH_TIMEOUT_S
                     if value:
-                        self._take_value(value)
+                        self._apply_value(value)
         finally:
-            self._reserve.replace(connection)
+            self._reserved_socket.replace(connection)
 
-    def _take_value(self, value: bytes) -> None:
+    def _apply_value(self, value: bytes) -> None:
         try:
             data = json.loads(value)
         except ValueError:
@@ -200,15 +200,15 @@
         if not isinstance(reset, bool):
             raise MalformedListError(reason=f"reset: needs true or false, not {reset!r}")
         full = reset or self._needs_full_list
-        self._take(data, ListKind.FULL if full else ListKind.CHANGES)
+        self._apply(data, ListKind.FULL if full else ListKind.CHANGES)
         self._needs_full_list = False
-        self._received = True
+        self._received_list = True
 
-    def _take(self, data: Mapping[str, Any], kind: ListKind) -> None:
+    def _apply(self, data: Mapping[str, Any], kind: ListKind) -> None:
         hosts = self._reader.read(data)
         self._generation = hosts.generation
         self._has_list = True
-        shown = ", ".join(
+        description = ", ".join(
             f"{hosts.names[server.id]} ({server.id}) {server.state.name.lower()}"
             for server in hosts.servers
         )
@@ -216,7 +216,7 @@
             "list %d (%s): %s",
             hosts.generation,
             kind.name.lower(),
-            shown[:MAX_SHOWN] or "nothing",
+            description[:MAX_LOGGED_CHARS] or "nothing",
         )
         servers = ServerList(kind, hosts.servers, hosts.generation)
         self._update(servers, hosts.names, hosts.addresses)
--- a/roselink/gateway/discovery_response.py
+++ b/roselink/gateway/discovery_response.py
@@ -15,7 +15,7 @@
 # Some thousands of hosts; parsed it takes several times as much of a small memory.
 LIST_LIMIT = 1024 * 1024
 # Bytes that bring nothing of a list: a head or a chunk's extension without end.
-BARE_LIMIT = 64 * 1024
+NON_BODY_LIMIT = 64 * 1024
 STATUS_OK = 200
 
 
@@ -31,7 +31,7 @@
         self._parser = httptools.HttpResponseParser(self)
         self._framer = JsonFramer(LIST_LIMIT)
         self._body: list[bytes] = []
-        self._bare = 0
+        self._non_body_bytes = 0
         self._error: MalformedListError | None = None
         # 0 until the head is complete.
         self.status = 0
@@ -58,13 +58,13 @@
         """
         body = b"".join(self._body)
         self._body.clear()
-        self._bare = 0 if body else self._bare + fed
-        if self._bare > BARE_LIMIT:
+        self._non_body_bytes = 0 if body else self._non_body_bytes + fed
+        if self._non_body_bytes > NON_BODY_LIMIT:
             raise MalformedListError(reason="an answer without end that brings no list")
         yield from self._framer.feed(body)
         if self._error is not None:
             raise self._error
-        if self.ended and self._framer.within:
+        if self.ended and self._framer.in_value:
             raise MalformedListError(reason="an answer that ends within a list")
 
     # Callbacks of the parser; their names are httptools'.
--- a/roselink/gateway/engine.py
+++ b/roselink/gateway/engine.py
@@ -51,8 +51,8 @@
 # another gateway is using.
 ATTEMPT_MARGIN_S = 0.040
 # Before the client's deadline by this much the engine responds by itself, if the decider has not.
-GUARD_MARGIN_S = 0.015
-# Fraction of a short time-out of a client: the attempt margin is at most so long, and the guard
+FALLBACK_MARGIN_S = 0.015
+# Fraction of a short time-out of a client: the attempt margin is at most so long, and the fallback
 # margin shrinks with it.
 MARGIN_FRACTION = 0.25
 
@@ -66,7 +66,7 @@
     """The one response to a client: a status, and where a host has served it, the host's."""
 
     status: int
-    answer: HostResponse | None = None
+    response: HostResponse | None = None
     retry_after_us: int = 0
 
 
@@ -105,22 +105,22 @@
         number: int,
         request: ClientRequest,
         reply: Callable[[Reply], None],
-        gone: Callable[[], bool],
-        give_up: float,
+        client_gone: Callable[[], bool],
+        attempt_deadline: float,
     ) -> None:
         """An open request; `number` is the decider's name of it."""
         self.number = number
         self.request = request
         # Whether its client has left, which the loop may not have reported yet.
-        self.gone = gone
+        self.client_gone = client_gone
         # Loop time at which its attempts end.
-        self.give_up = give_up
+        self.attempt_deadline = attempt_deadline
         # None once it has its response.
         self.reply: Callable[[Reply], None] | None = reply
         # None: not sent at all, or ended.
         self.attempts: list[Attempt | None] = []
         self.in_flight = 0
-        self.guard: asyncio.TimerHandle | None = None
+        self.fallback_timer: asyncio.TimerHandle | None = None
 
 
 class Engine:
@@ -138,12 +138,12 @@
         self._balancer = balancer
         self._upstream = upstream
         self._epoch_us = time.time_ns() // 1000 - int(loop.time() * 1e6)
-        self._numbers = itertools.count(1)
+        self._request_numbers = itertools.count(1)
         self._open: dict[int, OpenRequest] = {}
         # Ids of the requests that have no response yet.
-        self._ids: set[str] = set()
+        self._unanswered_ids: set[str] = set()
         self._events: deque[Event] = deque()
-        self._busy = False
+        self._handling_events = False
         self.hosts: dict[int, PooledHost] = {}
 
     def now_us(self) -> int:
@@ -152,7 +152,7 @@
 
     def is_open(self, request_id: str) -> bool:
         """Whether a request of this id has no response yet."""
-        return request_id in self._ids
+        return request_id in self._unanswered_ids
 
     @property
     def ready(self) -> bool:
@@ -162,26 +162,33 @@
     # From the client side.
 
     def accept(
-        self, request: ClientRequest, reply: Callable[[Reply], None], gone: Callable[[], bool]
+        self,
+        request: ClientRequest,
+        reply: Callable[[Reply], None],
+        client_gone: Callable[[], bool],
     ) -> OpenRequest:
         """Takes a request.
 
         Args:
             request: The checked request.
             reply: Is called once, before the client's deadline, unless the client leaves.
-            gone: Whether the client has left, read from its socket.
+            client_gone: Whether the client has left, read from its socket.
         """
-        left_s = max(0.0, request.expires - self._loop.time())
-        shrink = min(1.0, MARGIN_FRACTION * left_s / ATTEMPT_MARGIN_S)
+        remaining_s = max(0.0, request.expires - self._loop.time())
+        margin_scale = min(1.0, MARGIN_FRACTION * remaining_s / ATTEMPT_MARGIN_S)
         opened = OpenRequest(
-            next(self._numbers), request, reply, gone, request.expires - ATTEMPT_MARGIN_S * shrink
+            next(self._request_numbers),
+            request,
+            reply,
+            client_gone,
+            request.expires - ATTEMPT_MARGIN_S * margin_scale,
         )
         self._open[opened.number] = opened
-        self._ids.add(request.id)
-        opened.guard = self._loop.call_at(
-            request.expires - GUARD_MARGIN_S * shrink, self._respond_overdue, opened
+        self._unanswered_ids.add(request.id)
+        opened.fallback_timer = self._loop.call_at(
+            request.expires - FALLBACK_MARGIN_S * margin_scale, self._respond_at_deadline, opened
         )
-        give_up_us = self._epoch_us + int(opened.give_up * 1e6)
+        give_up_us = self._epoch_us + int(opened.attempt_deadline * 1e6)
         self.feed(
             Arrived(
                 opened.number,
@@ -209,11 +216,11 @@
         read, and must not be overtaken by a retry, a hedge or a connect. Nor may a connect that
         takes long carry an attempt past `before_us`, the time limit that the decider gave it.
         """
-        if opened.reply is not None and opened.gone():
+        if opened.reply is not None and opened.client_gone():
             self.depart(opened)
         return opened.reply is not None and not 0 < before_us <= self.now_us()
 
-    def _respond_overdue(self, opened: OpenRequest) -> None:
+    def _respond_at_deadline(self, opened: OpenRequest) -> None:
         """Rule 1's last resort: a failure promises nothing and so is always allowed."""
         if opened.reply is not None:
             log.error("request %s: no decision by its deadline", opened.request.id)
@@ -238,27 +245,27 @@
             addresses: Address of each listed host that is not gone, by its number.
         """
         self._events.append(servers)
-        self._busy = True
+        self._handling_events = True
         try:
             self._update_hosts(servers, names, addresses)
         finally:
-            self._busy = False
+            self._handling_events = False
             self._run()
 
     def _update_hosts(
         self, servers: ServerList, names: dict[int, str], addresses: dict[int, Address]
     ) -> None:
         full = servers.kind is not ListKind.CHANGES
-        named = {s.id for s in servers.servers}
-        listed = {s.id: s for s in servers.servers if s.state is not State.GONE}
+        listed_ids = {s.id for s in servers.servers}
+        present = {s.id: s for s in servers.servers if s.state is not State.GONE}
         for number, host in list(self.hosts.items()):
-            server_now = listed.get(number)
-            gone = server_now is None and (full or number in named)
-            moved = server_now is not None and addresses[number] != host.address
+            current_server = present.get(number)
+            gone = current_server is None and (full or number in listed_ids)
+            moved = current_server is not None and addresses[number] != host.address
             if gone or moved:
                 del self.hosts[number]
                 self._upstream.retire(host)
-        for number, server in listed.items():
+        for number, server in present.items():
             current = self.hosts.get(number) or PooledHost(names[number], addresses[number])
             self.hosts[number] = current
             if current.started_us != server.started_us:
@@ -279,16 +286,16 @@
         decider.
         """
         self._events.append(event)
-        if not self._busy:
+        if not self._handling_events:
             self._run()
 
     def _run(self) -> None:
-        self._busy = True
+        self._handling_events = True
         try:
             while self._events:
                 self._step(self._events.popleft())
         finally:
-            self._busy = False
+            self._handling_events = False
 
     def _step(self, event: Event) -> None:
         try:
@@ -353,8 +360,8 @@
                 AttemptDone(action.request, number, Outcome.MOOT, 0, opened.reply is None)
             )
             return
-        left_s = max(0.0, opened.give_up - started)
-        timeout_s = min(left_s, action.timeout_us / 1e6) if action.timeout_us else left_s
+        remaining_s = max(0.0, opened.attempt_deadline - started)
+        timeout_s = min(remaining_s, action.timeout_us / 1e6) if action.timeout_us else remaining_s
         request = b"%bRequest-Timeout-Ms: %d\r\n\r\n%b" % (
             opened.request.head,
             max(1, int(timeout_s * 1000)),
@@ -365,7 +372,7 @@
                 host,
                 request,
                 timeout_s,
-                partial(self._done, opened, number, started),
+                partial(self._attempt_done, opened, number, started),
                 partial(self._may_write, opened, action.before_us),
             )
         except Exception:
@@ -378,18 +385,18 @@
         opened.in_flight += 1
         opened.attempts.append(attempt)
 
-    def _done(
+    def _attempt_done(
         self,
         opened: OpenRequest,
         number: int,
         started: float,
         outcome: Outcome,
-        answer: HostResponse | None,
+        response: HostResponse | None,
     ) -> None:
         opened.in_flight -= 1
         opened.attempts[number] = None
-        if answer is not None and opened.reply is not None:
-            self._respond(opened, Reply(STATUS_SERVED, answer))
+        if response is not None and opened.reply is not None:
+            self._respond(opened, Reply(STATUS_SERVED, response))
         # The loop's clock counts milliseconds, so a quick response may show no time at all.
         elapsed_us = max(1, int((self._loop.time() - started) * 1e6))
         self.feed(AttemptDone(opened.number, number, outcome, elapsed_us, opened.reply is None))
@@ -405,9 +412,9 @@
 
     def _end_response(self, opened: OpenRequest) -> None:
         opened.reply = None
-        self._ids.discard(opened.request.id)
-        if opened.guard is not None:
-            opened.guard.cancel()
+        self._unanswered_ids.discard(opened.request.id)
+        if opened.fallback_timer is not None:
+            opened.fallback_timer.cancel()
 
     def _release(self, opened: OpenRequest) -> None:
         """Drops a request that has its response and the outcome of every attempt."""
--- a/roselink/gateway/host_list.py
+++ b/roselink/gateway/host_list.py
@@ -91,10 +91,10 @@
                 id=server_number(name),
                 state=state,
                 zone=self._zone(entry.get("zone")),
-                cell=_integer(entry, "cell"),
+                cell=_non_negative_integer(entry, "cell"),
                 kind=self._kinds.get(kind_name, UNKNOWN_KIND),
                 hint=_weight(entry),
-                started_us=_integer(entry, "startedAtMs") * MICROSECONDS_PER_MS,
+                started_us=_non_negative_integer(entry, "startedAtMs") * MICROSECONDS_PER_MS,
             )
         except (KeyError, TypeError, ValueError, AttributeError, ConfigError) as error:
             raise MalformedListError(reason=f"an entry cannot be read: {error!r}") from None
@@ -109,11 +109,11 @@
         if name is None:
             return NO_ZONE
         if not isinstance(name, str):
-            raise _unusable("zone", "a name", name)
+            raise _invalid_value("zone", "a name", name)
         return self._zones.get(name, UNKNOWN_ZONE - zlib.crc32(name.encode()))
 
 
-def _unusable(key: str, needed: str, value: Any) -> ValueError:
+def _invalid_value(key: str, needed: str, value: Any) -> ValueError:
     return ValueError(f"{key}: needs {needed}, not {value!r}")
 
 
@@ -131,12 +131,12 @@
     return address
 
 
-def _integer(entry: Mapping[str, Any], key: str) -> int:
+def _non_negative_integer(entry: Mapping[str, Any], key: str) -> int:
     value = entry.get(key) or 0
     if isinstance(value, float) and value.is_integer():
         value = int(value)
     if type(value) is not int or value < 0:
-        raise _unusable(key, "a whole number from 0", value)
+        raise _invalid_value(key, "a whole number from 0", value)
     return value
 
 
@@ -145,5 +145,5 @@
     if value is None:
         return 1.0
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value < math.inf:
-        raise _unusable("weight", "a number from 0", value)
+        raise _invalid_value("weight", "a number from 0", value)
     return float(value) or 1.0
--- a/roselink/gateway/json_framer.py
+++ b/roselink/gateway/json_framer.py
@@ -35,7 +35,7 @@
         self._escaped = False
 
     @property
-    def within(self) -> bool:
+    def in_value(self) -> bool:
         """Whether a value has begun and not ended."""
         return self._depth > 0
 
@@ -58,13 +58,13 @@
             found = _STRUCTURE.search(data, at)
             end = found.start() if found else len(data)
             if not self._depth:
-                if self._is_line_end(data[at:end]):
+                if self._has_line_break(data[at:end]):
                     yield b""
                 start = end
             if not found:
                 break
             at = found.end()
-            self._count_depth(found.group())
+            self._track_depth(found.group())
             if not self._depth:
                 self._append(data[start:at])
                 yield bytes(self._value)
@@ -90,12 +90,12 @@
         return found.end()
 
     @staticmethod
-    def _is_line_end(gap: bytes) -> bool:
+    def _has_line_break(gap: bytes) -> bool:
         if gap.strip():
             raise MalformedListError(reason=f"not JSON: {gap.strip()[:60]!r}")
         return b"\n" in gap
 
-    def _count_depth(self, token: bytes) -> None:
+    def _track_depth(self, token: bytes) -> None:
         if not self._depth and token != b"{":
             raise MalformedListError(reason=f"no object: it starts with {token.decode()}")
         if token == b'"':
--- a/roselink/gateway/pacing.py
+++ b/roselink/gateway/pacing.py
@@ -26,7 +26,7 @@
 from enum import Enum
 
 # Spread for each gateway's call: lists that come sooner against the load of a whole fleet's calls.
-SLOT_S = 0.1
+SPREAD_PER_GATEWAY_S = 0.1
 # The spread grows to this at least: a few gateways need not hurry a failing service.
 MIN_SPREAD_S = 1.0
 # Keep-alive time-out of a watch: an empty line is due every 2 s.
@@ -40,10 +40,10 @@
 # What discovery had, or has from its return on, counts as known so long after a call failed.
 FAILED_DEADLINE_S = 6.0
 # Time for a call to wait its turn and to be answered: what the spread leaves of each deadline.
-CALL_S = 2.0
+CALL_TIME_S = 2.0
 # Time of a call at discovery: what a fleet's calls must be spread over if they fail again and
 # again.
-TURN_S = 0.02
+SERVICE_TIME_S = 0.02
 # Least fraction of a further wait: the fleet stays as spread as the first ones have made it.
 MIN_JITTER_FRACTION = 0.95
 # Fraction of `ask_within`: the rest is for the call, and for changes that have not come yet.
@@ -53,7 +53,7 @@
 # The same after a list that was malformed: the next may be no better.
 PUSHED_MALFORMED_RETRY_S = 0.5
 # A call that failed sooner took no turn at discovery.
-MIN_TURN_S = 1.0
+MIN_QUEUED_S = 1.0
 # Calls that waited in vain: more in a row than a short outage brings.
 MAX_FAILURES_IN_SHORT_OUTAGE = 4
 # Least wait where gateways poll, while a deadline is near.
@@ -91,25 +91,27 @@
 class CallPacing:
     """The waits of one gateway before its calls."""
 
-    def __init__(self, gateways: int, ask_within_s: float, seed: int, *, polls: bool) -> None:
+    def __init__(self, gateways: int, list_deadline_s: float, seed: int, *, polls: bool) -> None:
         """The pacing of one gateway.
 
         Args:
             gateways: How many share the discovery.
-            ask_within_s: The settings' time for a gateway with no watch to get a list.
+            list_deadline_s: The settings' time for a gateway with no watch to get a list.
             seed: Its random source, which must differ among the gateways.
             polls: Whether gateways request lists; else discovery pushes them.
         """
-        self._slot_s = SLOT_S * gateways
+        self._fleet_spread_s = SPREAD_PER_GATEWAY_S * gateways
         self._polls = polls
-        self._in_time_s = FAILED_DEADLINE_S - CALL_S
-        self._max_spread_s = min(POLL_FRACTION * ask_within_s, self._in_time_s)
-        self._initial_failed_spread_s = min(max(MIN_SPREAD_S, 4 * self._slot_s), self._in_time_s)
-        self._max_failed_spread_s = max(self._initial_failed_spread_s, TURN_S * gateways)
+        self._latest_call_s = FAILED_DEADLINE_S - CALL_TIME_S
+        self._max_spread_s = min(POLL_FRACTION * list_deadline_s, self._latest_call_s)
+        self._initial_failed_spread_s = min(
+            max(MIN_SPREAD_S, 4 * self._fleet_spread_s), self._latest_call_s
+        )
+        self._max_failed_spread_s = max(self._initial_failed_spread_s, SERVICE_TIME_S * gateways)
         self._random = random.Random(seed)
         # Calls that failed, one after the other, and those of them that took a turn at discovery.
         self._failures = 0
-        self._turns_failed = 0
+        self._queued_failures = 0
         # When the list must be here, after an unresponsive watch or a move.
         self._deadline = 0.0
 
@@ -123,10 +125,10 @@
         """
         if cause is Cause.FAILED:
             self._failures += 1
-            self._turns_failed += took_s >= MIN_TURN_S
+            self._queued_failures += took_s >= MIN_QUEUED_S
         else:
             self._failures = 0
-            self._turns_failed = 0
+            self._queued_failures = 0
         draw = self._random.random()
         if not self._polls:
             return PUSHED_WAITS_S.get(cause, 0.0) * (0.5 + 0.5 * draw)
@@ -140,11 +142,11 @@
 
     def _spread_s(self, cause: Cause, now: float, took_s: float) -> float:
         if now < self._deadline:
-            return min(self._slot_s, max(MIN_RETRY_S, self._deadline - now - CALL_S))
+            return min(self._fleet_spread_s, max(MIN_RETRY_S, self._deadline - now - CALL_TIME_S))
         if cause is Cause.FAILED:
             return self._failed_spread_s(took_s)
         min_spread_s = MIN_SPREAD_S if cause is Cause.MALFORMED else 0.0
-        return min(max(min_spread_s, self._slot_s), self._max_spread_s)
+        return min(max(min_spread_s, self._fleet_spread_s), self._max_spread_s)
 
     def _failed_spread_s(self, took_s: float) -> float:
         """The spread after a failed call that took `took_s`.
@@ -155,7 +157,12 @@
         the deadline, which no pace could keep, the calls slow down to the pace of those turns: else
         the queue would stay too long.
         """
-        over = self._turns_failed - MAX_FAILURES_IN_SHORT_OUTAGE
-        if over < 0:
-            return max(MIN_RETRY_S, min(self._initial_failed_spread_s, self._in_time_s - took_s))
-        return min(self._initial_failed_spread_s * 2.0 ** min(over, 16), self._max_failed_spread_s)
+        excess_failures = self._queued_failures - MAX_FAILURES_IN_SHORT_OUTAGE
+        if excess_failures < 0:
+            return max(
+                MIN_RETRY_S, min(self._initial_failed_spread_s, self._latest_call_s - took_s)
+            )
+        return min(
+            self._initial_failed_spread_s * 2.0 ** min(excess_failures, 16),
+            self._max_failed_spread_s,
+        )
--- a/roselink/gateway/request_checks.py
+++ b/roselink/gateway/request_checks.py
@@ -45,13 +45,13 @@
         self._deadlines_s = [route.deadline_us / 1e6 for route in routes]
         self._tenants = {name: index for index, name in enumerate(config.tenants)}
         # Requests that begin after the first loop time must have their response by the second.
-        self._drained_from = math.inf
-        self._drained_by = math.inf
+        self._late_from = math.inf
+        self._late_deadline = math.inf
 
     def shorten_deadlines(self, begun_from: float, respond_by: float) -> None:
         """Requests that begin at loop time `begun_from` or later expire at `respond_by`."""
-        self._drained_from = begun_from
-        self._drained_by = respond_by
+        self._late_from = begun_from
+        self._late_deadline = respond_by
 
     def check(
         self,
@@ -59,7 +59,7 @@
         url: bytes,
         headers: list[tuple[bytes, bytes]],
         body: bytes,
-        since: float,
+        received_at: float,
     ) -> ClientRequest:
         """The request that may go on.
 
@@ -68,31 +68,31 @@
             url: The request's target, as it came.
             headers: Names and values, as they came.
             body: The decoded body.
-            since: Loop time at which the request began.
+            received_at: Loop time at which the request began.
 
         Raises:
             BadRequestError: The request is refused, with this status.
         """
         segments = url.partition(b"?")[0].split(b"/")
         route = self._route(segments)
-        single, forwarded = self._read_headers(headers)
-        self._check_form(route, method, body, single)
-        request_id = single.get(b"request-id", b"").decode("latin-1")
+        values, forwarded = self._read_headers(headers)
+        self._check_method_and_body(route, method, body, values)
+        request_id = values.get(b"request-id", b"").decode("latin-1")
         if not request_id:
             raise BadRequestError(400, "no Request-Id")
-        expires = since + min(self._timeout_s(single), self._deadlines_s[route])
+        expires = received_at + min(self._timeout_s(values), self._deadlines_s[route])
         if self._effects[route] is not Effect.SAFE:
             forwarded.append(b"Content-Length: %d" % len(body))
         head = [b"%b %b HTTP/1.1" % (method, url), *forwarded]
-        tenant = single.get(b"tenant", b"").decode("latin-1")
+        tenant = values.get(b"tenant", b"").decode("latin-1")
         return ClientRequest(
             id=request_id,
             route=route,
             tenant=self._tenants.get(tenant, UNKNOWN_TENANT),
             key=_key(segments),
-            expires=expires if since < self._drained_from else min(expires, self._drained_by),
-            repeat=single.get(b"client-retry") == b"1",
-            work_us=_work_us(single.get(b"work-hint", b"")),
+            expires=expires if received_at < self._late_from else min(expires, self._late_deadline),
+            repeat=values.get(b"client-retry") == b"1",
+            work_us=_work_us(values.get(b"work-hint", b"")),
             head=b"\r\n".join(head) + b"\r\n",
             body=body,
         )
@@ -115,15 +115,15 @@
         values: dict[bytes, bytes] = {}
         forwarded: list[bytes] = []
         for name, value in headers:
-            lower = name.lower()
-            if lower in SINGLE_HEADERS and lower in values:
-                raise BadRequestError(400, f"two headers {lower.decode()}")
-            values[lower] = value
-            if lower not in HOP_BY_HOP:
+            lower_name = name.lower()
+            if lower_name in SINGLE_HEADERS and lower_name in values:
+                raise BadRequestError(400, f"two headers {lower_name.decode()}")
+            values[lower_name] = value
+            if lower_name not in HOP_BY_HOP:
                 forwarded.append(b"%b: %b" % (name, value))
         return values, forwarded
 
-    def _check_form(
+    def _check_method_and_body(
         self, route: int, method: bytes, body: bytes, headers: dict[bytes, bytes]
     ) -> None:
         """Method, body and Idempotency-Key must go with the class."""
--- a/roselink/gateway/server.py
+++ b/roselink/gateway/server.py
@@ -29,16 +29,16 @@
 
 MESSAGE_LIMIT = HEAD_LIMIT + 4 * BODY_LIMIT  # with a chunked body's framing
 # Statuses without a request that are not logged: those of `/up`.
-QUIET_STATUSES = (200, 503)
+UNLOGGED_STATUSES = (200, 503)
 # Time-out for a request to arrive, from its first byte, and for a first one to begin at all.
-RECEIVE_S = 2.0
+RECEIVE_TIMEOUT_S = 2.0
 # Time-out for a client to read its response.
-UNREAD_S = 5.0
+WRITE_TIMEOUT_S = 5.0
 # Keep-alive time-out: connections are kept long, and the longest idle are closed when descriptors
 # run short.
-IDLE_S = 60.0
+IDLE_TIMEOUT_S = 60.0
 # The same after one request only: most such clients never come back.
-IDLE_ONCE_S = 2.0
+IDLE_AFTER_FIRST_TIMEOUT_S = 2.0
 
 
 class ClientConnection(ServerConnection):
@@ -48,12 +48,12 @@
         """A connection that `server` has accepted."""
         super().__init__(server)
         self._owner = server
-        self._opened: OpenRequest | None = None
+        self._open_request: OpenRequest | None = None
 
     def _client_disconnected(self) -> None:
-        if self._opened is not None:
-            opened = self._opened
-            self._opened = None
+        if self._open_request is not None:
+            opened = self._open_request
+            self._open_request = None
             self._owner.engine.depart(opened)
 
     def _read_request(self, method: bytes, *, keep: bool) -> PendingRequest:
@@ -69,34 +69,34 @@
         self._serving = True
         self._keep_alive = pending.keep
         if pending.request is None:
-            if pending.status not in QUIET_STATUSES:
+            if pending.status not in UNLOGGED_STATUSES:
                 log.info("%d: %s", pending.status, pending.why)
-            self.answer(Reply(pending.status))
+            self.respond(Reply(pending.status))
             return
         engine = self._owner.engine
         if engine.is_open(pending.request.id):
             log.info("400: the id of an open request")
-            self.answer(Reply(400))
+            self.respond(Reply(400))
             return
         # It may have waited for the responses before it.
         expired = self._owner.loop.time() >= pending.request.expires
         if expired or self._owner.is_overloaded():
-            self.answer(Reply(503, None, self._owner.retry_after_us))
+            self.respond(Reply(503, None, self._owner.retry_after_us))
             return
         try:
-            opened = engine.accept(pending.request, self.answer, self.has_left)
+            opened = engine.accept(pending.request, self.respond, self.has_left)
         except Exception:
             log.exception("request %s failed", pending.request.id)
             if self._serving:
-                self.answer(Reply(500))
+                self.respond(Reply(500))
             return
         # It may have its response already.
         if self._serving:
-            self._opened = opened
+            self._open_request = opened
 
-    def answer(self, reply: Reply) -> None:
+    def respond(self, reply: Reply) -> None:
         """Writes the response to a client; nothing else writes to it."""
-        self._opened = None
+        self._open_request = None
         self._serving = False
         self.last_progress_at = self._owner.loop.time()
         if self._transport is None:
@@ -104,10 +104,10 @@
         keep = self._may_keep_alive()
         lines = [b"HTTP/1.1 %d %b" % (reply.status, REASON_PHRASES[reply.status])]
         body = b""
-        if reply.answer is not None:
-            body = reply.answer.body
-            if reply.answer.content_type is not None:
-                lines.append(b"Content-Type: " + reply.answer.content_type)
+        if reply.response is not None:
+            body = reply.response.body
+            if reply.response.content_type is not None:
+                lines.append(b"Content-Type: " + reply.response.content_type)
         if reply.retry_after_us:
             lines.append(b"Retry-After: %.3f" % (reply.retry_after_us / 1e6))
         lines.append(b"Content-Length: %d" % len(body))
@@ -150,19 +150,23 @@
 
     def time_limits(self) -> TimeLimits:
         """The time-outs of client connections."""
-        return TimeLimits(RECEIVE_S, RECEIVE_S, UNREAD_S, (RECEIVE_S, IDLE_ONCE_S, IDLE_S))
+        return TimeLimits(
+            RECEIVE_TIMEOUT_S,
+            RECEIVE_TIMEOUT_S,
+            WRITE_TIMEOUT_S,
+            (RECEIVE_TIMEOUT_S, IDLE_AFTER_FIRST_TIMEOUT_S, IDLE_TIMEOUT_S),
+        )
 
-    def drain(self, taken_s: float, most_s: float) -> None:
+    def drain(self, late_after_s: float, late_deadline_s: float) -> None:
         """From now on each response ends its connection.
 
         Args:
-            taken_s: A request that comes later than this from now, on a connection that is still
-                open, has the shorter deadline.
-            most_s: That deadline, from now: the process may be killed after it.
+            late_after_s: Requests that begin later than this from now get the shorter deadline.
+            late_deadline_s: That deadline, from now: the process may be killed after it.
         """
         self.draining = True
         now = self.loop.time()
-        self.checks.shorten_deadlines(now + taken_s, now + most_s)
+        self.checks.shorten_deadlines(now + late_after_s, now + late_deadline_s)
 
     def up_status(self) -> int:
         """The status of `/up`: 200 while there are hosts and the gateway does not drain."""
--- a/tests/gateway/test_client_connections.py
+++ b/tests/gateway/test_client_connections.py
@@ -9,7 +9,7 @@
 import pytest
 
 from roselink.gateway import server
-from roselink.gateway.server import RECEIVE_S, UNREAD_S
+from roselink.gateway.server import RECEIVE_TIMEOUT_S, WRITE_TIMEOUT_S
 from roselink.http import server as http_server
 from roselink.http import server_connection
 from roselink.http.descriptors import RESERVED
@@ -40,7 +40,7 @@
         client.writer.write(b"GET /status-check/k HTTP/1.1\r\nX:")
         await until(lambda: any(c._in_request for c in w.gateway.server.connections))
         for connection in w.gateway.server.connections:
-            connection.last_progress_at -= RECEIVE_S + 1
+            connection.last_progress_at -= RECEIVE_TIMEOUT_S + 1
         assert (await client.receive()).status == 408
         assert await at_end(client) == b""
 
@@ -55,7 +55,7 @@
             client.send()
             await asyncio.sleep(0)
         for connection in connections:
-            connection.last_progress_at -= UNREAD_S + 1
+            connection.last_progress_at -= WRITE_TIMEOUT_S + 1
         await until(lambda: not connections)
 
 
@@ -69,7 +69,7 @@
         for number in range(4):
             busy.append(await w.client().__aenter__())
             busy[-1].send()
-            await until(lambda number=number: len(w.gateway.engine._ids) == number + 1)  # type: ignore[misc]
+            await until(lambda number=number: len(w.gateway.engine._unanswered_ids) == number + 1)  # type: ignore[misc]
         assert await at_end(idle) == b""
         async with w.client() as client:
             for _ in range(
@@ -130,7 +130,7 @@
     start: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The time counts from the first byte: one that trickles must not gain by each further byte."""
-    monkeypatch.setattr(server, "RECEIVE_S", 0.3)
+    monkeypatch.setattr(server, "RECEIVE_TIMEOUT_S", 0.3)
     async with world(serve_ok) as w, w.client() as client:
         end = asyncio.ensure_future(at_end(client))
         while not end.done():
@@ -162,7 +162,7 @@
     async with world(serve_ok) as w, w.client() as once, w.client() as usual:
         for _ in range(2):
             assert (await usual.ask()).status == 200
-        monkeypatch.setattr(server, "IDLE_ONCE_S", -1.0)
+        monkeypatch.setattr(server, "IDLE_AFTER_FIRST_TIMEOUT_S", -1.0)
         assert (await once.ask()).status == 200
         assert await at_end(once) == b""
         assert (await usual.ask()).status == 200
--- a/tests/gateway/test_closes.py
+++ b/tests/gateway/test_closes.py
@@ -189,7 +189,7 @@
 async def test_a_last_answer_looks_for_what_was_sent_ahead(monkeypatch: pytest.MonkeyPatch) -> None:
     """A client sends ahead: its second request is in the kernel in the turn of the first answer."""
     async with world(serve_ok) as w:
-        client, whole = SuddenClient(w.gateway.port), ClientConnection.answer
+        client, whole = SuddenClient(w.gateway.port), ClientConnection.respond
         w.gateway.server.draining = True
 
         def cross(connection: ClientConnection, *reply: object) -> None:
@@ -197,7 +197,7 @@
                 client.send()
             whole(connection, *reply)  # type: ignore[arg-type]
 
-        monkeypatch.setattr(ClientConnection, "answer", cross)
+        monkeypatch.setattr(ClientConnection, "respond", cross)
         client.send()
         got = b""
         while data := await received(client):
@@ -237,5 +237,5 @@
             )
             assert (await client.ask(Request_Timeout_Ms="4000")).status == 200
         early, late = (request.expires for request in asked)
-        assert late == w.gateway.server.checks._drained_by
+        assert late == w.gateway.server.checks._late_deadline
         assert early > late
--- a/tests/gateway/test_departures.py
+++ b/tests/gateway/test_departures.py
@@ -84,7 +84,7 @@
         w.hosts.append(await FakeHost("s-first").start())
         line = w.discovery.line(w.hosts[0].entry())
         client.leave()
-        w.gateway.discovery._take_value(line)
+        w.gateway.discovery._apply_value(line)
         await settled(w)
         assert number not in ids(*w.hosts)
 
@@ -130,14 +130,14 @@
     """The answer before it and its client's end come in one turn."""
     async with world(hang) as w:
         client = SuddenClient(w.gateway.port)
-        whole = ClientConnection.answer
+        whole = ClientConnection.respond
 
         def leave(connection: ClientConnection, *reply: object) -> None:
             whole(connection, *reply)  # type: ignore[arg-type]
             client.leave()
 
         with monkeypatch.context() as patch:
-            patch.setattr(ClientConnection, "answer", leave)
+            patch.setattr(ClientConnection, "respond", leave)
             first, second = client.send(count=2)
             await w.hosts[0].came.get()
             w.hosts[0].writers[0].write(answer())
--- a/tests/gateway/test_discovery.py
+++ b/tests/gateway/test_discovery.py
@@ -15,7 +15,7 @@
 from roselink.gateway import discovery
 from roselink.gateway.host_list import server_number
 from roselink.gateway.pacing import (
-    CALL_S,
+    CALL_TIME_S,
     FAILED_DEADLINE_S,
     RESPONSE_TIMEOUT_S,
     WATCH_TIMEOUT_S,
@@ -154,7 +154,7 @@
     async with world(serve_ok) as w:
         new = await FakeDiscovery(w.hosts[0].entry(lifecycle="draining")).start()
         new.first = json.dumps(json.loads(new.first), indent=indent).encode()
-        w.gateway.discovery.follow(("127.0.0.1", new.port))
+        w.gateway.discovery.switch_to(("127.0.0.1", new.port))
         await until(lambda: not next(iter(w.gateway.engine.hosts.values())).ready)
 
 
@@ -256,7 +256,7 @@
 async def successor(w: World, *entries: dict[str, Any]) -> FakeDiscovery:
     """Another discovery, whose generations begin anew, and a gateway told to watch it."""
     new = await FakeDiscovery(*entries).start()
-    w.gateway.discovery.follow(("127.0.0.1", new.port))
+    w.gateway.discovery.switch_to(("127.0.0.1", new.port))
     return new
 
 
@@ -299,7 +299,7 @@
     async with world(serve_ok) as w, w.client() as client:
         assert (await client.ask()).status == 200
         silent = await FakeHost("discovery", hang).start()
-        w.gateway.discovery.follow(silent.address)
+        w.gateway.discovery.switch_to(silent.address)
         await silent.came.get()
         assert (await client.ask()).status == 200
         assert w.hosts[0].closed.empty()  # its connection stands too
@@ -363,7 +363,7 @@
     async with alone(agent, known) as gateway:
         await until(lambda: len(causes) == 3)
         assert causes == [Cause.START, cause, cause]
-        gateway.discovery.follow(agent.address)
+        gateway.discovery.switch_to(agent.address)
         assert causes[-1] is Cause.MOVED
 
 
@@ -417,7 +417,7 @@
         if trouble is None:
             await agent.up()
         await until(lambda: not next(iter(gateway.engine.hosts.values())).ready)
-        assert max(waits[1:4]) + CALL_S <= FAILED_DEADLINE_S
+        assert max(waits[1:4]) + CALL_TIME_S <= FAILED_DEADLINE_S
 
 
 @pytest.mark.parametrize("lost", ["spoilt", "silent"])
@@ -435,7 +435,7 @@
         else:
             os.write(w.discovery.watches[-1].get_extra_info("socket").fileno(), b"no chunk\r\n")
         monkeypatch.setattr(discovery, "WATCH_TIMEOUT_S", 1000.0)
-        w.gateway.discovery.follow(("127.0.0.1", new.port))
+        w.gateway.discovery.switch_to(("127.0.0.1", new.port))
         assert await new.asked.get() == "/discovery/hosts"
         assert (await new.asked.get()).endswith("from=1")
         new.tell(w.hosts[0].entry(lifecycle="draining"))
--- a/tests/gateway/test_engine_faults.py
+++ b/tests/gateway/test_engine_faults.py
@@ -108,7 +108,7 @@
             client.send(Request_Timeout_Ms="50000")  # beyond this test's own bound
             await w.hosts[0].came.get()
         await w.hosts[0].closed.get()
-        await until(lambda: not w.gateway.engine._open and not w.gateway.engine._ids)
+        await until(lambda: not w.gateway.engine._open and not w.gateway.engine._unanswered_ids)
 
 
 @on_loop
@@ -118,7 +118,11 @@
             for _ in range(60):
                 await client.ask()
         engine = w.gateway.engine
-        await until(lambda: not engine._open and not engine._ids and not engine._balancer.requests)
+        await until(
+            lambda: (
+                not engine._open and not engine._unanswered_ids and not engine._balancer.requests
+            )
+        )
         await until(
             lambda: (
                 w.gateway.server._descriptors.used
@@ -162,7 +166,9 @@
                     await client.receive()
                 client.writer.close()
         await until(
-            lambda: not w.gateway.server.connections and not engine._open and not engine._ids
+            lambda: (
+                not w.gateway.server.connections and not engine._open and not engine._unanswered_ids
+            )
         )
         await until(
             lambda: (
--- a/tests/gateway/test_forwarding.py
+++ b/tests/gateway/test_forwarding.py
@@ -126,7 +126,7 @@
             "hurry", 0, 0, None, before + 0.030, False, None, b"GET / HTTP/1.1\r\n", b""
         )
         opened = w.gateway.engine.accept(request, lambda reply: None, lambda: False)
-        assert before + 0.022 < opened.give_up < request.expires
+        assert before + 0.022 < opened.attempt_deadline < request.expires
 
 
 @pytest.mark.parametrize("tenant", ["stranger", None])
--- a/tests/gateway/test_json_framer.py
+++ b/tests/gateway/test_json_framer.py
@@ -32,15 +32,15 @@
         got += framer.feed(data[start : start + step])
     assert [json.loads(value) for value in got if value] == values
     assert got.count(b"") == len(values)  # the line's end behind each
-    assert not framer.within
+    assert not framer.in_value
 
 
 def test_a_value_counts_as_begun_until_its_end() -> None:
     framer = JsonFramer(100)
     assert list(framer.feed(b' {"a":[1')) == []
-    assert framer.within
+    assert framer.in_value
     assert list(framer.feed(b"]} ")) == [b'{"a":[1]}']
-    assert not framer.within
+    assert not framer.in_value
 
 
 @pytest.mark.parametrize(
--- a/tests/gateway/test_pacing.py
+++ b/tests/gateway/test_pacing.py
@@ -9,7 +9,7 @@
 import pytest
 
 from roselink.gateway.pacing import (
-    CALL_S,
+    CALL_TIME_S,
     FAILED_DEADLINE_S,
     MOVED_DEADLINE_S,
     RESPONSE_TIMEOUT_S,
@@ -167,21 +167,21 @@
 @pytest.mark.parametrize("cause", [Cause.START, Cause.ENDED, Cause.MALFORMED])
 def test_a_list_is_asked_for_within_the_time_for_asking(cause: Cause, asking_s: float) -> None:
     bound = min(
-        0.6 * asking_s, FAILED_DEADLINE_S - CALL_S
+        0.6 * asking_s, FAILED_DEADLINE_S - CALL_TIME_S
     )  # its call may fail, and then this counts too
     assert 0.9 * bound < widest(cause, asking_s=asking_s) <= bound
 
 
 def test_what_a_silent_watch_misses_is_asked_for_before_it_counts_as_told() -> None:
-    assert WATCH_TIMEOUT_S + widest(Cause.UNRESPONSIVE) + CALL_S <= UNRESPONSIVE_DEADLINE_S
+    assert WATCH_TIMEOUT_S + widest(Cause.UNRESPONSIVE) + CALL_TIME_S <= UNRESPONSIVE_DEADLINE_S
 
 
 def test_a_watch_that_fell_silent_before_its_answer_is_no_exception() -> None:
-    assert RESPONSE_TIMEOUT_S + widest(Cause.UNANSWERED) + CALL_S <= UNRESPONSIVE_DEADLINE_S
+    assert RESPONSE_TIMEOUT_S + widest(Cause.UNANSWERED) + CALL_TIME_S <= UNRESPONSIVE_DEADLINE_S
 
 
 def test_a_new_discovery_is_asked_before_what_it_has_counts_as_told() -> None:
-    assert widest(Cause.MOVED) + CALL_S <= MOVED_DEADLINE_S
+    assert widest(Cause.MOVED) + CALL_TIME_S <= MOVED_DEADLINE_S
 
 
 @pytest.mark.parametrize("cause", [Cause.UNRESPONSIVE, Cause.MOVED])
@@ -203,13 +203,16 @@
     for seed in range(100):
         pacing = CallPacing(gateways, asking_s, seed, polls=True)
         for _ in range(3):
-            assert took_s + pacing.wait_s(Cause.FAILED, 100.0, took_s) + CALL_S <= FAILED_DEADLINE_S
+            assert (
+                took_s + pacing.wait_s(Cause.FAILED, 100.0, took_s) + CALL_TIME_S
+                <= FAILED_DEADLINE_S
+            )
 
 
 def test_many_calls_in_vain_may_slow_a_fleet_down_to_the_bound_from_their_end_and_no_more() -> None:
     pacing = asked(200, 7)
     assert (
-        max(pacing.wait_s(Cause.FAILED, 0.0, PATIENCE_S) for _ in range(200)) + CALL_S
+        max(pacing.wait_s(Cause.FAILED, 0.0, PATIENCE_S) for _ in range(200)) + CALL_TIME_S
         <= FAILED_DEADLINE_S
     )
 
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -219,7 +219,7 @@
     """The front learns of the end late: new connections and those it has are served on for that
     time.
     """
-    monkeypatch.setattr(roselink.gateway.__main__, "ACCEPT_S", 1000.0)
+    monkeypatch.setattr(roselink.gateway.__main__, "ACCEPT_AFTER_SIGTERM_S", 1000.0)
     async with world(serve_ok) as w, w.client() as before:
         assert (await before.ask()).status == 200
         drain = asyncio.ensure_future(w.gateway.drain())
--- a/tests/support/gateway_harness.py
+++ b/tests/support/gateway_harness.py
@@ -116,10 +116,10 @@
     accept = w.gateway.engine.accept
 
     def record(
-        request: ClientRequest, reply: Callable[[Reply], None], gone: Callable[[], bool]
+        request: ClientRequest, reply: Callable[[Reply], None], client_gone: Callable[[], bool]
     ) -> OpenRequest:
         requests.append(request)
-        return accept(request, reply, gone)
+        return accept(request, reply, client_gone)
 
     w.gateway.engine.accept = record  # type: ignore[method-assign]
     return requests
