--- a/roselink/gateway/__init__.py
+++ b/roselink/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The real gateway round the decision module: sockets in and out, no decisions of its own."""
+"""The gateway process: sockets, timers and the host list around the balancer's decision module."""
--- a/roselink/gateway/__main__.py
+++ b/roselink/gateway/__main__.py
@@ -1,4 +1,4 @@
-"""Start, wiring, signals, reload and exit of one gateway: `python -m roselink.gateway`."""
+"""Entry point of one gateway: start, signals, reload and exit (`python -m roselink.gateway`)."""
 
 from __future__ import annotations
 
@@ -33,23 +33,24 @@
 
 log = logging.getLogger("roselink.gateway")
 
-# Between two sweeps of the connections for time-outs.
+# Interval between two checks of all connections for time-outs.
 SWEEP_INTERVAL_S = 0.25
-# Connections are accepted so long after SIGTERM: the front sends them for up to 0.4 s more.
+# How long connections are accepted after SIGTERM: the load balancer in front sends new ones for up
+# to 0.4 s more.
 ACCEPT_AFTER_SIGTERM_S = 0.55
-# SIGKILL may come so long after ACCEPT_AFTER_SIGTERM_S, or a longest deadline that is shorter.
+# Earliest SIGKILL, after ACCEPT_AFTER_SIGTERM_S; sooner if every route's deadline is shorter.
 KILL_AFTER_ACCEPT_S = 3.0
-# For the last responses to leave.
+# Time for the last responses to be sent.
 FLUSH_S = 0.1
-# Between two looks whether every connection has ended.
+# Interval between two checks whether every connection has closed.
 DRAIN_POLL_INTERVAL_S = 0.02
 
 
 class Gateway:
-    """The components of one gateway, wired."""
+    """Owns the components of one gateway and their lifecycle."""
 
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
-        """Builds the components; nothing listens yet."""
+        """Creates the components without opening the listener."""
         self.config = config
         self.loop = loop
         descriptors = Descriptors(config.sockets)
@@ -62,10 +63,10 @@
         self._sweeper: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Listens, and serves by the known list at once.
+        """Opens the listener and serves from the configuration's host list at once.
 
         Raises:
-            ConfigError: The known list is malformed, or the address cannot be listened on.
+            ConfigError: The configured host list is malformed, or the address cannot be bound.
         """
         self.discovery.start_from(self.config.known)
         host, port = self.config.listen
@@ -78,21 +79,21 @@
         log.info("%s listens on %s:%d", self.config.name, self.config.listen[0], self.port)
 
     def reload(self, environment: Mapping[str, str]) -> None:
-        """Takes over what a new file changes: the address of discovery.
+        """Applies the one setting that can change at run time: the address of discovery.
 
-        List, connections and open requests stay as they are, also while draining; a file that
-        cannot work changes nothing.
+        The host list, connections and open requests are kept, also while draining. An invalid file
+        changes nothing.
         """
         try:
             with self._reserved_descriptor.released():
                 config = reload(environment)
         except ConfigError as error:
-            log.error("the old configuration stands: %s", error)  # noqa: TRY400 - one plain line
+            log.error("reload failed, old configuration stands: %s", error)  # noqa: TRY400 - one line
             return
         if ignored := changed_fields(self.config, config):
-            log.warning("these fields change with a restart only: %s", ", ".join(ignored))
+            log.warning("changed fields that apply with a restart only: %s", ", ".join(ignored))
         if config.discovery != self.discovery.address:
-            log.info("discovery is now at %s:%d", *config.discovery)
+            log.info("reload changed the discovery address to %s:%d", *config.discovery)
             self.discovery.switch_to(config.discovery)
 
     async def _sweep(self) -> None:
@@ -101,14 +102,14 @@
             try:
                 self.server.sweep()
                 self.upstream.sweep()
-            except Exception:  # one connection's fault must not end the care for all others
-                log.exception("a sweep failed")
+            except Exception:  # an error on one connection must not stop the time-outs of the rest
+                log.exception("time-out check of connections failed")
 
     async def drain(self) -> None:
-        """Responds to what has come, and to what comes while the front may still send.
+        """Responds to all open requests, and to those the load balancer in front still sends.
 
-        Responses say `Connection: close` at once; the listener and idle connections stay until
-        then, for ending them first would lose what crosses the close.
+        Responses carry `Connection: close` from the start. The listener and idle connections stay
+        open for `ACCEPT_AFTER_SIGTERM_S`: closing them earlier would lose requests in transit.
         """
         longest_s = (
             max((route.deadline_us for route in self.config.settings.routes), default=0) / 1e6
@@ -124,7 +125,7 @@
             await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
 
     def stop(self) -> None:
-        """Ends listener, watch and sweeps."""
+        """Closes the listener and stops the discovery watch and the time-out checks."""
         self.server.stop_listening()
         self.discovery.stop()
         if self._sweeper is not None:
@@ -132,10 +133,10 @@
 
 
 async def serve(config: Config) -> None:
-    """Runs one gateway until SIGTERM or SIGINT, then responds to what it has taken.
+    """Runs one gateway until SIGTERM or SIGINT, then drains it.
 
     Raises:
-        ConfigError: It cannot start.
+        ConfigError: The gateway cannot start with this configuration.
     """
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
@@ -145,7 +146,7 @@
     await gateway.start()
     loop.add_signal_handler(signal.SIGHUP, gateway.reload, os.environ)
     gc.collect()
-    # What is here at the start stays; collections need not walk it each time.
+    # Objects created at start live until exit: excluding them makes each collection cheaper.
     gc.freeze()
     await stop.wait()
     log.info("draining")
@@ -155,9 +156,9 @@
 
 
 def main() -> int:
-    """Runs the program; its exit status is 2 where the configuration cannot work."""
+    """Runs the program; the exit status is 2 for an invalid configuration."""
     configure_logging()
-    # Until there is a gateway that can reload, SIGHUP would end the process.
+    # Before the gateway handles SIGHUP, the signal's default action would end the process.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
         config = load(os.environ)
--- a/roselink/gateway/config.py
+++ b/roselink/gateway/config.py
@@ -1,6 +1,6 @@
-"""The configuration at the start and at a reload: `GW_*` and the JSON file, as typed values.
+"""Reads and validates a gateway's configuration: `GW_*` variables and the JSON file.
 
-Everything is validated here, once, so that no value is missing in a gateway that has started.
+All validation happens here, so that a gateway that has started has every value it needs.
 """
 
 from __future__ import annotations
@@ -26,15 +26,15 @@
 
 
 class ReservedDescriptor:
-    """A descriptor that no client can take, to open a file with."""
+    """Reserves a descriptor, so that a file can be opened when clients use all others."""
 
     def __init__(self) -> None:
-        """Reserves it."""
+        """Opens a socket that occupies the descriptor."""
         self._reserved = socket.socket()
 
     @contextmanager
     def released(self) -> Iterator[None]:
-        """Frees the descriptor within a block, which must not wait."""
+        """Frees the descriptor within a `with` block, which must not await."""
         self._reserved.close()
         try:
             yield
@@ -52,10 +52,10 @@
         discovery: The address of discovery.
         seed: The decider's random source.
         sockets: How many descriptors the process may have.
-        known: The list of hosts as this gateway last had it; empty for none.
+        known: The last host list that this gateway received; empty for none.
         settings: The decider's settings.
         tenants: Names of the tenants, in the order of the settings.
-        kinds: Names of the kinds of machine, in the order of the settings.
+        kinds: Names of the machine types, in the order of the settings.
         zones: Names of the zones, in the order of the settings.
         connect_timeout_s: Time-out to connect to a host.
         idle_s: Keep-alive time-out of connections to hosts.
@@ -76,10 +76,10 @@
 
 
 def read_address(text: str | None, field: str) -> Address:
-    """An address of the form `host:port`.
+    """Parses an address of the form `host:port`.
 
     Raises:
-        ConfigError: It has another form; the error names `field`.
+        ConfigError: The text has another form; the error names `field`.
     """
     host, colon, port = str(text).rpartition(":")
     if not (colon and host and port.isascii() and port.isdigit() and 0 <= int(port) < PORT_COUNT):
@@ -108,7 +108,7 @@
 
 
 def _read_timeout_s(limits: Mapping[str, Any], key: str, *, default_us: int) -> float:
-    """A time-out of the settings, which give it in microseconds."""
+    """Reads a time-out, which the settings give in microseconds."""
     return _positive_integer(limits, key, f"settings.limits.{key}", default_us) / MICROSECONDS_PER_S
 
 
@@ -118,7 +118,7 @@
 
 
 def _parse_seed(value: Any) -> int:
-    """The seed is hexadecimal text as a rule; any other text or number seeds as well."""
+    """Parses a hexadecimal seed; other values are accepted and seed by their checksum."""
     text = str(value)
     try:
         return int(text, 16)
@@ -127,10 +127,10 @@
 
 
 def load(environment: Mapping[str, str]) -> Config:
-    """The configuration that the environment names.
+    """Loads the configuration that the environment variables name.
 
     Raises:
-        ConfigError: It cannot work.
+        ConfigError: The configuration is invalid.
     """
     path = environment.get("GW_CONFIG")
     if not path:
@@ -171,17 +171,19 @@
 
 
 def reload(environment: Mapping[str, str]) -> Config:
-    """The file as it is now; its `discovery` is used, not the environment's, which is the start's.
+    """Reads the file again and ignores `GW_DISCOVERY`, so that the file's `discovery` applies.
+
+    The environment is that of the start and cannot change; the file can.
 
     Raises:
-        ConfigError: It cannot work.
+        ConfigError: The configuration is invalid.
     """
     return load({name: value for name, value in environment.items() if name != "GW_DISCOVERY"})
 
 
 def changed_fields(old: Config, new: Config) -> list[str]:
-    """The fields that differ and that a reload does not take over."""
-    # Discovery is taken over; seed and known list are used at a start only.
+    """Names of the fields that differ and that a reload does not apply."""
+    # A reload applies `discovery`; the seed and the known list matter at a start only.
     reloadable = {"discovery", "known", "seed"}
     names = [field.name for field in fields(Config) if field.name not in reloadable]
     return [name for name in names if getattr(old, name) != getattr(new, name)]
--- a/roselink/gateway/discovery.py
+++ b/roselink/gateway/discovery.py
@@ -1,8 +1,8 @@
-"""Watches the list of hosts for as long as the gateway runs, and hands each on as a `ServerList`.
+"""Watches discovery's host list for as long as the gateway runs and emits each as a `ServerList`.
 
-The last list stays in force whatever happens to the watch: a running fleet is not given up because
-discovery is unreachable. A malformed list is not taken in part; the watch starts again from the
-last version understood.
+The last list stays in force whatever happens to the watch: an outage of discovery must not take
+running hosts out of service. A malformed list is rejected as a unit, and the watch restarts from
+the last version applied.
 """
 
 from __future__ import annotations
@@ -27,32 +27,32 @@
 log = logging.getLogger("roselink.gateway.discovery")
 
 CONNECT_TIMEOUT_S = 1.0
-# Time-out to connect, and of a response's head, where lists are pushed: there is no queue, and a
-# change counts as known at once.
+# Time-out of a connection attempt and of a response's head in push mode, where discovery has no
+# queue of calls and a gateway is expected to act on a change at once.
 PUSHED_TIMEOUT_S = 0.6
 CONNECT_TIMED_OUT = "no connection in time"
-# Bytes read at a time.
+# Largest number of bytes read at a time.
 READ_SIZE = 65536
-# Characters of a list that the log shows.
+# Characters of a host list that are logged.
 MAX_LOGGED_CHARS = 2000
 
 Update = Callable[[ServerList, dict[int, str], dict[int, Address]], None]
 
 
 class Discovery:
-    """One watch after another."""
+    """Keeps one watch of discovery open and restarts it when it ends."""
 
     def __init__(self, config: Config, update: Update) -> None:
-        """A watch that has not begun; `update` gets each list."""
+        """Prepares a watch without starting it; `update` is called with each list."""
         self.address = config.discovery
         self._update = update
         self._reader = HostListReader(config)
         self._generation = 0
-        # Whether there is a list to serve by.
+        # Whether any host list is in force.
         self._has_list = False
-        # Whether the list in force is another discovery's, so that a full list is needed.
+        # Whether the list in force came from another discovery, so that changes do not apply to it.
         self._needs_full_list = False
-        # Whether the present call is a watch by now, and whether it brought a list.
+        # Whether the current call has become a watch, and whether it has delivered a list.
         self._watching = False
         self._received_list = False
         self._task: asyncio.Task[None] | None = None
@@ -71,7 +71,7 @@
         )
 
     def start_from(self, known: Mapping[str, Any]) -> None:
-        """Serves by the list as this gateway last had it until discovery's first response.
+        """Applies the list that this gateway last had, to serve until discovery responds.
 
         Raises:
             ConfigError: The list is malformed.
@@ -83,7 +83,7 @@
                 raise ConfigError("known", str(error)) from None
 
     def start_paced(self) -> None:
-        """Begins to watch at the fleet's pace, or at once with no list to serve by."""
+        """Starts the watch after a paced delay, or at once if there is no host list."""
         self._start(self._wait_s(Cause.START) if self._has_list else 0.0)
 
     def _start(self, wait_s: float) -> None:
@@ -93,18 +93,17 @@
         return self._pacing.wait_s(cause, asyncio.get_running_loop().time(), took_s)
 
     def stop(self) -> None:
-        """Ends the watch."""
+        """Cancels the watch."""
         if self._task is not None:
             self._task.cancel()
             self._task = None
 
     def switch_to(self, address: Address) -> None:
-        """Watches another discovery from now on; the list stays in force until its first response.
+        """Watches another discovery; the current list stays in force until its first response.
 
-        The old watch takes no step more, so that nothing left in its buffers can undo what the new
-        one sends. Generations of two discoveries cannot be compared: the full list is requested
-        from the new one. (Changes from version 0 on are no substitute: they leave out what was
-        there at version 0.)
+        The old watch is cancelled first, so that data left in its buffers cannot overwrite a list
+        of the new one. Generations of two discoveries cannot be compared, so the full list is
+        requested. (Changes since version 0 would leave out the hosts of version 0 itself.)
         """
         self.address = address
         self._needs_full_list = True
@@ -113,7 +112,7 @@
             self._start(self._wait_s(Cause.MOVED))
 
     async def _run(self, wait_s: float) -> None:
-        """Watches for ever; a watch that ends is begun again at the fleet's pace."""
+        """Restarts the watch after a paced delay whenever it ends, until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(wait_s)
@@ -134,32 +133,32 @@
                 cause = Cause.ENDED
                 reason = str(error) or type(error).__name__
             except Exception:
-                # With no watch a drain would go unnoticed while all else seems well: no fault may
-                # end it.
-                log.exception("the watch of hosts failed")
+                # Without a watch, drained hosts would stay in use unnoticed: no error may end the
+                # loop.
+                log.exception("host list watch failed")
                 cause = Cause.MALFORMED
-                reason = "a fault of ours"
+                reason = "internal error"
             if not self._watching and cause is not Cause.UNANSWERED:
                 cause = Cause.FAILED
             took_s = loop.time() - started_at
             wait_s = self._wait_s(cause, took_s)
             log.warning(
-                "watch of hosts lost: %s after %.2f s; again in %.2f s", reason, took_s, wait_s
+                "host list watch ended: %s after %.2f s; retry in %.2f s", reason, took_s, wait_s
             )
 
     async def _watch(self) -> None:
-        """One watch until its connection ends."""
+        """Runs one watch until its connection ends."""
         if self._needs_full_list:
             await self._call("/discovery/hosts")
             if self._needs_full_list:
-                raise MalformedListError(reason="no list")
+                raise MalformedListError(reason="the response has no host list")
         await self._call(f"/discovery/hosts?watch=1&from={self._generation}", watch=True)
 
     async def _call(self, target: str, *, watch: bool = False) -> None:
-        """Takes each list of a response as it comes.
+        """Applies each list of a response as it arrives.
 
-        A keep-alive is a complete list or an empty line between two, nothing less: bytes that
-        trickle in, or a response that stalls half way, must not keep a dead watch.
+        Only a complete list, or an empty line between two, counts as a keep-alive. Bytes that
+        trickle in, or a response that stalls within a list, must not keep a dead watch open.
         """
         loop = asyncio.get_running_loop()
         response = DiscoveryResponse()
@@ -198,7 +197,7 @@
             raise MalformedListError(reason=f"not JSON: {value[:60]!r}") from None
         reset = data.get("reset", False)
         if not isinstance(reset, bool):
-            raise MalformedListError(reason=f"reset: needs true or false, not {reset!r}")
+            raise MalformedListError(reason=f"reset: expected a boolean, got {reset!r}")
         full = reset or self._needs_full_list
         self._apply(data, ListKind.FULL if full else ListKind.CHANGES)
         self._needs_full_list = False
@@ -213,7 +212,7 @@
             for server in hosts.servers
         )
         log.info(
-            "list %d (%s): %s",
+            "host list %d applied (%s): %s",
             hosts.generation,
             kind.name.lower(),
             description[:MAX_LOGGED_CHARS] or "nothing",
--- a/roselink/gateway/discovery_response.py
+++ b/roselink/gateway/discovery_response.py
@@ -1,4 +1,4 @@
-"""The response to one call of discovery: a stream of lists."""
+"""Parses the response to one call of discovery: a stream of host lists."""
 
 from __future__ import annotations
 
@@ -12,9 +12,11 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-# Some thousands of hosts; parsed it takes several times as much of a small memory.
+# Largest list in bytes, enough for some thousands of hosts. A parsed list takes several times its
+# size in memory, and gateways have little.
 LIST_LIMIT = 1024 * 1024
-# Bytes that bring nothing of a list: a head or a chunk's extension without end.
+# Largest number of bytes in a row without any of the body: bounds an endless head or chunk
+# extension.
 NON_BODY_LIMIT = 64 * 1024
 STATUS_OK = 200
 
@@ -22,12 +24,12 @@
 class DiscoveryResponse:
     """Parses one response.
 
-    Each has a parser and a framer of its own: nothing left of one call can mix with what the next
-    one brings.
+    Each response has its own parser and framer, so that leftover bytes of one call cannot mix with
+    the next response.
     """
 
     def __init__(self) -> None:
-        """Nothing has come yet."""
+        """Creates a parser that has received no data."""
         self._parser = httptools.HttpResponseParser(self)
         self._framer = JsonFramer(LIST_LIMIT)
         self._body: list[bytes] = []
@@ -38,7 +40,7 @@
         self.ended = False
 
     def feed(self, data: bytes) -> None:
-        """Takes the next bytes; `values` returns what they bring.
+        """Parses the next bytes; `values` returns the lists that they complete.
 
         Raises:
             MalformedListError: The status is not 200.
@@ -48,35 +50,35 @@
         except httptools.HttpParserError as error:
             self._error = MalformedListError(reason=f"not HTTP: {error}")
         if self.status not in (0, STATUS_OK):
-            raise MalformedListError(reason=f"status {self.status}")
+            raise MalformedListError(reason=f"response with status {self.status}")
 
     def values(self, fed: int) -> Iterator[bytes]:
-        """What the last `fed` bytes brought; an empty value is a keep-alive.
+        """Yields the values that the last `fed` bytes complete; an empty one is a keep-alive.
 
         Raises:
-            MalformedListError: At what is malformed. A list before that counts as received.
+            MalformedListError: The response is malformed. Values yielded before are valid.
         """
         body = b"".join(self._body)
         self._body.clear()
         self._non_body_bytes = 0 if body else self._non_body_bytes + fed
         if self._non_body_bytes > NON_BODY_LIMIT:
-            raise MalformedListError(reason="an answer without end that brings no list")
+            raise MalformedListError(reason="too many bytes of head or framing without a list")
         yield from self._framer.feed(body)
         if self._error is not None:
             raise self._error
         if self.ended and self._framer.in_value:
-            raise MalformedListError(reason="an answer that ends within a list")
+            raise MalformedListError(reason="the response ends within a list")
 
-    # Callbacks of the parser; their names are httptools'.
+    # Callbacks of the parser, named by httptools.
 
     def on_headers_complete(self) -> None:
         """The head is complete."""
         self.status = self._parser.get_status_code()
 
     def on_body(self, body: bytes) -> None:
-        """A part of the body has come."""
+        """A piece of the body was parsed."""
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """The response has ended."""
+        """The response is complete."""
         self.ended = True
--- a/roselink/gateway/engine.py
+++ b/roselink/gateway/engine.py
@@ -1,8 +1,8 @@
-"""Drives the decider: events in, actions out, alarms, one clock. Owns the open requests.
+"""Feeds events to the balancer, carries out its actions and owns the open requests.
 
-Nothing about hosts, retries or refusals is decided here. What the engine adds is what real sockets
-need: a response in time even if the decider brings none, and a fault in one request that stays that
-request's own.
+The balancer decides on hosts, retries and refusals. The engine adds what real sockets need: a
+response by the deadline even if the balancer decides nothing, and isolation of an error to the
+request that caused it.
 """
 
 from __future__ import annotations
@@ -46,14 +46,14 @@
 
 log = logging.getLogger("roselink.gateway.engine")
 
-# Before the client's deadline by this much the attempts are timed out and the decider gives its
-# final answer: time for the way to the client, for a loop that runs late and for a core that
-# another gateway is using.
+# How long before the client's deadline attempts time out and the balancer decides the response.
+# Covers the way to the client, a late event loop and a core that another gateway is using. A larger
+# value fails requests that would be served; a smaller one makes responses miss the deadline.
 ATTEMPT_MARGIN_S = 0.040
-# Before the client's deadline by this much the engine responds by itself, if the decider has not.
+# How long before the client's deadline the engine responds by itself if the balancer has not.
 FALLBACK_MARGIN_S = 0.015
-# Fraction of a short time-out of a client: the attempt margin is at most so long, and the fallback
-# margin shrinks with it.
+# Limit of the attempt margin as a fraction of the client's time-out, so that a short time-out
+# leaves time for an attempt. The fallback margin is scaled down with it.
 MARGIN_FRACTION = 0.25
 
 STATUS_SERVED = 200
@@ -63,7 +63,7 @@
 
 
 class Reply(NamedTuple):
-    """The one response to a client: a status, and where a host has served it, the host's."""
+    """The response to a client: a status and, if a host has served the request, its response."""
 
     status: int
     response: HostResponse | None = None
@@ -72,18 +72,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """A request that has passed all checks of its form.
+    """A validated request.
 
     Attributes:
         id: Its `Request-Id`.
-        route: Index of its class in the settings.
-        tenant: Index of its tenant in the settings, -1 for one that they do not name.
+        route: Index of its route in the settings.
+        tenant: Index of its tenant in the settings, -1 for an unknown one.
         key: The last segment of its path, if it has one.
         expires: Loop time at which the client stops waiting.
         repeat: Whether the client marks it as a retry.
-        work_us: The work that the client expects it to bring.
-        head: Request line and headers as they go on, less the deadline's and the empty line.
-        body: Its body as it goes on.
+        work_us: The client's estimate of the processing time, if it gives one.
+        head: Request line and headers to forward, without the deadline and the empty line.
+        body: The body to forward.
     """
 
     id: str
@@ -98,7 +98,7 @@
 
 
 class OpenRequest:
-    """Kept from the arrival until the final answer and the outcome of every attempt."""
+    """State of a request from its arrival until its response and the outcome of every attempt."""
 
     def __init__(
         self,
@@ -108,39 +108,40 @@
         client_gone: Callable[[], bool],
         attempt_deadline: float,
     ) -> None:
-        """An open request; `number` is the decider's name of it."""
+        """Creates the state of a request; `number` is its id for the balancer."""
         self.number = number
         self.request = request
-        # Whether its client has left, which the loop may not have reported yet.
+        # Whether the client has disconnected, read from the socket: the loop may not have reported
+        # it yet.
         self.client_gone = client_gone
-        # Loop time at which its attempts end.
+        # Loop time at which its attempts time out.
         self.attempt_deadline = attempt_deadline
-        # None once it has its response.
+        # None once the request has its response.
         self.reply: Callable[[Reply], None] | None = reply
-        # None: not sent at all, or ended.
+        # By attempt number; None if never sent, or ended.
         self.attempts: list[Attempt | None] = []
         self.in_flight = 0
         self.fallback_timer: asyncio.TimerHandle | None = None
 
 
 class Engine:
-    """One decider, one clock.
+    """Connects one balancer to the event loop and to the pool of hosts.
 
-    The clock, `now_us`, is Unix time that never goes back: starts of hosts are given in Unix time,
-    also those before this process began, and can be compared with it.
+    The clock, `now_us`, is monotonic and based on Unix time, so that it can be compared with start
+    times of hosts, also those before this process began.
     """
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, balancer: Balancer, upstream: HostPool
     ) -> None:
-        """An engine with no host and no request."""
+        """Creates an engine without hosts or requests."""
         self._loop = loop
         self._balancer = balancer
         self._upstream = upstream
         self._epoch_us = time.time_ns() // 1000 - int(loop.time() * 1e6)
         self._request_numbers = itertools.count(1)
         self._open: dict[int, OpenRequest] = {}
-        # Ids of the requests that have no response yet.
+        # Ids of requests without a response.
         self._unanswered_ids: set[str] = set()
         self._events: deque[Event] = deque()
         self._handling_events = False
@@ -151,12 +152,12 @@
         return self._epoch_us + int(self._loop.time() * 1e6)
 
     def is_open(self, request_id: str) -> bool:
-        """Whether a request of this id has no response yet."""
+        """Whether a request with this id has no response yet."""
         return request_id in self._unanswered_ids
 
     @property
     def ready(self) -> bool:
-        """Whether there is a host to send to."""
+        """Whether any host is listed."""
         return bool(self.hosts)
 
     # From the client side.
@@ -167,12 +168,12 @@
         reply: Callable[[Reply], None],
         client_gone: Callable[[], bool],
     ) -> OpenRequest:
-        """Takes a request.
+        """Opens a request and reports it to the balancer.
 
         Args:
-            request: The checked request.
-            reply: Is called once, before the client's deadline, unless the client leaves.
-            client_gone: Whether the client has left, read from its socket.
+            request: The validated request.
+            reply: Called once, before the client's deadline, unless the client disconnects.
+            client_gone: Reads from the socket whether the client has disconnected.
         """
         remaining_s = max(0.0, request.expires - self._loop.time())
         margin_scale = min(1.0, MARGIN_FRACTION * remaining_s / ATTEMPT_MARGIN_S)
@@ -203,7 +204,7 @@
         return opened
 
     def depart(self, opened: OpenRequest) -> None:
-        """Ends a request whose client has left."""
+        """Ends a request whose client has disconnected."""
         if opened.reply is not None:
             self._end_response(opened)
             self.feed(Departed(opened.number))
@@ -212,37 +213,42 @@
     def _may_write(self, opened: OpenRequest, before_us: int) -> bool:
         """Whether an attempt may be written to its host; called right before each write.
 
-        A client's end comes with the loop's next turn, or not at all while its connection is not
-        read, and must not be overtaken by a retry, a hedge or a connect. Nor may a connect that
-        takes long carry an attempt past `before_us`, the time limit that the decider gave it.
+        The loop reports a disconnect in its next iteration, or not at all while reading is paused,
+        so the socket is polled: a retry, a hedge or a connection that has just come up must not
+        send a request whose client has left. A slow connect must not send it after `before_us`
+        either, the time limit that the balancer set.
         """
         if opened.reply is not None and opened.client_gone():
             self.depart(opened)
         return opened.reply is not None and not 0 < before_us <= self.now_us()
 
     def _respond_at_deadline(self, opened: OpenRequest) -> None:
-        """Rule 1's last resort: a failure promises nothing and so is always allowed."""
+        """Fails a request without a decision at its deadline.
+
+        Rule 1 requires a response in time; a failure says nothing about whether the request ran,
+        so it is always permitted.
+        """
         if opened.reply is not None:
-            log.error("request %s: no decision by its deadline", opened.request.id)
+            log.error("request %s: no balancer decision by its deadline", opened.request.id)
             self._respond(opened, Reply(STATUS_TIMED_OUT))
             self.feed(Departed(opened.number))
             self._release(opened)
 
-    # From the list of hosts.
+    # Host list updates.
 
     def update(
         self, servers: ServerList, names: dict[int, str], addresses: dict[int, Address]
     ) -> None:
-        """Takes over a list of hosts.
+        """Applies a host list.
 
-        It takes effect on the sockets first: what it ends must not get a byte more. The decider
-        gets the list before the outcomes of what it ended, or it would send again by the list
-        before.
+        The sockets come first, so that hosts taken out of service get no further byte. The
+        balancer gets the list before the outcomes of attempts that it ended; otherwise it would
+        retry on hosts of the old list.
 
         Args:
-            servers: The list, as the decider gets it.
-            names: Name of each listed host by its number.
-            addresses: Address of each listed host that is not gone, by its number.
+            servers: The list in the form that the balancer takes.
+            names: Host names by host number.
+            addresses: Addresses by host number, of hosts that are not gone.
         """
         self._events.append(servers)
         self._handling_events = True
@@ -270,20 +276,20 @@
             self.hosts[number] = current
             if current.started_us != server.started_us:
                 current.started_us = server.started_us
-                # Idle connections lead to the process before, and may hang for ever.
+                # Idle connections belong to the host's previous process and may never respond.
                 current.drop_idle()
             if server.state is State.DRAINING:
                 self._upstream.retire(current)
             else:
                 current.ready = True
 
-    # The decider.
+    # Events and actions of the balancer.
 
     def feed(self, event: Event) -> None:
-        """Gives the decider one event and carries out what it decides.
+        """Passes one event to the balancer and carries out its actions.
 
-        Events that an action brings about at once follow after it, in order, never from inside the
-        decider.
+        Events that an action raises at once are queued and handled in order, so that the balancer
+        is never called recursively.
         """
         self._events.append(event)
         if not self._handling_events:
@@ -301,18 +307,18 @@
         try:
             actions = self._balancer.handle(self.now_us(), [event])
         except Exception:
-            # One request's fault must not end the gateway. What was decided before it still counts.
-            log.exception("the module failed on %s", type(event).__name__)
+            # An error in one request must not end the gateway. Actions decided before it are valid.
+            log.exception("balancer failed on %s", type(event).__name__)
             actions = self._balancer.actions
             if isinstance(event, Arrived | AttemptDone | StreamStarted):
                 self._fail(event.request)
-                # Or the decider would keep it for ever.
+                # Without this event the balancer would never release the request.
                 self._events.append(Departed(event.request))
         for action in actions:
             try:
                 self._perform(action)
             except Exception:
-                log.exception("could not carry out %s", type(action).__name__)
+                log.exception("action %s failed", type(action).__name__)
                 if isinstance(action, Send | Refuse | Fail | Cancel):
                     self._fail(action.request)
 
@@ -345,7 +351,7 @@
                 self._release(opened)
         elif isinstance(action, Log):
             log.info("%s", action.text)
-        # `Watch` requests what the gateway always does; the decider never requests a `Probe`.
+        # `Watch` needs no action, since the gateway always watches; a `Probe` is never requested.
 
     def _send(self, action: Send) -> None:
         opened = self._open.get(action.request)
@@ -376,9 +382,9 @@
                 partial(self._may_write, opened, action.before_us),
             )
         except Exception:
-            # A fault of ours that may have come after the first byte: the decider must not take it
-            # for unsent.
-            log.exception("request %s could not be sent", opened.request.id)
+            # The internal error may have occurred after the first byte, so the attempt must not
+            # count as unsent.
+            log.exception("request %s: sending failed", opened.request.id)
             opened.attempts.append(None)
             self._events.append(AttemptDone(action.request, number, Outcome.RESET, 0))
             return
@@ -397,12 +403,12 @@
         opened.attempts[number] = None
         if response is not None and opened.reply is not None:
             self._respond(opened, Reply(STATUS_SERVED, response))
-        # The loop's clock counts milliseconds, so a quick response may show no time at all.
+        # The loop's clock has a resolution of 1 ms, so a fast response may show no elapsed time.
         elapsed_us = max(1, int((self._loop.time() - started) * 1e6))
         self.feed(AttemptDone(opened.number, number, outcome, elapsed_us, opened.reply is None))
         self._release(opened)
 
-    # The end of a request.
+    # Response and release of a request.
 
     def _respond(self, opened: OpenRequest, reply: Reply) -> None:
         send = opened.reply
@@ -417,6 +423,6 @@
             opened.fallback_timer.cancel()
 
     def _release(self, opened: OpenRequest) -> None:
-        """Drops a request that has its response and the outcome of every attempt."""
+        """Forgets a request that has its response and the outcome of every attempt."""
         if opened.reply is None and not opened.in_flight:
             self._open.pop(opened.number, None)
--- a/roselink/gateway/exceptions.py
+++ b/roselink/gateway/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the gateway in service."""
+"""Errors of `roselink.gateway`."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class ConfigError(GatewayError):
-    """The configuration cannot work; its text is one plain line.
+    """The configuration is invalid; the message is a single line.
 
     Attributes:
-        field: The setting or variable.
+        field: The setting or environment variable.
         problem: What is wrong with it.
     """
 
@@ -29,11 +29,11 @@
 
 
 class MalformedListError(GatewayError):
-    """What discovery sent is no list of hosts; the text says why."""
+    """Discovery's response holds no valid host list; the message says why."""
 
     code = "GTW-002"
 
     def __init__(self, *, reason: str) -> None:
-        """Keeps the reason, which the log shows."""
+        """Keeps the reason, which is logged."""
         super().__init__(reason)
         self.reason = reason
--- a/roselink/gateway/host_list.py
+++ b/roselink/gateway/host_list.py
@@ -1,4 +1,4 @@
-"""Reads the lists of hosts that discovery sends."""
+"""Parses the host lists that discovery sends."""
 
 from __future__ import annotations
 
@@ -21,27 +21,27 @@
 
 STATES = {"up": State.READY, "draining": State.DRAINING, "removed": State.GONE}
 MICROSECONDS_PER_MS = 1000
-# The decider's numbers of a kind that the settings do not name, and of a host with no zone.
+# Indices for a machine type that the settings do not name, and for a host without a zone.
 UNKNOWN_KIND = -1
 NO_ZONE = -1
-# The first number of zones that the settings do not name; the others are below it.
+# Highest number of a zone that the settings do not name; further ones get lower numbers.
 UNKNOWN_ZONE = -2
 
 
 def server_number(name: str) -> int:
-    """The decider's number of a host: the same at every gateway, after a restart too."""
+    """Numeric id of a host for the balancer, the same at every gateway and after a restart."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=6).digest())
 
 
 @dataclass(frozen=True, slots=True)
 class HostList:
-    """A list of hosts, full or of changes.
+    """A parsed host list, full or of changes.
 
     Attributes:
-        generation: Discovery's version of it.
-        servers: The hosts as the decider gets them.
-        names: The name of each by its number.
-        addresses: The address of each that is not gone, by its number.
+        generation: Version that discovery gives the list.
+        servers: The hosts in the form that the balancer takes.
+        names: Host names by host number.
+        addresses: Addresses by host number, of hosts that are not gone.
     """
 
     generation: int
@@ -51,23 +51,23 @@
 
 
 class HostListReader:
-    """Reads lists by the names that the settings give to zones and kinds of machine."""
+    """Parses lists, mapping names of zones and machine types to the indices of the settings."""
 
     def __init__(self, config: Config) -> None:
-        """Zones and kinds are numbered in the order of the settings."""
+        """Numbers zones and machine types in the order of the settings."""
         self._zones = {name: index for index, name in enumerate(config.zones)}
         self._kinds = {name: index for index, name in enumerate(config.kinds)}
 
     def read(self, data: Mapping[str, Any]) -> HostList:
-        """One list.
+        """Parses one list.
 
         Raises:
-            MalformedListError: A field or an entry is malformed; nothing of the list is taken.
+            MalformedListError: A field or an entry is malformed; the list is rejected as a unit.
         """
         generation = data.get("generation")
         entries = data.get("instances")
         if type(generation) is not int or generation < 0 or not isinstance(entries, list):
-            raise MalformedListError(reason="generation or instances missing or unusable")
+            raise MalformedListError(reason="generation or instances: missing or invalid")
         servers: list[Server] = []
         names: dict[int, str] = {}
         addresses: dict[int, Address] = {}
@@ -80,7 +80,7 @@
         return HostList(generation, tuple(servers), names, addresses)
 
     def _read_entry(self, entry: Mapping[str, Any]) -> tuple[Server, str, Address | None]:
-        """One entry: the host, its name, and its address unless it is gone."""
+        """Parses one entry into the host, its name, and its address unless it is gone."""
         try:
             name = entry["instanceId"]
             state = STATES[entry["lifecycle"]]
@@ -97,36 +97,36 @@
                 started_us=_non_negative_integer(entry, "startedAtMs") * MICROSECONDS_PER_MS,
             )
         except (KeyError, TypeError, ValueError, AttributeError, ConfigError) as error:
-            raise MalformedListError(reason=f"an entry cannot be read: {error!r}") from None
+            raise MalformedListError(reason=f"malformed entry: {error!r}") from None
         return server, name, address
 
     def _zone(self, name: str | None) -> int:
-        """The decider's number of a zone.
+        """Number of a zone for the balancer.
 
-        Those that the settings do not name differ from one another too: as one zone their hosts
-        would count as dropping each other's repeats.
+        Each zone that the settings do not name gets a number of its own: sharing one would make
+        their hosts count as a group that detects each other's duplicate requests.
         """
         if name is None:
             return NO_ZONE
         if not isinstance(name, str):
-            raise _invalid_value("zone", "a name", name)
+            raise _invalid_value("zone", "a string", name)
         return self._zones.get(name, UNKNOWN_ZONE - zlib.crc32(name.encode()))
 
 
 def _invalid_value(key: str, needed: str, value: Any) -> ValueError:
-    return ValueError(f"{key}: needs {needed}, not {value!r}")
+    return ValueError(f"{key}: expected {needed}, got {value!r}")
 
 
 def _check_name(name: Any) -> None:
     if not isinstance(name, str) or not name:
-        problem = "instanceId: needs a name"
+        problem = "instanceId: expected a non-empty string"
         raise ValueError(problem)
 
 
 def _address(entry: Mapping[str, Any]) -> Address:
     address = read_address(entry.get("hostPort"), "hostPort")
     if not (ipaddress.IPv4Address(address[0]) and address[1]):
-        problem = "hostPort: needs a port above 0"
+        problem = "hostPort: expected a port above 0"
         raise ValueError(problem)
     return address
 
@@ -136,7 +136,7 @@
     if isinstance(value, float) and value.is_integer():
         value = int(value)
     if type(value) is not int or value < 0:
-        raise _invalid_value(key, "a whole number from 0", value)
+        raise _invalid_value(key, "a non-negative integer", value)
     return value
 
 
@@ -145,5 +145,5 @@
     if value is None:
         return 1.0
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value < math.inf:
-        raise _invalid_value("weight", "a number from 0", value)
+        raise _invalid_value("weight", "a non-negative finite number", value)
     return float(value) or 1.0
--- a/roselink/gateway/json_framer.py
+++ b/roselink/gateway/json_framer.py
@@ -1,8 +1,7 @@
-"""Splits a stream into the JSON objects that it consists of, however they are laid out.
+"""Splits a byte stream into the JSON objects that it consists of, whatever their layout.
 
-Every byte is scanned once, whatever chunks it comes in: a list that trickles in costs no more work
-than one that comes at once. Size and depth are limited, for a value that never ends must cost its
-connection only.
+Every byte is scanned once, so that a list in many small chunks costs no more than one that arrives
+at once. Size and depth are limited: a value that never ends must cost its connection only.
 """
 
 from __future__ import annotations
@@ -15,40 +14,39 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-# A list is three deep; past some hundreds the parser of JSON itself gives up.
+# Deepest nesting of a value. A host list has 3 levels; the JSON parser fails at some hundreds.
 DEPTH_LIMIT = 16
 _STRUCTURE = re.compile(rb'["{}\[\]]')
 _IN_STRING = re.compile(rb'["\\]')
 
 
 class JsonFramer:
-    """Splits one stream."""
+    """Incremental framer of one stream."""
 
     def __init__(self, limit: int) -> None:
-        """Limits a value to `limit` bytes."""
+        """Creates a framer for values of at most `limit` bytes."""
         self._limit = limit
-        # The value that has begun.
+        # Bytes of the current, incomplete value.
         self._value = bytearray()
         self._depth = 0
-        # Whether the scan is within a string, and right behind a backslash in it.
+        # Whether the scan is within a string, and whether the last byte there was a backslash.
         self._in_string = False
         self._escaped = False
 
     @property
     def in_value(self) -> bool:
-        """Whether a value has begun and not ended."""
+        """Whether the current value is incomplete."""
         return self._depth > 0
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """The values that `data` completes, in order.
+        """Yields the values that `data` completes, in order.
 
-        An empty one stands for each gap between two values that has a line's end, which is a
-        keep-alive.
+        An empty value stands for a gap between values with a line break, which is a keep-alive.
 
         Raises:
-            MalformedListError: At what cannot be a value, after the values before it.
+            MalformedListError: The data is not valid, after the values before it were yielded.
         """
-        # Where the value's bytes in `data` start, and how far they are scanned.
+        # Offsets in `data`: of the value's first byte, and of the next byte to scan.
         start = 0
         at = 0
         while at < len(data):
@@ -76,7 +74,7 @@
     def _append(self, chunk: bytes) -> None:
         self._value += chunk
         if len(self._value) > self._limit:
-            raise MalformedListError(reason="a value without end")
+            raise MalformedListError(reason="value too large")
 
     def _scan_string(self, data: bytes, at: int) -> int:
         if self._escaped:
@@ -97,12 +95,12 @@
 
     def _track_depth(self, token: bytes) -> None:
         if not self._depth and token != b"{":
-            raise MalformedListError(reason=f"no object: it starts with {token.decode()}")
+            raise MalformedListError(reason=f"not a JSON object: starts with {token.decode()}")
         if token == b'"':
             self._in_string = True
         elif token in b"{[":
             self._depth += 1
             if self._depth > DEPTH_LIMIT:
-                raise MalformedListError(reason="nested too deep")
+                raise MalformedListError(reason="value nested too deeply")
         else:
             self._depth -= 1
--- a/roselink/gateway/pacing.py
+++ b/roselink/gateway/pacing.py
@@ -1,23 +1,24 @@
-"""When to call discovery: spread over the fleet as widely as the deadlines for news allow.
-
-Discovery is one service for all gateways and handles calls in turn. A call that waits too long
-there fails, yet its turn is worked off all the same. Gateways that all call at once, and again soon
-after they all failed, thus keep its queue longer than any call may wait, for good. So the time over
-which the calls are spread grows with the number of gateways, and the jitter covers all of it: what
-failed together must not return together.
-
-But a gateway must act on a change by a deadline, whether it has received it or not, and each cause
-of a call has a deadline of its own. Where lists are pushed, a change counts as known as soon as
-discovery has it. Where gateways poll, one with no watch has the settings' `ask_within`; but once a
-call has failed, a change counts as known 6 s after discovery had it and could be reached. What an
-unresponsive watch misses, and what a new discovery has, counts as known so many seconds after it.
-
-A call that fails shows little: discovery answers 503 after the same wait whether it is down or has
-too many callers, and one that waits there when discovery returns may fail yet. So calls go on, down
-or not, at the slowest pace that keeps the deadline: the next begins so soon after the one that
-failed began that it can take its time and still be answered. The first such wait is drawn over all
-of that, and the later ones keep the fleet as spread as the draw has made it: whenever discovery
-comes back, the calls come evenly over the deadline.
+"""Delays between calls of discovery: spread over the fleet as widely as the deadlines allow.
+
+Discovery is one service for all gateways and serves calls from one queue. A call that waits too
+long fails, but its queue entry is processed all the same. Gateways that all call at once, and retry
+together soon after they fail, would keep the queue longer than the time-out of a call for ever. So
+the spread of the calls grows with the number of gateways, and full jitter keeps calls that failed
+together from being retried together.
+
+A gateway must act on a change by a deadline, whether it has received the change or not. The
+deadline depends on the cause of the call. In push mode a change counts as known as soon as
+discovery has it. In poll mode a gateway without a watch has the settings' `ask_within`; after a
+failed call, a change counts as known 6 s after discovery had it and was reachable. For changes
+missed by an unresponsive watch, and for those of a new discovery, separate deadlines run from the
+time-out or the reload.
+
+A failed call tells little about discovery: it responds 503 after the same wait whether it is down
+or overloaded, and a call that waits when it recovers may still fail. So retries continue in both
+cases, at the slowest rate that keeps the deadline: the next call begins early enough after the
+start of the failed one to be queued and served in time. The first such delay is drawn from the
+whole interval; later ones vary little and so keep the fleet spread out. Whenever discovery
+recovers, the calls arrive evenly over the deadline.
 """
 
 from __future__ import annotations
@@ -25,38 +26,42 @@
 import random
 from enum import Enum
 
-# Spread for each gateway's call: lists that come sooner against the load of a whole fleet's calls.
+# Width of the spread for each gateway of the fleet. A smaller value delivers lists sooner; a larger
+# one puts less load on discovery.
 SPREAD_PER_GATEWAY_S = 0.1
-# The spread grows to this at least: a few gateways need not hurry a failing service.
+# Smallest spread after a failure: a small fleet does not need to retry a failing service faster.
 MIN_SPREAD_S = 1.0
-# Keep-alive time-out of a watch: an empty line is due every 2 s.
+# Keep-alive time-out of a watch: discovery sends an empty line every 2 s.
 WATCH_TIMEOUT_S = 2.5
-# Time-out of a response's head: discovery fails a call that waited two or three for its turn.
+# Time-out of a response's head: discovery itself fails a call after 2 to 3 s in its queue.
 RESPONSE_TIMEOUT_S = 3.5
-# What a watch misses counts as known so long after it became unresponsive.
+# Time after a watch became unresponsive at which the changes that it missed count as known.
 UNRESPONSIVE_DEADLINE_S = 6.0
-# What the new discovery has counts as known so long after SIGHUP.
+# Time after SIGHUP at which the new discovery's changes count as known.
 MOVED_DEADLINE_S = 4.0
-# What discovery had, or has from its return on, counts as known so long after a call failed.
+# Time after which discovery's changes count as known once a call has failed, from when discovery
+# has them and is reachable.
 FAILED_DEADLINE_S = 6.0
-# Time for a call to wait its turn and to be answered: what the spread leaves of each deadline.
+# Time reserved for a call to be queued and served: each spread ends this long before its deadline.
 CALL_TIME_S = 2.0
-# Time of a call at discovery: what a fleet's calls must be spread over if they fail again and
-# again.
+# Processing time of a call at discovery: repeated failures spread the calls of a fleet over this
+# time per gateway.
 SERVICE_TIME_S = 0.02
-# Least fraction of a further wait: the fleet stays as spread as the first ones have made it.
+# Smallest jitter factor after the first failure: nearly constant delays preserve the spread that
+# the first delays made.
 MIN_JITTER_FRACTION = 0.95
-# Fraction of `ask_within`: the rest is for the call, and for changes that have not come yet.
+# Fraction of `ask_within` used for the spread; the rest is for the call itself and for changes that
+# have not arrived yet.
 POLL_FRACTION = 0.6
-# Wait where lists are pushed: what discovery has at its return counts at once.
+# Longest retry delay in push mode, where changes count as known as soon as discovery recovers.
 PUSHED_RETRY_S = 0.1
-# The same after a list that was malformed: the next may be no better.
+# Longest retry delay in push mode after a malformed list: the next one may be malformed too.
 PUSHED_MALFORMED_RETRY_S = 0.5
-# A call that failed sooner took no turn at discovery.
+# Calls that fail sooner than this were not queued at discovery.
 MIN_QUEUED_S = 1.0
-# Calls that waited in vain: more in a row than a short outage brings.
+# Number of queued calls in a row that can fail in a short outage; more show a longer one.
 MAX_FAILURES_IN_SHORT_OUTAGE = 4
-# Least wait where gateways poll, while a deadline is near.
+# Smallest spread of a retry in poll mode.
 MIN_RETRY_S = 0.25
 
 
@@ -72,33 +77,33 @@
     MALFORMED = "its list made no sense"
 
 
-# Waits where lists are pushed; none for other causes.
+# Longest delays in push mode; other causes have none.
 PUSHED_WAITS_S = {
     Cause.ENDED: PUSHED_RETRY_S,
     Cause.UNANSWERED: PUSHED_RETRY_S,
     Cause.FAILED: PUSHED_RETRY_S,
     Cause.MALFORMED: PUSHED_MALFORMED_RETRY_S,
 }
-# Deadlines that run from the call's cause on.
+# Time from a cause to the deadline by which the list must be received.
 DEADLINES_S = {
     Cause.UNRESPONSIVE: UNRESPONSIVE_DEADLINE_S - WATCH_TIMEOUT_S,
-    # The watch may have become unresponsive as it was made.
+    # The watch may have become unresponsive right when it was requested.
     Cause.UNANSWERED: UNRESPONSIVE_DEADLINE_S - RESPONSE_TIMEOUT_S,
     Cause.MOVED: MOVED_DEADLINE_S,
 }
 
 
 class CallPacing:
-    """The waits of one gateway before its calls."""
+    """Computes the delays before one gateway's calls of discovery."""
 
     def __init__(self, gateways: int, list_deadline_s: float, seed: int, *, polls: bool) -> None:
-        """The pacing of one gateway.
+        """Starts without failures.
 
         Args:
-            gateways: How many share the discovery.
-            list_deadline_s: The settings' time for a gateway with no watch to get a list.
-            seed: Its random source, which must differ among the gateways.
-            polls: Whether gateways request lists; else discovery pushes them.
+            gateways: Number of gateways that share the discovery service.
+            list_deadline_s: `ask_within`: time for a gateway without a watch to get a list.
+            seed: Seed of the jitter, which must differ between gateways.
+            polls: Whether gateways poll for lists; otherwise discovery pushes them.
         """
         self._fleet_spread_s = SPREAD_PER_GATEWAY_S * gateways
         self._polls = polls
@@ -109,19 +114,19 @@
         )
         self._max_failed_spread_s = max(self._initial_failed_spread_s, SERVICE_TIME_S * gateways)
         self._random = random.Random(seed)
-        # Calls that failed, one after the other, and those of them that took a turn at discovery.
+        # Consecutive failed calls, and those of them that were queued at discovery.
         self._failures = 0
         self._queued_failures = 0
-        # When the list must be here, after an unresponsive watch or a move.
+        # Time by which the list must be received after a cause in `DEADLINES_S`, 0 for none.
         self._deadline = 0.0
 
     def wait_s(self, cause: Cause, now: float, took_s: float = 0.0) -> float:
-        """How long to wait before the next call.
+        """Delay before the next call, in seconds.
 
         Args:
-            cause: Why it is made.
-            now: The time in seconds of any clock that never goes back.
-            took_s: How long the call took that failed.
+            cause: Why the call is made.
+            now: The time of any monotonic clock, in seconds.
+            took_s: Duration of the failed call, in seconds.
         """
         if cause is Cause.FAILED:
             self._failures += 1
@@ -149,13 +154,13 @@
         return min(max(min_spread_s, self._fleet_spread_s), self._max_spread_s)
 
     def _failed_spread_s(self, took_s: float) -> float:
-        """The spread after a failed call that took `took_s`.
+        """Spread after a failed call that took `took_s`.
 
-        At first the deadline runs from the begin of the call that failed. After many that waited in
-        vain it runs from the end: it is still kept by the calls that begin after the return, and a
-        queue that is too long becomes shorter. Only where the turns of all calls take longer than
-        the deadline, which no pace could keep, the calls slow down to the pace of those turns: else
-        the queue would stay too long.
+        At first the deadline runs from the start of the failed call. After many queued calls have
+        failed it runs from the end of the call: calls that begin after discovery recovers still
+        keep it, and the queue becomes shorter. If processing one call of every gateway takes longer
+        than the deadline, no rate can keep it, and the calls slow down to the processing rate:
+        otherwise the queue would never become short enough.
         """
         excess_failures = self._queued_failures - MAX_FAILURES_IN_SHORT_OUTAGE
         if excess_failures < 0:
--- a/roselink/gateway/request_checks.py
+++ b/roselink/gateway/request_checks.py
@@ -1,7 +1,6 @@
-"""Checks of a client's request: path and class, method, headers; and what of it goes on to a host.
+"""Validates client requests and builds the head that is forwarded to a host.
 
-A refused request raises `BadRequestError` with its status: 404 for a path that is not served, 400
-for the rest.
+An invalid request raises `BadRequestError` with its status: 404 for an unknown path, 400 otherwise.
 """
 
 from __future__ import annotations
@@ -17,39 +16,39 @@
 if TYPE_CHECKING:
     from roselink.gateway.config import Config
 
-# Headers that concern one connection only (RFC 9110, section 7.6.1), and those that the gateway
-# writes anew.
+# Headers that are not forwarded: hop-by-hop ones (RFC 9110, section 7.6.1) and those that the
+# gateway sets itself.
 HOP_BY_HOP = frozenset(
     b"connection keep-alive proxy-connection te trailer transfer-encoding upgrade expect "
     b"content-length "
     b"request-timeout-ms proxy-authorization proxy-authenticate".split()
 )
 SINGLE_HEADERS = frozenset((b"request-id", b"idempotency-key", b"request-timeout-ms"))
-# Digits of the largest numbers that are read from a header.
+# Largest number of digits of a number in a header.
 MAX_TIMEOUT_DIGITS = 12
 MAX_HINT_DIGITS = 11
-# Segments of the path `/class/key`, with the empty one before its first slash.
+# Number of segments of the path `/route/key`, with the empty one before its first slash.
 KEYED_PATH_SEGMENTS = 3
-# Index of a tenant that the settings do not name.
+# Index for a tenant that the settings do not name.
 UNKNOWN_TENANT = -1
 
 
 class RequestChecks:
-    """What the settings require of requests."""
+    """Validates requests by the routes and tenants of the settings."""
 
     def __init__(self, config: Config) -> None:
-        """Reads classes, deadlines and tenants."""
+        """Indexes the routes and tenants of the configuration."""
         routes = config.settings.routes
         self._routes = {route.name: index for index, route in enumerate(routes)}
         self._effects = [route.effect for route in routes]
         self._deadlines_s = [route.deadline_us / 1e6 for route in routes]
         self._tenants = {name: index for index, name in enumerate(config.tenants)}
-        # Requests that begin after the first loop time must have their response by the second.
+        # Requests that begin at or after the first loop time expire at the second at the latest.
         self._late_from = math.inf
         self._late_deadline = math.inf
 
     def shorten_deadlines(self, begun_from: float, respond_by: float) -> None:
-        """Requests that begin at loop time `begun_from` or later expire at `respond_by`."""
+        """Lets requests that begin at loop time `begun_from` or later expire at `respond_by`."""
         self._late_from = begun_from
         self._late_deadline = respond_by
 
@@ -61,17 +60,17 @@
         body: bytes,
         received_at: float,
     ) -> ClientRequest:
-        """The request that may go on.
+        """Validates a request and prepares it for forwarding.
 
         Args:
-            method: As it came.
-            url: The request's target, as it came.
-            headers: Names and values, as they came.
+            method: Method as received.
+            url: Request target as received.
+            headers: Header names and values as received.
             body: The decoded body.
-            received_at: Loop time at which the request began.
+            received_at: Loop time from which the client's deadline counts.
 
         Raises:
-            BadRequestError: The request is refused, with this status.
+            BadRequestError: The request is invalid; holds the status to respond with.
         """
         segments = url.partition(b"?")[0].split(b"/")
         route = self._route(segments)
@@ -79,7 +78,7 @@
         self._check_method_and_body(route, method, body, values)
         request_id = values.get(b"request-id", b"").decode("latin-1")
         if not request_id:
-            raise BadRequestError(400, "no Request-Id")
+            raise BadRequestError(400, "missing Request-Id")
         expires = received_at + min(self._timeout_s(values), self._deadlines_s[route])
         if self._effects[route] is not Effect.SAFE:
             forwarded.append(b"Content-Length: %d" % len(body))
@@ -98,26 +97,26 @@
         )
 
     def _route(self, segments: list[bytes]) -> int:
-        """The index of the class that the path's first segment names."""
+        """Index of the route that the path's first segment names."""
         if len(segments) < KEYED_PATH_SEGMENTS - 1 or segments[0] or not segments[1]:
-            raise BadRequestError(404, "no such path")
+            raise BadRequestError(404, "unknown path")
         route = self._routes.get(unquote(segments[1].decode("latin-1")))
         if route is None:
             has_key = len(segments) == KEYED_PATH_SEGMENTS
-            raise BadRequestError(400 if has_key else 404, "no such class")
+            raise BadRequestError(400 if has_key else 404, "unknown route")
         return route
 
     @staticmethod
     def _read_headers(
         headers: list[tuple[bytes, bytes]],
     ) -> tuple[dict[bytes, bytes], list[bytes]]:
-        """The last value of each header by its lower-case name, and the lines that go on."""
+        """Last value of each header by lower-case name, and the header lines to forward."""
         values: dict[bytes, bytes] = {}
         forwarded: list[bytes] = []
         for name, value in headers:
             lower_name = name.lower()
             if lower_name in SINGLE_HEADERS and lower_name in values:
-                raise BadRequestError(400, f"two headers {lower_name.decode()}")
+                raise BadRequestError(400, f"duplicate header {lower_name.decode()}")
             values[lower_name] = value
             if lower_name not in HOP_BY_HOP:
                 forwarded.append(b"%b: %b" % (name, value))
@@ -126,32 +125,32 @@
     def _check_method_and_body(
         self, route: int, method: bytes, body: bytes, headers: dict[bytes, bytes]
     ) -> None:
-        """Method, body and Idempotency-Key must go with the class."""
+        """Checks that method, body and Idempotency-Key are valid for the route."""
         safe = self._effects[route] is Effect.SAFE
         keyed = self._effects[route] is Effect.KEYED
         if method != (b"GET" if safe else b"POST"):
-            raise BadRequestError(400, "wrong method for the class")
+            raise BadRequestError(400, "wrong method for the route")
         if safe and body:
-            raise BadRequestError(400, "a body with GET")
+            raise BadRequestError(400, "GET request with a body")
         if keyed != bool(headers.get(b"idempotency-key")):
-            raise BadRequestError(400, "Idempotency-Key and class do not go together")
+            raise BadRequestError(400, "Idempotency-Key missing or not allowed for the route")
 
     @staticmethod
     def _timeout_s(headers: dict[bytes, bytes]) -> float:
-        """How long the client waits for its response."""
+        """Time that the client waits for its response, in seconds."""
         value = headers.get(b"request-timeout-ms", b"")
         if not value.isdigit() or len(value) > MAX_TIMEOUT_DIGITS or int(value) == 0:
-            raise BadRequestError(400, "bad Request-Timeout-Ms")
+            raise BadRequestError(400, "missing or invalid Request-Timeout-Ms")
         return int(value) / 1000
 
 
 def _key(segments: list[bytes]) -> str | None:
-    """The last segment of a path of two segments or more."""
+    """Last segment of a path with a key, if any."""
     if len(segments) >= KEYED_PATH_SEGMENTS and segments[-1]:
         return unquote(segments[-1].decode("latin-1"))
     return None
 
 
 def _work_us(hint: bytes) -> int | None:
-    """The client's hint of the request's work; one that is no number counts as none."""
+    """The client's estimate of the processing time; an invalid one counts as absent."""
     return int(hint) if hint.isdigit() and len(hint) <= MAX_HINT_DIGITS else None
--- a/roselink/gateway/reserved_socket.py
+++ b/roselink/gateway/reserved_socket.py
@@ -1,4 +1,4 @@
-"""The socket of the calls of discovery, which no client can take."""
+"""A socket reserved for calls of discovery, so that clients cannot use its descriptor."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 async def connect(connection: socket.socket, address: Address) -> None:
-    """Connects a socket that does not block.
+    """Connects a non-blocking socket.
 
-    (The loop's own call has threads resolve what is an address.)
+    (The loop's own function would start threads to resolve the numeric address.)
 
     Raises:
         OSError: The connection failed.
@@ -35,14 +35,14 @@
 
 
 class ReservedSocket:
-    """The descriptor of the calls.
+    """Reserves one descriptor for the calls of discovery.
 
-    The socket of the next call is made in the very turn in which the one before is closed: clients
-    that take every descriptor there is find none in between.
+    The next call's socket is created in the same loop iteration that closes the previous one, so
+    that clients that use up all descriptors cannot take it in between.
     """
 
     def __init__(self) -> None:
-        """Makes the socket of the first call."""
+        """Creates the socket of the first call."""
         self._next: socket.socket | None = self._new_socket()
 
     @staticmethod
@@ -52,13 +52,13 @@
         return new
 
     def take(self) -> socket.socket:
-        """The socket of the next call."""
+        """Takes the reserved socket for the next call."""
         taken = self._next or self._new_socket()
         self._next = None
         return taken
 
     def replace(self, used: socket.socket) -> None:
-        """Closes one at once, whatever the loop still keeps of it, and makes the next."""
+        """Closes a used socket at once, also if the loop refers to it, and reserves the next."""
         os.close(used.detach())
         if self._next is None:
             self._next = self._new_socket()
--- a/roselink/gateway/server.py
+++ b/roselink/gateway/server.py
@@ -1,7 +1,6 @@
-"""The client side: reads requests, writes the one response to each, drains.
+"""The gateway's HTTP server: passes requests to the engine, writes responses and drains.
 
-`roselink.http` has what any server needs; `request_checks` checks what a request of this service
-must look like.
+`roselink.http` has the general part of the server; `request_checks` validates the requests.
 """
 
 from __future__ import annotations
@@ -28,24 +27,24 @@
 log = logging.getLogger("roselink.gateway.server")
 
 MESSAGE_LIMIT = HEAD_LIMIT + 4 * BODY_LIMIT  # with a chunked body's framing
-# Statuses without a request that are not logged: those of `/up`.
+# Statuses that are not logged for responses without a request: those of `/up`.
 UNLOGGED_STATUSES = (200, 503)
-# Time-out for a request to arrive, from its first byte, and for a first one to begin at all.
+# Time-out of reading a request, from its first byte, and of waiting for a connection's first one.
 RECEIVE_TIMEOUT_S = 2.0
-# Time-out for a client to read its response.
+# Time-out of writing a response to a client that does not read it.
 WRITE_TIMEOUT_S = 5.0
-# Keep-alive time-out: connections are kept long, and the longest idle are closed when descriptors
-# run short.
+# Keep-alive time-out. It can be long, since the longest idle connections are closed when
+# descriptors run short.
 IDLE_TIMEOUT_S = 60.0
-# The same after one request only: most such clients never come back.
+# Keep-alive time-out after a connection's first request: most such clients send no other.
 IDLE_AFTER_FIRST_TIMEOUT_S = 2.0
 
 
 class ClientConnection(ServerConnection):
-    """One client connection: its requests go to the engine."""
+    """One client connection, whose requests go to the engine."""
 
     def __init__(self, server: Server) -> None:
-        """A connection that `server` has accepted."""
+        """Creates the state of a connection that `server` has accepted."""
         super().__init__(server)
         self._owner = server
         self._open_request: OpenRequest | None = None
@@ -75,10 +74,10 @@
             return
         engine = self._owner.engine
         if engine.is_open(pending.request.id):
-            log.info("400: the id of an open request")
+            log.info("400: request id is in use by an open request")
             self.respond(Reply(400))
             return
-        # It may have waited for the responses before it.
+        # A pipelined request may have expired while it waited for earlier responses.
         expired = self._owner.loop.time() >= pending.request.expires
         if expired or self._owner.is_overloaded():
             self.respond(Reply(503, None, self._owner.retry_after_us))
@@ -90,12 +89,12 @@
             if self._serving:
                 self.respond(Reply(500))
             return
-        # It may have its response already.
+        # The engine may have responded during `accept`.
         if self._serving:
             self._open_request = opened
 
     def respond(self, reply: Reply) -> None:
-        """Writes the response to a client; nothing else writes to it."""
+        """Writes the response to the client; the only place that writes to the connection."""
         self._open_request = None
         self._serving = False
         self.last_progress_at = self._owner.loop.time()
@@ -117,7 +116,7 @@
 
 
 class Server(HttpServer):
-    """All client connections of the gateway."""
+    """The gateway's HTTP server."""
 
     def __init__(
         self,
@@ -127,14 +126,14 @@
         descriptors: Descriptors,
         free_descriptor: Callable[[], bool],
     ) -> None:
-        """A server that does not listen yet.
+        """Creates a server that does not listen yet.
 
         Args:
-            loop: The loop of the gateway.
-            config: Classes, deadlines and tenants.
-            engine: Takes the requests.
-            descriptors: Count of the sockets that are open.
-            free_descriptor: Closes an idle connection to a host; whether there was one.
+            loop: The event loop.
+            config: Defines routes, deadlines and tenants.
+            engine: Receives the requests.
+            descriptors: Counts the open sockets of the process.
+            free_descriptor: Closes an idle connection to a host; returns whether there was one.
         """
         super().__init__(
             loop, descriptors, free_descriptor, SizeLimits(HEAD_LIMIT, BODY_LIMIT, MESSAGE_LIMIT)
@@ -158,16 +157,16 @@
         )
 
     def drain(self, late_after_s: float, late_deadline_s: float) -> None:
-        """From now on each response ends its connection.
+        """Starts draining: each response closes its connection.
 
         Args:
-            late_after_s: Requests that begin later than this from now get the shorter deadline.
-            late_deadline_s: That deadline, from now: the process may be killed after it.
+            late_after_s: Time from now after which new requests get a shorter deadline.
+            late_deadline_s: That deadline, from now; the process may be killed after it.
         """
         self.draining = True
         now = self.loop.time()
         self.checks.shorten_deadlines(now + late_after_s, now + late_deadline_s)
 
     def up_status(self) -> int:
-        """The status of `/up`: 200 while there are hosts and the gateway does not drain."""
+        """Status of `/up`: 200 while hosts are listed and the gateway is not draining."""
         return 200 if self.engine.ready and not self.draining else 503
--- a/tests/gateway/test_engine_faults.py
+++ b/tests/gateway/test_engine_faults.py
@@ -87,7 +87,7 @@
         for _ in range(3):
             assert (await client.ask()).status == 200
         assert frozen.read
-        assert "the module failed" not in caplog.text
+        assert "balancer failed" not in caplog.text
 
 
 @on_loop
