--- a/roselink/gateway/__main__.py
+++ b/roselink/gateway/__main__.py
@@ -38,7 +38,8 @@
 # How long connections are accepted after SIGTERM: the load balancer in front sends new ones for up
 # to 0.4 s more.
 ACCEPT_AFTER_SIGTERM_S = 0.55
-# Earliest SIGKILL, after ACCEPT_AFTER_SIGTERM_S; sooner if every route's deadline is shorter.
+# Time between ACCEPT_AFTER_SIGTERM_S and the earliest SIGKILL; the longest deadline of a route
+# applies instead if it is shorter.
 KILL_AFTER_ACCEPT_S = 3.0
 # Time for the last responses to be sent.
 FLUSH_S = 0.1
--- a/roselink/gateway/json_framer.py
+++ b/roselink/gateway/json_framer.py
@@ -56,7 +56,7 @@
             found = _STRUCTURE.search(data, at)
             end = found.start() if found else len(data)
             if not self._depth:
-                if self._has_line_break(data[at:end]):
+                if self._has_newline(data[at:end]):
                     yield b""
                 start = end
             if not found:
@@ -88,7 +88,7 @@
         return found.end()
 
     @staticmethod
-    def _has_line_break(gap: bytes) -> bool:
+    def _has_newline(gap: bytes) -> bool:
         if gap.strip():
             raise MalformedListError(reason=f"not JSON: {gap.strip()[:60]!r}")
         return b"\n" in gap
--- a/roselink/gateway/pacing.py
+++ b/roselink/gateway/pacing.py
@@ -13,12 +13,12 @@
 missed by an unresponsive watch, and for those of a new discovery, separate deadlines run from the
 time-out or the reload.
 
-A failed call tells little about discovery: it responds 503 after the same wait whether it is down
+A failed call shows little about discovery: it responds 503 after the same wait whether it is down
 or overloaded, and a call that waits when it recovers may still fail. So retries continue in both
 cases, at the slowest rate that keeps the deadline: the next call begins early enough after the
-start of the failed one to be queued and served in time. The first such delay is drawn from the
-whole interval; later ones vary little and so keep the fleet spread out. Whenever discovery
-recovers, the calls arrive evenly over the deadline.
+start of the failed one to be queued and served in time. The first such delay is drawn from all of
+that interval; later ones vary little and so keep the fleet spread out. Whenever discovery recovers,
+the calls arrive evenly over the deadline.
 """
 
 from __future__ import annotations
--- a/roselink/gateway/request_checks.py
+++ b/roselink/gateway/request_checks.py
@@ -44,13 +44,13 @@
         self._deadlines_s = [route.deadline_us / 1e6 for route in routes]
         self._tenants = {name: index for index, name in enumerate(config.tenants)}
         # Requests that begin at or after the first loop time expire at the second at the latest.
-        self._late_from = math.inf
-        self._late_deadline = math.inf
+        self._short_deadline_from = math.inf
+        self._short_deadline = math.inf
 
     def shorten_deadlines(self, begun_from: float, respond_by: float) -> None:
         """Lets requests that begin at loop time `begun_from` or later expire at `respond_by`."""
-        self._late_from = begun_from
-        self._late_deadline = respond_by
+        self._short_deadline_from = begun_from
+        self._short_deadline = respond_by
 
     def check(
         self,
@@ -89,7 +89,9 @@
             route=route,
             tenant=self._tenants.get(tenant, UNKNOWN_TENANT),
             key=_key(segments),
-            expires=expires if received_at < self._late_from else min(expires, self._late_deadline),
+            expires=expires
+            if received_at < self._short_deadline_from
+            else min(expires, self._short_deadline),
             repeat=values.get(b"client-retry") == b"1",
             work_us=_work_us(values.get(b"work-hint", b"")),
             head=b"\r\n".join(head) + b"\r\n",
--- a/roselink/gateway/server.py
+++ b/roselink/gateway/server.py
@@ -156,16 +156,16 @@
             (RECEIVE_TIMEOUT_S, IDLE_AFTER_FIRST_TIMEOUT_S, IDLE_TIMEOUT_S),
         )
 
-    def drain(self, late_after_s: float, late_deadline_s: float) -> None:
+    def drain(self, short_deadline_after_s: float, short_deadline_s: float) -> None:
         """Starts draining: each response closes its connection.
 
         Args:
-            late_after_s: Time from now after which new requests get a shorter deadline.
-            late_deadline_s: That deadline, from now; the process may be killed after it.
+            short_deadline_after_s: Time from now after which new requests get a shorter deadline.
+            short_deadline_s: That deadline, from now; the process may be killed after it.
         """
         self.draining = True
         now = self.loop.time()
-        self.checks.shorten_deadlines(now + late_after_s, now + late_deadline_s)
+        self.checks.shorten_deadlines(now + short_deadline_after_s, now + short_deadline_s)
 
     def up_status(self) -> int:
         """Status of `/up`: 200 while hosts are listed and the gateway is not draining."""
--- a/roselink/http/__init__.py
+++ b/roselink/http/__init__.py
@@ -1,1 +1,1 @@
-"""What both gateways use of HTTP/1.1: client connections, listeners, connections to hosts."""
+"""HTTP/1.1 for both gateways: client connections, listeners and pooled connections to hosts."""
--- a/roselink/http/address.py
+++ b/roselink/http/address.py
@@ -1,4 +1,4 @@
-"""Where a socket listens or connects to."""
+"""Type of a socket address."""
 
 from __future__ import annotations
 
--- a/roselink/http/descriptors.py
+++ b/roselink/http/descriptors.py
@@ -1,19 +1,19 @@
-"""How many sockets the process may still open."""
+"""Accounting of the process's file descriptors."""
 
 from __future__ import annotations
 
-# Descriptors for what is no connection: listener, event loop, standard streams, watch, reload.
+# Descriptors reserved for other uses: listener, event loop, standard streams, watch, reload.
 OWN_DESCRIPTORS = 24
-# Descriptors for refusing clients that find none left.
+# Descriptors reserved for accepting clients beyond the limit, to respond that they are refused.
 REFUSAL_DESCRIPTORS = 12
 RESERVED = OWN_DESCRIPTORS + REFUSAL_DESCRIPTORS
 
 
 class Descriptors:
-    """Counts the open sockets of both sides.
+    """Counts the open sockets to clients and to hosts.
 
-    Guards against running into the process's limit, where an accept or a connect fails at a place
-    from which no client can be answered any more.
+    Keeps the process below its descriptor limit: past it an accept or a connect fails where no
+    response can be sent to a client.
     """
 
     def __init__(self, limit: int) -> None:
@@ -22,5 +22,5 @@
         self.used = 0
 
     def spare(self) -> int:
-        """How many may still be opened; below zero past the limit."""
+        """Number of sockets that may still be opened; negative past the limit."""
         return self.limit - self.used
--- a/roselink/http/exceptions.py
+++ b/roselink/http/exceptions.py
@@ -1,4 +1,4 @@
-"""Exceptions about what clients and hosts send."""
+"""Exceptions for invalid requests of clients and invalid responses of hosts."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class BadRequestError(HttpError):
-    """What a client sent is no request that can be served.
+    """The client's request is invalid.
 
     Attributes:
-        status: the status that the client gets.
+        status: the status of the response.
     """
 
     code = "HTP-001"
@@ -24,37 +24,37 @@
         """Keep the status.
 
         Args:
-            status: the status that the client gets.
-            reason: what is wrong, for the log.
+            status: the status of the response.
+            reason: what is wrong with the request, for the log.
         """
         super().__init__(reason)
         self.status = status
 
 
 class UnreadableResponseError(HttpError):
-    """Base class: what a host sent is no response that can be used."""
+    """Base class for invalid responses of hosts."""
 
     code = "HTP-002"
 
 
 class ResponseTooLongError(UnreadableResponseError):
-    """A head or a body passes its limit."""
+    """The head or the body of a response exceeds its limit."""
 
     code = "HTP-003"
 
     def __init__(self, section: str, limit: int) -> None:
-        """Say which section it is, "head" or "body", and its limit in bytes."""
+        """Keep the section, "head" or "body", and its limit in bytes."""
         super().__init__(f"{section} of more than {limit} bytes")
         self.section = section
         self.limit = limit
 
 
 class TooManyInterimResponsesError(UnreadableResponseError):
-    """More interim responses (1xx) than make sense lie ahead of the final one."""
+    """More interim responses (1xx) than allowed precede the final one."""
 
     code = "HTP-004"
 
     def __init__(self, limit: int) -> None:
-        """Keep how many are allowed."""
+        """Keep the number that is allowed."""
         super().__init__(f"more than {limit} interim responses")
         self.limit = limit
--- a/roselink/http/host_connection.py
+++ b/roselink/http/host_connection.py
@@ -1,12 +1,11 @@
-"""One connection to a host, and one attempt at a time on it with its exact `Outcome`.
+"""Connections to a host, each with one attempt at a time and its exact `Outcome`.
 
-An HTTP client library would resend on a broken kept-alive connection by itself and hide whether the
-last byte was written. Either would break the rule on duplicated effects, so this package speaks
-HTTP itself.
+An HTTP client library would retry by itself on a broken keep-alive connection and hide whether the
+last byte was written. Either would break the rule on duplicated effects, so this package implements
+the HTTP client itself.
 
-Hosts are not trusted to keep to HTTP: a response that is too long, does not end or cannot be read
-is a failed attempt that may have run, and what comes beside a response never reaches another
-request.
+Hosts are not trusted to follow HTTP: a response that is too long, incomplete or malformed is a
+failed attempt that may have run, and surplus bytes never reach another request.
 """
 
 from __future__ import annotations
@@ -28,9 +27,9 @@
 
 BODY_LIMIT = 64 * 1024
 HEAD_LIMIT = 16 * 1024
-# all bytes of a response: a chunk's extension reaches no callback
+# Largest response in bytes, framing included: a chunk extension is passed to no parser callback.
 RESPONSE_LIMIT = HEAD_LIMIT + 4 * BODY_LIMIT
-# 1xx responses ahead of the one that counts; none or one is usual.
+# Largest number of interim responses (1xx) before the final one; none or one is usual.
 INTERIM_LIMIT = 8
 
 
@@ -42,7 +41,7 @@
 
 
 class PooledHost:
-    """One host as the list has it, and this gateway's connections to it."""
+    """One host of the host list, and this gateway's connections to it."""
 
     def __init__(self, name: str, address: Address) -> None:
         """Start ready, without connections."""
@@ -50,7 +49,7 @@
         self.address = address
         self.ready = True
         self.started_us: int | None = None
-        self.last_byte_at = 0.0  # loop time of its last byte
+        self.last_byte_at = 0.0  # loop time of the last byte received
         self.idle: list[HostConnection] = []  # the most recently used last
         self.connecting: set[Attempt] = set()
         self.open_count = 0  # connections that hold a descriptor
@@ -66,7 +65,7 @@
 
 
 class Attempt:
-    """One copy of a request on its way to one host."""
+    """One sending of a request to one host."""
 
     def __init__(
         self,
@@ -81,9 +80,10 @@
         Args:
             loop: the event loop.
             host: the host that gets the request.
-            timeout_s: time until the attempt ends by itself, in seconds.
-            done: called exactly once with the outcome, never from `HostPool.start`.
-            still_wanted: called once a connection is up: whether someone waits for the response.
+            timeout_s: time-out of the attempt, in seconds.
+            done: called exactly once with the outcome, never from within `HostPool.start`.
+            still_wanted: called when a new connection is up; returns whether the request may still
+                be sent.
         """
         self.host = host
         self.started_at = loop.time()
@@ -99,32 +99,32 @@
         return self._done is None
 
     def cancel(self) -> None:
-        """Stop waiting. The host reads the closed connection as giving up."""
+        """Cancel the attempt. Closing its connection lets the host notice."""
         self._end(Outcome.CANCELLED)
 
     def _end(self, outcome: Outcome) -> None:
-        """End the attempt from this side.
+        """End the attempt by a time-out, a cancellation or a withdrawal.
 
-        Whatever still comes on its connection belongs to no attempt, so the connection is closed.
+        The connection is closed, since data that arrives later would belong to no attempt.
         """
         connection = self.connection
         task = self.task
         connecting = self in self.host.connecting
-        if connecting:  # no byte went out, whatever the reason to stop
+        if connecting:  # nothing was sent, whatever the reason
             outcome = Outcome.CONNECT_FAILED if outcome is Outcome.TIMEOUT else Outcome.MOOT
         self.finish(outcome)
         if connection is not None:
             connection.drop()
             if self.host.last_byte_at < self.started_at:
-                # Not a byte from it in all that time: it may have vanished, and then every
-                # connection kept to it would hang as long again. A new one tells within the limit
-                # for connects.
+                # The host sent nothing during the attempt and may be unreachable. Then each idle
+                # connection to it would hang until another time-out, while a new one fails within
+                # the connect time-out.
                 self.host.drop_idle()
         elif task is not None:
             task.cancel()
 
     def withdraw(self) -> None:
-        """The host has left service while the connection was coming up: nothing was sent."""
+        """End the attempt without sending: its host went out of service before the write."""
         self._end(Outcome.MOOT)
 
     def finish(self, outcome: Outcome, response: HostResponse | None = None) -> None:
@@ -151,7 +151,7 @@
         self.attempt: Attempt | None = None
         self.transport: asyncio.Transport | None = None
         self.idle_since = 0.0
-        self.holds_descriptor = True  # holds a descriptor, from the connect on
+        self.holds_descriptor = True  # from the start of the connect
         self._has_unsent = False
         self._parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
         self._poller: SocketPoller | None = None
@@ -173,18 +173,18 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Take over the transport of a new connection (asyncio)."""
         self.transport = cast("asyncio.Transport", transport)  # uvloop's are no subclass of it
-        # With the marks at 0 `pause_writing` stands for "bytes left in this process",
-        # `resume_writing` for "the kernel has the last byte": what parts a failed connection from a
-        # reset.
+        # With the high-water mark at 0, `pause_writing` means that bytes are left in this process
+        # and `resume_writing` that the kernel has the last byte. This distinguishes a failed
+        # connection from a reset.
         self.transport.set_write_buffer_limits(high=0)
         self._poller = SocketPoller(transport)
 
     def pause_writing(self) -> None:
-        """Note that bytes are left in this process (asyncio)."""
+        """Record that bytes are left in this process (asyncio)."""
         self._has_unsent = True
 
     def resume_writing(self) -> None:
-        """Note that the kernel has the last byte (asyncio)."""
+        """Record that the kernel has the last byte (asyncio)."""
         self._has_unsent = False
 
     def send(self, attempt: Attempt, request: bytes) -> None:
@@ -196,7 +196,7 @@
         self.transport.write(request)
 
     def drop(self) -> None:
-        """Close at once, also with bytes unsent."""
+        """Close the connection at once, discarding unsent bytes."""
         if self.transport is not None:
             self.transport.abort()
 
@@ -205,14 +205,13 @@
         return self.transport is None or self.transport.is_closing()
 
     def stale(self) -> bool:
-        """Whether it has been idle for longer than its host may keep it."""
-        return False  # `HostPool.sweep` ends those
+        """Whether it has been idle for so long that its host may close it."""
+        return False  # `HostPool.sweep` closes those
 
     def has_unread(self) -> bool:
-        """Whether bytes, or the end, have come that this process has not read yet.
+        """Whether the socket has unread bytes or an end of stream.
 
-        That is a close, or more than belonged to the last response, which would be taken for the
-        next one's.
+        These are a close, or surplus bytes that would be parsed as part of the next response.
         """
         return self._poller is not None and self._poller.has_unread()
 
@@ -220,15 +219,15 @@
         """Clean up after the connection has ended (asyncio)."""
         self.pool.forget(self)
         self._cancel_overdue_timer()
-        self._parser = None  # it refers back to this: a cycle would wait for the collector
+        self._parser = None  # breaks a reference cycle, which only the garbage collector would free
         if self.attempt is not None:
             self.attempt.finish(Outcome.CONNECT_FAILED if self._has_unsent else Outcome.RESET)
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes that have come (asyncio)."""
+        """Parse received bytes (asyncio)."""
         attempt = self.attempt
         if attempt is None or self._parser is None:
-            # bytes that belong to no request: the next response could not be told apart from them
+            # The bytes belong to no request and could not be distinguished from the next response.
             self.drop()
             return
         self.host.last_byte_at = self.pool.now()
@@ -247,10 +246,10 @@
             self._overdue_timer = self.pool.call_after_connect_timeout(self._response_overdue)
 
     def eof_received(self) -> bool:
-        """The host's end is that of a response that tells no length.
+        """Complete a response without a length, which the host ends by closing (asyncio).
 
-        A reset is no end: it comes with `connection_lost` alone, unless the loop has read only that
-        the connection is gone.
+        A reset does not complete it. A reset normally calls `connection_lost` only, but the loop
+        may report one as an end of stream, so the socket is checked.
         """
         has_length = b"content-length" in self._headers or b"transfer-encoding" in self._headers
         ends_by_close = self._in_message and not (self._in_head or self._has_excess or has_length)
@@ -278,17 +277,17 @@
         attempt.finish(outcome, response)
 
     def _response_overdue(self) -> None:
-        """The rest of a response is overdue, unless it waits for a loop that runs late."""
+        """Fail an incomplete response, unless its rest is unread because the loop is late."""
         if self.has_unread():
             self._overdue_timer = self.pool.call_after_connect_timeout(self._response_overdue)
         else:
             self._fail_unreadable()
 
     def _fail_unreadable(self) -> None:
-        """End an attempt whose response cannot be read, or does not end.
+        """End an attempt whose response is malformed or incomplete.
 
-        The request may have run, and nothing later on this connection can be trusted. Hosts write a
-        response at once; a rest that does not follow never will.
+        The request may have run, and later data on this connection cannot be trusted. Hosts write a
+        response at once, so a missing rest is not expected to arrive.
         """
         self._cancel_overdue_timer()
         if self.attempt is not None:
@@ -318,9 +317,9 @@
             self._in_message = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header, or a trailer (parser)."""
+        """A header or a trailer was parsed (parser)."""
         if self._is_complete or not self._in_head:
-            return  # more than the response, or a trailer
+            return  # surplus after the response, or a trailer
         self._section_bytes += len(name) + len(value)
         if self._section_bytes > HEAD_LIMIT:
             raise ResponseTooLongError("head", HEAD_LIMIT)
@@ -336,10 +335,10 @@
         if int(self._headers.get(b"content-length", b"0")) > BODY_LIMIT:
             raise ResponseTooLongError(
                 "body", BODY_LIMIT
-            )  # known from the head: not a byte of it is waited for
+            )  # the head gives the length, so the body is not waited for
 
     def on_body(self, body: bytes) -> None:
-        """A piece of the body (parser)."""
+        """A piece of the body was parsed (parser)."""
         if self._is_complete:
             return
         self._section_bytes += len(body)
@@ -352,7 +351,7 @@
         if self._is_complete or self._parser is None:
             return
         self._in_message = False
-        if is_interim(self._status):  # an interim response: the one that counts follows
+        if is_interim(self._status):  # the final response follows
             self._in_head = True
             self._interim_count = self._interim_count + 1
             if self._interim_count > INTERIM_LIMIT:
--- a/roselink/http/host_pool.py
+++ b/roselink/http/host_pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to hosts: attempts start on idle connections or on new ones."""
+"""Pool of connections to hosts: attempts use idle connections or open new ones."""
 
 from __future__ import annotations
 
@@ -14,9 +14,11 @@
 
     from roselink.http.descriptors import Descriptors
 
-# after a response, before its connection is used again: time for what comes right behind it
+# Time between a response and the reuse of its connection, in seconds, so that surplus bytes right
+# behind the response are noticed. A larger value opens more connections.
 REUSE_DELAY_S = 0.02
-# part of the hosts' idle time after which a connection is dropped: they must never be first
+# Fraction of the hosts' keep-alive time after which an idle connection is closed here: a host must
+# not close it first.
 IDLE_FRACTION = 0.5
 
 
@@ -30,13 +32,13 @@
         connect_timeout_s: float,
         idle_s: float,
     ) -> None:
-        """Start without connections; `idle_s` is how long hosts keep idle ones, in seconds."""
+        """Start without connections; `idle_s` is the hosts' keep-alive time, in seconds."""
         self._loop = loop
         self._descriptors = descriptors
         self._connect_timeout_s = connect_timeout_s
         self._idle_s = idle_s * IDLE_FRACTION
         self._tasks: set[asyncio.Task[bool]] = set()
-        self._idle: dict[HostConnection, None] = {}  # all hosts' idle ones, the longest idle first
+        self._idle: dict[HostConnection, None] = {}  # of all hosts, the longest idle first
 
     def start(
         self,
@@ -46,17 +48,17 @@
         done: OnEnd,
         still_wanted: StillWanted,
     ) -> Attempt:
-        """Begin an attempt.
+        """Start an attempt.
 
-        It goes to the connection used last that has rested for `REUSE_DELAY_S`: that one is the
-        least likely to be closing and brings nothing that belongs to the response before.
+        It uses the most recently used connection that has been idle for `REUSE_DELAY_S`: that one
+        is the least likely to be closing and has no surplus bytes of the previous response.
         """
         attempt = Attempt(self._loop, host, timeout_s, done, still_wanted)
         self.launch(attempt, lambda: request)
         return attempt
 
     def launch(self, attempt: Attempt, request: Callable[[], bytes]) -> None:
-        """Send what `request` returns right before the write."""
+        """Send an attempt; `request` is called right before the write."""
         host = attempt.host
         reusable_before = attempt.started_at - REUSE_DELAY_S
         for connection in reversed(host.idle.copy()):
@@ -86,11 +88,11 @@
         return HostConnection(self, host)
 
     def _may_carry(self, attempt: Attempt, connection: HostConnection) -> bool:
-        """Whether an idle connection may carry this attempt."""
+        """Whether this attempt may be sent on an idle connection."""
         return True
 
     def _may_connect(self, host: PooledHost) -> bool:
-        """Whether the host takes one more connection from here."""
+        """Whether one more connection to the host may be opened."""
         return True
 
     def now(self) -> float:
@@ -98,18 +100,18 @@
         return self._loop.time()
 
     def call_after_connect_timeout(self, callback: Callable[[], None]) -> asyncio.TimerHandle:
-        """Call back after the connect time-out.
+        """Schedule a callback after the connect time-out.
 
-        That is the settings' own measure of a network that is stuck.
+        That is the time after which the settings consider the network stuck.
         """
         return self._loop.call_later(self._connect_timeout_s, callback)
 
     def _connect_ended(self, connection: HostConnection, task: asyncio.Task[bool]) -> None:
-        """The connect is over.
+        """Release a connection whose connect failed or was cancelled.
 
-        In a callback, since a task cancelled before its first step runs no line of its own, and its
-        descriptor would count for ever. One that came up in the turn in which its time was up, or
-        it was called off, has a transport that nobody else would close.
+        This is a callback, since a task cancelled before its first step runs no code of its own and
+        would never release its descriptor. A connection that comes up in the loop iteration in
+        which it times out or is cancelled has a transport that is closed only here.
         """
         self._tasks.discard(task)
         if task.cancelled() or task.exception() is not None or not task.result():
@@ -122,7 +124,7 @@
         return self._descriptors.spare() > 0
 
     def drop_oldest_idle(self) -> bool:
-        """Free one descriptor for someone who needs it."""
+        """Close the longest idle connection; whether there was one."""
         for connection in self._idle:
             connection.drop()
             self.forget(connection)
@@ -132,7 +134,7 @@
     async def _connect(
         self, attempt: Attempt, connection: HostConnection, request: Callable[[], bytes]
     ) -> bool:
-        """Bring up a connection for an attempt; whether it is in use."""
+        """Open a connection for an attempt; whether the attempt was sent on it."""
         host = attempt.host
         try:
             async with asyncio.timeout(self._connect_timeout_s):
@@ -149,7 +151,7 @@
         return True
 
     def release(self, connection: HostConnection) -> None:
-        """Keep a connection for the next attempt, unless its host takes none."""
+        """Keep a connection idle for the next attempt, unless its host is out of service."""
         if not connection.host.ready:
             connection.drop()
             return
@@ -158,7 +160,7 @@
         self._idle[connection] = None
 
     def forget(self, connection: HostConnection) -> None:
-        """A connection has ended. Its descriptor counts until then, once."""
+        """Remove a closed connection and release its descriptor, once."""
         connection.transport = None
         if connection.holds_descriptor:
             connection.holds_descriptor = False
@@ -168,9 +170,9 @@
             connection.host.idle.remove(connection)
 
     def retire(self, host: PooledHost) -> None:
-        """Take a host out of service.
+        """Take a host out of service, because it drains or is gone.
 
-        It drains or is gone: attempts whose first byte has not gone out are withdrawn.
+        Attempts whose first byte has not been sent are withdrawn.
         """
         host.ready = False
         for attempt in list(host.connecting):
@@ -178,9 +180,9 @@
         host.drop_idle()
 
     def sweep(self) -> None:
-        """Close what has been idle for long.
+        """Close connections that have been idle for too long.
 
-        The host must not be first to close, or a request would cross its close.
+        If the host closed first, a request in transit could meet the close.
         """
         idle_before = self._loop.time() - self._idle_s
         for connection in list(self._idle):
--- a/roselink/http/limits.py
+++ b/roselink/http/limits.py
@@ -1,4 +1,4 @@
-"""Limits on what a request may hold and on how long its client may take."""
+"""Size and time limits of requests."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class SizeLimits(NamedTuple):
-    """What a request may hold, in bytes.
+    """Size limits of a request, in bytes.
 
-    `message`: all of it, a chunked body's framing included.
+    `message` limits the complete request, including the framing of a chunked body.
     """
 
     head: int
@@ -17,11 +17,11 @@
 
 
 class TimeLimits(NamedTuple):
-    """How long a client may take, in seconds.
+    """Time-outs of a client connection, in seconds.
 
-    `head` and `body`: from a request's first byte until they are whole; `unread`: to take an
-    response; `idle`: by the requests that its connection has brought, the last one for all higher
-    numbers.
+    `head` and `body`: from a request's first byte until they are complete; `unread`: for the client
+    to read a response; `idle`: keep-alive time-outs by the number of requests that the connection
+    has had, the last one for all higher numbers.
     """
 
     head: float
--- a/roselink/http/logs.py
+++ b/roselink/http/logs.py
@@ -1,29 +1,29 @@
-"""Logs of a gateway process: lines on standard error, and a bound on how many a second."""
+"""Logging of a gateway process: rate-limited lines on standard error."""
 
 from __future__ import annotations
 
 import logging
 import sys
 
-# lines in a stretch of time: a storm of errors must not become a storm of lines
+# Lines per interval, so that a burst of errors does not flood the log, and the interval in seconds.
 MAX_LINES = 50
 INTERVAL_S = 1.0
 
 
 class RateLimitFilter(logging.Filter):
-    """Passes so many lines a second and says how many it left out."""
+    """Passes at most `MAX_LINES` records per interval and reports how many it dropped."""
 
     def __init__(self) -> None:
-        """Start with nothing counted."""
+        """Start with a count of 0."""
         super().__init__()
         self._interval_started_at = 0.0
         self._count = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Whether the line goes out; says on the next one how many did not."""
+        """Whether a record is logged; appends the number of dropped ones to the next."""
         if record.created - self._interval_started_at >= INTERVAL_S:
             if self._count > MAX_LINES:
-                record.msg = f"{record.getMessage()} ({self._count - MAX_LINES} left out)"
+                record.msg = f"{record.getMessage()} ({self._count - MAX_LINES} lines dropped)"
                 record.args = ()
             self._interval_started_at = record.created
             self._count = 0
--- a/roselink/http/server.py
+++ b/roselink/http/server.py
@@ -1,4 +1,4 @@
-"""All client connections of one listener: room for new ones, idle ends, draining."""
+"""Listener and its client connections: connection limits, idle closes and draining."""
 
 from __future__ import annotations
 
@@ -17,15 +17,16 @@
 
     from roselink.http.limits import SizeLimits, TimeLimits
 
-# Connections that may wait in the kernel to be accepted.
+# Length of the kernel's queue of connections to be accepted.
 BACKLOG = 1024
-# After this time a first request would have been read here, or a last response by the client.
+# Time by which a first request is normally read here, or a last response by its client, in seconds.
 MAX_READ_DELAY_S = 0.2
-# For connections that wait to be accepted when the listener closes, however many still come.
+# Longest time to accept queued connections when the listener closes, however many still arrive.
 BACKLOG_ACCEPT_S = 0.2
-# Of the descriptors: past it the longest idle client connection ends, for new ones to come.
+# Fraction of the descriptors that used client connections may take before the longest idle one is
+# closed, to leave descriptors for new connections.
 USED_FRACTION = 0.25
-# Connections examined to make room for one: each examination costs a system call.
+# Number of connections polled to find one to close: each poll costs a system call.
 MAX_CLOSE_ATTEMPTS = 8
 
 
@@ -34,7 +35,7 @@
     close: Callable[[ServerConnection], bool],
     progress_before: float = math.inf,
 ) -> bool:
-    """End one of the first few, the oldest that can be ended; whether there was one."""
+    """Close the oldest of the first few connections that can be closed; whether there was one."""
     for connection in list(itertools.islice(connections, MAX_CLOSE_ATTEMPTS)):
         if connection.last_progress_at >= progress_before:
             return False
@@ -57,43 +58,43 @@
 
         Args:
             loop: the event loop.
-            descriptors: the sockets of the whole process.
-            free_descriptor: closes an idle connection to a host; whether there was one.
-            size_limits: what a request may hold.
+            descriptors: counts the open sockets of the process.
+            free_descriptor: closes an idle connection to a host; returns whether there was one.
+            size_limits: size limits of a request.
         """
         self.loop = loop
         self.size_limits = size_limits
         self._descriptors = descriptors
         self._free_descriptor = free_descriptor
         self._used_limit = int(descriptors.limit * USED_FRACTION)
-        # The other half is the hosts': each request needs one there.
+        # The other half is for connections to hosts: each request needs one.
         self._connection_limit = descriptors.limit // 2
         self.connections: dict[ServerConnection, None] = {}
-        # No byte of a request yet, the oldest first.
+        # Connections without a byte of a request so far, the oldest first.
         self._unused: dict[ServerConnection, None] = {}
-        # Between two requests, the longest idle first.
+        # Connections between two requests, the longest idle first.
         self._idle: dict[ServerConnection, None] = {}
-        # Have their last response, the longest first.
+        # Connections whose last response was written, the earliest first.
         self._finishing: dict[ServerConnection, None] = {}
         self.draining = False
         self._listener: asyncio.Server | None = None
 
-    # What a subclass defines.
+    # Defined by subclasses.
 
     def time_limits(self) -> TimeLimits:
-        """How long clients may take, as it is in force now."""
+        """The time-outs of client connections that are in force now."""
         raise NotImplementedError
 
     def make_connection(self) -> ServerConnection:
-        """A new client connection."""
+        """Create the protocol of a new client connection."""
         raise NotImplementedError
 
-    # The connections.
+    # Connections.
 
     async def listen(self, host: str, port: int) -> int:
-        """Listen; the port. Raises `OSError` when the address can't be bound."""
-        # Bound here: for a host's name the loop starts threads that resolve it, and imports what
-        # encodes it.
+        """Listen and return the port. Raises `OSError` if the address cannot be bound."""
+        # Bound here, since the loop would start threads to resolve the host and import a codec for
+        # its name.
         listening_socket = socket.create_server((host, port), backlog=BACKLOG)
         self._listener = await self.loop.create_server(
             self.make_connection, sock=listening_socket, backlog=BACKLOG
@@ -102,10 +103,10 @@
         return port_used
 
     def connection_opened(self, connection: ServerConnection) -> None:
-        """Past the clients' part of the descriptors each new connection ends another.
+        """Register a new connection; past the connection limit, close another one.
 
-        Guards against floods: first go those that have their last response and those that never
-        sent anything, then idle ones, never one with a request.
+        Guards against floods of connections. Connections with their last response and those that
+        never sent a byte are closed first, then idle ones, and never one with a request.
         """
         self._descriptors.used += 1
         self.connections[connection] = self._unused[connection] = None
@@ -127,15 +128,15 @@
             _close_oldest(self._unused, ServerConnection.close_idle)
 
     def request_started(self, connection: ServerConnection) -> None:
-        """A request has begun: the connection is not ended to make room."""
+        """Register the start of a request: the connection is not closed to free a descriptor."""
         self._unused.pop(connection, None)
         self._idle.pop(connection, None)
 
     def connection_idle(self, connection: ServerConnection) -> None:
-        """It is between two requests.
+        """Register a connection as idle; past the limit of used ones, close the longest idle.
 
-        Clients may hold so many connections here and no more: guards against those that ask once
-        and stay, which would take the places of all others for as long as they may.
+        Guards against clients that send one request and stay connected: their connections would
+        leave no descriptors for others until the keep-alive time-out.
         """
         self._idle[connection] = None
         used = len(self.connections) - len(self._unused) - len(self._finishing)
@@ -143,40 +144,39 @@
             _close_oldest(self._idle, ServerConnection.close_idle)
 
     def connection_finishing(self, connection: ServerConnection) -> None:
-        """It has its last response, and needs no more than time to read it."""
+        """Register a connection whose last response was written and may still be unread."""
         self._finishing[connection] = None
 
     def connection_closing(self, connection: ServerConnection) -> None:
-        """Ended, though its descriptor is in use until the loop comes round to it."""
+        """Remove a connection that is closing; its descriptor is in use until it has closed."""
         self.connections.pop(connection, None)
         self._finishing.pop(connection, None)
         self.request_started(connection)
 
     def connection_closed(self, connection: ServerConnection) -> None:
-        """Its transport has closed: the descriptor is free."""
+        """Release the descriptor of a connection whose transport has closed."""
         self._descriptors.used -= 1
         self.connection_closing(connection)
 
     def is_overloaded(self) -> bool:
-        """Whether there are no descriptors left to serve one more request.
+        """Whether no descriptor is left to serve one more request.
 
-        Then it is refused, not started. The reserved descriptors serve to refuse.
+        A request is refused then; the reserved descriptors serve to write such refusals.
         """
         without_request = len(self._unused) + len(self._idle) + len(self._finishing)
         return len(self.connections) - without_request > self._connection_limit
 
     def sweep(self) -> None:
-        """Close what has taken too long."""
+        """Close connections that have exceeded a time-out."""
         now = self.loop.time()
         times = self.time_limits()
         for connection in list(self.connections):
             connection.sweep(now, times)
 
     async def stop_accepting(self) -> None:
-        """The front has stopped sending connections: no more are taken.
+        """Close the listener, after the load balancer in front has stopped sending connections.
 
-        Those that wait in the kernel have been accepted by this machine, and are taken first: the
-        close would reset them.
+        Connections queued in the kernel are accepted first, since the close would reset them.
         """
         if self._listener is None:
             return
@@ -194,9 +194,9 @@
             self._listener = None
 
     def close_idle(self) -> None:
-        """While draining: close idle connections.
+        """Close idle connections while draining.
 
-        Those that brought no request yet stay for the time that a first one takes.
+        Connections without a request so far stay open for the time that a first request takes.
         """
         read_before = self.loop.time() - MAX_READ_DELAY_S
         for connection in list(self.connections):
--- a/roselink/http/server_connection.py
+++ b/roselink/http/server_connection.py
@@ -1,8 +1,8 @@
-"""One client connection of any HTTP server here: parsing, limits, one request at a time, idle ends.
+"""Client connection of an HTTP server: parsing, limits, serial handling of requests, idle closes.
 
-Clients are not trusted: heads, bodies, half requests, idle and unread connections are all bounded,
-and what cannot be read costs the connection that sent it and nothing else. What a request means and
-who answers it is the part of the subclasses.
+Clients are not trusted: the size of heads and bodies and the time for requests, responses and idle
+connections are limited, and malformed input costs only the connection that sent it. Subclasses
+interpret and serve the requests.
 """
 
 from __future__ import annotations
@@ -22,23 +22,31 @@
     from roselink.http.limits import TimeLimits
     from roselink.http.server import HttpServer
 
-# Requests parsed ahead on one connection: clients send one at a time.
+# Pipelined requests parsed ahead on one connection; clients normally send one at a time.
 PIPELINE_LIMIT = 2
-# Parsed at a time, a few requests: one read can have hundreds.
+# Bytes parsed at a time, which hold a few requests: one read can contain hundreds.
 PARSE_BYTES = 2048
-# After an error, so that a client still sending can read why.
+# Time and number of discarded bytes for which a connection stays open after its last response, so
+# that a client that is still sending can read it.
 LINGER_S = 1.0
 LINGER_BYTES = 1024 * 1024
 
 
 class PendingRequest:
-    """A complete request, or the status that it gets, that waits for its turn.
+    """A complete request, or the status of its rejection, that waits to be served.
 
-    Clients may pipeline requests; each is served once the one before it has its response.
+    Clients may pipeline requests; each is served after the response to the previous one.
     """
 
     def __init__(self, request: Any, status: int, *, keep: bool, why: str = "") -> None:
-        """Keep what a subclass serves in its turn; `why` is for the log."""
+        """Keep what a subclass serves later.
+
+        Args:
+            request: the request in the subclass's form, None for a rejection.
+            status: the status of the rejection.
+            keep: whether the connection may stay open.
+            why: the reason for the rejection, for the log.
+        """
         self.request = request
         self.status = status
         self.keep = keep
@@ -46,10 +54,10 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """One client connection: one request at a time, pipelined ones in order.
+    """One client connection, which serves its requests one at a time and in order.
 
-    A subclass reads a complete request (`_read_request`), begins its response (`_serve_request`),
-    writes it (`_write`) and calls `_response_finished` behind its last byte.
+    A subclass reads a complete request (`_read_request`), starts its response (`_serve_request`),
+    writes it (`_write`) and calls `_response_finished` after its last byte.
     """
 
     def __init__(self, server: HttpServer) -> None:
@@ -58,10 +66,10 @@
         self._transport: asyncio.Transport | None = None
         self._poller: SocketPoller | None = None
         self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
-        self._unparsed = b""  # read, not parsed yet
-        # When it was read, which a client's deadline counts from.
+        self._unparsed = b""
+        # When the unparsed bytes were read, from which the client's deadline counts.
         self._read_at = server.loop.time()
-        # With reading paused: when the kernel last had nothing unread.
+        # While reading is paused: when the socket last had no unread bytes.
         self._last_empty_at = math.inf
         self._pending: deque[PendingRequest] = deque()
         self._serving = False
@@ -74,7 +82,7 @@
         self._discarded_bytes = 0
         self._completed_requests = 0
         self._parse_error: BadRequestError | None = None
-        self.last_progress_at = server.loop.time()  # the limits on time count from it
+        self.last_progress_at = server.loop.time()  # time-outs count from it
         self._start_request()
 
     def _start_request(self) -> None:
@@ -84,13 +92,13 @@
         self._body: list[bytes] = []
         self._in_head = True
 
-    # The transport's side.
+    # Callbacks of the transport.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Take over the transport of a new connection (asyncio)."""
         self._transport = cast("asyncio.Transport", transport)  # uvloop's are no subclass of it
-        # With the marks at 0 `_writing_paused` stands for "bytes of a response are left in this
-        # process".
+        # With the high-water mark at 0, `_writing_paused` means that bytes of a response are left
+        # in this process.
         self._transport.set_write_buffer_limits(high=0)
         self._poller = SocketPoller(transport)
         self._server.connection_opened(self)
@@ -100,44 +108,41 @@
         self._transport = self._poller = None
         self._input_ended = True
         self._pending.clear()
-        # the parser refers back: a cycle would wait for the collector
+        # breaks a reference cycle with the parser, which only the garbage collector would free
         self._unparsed = b""
         self._parser = None
         self._server.connection_closed(self)
         self._client_disconnected()
 
     def pause_writing(self) -> None:
-        """Note that bytes are left in this process (asyncio)."""
+        """Record that bytes are left in this process (asyncio)."""
         self._writing_paused = True
         self.last_progress_at = self._server.loop.time()
 
     def resume_writing(self) -> None:
-        """Note that the kernel has the last byte (asyncio)."""
+        """Record that the kernel has the last byte (asyncio)."""
         self._writing_paused = False
         self._advance()
         if self.idle():
             self._server.connection_idle(self)
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes that have come (asyncio)."""
+        """Process received bytes (asyncio)."""
         if self._input_ended:
             self._discarded_bytes += len(data)
             if self._discarded_bytes > LINGER_BYTES:
                 self.abort()
             return
         if not self._unparsed:
-            # What lay unread for a while may have come at any time in it: its client counts from
-            # then on.
+            # Bytes read after a pause may have arrived at any time in it, so the client's deadline
+            # counts from the earliest.
             self._read_at = min(self._server.loop.time(), self._last_empty_at)
             self._last_empty_at = math.inf
         self._unparsed += data
         self._advance()
 
     def _parse(self) -> None:
-        """Parse what was read, no further ahead than a client needs.
-
-        The rest waits, as the client must.
-        """
+        """Parse the bytes read, at most `PIPELINE_LIMIT` requests ahead; the rest waits."""
         while (
             self._unparsed
             and len(self._pending) < PIPELINE_LIMIT
@@ -152,8 +157,8 @@
                 if self._in_request and completed_before == self._completed_requests:
                     self._limit_request_bytes(len(data))
             except httptools.HttpParserUpgrade:
-                # The offer is not taken up: the request is served, and what follows is not HTTP any
-                # more.
+                # The upgrade is declined: the request is served, and the parser accepts no more
+                # data after it.
                 self._input_ended = True
                 self._pending[-1].keep = False
             except (httptools.HttpParserError, BadRequestError) as error:
@@ -169,9 +174,9 @@
         self._pause_or_resume_reading()
 
     def _limit_request_bytes(self, size: int) -> None:
-        """Bound a request as a whole.
+        """Limit the total size of a request.
 
-        A header without end, or an endless extension of a chunk, reaches no callback of the parser.
+        An endless header or chunk extension is passed to no callback of the parser.
         """
         self._request_bytes += size
         if self._in_head and self._request_bytes > self._server.size_limits.head:
@@ -180,7 +185,7 @@
             raise BadRequestError(413, "request too long")
 
     def _pause_or_resume_reading(self) -> None:
-        """Read on once all that was read is parsed."""
+        """Pause reading while unparsed bytes are left, and resume it after."""
         must_pause = bool(self._unparsed) and not self._input_ended
         if (
             self._transport is None
@@ -197,7 +202,7 @@
             self._transport.resume_reading()
         self._reading_paused = must_pause
 
-    # The parser's side.
+    # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
         """A message begins (parser)."""
@@ -208,14 +213,14 @@
         self._server.request_started(self)
 
     def on_url(self, url: bytes) -> None:
-        """A piece of the request target (parser)."""
+        """A piece of the request target was parsed (parser)."""
         self._url += url
         self._limit_head_bytes(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header, or a trailer (parser)."""
+        """A header or a trailer was parsed (parser)."""
         if not self._in_head:
-            return  # a trailer: it must not stand in for a header that was checked
+            return  # a trailer, which must not replace a validated header
         self._headers.append((name, value.strip()))
         self._limit_head_bytes(len(name) + len(value) + 4)
 
@@ -225,7 +230,7 @@
             self._reject(431, "head too long")
 
     def _reject(self, status: int, why: str) -> None:
-        """End the parsing from inside a callback; the parser wraps what is raised here."""
+        """Abort parsing from within a callback; the parser wraps the exception raised here."""
         self._parse_error = BadRequestError(status, why)
         raise self._parse_error
 
@@ -242,7 +247,7 @@
             self._reject(bad.status, str(bad))
 
     def on_body(self, body: bytes) -> None:
-        """A piece of the body (parser)."""
+        """A piece of the body was parsed (parser)."""
         self._section_bytes += len(body)
         if self._section_bytes > self._server.size_limits.body:
             self._reject(413, "body too long")
@@ -260,10 +265,10 @@
             pending = PendingRequest(None, bad.status, keep=keep, why=str(bad))
         self._pending.append(pending)
 
-    # One request after another.
+    # Serial handling of requests.
 
     def _advance(self) -> None:
-        """Begin the next request, once the response before it is on its way and was read."""
+        """Serve the next request once the previous response has left this process."""
         if self._is_advancing:
             return
         self._is_advancing = True
@@ -280,34 +285,34 @@
         finally:
             self._is_advancing = False
 
-    # What a subclass defines.
+    # Defined by subclasses.
 
     def _read_request(self, method: bytes, *, keep: bool) -> PendingRequest:
-        """Read the request that has just become complete.
+        """Interpret a request that has just become complete.
 
         Args:
-            method: of the request.
-            keep: whether its client lets the connection stay open.
+            method: the request's method.
+            keep: whether the client lets the connection stay open.
 
         Raises:
-            BadRequestError: when there is no such request.
+            BadRequestError: the request is invalid.
         """
         raise NotImplementedError
 
     def _serve_request(self, pending: PendingRequest) -> None:
-        """Answer one, at once or later; `begin_answer` first."""
+        """Respond to a request, at once or later, after setting `_serving` and `_keep_alive`."""
         raise NotImplementedError
 
     def _client_disconnected(self) -> None:
-        """The client has gone, also in the middle of a response."""
+        """Handle a disconnect of the client, possibly in the middle of a response."""
 
-    # A response.
+    # Responses.
 
     def _may_keep_alive(self) -> bool:
-        """Whether the connection stays open behind this response.
+        """Whether the connection stays open after this response.
 
-        What was sent ahead has been taken and is owed a response, also where it lies in the kernel:
-        the last response says `close`.
+        While draining, pipelined requests must still be served, also those that are unread in the
+        kernel: only the last response carries `Connection: close`.
         """
         has_pipelined = bool(self._pending) or bool(self._unparsed) or self._in_request
         if has_pipelined or not self._server.draining or not self._keep_alive:
@@ -319,7 +324,7 @@
             self._transport.write(data)
 
     def _response_finished(self, *, keep: bool) -> None:
-        """The last byte of a response is on its way."""
+        """Finish a response whose last byte was written to the transport."""
         self._serving = False
         self.last_progress_at = self._server.loop.time()
         if self._transport is None:
@@ -333,10 +338,10 @@
             self._close()
 
     def _close(self) -> None:
-        """End the connection after its last response.
+        """Close the connection after its last response.
 
-        A close on unread bytes would reset it and could take the response along, so the sending
-        side ends first and what still comes is discarded for a while.
+        Closing with unread bytes would reset the connection, and the response could be lost. So the
+        sending side is shut down first, and received bytes are discarded for `LINGER_S`.
         """
         self._input_ended = True
         self._pending.clear()
@@ -351,27 +356,27 @@
             self._server.loop.call_later(LINGER_S, self._close_after_linger)
 
     def _close_after_linger(self) -> None:
-        """The end of the time that a last response has.
+        """Close the connection after `LINGER_S`, or try again after as long.
 
-        (`sweep` ends a connection whose client does not take it.)
+        `sweep` closes a connection whose client does not read the response.
         """
         if self._transport is not None and not self.close_finished():
             self._server.loop.call_later(LINGER_S, self._close_after_linger)
 
     def eof_received(self) -> bool:
-        """Let the transport close: the peer has ended its sending (asyncio)."""
-        return False  # the client has closed: the transport closes too, and an open request departs
+        """Let the transport close after the client's end of stream (asyncio)."""
+        return False  # closes the transport, so that an open request ends by `connection_lost`
 
     def abort(self) -> None:
-        """Close at once, also with bytes unsent."""
+        """Close the connection at once, discarding unsent bytes."""
         self._server.connection_closing(self)
         if self._transport is not None:
             self._transport.abort()
 
     def has_left(self) -> bool:
-        """Whether the client has left.
+        """Whether the client has disconnected, polled from the socket; closes the connection then.
 
-        Not read any further, its connection would stay: it ends here.
+        With reading paused, the loop would not notice the disconnect.
         """
         if self._poller is not None and self._poller.peer_closed():
             self.abort()
@@ -381,9 +386,9 @@
     # Called by the server.
 
     def idle(self) -> bool:
-        """Whether it is between two requests, with all responses sent.
+        """Whether the connection is between requests and all its responses are sent.
 
-        This goes by what the process has read.
+        Bytes that this process has not read are not considered.
         """
         busy = (
             self._serving
@@ -395,10 +400,9 @@
         return not (busy or self._input_ended)
 
     def close_idle(self) -> bool:
-        """End it between two requests, by our choice; whether it ended.
+        """Close an idle connection unless it has unread bytes; whether it was closed.
 
-        A request that lies unread in the kernel has been taken and is owed a response, and a close
-        on it would be a reset.
+        An unread request must be served, and closing with unread bytes would send a reset.
         """
         if self._poller is None or self._poller.has_unread():
             return False
@@ -406,10 +410,10 @@
         return True
 
     def close_finished(self) -> bool:
-        """End it after its last response, once the kernel has that; whether it ended.
+        """Close a connection after its last response; whether it was closed.
 
-        What comes meanwhile is read first: a close on it would be a reset, which takes along what
-        the client's kernel has not got.
+        It stays open until the kernel has the response and no bytes are unread: closing with unread
+        bytes would send a reset, which discards what the client's kernel has not received.
         """
         if self._writing_paused or self._poller is None or self._poller.has_unread():
             return False
@@ -417,9 +421,9 @@
         return True
 
     def sweep(self, now: float, times: TimeLimits) -> None:
-        """Ends what takes too long.
+        """Close the connection if it has exceeded a time-out.
 
-        Guards the descriptors against clients that come and say nothing.
+        Guards the descriptors against clients that connect and send nothing.
         """
         waited = now - self.last_progress_at
         if self._writing_paused and waited > times.unread:
@@ -428,7 +432,7 @@
             if waited > (times.head if self._in_head else times.body):
                 self._input_ended = True
                 self._pending.append(
-                    PendingRequest(None, 408, keep=False, why="request not whole in time")
+                    PendingRequest(None, 408, keep=False, why="time-out before the request's end")
                 )
                 self._advance()
         elif (
--- a/roselink/http/socket_poller.py
+++ b/roselink/http/socket_poller.py
@@ -1,7 +1,8 @@
-"""A look at a socket right before something is done with it that cannot be taken back.
+"""Polls a socket's state right before an action that cannot be undone.
 
-The loop tells of bytes and ends in its next turn only, and of neither while reading is paused. What
-is about to be closed, or written for someone who may have left, is asked here first.
+The loop reports received bytes and ends of streams in its next iteration only, and not at all while
+reading is paused. So the socket is polled before it is closed, and before a request is sent for a
+client that may have disconnected.
 """
 
 from __future__ import annotations
@@ -16,10 +17,10 @@
 
 
 class SocketPoller:
-    """One connection's socket, for as long as its transport is open."""
+    """Polls the socket of one connection, for as long as its transport is open."""
 
     def __init__(self, transport: asyncio.BaseTransport) -> None:
-        """Watch the socket of an open transport."""
+        """Register the socket of an open transport."""
         self._poll = select.poll()
         self._poll.register(
             transport.get_extra_info("socket").fileno(), select.POLLIN | select.POLLRDHUP
@@ -29,19 +30,19 @@
         return next((events for _, events in self._poll.poll(0)), 0)
 
     def has_unread(self) -> bool:
-        """Whether bytes, or the end, have come that this process has not read yet."""
+        """Whether the socket has unread bytes or an end of stream."""
         return bool(self._events())
 
     def peer_closed(self) -> bool:
-        """Whether the peer has ended its sending or is gone.
+        """Whether the peer has shut down its sending side or closed the connection.
 
-        Some of what it sent may still be unread.
+        Some of the bytes that it sent may still be unread.
         """
         return bool(self._events() & _DISCONNECT_EVENTS)
 
     def was_reset(self) -> bool:
-        """Whether the connection is gone in both directions.
+        """Whether the connection is closed in both directions.
 
-        A reset leaves it so, an end does not.
+        That is so after a reset, but not after an end of stream alone.
         """
         return bool(self._events() & (select.POLLHUP | select.POLLERR))
--- a/roselink/http/status_codes.py
+++ b/roselink/http/status_codes.py
@@ -30,10 +30,10 @@
 
 
 def is_interim(status: int) -> bool:
-    """Whether another response to the same request follows (1xx)."""
+    """Whether the status is interim (1xx): another response to the same request follows."""
     return status in _INTERIM
 
 
 def is_success(status: int) -> bool:
-    """Whether the request was served (2xx)."""
+    """Whether the status is successful (2xx)."""
     return status in _SUCCESSFUL
--- a/tests/gateway/test_closes.py
+++ b/tests/gateway/test_closes.py
@@ -237,5 +237,5 @@
             )
             assert (await client.ask(Request_Timeout_Ms="4000")).status == 200
         early, late = (request.expires for request in asked)
-        assert late == w.gateway.server.checks._late_deadline
+        assert late == w.gateway.server.checks._short_deadline
         assert early > late
