--- a/tests/gateway/test_client_connections.py
+++ b/tests/gateway/test_client_connections.py
@@ -15,42 +15,45 @@
 from roselink.http.descriptors import RESERVED
 from tests.support.event_loop import on_loop, until
 from tests.support.fake_hosts import FakeHost, hang, sends, serve_ok
-from tests.support.gateway_harness import World, world
-from tests.support.http_messages import answer
+from tests.support.gateway_harness import GatewayHarness, running_gateway
+from tests.support.http_messages import response
 
 if TYPE_CHECKING:
     from roselink.http.server_connection import ServerConnection
     from tests.support.gateway_clients import Client
 
 
-async def at_end(client: Client) -> bytes:
+async def read_to_end(client: Client) -> bytes:
     """All that comes until the gateway ends the connection."""
     return await client.reader.read()
 
 
-async def joined(w: World) -> ServerConnection:
+async def only_connection(harness: GatewayHarness) -> ServerConnection:
     """The one connection of a client, once the gateway has it."""
-    await until(lambda: len(w.gateway.server.connections) == 1)
-    return next(iter(w.gateway.server.connections))
+    await until(lambda: len(harness.gateway.server.connections) == 1)
+    return next(iter(harness.gateway.server.connections))
 
 
 @on_loop
-async def test_a_request_that_never_gets_whole_is_ended() -> None:
-    async with world(serve_ok) as w, w.client() as client:
+async def test_an_incomplete_request_gets_408_after_the_receive_timeout() -> None:
+    async with running_gateway(serve_ok) as harness, harness.client() as client:
         client.writer.write(b"GET /status-check/k HTTP/1.1\r\nX:")
-        await until(lambda: any(c._in_request for c in w.gateway.server.connections))
-        for connection in w.gateway.server.connections:
+        await until(lambda: any(c._in_request for c in harness.gateway.server.connections))
+        for connection in harness.gateway.server.connections:
             connection.last_progress_at -= RECEIVE_TIMEOUT_S + 1
         assert (await client.receive()).status == 408
-        assert await at_end(client) == b""
+        assert await read_to_end(client) == b""
 
 
 @on_loop
-async def test_a_client_that_takes_no_answers_is_ended() -> None:
+async def test_a_client_that_does_not_read_responses_is_disconnected() -> None:
     """Unread answers would pile up in memory."""
-    async with world(sends(answer(b"x" * 60_000))) as w, w.client() as client:
+    async with (
+        running_gateway(sends(response(b"x" * 60_000))) as harness,
+        harness.client() as client,
+    ):
         client.writer.transport.pause_reading()  # type: ignore[attr-defined]
-        connections = w.gateway.server.connections
+        connections = harness.gateway.server.connections
         while not any(c._writing_paused for c in connections):
             client.send()
             await asyncio.sleep(0)
@@ -60,79 +63,89 @@
 
 
 @on_loop
-async def test_idle_clients_make_room_and_the_rest_is_turned_away() -> None:
+async def test_idle_clients_are_closed_and_requests_past_the_limit_get_503() -> None:
     """Counting the descriptors keeps an accept from failing where nobody can be answered."""
-    async with world(hang, limits={"sockets": RESERVED + 8}) as w:
-        idle = await w.client().__aenter__()
-        assert (await idle.ask("/up", method="GET")).status == 200
+    async with running_gateway(hang, limits={"sockets": RESERVED + 8}) as harness:
+        idle = await harness.client().__aenter__()
+        assert (await idle.request("/up", method="GET")).status == 200
         busy = []
         for number in range(4):
-            busy.append(await w.client().__aenter__())
+            busy.append(await harness.client().__aenter__())
             busy[-1].send()
-            await until(lambda number=number: len(w.gateway.engine._unanswered_ids) == number + 1)  # type: ignore[misc]
-        assert await at_end(idle) == b""
-        async with w.client() as client:
+            await until(
+                lambda number=number: len(harness.gateway.engine._unanswered_ids) == number + 1  # type: ignore[misc]
+            )
+        assert await read_to_end(idle) == b""
+        async with harness.client() as client:
             for _ in range(
                 2
             ):  # on one connection: being turned away must not cost a new one each time
-                got = await client.ask()
+                got = await client.request()
                 assert (got.status, got.headers["connection"]) == (503, "keep-alive")
         for client in busy:
             client.writer.close()
 
 
 @on_loop
-async def test_a_flood_that_says_nothing_makes_room_first(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_connections_without_a_request_are_closed_before_idle_ones(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """Connections between two requests belong to usual clients: the never-heard go before them."""
-    async with world(serve_ok, limits={"sockets": RESERVED + 16}) as w, w.client() as usual:
-        assert (await usual.ask()).status == 200
+    async with (
+        running_gateway(serve_ok, limits={"sockets": RESERVED + 16}) as harness,
+        harness.client() as usual,
+    ):
+        assert (await usual.request()).status == 200
         monkeypatch.setattr(http_server, "MAX_READ_DELAY_S", -1.0)
-        silent = [await w.client().__aenter__() for _ in range(30)]
-        assert await at_end(silent[0]) == b""
-        assert (await usual.ask()).status == 200
-        await until(lambda: len(w.gateway.server.connections) == 8)
+        silent = [await harness.client().__aenter__() for _ in range(30)]
+        assert await read_to_end(silent[0]) == b""
+        assert (await usual.request()).status == 200
+        await until(lambda: len(harness.gateway.server.connections) == 8)
         for client in silent:
             client.writer.close()
 
 
 @on_loop
-async def test_a_flood_in_one_moment_stays_within_the_clients_part() -> None:
+async def test_a_burst_of_connections_leaves_descriptors_for_hosts() -> None:
     """Each may have its first request on the way; but the hosts' part of the descriptors is not
     theirs.
     """
-    async with world(serve_ok, limits={"sockets": RESERVED + 16}) as w, w.client() as usual:
-        assert (await usual.ask()).status == 200
-        silent = [await w.client().__aenter__() for _ in range(30)]
-        await at_end(silent[0])
-        await until(lambda: w.gateway.server._descriptors.used <= 12)
-        async with w.client() as late:
-            assert (await late.ask()).status == 200
+    async with (
+        running_gateway(serve_ok, limits={"sockets": RESERVED + 16}) as harness,
+        harness.client() as usual,
+    ):
+        assert (await usual.request()).status == 200
+        silent = [await harness.client().__aenter__() for _ in range(30)]
+        await read_to_end(silent[0])
+        await until(lambda: harness.gateway.server._descriptors.used <= 12)
+        async with harness.client() as late:
+            assert (await late.request()).status == 200
         for client in silent:
             client.writer.close()
 
 
 @on_loop
-async def test_hundreds_sent_ahead_are_not_parsed_at_once() -> None:
+async def test_pipelined_requests_are_parsed_only_a_few_ahead() -> None:
     """Each parsed request costs its checks and its memory, and a client waits for one at a time."""
-    async with world(hang) as w, w.client() as client:
+    async with running_gateway(hang) as harness, harness.client() as client:
         for _ in range(300):
             client.send()
-        await w.hosts[0].came.get()
-        await until(lambda: all(c._reading_paused for c in w.gateway.server.connections))
-        (connection,) = w.gateway.server.connections
+        await harness.hosts[0].came.get()
+        await until(lambda: all(c._reading_paused for c in harness.gateway.server.connections))
+        (connection,) = harness.gateway.server.connections
         assert len(connection._pending) < 20
         assert connection._unparsed
 
 
 @pytest.mark.parametrize("start", [b"GET /status-check/k HTTP/1.1\r\nX:", b"G", b"\r\n", b""])
 @on_loop
-async def test_a_client_that_never_gets_to_the_point_is_ended(
+async def test_a_client_that_trickles_bytes_is_timed_out(
     start: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The time counts from the first byte: one that trickles must not gain by each further byte."""
     monkeypatch.setattr(server, "RECEIVE_TIMEOUT_S", 0.3)
-    async with world(serve_ok) as w, w.client() as client:
-        end = asyncio.ensure_future(at_end(client))
+    async with running_gateway(serve_ok) as harness, harness.client() as client:
+        end = asyncio.ensure_future(read_to_end(client))
         while not end.done():
             client.writer.write(start[:1])
             start = start[1:] + start[:1]
@@ -143,80 +156,92 @@
 
 
 @on_loop
-async def test_up_says_whether_it_can_serve() -> None:
-    async with world() as w, w.client() as client:
-        assert (await client.ask("/up", method="GET")).status == 503
+async def test_up_reports_whether_hosts_are_listed() -> None:
+    async with running_gateway() as harness, harness.client() as client:
+        assert (await client.request("/up", method="GET")).status == 503
         host = await FakeHost().start()
-        w.discovery.tell(host.entry())
-        await until(lambda: len(w.gateway.engine.hosts) == 1)
-        assert (await client.ask("/up", method="GET")).status == 200
-        w.gateway.server.draining = True
-        assert (await client.ask("/up", method="GET")).status == 503
+        harness.discovery.send_changes(host.entry())
+        await until(lambda: len(harness.gateway.engine.hosts) == 1)
+        assert (await client.request("/up", method="GET")).status == 200
+        harness.gateway.server.draining = True
+        assert (await client.request("/up", method="GET")).status == 503
 
 
 @on_loop
-async def test_a_client_that_asked_once_and_stays_is_let_go(
+async def test_idle_connections_with_one_request_have_a_shorter_timeout(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """On the churn day 625 of these in a minute held memory and descriptors for good."""
-    async with world(serve_ok) as w, w.client() as once, w.client() as usual:
+    async with (
+        running_gateway(serve_ok) as harness,
+        harness.client() as once,
+        harness.client() as usual,
+    ):
         for _ in range(2):
-            assert (await usual.ask()).status == 200
+            assert (await usual.request()).status == 200
         monkeypatch.setattr(server, "IDLE_AFTER_FIRST_TIMEOUT_S", -1.0)
-        assert (await once.ask()).status == 200
-        assert await at_end(once) == b""
-        assert (await usual.ask()).status == 200
+        assert (await once.request()).status == 200
+        assert await read_to_end(once) == b""
+        assert (await usual.request()).status == 200
 
 
 @on_loop
-async def test_clients_that_linger_over_an_error_make_room(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_lingering_connections_are_closed_for_new_clients(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """Bad clients hold their connection for a while after their last answer: usual ones come before
     them.
     """
     monkeypatch.setattr(server_connection, "LINGER_S", 1000.0)
     monkeypatch.setattr(http_server, "MAX_READ_DELAY_S", -1.0)
-    async with world(serve_ok, limits={"sockets": RESERVED + 16}) as w:
-        bad = [await w.client().__aenter__() for _ in range(8)]
+    async with running_gateway(serve_ok, limits={"sockets": RESERVED + 16}) as harness:
+        bad = [await harness.client().__aenter__() for _ in range(8)]
         for client in bad:
             client.writer.write(b"what is this\r\n\r\n")
             assert (await client.receive()).status == 400
-        async with w.client() as usual:
-            assert (await usual.ask()).status == 200
-            await until(lambda: len(w.gateway.server.connections) == 8)
+        async with harness.client() as usual:
+            assert (await usual.request()).status == 200
+            await until(lambda: len(harness.gateway.server.connections) == 8)
         for client in bad:
             client.writer.close()
 
 
 @on_loop
-async def test_clients_that_ask_once_and_stay_make_place_for_others() -> None:
+async def test_the_longest_idle_connection_is_closed_past_the_idle_limit() -> None:
     """An incident: 128 of these held all the connections that clients may have for 2 s each, and
     two of three requests found none. The longest idle ends as soon as there are many.
     """
-    async with world(serve_ok, limits={"sockets": RESERVED + 40}) as w, w.client() as usual:
-        stayed = [await w.client().__aenter__() for _ in range(15)]
+    async with (
+        running_gateway(serve_ok, limits={"sockets": RESERVED + 40}) as harness,
+        harness.client() as usual,
+    ):
+        stayed = [await harness.client().__aenter__() for _ in range(15)]
         for client in stayed:
             assert (
-                await usual.ask()
+                await usual.request()
             ).status == 200  # in use between them, it is never the longest idle
-            assert (await client.ask()).status == 200
-        assert await at_end(stayed[0]) == b""
-        await until(lambda: len(w.gateway.server.connections) <= 10)
-        assert (await usual.ask()).status == 200
+            assert (await client.request()).status == 200
+        assert await read_to_end(stayed[0]) == b""
+        await until(lambda: len(harness.gateway.server.connections) <= 10)
+        assert (await usual.request()).status == 200
         for client in stayed:
             client.writer.close()
 
 
 @on_loop
-async def test_a_connection_with_bytes_unsent_is_not_at_rest() -> None:
+async def test_a_connection_with_unsent_bytes_is_not_idle() -> None:
     """It would be ended to make room, and the end of its answer be lost."""
-    async with world(sends(answer(b"x" * 60_000))) as w, w.client() as client:
+    async with (
+        running_gateway(sends(response(b"x" * 60_000))) as harness,
+        harness.client() as client,
+    ):
         client.writer.transport.pause_reading()  # type: ignore[attr-defined]
-        connection = await joined(w)
+        connection = await only_connection(harness)
         while not connection._writing_paused:
             client.send()
             await asyncio.sleep(0)
-        assert connection not in w.gateway.server._idle
+        assert connection not in harness.gateway.server._idle
         client.writer.transport.resume_reading()  # type: ignore[attr-defined]
-        taken = asyncio.ensure_future(at_end(client))
-        await until(lambda: connection in w.gateway.server._idle)
+        taken = asyncio.ensure_future(read_to_end(client))
+        await until(lambda: connection in harness.gateway.server._idle)
         taken.cancel()
--- a/tests/gateway/test_departures.py
+++ b/tests/gateway/test_departures.py
@@ -15,9 +15,9 @@
 from roselink.http.host_connection import HostConnection
 from tests.support.event_loop import on_loop, until
 from tests.support.fake_hosts import Behaviour, FakeHost, hang, serve_ok
-from tests.support.gateway_clients import Client, SuddenClient, client_request
-from tests.support.gateway_harness import World, taken, world
-from tests.support.http_messages import Message, answer
+from tests.support.gateway_clients import BlockingClient, Client, client_request
+from tests.support.gateway_harness import GatewayHarness, accepted_requests, running_gateway
+from tests.support.http_messages import Message, response
 
 if TYPE_CHECKING:
     import asyncio
@@ -25,25 +25,25 @@
 
 
 @pytest.fixture(autouse=True)
-def connections_settle_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def no_reuse_delay(monkeypatch: pytest.MonkeyPatch) -> None:
     """With a connection at hand a send is written in the turn in which it comes due."""
     monkeypatch.setattr(host_pool, "REUSE_DELAY_S", -1.0)
 
 
 @pytest.fixture(
-    autouse=True, params=[SuddenClient.close, SuddenClient.reset, SuddenClient.end_sending]
+    autouse=True, params=[BlockingClient.close, BlockingClient.reset, BlockingClient.end_sending]
 )
-def way_of_leaving(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(SuddenClient, "how", request.param)
+def disconnect_method(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(BlockingClient, "disconnect_method", request.param)
 
 
 class HeldAlarms:
     """The module's alarms, which wait until a test lets them ring."""
 
-    def __init__(self, w: World) -> None:
+    def __init__(self, harness: GatewayHarness) -> None:
         self.held: list[Event] = []
-        self._feed: Callable[[Event], None] = w.gateway.engine.feed
-        w.gateway.engine.feed = self._take  # type: ignore[method-assign]
+        self._feed: Callable[[Event], None] = harness.gateway.engine.feed
+        harness.gateway.engine.feed = self._take  # type: ignore[method-assign]
 
     def _take(self, event: Event) -> None:
         if isinstance(event, Alarm):
@@ -57,156 +57,164 @@
             self._feed(event)
 
 
-async def refuse_unseen(message: Message, writer: asyncio.StreamWriter) -> None:
-    writer.write(answer(b"", "503 Busy", "Not-Started: 1"))
+async def refuse_not_started(message: Message, writer: asyncio.StreamWriter) -> None:
+    writer.write(response(b"", "503 Busy", "Not-Started: 1"))
 
 
 def ids(*hosts: FakeHost) -> list[str]:
     return [message.headers["request-id"] for host in hosts for message in host.seen]
 
 
-async def settled(w: World, then: Behaviour = serve_ok) -> None:
+async def all_requests_ended(harness: GatewayHarness, then: Behaviour = serve_ok) -> None:
     """Nothing is open any more, and each host has read all that was written to it before this."""
-    await until(lambda: not w.gateway.engine._open)
-    for host in w.hosts:
+    await until(lambda: not harness.gateway.engine._open)
+    for host in harness.hosts:
         host.behave = serve_ok
         async with Client(host.address[1]) as client:
-            assert (await client.ask()).status == 200
+            assert (await client.request()).status == 200
         host.behave = then
 
 
 @on_loop
-async def test_while_waiting_for_a_first_host() -> None:
-    async with world() as w:
-        client = SuddenClient(w.gateway.port)
+async def test_a_request_waiting_for_a_first_host_is_not_sent_after_a_disconnect() -> None:
+    async with running_gateway() as harness:
+        client = BlockingClient(harness.gateway.port)
         [number] = client.send()
-        await until(lambda: bool(w.gateway.engine._open))
-        w.hosts.append(await FakeHost("s-first").start())
-        line = w.discovery.line(w.hosts[0].entry())
-        client.leave()
-        w.gateway.discovery._apply_value(line)
-        await settled(w)
-        assert number not in ids(*w.hosts)
+        await until(lambda: bool(harness.gateway.engine._open))
+        harness.hosts.append(await FakeHost("s-first").start())
+        line = harness.discovery.encode_list(harness.hosts[0].entry())
+        client.disconnect()
+        harness.gateway.discovery._apply_value(line)
+        await all_requests_ended(harness)
+        assert number not in ids(*harness.hosts)
 
 
 @pytest.mark.parametrize("draining", [False, True])
 @on_loop
-async def test_in_backoff(draining: bool) -> None:
-    async with world(refuse_unseen) as w:
-        alarms, client = HeldAlarms(w), SuddenClient(w.gateway.port)
+async def test_a_request_in_backoff_is_not_retried_after_a_disconnect(draining: bool) -> None:
+    async with running_gateway(refuse_not_started) as harness:
+        alarms, client = HeldAlarms(harness), BlockingClient(harness.gateway.port)
         [number] = client.send()
-        await w.hosts[0].came.get()
+        await harness.hosts[0].came.get()
         await until(lambda: bool(alarms.held))
-        w.gateway.server.draining = draining
-        client.leave()
+        harness.gateway.server.draining = draining
+        client.disconnect()
         alarms.ring()
-        w.gateway.server.draining = False
-        await settled(w)
-        assert ids(*w.hosts).count(number) == 1
+        harness.gateway.server.draining = False
+        await all_requests_ended(harness)
+        assert ids(*harness.hosts).count(number) == 1
 
 
 @on_loop
-async def test_while_waiting_for_a_connect(monkeypatch: pytest.MonkeyPatch) -> None:
-    async with world(serve_ok) as w:
-        client = SuddenClient(w.gateway.port)
+async def test_a_request_waiting_for_a_connect_is_not_sent_after_a_disconnect(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    async with running_gateway(serve_ok) as harness:
+        client = BlockingClient(harness.gateway.port)
         made = HostConnection.connection_made
 
         def leave(connection: HostConnection, transport: asyncio.BaseTransport) -> None:
             made(connection, transport)
-            client.leave()
+            client.disconnect()
 
         with monkeypatch.context() as patch:
             patch.setattr(HostConnection, "connection_made", leave)
             [number] = client.send()
-            await until(lambda: client.left and not w.gateway.engine._open)
-        await settled(w)
-        assert number not in ids(*w.hosts)
+            await until(lambda: client.disconnected and not harness.gateway.engine._open)
+        await all_requests_ended(harness)
+        assert number not in ids(*harness.hosts)
 
 
 @on_loop
-async def test_while_queued_behind_another_request_of_its_connection(
+async def test_a_pipelined_request_is_not_sent_after_a_disconnect(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The answer before it and its client's end come in one turn."""
-    async with world(hang) as w:
-        client = SuddenClient(w.gateway.port)
+    async with running_gateway(hang) as harness:
+        client = BlockingClient(harness.gateway.port)
         whole = ClientConnection.respond
 
         def leave(connection: ClientConnection, *reply: object) -> None:
             whole(connection, *reply)  # type: ignore[arg-type]
-            client.leave()
+            client.disconnect()
 
         with monkeypatch.context() as patch:
             patch.setattr(ClientConnection, "respond", leave)
             first, second = client.send(count=2)
-            await w.hosts[0].came.get()
-            w.hosts[0].writers[0].write(answer())
-            await until(lambda: client.left)
-            await until(lambda: not w.gateway.server.connections)
-        await settled(w)
-        assert ids(*w.hosts).count(first) == 1
-        assert second not in ids(*w.hosts)
+            await harness.hosts[0].came.get()
+            harness.hosts[0].writers[0].write(response())
+            await until(lambda: client.disconnected)
+            await until(lambda: not harness.gateway.server.connections)
+        await all_requests_ended(harness)
+        assert ids(*harness.hosts).count(first) == 1
+        assert second not in ids(*harness.hosts)
 
 
 @on_loop
-async def test_with_reading_paused() -> None:
+async def test_a_disconnect_is_noticed_while_reading_is_paused() -> None:
     """Its client sent so much ahead that its connection is not read, and so not its end either."""
-    async with world(hang) as w:
-        client = SuddenClient(w.gateway.port)
+    async with running_gateway(hang) as harness:
+        client = BlockingClient(harness.gateway.port)
         first, *others = client.send(count=60)
-        await w.hosts[0].came.get()
-        [connection] = w.gateway.server.connections
+        await harness.hosts[0].came.get()
+        [connection] = harness.gateway.server.connections
         assert connection._reading_paused
-        client.leave()
-        w.hosts[0].writers[0].write(answer())
-        await until(lambda: not w.gateway.server.connections)
-        await settled(w)
-        assert ids(*w.hosts).count(first) == 1
-        assert not set(others) & set(ids(*w.hosts))
+        client.disconnect()
+        harness.hosts[0].writers[0].write(response())
+        await until(lambda: not harness.gateway.server.connections)
+        await all_requests_ended(harness)
+        assert ids(*harness.hosts).count(first) == 1
+        assert not set(others) & set(ids(*harness.hosts))
 
 
 @pytest.mark.parametrize(("leaves", "copies"), [(True, 1), (False, 2)])
 @on_loop
-async def test_with_a_hedge_due(leaves: bool, copies: int) -> None:
-    async with world(serve_ok, serve_ok) as w:
-        alarms = HeldAlarms(w)  # a copy sent while the module learns would spend a token
-        async with w.client() as client:
+async def test_a_hedge_is_not_sent_after_a_disconnect(leaves: bool, copies: int) -> None:
+    async with running_gateway(serve_ok, serve_ok) as harness:
+        alarms = HeldAlarms(harness)  # a copy sent while the module learns would spend a token
+        async with harness.client() as client:
             for _ in range(20):  # the module learns what is slow
-                await client.ask()
-            while not all(host.idle for host in w.gateway.engine.hosts.values()):
+                await client.request()
+            while not all(host.idle for host in harness.gateway.engine.hosts.values()):
                 await (
-                    client.ask()
+                    client.request()
                 )  # a copy that had to connect first would come after the client's end
-        await until(lambda: len(alarms.held) == len(w.gateway.engine._balancer.alarms))
+        await until(lambda: len(alarms.held) == len(harness.gateway.engine._balancer.alarms))
         alarms.ring()  # those of the requests before: what is held from now on is the next one's
-        for host in w.hosts:
+        for host in harness.hosts:
             host.behave = hang
-        sudden = SuddenClient(w.gateway.port)
-        [number] = sudden.send()
-        await until(lambda: number in ids(*w.hosts) and bool(alarms.held))
+        hedged_client = BlockingClient(harness.gateway.port)
+        [number] = hedged_client.send()
+        await until(lambda: number in ids(*harness.hosts) and bool(alarms.held))
         if leaves:
-            sudden.leave()
+            hedged_client.disconnect()
         alarms.ring()
         if not leaves:
-            await until(lambda: ids(*w.hosts).count(number) == 2)
-            sudden.leave()
-        await settled(w, hang)
-        assert ids(*w.hosts).count(number) == copies
+            await until(lambda: ids(*harness.hosts).count(number) == 2)
+            hedged_client.disconnect()
+        await all_requests_ended(harness, hang)
+        assert ids(*harness.hosts).count(number) == copies
 
 
 @pytest.mark.parametrize("pieces", [1, 2])
 @on_loop
-async def test_right_behind_its_request(pieces: int) -> None:
+async def test_a_request_followed_by_a_disconnect_is_not_sent(pieces: int) -> None:
     """Its last bytes and its end are in the kernel together."""
-    async with world(serve_ok) as w:
-        async with w.client() as usual:
-            assert (await usual.ask()).status == 200  # there is a connection to write to at once
-        asked, client, (number, data) = taken(w), SuddenClient(w.gateway.port), client_request()
+    async with running_gateway(serve_ok) as harness:
+        async with harness.client() as usual:
+            assert (
+                await usual.request()
+            ).status == 200  # there is a connection to write to at once
+        asked, client, (number, data) = (
+            accepted_requests(harness),
+            BlockingClient(harness.gateway.port),
+            client_request(),
+        )
         if pieces == 2:
             client.socket.sendall(data[:20])
-            await until(lambda: any(c._in_request for c in w.gateway.server.connections))
+            await until(lambda: any(c._in_request for c in harness.gateway.server.connections))
         client.socket.sendall(data[20 * (pieces - 1) :])
-        client.leave()
+        client.disconnect()
         await until(lambda: bool(asked))
-        await settled(w)
-        assert number not in ids(*w.hosts)
+        await all_requests_ended(harness)
+        assert number not in ids(*harness.hosts)
--- a/tests/gateway/test_discovery.py
+++ b/tests/gateway/test_discovery.py
@@ -24,10 +24,15 @@
 )
 from tests.support.event_loop import on_loop, until
 from tests.support.fake_discovery import FakeDiscovery
-from tests.support.fake_hosts import Behaviour, FakeHost, break_off, hang, sends, serve_ok
+from tests.support.fake_hosts import Behaviour, FakeHost, hang, reset_connection, sends, serve_ok
 from tests.support.gateway_clients import Client
-from tests.support.gateway_harness import World, alone, settings_data, world
-from tests.support.http_messages import Message, answer
+from tests.support.gateway_harness import (
+    GatewayHarness,
+    gateway_with_known_list,
+    running_gateway,
+    settings_data,
+)
+from tests.support.http_messages import Message, response
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -52,7 +57,7 @@
     return lambda d: d.send(json.dumps(given).encode() + b"\n")
 
 
-SPOILT: list[dict[str, Any]] = [
+INVALID_FIELDS: list[dict[str, Any]] = [
     {"instanceId": ""},
     {"instanceId": None},
     {"instanceId": 5},
@@ -76,7 +81,7 @@
     {"zone": 7},
     {"machineType": []},
 ]
-BROKEN: list[Callable[[FakeDiscovery], None]] = [
+INVALID_WATCHES: list[Callable[[FakeDiscovery], None]] = [
     end,
     finish,
     lambda d: d.watches[-1].write(b"no chunk at all\r\n"),
@@ -87,49 +92,51 @@
     lambda d: d.send(b'{"generation":9,"reset":true,"instances":[7]}\n'),
     lambda d: d.send(b'{"generation":-1,"reset":true,"instances":[]}\n'),
     lambda d: d.send(b'{"generation":9,"reset":"no","instances":[]}\n'),
-    *(entry_with(change) for change in SPOILT),
+    *(entry_with(change) for change in INVALID_FIELDS),
 ]
 
 
-@pytest.mark.parametrize("spoil", BROKEN)
+@pytest.mark.parametrize("break_watch", INVALID_WATCHES)
 @on_loop
-async def test_a_spoilt_watch_begins_again_and_the_list_stands(
-    spoil: Callable[[FakeDiscovery], None],
+async def test_an_invalid_watch_is_restarted_and_the_list_stays_in_force(
+    break_watch: Callable[[FakeDiscovery], None],
 ) -> None:
-    async with world(serve_ok) as w, w.client() as client:
-        spoil(w.discovery)
-        assert (await w.discovery.asked.get()).endswith("from=1")
-        assert (await client.ask()).status == 200
+    async with running_gateway(serve_ok) as harness, harness.client() as client:
+        break_watch(harness.discovery)
+        assert (await harness.discovery.requests.get()).endswith("from=1")
+        assert (await client.request()).status == 200
         new = await FakeHost("s-new").start()
-        w.discovery.tell(new.entry())
-        await until(lambda: len(w.gateway.engine.hosts) == 2)
+        harness.discovery.send_changes(new.entry())
+        await until(lambda: len(harness.gateway.engine.hosts) == 2)
 
 
 @on_loop
-async def test_a_silent_watch_begins_again(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_watch_is_restarted_after_its_keep_alive_timeout(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """An agent that is cut off says nothing, and a connection to it stays open for ever."""
     monkeypatch.setattr(discovery, "WATCH_TIMEOUT_S", 0.2)
-    async with world(serve_ok) as w, w.client() as client:
-        await w.discovery.asked.get()
-        assert (await client.ask()).status == 200
+    async with running_gateway(serve_ok) as harness, harness.client() as client:
+        await harness.discovery.requests.get()
+        assert (await client.request()).status == 200
 
 
 @on_loop
-async def test_an_empty_line_is_a_sign_of_life() -> None:
-    async with world(serve_ok) as w:
-        w.discovery.send(b"\n")
-        w.discovery.tell(w.hosts[0].entry(lifecycle="draining"))
-        await until(lambda: not next(iter(w.gateway.engine.hosts.values())).ready)
-        assert len(w.discovery.watches) == 1
+async def test_an_empty_line_is_a_keep_alive() -> None:
+    async with running_gateway(serve_ok) as harness:
+        harness.discovery.send(b"\n")
+        harness.discovery.send_changes(harness.hosts[0].entry(lifecycle="draining"))
+        await until(lambda: not next(iter(harness.gateway.engine.hosts.values())).ready)
+        assert len(harness.discovery.watches) == 1
 
 
 @on_loop
-async def test_a_line_may_come_in_pieces() -> None:
-    async with world(serve_ok) as w:
-        line = w.discovery.line(w.hosts[0].entry(lifecycle="draining"))
+async def test_a_list_may_arrive_in_several_chunks() -> None:
+    async with running_gateway(serve_ok) as harness:
+        line = harness.discovery.encode_list(harness.hosts[0].entry(lifecycle="draining"))
         for start in range(0, len(line), 7):
-            w.discovery.send(line[start : start + 7])
-        await until(lambda: not next(iter(w.gateway.engine.hosts.values())).ready)
+            harness.discovery.send(line[start : start + 7])
+        await until(lambda: not next(iter(harness.gateway.engine.hosts.values())).ready)
 
 
 INDENTS: list[int | str] = [2, "\t"]
@@ -138,51 +145,51 @@
 @pytest.mark.parametrize("indent", INDENTS)
 @pytest.mark.parametrize("step", [1, 7, 65536])
 @on_loop
-async def test_a_list_on_a_watch_may_be_laid_out_over_lines(step: int, indent: int | str) -> None:
-    async with world(serve_ok) as w:
-        given = json.loads(w.discovery.line(w.hosts[0].entry(lifecycle="draining")))
+async def test_a_list_on_a_watch_may_contain_line_breaks(step: int, indent: int | str) -> None:
+    async with running_gateway(serve_ok) as harness:
+        given = json.loads(
+            harness.discovery.encode_list(harness.hosts[0].entry(lifecycle="draining"))
+        )
         data = json.dumps(given, indent=indent).encode() + b"\n\n"
         for start in range(0, len(data), step):
-            w.discovery.send(data[start : start + step])
-        await until(lambda: not next(iter(w.gateway.engine.hosts.values())).ready)
-        assert len(w.discovery.watches) == 1
+            harness.discovery.send(data[start : start + step])
+        await until(lambda: not next(iter(harness.gateway.engine.hosts.values())).ready)
+        assert len(harness.discovery.watches) == 1
 
 
 @pytest.mark.parametrize("indent", INDENTS)
 @on_loop
-async def test_a_whole_list_may_be_laid_out_over_lines(indent: int | str) -> None:
-    async with world(serve_ok) as w:
-        new = await FakeDiscovery(w.hosts[0].entry(lifecycle="draining")).start()
-        new.first = json.dumps(json.loads(new.first), indent=indent).encode()
-        w.gateway.discovery.switch_to(("127.0.0.1", new.port))
-        await until(lambda: not next(iter(w.gateway.engine.hosts.values())).ready)
+async def test_a_full_list_may_contain_line_breaks(indent: int | str) -> None:
+    async with running_gateway(serve_ok) as harness:
+        new = await FakeDiscovery(harness.hosts[0].entry(lifecycle="draining")).start()
+        new.initial_list = json.dumps(json.loads(new.initial_list), indent=indent).encode()
+        harness.gateway.discovery.switch_to(("127.0.0.1", new.port))
+        await until(lambda: not next(iter(harness.gateway.engine.hosts.values())).ready)
 
 
-TRICKLES: list[bytes] = [
+PARTIAL_DATA: list[bytes] = [
     b'{"generation":2,"reset":true,"instances":[',  # a list that stalls half way
     b" ",  # neither a line's end nor a list
 ]
 
 
-@pytest.mark.parametrize("trickle", TRICKLES)
+@pytest.mark.parametrize("data", PARTIAL_DATA)
 @on_loop
-async def test_a_trickle_keeps_no_dead_watch(
-    trickle: bytes, monkeypatch: pytest.MonkeyPatch
-) -> None:
+async def test_partial_data_is_no_keep_alive(data: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     """Bytes go on coming, each well before the time-out, but never a list or an empty line."""
     monkeypatch.setattr(discovery, "WATCH_TIMEOUT_S", 0.3)
-    async with world(serve_ok) as w:
-        old = w.discovery.watches[0]
-        w.discovery.send(trickle)
+    async with running_gateway(serve_ok) as harness:
+        old = harness.discovery.watches[0]
+        harness.discovery.send(data)
         while not old.is_closing():
             old.write(b"1\r\n \r\n")
             await asyncio.sleep(0.02)
-        assert await w.discovery.ended.get() == 0
-        assert (await w.discovery.asked.get()).endswith("from=1")
+        assert await harness.discovery.ended.get() == 0
+        assert (await harness.discovery.requests.get()).endswith("from=1")
 
 
 @on_loop
-async def test_an_answer_that_stalls_in_its_head_is_given_up(
+async def test_a_response_that_stalls_in_its_head_is_timed_out(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(discovery, "RESPONSE_TIMEOUT_S", 0.3)
@@ -195,7 +202,9 @@
             await asyncio.sleep(0.02)
 
     agent = await FakeHost("discovery", stall).start()
-    async with alone(agent, {"generation": 41, "reset": True, "instances": [host.entry()]}):
+    async with gateway_with_known_list(
+        agent, {"generation": 41, "reset": True, "instances": [host.entry()]}
+    ):
         await agent.came.get()
         await agent.closed.get()
         await agent.came.get()
@@ -207,15 +216,15 @@
     ids=["text", "array", "depth", "noise"],
 )
 @on_loop
-async def test_a_list_without_end_is_given_up_before_it_fills_the_memory(endless: bytes) -> None:
-    async with world(serve_ok) as w, w.client() as client:
-        w.discovery.send(endless)
-        assert (await w.discovery.asked.get()).endswith("from=1")
-        assert (await client.ask()).status == 200
+async def test_an_endless_list_ends_the_watch(endless: bytes) -> None:
+    async with running_gateway(serve_ok) as harness, harness.client() as client:
+        harness.discovery.send(endless)
+        assert (await harness.discovery.requests.get()).endswith("from=1")
+        assert (await client.request()).status == 200
 
 
 @on_loop
-async def test_a_pushed_list_is_fetched_at_once_by_each_of_a_large_fleet() -> None:
+async def test_push_mode_has_no_paced_delay_in_a_large_fleet() -> None:
     """At the pace for asked lists the first call of one of 4,000 gateways would come seconds
     later.
     """
@@ -223,100 +232,104 @@
     known = {"generation": 41, "reset": True, "instances": [host.entry()]}
     agent = await FakeHost("agent", hang).start()
     settings = settings_data(balancers=4000, discovery="push")
-    async with alone(agent, known, settings=settings):
+    async with gateway_with_known_list(agent, known, settings=settings):
         assert (await agent.came.get()).first.split()[1].endswith("from=41")
 
 
 @on_loop
-async def test_known_serves_until_discovery_answers() -> None:
+async def test_the_known_list_serves_until_discovery_responds() -> None:
     host = await FakeHost("s-known").start()
     known = {"generation": 41, "reset": True, "instances": [host.entry()]}
     silent = await FakeHost("discovery", hang).start()
-    async with alone(silent, known) as gateway, Client(gateway.port) as client:
-        assert (await client.ask()).status == 200
+    async with gateway_with_known_list(silent, known) as gateway, Client(gateway.port) as client:
+        assert (await client.request()).status == 200
         assert (await silent.came.get()).first.split()[1].endswith("from=41")
 
 
 @on_loop
-async def test_a_refusing_discovery_is_asked_again() -> None:
+async def test_a_call_that_got_503_is_retried() -> None:
     host = await FakeHost("s-known").start()
     known = {"generation": 41, "reset": True, "instances": [host.entry()]}
-    busy = await FakeHost("discovery", sends(answer(b"", "503 Busy"))).start()
-    async with alone(busy, known) as gateway, Client(gateway.port) as client:
+    busy = await FakeHost("discovery", sends(response(b"", "503 Busy"))).start()
+    async with gateway_with_known_list(busy, known) as gateway, Client(gateway.port) as client:
         await busy.came.get()
         await busy.came.get()
-        assert (await client.ask()).status == 200
+        assert (await client.request()).status == 200
 
 
-def test_numbers_of_hosts_are_the_same_everywhere() -> None:
+def test_host_numbers_depend_on_the_name_only() -> None:
     assert server_number("s-5be2a07c") == server_number("s-5be2a07c")
     assert server_number("s-5be2a07c") != server_number("s-5be2a07d")
 
 
-async def successor(w: World, *entries: dict[str, Any]) -> FakeDiscovery:
+async def switch_discovery(harness: GatewayHarness, *entries: dict[str, Any]) -> FakeDiscovery:
     """Another discovery, whose generations begin anew, and a gateway told to watch it."""
     new = await FakeDiscovery(*entries).start()
-    w.gateway.discovery.switch_to(("127.0.0.1", new.port))
+    harness.gateway.discovery.switch_to(("127.0.0.1", new.port))
     return new
 
 
 @on_loop
-async def test_another_discovery_is_asked_for_its_whole_list() -> None:
+async def test_the_full_list_is_requested_from_another_discovery() -> None:
     """Its generations may be lower: `from=9` there would leave out what happened up to its ninth,
     and `from=0` what was there before its first.
     """
-    async with world(serve_ok) as w, w.client() as client:
-        w.discovery.generation = 8
-        w.discovery.tell(w.hosts[0].entry(weight=2.0))
-        await until(lambda: w.gateway.discovery._generation == 9)
+    async with running_gateway(serve_ok) as harness, harness.client() as client:
+        harness.discovery.generation = 8
+        harness.discovery.send_changes(harness.hosts[0].entry(weight=2.0))
+        await until(lambda: harness.gateway.discovery._generation == 9)
         other = await FakeHost("s-other").start()
-        new = await successor(w, w.hosts[0].entry(lifecycle="draining"), other.entry())
-        assert await new.asked.get() == "/discovery/hosts"
-        new.first = b"\n"
-        assert (await new.asked.get()).endswith("from=1")
-        await until(lambda: len(w.gateway.engine.hosts) == 2)
-        assert (await client.ask()).status == 200
-        assert (len(w.hosts[0].seen), len(other.seen)) == (0, 1)
+        new = await switch_discovery(
+            harness, harness.hosts[0].entry(lifecycle="draining"), other.entry()
+        )
+        assert await new.requests.get() == "/discovery/hosts"
+        new.initial_list = b"\n"
+        assert (await new.requests.get()).endswith("from=1")
+        await until(lambda: len(harness.gateway.engine.hosts) == 2)
+        assert (await client.request()).status == 200
+        assert (len(harness.hosts[0].seen), len(other.seen)) == (0, 1)
 
 
 @on_loop
-async def test_the_old_watch_cannot_undo_what_the_new_one_tells() -> None:
+async def test_data_of_the_old_watch_is_ignored_after_a_switch() -> None:
     """A line that lies read but not taken at the move, and whatever the old discovery says after
     it.
     """
-    async with world(serve_ok) as w, w.client() as client:
+    async with running_gateway(serve_ok) as harness, harness.client() as client:
         other = await FakeHost("s-other").start()
-        w.discovery.tell(w.hosts[0].entry(lifecycle="removed"))
-        new = await successor(w, w.hosts[0].entry(), other.entry())
+        harness.discovery.send_changes(harness.hosts[0].entry(lifecycle="removed"))
+        new = await switch_discovery(harness, harness.hosts[0].entry(), other.entry())
         await until(lambda: len(new.watches) == 1)
-        assert await w.discovery.ended.get() == 0
-        assert all(host.ready for host in w.gateway.engine.hosts.values())
-        assert (await client.ask()).status == 200
+        assert await harness.discovery.ended.get() == 0
+        assert all(host.ready for host in harness.gateway.engine.hosts.values())
+        assert (await client.request()).status == 200
 
 
 @on_loop
-async def test_the_list_stands_until_another_discovery_answers() -> None:
-    async with world(serve_ok) as w, w.client() as client:
-        assert (await client.ask()).status == 200
+async def test_the_list_stays_in_force_until_another_discovery_responds() -> None:
+    async with running_gateway(serve_ok) as harness, harness.client() as client:
+        assert (await client.request()).status == 200
         silent = await FakeHost("discovery", hang).start()
-        w.gateway.discovery.switch_to(silent.address)
+        harness.gateway.discovery.switch_to(silent.address)
         await silent.came.get()
-        assert (await client.ask()).status == 200
-        assert w.hosts[0].closed.empty()  # its connection stands too
+        assert (await client.request()).status == 200
+        assert harness.hosts[0].closed.empty()  # its connection stands too
 
 
 @on_loop
-async def test_zones_that_the_settings_do_not_name_differ() -> None:
+async def test_unknown_zones_get_different_numbers() -> None:
     """As one zone their hosts would be taken for a group that drops each other's repeats."""
-    async with world(serve_ok) as w:
+    async with running_gateway(serve_ok) as harness:
         hosts = [await FakeHost(f"s-{name}").start() for name in ("attic", "cellar", "loft")]
         zones = ("attic", "cellar", "attic")
-        w.discovery.tell(*(host.entry(zone=zone) for host, zone in zip(hosts, zones, strict=True)))
-        known = w.gateway.engine._balancer.state.servers
+        harness.discovery.send_changes(
+            *(host.entry(zone=zone) for host, zone in zip(hosts, zones, strict=True))
+        )
+        known = harness.gateway.engine._balancer.state.servers
         await until(lambda: len(known) == 4)
         attic, cellar, loft = (known[server_number(host.name)].spec.zone for host in hosts)
         assert attic == loft != cellar
-        assert known[server_number(w.hosts[0].name)].spec.zone not in (attic, cellar)
+        assert known[server_number(harness.hosts[0].name)].spec.zone not in (attic, cellar)
 
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -339,12 +352,12 @@
         (sends(HEAD + chunk(EMPTY) + b"no chunk\r\n"), Cause.ENDED),
         (sends(HEAD + chunk(b"[]\n")), Cause.MALFORMED),
         (sends(b"no HTTP\r\n\r\n"), Cause.FAILED),
-        (sends(answer(b"", "503 Busy")), Cause.FAILED),
-        (break_off, Cause.FAILED),
+        (sends(response(b"", "503 Busy")), Cause.FAILED),
+        (reset_connection, Cause.FAILED),
     ],
 )
 @on_loop
-async def test_what_ends_a_watch_is_told_apart(
+async def test_each_end_of_a_watch_has_its_cause(
     behave: Behaviour, cause: Cause, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Each has a time of its own by which the list must be here."""
@@ -360,7 +373,7 @@
     host = await FakeHost("s-known").start()
     known = {"generation": 41, "reset": True, "instances": [host.entry()]}
     agent = await FakeHost("discovery", behave).start()
-    async with alone(agent, known) as gateway:
+    async with gateway_with_known_list(agent, known) as gateway:
         await until(lambda: len(causes) == 3)
         assert causes == [Cause.START, cause, cause]
         gateway.discovery.switch_to(agent.address)
@@ -372,8 +385,8 @@
     [
         None,
         hang,
-        break_off,
-        sends(answer(b"", "503 Busy")),
+        reset_connection,
+        sends(response(b"", "503 Busy")),
         sends(b"no HTTP\r\n\r\n"),
         sends(HEAD + chunk(b"[]\n")),
         sends(HEAD),
@@ -382,7 +395,7 @@
     ids=["refused", "nothing", "reset", "503", "noise", "no list", "silent", "ended"],
 )
 @on_loop
-async def test_a_drain_is_heard_in_time_after_whatever_trouble_of_discovery(
+async def test_a_drain_is_received_by_the_deadline_after_failed_calls(
     trouble: Behaviour | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """At 200 gateways, however the calls before ended, and though discovery came back right after
@@ -411,7 +424,9 @@
     agent = await FakeHost("discovery", trouble or hang).start()
     if trouble is None:
         agent.down()
-    async with alone(agent, known, settings=settings_data(balancers=200)) as gateway:
+    async with gateway_with_known_list(
+        agent, known, settings=settings_data(balancers=200)
+    ) as gateway:
         await until(lambda: len(waits) >= 4)
         agent.behave = sends(HEAD + chunk(json.dumps(drain).encode() + b"\n"))
         if trouble is None:
@@ -422,26 +437,28 @@
 
 @pytest.mark.parametrize("lost", ["spoilt", "silent"])
 @on_loop
-async def test_a_watch_lost_in_the_turn_of_a_reload_leaves_one_watch_of_the_new_discovery(
+async def test_a_watch_that_ends_during_a_reload_leaves_one_watch_of_the_new_discovery(
     lost: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(discovery, "WATCH_TIMEOUT_S", 0.2 if lost == "silent" else 1000.0)
-    async with world(serve_ok) as w:
-        new = await FakeDiscovery(w.hosts[0].entry()).start()
+    async with running_gateway(serve_ok) as harness:
+        new = await FakeDiscovery(harness.hosts[0].entry()).start()
         if lost == "silent":
-            w.discovery.send(b"\n")
+            harness.discovery.send(b"\n")
             await asyncio.sleep(0.01)  # it has set its time-out
             time.sleep(0.3)  # which falls due in this turn
         else:
-            os.write(w.discovery.watches[-1].get_extra_info("socket").fileno(), b"no chunk\r\n")
+            os.write(
+                harness.discovery.watches[-1].get_extra_info("socket").fileno(), b"no chunk\r\n"
+            )
         monkeypatch.setattr(discovery, "WATCH_TIMEOUT_S", 1000.0)
-        w.gateway.discovery.switch_to(("127.0.0.1", new.port))
-        assert await new.asked.get() == "/discovery/hosts"
-        assert (await new.asked.get()).endswith("from=1")
-        new.tell(w.hosts[0].entry(lifecycle="draining"))
-        await until(lambda: not next(iter(w.gateway.engine.hosts.values())).ready)
+        harness.gateway.discovery.switch_to(("127.0.0.1", new.port))
+        assert await new.requests.get() == "/discovery/hosts"
+        assert (await new.requests.get()).endswith("from=1")
+        new.send_changes(harness.hosts[0].entry(lifecycle="draining"))
+        await until(lambda: not next(iter(harness.gateway.engine.hosts.values())).ready)
         watches = [
             task for task in asyncio.all_tasks() if "Discovery._run" in repr(task.get_coro())
         ]
         assert len(watches) == 1
-        assert (len(w.discovery.watches), len(new.watches)) == (1, 1)
+        assert (len(harness.discovery.watches), len(new.watches)) == (1, 1)
--- a/tests/gateway/test_forwarding.py
+++ b/tests/gateway/test_forwarding.py
@@ -10,14 +10,14 @@
 from roselink.gateway.engine import ClientRequest
 from tests.support.event_loop import on_loop
 from tests.support.fake_hosts import hang, sends, serve_ok
-from tests.support.gateway_harness import world
-from tests.support.http_messages import Message, answer
+from tests.support.gateway_harness import running_gateway
+from tests.support.http_messages import Message, response
 
 if TYPE_CHECKING:
     from tests.support.gateway_clients import Client
 
 
-async def at_end(client: Client) -> bytes:
+async def read_to_end(client: Client) -> bytes:
     """All that comes until the gateway ends the connection."""
     return await client.reader.read()
 
@@ -26,38 +26,38 @@
 
 
 @on_loop
-async def test_a_request_goes_on_unchanged_and_its_answer_comes_back() -> None:
+async def test_a_request_is_forwarded_unchanged_and_its_response_returned() -> None:
     async with (
-        world(sends(answer(b"seat 7", "200 OK", "Content-Type: text/seat"))) as w,
-        w.client() as client,
+        running_gateway(sends(response(b"seat 7", "200 OK", "Content-Type: text/seat"))) as harness,
+        harness.client() as client,
     ):
-        got = await client.ask(
+        got = await client.request(
             "/seat-checkout/k%201?x=1", b"take", Idempotency_Key="abc", Work_Hint="900"
         )
-        seen = w.hosts[0].seen[0]
+        seen = harness.hosts[0].seen[0]
         assert (got.status, got.body, got.headers["content-type"]) == (200, b"seat 7", "text/seat")
         assert (seen.first, seen.body) == ("POST /seat-checkout/k%201?x=1 HTTP/1.1", b"take")
         assert seen.headers["idempotency-key"] == "abc"
         assert seen.headers["work-hint"] == "900"
         assert 0 < int(seen.headers["request-timeout-ms"]) < 9000
-        assert (await client.ask()).status == 200  # on the same connection
+        assert (await client.request()).status == 200  # on the same connection
 
 
 @on_loop
-async def test_hop_by_hop_headers_end_here() -> None:
-    async with world(serve_ok) as w, w.client() as client:
-        await client.ask(Connection="keep-alive", TE="trailers")
-        assert not {"connection", "te"} & set(w.hosts[0].seen[0].headers)
+async def test_hop_by_hop_headers_are_not_forwarded() -> None:
+    async with running_gateway(serve_ok) as harness, harness.client() as client:
+        await client.request(Connection="keep-alive", TE="trailers")
+        assert not {"connection", "te"} & set(harness.hosts[0].seen[0].headers)
 
 
 @on_loop
-async def test_requests_sent_ahead_are_answered_in_order() -> None:
+async def test_pipelined_requests_get_responses_in_order() -> None:
     """Each of them was taken when its last byte was written: dropping one would lose it."""
 
     async def echo(message: Message, writer: asyncio.StreamWriter) -> None:
-        writer.write(answer(message.first.split()[1].encode()))
+        writer.write(response(message.first.split()[1].encode()))
 
-    async with world(echo) as w, w.client() as client:
+    async with running_gateway(echo) as harness, harness.client() as client:
         for number in range(60):
             client.send(f"/status-check/k{number}")
         got = [(await client.receive()).body for _ in range(60)]
@@ -65,73 +65,73 @@
 
 
 @on_loop
-async def test_a_drain_answers_what_was_sent_ahead() -> None:
+async def test_a_drain_serves_pipelined_requests() -> None:
     """`Connection: close` on the first answer would drop the rest, which was taken already."""
-    async with world(hang) as w, w.client() as client:
+    async with running_gateway(hang) as harness, harness.client() as client:
         client.send()
         client.send()
-        await w.hosts[0].came.get()
-        w.gateway.server.draining = True
-        w.hosts[0].behave = serve_ok
-        w.hosts[0].writers[0].write(answer(b"first"))
+        await harness.hosts[0].came.get()
+        harness.gateway.server.draining = True
+        harness.hosts[0].behave = serve_ok
+        harness.hosts[0].writers[0].write(response(b"first"))
         first, second = await client.receive(), await client.receive()
         assert (first.body, first.headers["connection"]) == (b"first", "keep-alive")
         assert (second.status, second.headers["connection"]) == (200, "close")
-        assert await at_end(client) == b""
+        assert await read_to_end(client) == b""
 
 
 @on_loop
-async def test_an_offered_upgrade_is_not_taken_up() -> None:
+async def test_an_upgrade_is_declined() -> None:
     """One answer, then the end: the parser can read nothing more on that connection."""
-    async with world(serve_ok) as w, w.client() as client:
+    async with running_gateway(serve_ok) as harness, harness.client() as client:
         head = b"GET /status-check/k HTTP/1.1\r\nUpgrade: x\r\nConnection: upgrade\r\n"
         client.writer.write(head + GOOD + b"\r\n")
         got = await client.receive()
         assert (got.status, got.headers["connection"]) == (200, "close")
-        assert await at_end(client) == b""
+        assert await read_to_end(client) == b""
 
 
 @on_loop
 async def test_a_body_of_the_limit_is_served() -> None:
-    async with world(serve_ok) as w, w.client() as client:
-        assert (await client.ask("/audit/k", b"x" * 65536)).status == 200
-        assert len(w.hosts[0].seen[0].body) == 65536
+    async with running_gateway(serve_ok) as harness, harness.client() as client:
+        assert (await client.request("/audit/k", b"x" * 65536)).status == 200
+        assert len(harness.hosts[0].seen[0].body) == 65536
 
 
 @on_loop
-async def test_a_chunked_request_goes_on_with_a_length() -> None:
-    async with world(serve_ok) as w, w.client() as client:
+async def test_a_chunked_request_is_forwarded_with_a_content_length() -> None:
+    async with running_gateway(serve_ok) as harness, harness.client() as client:
         head = b"POST /audit/k HTTP/1.1\r\nTransfer-Encoding: chunked\r\n" + GOOD + b"\r\n"
         client.writer.write(head + b"3\r\nabc\r\n0\r\n\r\n")
         assert (await client.receive()).status == 200
-        assert w.hosts[0].seen[0].body == b"abc"
+        assert harness.hosts[0].seen[0].body == b"abc"
 
 
 @on_loop
-async def test_a_trailer_is_no_header() -> None:
-    async with world(serve_ok) as w, w.client() as client:
+async def test_a_trailer_is_not_taken_as_a_header() -> None:
+    async with running_gateway(serve_ok) as harness, harness.client() as client:
         head = b"POST /audit/k HTTP/1.1\r\nTransfer-Encoding: chunked\r\n" + GOOD + b"\r\n"
         client.writer.write(head + b"3\r\nabc\r\n0\r\nRequest-Id: other\r\nX: y\r\n\r\n")
         assert (await client.receive()).status == 200
-        seen = w.hosts[0].seen[0].headers
+        seen = harness.hosts[0].seen[0].headers
         assert (seen["request-id"], "x" in seen) == ("z", False)
 
 
 @on_loop
-async def test_a_client_in_a_hurry_is_left_time() -> None:
+async def test_margins_shrink_for_a_short_client_timeout() -> None:
     """The margins before the deadline shrink with it: fixed ones would leave such a client none."""
-    async with world(hang) as w:
+    async with running_gateway(hang) as harness:
         before = asyncio.get_running_loop().time()
         request = ClientRequest(
             "hurry", 0, 0, None, before + 0.030, False, None, b"GET / HTTP/1.1\r\n", b""
         )
-        opened = w.gateway.engine.accept(request, lambda reply: None, lambda: False)
+        opened = harness.gateway.engine.accept(request, lambda reply: None, lambda: False)
         assert before + 0.022 < opened.attempt_deadline < request.expires
 
 
 @pytest.mark.parametrize("tenant", ["stranger", None])
 @on_loop
-async def test_an_unknown_tenant_is_served_as_over_its_share(tenant: str | None) -> None:
-    async with world(serve_ok) as w, w.client() as client:
-        assert (await client.ask(Tenant=tenant)).status == 200
-        assert not w.gateway.engine._balancer.quotas.take(-1)
+async def test_an_unknown_tenant_is_served_as_over_its_quota(tenant: str | None) -> None:
+    async with running_gateway(serve_ok) as harness, harness.client() as client:
+        assert (await client.request(Tenant=tenant)).status == 200
+        assert not harness.gateway.engine._balancer.quotas.take(-1)
--- a/tests/gateway/test_json_framer.py
+++ b/tests/gateway/test_json_framer.py
@@ -23,7 +23,7 @@
 
 @settings(max_examples=100, derandomize=True, deadline=None)
 @given(st.lists(objects, max_size=4), st.sampled_from([None, 1, "\t"]), st.integers(1, 9))
-def test_any_objects_come_back_whole_from_any_pieces(
+def test_objects_are_framed_from_chunks_of_any_size(
     values: list[Any], indent: int | str | None, step: int
 ) -> None:
     data = b"".join(json.dumps(value, indent=indent).encode() + b"\n" for value in values)
@@ -35,7 +35,7 @@
     assert not framer.in_value
 
 
-def test_a_value_counts_as_begun_until_its_end() -> None:
+def test_in_value_is_true_until_the_value_is_complete() -> None:
     framer = JsonFramer(100)
     assert list(framer.feed(b' {"a":[1')) == []
     assert framer.in_value
@@ -46,12 +46,12 @@
 @pytest.mark.parametrize(
     "data", [b"7", b"[1]", b"}", b'"{}"', b'{"a":1}x\n', b'{"a":"' + b"b" * 100, b'{"a":' * 20]
 )
-def test_what_is_no_object_or_too_large_is_refused(data: bytes) -> None:
+def test_invalid_or_too_large_values_are_rejected(data: bytes) -> None:
     with pytest.raises(MalformedListError):
         list(JsonFramer(100).feed(data))
 
 
-def test_each_byte_is_looked_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_each_byte_is_scanned_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """A list that comes byte by byte costs as many searches as it has bytes, not as its square."""
     looked = 0
 
@@ -75,7 +75,7 @@
     assert looked <= len(data)
 
 
-def test_a_value_before_what_makes_no_sense_still_counts() -> None:
+def test_values_before_invalid_data_are_yielded() -> None:
     values = JsonFramer(100).feed(b'{"a":1}x')
     assert next(values) == b'{"a":1}'
     with pytest.raises(MalformedListError):
--- a/tests/gateway/test_malformed_requests.py
+++ b/tests/gateway/test_malformed_requests.py
@@ -8,14 +8,14 @@
 
 from tests.support.event_loop import on_loop
 from tests.support.fake_hosts import hang, serve_ok
-from tests.support.gateway_harness import world
-from tests.support.http_messages import answer
+from tests.support.gateway_harness import running_gateway
+from tests.support.http_messages import response
 
 if TYPE_CHECKING:
     from tests.support.gateway_clients import Client
 
 
-async def at_end(client: Client) -> bytes:
+async def read_to_end(client: Client) -> bytes:
     """All that comes until the gateway ends the connection."""
     return await client.reader.read()
 
@@ -41,15 +41,15 @@
     ],
 )
 @on_loop
-async def test_bad_requests_are_told_so_and_reach_no_host(
+async def test_invalid_requests_get_an_error_status_and_reach_no_host(
     path: str, headers: dict[str, Any], status: int
 ) -> None:
-    async with world(serve_ok) as w, w.client() as client:
-        assert (await client.ask(path, **headers)).status == status
+    async with running_gateway(serve_ok) as harness, harness.client() as client:
+        assert (await client.request(path, **headers)).status == status
         assert (
-            await client.ask()
+            await client.request()
         ).status == 200  # its framing was whole, so the connection serves on
-        assert len(w.hosts[0].seen) == 1
+        assert len(harness.hosts[0].seen) == 1
 
 
 @pytest.mark.parametrize(
@@ -93,21 +93,25 @@
     ],
 )
 @on_loop
-async def test_what_cannot_be_read_costs_its_connection_only(data: bytes, status: int) -> None:
-    async with world(serve_ok) as w, w.client() as client, w.client() as other:
+async def test_malformed_input_closes_only_its_connection(data: bytes, status: int) -> None:
+    async with (
+        running_gateway(serve_ok) as harness,
+        harness.client() as client,
+        harness.client() as other,
+    ):
         client.writer.write(data)
         assert (await client.receive()).status == status
-        assert await at_end(client) == b""
-        assert (await other.ask()).status == 200
-        assert len(w.hosts[0].seen) == 1
+        assert await read_to_end(client) == b""
+        assert (await other.request()).status == 200
+        assert len(harness.hosts[0].seen) == 1
 
 
 @on_loop
-async def test_an_error_waits_for_the_answer_before_it() -> None:
-    async with world(hang) as w, w.client() as client:
+async def test_an_error_response_follows_the_previous_response() -> None:
+    async with running_gateway(hang) as harness, harness.client() as client:
         client.send()
         client.writer.write(b"rubbish\r\n\r\n")
-        await w.hosts[0].came.get()
-        w.hosts[0].writers[0].write(answer(b"first"))
+        await harness.hosts[0].came.get()
+        harness.hosts[0].writers[0].write(response(b"first"))
         assert (await client.receive()).body == b"first"
         assert (await client.receive()).status == 400
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -24,8 +24,8 @@
 from tests.support.fake_discovery import FakeDiscovery
 from tests.support.fake_hosts import FakeHost, hang, sends, serve_ok
 from tests.support.gateway_clients import Client
-from tests.support.gateway_harness import config_data, settings_data, world
-from tests.support.http_messages import answer
+from tests.support.gateway_harness import config_data, running_gateway, settings_data
+from tests.support.http_messages import response
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
@@ -33,7 +33,7 @@
 ROOT = Path(__file__).parents[2]
 
 
-async def program(folder: Path, data: Any) -> Process:
+async def start_program(folder: Path, data: Any) -> Process:
     path = folder / "config.json"
     path.write_text(data if isinstance(data, str) else json.dumps(data))
     environment = {k: v for k, v in os.environ.items() if not k.startswith("GW_")} | {
@@ -50,45 +50,45 @@
     )
 
 
-_kept: list[socket.socket] = []
+_reserved_sockets: list[socket.socket] = []
 
 
-def free_port() -> int:
+def reserved_port() -> int:
     """A port for a gateway alone: kept bound, so that nobody else on this machine is given it
     meanwhile.
     """
     keeper = socket.socket()
     keeper.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     keeper.bind(("127.0.0.1", 0))
-    _kept.append(keeper)
+    _reserved_sockets.append(keeper)
     port: int = keeper.getsockname()[1]
     return port
 
 
-async def started(folder: Path, host: FakeHost, **changes: Any) -> tuple[Process, int]:
+async def start_ready(folder: Path, host: FakeHost, **changes: Any) -> tuple[Process, int]:
     """A gateway that has answered `/up` with 200."""
     discovery = await FakeDiscovery(host.entry()).start()
-    port = free_port()
-    process = await program(
+    port = reserved_port()
+    process = await start_program(
         folder, config_data(discovery.port, listen=f"127.0.0.1:{port}", **changes)
     )
-    await up(port)
+    await wait_for_up(port)
     return process, port
 
 
-async def up(port: int, status: int = 200) -> None:
+async def wait_for_up(port: int, status: int = 200) -> None:
     """Wait until `/up` says so."""
     while True:
         try:
             async with Client(port) as client:
-                if (await client.ask("/up", method="GET")).status == status:
+                if (await client.request("/up", method="GET")).status == status:
                     return
         except OSError:
             pass
         await asyncio.sleep(0.02)
 
 
-async def ended(process: Process) -> tuple[int, str]:
+async def exit_status(process: Process) -> tuple[int, str]:
     assert process.stderr is not None
     text = (await process.stderr.read()).decode()
     return await process.wait(), text
@@ -99,35 +99,37 @@
 
 
 @on_loop
-async def test_a_known_list_is_enough_to_be_ready(tmp_path: Path) -> None:
+async def test_a_known_list_makes_the_gateway_ready_without_discovery(tmp_path: Path) -> None:
     """A restart while discovery is down: nobody listens at its address."""
-    host, port = await FakeHost().start(), free_port()
+    host, port = await FakeHost().start(), reserved_port()
     known = {"generation": 41, "reset": True, "instances": [host.entry()]}
     with socket.socket() as nobody:
         nobody.bind(("127.0.0.1", 0))
         given = config_data(nobody.getsockname()[1], listen=f"127.0.0.1:{port}", known=known)
-        process = await program(tmp_path, given)
-        await up(port)
+        process = await start_program(tmp_path, given)
+        await wait_for_up(port)
         async with Client(port) as client:
-            assert (await client.ask()).status == 200
+            assert (await client.request()).status == 200
         assert threads(process) == 1  # no address had to be resolved
         process.send_signal(signal.SIGTERM)
-        assert (await ended(process))[0] == 0
+        assert (await exit_status(process))[0] == 0
 
 
 @on_loop
-async def test_with_no_known_list_it_is_ready_once_discovery_has_told(tmp_path: Path) -> None:
-    host, port = await FakeHost().start(), free_port()
+async def test_without_a_known_list_the_gateway_is_ready_after_the_first_list(
+    tmp_path: Path,
+) -> None:
+    host, port = await FakeHost().start(), reserved_port()
     with socket.socket() as later:
         later.bind(("127.0.0.1", 0))
         given = config_data(later.getsockname()[1], listen=f"127.0.0.1:{port}", known={})
-        process = await program(tmp_path, given)
-        await up(port, 503)
+        process = await start_program(tmp_path, given)
+        await wait_for_up(port, 503)
         await FakeDiscovery(host.entry()).start(later)
-        await up(port)
+        await wait_for_up(port)
         assert threads(process) == 1  # nor discovery's
         process.send_signal(signal.SIGTERM)
-        assert (await ended(process))[0] == 0
+        assert (await exit_status(process))[0] == 0
 
 
 # What a start imports beside the event loop and the parser. Each import is a part of the time to be
@@ -168,20 +170,20 @@
 
 
 @on_loop
-async def test_a_start_imports_no_more_than_it_needs(
+async def test_a_start_imports_only_the_listed_modules(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("PYTHONPROFILEIMPORTTIME", "1")
     base = await asyncio.create_subprocess_exec(
         sys.executable, "-c", "import httptools, uvloop", stdout=PIPE, stderr=PIPE
     )
-    _, text = await ended(base)
+    _, text = await exit_status(base)
     host = await FakeHost().start()
-    process, port = await started(tmp_path, host)
+    process, port = await start_ready(tmp_path, host)
     async with Client(port) as client:
-        assert (await client.ask()).status == 200
+        assert (await client.request()).status == 200
     process.send_signal(signal.SIGTERM)
-    added = imports((await ended(process))[1]) - imports(text)
+    added = imports((await exit_status(process))[1]) - imports(text)
     tops = {name.partition(".")[0] for name in added}
     public = {name for name in tops if not name.startswith("_") or name == "__future__"}
     loaded_by_site = {
@@ -195,51 +197,51 @@
 
 
 @on_loop
-async def test_sigterm_answers_what_was_taken(tmp_path: Path) -> None:
+async def test_sigterm_lets_open_requests_finish(tmp_path: Path) -> None:
     """A restart loses nothing that is open, also when its answer comes after all idle connections
     ended.
     """
     host = await FakeHost(behave=hang).start()
-    process, port = await started(tmp_path, host)
+    process, port = await start_ready(tmp_path, host)
     async with Client(port) as busy, Client(port) as idle:
         busy.send()
         await host.came.get()
-        assert (await idle.ask("/up", method="GET")).status == 200
+        assert (await idle.request("/up", method="GET")).status == 200
         process.send_signal(signal.SIGTERM)
         assert await idle.reader.read() == b""
-        host.writers[0].write(answer(b"at last"))
+        host.writers[0].write(response(b"at last"))
         got = await busy.receive()
         assert (got.body, got.headers["connection"]) == (b"at last", "close")
-    code, _ = await ended(process)
+    code, _ = await exit_status(process)
     assert code == 0
 
 
 @on_loop
-async def test_a_drain_serves_what_the_front_still_sends(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_drain_serves_requests_that_still_arrive(monkeypatch: pytest.MonkeyPatch) -> None:
     """The front learns of the end late: new connections and those it has are served on for that
     time.
     """
     monkeypatch.setattr(roselink.gateway.__main__, "ACCEPT_AFTER_SIGTERM_S", 1000.0)
-    async with world(serve_ok) as w, w.client() as before:
-        assert (await before.ask()).status == 200
-        drain = asyncio.ensure_future(w.gateway.drain())
-        await until(lambda: w.gateway.server.draining)
-        async with w.client() as late:
+    async with running_gateway(serve_ok) as harness, harness.client() as before:
+        assert (await before.request()).status == 200
+        drain = asyncio.ensure_future(harness.gateway.drain())
+        await until(lambda: harness.gateway.server.draining)
+        async with harness.client() as late:
             for client in (late, before):
-                got = await client.ask()
+                got = await client.request()
                 assert (got.status, got.headers["connection"]) == (200, "close")
                 assert await client.reader.read() == b""
         drain.cancel()
 
 
 @on_loop
-async def test_sigterm_ends_idle_connections_and_the_program(tmp_path: Path) -> None:
-    process, port = await started(tmp_path, await FakeHost().start())
+async def test_sigterm_closes_idle_connections_and_exits(tmp_path: Path) -> None:
+    process, port = await start_ready(tmp_path, await FakeHost().start())
     async with Client(port) as idle:
-        assert (await idle.ask()).status == 200
+        assert (await idle.request()).status == 200
         process.send_signal(signal.SIGTERM)
         assert await idle.reader.read() == b""
-        code, _ = await ended(process)
+        code, _ = await exit_status(process)
     assert code == 0
     with pytest.raises(OSError):
         await Client(port).__aenter__()
@@ -284,7 +286,7 @@
 
 
 @pytest.mark.parametrize(("data", "field"), BAD)
-def test_a_bad_configuration_names_the_field(tmp_path: Path, data: Any, field: str) -> None:
+def test_an_invalid_configuration_names_the_field(tmp_path: Path, data: Any, field: str) -> None:
     path = tmp_path / "config.json"
     path.write_text(data if isinstance(data, str) else json.dumps(data))
     with pytest.raises(ConfigError, match=field) as caught:
@@ -297,35 +299,35 @@
     [BAD[0], BAD[3], (config_data(1, known={"generation": 1, "instances": [3]}), "known")],
 )
 @on_loop
-async def test_a_bad_configuration_ends_the_program_with_one_line(
+async def test_an_invalid_configuration_exits_with_one_line(
     tmp_path: Path, data: Any, field: str
 ) -> None:
-    code, text = await ended(await program(tmp_path, data))
+    code, text = await exit_status(await start_program(tmp_path, data))
     assert code == 2
     assert len(text.splitlines()) == 1
     assert field in text
 
 
 @on_loop
-async def test_an_address_that_is_taken_ends_the_program_with_one_line(tmp_path: Path) -> None:
+async def test_an_address_in_use_exits_with_one_line(tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as taken:
         port = taken.getsockname()[1]
-        code, text = await ended(
-            await program(tmp_path, config_data(1, listen=f"127.0.0.1:{port}"))
+        code, text = await exit_status(
+            await start_program(tmp_path, config_data(1, listen=f"127.0.0.1:{port}"))
         )
     assert code == 2
     assert len(text.splitlines()) == 1
     assert "GW_LISTEN" in text
 
 
-def test_no_configuration_is_named_too() -> None:
+def test_a_missing_configuration_names_the_variable() -> None:
     with pytest.raises(ConfigError, match="GW_CONFIG"):
         load({})
     with pytest.raises(ConfigError, match="GW_CONFIG"):
         load({"GW_CONFIG": "/nonexistent/config.json"})
 
 
-def test_the_environment_comes_before_the_file(tmp_path: Path) -> None:
+def test_the_environment_overrides_the_file(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config_data(1)))
     config = load({"GW_CONFIG": str(path), "GW_NAME": "n7", "GW_LISTEN": "127.0.0.9:80"})
@@ -337,12 +339,12 @@
 
 
 @on_loop
-async def test_sighup_moves_the_watch_and_keeps_all_else(tmp_path: Path) -> None:
+async def test_sighup_switches_discovery_and_keeps_open_requests(tmp_path: Path) -> None:
     """SIGHUP used to kill the process. What is open is answered on the connections that were
     open.
     """
     host = await FakeHost(behave=hang).start()
-    process, port = await started(tmp_path, host)
+    process, port = await start_ready(tmp_path, host)
     successor = await FakeDiscovery(host.entry()).start()
     async with Client(port) as client:
         client.send()
@@ -350,40 +352,43 @@
         data = config_data(successor.port, listen=f"127.0.0.1:{port}")
         (tmp_path / "config.json").write_text(json.dumps(data))
         process.send_signal(signal.SIGHUP)
-        assert await successor.asked.get() == "/discovery/hosts"
-        host.writers[0].write(answer(b"still here"))
+        assert await successor.requests.get() == "/discovery/hosts"
+        host.writers[0].write(response(b"still here"))
         assert (await client.receive()).body == b"still here"
         host.behave = serve_ok
-        assert (await client.ask()).status == 200
+        assert (await client.request()).status == 200
         assert host.closed.empty()
         process.send_signal(signal.SIGTERM)
         process.send_signal(signal.SIGHUP)  # harmless while draining
-    assert (await ended(process))[0] == 0
+    assert (await exit_status(process))[0] == 0
 
 
 @on_loop
-async def test_a_reload_goes_by_the_file_and_a_bad_file_changes_nothing(
+async def test_a_reload_applies_the_file_and_ignores_an_invalid_one(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     path = tmp_path / "config.json"
-    async with world(serve_ok) as w, w.client() as client:
-        environment = {"GW_CONFIG": str(path), "GW_DISCOVERY": f"127.0.0.1:{w.discovery.port}"}
+    async with running_gateway(serve_ok) as harness, harness.client() as client:
+        environment = {
+            "GW_CONFIG": str(path),
+            "GW_DISCOVERY": f"127.0.0.1:{harness.discovery.port}",
+        }
         for bad in ("{", json.dumps(config_data(1, discovery="nowhere")), "[" * 200_000):
             path.write_text(bad)
             caplog.clear()
             with caplog.at_level("INFO", "roselink.gateway"):
-                w.gateway.reload(environment)
+                harness.gateway.reload(environment)
             assert len(caplog.records) == 1
             assert "old configuration stands" in caplog.text
-        assert (await client.ask()).status == 200
-        successor = await FakeDiscovery(w.hosts[0].entry()).start()
+        assert (await client.request()).status == 200
+        successor = await FakeDiscovery(harness.hosts[0].entry()).start()
         path.write_text(json.dumps(config_data(successor.port, limits={"sockets": 99})))
         with caplog.at_level("INFO", "roselink.gateway"):
-            w.gateway.reload(environment)
+            harness.gateway.reload(environment)
         assert "with a restart only: sockets" in caplog.text
         await until(lambda: len(successor.watches) == 1)
-        w.gateway.reload(environment)  # nothing new: the watch goes on
-        assert (await client.ask()).status == 200
+        harness.gateway.reload(environment)  # nothing new: the watch goes on
+        assert (await client.request()).status == 200
         assert len(successor.watches) == 1
 
 
@@ -403,7 +408,7 @@
 
 
 @contextlib.asynccontextmanager
-async def crowd(process: Process, port: int) -> AsyncIterator[None]:
+async def all_descriptors_used(process: Process, port: int) -> AsyncIterator[None]:
     """Idle clients that take every descriptor of the process."""
     with contextlib.ExitStack() as clients:
         while descriptors(process) < DESCRIPTORS:
@@ -411,64 +416,64 @@
         yield
 
 
-async def serves(port: int, body: bytes) -> None:
+async def serves_body(port: int, body: bytes) -> None:
     """New clients ask until the one host that is meant answers."""
     while True:
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):  # turned away
             async with Client(port) as client:
-                if (await client.ask()).body == body:
+                if (await client.request()).body == body:
                     return
 
 
 @on_loop
-async def test_a_crowd_of_clients_does_not_take_a_process_to_its_limit(tmp_path: Path) -> None:
+async def test_many_clients_do_not_use_up_the_descriptors(tmp_path: Path) -> None:
     """Past it an accept fails, and the loop closes connections with no word."""
     host = await FakeHost().start()
-    process, port = await started(tmp_path, host, limits={"sockets": DESCRIPTORS})
+    process, port = await start_ready(tmp_path, host, limits={"sockets": DESCRIPTORS})
     with contextlib.ExitStack() as clients:
         for _ in range(2 * DESCRIPTORS):
             await half_request(clients, port)
             assert descriptors(process) < DESCRIPTORS
     process.kill()
-    await ended(process)
+    await exit_status(process)
 
 
 @on_loop
-async def test_clients_that_take_every_descriptor_leave_discovery_its_own(tmp_path: Path) -> None:
+async def test_discovery_and_reload_work_when_clients_use_all_descriptors(tmp_path: Path) -> None:
     """While discovery is down, and at a reload: the file has to be read, and the new one called."""
     one, two, three = [
-        await FakeHost(name, sends(answer(name.encode()))).start() for name in ("1", "2", "3")
+        await FakeHost(name, sends(response(name.encode()))).start() for name in ("1", "2", "3")
     ]
     first, second = (
         await FakeDiscovery(one.entry()).start(),
         await FakeDiscovery(two.entry()).start(),
     )
-    port = free_port()
+    port = reserved_port()
     data = config_data(
         first.port,
         listen=f"127.0.0.1:{port}",
         settings=settings_data(discovery="push"),
         limits={"sockets": 2 * DESCRIPTORS},  # or it would keep some free
     )
-    process = await program(tmp_path, data)
+    process = await start_program(tmp_path, data)
     resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (DESCRIPTORS, DESCRIPTORS))
-    await first.asked.get()
+    await first.requests.get()
     first.down()
-    async with crowd(process, port):
+    async with all_descriptors_used(process, port):
         await first.up()
-        await first.asked.get()
-        first.tell(one.entry(lifecycle="draining"), two.entry())
-    await serves(port, b"2")
-    async with crowd(process, port):
+        await first.requests.get()
+        first.send_changes(one.entry(lifecycle="draining"), two.entry())
+    await serves_body(port, b"2")
+    async with all_descriptors_used(process, port):
         (tmp_path / "config.json").write_text(
             json.dumps(data | {"discovery": f"127.0.0.1:{second.port}"})
         )
         process.send_signal(signal.SIGHUP)
-        assert await second.asked.get() == "/discovery/hosts"
-        assert "watch=1" in await second.asked.get()
-        second.tell(two.entry(lifecycle="draining"), three.entry())
-    await serves(port, b"3")
+        assert await second.requests.get() == "/discovery/hosts"
+        assert "watch=1" in await second.requests.get()
+        second.send_changes(two.entry(lifecycle="draining"), three.entry())
+    await serves_body(port, b"3")
     process.send_signal(signal.SIGTERM)
-    code, log = await ended(process)
+    code, log = await exit_status(process)
     assert code == 0
     assert "Too many open files" not in log
--- a/tests/gateway/test_settings.py
+++ b/tests/gateway/test_settings.py
@@ -31,7 +31,7 @@
         ("tenant_quotas_per_s", {"tenant_quotas_per_s": (3.0, -1.0)}),
     ],
 )
-def test_bad_settings_name_the_field(field: str, values: dict[str, Any]) -> None:
+def test_invalid_settings_name_the_field(field: str, values: dict[str, Any]) -> None:
     with pytest.raises(ValueError, match=field):
         Settings(**values)
 
@@ -39,12 +39,12 @@
 @pytest.mark.parametrize(
     "values", [{"aim_us": 0}, {"deadline_us": -1}, {"worth": -1.0}, {"late_worth": 2.0}]
 )
-def test_bad_routes_name_the_field(values: dict[str, Any]) -> None:
+def test_invalid_routes_name_the_field(values: dict[str, Any]) -> None:
     with pytest.raises(ValueError, match="route." + next(iter(values))):
         Route(**values)
 
 
-def test_a_class_without_semantics_is_named() -> None:
+def test_a_route_without_semantics_is_rejected() -> None:
     with pytest.raises(ValueError, match="semantics"):
         read_settings({"lanes": [{"deadline": 5}]})
 
@@ -62,7 +62,7 @@
     ],
 )
 @pytest.mark.parametrize("servers", [1, 40])
-def test_unusual_settings_serve(given: Settings, servers: int) -> None:
+def test_unusual_valid_settings_serve_requests(given: Settings, servers: int) -> None:
     harness = BalancerHarness(given, servers)
     for n in range(300):
         request = harness.arrive(work_us=12_000 if n % 2 else None, key=f"k{n % 7}", tenant=n % 3)
@@ -75,7 +75,7 @@
     assert len(harness.sends) >= 270
 
 
-def test_a_stream_belongs_to_the_client_once_it_started() -> None:
+def test_a_started_stream_is_not_hedged() -> None:
     harness = BalancerHarness(settings(route(stream=True), parallel_tries=True), 3)
     request = harness.arrive()
     harness.feed(StreamStarted(request, 0, 5_000))
@@ -84,7 +84,7 @@
     assert not harness.balancer.requests
 
 
-def test_departed_servers_and_requests_leave_no_residue() -> None:
+def test_finished_requests_release_their_state() -> None:
     harness = BalancerHarness(settings(warm_keys=True), [Server(i) for i in range(5)])
     for n in range(2000):
         request = harness.arrive(key=f"key{n}")
--- a/tests/http/test_host_pool.py
+++ b/tests/http/test_host_pool.py
@@ -22,12 +22,12 @@
     Behaviour,
     FakeHost,
     FullBacklogListener,
-    break_off,
     hang,
+    reset_connection,
     sends,
     serve_ok,
 )
-from tests.support.http_messages import Message, answer, close_resets, reset
+from tests.support.http_messages import Message, reset, reset_on_close, response
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -38,7 +38,7 @@
 LONG_S = 15.0
 
 
-class Bench:
+class PoolHarness:
     """An upstream and one host of its list."""
 
     def __init__(self, address: Address, connect_s: float = LONG_S, sockets: int = 100) -> None:
@@ -66,7 +66,7 @@
         return self.results[-1]
 
 
-def sends_and_resets(data: bytes) -> Behaviour:
+def sends_then_resets(data: bytes) -> Behaviour:
     async def behave(message: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(data)
         reset(writer)
@@ -81,20 +81,20 @@
     ("behave", "outcome", "body"),
     [
         (
-            sends(answer(b"seat 7", "200 OK", "Content-Type: text/plain")),
+            sends(response(b"seat 7", "200 OK", "Content-Type: text/plain")),
             Outcome.SUCCESS,
             b"seat 7",
         ),
-        (sends(answer(b"", "200 OK")), Outcome.SUCCESS, b""),
-        (sends(b"HTTP/1.1 100 Continue\r\n\r\n" + answer(b"late")), Outcome.SUCCESS, b"late"),
+        (sends(response(b"", "200 OK")), Outcome.SUCCESS, b""),
+        (sends(b"HTTP/1.1 100 Continue\r\n\r\n" + response(b"late")), Outcome.SUCCESS, b"late"),
         (sends(CHUNKED + b"2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"), Outcome.SUCCESS, b"abc"),
-        (sends(answer(b"x", "500 Internal Server Error")), Outcome.ERROR, None),
-        (sends(answer(b"", "503 Busy", "Not-Started: 1")), Outcome.FULL, None),
-        (sends(answer(b"", "504 Late", "Not-Started: 1")), Outcome.FULL, None),
-        (sends(answer(b"", "503 Busy")), Outcome.ERROR, None),
-        (sends(answer(b"", "504 Late")), Outcome.ERROR, None),
-        (sends(answer(b"", "500 Odd", "Not-Started: 1")), Outcome.ERROR, None),
-        (break_off, Outcome.RESET, None),
+        (sends(response(b"x", "500 Internal Server Error")), Outcome.ERROR, None),
+        (sends(response(b"", "503 Busy", "Not-Started: 1")), Outcome.FULL, None),
+        (sends(response(b"", "504 Late", "Not-Started: 1")), Outcome.FULL, None),
+        (sends(response(b"", "503 Busy")), Outcome.ERROR, None),
+        (sends(response(b"", "504 Late")), Outcome.ERROR, None),
+        (sends(response(b"", "500 Odd", "Not-Started: 1")), Outcome.ERROR, None),
+        (reset_connection, Outcome.RESET, None),
         (sends(b"", end=True), Outcome.RESET, None),
         (
             sends(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf", end=True),
@@ -106,10 +106,10 @@
         (sends(b"HTTP/1.1 200 OK\r\n\r\nwhole", end=True), Outcome.SUCCESS, b"whole"),
         (sends(b"HTTP/1.0 200 OK\r\nConnection: close\r\n\r\n", end=True), Outcome.SUCCESS, b""),
         (sends(b"HTTP/1.1 503 Busy\r\nNot-Started: 1\r\n\r\n", end=True), Outcome.FULL, None),
-        (sends_and_resets(b"HTTP/1.1 200 OK\r\n\r\nhalf"), Outcome.RESET, None),
-        (sends_and_resets(b"HTTP/1.1 503 Busy\r\nNot-Started: 1\r\n\r\n"), Outcome.RESET, None),
-        (sends_and_resets(CHUNKED + b"2\r\nab\r\n"), Outcome.RESET, None),
-        (sends_and_resets(answer(b"whole")), Outcome.SUCCESS, b"whole"),
+        (sends_then_resets(b"HTTP/1.1 200 OK\r\n\r\nhalf"), Outcome.RESET, None),
+        (sends_then_resets(b"HTTP/1.1 503 Busy\r\nNot-Started: 1\r\n\r\n"), Outcome.RESET, None),
+        (sends_then_resets(CHUNKED + b"2\r\nab\r\n"), Outcome.RESET, None),
+        (sends_then_resets(response(b"whole")), Outcome.SUCCESS, b"whole"),
         (sends(b"HTTP/1.1 200 OK\r\nX: y\r\n", end=True), Outcome.RESET, None),
         (sends(b"HTTP/1.1 100 Continue\r\n\r\n", end=True), Outcome.RESET, None),
         (
@@ -118,7 +118,7 @@
             None,
         ),
         (sends(b"no HTTP at all\r\n\r\n"), Outcome.ERROR, None),
-        (sends(answer(b"x" * 70_000)), Outcome.ERROR, None),
+        (sends(response(b"x" * 70_000)), Outcome.ERROR, None),
         (sends(b"HTTP/1.1 200 OK\r\nX: " + b"y" * 20_000 + b"\r\n\r\n"), Outcome.ERROR, None),
         # None of these ends, and the connection stays open.
         (sends(b"HTTP/1.1 200 OK\r\nX: " + b"y" * 20_000), Outcome.ERROR, None),
@@ -134,41 +134,41 @@
     ],
 )
 @on_loop
-async def test_what_comes_back_is_the_outcome(
+async def test_the_hosts_response_determines_the_outcome(
     behave: Behaviour, outcome: Outcome, body: bytes | None
 ) -> None:
     """Guards rule 2 (what may have run must not look unseen) and rule 1 (half an answer is
     none).
     """
-    bench = Bench((await FakeHost(behave=behave).start()).address)
-    got, reply = await bench.run()
+    harness = PoolHarness((await FakeHost(behave=behave).start()).address)
+    got, reply = await harness.run()
     assert got is outcome
     assert (reply.body if reply else None) == body
-    await until(lambda: bench.descriptors.used == len(bench.host.idle))
+    await until(lambda: harness.descriptors.used == len(harness.host.idle))
 
 
 @pytest.mark.parametrize("taken_for_an_end", [False, True])
 @on_loop
-async def test_an_answer_without_a_length_is_not_served_when_its_rest_is_reset(
+async def test_a_response_without_a_length_is_not_served_after_a_reset(
     taken_for_an_end: bool,
 ) -> None:
     """Its first bytes were read when the reset comes. A loop that sees the connection gone before
     it reads the error may call that an end.
     """
     listener = socket.create_server(("127.0.0.1", 0))
-    bench = Bench(listener.getsockname())
-    attempt = bench.start()
+    harness = PoolHarness(listener.getsockname())
+    attempt = harness.start()
     await until(lambda: attempt.connection is not None)
     connection, (host, _) = attempt.connection, listener.accept()
     assert connection is not None
     host.sendall(b"HTTP/1.1 200 OK\r\n\r\nhalf")
     await until(lambda: connection._overdue_timer is not None)
-    close_resets(host)
+    reset_on_close(host)
     host.close()
     if taken_for_an_end:
         connection.eof_received()
-    await until(lambda: bool(bench.results))
-    assert bench.results == [(Outcome.RESET, None)]
+    await until(lambda: bool(harness.results))
+    assert harness.results == [(Outcome.RESET, None)]
     listener.close()
 
 
@@ -181,64 +181,64 @@
     ],
 )
 @on_loop
-async def test_an_answer_that_stops_half_way_is_not_waited_for(start: bytes) -> None:
+async def test_a_response_that_stalls_fails_before_the_deadline(start: bytes) -> None:
     """Hosts write an answer at once. A rest that does not come would hold its request to its
     deadline.
     """
     host = await FakeHost(behave=sends(start)).start()
-    bench = Bench(host.address, connect_s=0.1)
-    assert (await bench.run())[0] is Outcome.ERROR
+    harness = PoolHarness(host.address, connect_s=0.1)
+    assert (await harness.run())[0] is Outcome.ERROR
     assert await host.closed.get() == 0
 
 
 @on_loop
-async def test_a_host_that_said_nothing_meanwhile_is_reached_anew() -> None:
+async def test_idle_connections_are_dropped_after_a_timeout_without_data() -> None:
     """A machine that vanished leaves its connections open: each of those kept would hang as long
     again.
     """
     host = await FakeHost(behave=hang).start()
-    bench = Bench(host.address)
+    harness = PoolHarness(host.address)
     for number in range(2):
-        bench.start()
+        harness.start()
         await until(lambda number=number: len(host.seen) == number + 1)  # type: ignore[misc]
-    host.writers[0].write(answer())
-    await until(lambda: len(bench.results) == 1)
-    bench.host.last_byte_at -= 1.0
-    attempt = bench.start(timeout_s=0.05)
+    host.writers[0].write(response())
+    await until(lambda: len(harness.results) == 1)
+    harness.host.last_byte_at -= 1.0
+    attempt = harness.start(timeout_s=0.05)
     await until(lambda: attempt.is_over)
-    assert not bench.host.idle or all(c.closing() for c in bench.host.idle)
+    assert not harness.host.idle or all(c.closing() for c in harness.host.idle)
 
 
 @on_loop
-async def test_a_refused_connection_never_ran() -> None:
+async def test_a_refused_connection_is_connect_failed() -> None:
     host = await FakeHost().start()
     host._server.close()
     await host._server.wait_closed()
-    bench = Bench(host.address)
-    assert (await bench.run())[0] is Outcome.CONNECT_FAILED
-    await until(lambda: bench.descriptors.used == 0)
+    harness = PoolHarness(host.address)
+    assert (await harness.run())[0] is Outcome.CONNECT_FAILED
+    await until(lambda: harness.descriptors.used == 0)
 
 
 @on_loop
-async def test_a_connection_that_never_comes_up_never_ran() -> None:
+async def test_a_connect_timeout_is_connect_failed() -> None:
     dead = FullBacklogListener()
-    bench = Bench(dead.address, connect_s=0.1)
-    assert (await bench.run())[0] is Outcome.CONNECT_FAILED
-    await until(lambda: bench.descriptors.used == 0)
+    harness = PoolHarness(dead.address, connect_s=0.1)
+    assert (await harness.run())[0] is Outcome.CONNECT_FAILED
+    await until(lambda: harness.descriptors.used == 0)
     dead.close()
 
 
 @on_loop
-async def test_time_up_while_connecting_never_ran() -> None:
+async def test_an_attempt_timeout_while_connecting_is_connect_failed() -> None:
     dead = FullBacklogListener()
-    bench = Bench(dead.address)
-    assert (await bench.run(timeout_s=0.05))[0] is Outcome.CONNECT_FAILED
-    await until(lambda: bench.descriptors.used == 0)
+    harness = PoolHarness(dead.address)
+    assert (await harness.run(timeout_s=0.05))[0] is Outcome.CONNECT_FAILED
+    await until(lambda: harness.descriptors.used == 0)
     dead.close()
 
 
 @on_loop
-async def test_a_break_before_the_last_byte_never_ran() -> None:
+async def test_a_reset_before_the_last_byte_is_connect_failed() -> None:
     """The host resets while most of the request is still in this process: it cannot have begun
     it.
     """
@@ -248,88 +248,88 @@
         reset(writer)
 
     server = await asyncio.start_server(cut, "127.0.0.1", 0)
-    bench = Bench(server.sockets[0].getsockname())
+    harness = PoolHarness(server.sockets[0].getsockname())
     request = b"POST / HTTP/1.1\r\n\r\n" + b"x" * 32 * 1024 * 1024
-    assert (await bench.run(request))[0] is Outcome.CONNECT_FAILED
+    assert (await harness.run(request))[0] is Outcome.CONNECT_FAILED
     server.close()
 
 
 @on_loop
-async def test_a_timed_out_attempt_takes_its_connection_along() -> None:
+async def test_a_timed_out_attempt_closes_its_connection() -> None:
     """The late answer would otherwise meet the next request on that connection."""
     host = await FakeHost(behave=hang).start()
-    bench = Bench(host.address)
-    assert (await bench.run(timeout_s=0.05))[0] is Outcome.TIMEOUT
+    harness = PoolHarness(host.address)
+    assert (await harness.run(timeout_s=0.05))[0] is Outcome.TIMEOUT
     assert await host.closed.get() == 0
-    assert not bench.host.idle
+    assert not harness.host.idle
 
 
 @on_loop
-async def test_a_cancelled_attempt_takes_its_connection_along() -> None:
+async def test_a_cancelled_attempt_closes_its_connection() -> None:
     host = await FakeHost(behave=hang).start()
-    bench = Bench(host.address)
-    attempt = bench.start()
+    harness = PoolHarness(host.address)
+    attempt = harness.start()
     await host.came.get()
     attempt.cancel()
     attempt.cancel()
-    assert [outcome for outcome, _ in bench.results] == [Outcome.CANCELLED]
+    assert [outcome for outcome, _ in harness.results] == [Outcome.CANCELLED]
     assert await host.closed.get() == 0
     host.behave = serve_ok
-    assert (await bench.run())[0] is Outcome.SUCCESS
+    assert (await harness.run())[0] is Outcome.SUCCESS
     assert len(host.writers) == 2
 
 
 @on_loop
-async def test_the_most_recent_connection_is_used_again(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_the_most_recently_used_connection_is_reused(monkeypatch: pytest.MonkeyPatch) -> None:
     """New connections cost the host work; the least used ones are let go idle."""
     monkeypatch.setattr(host_pool, "REUSE_DELAY_S", -1.0)
     host = await FakeHost(behave=hang).start()
-    bench = Bench(host.address)
+    harness = PoolHarness(host.address)
     for number in range(2):
-        bench.start()
+        harness.start()
         await until(lambda number=number: len(host.seen) == number + 1)  # type: ignore[misc]
     for number in (0, 1):
-        host.writers[number].write(answer())
-        await until(lambda number=number: len(bench.results) == number + 1)  # type: ignore[misc]
-    latest = bench.host.idle[-1]
+        host.writers[number].write(response())
+        await until(lambda number=number: len(harness.results) == number + 1)  # type: ignore[misc]
+    latest = harness.host.idle[-1]
     host.behave = serve_ok
-    assert (await bench.run())[0] is Outcome.SUCCESS
-    assert bench.host.idle[-1] is latest
+    assert (await harness.run())[0] is Outcome.SUCCESS
+    assert harness.host.idle[-1] is latest
     assert len(host.writers) == 2
 
 
 @on_loop
-async def test_an_idle_connection_that_the_host_closes_goes_at_once() -> None:
+async def test_an_idle_connection_closed_by_the_host_is_removed() -> None:
     host = await FakeHost().start()
-    bench = Bench(host.address)
-    await bench.run()
+    harness = PoolHarness(host.address)
+    await harness.run()
     host.writers[0].close()
-    await until(lambda: not bench.host.idle)
-    assert bench.descriptors.used == 0
-    assert (await bench.run())[0] is Outcome.SUCCESS
+    await until(lambda: not harness.host.idle)
+    assert harness.descriptors.used == 0
+    assert (await harness.run())[0] is Outcome.SUCCESS
     assert len(host.writers) == 2
 
 
 @on_loop
-async def test_idle_connections_are_dropped_before_the_hosts_would() -> None:
+async def test_idle_connections_are_closed_before_the_host_closes_them() -> None:
     host = await FakeHost().start()
-    bench = Bench(host.address)
-    await bench.run()
-    bench.upstream.sweep()
-    assert not bench.host.idle[0].closing()
-    bench.host.idle[0].idle_since -= 8.0  # of the 15 s that hosts wait
-    bench.upstream.sweep()
+    harness = PoolHarness(host.address)
+    await harness.run()
+    harness.upstream.sweep()
+    assert not harness.host.idle[0].closing()
+    harness.host.idle[0].idle_since -= 8.0  # of the 15 s that hosts wait
+    harness.upstream.sweep()
     assert await host.closed.get() == 0
-    await until(lambda: not bench.host.idle)
+    await until(lambda: not harness.host.idle)
 
 
-@pytest.mark.parametrize("extra", [answer(b"again"), b"noise", b"HTTP/1.1 200 OK\r\n"])
+@pytest.mark.parametrize("extra", [response(b"again"), b"noise", b"HTTP/1.1 200 OK\r\n"])
 @on_loop
-async def test_a_connection_that_brings_too_much_is_not_used_again(extra: bytes) -> None:
+async def test_a_connection_with_surplus_bytes_is_not_reused(extra: bytes) -> None:
     """A second answer that lies in wait would be given to the next client."""
-    host = await FakeHost(behave=sends(answer(b"mine") + extra)).start()
-    bench = Bench(host.address)
-    outcome, reply = await bench.run()
+    host = await FakeHost(behave=sends(response(b"mine") + extra)).start()
+    harness = PoolHarness(host.address)
+    outcome, reply = await harness.run()
     assert outcome is Outcome.SUCCESS
     assert reply is not None
     assert reply.body == b"mine"
@@ -337,27 +337,29 @@
 
 
 @on_loop
-async def test_a_late_second_copy_is_no_answer_to_the_next(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_an_unread_surplus_response_is_not_given_to_the_next_request(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """It lies in the kernel when the connection is wanted again: written to, that connection would
     give it to another client. With no time to settle, only the look at the socket guards against
     that.
     """
     monkeypatch.setattr(host_pool, "REUSE_DELAY_S", -1.0)
-    host = await FakeHost(behave=sends(answer(b"first"))).start()
-    bench = Bench(host.address)
-    await bench.run()
-    waiting = bench.host.idle[0]
-    host.writers[0].write(answer(b"copy"))  # leaves at once; this loop has not read it yet
+    host = await FakeHost(behave=sends(response(b"first"))).start()
+    harness = PoolHarness(host.address)
+    await harness.run()
+    waiting = harness.host.idle[0]
+    host.writers[0].write(response(b"copy"))  # leaves at once; this loop has not read it yet
     while not waiting.has_unread():
         pass
-    host.behave = sends(answer(b"second"))
-    outcome, reply = await bench.run()
+    host.behave = sends(response(b"second"))
+    outcome, reply = await harness.run()
     assert (outcome, reply and reply.body) == (Outcome.SUCCESS, b"second")
     assert len(host.writers) == 2
 
 
 @on_loop
-async def test_a_connection_settles_before_it_is_used_again(
+async def test_a_connection_is_not_reused_before_the_reuse_delay(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """What comes a moment behind an answer must find the connection idle, not in use by another
@@ -365,62 +367,62 @@
     """
     monkeypatch.setattr(host_pool, "REUSE_DELAY_S", 1000.0)
     host = await FakeHost().start()
-    bench = Bench(host.address)
+    harness = PoolHarness(host.address)
     for number in (1, 2):
-        assert (await bench.run())[0] is Outcome.SUCCESS
+        assert (await harness.run())[0] is Outcome.SUCCESS
         assert len(host.writers) == number
-    bench.host.idle[0].idle_since -= 1001.0
-    assert (await bench.run())[0] is Outcome.SUCCESS
+    harness.host.idle[0].idle_since -= 1001.0
+    assert (await harness.run())[0] is Outcome.SUCCESS
     assert len(host.writers) == 2
 
 
 @on_loop
-async def test_noise_on_an_idle_connection_ends_it() -> None:
+async def test_data_on_an_idle_connection_closes_it() -> None:
     host = await FakeHost().start()
-    bench = Bench(host.address)
-    await bench.run()
-    host.writers[0].write(answer(b"not asked for"))
+    harness = PoolHarness(host.address)
+    await harness.run()
+    host.writers[0].write(response(b"not asked for"))
     assert await host.closed.get() == 0
 
 
 @on_loop
-async def test_an_answer_with_close_is_not_kept() -> None:
-    host = await FakeHost(behave=sends(answer(b"", "200 OK", "Connection: close"))).start()
-    bench = Bench(host.address)
-    assert (await bench.run())[0] is Outcome.SUCCESS
+async def test_a_connection_with_close_is_not_reused() -> None:
+    host = await FakeHost(behave=sends(response(b"", "200 OK", "Connection: close"))).start()
+    harness = PoolHarness(host.address)
+    assert (await harness.run())[0] is Outcome.SUCCESS
     assert await host.closed.get() == 0
 
 
 @pytest.mark.parametrize("act", [lambda b, a: b.upstream.retire(b.host), lambda b, a: a.cancel()])
 @pytest.mark.parametrize("turns", [0, 3])
 @on_loop
-async def test_an_attempt_still_connecting_is_called_back_unsent(
-    act: Callable[[Bench, Attempt], None], turns: int
+async def test_an_attempt_that_is_connecting_is_withdrawn(
+    act: Callable[[PoolHarness, Attempt], None], turns: int
 ) -> None:
     """Rule 3: a drain counts for what has not sent its first byte; the module may place it again.
     Its descriptor comes back also where the connect had not taken its first step.
     """
     dead = FullBacklogListener()
-    bench = Bench(dead.address)
-    attempt = bench.start()
+    harness = PoolHarness(dead.address)
+    attempt = harness.start()
     for _ in range(turns):
         await asyncio.sleep(0)
-    assert bench.host.connecting
-    act(bench, attempt)
-    assert [outcome for outcome, _ in bench.results] == [Outcome.MOOT]
-    await until(lambda: bench.descriptors.used == 0)
+    assert harness.host.connecting
+    act(harness, attempt)
+    assert [outcome for outcome, _ in harness.results] == [Outcome.MOOT]
+    await until(lambda: harness.descriptors.used == 0)
     dead.close()
 
 
 @on_loop
-async def test_a_retired_host_loses_its_idle_connections() -> None:
+async def test_a_retired_host_has_its_idle_connections_closed() -> None:
     host = await FakeHost().start()
-    bench = Bench(host.address)
-    await bench.run()
-    bench.upstream.retire(bench.host)
+    harness = PoolHarness(host.address)
+    await harness.run()
+    harness.upstream.retire(harness.host)
     assert await host.closed.get() == 0
-    assert (await bench.run())[0] is Outcome.MOOT
-    await until(lambda: bench.descriptors.used == 0)
+    assert (await harness.run())[0] is Outcome.MOOT
+    await until(lambda: harness.descriptors.used == 0)
     assert (len(host.seen), len(host.writers)) == (
         1,
         1,
@@ -428,37 +430,37 @@
 
 
 @on_loop
-async def test_with_no_descriptor_left_nothing_is_sent() -> None:
+async def test_an_attempt_without_a_free_descriptor_is_not_sent() -> None:
     """Running into the process's limit would fail at an accept, where nobody can be answered."""
     host = await FakeHost(behave=hang).start()
-    bench = Bench(host.address, sockets=1)
-    first = bench.start()
+    harness = PoolHarness(host.address, sockets=1)
+    first = harness.start()
     await host.came.get()
-    assert (await bench.run())[0] is Outcome.MOOT
+    assert (await harness.run())[0] is Outcome.MOOT
     first.cancel()
-    await until(lambda: bench.descriptors.used == 0)
+    await until(lambda: harness.descriptors.used == 0)
 
 
 @on_loop
-async def test_an_idle_connection_makes_room_for_another_host() -> None:
+async def test_an_idle_connection_is_closed_to_connect_to_another_host() -> None:
     one, other = await FakeHost().start(), await FakeHost().start()
-    bench = Bench(one.address, sockets=1)
-    await bench.run()
-    bench.host = PooledHost("s-2", other.address)
-    assert (await bench.run())[0] is Outcome.SUCCESS
+    harness = PoolHarness(one.address, sockets=1)
+    await harness.run()
+    harness.host = PooledHost("s-2", other.address)
+    assert (await harness.run())[0] is Outcome.SUCCESS
     assert await one.closed.get() == 0
 
 
 @on_loop
-async def test_an_answer_in_pieces_is_whole() -> None:
+async def test_a_response_in_many_segments_is_complete() -> None:
     async def dribble(message: Message, writer: asyncio.StreamWriter) -> None:
-        for byte in answer(b"in pieces"):
+        for byte in response(b"in pieces"):
             writer.write(bytes((byte,)))
             await writer.drain()
             await asyncio.sleep(0)
 
-    bench = Bench((await FakeHost(behave=dribble).start()).address)
-    outcome, reply = await bench.run()
+    harness = PoolHarness((await FakeHost(behave=dribble).start()).address)
+    outcome, reply = await harness.run()
     assert (outcome, reply and reply.body) == (Outcome.SUCCESS, b"in pieces")
 
 
@@ -466,11 +468,11 @@
 
 
 @on_loop
-async def test_a_connect_whose_time_is_up_as_it_comes_up_leaves_nothing_open(
+async def test_a_connection_that_comes_up_as_its_connect_times_out_is_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     host = await FakeHost().start()
-    bench = Bench(host.address, connect_s=0.2)
+    harness = PoolHarness(host.address, connect_s=0.2)
     made = HostConnection.connection_made
 
     def late(connection: HostConnection, transport: asyncio.BaseTransport) -> None:
@@ -478,17 +480,17 @@
         time.sleep(0.3)  # the time-out falls due in the turn in which the connection is there
 
     monkeypatch.setattr(HostConnection, "connection_made", late)
-    assert (await bench.run())[0] is Outcome.CONNECT_FAILED
+    assert (await harness.run())[0] is Outcome.CONNECT_FAILED
     assert await host.closed.get() == 0
-    await until(lambda: bench.descriptors.used == 0)
+    await until(lambda: harness.descriptors.used == 0)
     assert not host.seen
 
 
 @on_loop
-async def test_the_rest_of_an_answer_that_waits_for_a_late_loop_is_read() -> None:
-    host = await FakeHost(behave=sends(answer(b"whole")[:-3])).start()
-    bench = Bench(host.address)
-    attempt = bench.start()
+async def test_an_overdue_response_with_unread_bytes_is_read() -> None:
+    host = await FakeHost(behave=sends(response(b"whole")[:-3])).start()
+    harness = PoolHarness(host.address)
+    attempt = harness.start()
     await host.came.get()
     await until(
         lambda: attempt.connection is not None and attempt.connection._overdue_timer is not None
@@ -496,5 +498,5 @@
     assert attempt.connection is not None
     os.write(host.writers[0].get_extra_info("socket").fileno(), b"ole")
     attempt.connection._response_overdue()
-    await until(lambda: bool(bench.results))
-    assert bench.results == [(Outcome.SUCCESS, HostResponse(b"whole", None))]
+    await until(lambda: bool(harness.results))
+    assert harness.results == [(Outcome.SUCCESS, HostResponse(b"whole", None))]
--- a/tests/support/balancer_harness.py
+++ b/tests/support/balancer_harness.py
@@ -1,4 +1,4 @@
-"""A small harness for the balancer: settings, servers and a clock, no network and no bench."""
+"""A small harness for the balancer: settings, servers and a clock, no network and no harness."""
 
 from __future__ import annotations
 
--- a/tests/support/event_loop.py
+++ b/tests/support/event_loop.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Coroutine
 
-BOUND_S = 20.0
+TEST_TIMEOUT_S = 20.0
 
 
 def on_loop(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
@@ -19,7 +19,7 @@
 
     @functools.wraps(test)
     def run(*args: Any, **kwargs: Any) -> None:
-        uvloop.run(asyncio.wait_for(test(*args, **kwargs), BOUND_S))
+        uvloop.run(asyncio.wait_for(test(*args, **kwargs), TEST_TIMEOUT_S))
 
     return run
 
--- a/tests/support/fake_discovery.py
+++ b/tests/support/fake_discovery.py
@@ -7,7 +7,7 @@
 import socket
 from typing import Any
 
-from tests.support.http_messages import answer, read_message, reset
+from tests.support.http_messages import read_message, reset, response
 
 
 class FakeDiscovery:
@@ -15,14 +15,14 @@
 
     def __init__(self, *entries: dict[str, Any]) -> None:
         self.generation = 1
-        self.first: bytes = self.line(*entries)
-        self.asked: asyncio.Queue[str] = asyncio.Queue()
+        self.initial_list: bytes = self.encode_list(*entries)
+        self.requests: asyncio.Queue[str] = asyncio.Queue()
         self.ended: asyncio.Queue[int] = (
             asyncio.Queue()
         )  # numbers of watches that the gateway ended
         self.watches: list[asyncio.StreamWriter] = []
 
-    def line(self, *entries: dict[str, Any], full: bool = True) -> bytes:
+    def encode_list(self, *entries: dict[str, Any], full: bool = True) -> bytes:
         given = {"generation": self.generation, "reset": full, "instances": list(entries)}
         return json.dumps(given).encode() + b"\n"
 
@@ -47,14 +47,14 @@
             message = await read_message(reader)
             target = message.first.split()[1]
             if "watch=1" not in target:
-                writer.write(answer(self.first.strip()))
-                self.asked.put_nowait(target)
+                writer.write(response(self.initial_list.strip()))
+                self.requests.put_nowait(target)
                 return
             number = len(self.watches)
             self.watches.append(writer)
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            self.send(self.first)
-            self.asked.put_nowait(target)
+            self.send(self.initial_list)
+            self.requests.put_nowait(target)
             await reader.read()
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
@@ -68,6 +68,6 @@
     def send(self, data: bytes) -> None:
         self.watches[-1].write(b"%x\r\n%b\r\n" % (len(data), data))
 
-    def tell(self, *entries: dict[str, Any]) -> None:
+    def send_changes(self, *entries: dict[str, Any]) -> None:
         self.generation += 1
-        self.send(self.line(*entries, full=False))
+        self.send(self.encode_list(*entries, full=False))
--- a/tests/support/fake_hosts.py
+++ b/tests/support/fake_hosts.py
@@ -7,13 +7,13 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from tests.support.http_messages import Message, answer, read_message, reset
+from tests.support.http_messages import Message, read_message, reset, response
 
 Behaviour = Callable[[Message, asyncio.StreamWriter], Awaitable[None]]
 
 
 async def serve_ok(message: Message, writer: asyncio.StreamWriter) -> None:
-    writer.write(answer())
+    writer.write(response())
 
 
 async def hang(message: Message, writer: asyncio.StreamWriter) -> None:
@@ -29,7 +29,7 @@
     return behave
 
 
-async def break_off(message: Message, writer: asyncio.StreamWriter) -> None:
+async def reset_connection(message: Message, writer: asyncio.StreamWriter) -> None:
     reset(writer)
 
 
--- a/tests/support/gateway_clients.py
+++ b/tests/support/gateway_clients.py
@@ -6,7 +6,7 @@
 import itertools
 import socket
 
-from tests.support.http_messages import Message, close_resets, read_message
+from tests.support.http_messages import Message, read_message, reset_on_close
 
 request_numbers = itertools.count(1)
 
@@ -32,7 +32,7 @@
     return number, "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
-class SuddenClient:
+class BlockingClient:
     """A client that acts within one turn of the loop: what it does is in the kernel when the call
     returns, and the gateway's loop has not told of it.
     """
@@ -42,28 +42,28 @@
         if receive_buffer is not None:
             self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
         self.socket.connect(("127.0.0.1", port))
-        self.left = False
+        self.disconnected = False
 
     def send(self, path: str = "/status-check/k1", count: int = 1) -> list[str]:
         requests = [client_request(path) for _ in range(count)]
         self.socket.sendall(b"".join(data for _, data in requests))
         return [number for number, _ in requests]
 
-    def leave(self) -> None:
-        self.left = True
-        self.how()
+    def disconnect(self) -> None:
+        self.disconnected = True
+        self.disconnect_method()
 
     def close(self) -> None:
         self.socket.close()
 
     def reset(self) -> None:
-        close_resets(self.socket)
+        reset_on_close(self.socket)
         self.socket.close()
 
     def end_sending(self) -> None:
         self.socket.shutdown(socket.SHUT_WR)
 
-    how = close  # to leave; tests choose another
+    disconnect_method = close  # tests replace it
 
 
 class Client:
@@ -94,7 +94,7 @@
     async def receive(self) -> Message:
         return await read_message(self.reader)
 
-    async def ask(
+    async def request(
         self,
         path: str = "/status-check/k1",
         body: bytes = b"",
--- a/tests/support/gateway_harness.py
+++ b/tests/support/gateway_harness.py
@@ -86,7 +86,7 @@
 
 
 @dataclass
-class World:
+class GatewayHarness:
     gateway: Gateway
     discovery: FakeDiscovery
     hosts: list[FakeHost]
@@ -96,24 +96,24 @@
 
 
 @asynccontextmanager
-async def world(*behaviours: Behaviour, **changes: Any) -> AsyncIterator[World]:
+async def running_gateway(*behaviours: Behaviour, **changes: Any) -> AsyncIterator[GatewayHarness]:
     """A gateway that has its list, between fake hosts and a fake discovery."""
     hosts = [await FakeHost(f"s-{i}", behave).start() for i, behave in enumerate(behaviours)]
     discovery = await FakeDiscovery(*(host.entry() for host in hosts)).start()
     gateway = Gateway(make_config(discovery.port, **changes), asyncio.get_running_loop())
     await gateway.start()
     try:
-        await discovery.asked.get()
+        await discovery.requests.get()
         await until(lambda: len(gateway.engine.hosts) == len(hosts))
-        yield World(gateway, discovery, hosts)
+        yield GatewayHarness(gateway, discovery, hosts)
     finally:
         gateway.stop()
 
 
-def taken(w: World) -> list[ClientRequest]:
+def accepted_requests(harness: GatewayHarness) -> list[ClientRequest]:
     """The requests that the engine takes from now on."""
     requests: list[ClientRequest] = []
-    accept = w.gateway.engine.accept
+    accept = harness.gateway.engine.accept
 
     def record(
         request: ClientRequest, reply: Callable[[Reply], None], client_gone: Callable[[], bool]
@@ -121,12 +121,14 @@
         requests.append(request)
         return accept(request, reply, client_gone)
 
-    w.gateway.engine.accept = record  # type: ignore[method-assign]
+    harness.gateway.engine.accept = record  # type: ignore[method-assign]
     return requests
 
 
 @asynccontextmanager
-async def alone(agent: FakeHost, known: dict[str, Any], **changes: Any) -> AsyncIterator[Gateway]:
+async def gateway_with_known_list(
+    agent: FakeHost, known: dict[str, Any], **changes: Any
+) -> AsyncIterator[Gateway]:
     """A gateway that has only its known list, with `agent` in discovery's place."""
     gateway = Gateway(
         make_config(agent.address[1], known=known, **changes), asyncio.get_running_loop()
--- a/tests/support/http_messages.py
+++ b/tests/support/http_messages.py
@@ -34,16 +34,16 @@
     )
 
 
-def answer(body: bytes = b"ok", status: str = "200 OK", *headers: str) -> bytes:
+def response(body: bytes = b"ok", status: str = "200 OK", *headers: str) -> bytes:
     lines = [f"HTTP/1.1 {status}", f"Content-Length: {len(body)}", *headers]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
-def close_resets(sock: socket.socket) -> None:
+def reset_on_close(sock: socket.socket) -> None:
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
     """End a connection by RST, as a host that dies does."""
-    close_resets(writer.get_extra_info("socket"))
+    reset_on_close(writer.get_extra_info("socket"))
     writer.transport.abort()
