--- a/tests/gateway/test_client_connections.py
+++ b/tests/gateway/test_client_connections.py
@@ -1,4 +1,4 @@
-"""Time-outs of client connections, and what makes room for others."""
+"""Time-outs of client connections, and closing of connections to free descriptors."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 
 
 async def read_to_end(client: Client) -> bytes:
-    """All that comes until the gateway ends the connection."""
+    """Read until the gateway closes the connection."""
     return await client.reader.read()
 
 
 async def only_connection(harness: GatewayHarness) -> ServerConnection:
-    """The one connection of a client, once the gateway has it."""
+    """Wait for the gateway to accept one client connection; returns it."""
     await until(lambda: len(harness.gateway.server.connections) == 1)
     return next(iter(harness.gateway.server.connections))
 
@@ -47,7 +47,7 @@
 
 @on_loop
 async def test_a_client_that_does_not_read_responses_is_disconnected() -> None:
-    """Unread answers would pile up in memory."""
+    """Unread responses would accumulate in memory."""
     async with (
         running_gateway(sends(response(b"x" * 60_000))) as harness,
         harness.client() as client,
@@ -64,7 +64,7 @@
 
 @on_loop
 async def test_idle_clients_are_closed_and_requests_past_the_limit_get_503() -> None:
-    """Counting the descriptors keeps an accept from failing where nobody can be answered."""
+    """Descriptors are counted, so that an accept never fails where no response can be sent."""
     async with running_gateway(hang, limits={"sockets": RESERVED + 8}) as harness:
         idle = await harness.client().__aenter__()
         assert (await idle.request("/up", method="GET")).status == 200
@@ -77,9 +77,7 @@
             )
         assert await read_to_end(idle) == b""
         async with harness.client() as client:
-            for _ in range(
-                2
-            ):  # on one connection: being turned away must not cost a new one each time
+            for _ in range(2):  # on one connection: a refusal must not cost a new one each time
                 got = await client.request()
                 assert (got.status, got.headers["connection"]) == (503, "keep-alive")
         for client in busy:
@@ -90,7 +88,9 @@
 async def test_connections_without_a_request_are_closed_before_idle_ones(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Connections between two requests belong to usual clients: the never-heard go before them."""
+    """Connections between two requests belong to normal clients; those that never sent a byte are
+    closed before them.
+    """
     async with (
         running_gateway(serve_ok, limits={"sockets": RESERVED + 16}) as harness,
         harness.client() as usual,
@@ -107,8 +107,8 @@
 
 @on_loop
 async def test_a_burst_of_connections_leaves_descriptors_for_hosts() -> None:
-    """Each may have its first request on the way; but the hosts' part of the descriptors is not
-    theirs.
+    """New connections may have a first request in transit, but they must not use the descriptors
+    reserved for connections to hosts.
     """
     async with (
         running_gateway(serve_ok, limits={"sockets": RESERVED + 16}) as harness,
@@ -126,7 +126,9 @@
 
 @on_loop
 async def test_pipelined_requests_are_parsed_only_a_few_ahead() -> None:
-    """Each parsed request costs its checks and its memory, and a client waits for one at a time."""
+    """Each parsed request costs its checks and memory, and a normal client waits for one at a
+    time.
+    """
     async with running_gateway(hang) as harness, harness.client() as client:
         for _ in range(300):
             client.send()
@@ -142,7 +144,9 @@
 async def test_a_client_that_trickles_bytes_is_timed_out(
     start: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The time counts from the first byte: one that trickles must not gain by each further byte."""
+    """The time-out counts from the first byte: a client must not extend it by sending more
+    bytes.
+    """
     monkeypatch.setattr(server, "RECEIVE_TIMEOUT_S", 0.3)
     async with running_gateway(serve_ok) as harness, harness.client() as client:
         end = asyncio.ensure_future(read_to_end(client))
@@ -150,7 +154,8 @@
             client.writer.write(start[:1])
             start = start[1:] + start[:1]
             await asyncio.sleep(0.02)
-        # A byte that crosses the close has it end as a reset, which is an end as well.
+        # A byte sent while the gateway closes makes the close a reset, which ends the connection
+        # too.
         with contextlib.suppress(ConnectionResetError):
             assert await end == b"" or b" 408 " in await end or b" 400 " in await end
 
@@ -171,7 +176,9 @@
 async def test_idle_connections_with_one_request_have_a_shorter_timeout(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """On the churn day 625 of these in a minute held memory and descriptors for good."""
+    """In a simulated day of client churn, 625 such clients per minute held memory and
+    descriptors.
+    """
     async with (
         running_gateway(serve_ok) as harness,
         harness.client() as once,
@@ -189,9 +196,7 @@
 async def test_lingering_connections_are_closed_for_new_clients(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Bad clients hold their connection for a while after their last answer: usual ones come before
-    them.
-    """
+    """Connections that linger after an error response are closed before a new client is refused."""
     monkeypatch.setattr(server_connection, "LINGER_S", 1000.0)
     monkeypatch.setattr(http_server, "MAX_READ_DELAY_S", -1.0)
     async with running_gateway(serve_ok, limits={"sockets": RESERVED + 16}) as harness:
@@ -208,8 +213,9 @@
 
 @on_loop
 async def test_the_longest_idle_connection_is_closed_past_the_idle_limit() -> None:
-    """An incident: 128 of these held all the connections that clients may have for 2 s each, and
-    two of three requests found none. The longest idle ends as soon as there are many.
+    """Regression: 128 clients that sent one request and stayed held all client connections for 2 s
+    each, and two of three requests were refused. Past a limit, the longest idle connection is
+    closed.
     """
     async with (
         running_gateway(serve_ok, limits={"sockets": RESERVED + 40}) as harness,
@@ -219,7 +225,7 @@
         for client in stayed:
             assert (
                 await usual.request()
-            ).status == 200  # in use between them, it is never the longest idle
+            ).status == 200  # used in between, it is never the longest idle
             assert (await client.request()).status == 200
         assert await read_to_end(stayed[0]) == b""
         await until(lambda: len(harness.gateway.server.connections) <= 10)
@@ -230,7 +236,7 @@
 
 @on_loop
 async def test_a_connection_with_unsent_bytes_is_not_idle() -> None:
-    """It would be ended to make room, and the end of its answer be lost."""
+    """It would be closed to free a descriptor, and the end of its response would be lost."""
     async with (
         running_gateway(sends(response(b"x" * 60_000))) as harness,
         harness.client() as client,
--- a/tests/gateway/test_closes.py
+++ b/tests/gateway/test_closes.py
@@ -1,6 +1,5 @@
-"""Every close of a client connection by the gateway's choice, crossed by a request or by an answer
-that is on its way: what lies in the kernel when the gateway closes has been taken, and is owed an
-answer.
+"""Closes of client connections by the gateway that coincide with a request or a response in
+transit: a request that the kernel has received when the gateway closes must get a response.
 """
 
 from __future__ import annotations
@@ -27,7 +26,7 @@
 
 
 async def idle_connection(harness: GatewayHarness) -> tuple[BlockingClient, ServerConnection]:
-    """A client that has had an answer, and its connection, which rests."""
+    """A client that has received a response, and its idle connection."""
     client = BlockingClient(harness.gateway.port)
     client.send()
     await until(lambda: bool(harness.gateway.server._idle))
@@ -36,7 +35,7 @@
 
 
 async def received(client: BlockingClient) -> bytes:
-    """What comes next; empty at the connection's end, which a reset is too."""
+    """The next bytes received; empty at the end of the connection, also by a reset."""
     client.socket.setblocking(False)
     try:
         return await asyncio.get_running_loop().sock_recv(client.socket, 65536)
@@ -74,7 +73,7 @@
         close(harness.gateway.server, connection)
         assert (await received(client)).startswith(b"HTTP/1.1 200")
         await until(connection.idle)
-        harness.gateway.server.close_idle()  # nothing crosses this one
+        harness.gateway.server.close_idle()  # nothing is in transit now
         assert await received(client) == b""
 
 
@@ -107,8 +106,8 @@
 
 
 async def unread_response(harness: GatewayHarness) -> tuple[BlockingClient, ServerConnection]:
-    """A client that has not read its answer, and its connection, which holds most of it: the
-    kernel's buffers on both sides are small, so that the answer can never fit into them.
+    """A client that has not read its response, and its connection, which has most of it unsent: the
+    kernel's buffers on both sides are too small for the response.
     """
     client = BlockingClient(harness.gateway.port, receive_buffer=4096)
     await until(lambda: bool(harness.gateway.server.connections))
@@ -152,7 +151,7 @@
         client, connection = await unread_response(harness)
         connection._keep_alive = False
         connection._close()
-        await until(lambda: len(looks) >= 3 or connection._transport is None)  # over each time
+        await until(lambda: len(looks) >= 3 or connection._transport is None)  # expired each time
         data = b""
         while part := await received(client):
             data += part
@@ -166,8 +165,8 @@
 async def test_a_last_response_is_not_lost_by_a_reset_when_more_bytes_arrive(
     close: Callable[[ServerConnection], object], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A slow client: its answer is with this kernel, most of it not with its own yet, and it sends
-    on.
+    """The client is slow and sends another request: this kernel has the complete response, but most
+    of it has not reached the client's kernel.
     """
     monkeypatch.setattr(server_connection, "LINGER_S", 1000.0)
     async with running_gateway(sends(response(b"x" * BODY_LIMIT))) as harness:
@@ -183,13 +182,13 @@
         while data := await received(client):
             got += data
         assert got.count(b"x") == BODY_LIMIT
-        close(connection)  # nothing crosses this one
+        close(connection)  # nothing is in transit now
         await until(lambda: not harness.gateway.server.connections)
 
 
 @on_loop
 async def test_a_drain_serves_an_unread_pipelined_request(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A client sends ahead: its second request is in the kernel in the turn of the first answer."""
+    """The second, pipelined request is in the kernel when the first response is written."""
     async with running_gateway(serve_ok) as harness:
         client, whole = BlockingClient(harness.gateway.port), ClientConnection.respond
         harness.gateway.server.draining = True
@@ -212,7 +211,7 @@
 async def test_a_request_after_the_last_response_is_discarded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its client is told by the end, and sends it once more on a new connection."""
+    """The client sees the end of the connection and retries on a new one."""
     monkeypatch.setattr(server_connection, "LINGER_S", 1000.0)
     async with running_gateway(serve_ok) as harness:
         asked, client = accepted_requests(harness), BlockingClient(harness.gateway.port)
@@ -235,7 +234,7 @@
             harness.gateway.server.draining = False
             harness.gateway.server.drain(taken_s, 2.5)
             harness.gateway.server.draining = (
-                False  # so that its connection is kept for the second request
+                False  # so that the connection is kept for the second request
             )
             assert (await client.request(Request_Timeout_Ms="4000")).status == 200
         early, late = (request.expires for request in asked)
--- a/tests/gateway/test_deadlines.py
+++ b/tests/gateway/test_deadlines.py
@@ -1,4 +1,4 @@
-"""From when the deadline of a request counts."""
+"""The time from which the deadline of a request counts."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 async def only_connection(harness: GatewayHarness) -> ServerConnection:
-    """The one connection of a client, once the gateway has it."""
+    """Wait for the gateway to accept one client connection; returns it."""
     await until(lambda: len(harness.gateway.server.connections) == 1)
     return next(iter(harness.gateway.server.connections))
 
 
 @on_loop
 async def test_the_deadline_of_a_pipelined_request_counts_from_its_arrival() -> None:
-    """It waits unparsed for the answers before it, and its client's time runs all the while."""
+    """The request waits unparsed for earlier responses, while its client's time-out runs."""
     async with running_gateway(hang) as harness, harness.client() as client:
         asked = accepted_requests(harness)
         head = b"GET /status-check/k HTTP/1.1\r\nTenant: acme\r\nRequest-Timeout-Ms: 300\r\n"
@@ -35,9 +35,7 @@
 
 @on_loop
 async def test_the_deadline_of_a_request_unread_in_the_kernel_counts_from_its_arrival() -> None:
-    """Its connection is not read while others wait there, and its client's time runs all the
-    while.
-    """
+    """Reading is paused while earlier requests wait, and the client's time-out runs on."""
     loop = asyncio.get_running_loop()
 
     async def tick() -> float:
@@ -58,7 +56,7 @@
         host.writers[-1].write(response())
         await host.came.get()
         await tick()
-        client.send(count=60)  # stays in the kernel until the first lot is parsed
+        client.send(count=60)  # stays in the kernel until the first batch is parsed
         latest = loop.time()
         await tick()
         host.behave = serve_ok
--- a/tests/gateway/test_departures.py
+++ b/tests/gateway/test_departures.py
@@ -1,6 +1,7 @@
-"""A request whose client has left while it waited is not sent on. Each test lets the client leave
-in the very turn of the loop in which the send comes due: its end is in the kernel, and the loop has
-not told of it.
+"""A request is not sent to a host after its client has disconnected.
+
+Each test disconnects the client in the loop iteration in which the request becomes due: the end of
+stream is in the kernel, and the loop has not reported it.
 """
 
 from __future__ import annotations
@@ -26,7 +27,9 @@
 
 @pytest.fixture(autouse=True)
 def no_reuse_delay(monkeypatch: pytest.MonkeyPatch) -> None:
-    """With a connection at hand a send is written in the turn in which it comes due."""
+    """Idle connections are usable at once, so a due request is written in the same loop
+    iteration.
+    """
     monkeypatch.setattr(host_pool, "REUSE_DELAY_S", -1.0)
 
 
@@ -38,7 +41,7 @@
 
 
 class HeldAlarms:
-    """The module's alarms, which wait until a test lets them ring."""
+    """Collects the balancer's alarms until a test delivers them."""
 
     def __init__(self, harness: GatewayHarness) -> None:
         self.held: list[Event] = []
@@ -66,7 +69,7 @@
 
 
 async def all_requests_ended(harness: GatewayHarness, then: Behaviour = serve_ok) -> None:
-    """Nothing is open any more, and each host has read all that was written to it before this."""
+    """Wait until no request is open and each host has read all that was written to it before."""
     await until(lambda: not harness.gateway.engine._open)
     for host in harness.hosts:
         host.behave = serve_ok
@@ -129,7 +132,7 @@
 async def test_a_pipelined_request_is_not_sent_after_a_disconnect(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The answer before it and its client's end come in one turn."""
+    """The previous response and the client's end of stream come in one loop iteration."""
     async with running_gateway(hang) as harness:
         client = BlockingClient(harness.gateway.port)
         whole = ClientConnection.respond
@@ -152,7 +155,7 @@
 
 @on_loop
 async def test_a_disconnect_is_noticed_while_reading_is_paused() -> None:
-    """Its client sent so much ahead that its connection is not read, and so not its end either."""
+    """So much is pipelined that reading is paused, and the end of stream is not read either."""
     async with running_gateway(hang) as harness:
         client = BlockingClient(harness.gateway.port)
         first, *others = client.send(count=60)
@@ -171,16 +174,18 @@
 @on_loop
 async def test_a_hedge_is_not_sent_after_a_disconnect(leaves: bool, copies: int) -> None:
     async with running_gateway(serve_ok, serve_ok) as harness:
-        alarms = HeldAlarms(harness)  # a copy sent while the module learns would spend a token
+        alarms = HeldAlarms(
+            harness
+        )  # a hedge sent while latencies are learned would use up a token
         async with harness.client() as client:
-            for _ in range(20):  # the module learns what is slow
+            for _ in range(20):  # the balancer learns the usual latency
                 await client.request()
             while not all(host.idle for host in harness.gateway.engine.hosts.values()):
                 await (
                     client.request()
-                )  # a copy that had to connect first would come after the client's end
+                )  # a hedge that had to connect first would be sent after the disconnect
         await until(lambda: len(alarms.held) == len(harness.gateway.engine._balancer.alarms))
-        alarms.ring()  # those of the requests before: what is held from now on is the next one's
+        alarms.ring()  # those of earlier requests; alarms held from now on belong to the next one
         for host in harness.hosts:
             host.behave = hang
         hedged_client = BlockingClient(harness.gateway.port)
@@ -199,12 +204,12 @@
 @pytest.mark.parametrize("pieces", [1, 2])
 @on_loop
 async def test_a_request_followed_by_a_disconnect_is_not_sent(pieces: int) -> None:
-    """Its last bytes and its end are in the kernel together."""
+    """The last bytes of the request and the end of stream are in the kernel together."""
     async with running_gateway(serve_ok) as harness:
         async with harness.client() as usual:
             assert (
                 await usual.request()
-            ).status == 200  # there is a connection to write to at once
+            ).status == 200  # leaves an idle connection to write to at once
         asked, client, (number, data) = (
             accepted_requests(harness),
             BlockingClient(harness.gateway.port),
--- a/tests/gateway/test_discovery.py
+++ b/tests/gateway/test_discovery.py
@@ -1,4 +1,4 @@
-"""The watch of the host list: whatever happens to it, the last list stands and a new watch
+"""The watch of the host list: after any failure the last list stays in force and a new watch
 begins.
 """
 
@@ -47,7 +47,7 @@
 
 
 def entry_with(change: dict[str, Any]) -> Callable[[FakeDiscovery], None]:
-    """A list of a good entry and one that is spoilt, which must not be taken in part."""
+    """Sends a list with a valid and an invalid entry, which must be rejected as a unit."""
     good = {"instanceId": "s-8", "hostPort": "127.0.0.1:9", "lifecycle": "up"}
     given = {
         "generation": 9,
@@ -114,7 +114,7 @@
 async def test_a_watch_is_restarted_after_its_keep_alive_timeout(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An agent that is cut off says nothing, and a connection to it stays open for ever."""
+    """Across a network partition nothing arrives, and the connection stays open for ever."""
     monkeypatch.setattr(discovery, "WATCH_TIMEOUT_S", 0.2)
     async with running_gateway(serve_ok) as harness, harness.client() as client:
         await harness.discovery.requests.get()
@@ -168,15 +168,15 @@
 
 
 PARTIAL_DATA: list[bytes] = [
-    b'{"generation":2,"reset":true,"instances":[',  # a list that stalls half way
-    b" ",  # neither a line's end nor a list
+    b'{"generation":2,"reset":true,"instances":[',  # an incomplete list
+    b" ",  # neither a line break nor a list
 ]
 
 
 @pytest.mark.parametrize("data", PARTIAL_DATA)
 @on_loop
 async def test_partial_data_is_no_keep_alive(data: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Bytes go on coming, each well before the time-out, but never a list or an empty line."""
+    """Bytes keep arriving within the time-out, but no complete list or empty line."""
     monkeypatch.setattr(discovery, "WATCH_TIMEOUT_S", 0.3)
     async with running_gateway(serve_ok) as harness:
         old = harness.discovery.watches[0]
@@ -225,7 +225,7 @@
 
 @on_loop
 async def test_push_mode_has_no_paced_delay_in_a_large_fleet() -> None:
-    """At the pace for asked lists the first call of one of 4,000 gateways would come seconds
+    """With the spread of poll mode, the first call of one of 4,000 gateways would come seconds
     later.
     """
     host = await FakeHost("s-known").start()
@@ -263,7 +263,7 @@
 
 
 async def switch_discovery(harness: GatewayHarness, *entries: dict[str, Any]) -> FakeDiscovery:
-    """Another discovery, whose generations begin anew, and a gateway told to watch it."""
+    """Start another discovery, with generations of its own, and switch the gateway to it."""
     new = await FakeDiscovery(*entries).start()
     harness.gateway.discovery.switch_to(("127.0.0.1", new.port))
     return new
@@ -271,8 +271,8 @@
 
 @on_loop
 async def test_the_full_list_is_requested_from_another_discovery() -> None:
-    """Its generations may be lower: `from=9` there would leave out what happened up to its ninth,
-    and `from=0` what was there before its first.
+    """Its generations may be lower: `from=9` would leave out its changes up to generation 9, and
+    `from=0` the hosts from before its first generation.
     """
     async with running_gateway(serve_ok) as harness, harness.client() as client:
         harness.discovery.generation = 8
@@ -292,8 +292,8 @@
 
 @on_loop
 async def test_data_of_the_old_watch_is_ignored_after_a_switch() -> None:
-    """A line that lies read but not taken at the move, and whatever the old discovery says after
-    it.
+    """Neither a line that is received but not applied at the switch, nor anything that the old
+    discovery sends later, takes effect.
     """
     async with running_gateway(serve_ok) as harness, harness.client() as client:
         other = await FakeHost("s-other").start()
@@ -313,12 +313,12 @@
         harness.gateway.discovery.switch_to(silent.address)
         await silent.came.get()
         assert (await client.request()).status == 200
-        assert harness.hosts[0].closed.empty()  # its connection stands too
+        assert harness.hosts[0].closed.empty()  # the connection to the host stays open too
 
 
 @on_loop
 async def test_unknown_zones_get_different_numbers() -> None:
-    """As one zone their hosts would be taken for a group that drops each other's repeats."""
+    """With one number, their hosts would count as a group that detects each other's duplicates."""
     async with running_gateway(serve_ok) as harness:
         hosts = [await FakeHost(f"s-{name}").start() for name in ("attic", "cellar", "loft")]
         zones = ("attic", "cellar", "attic")
@@ -343,7 +343,7 @@
 @pytest.mark.parametrize(
     ("behave", "cause"),
     [
-        (hang, Cause.UNANSWERED),  # it may be a watch that fell silent before its answer
+        (hang, Cause.UNANSWERED),  # may be a watch that became unresponsive before its response
         (sends(HEAD), Cause.UNRESPONSIVE),
         (sends(HEAD + chunk(b"\n")), Cause.UNRESPONSIVE),
         (sends(HEAD, end=True), Cause.ENDED),
@@ -360,7 +360,7 @@
 async def test_each_end_of_a_watch_has_its_cause(
     behave: Behaviour, cause: Cause, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Each has a time of its own by which the list must be here."""
+    """Each cause has its own deadline for receiving a list."""
     monkeypatch.setattr(discovery, "RESPONSE_TIMEOUT_S", 0.3)
     monkeypatch.setattr(discovery, "WATCH_TIMEOUT_S", 0.3)
     causes: list[Cause] = []
@@ -398,9 +398,8 @@
 async def test_a_drain_is_received_by_the_deadline_after_failed_calls(
     trouble: Behaviour | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """At 200 gateways, however the calls before ended, and though discovery came back right after
-    the last of them began. The waits are those of service; they are added up here instead of waited
-    for.
+    """With 200 gateways, for each way in which calls can fail, and discovery recovering right after
+    the last failed call began. The real delays are added up instead of waited for.
     """
     for name in ("RESPONSE_TIMEOUT_S", "WATCH_TIMEOUT_S"):
         monkeypatch.setattr(discovery, name, 0.05)
@@ -413,7 +412,9 @@
             Cause.UNRESPONSIVE: WATCH_TIMEOUT_S,
         }
         given_up_s = timeouts_s.get(cause, took_s)
-        now = 1000.0 + 6.0 * len(waits)  # as if waited for: past the bound of the call before
+        now = 1000.0 + 6.0 * len(
+            waits
+        )  # as if the delay had passed: after the previous call's deadline
         waits.append(given_up_s + wait_s(pacing, cause, now, took_s))
         return 0.0
 
@@ -445,8 +446,8 @@
         new = await FakeDiscovery(harness.hosts[0].entry()).start()
         if lost == "silent":
             harness.discovery.send(b"\n")
-            await asyncio.sleep(0.01)  # it has set its time-out
-            time.sleep(0.3)  # which falls due in this turn
+            await asyncio.sleep(0.01)  # the gateway has set its time-out
+            time.sleep(0.3)  # which expires in this loop iteration
         else:
             os.write(
                 harness.discovery.watches[-1].get_extra_info("socket").fileno(), b"no chunk\r\n"
--- a/tests/gateway/test_engine_faults.py
+++ b/tests/gateway/test_engine_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the decider and of sending stay with their request, and nothing is left of one."""
+"""Exceptions in the balancer or in sending affect only their request, and all state is released."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class FrozenClock:
-    """A loop whose clock stands still, as it does between two of its turns."""
+    """A loop whose clock does not advance, as within one loop iteration."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop, self._now, self.read = loop, loop.time(), 0
@@ -50,7 +50,7 @@
 
 @on_loop
 async def test_a_balancer_exception_fails_only_its_request() -> None:
-    """People sleep: an exception answers one request and is logged; the gateway stays up."""
+    """An unattended gateway must survive: an exception fails one request and is logged."""
     async with running_gateway(serve_ok) as harness, harness.client() as client:
         handle = harness.gateway.engine._balancer.handle
 
@@ -67,9 +67,7 @@
 
 @on_loop
 async def test_a_balancer_exception_after_the_response_releases_the_request() -> None:
-    """The client has its answer, so nothing else would ever end the module's record of that
-    request.
-    """
+    """The client has its response, so no other event would release the balancer's record."""
     async with running_gateway(serve_ok) as harness, harness.client() as client:
         balancer = harness.gateway.engine._balancer
         learn, balancer.learn = balancer.learn, lambda *_: 1 / 0  # type: ignore[method-assign, assignment]
@@ -105,7 +103,7 @@
 async def test_a_disconnect_cancels_the_attempt() -> None:
     async with running_gateway(hang) as harness:
         async with harness.client() as client:
-            client.send(Request_Timeout_Ms="50000")  # beyond this test's own bound
+            client.send(Request_Timeout_Ms="50000")  # longer than the test's time-out
             await harness.hosts[0].came.get()
         await harness.hosts[0].closed.get()
         await until(
@@ -143,9 +141,9 @@
 
 @on_loop
 async def test_counters_agree_with_the_sockets_after_mixed_failures() -> None:
-    """Hosts come, hang, restart and go under requests that are answered, time out, are hedged or
-    abandoned. Afterwards the module's counts, the engine's records and the descriptors agree with
-    the sockets.
+    """Hosts are added, hang, restart and are removed while requests succeed, time out, are hedged
+    or abandoned. Afterwards the balancer's counters, the engine's records and the descriptors agree
+    with the sockets.
     """
     async with running_gateway(
         serve_ok, serve_ok, hang, reset_connection, refuse_not_started
--- a/tests/gateway/test_forwarding.py
+++ b/tests/gateway/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Requests that are served: what goes on to a host and what comes back."""
+"""Forwarding of requests to hosts and of responses to clients."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 async def read_to_end(client: Client) -> bytes:
-    """All that comes until the gateway ends the connection."""
+    """Read until the gateway closes the connection."""
     return await client.reader.read()
 
 
@@ -40,7 +40,7 @@
         assert seen.headers["idempotency-key"] == "abc"
         assert seen.headers["work-hint"] == "900"
         assert 0 < int(seen.headers["request-timeout-ms"]) < 9000
-        assert (await client.request()).status == 200  # on the same connection
+        assert (await client.request()).status == 200  # on the same client connection
 
 
 @on_loop
@@ -52,7 +52,7 @@
 
 @on_loop
 async def test_pipelined_requests_get_responses_in_order() -> None:
-    """Each of them was taken when its last byte was written: dropping one would lose it."""
+    """Each was received when its last byte was written: dropping one would lose it."""
 
     async def echo(message: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(response(message.first.split()[1].encode()))
@@ -66,7 +66,9 @@
 
 @on_loop
 async def test_a_drain_serves_pipelined_requests() -> None:
-    """`Connection: close` on the first answer would drop the rest, which was taken already."""
+    """`Connection: close` on the first response would drop the requests that were already
+    received.
+    """
     async with running_gateway(hang) as harness, harness.client() as client:
         client.send()
         client.send()
@@ -82,7 +84,7 @@
 
 @on_loop
 async def test_an_upgrade_is_declined() -> None:
-    """One answer, then the end: the parser can read nothing more on that connection."""
+    """The connection closes after one response, since the parser accepts no more data on it."""
     async with running_gateway(serve_ok) as harness, harness.client() as client:
         head = b"GET /status-check/k HTTP/1.1\r\nUpgrade: x\r\nConnection: upgrade\r\n"
         client.writer.write(head + GOOD + b"\r\n")
@@ -119,7 +121,9 @@
 
 @on_loop
 async def test_margins_shrink_for_a_short_client_timeout() -> None:
-    """The margins before the deadline shrink with it: fixed ones would leave such a client none."""
+    """The margins before the deadline are scaled down: fixed ones would leave no time for an
+    attempt.
+    """
     async with running_gateway(hang) as harness:
         before = asyncio.get_running_loop().time()
         request = ClientRequest(
--- a/tests/gateway/test_host_changes.py
+++ b/tests/gateway/test_host_changes.py
@@ -1,4 +1,4 @@
-"""Lists of hosts that drain, move or start cold, in the whole gateway."""
+"""Host list changes in a complete gateway: drains, new addresses and cold starts."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
         harness.discovery.send_changes(leaving.entry(lifecycle=lifecycle))
         hosts, number = harness.gateway.engine.hosts, server_number(leaving.name)
         await until(lambda: number not in hosts or not hosts[number].ready)
-        await client.request()  # what was on its way has arrived by now
+        await client.request()  # requests in transit have arrived by now
         before = len(leaving.seen)
         for _ in range(30):
             assert (await client.request()).status == 200
@@ -67,9 +67,7 @@
 
 @on_loop
 async def test_the_balancer_gets_the_list_before_the_outcomes_of_ended_attempts() -> None:
-    """Told the other way round it sent the request on by the list before, to a host that drains as
-    well.
-    """
+    """In the other order the balancer retried by the old list, on another draining host."""
     dead = FullBacklogListener()
     async with running_gateway() as harness, harness.client() as client:
         stuck, other = FakeHost("s-stuck"), FakeHost("s-other")
@@ -110,8 +108,8 @@
 
 @on_loop
 async def test_host_start_times_are_compared_with_unix_time() -> None:
-    """A start of a second ago is cold, one of an hour ago is warm, also before this process
-    began.
+    """A host started a second ago is cold and one started an hour ago is warm, also when it started
+    before this process.
     """
     rules = {"cold": 60_000_000, "cold_from": 0.3, "fall_multiple": 3.0}
     async with running_gateway(serve_ok, settings=settings_data(guarantees=rules)) as harness:
@@ -128,7 +126,9 @@
 
 @on_loop
 async def test_a_cold_host_gets_a_limited_share_of_a_burst() -> None:
-    """Work that costs the told aims at most: the fifty at once may not all go to the cold host."""
+    """Without latencies measured, a request counts as much work as its target allows: of 50
+    requests at once, the cold host gets at most one.
+    """
     rules = {"cold": 60_000_000, "cold_from": 0.3, "fall_multiple": 1.0}
     async with running_gateway(hang, hang, settings=settings_data(guarantees=rules)) as harness:
         cold = await FakeHost("s-cold", hang).start()
--- a/tests/gateway/test_json_framer.py
+++ b/tests/gateway/test_json_framer.py
@@ -1,4 +1,4 @@
-"""Values are cut from a stream whatever their layout and whatever pieces they come in."""
+"""Framing of JSON values in a stream, for any layout and chunk size."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     for start in range(0, len(data), step):
         got += framer.feed(data[start : start + step])
     assert [json.loads(value) for value in got if value] == values
-    assert got.count(b"") == len(values)  # the line's end behind each
+    assert got.count(b"") == len(values)  # one for the line break after each value
     assert not framer.in_value
 
 
@@ -52,7 +52,7 @@
 
 
 def test_each_byte_is_scanned_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A list that comes byte by byte costs as many searches as it has bytes, not as its square."""
+    """A list in chunks of one byte costs linear work, not quadratic."""
     looked = 0
 
     class Counted:
--- a/tests/gateway/test_malformed_requests.py
+++ b/tests/gateway/test_malformed_requests.py
@@ -1,4 +1,4 @@
-"""Requests that are refused, and bytes that cannot be read."""
+"""Invalid requests and malformed input."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 async def read_to_end(client: Client) -> bytes:
-    """All that comes until the gateway ends the connection."""
+    """Read until the gateway closes the connection."""
     return await client.reader.read()
 
 
@@ -48,7 +48,7 @@
         assert (await client.request(path, **headers)).status == status
         assert (
             await client.request()
-        ).status == 200  # its framing was whole, so the connection serves on
+        ).status == 200  # its framing was valid, so the connection stays in use
         assert len(harness.hosts[0].seen) == 1
 
 
--- a/tests/gateway/test_pacing.py
+++ b/tests/gateway/test_pacing.py
@@ -1,6 +1,4 @@
-"""A whole fleet calls one discovery that handles calls in turn: each gateway must come to its
-watch.
-"""
+"""Pacing of a fleet's calls to one discovery with a queue: each gateway must get its watch."""
 
 from __future__ import annotations
 
@@ -19,10 +17,10 @@
     Cause,
 )
 
-SERVICE_S = 0.125  # a call's turn at discovery
-LIST_DEADLINE_S = 10.0  # the settings' time for asking
+SERVICE_S = 0.125  # processing time of a call at discovery
+LIST_DEADLINE_S = 10.0  # `ask_within` of the settings
 CALL_TIMEOUT_S = (
-    2.0  # a call that waits longer there fails, and its turn is worked off all the same
+    2.0  # a call that waits longer fails, and its queue entry is processed all the same
 )
 
 
@@ -31,8 +29,8 @@
 
 
 class Fleet:
-    """Gateways that call until they hold a watch, against a queue that fails whom it keeps too
-    long.
+    """Simulates gateways that call until they have a watch, and a queue in which calls that wait
+    too long fail.
     """
 
     def __init__(self, gateways: int, seed: int, service_s: float = SERVICE_S) -> None:
@@ -43,7 +41,7 @@
         self.free_at = 0.0
 
     def watch(self, begin: list[float]) -> float:
-        """Let all call, each for the first time at its time; when the last of them holds its
+        """Simulate all calls, each gateway's first at its given time; returns when the last has a
         watch.
         """
         due = [(at, i) for i, at in enumerate(begin)]
@@ -78,9 +76,9 @@
 def test_a_fleet_recovers_after_all_calls_failed(
     service_s: float, most_s: float, seed: int
 ) -> None:
-    """The hardest case: discovery's queue is already longer than a call may wait, and all retry.
-    What keeps the bound after a return, a call every 6 s, leaves it a sixth of its time for a queue
-    of 9 s with turns of 0.125 s: 42 s and a round at best.
+    """The worst case: discovery's queue is already longer than the time-out of a call, and all
+    gateways retry. A call every 6 s, which keeps the deadline after a recovery, leaves a sixth of
+    the time to shorten a queue of 9 s with 0.125 s per call: 42 s and one round at best.
     """
     fleet = Fleet(40, seed, service_s)
     fleet.free_at = 2 * CALL_TIMEOUT_S
@@ -88,7 +86,7 @@
 
 
 def test_a_small_fleet_has_short_delays() -> None:
-    """Nothing is gained by patience where three gateways call a service that can take them all."""
+    """Three gateways cannot overload discovery, so they need no long delays."""
     pacing = polling(3, 1)
     assert pacing.wait_s(Cause.START, 0.0) < 0.5
     assert max(pacing.wait_s(Cause.FAILED, 0.0) for _ in range(50)) < 1.5
@@ -97,8 +95,8 @@
 def fleet_after_outage(
     gateways: int, service_s: float, down_s: float, fails_after_s: float, seed: int
 ) -> Fleet:
-    """A fleet whose watches all end at once, as discovery goes down for so long. Calls fail after
-    that time until then, also those that are waiting at the return.
+    """A fleet whose watches all end at once because discovery goes down for `down_s`. Until it
+    recovers, calls fail after `fails_after_s`, also those that wait at that moment.
     """
     fleet, begin = Fleet(gateways, seed, service_s), []
     for pacing in fleet.pacing:
@@ -120,9 +118,7 @@
 def test_a_fleet_recovers_by_the_deadline_after_an_outage(
     gateways: int, service_s: float, fails_after_s: float, seed: int
 ) -> None:
-    """Whatever else is allowed after a failed call: 6 s after its return. No call then is in
-    vain.
-    """
+    """The deadline after a failed call is 6 s from the recovery, and no call fails after it."""
     fleet = fleet_after_outage(gateways, service_s, 8.0, fails_after_s, seed)
     assert fleet.recovered_after_s <= FAILED_DEADLINE_S
     assert fleet.failed == 0
@@ -130,8 +126,8 @@
 
 @pytest.mark.parametrize("down_s", [12.0, 20.0, 40.0])
 def test_a_long_outage_delays_a_fleet_by_at_most_the_drain_grace(down_s: float) -> None:
-    """Waits that run from the end of a call in vain: 1 s later no send may go to what counts as
-    told.
+    """Delays that run from the end of a failed call: 1 s after the deadline, no request may be sent
+    by the old list.
     """
     for gateways, service_s in ((20, 0.125), (40, 0.1), (60, 0.0625), (200, 0.02)):
         fleet = fleet_after_outage(gateways, service_s, down_s, CALL_TIMEOUT_S, 1)
@@ -140,9 +136,7 @@
 
 @pytest.mark.parametrize("seed", range(2))
 def test_a_fleet_too_large_for_the_deadline_recovers_later(seed: int) -> None:
-    """2,100 calls at 80 a second take 26 s. They slow down until their turns are no longer in
-    vain.
-    """
+    """2,100 calls at 80 per second take 26 s. The calls slow down until they no longer time out."""
     assert fleet_after_outage(2100, 0.0125, 8.0, CALL_TIMEOUT_S, seed).recovered_after_s < 430.0
 
 
@@ -154,8 +148,7 @@
     assert worn.wait_s(Cause.ENDED, 0.0) == fresh.wait_s(Cause.ENDED, 0.0)
 
 
-# A gateway of a large fleet is held to a bound for each cause, which the fleet's spread must not
-# exceed.
+# Each cause has a deadline, which the spread over a large fleet must not exceed.
 
 
 def max_delay_s(
@@ -173,7 +166,7 @@
 def test_the_delay_keeps_the_list_deadline(cause: Cause, list_deadline_s: float) -> None:
     bound = min(
         0.6 * list_deadline_s, FAILED_DEADLINE_S - CALL_TIME_S
-    )  # its call may fail, and then this counts too
+    )  # its call may fail, and then the deadline after a failed call applies too
     assert 0.9 * bound < max_delay_s(cause, list_deadline_s=list_deadline_s) <= bound
 
 
@@ -208,7 +201,7 @@
 def test_the_delay_after_a_failed_call_keeps_its_deadline(
     gateways: int, took_s: float, list_deadline_s: float
 ) -> None:
-    """Discovery may have come back right after the begin of the call that failed."""
+    """Discovery may have recovered right after the failed call began."""
     for seed in range(100):
         pacing = CallPacing(gateways, list_deadline_s, seed, polls=True)
         for _ in range(3):
@@ -228,8 +221,8 @@
 
 @pytest.mark.parametrize("cause", list(Cause))
 def test_delays_in_push_mode_are_short(cause: Cause) -> None:
-    """All that discovery has counts as told from the first moment of a process, with a watch or
-    without.
+    """In push mode all that discovery has counts as known from the start of a process, with or
+    without a watch.
     """
     assert max_delay_s(cause, pushed=True) <= (0.5 if cause is Cause.MALFORMED else 0.1)
 
@@ -237,9 +230,7 @@
 @pytest.mark.parametrize("pushed", [True, False])
 @pytest.mark.parametrize("cause", [Cause.FAILED, Cause.MALFORMED])
 def test_repeated_failures_do_not_cause_a_high_call_rate(cause: Cause, pushed: bool) -> None:
-    """One gateway whose every call ends at once, against a discovery that is down or tells
-    nonsense.
-    """
+    """One gateway whose every call fails at once, as discovery is down or sends malformed lists."""
     pacing = CallPacing(1, LIST_DEADLINE_S, 3, polls=not pushed)
     now = 0.0
     for _ in range(200):
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -1,4 +1,4 @@
-"""The program as it is started in service: its configuration, its readiness and its end."""
+"""The gateway as a process: configuration, readiness, signals and exit."""
 
 from __future__ import annotations
 
@@ -54,8 +54,8 @@
 
 
 def reserved_port() -> int:
-    """A port for a gateway alone: kept bound, so that nobody else on this machine is given it
-    meanwhile.
+    """Reserve a port for a gateway: a socket stays bound to it, so that no other process gets
+    it.
     """
     keeper = socket.socket()
     keeper.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -66,7 +66,7 @@
 
 
 async def start_ready(folder: Path, host: FakeHost, **changes: Any) -> tuple[Process, int]:
-    """A gateway that has answered `/up` with 200."""
+    """Start a gateway and wait until `/up` responds 200."""
     discovery = await FakeDiscovery(host.entry()).start()
     port = reserved_port()
     process = await start_program(
@@ -77,7 +77,7 @@
 
 
 async def wait_for_up(port: int, status: int = 200) -> None:
-    """Wait until `/up` says so."""
+    """Wait until `/up` responds with a status."""
     while True:
         try:
             async with Client(port) as client:
@@ -100,7 +100,7 @@
 
 @on_loop
 async def test_a_known_list_makes_the_gateway_ready_without_discovery(tmp_path: Path) -> None:
-    """A restart while discovery is down: nobody listens at its address."""
+    """A restart while discovery is down: nothing listens at its address."""
     host, port = await FakeHost().start(), reserved_port()
     known = {"generation": 41, "reset": True, "instances": [host.entry()]}
     with socket.socket() as nobody:
@@ -110,7 +110,7 @@
         await wait_for_up(port)
         async with Client(port) as client:
             assert (await client.request()).status == 200
-        assert threads(process) == 1  # no address had to be resolved
+        assert threads(process) == 1  # no thread was started to resolve an address
         process.send_signal(signal.SIGTERM)
         assert (await exit_status(process))[0] == 0
 
@@ -127,13 +127,13 @@
         await wait_for_up(port, 503)
         await FakeDiscovery(host.entry()).start(later)
         await wait_for_up(port)
-        assert threads(process) == 1  # nor discovery's
+        assert threads(process) == 1  # no thread was started to resolve discovery's address
         process.send_signal(signal.SIGTERM)
         assert (await exit_status(process))[0] == 0
 
 
-# What a start imports beside the event loop and the parser. Each import is a part of the time to be
-# ready.
+# Modules that a start imports besides the event loop and the parser. Each import lengthens the
+# start.
 IMPORTED = {
     "__future__",
     "bisect",
@@ -149,7 +149,8 @@
     "urllib",
     "zlib",
 }
-# Of its own packages only these, and of `routing` the modules that both deciders use.
+# The packages of roselink that a start imports, and the modules of `routing` that both gateways
+# use.
 OWN_PACKAGES = {
     "roselink.gateway",
     "roselink.http",
@@ -161,7 +162,7 @@
 
 
 def imports(text: str) -> set[str]:
-    """The modules in Python's own report on a process's imports."""
+    """Modules listed in the output of Python's import profiling."""
     return {
         line.rpartition("|")[2].strip()
         for line in text.splitlines()
@@ -188,7 +189,7 @@
     public = {name for name in tops if not name.startswith("_") or name == "__future__"}
     loaded_by_site = {
         name for name in IMPORTED if name in imports(text)
-    }  # by a library's .pth file
+    }  # imported by a library's .pth file
     assert {name for name in public if importlib.util.find_spec(name)} | loaded_by_site == IMPORTED
     own = {".".join(name.split(".")[:2]) for name in added if name.startswith("roselink.")}
     assert own == OWN_PACKAGES
@@ -198,8 +199,8 @@
 
 @on_loop
 async def test_sigterm_lets_open_requests_finish(tmp_path: Path) -> None:
-    """A restart loses nothing that is open, also when its answer comes after all idle connections
-    ended.
+    """A restart loses no open request, also if its response comes after all idle connections
+    closed.
     """
     host = await FakeHost(behave=hang).start()
     process, port = await start_ready(tmp_path, host)
@@ -218,8 +219,8 @@
 
 @on_loop
 async def test_a_drain_serves_requests_that_still_arrive(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The front learns of the end late: new connections and those it has are served on for that
-    time.
+    """The load balancer in front notices the drain late: until then new and existing connections
+    are served.
     """
     monkeypatch.setattr(roselink.gateway.__main__, "ACCEPT_AFTER_SIGTERM_S", 1000.0)
     async with running_gateway(serve_ok) as harness, harness.client() as before:
@@ -340,9 +341,7 @@
 
 @on_loop
 async def test_sighup_switches_discovery_and_keeps_open_requests(tmp_path: Path) -> None:
-    """SIGHUP used to kill the process. What is open is answered on the connections that were
-    open.
-    """
+    """Regression: SIGHUP ended the process. Open requests must complete on their connections."""
     host = await FakeHost(behave=hang).start()
     process, port = await start_ready(tmp_path, host)
     successor = await FakeDiscovery(host.entry()).start()
@@ -359,7 +358,7 @@
         assert (await client.request()).status == 200
         assert host.closed.empty()
         process.send_signal(signal.SIGTERM)
-        process.send_signal(signal.SIGHUP)  # harmless while draining
+        process.send_signal(signal.SIGHUP)  # has no effect while draining
     assert (await exit_status(process))[0] == 0
 
 
@@ -387,7 +386,7 @@
             harness.gateway.reload(environment)
         assert "with a restart only: sockets" in caplog.text
         await until(lambda: len(successor.watches) == 1)
-        harness.gateway.reload(environment)  # nothing new: the watch goes on
+        harness.gateway.reload(environment)  # nothing changed: the watch stays open
         assert (await client.request()).status == 200
         assert len(successor.watches) == 1
 
@@ -400,16 +399,16 @@
 
 
 async def half_request(clients: contextlib.ExitStack, port: int) -> None:
-    """One more idle client, in the middle of a request."""
+    """Connect one more client that stops in the middle of a request."""
     client = clients.enter_context(socket.create_connection(("127.0.0.1", port)))
-    with contextlib.suppress(OSError):  # turned away
+    with contextlib.suppress(OSError):  # refused
         client.sendall(b"GET /status-check/k1 HTTP/1.1\r\n")
     await asyncio.sleep(0)
 
 
 @contextlib.asynccontextmanager
 async def all_descriptors_used(process: Process, port: int) -> AsyncIterator[None]:
-    """Idle clients that take every descriptor of the process."""
+    """Hold connections of idle clients that use all descriptors of the process."""
     with contextlib.ExitStack() as clients:
         while descriptors(process) < DESCRIPTORS:
             await half_request(clients, port)
@@ -417,9 +416,9 @@
 
 
 async def serves_body(port: int, body: bytes) -> None:
-    """New clients ask until the one host that is meant answers."""
+    """Send requests on new connections until the expected host responds."""
     while True:
-        with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):  # turned away
+        with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):  # refused
             async with Client(port) as client:
                 if (await client.request()).body == body:
                     return
@@ -427,7 +426,7 @@
 
 @on_loop
 async def test_many_clients_do_not_use_up_the_descriptors(tmp_path: Path) -> None:
-    """Past it an accept fails, and the loop closes connections with no word."""
+    """Past the limit an accept fails, and the loop closes connections without a response."""
     host = await FakeHost().start()
     process, port = await start_ready(tmp_path, host, limits={"sockets": DESCRIPTORS})
     with contextlib.ExitStack() as clients:
@@ -440,7 +439,7 @@
 
 @on_loop
 async def test_discovery_and_reload_work_when_clients_use_all_descriptors(tmp_path: Path) -> None:
-    """While discovery is down, and at a reload: the file has to be read, and the new one called."""
+    """With discovery down, and at a reload, which must read the file and call the new discovery."""
     one, two, three = [
         await FakeHost(name, sends(response(name.encode()))).start() for name in ("1", "2", "3")
     ]
@@ -453,7 +452,7 @@
         first.port,
         listen=f"127.0.0.1:{port}",
         settings=settings_data(discovery="push"),
-        limits={"sockets": 2 * DESCRIPTORS},  # or it would keep some free
+        limits={"sockets": 2 * DESCRIPTORS},  # so that the gateway itself keeps no descriptors free
     )
     process = await start_program(tmp_path, data)
     resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (DESCRIPTORS, DESCRIPTORS))
--- a/tests/gateway/test_retries.py
+++ b/tests/gateway/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries, hedges and refusals of whole requests, between hosts that fail."""
+"""Retries, hedges and refusals of requests to hosts that fail."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 async def read_to_end(client: Client) -> bytes:
-    """All that comes until the gateway ends the connection."""
+    """Read until the gateway closes the connection."""
     return await client.reader.read()
 
 
@@ -27,8 +27,8 @@
 
 @on_loop
 async def test_with_no_capacity_a_client_is_refused_early_enough_to_retry_elsewhere() -> None:
-    """Late answers have a worth here, so that requests used to wait for most of the client's
-    time.
+    """Regression: with a value for late responses, requests waited for most of the client's time-
+    out.
     """
     lane = {
         "name": "status-check",
@@ -49,14 +49,14 @@
         assert got.startswith(b"HTTP/1.1 503")
         assert b"Retry-After" in got
         assert asyncio.get_running_loop().time() < came + 3.0
-        assert len(balancer.requests) == len(clients) - 1  # the others are still out
+        assert len(balancer.requests) == len(clients) - 1  # the others are still open
 
 
 @on_loop
 async def test_an_unresponsive_host_fails_only_one_request() -> None:
     async with running_gateway(hang) as harness, harness.client() as client:
         got = await client.request(Request_Timeout_Ms="300")
-        assert got.status == 503  # safe to repeat, so a refusal is allowed
+        assert got.status == 503  # a safe request may be refused after an attempt
         assert float(got.headers["retry-after"]) == 0.6
         harness.hosts[0].writers[0].write(response(b"too late"))
         harness.hosts[0].behave = serve_ok
@@ -98,7 +98,7 @@
 @on_loop
 async def test_an_unsafe_request_that_was_not_started_is_retried() -> None:
     async with running_gateway(refuse_not_started, serve_ok) as harness:
-        for _ in range(200):  # until the pick has met the host that turns away
+        for _ in range(200):  # until the host that refuses was chosen once
             async with harness.client() as client:
                 assert (await client.request("/audit/k", b"x")).status == 200
             if harness.hosts[0].seen:
@@ -111,7 +111,7 @@
 
 @on_loop
 async def test_a_keyed_request_is_retried_with_its_key() -> None:
-    """Without hedges: beside load one now and then spent the token that the retry needs."""
+    """Hedging is off: under load a hedge sometimes spent the token that the retry needs."""
     without_hedges = settings_data(limits={"parallel_tries": False})
     async with running_gateway(reset_connection, serve_ok, settings=without_hedges) as harness:
         for _ in range(200):
@@ -129,7 +129,7 @@
 async def test_a_slow_connect_sends_no_retry_after_the_hosts_memory_span(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Within the hosts' memory when it was decided, past it when its connection came up."""
+    """The retry was decided within the hosts' memory span, and its connection came up after it."""
     lane = {
         "name": "seat-checkout",
         "semantics": "keyed",
@@ -157,7 +157,9 @@
 @on_loop
 async def test_a_slow_request_is_hedged_and_the_slower_attempt_cancelled() -> None:
     async with running_gateway(serve_ok, serve_ok) as harness, harness.client() as client:
-        for _ in range(20):  # the module learns what is slow, and earns the token that a copy costs
+        for _ in range(
+            20
+        ):  # the balancer learns the usual latency, and earns the token for a hedge
             await client.request()
         slow, quick = harness.hosts
         slow.seen.clear()
@@ -170,7 +172,7 @@
 
 @on_loop
 async def test_the_id_of_an_open_request_is_rejected() -> None:
-    """Two requests under one id would count as copies of each other at the hosts."""
+    """Hosts would treat two requests with one id as copies of each other."""
     async with running_gateway(hang) as harness, harness.client() as one, harness.client() as other:
         one.send(Request_Id="same")
         await harness.hosts[0].came.get()
--- a/tests/gateway/test_settings.py
+++ b/tests/gateway/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings that cannot work are named, and settings no known deployment uses do work."""
+"""Invalid settings are rejected by name, and unusual valid settings work."""
 
 from __future__ import annotations
 
--- a/tests/http/test_host_pool.py
+++ b/tests/http/test_host_pool.py
@@ -1,6 +1,4 @@
-"""The host side on real sockets: every outcome is exact, and no connection is used that should not
-be.
-"""
+"""Connections to hosts on real sockets: outcomes are exact, and no stale connection is reused."""
 
 from __future__ import annotations
 
@@ -39,7 +37,7 @@
 
 
 class PoolHarness:
-    """An upstream and one host of its list."""
+    """A connection pool and one host."""
 
     def __init__(self, address: Address, connect_s: float = LONG_S, sockets: int = 100) -> None:
         self.descriptors = Descriptors(RESERVED + sockets)
@@ -102,7 +100,7 @@
             None,
         ),
         (sends(CHUNKED + b"5\r\nhalf", end=True), Outcome.RESET, None),
-        # With no length told an end is the whole, and a reset is no end.
+        # Without a length, an end of stream completes the response, and a reset does not.
         (sends(b"HTTP/1.1 200 OK\r\n\r\nwhole", end=True), Outcome.SUCCESS, b"whole"),
         (sends(b"HTTP/1.0 200 OK\r\nConnection: close\r\n\r\n", end=True), Outcome.SUCCESS, b""),
         (sends(b"HTTP/1.1 503 Busy\r\nNot-Started: 1\r\n\r\n", end=True), Outcome.FULL, None),
@@ -120,7 +118,7 @@
         (sends(b"no HTTP at all\r\n\r\n"), Outcome.ERROR, None),
         (sends(response(b"x" * 70_000)), Outcome.ERROR, None),
         (sends(b"HTTP/1.1 200 OK\r\nX: " + b"y" * 20_000 + b"\r\n\r\n"), Outcome.ERROR, None),
-        # None of these ends, and the connection stays open.
+        # None of these responses ends, and the connection stays open.
         (sends(b"HTTP/1.1 200 OK\r\nX: " + b"y" * 20_000), Outcome.ERROR, None),
         (sends(b"HTTP/1.1 100 Continue\r\n\r\n" * 20), Outcome.ERROR, None),
         (sends(CHUNKED + b"1;" + b"e" * 300_000), Outcome.ERROR, None),
@@ -137,8 +135,8 @@
 async def test_the_hosts_response_determines_the_outcome(
     behave: Behaviour, outcome: Outcome, body: bytes | None
 ) -> None:
-    """Guards rule 2 (what may have run must not look unseen) and rule 1 (half an answer is
-    none).
+    """Guards rule 2 (a request that may have run must not count as unsent) and rule 1 (an
+    incomplete response is not served).
     """
     harness = PoolHarness((await FakeHost(behave=behave).start()).address)
     got, reply = await harness.run()
@@ -152,8 +150,8 @@
 async def test_a_response_without_a_length_is_not_served_after_a_reset(
     taken_for_an_end: bool,
 ) -> None:
-    """Its first bytes were read when the reset comes. A loop that sees the connection gone before
-    it reads the error may call that an end.
+    """The reset comes after the first bytes were read. A loop that sees the closed connection
+    before it reads the error may report an end of stream.
     """
     listener = socket.create_server(("127.0.0.1", 0))
     harness = PoolHarness(listener.getsockname())
@@ -182,7 +180,7 @@
 )
 @on_loop
 async def test_a_response_that_stalls_fails_before_the_deadline(start: bytes) -> None:
-    """Hosts write an answer at once. A rest that does not come would hold its request to its
+    """Hosts write a response at once. Waiting for a missing rest would hold the request until its
     deadline.
     """
     host = await FakeHost(behave=sends(start)).start()
@@ -193,8 +191,8 @@
 
 @on_loop
 async def test_idle_connections_are_dropped_after_a_timeout_without_data() -> None:
-    """A machine that vanished leaves its connections open: each of those kept would hang as long
-    again.
+    """The connections of an unreachable host stay open: each one reused would hang for another
+    time-out.
     """
     host = await FakeHost(behave=hang).start()
     harness = PoolHarness(host.address)
@@ -239,9 +237,7 @@
 
 @on_loop
 async def test_a_reset_before_the_last_byte_is_connect_failed() -> None:
-    """The host resets while most of the request is still in this process: it cannot have begun
-    it.
-    """
+    """The host resets while most of the request is unsent, so it cannot have run it."""
 
     async def cut(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.read(10)
@@ -256,7 +252,7 @@
 
 @on_loop
 async def test_a_timed_out_attempt_closes_its_connection() -> None:
-    """The late answer would otherwise meet the next request on that connection."""
+    """A late response would otherwise be read as the response to the connection's next request."""
     host = await FakeHost(behave=hang).start()
     harness = PoolHarness(host.address)
     assert (await harness.run(timeout_s=0.05))[0] is Outcome.TIMEOUT
@@ -281,7 +277,9 @@
 
 @on_loop
 async def test_the_most_recently_used_connection_is_reused(monkeypatch: pytest.MonkeyPatch) -> None:
-    """New connections cost the host work; the least used ones are let go idle."""
+    """New connections cost the host work; the least recently used ones become idle and are
+    closed.
+    """
     monkeypatch.setattr(host_pool, "REUSE_DELAY_S", -1.0)
     host = await FakeHost(behave=hang).start()
     harness = PoolHarness(host.address)
@@ -317,7 +315,7 @@
     await harness.run()
     harness.upstream.sweep()
     assert not harness.host.idle[0].closing()
-    harness.host.idle[0].idle_since -= 8.0  # of the 15 s that hosts wait
+    harness.host.idle[0].idle_since -= 8.0  # of the hosts' keep-alive time of 15 s
     harness.upstream.sweep()
     assert await host.closed.get() == 0
     await until(lambda: not harness.host.idle)
@@ -326,7 +324,7 @@
 @pytest.mark.parametrize("extra", [response(b"again"), b"noise", b"HTTP/1.1 200 OK\r\n"])
 @on_loop
 async def test_a_connection_with_surplus_bytes_is_not_reused(extra: bytes) -> None:
-    """A second answer that lies in wait would be given to the next client."""
+    """A surplus response would be given to the next client."""
     host = await FakeHost(behave=sends(response(b"mine") + extra)).start()
     harness = PoolHarness(host.address)
     outcome, reply = await harness.run()
@@ -340,16 +338,15 @@
 async def test_an_unread_surplus_response_is_not_given_to_the_next_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It lies in the kernel when the connection is wanted again: written to, that connection would
-    give it to another client. With no time to settle, only the look at the socket guards against
-    that.
+    """A surplus response is unread in the kernel when the connection is needed again, and would be
+    given to another client. Without a reuse delay, only polling the socket prevents that.
     """
     monkeypatch.setattr(host_pool, "REUSE_DELAY_S", -1.0)
     host = await FakeHost(behave=sends(response(b"first"))).start()
     harness = PoolHarness(host.address)
     await harness.run()
     waiting = harness.host.idle[0]
-    host.writers[0].write(response(b"copy"))  # leaves at once; this loop has not read it yet
+    host.writers[0].write(response(b"copy"))  # is sent at once, and this loop has not read it yet
     while not waiting.has_unread():
         pass
     host.behave = sends(response(b"second"))
@@ -362,7 +359,7 @@
 async def test_a_connection_is_not_reused_before_the_reuse_delay(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What comes a moment behind an answer must find the connection idle, not in use by another
+    """Surplus bytes that follow a response must find the connection idle, not used by another
     request.
     """
     monkeypatch.setattr(host_pool, "REUSE_DELAY_S", 1000.0)
@@ -399,8 +396,8 @@
 async def test_an_attempt_that_is_connecting_is_withdrawn(
     act: Callable[[PoolHarness, Attempt], None], turns: int
 ) -> None:
-    """Rule 3: a drain counts for what has not sent its first byte; the module may place it again.
-    Its descriptor comes back also where the connect had not taken its first step.
+    """Rule 3: a drain applies to requests whose first byte was not sent, and the balancer may send
+    them elsewhere. The descriptor is released also if the connect had not run its first step.
     """
     dead = FullBacklogListener()
     harness = PoolHarness(dead.address)
@@ -426,12 +423,12 @@
     assert (len(host.seen), len(host.writers)) == (
         1,
         1,
-    )  # not even a connection: it would cost the host work
+    )  # no connection either, which would cost the host work
 
 
 @on_loop
 async def test_an_attempt_without_a_free_descriptor_is_not_sent() -> None:
-    """Running into the process's limit would fail at an accept, where nobody can be answered."""
+    """Past the process's limit an accept would fail, and no response could be sent."""
     host = await FakeHost(behave=hang).start()
     harness = PoolHarness(host.address, sockets=1)
     first = harness.start()
@@ -464,7 +461,7 @@
     assert (outcome, reply and reply.body) == (Outcome.SUCCESS, b"in pieces")
 
 
-# Where two events cross.
+# Events that coincide.
 
 
 @on_loop
@@ -477,7 +474,9 @@
 
     def late(connection: HostConnection, transport: asyncio.BaseTransport) -> None:
         made(connection, transport)
-        time.sleep(0.3)  # the time-out falls due in the turn in which the connection is there
+        time.sleep(
+            0.3
+        )  # the time-out expires in the loop iteration in which the connection comes up
 
     monkeypatch.setattr(HostConnection, "connection_made", late)
     assert (await harness.run())[0] is Outcome.CONNECT_FAILED
--- a/tests/support/balancer_harness.py
+++ b/tests/support/balancer_harness.py
@@ -1,4 +1,4 @@
-"""A small harness for the balancer: settings, servers and a clock, no network and no harness."""
+"""Runs a balancer on settings, servers and a simulated clock, without network."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 class BalancerHarness:
-    """Feeds one balancer, keeps its alarms and remembers what it did."""
+    """Feeds events to one balancer, and records its alarms and actions."""
 
     def __init__(self, given: Settings, servers: int | list[Server] = 4, seed: int = 7) -> None:
         self.now = 1_000_000
@@ -67,7 +67,7 @@
         return actions
 
     def pass_time(self, us: int) -> list[Action]:
-        """Let time pass and deliver the alarms that fall due, each at its time."""
+        """Advance the clock and deliver due alarms, each at its time."""
         end, seen = self.now + us, len(self.log)
         while True:
             due = min((t for t in self.timers if t[0] <= end), default=None)
@@ -92,7 +92,7 @@
         return self.feed(AttemptDone(request, number, outcome, elapsed_us, closed))
 
     def warm_up(self, count: int = 200, elapsed_us: int = 10_000, route: int = 0) -> None:
-        """Teach the balancer what a healthy day looks like."""
+        """Serve requests with a normal latency, for the balancer to learn."""
         for _ in range(count):
             request = self.arrive(route)
             self.pass_time(elapsed_us)
--- a/tests/support/event_loop.py
+++ b/tests/support/event_loop.py
@@ -1,4 +1,4 @@
-"""Runs a test on the gateway's kind of event loop, and waits on it within a bound."""
+"""Runs tests on the gateway's event loop, uvloop, with a time-out."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def on_loop(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
-    """Run a test on the gateway's own kind of loop, for so long at most."""
+    """Run an async test on uvloop, with a time-out of `TEST_TIMEOUT_S`."""
 
     @functools.wraps(test)
     def run(*args: Any, **kwargs: Any) -> None:
@@ -25,6 +25,6 @@
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Let the loop turn until something has happened; the test's own bound ends a wait in vain."""
+    """Run the loop until a condition holds; the test's time-out limits the wait."""
     while not condition():
         await asyncio.sleep(0.005)
--- a/tests/support/fake_discovery.py
+++ b/tests/support/fake_discovery.py
@@ -1,4 +1,4 @@
-"""A discovery on a loopback socket that a test feeds."""
+"""A discovery service on a loopback socket, whose lists a test sends."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class FakeDiscovery:
-    """Watches that tests feed; `lists` holds what a new watch is told first."""
+    """Accepts watches; `initial_list` is the first data sent on each new watch."""
 
     def __init__(self, *entries: dict[str, Any]) -> None:
         self.generation = 1
@@ -19,7 +19,7 @@
         self.requests: asyncio.Queue[str] = asyncio.Queue()
         self.ended: asyncio.Queue[int] = (
             asyncio.Queue()
-        )  # numbers of watches that the gateway ended
+        )  # indices of watches that the gateway closed
         self.watches: list[asyncio.StreamWriter] = []
 
     def encode_list(self, *entries: dict[str, Any], full: bool = True) -> bytes:
@@ -33,7 +33,7 @@
         return self
 
     def down(self) -> None:
-        """End the watches, and refuse connections until `up`."""
+        """Reset the watches, and refuse connections until `up`."""
         self._server.close()
         for watch in self.watches:
             reset(watch)
@@ -60,9 +60,7 @@
             pass
         finally:
             writer.close()
-            if (
-                number is not None
-            ):  # also by RST, which is how it ends with bytes unread at the gateway
+            if number is not None:  # also by RST, which the gateway sends if it has unread bytes
                 self.ended.put_nowait(number)
 
     def send(self, data: bytes) -> None:
--- a/tests/support/fake_hosts.py
+++ b/tests/support/fake_hosts.py
@@ -1,4 +1,6 @@
-"""Hosts on loopback sockets whose behaviour a test chooses; ports are the kernel's choice."""
+"""Hosts on loopback sockets with a behaviour that the test chooses, on ports assigned by the
+kernel.
+"""
 
 from __future__ import annotations
 
@@ -34,7 +36,7 @@
 
 
 class FakeHost:
-    """Answers by `behave`, remembers what came, and tells when connections end."""
+    """Responds by `behave`, and records requests and closed connections."""
 
     def __init__(self, name: str = "s-1", behave: Behaviour = serve_ok) -> None:
         self.name, self.behave = name, behave
@@ -42,7 +44,7 @@
         self.came: asyncio.Queue[Message] = asyncio.Queue()
         self.closed: asyncio.Queue[int] = (
             asyncio.Queue()
-        )  # numbers of connections that the gateway ended
+        )  # indices of connections that the gateway closed
         self.writers: list[asyncio.StreamWriter] = []
 
     async def start(self, port: int = 0) -> FakeHost:
@@ -93,9 +95,7 @@
 
 
 class FullBacklogListener:
-    """An address whose connections never come up: its queue of connections is full, so SYNs are
-    dropped.
-    """
+    """A listener that accepts no connection: its backlog is full, so SYNs are dropped."""
 
     def __init__(self) -> None:
         self.listener = socket.socket()
--- a/tests/support/gateway_clients.py
+++ b/tests/support/gateway_clients.py
@@ -1,4 +1,4 @@
-"""Clients of the gateway in service."""
+"""Clients of a gateway under test."""
 
 from __future__ import annotations
 
@@ -14,7 +14,9 @@
 def client_request(
     path: str = "/status-check/k1", body: bytes = b"", method: str = "", **headers: str | None
 ) -> tuple[str, bytes]:
-    """One request and its id; header names have `_` for `-`, None leaves one out."""
+    """Build a request; returns its id and bytes. Header names have `_` for `-`, None omits a
+    header.
+    """
     name = path.split("/")[1]
     number = f"{next(request_numbers):x}"
     given: dict[str, str | None] = {
@@ -33,8 +35,8 @@
 
 
 class BlockingClient:
-    """A client that acts within one turn of the loop: what it does is in the kernel when the call
-    returns, and the gateway's loop has not told of it.
+    """A client on a blocking socket, which acts within one loop iteration: the effect is in the
+    kernel when the call returns, and the gateway's loop has not reported it.
     """
 
     def __init__(self, port: int, receive_buffer: int | None = None) -> None:
@@ -63,7 +65,7 @@
     def end_sending(self) -> None:
         self.socket.shutdown(socket.SHUT_WR)
 
-    disconnect_method = close  # tests replace it
+    disconnect_method = close  # replaced by tests
 
 
 class Client:
@@ -86,7 +88,7 @@
         method: str = "",
         **headers: str | None,
     ) -> str:
-        """Write one request as `client_request` words it."""
+        """Write one request as built by `client_request`; returns its id."""
         number, data = client_request(path, body, method, **headers)
         self.writer.write(data)
         return number
--- a/tests/support/gateway_harness.py
+++ b/tests/support/gateway_harness.py
@@ -1,4 +1,4 @@
-"""A gateway in service between fake hosts and a fake discovery, with its configuration."""
+"""Runs a gateway between fake hosts and a fake discovery, with a configuration."""
 
 from __future__ import annotations
 
@@ -97,7 +97,7 @@
 
 @asynccontextmanager
 async def running_gateway(*behaviours: Behaviour, **changes: Any) -> AsyncIterator[GatewayHarness]:
-    """A gateway that has its list, between fake hosts and a fake discovery."""
+    """Run a gateway that has received its list, between fake hosts and a fake discovery."""
     hosts = [await FakeHost(f"s-{i}", behave).start() for i, behave in enumerate(behaviours)]
     discovery = await FakeDiscovery(*(host.entry() for host in hosts)).start()
     gateway = Gateway(make_config(discovery.port, **changes), asyncio.get_running_loop())
@@ -111,7 +111,7 @@
 
 
 def accepted_requests(harness: GatewayHarness) -> list[ClientRequest]:
-    """The requests that the engine takes from now on."""
+    """Record the requests that the engine accepts from now on."""
     requests: list[ClientRequest] = []
     accept = harness.gateway.engine.accept
 
@@ -129,7 +129,7 @@
 async def gateway_with_known_list(
     agent: FakeHost, known: dict[str, Any], **changes: Any
 ) -> AsyncIterator[Gateway]:
-    """A gateway that has only its known list, with `agent` in discovery's place."""
+    """Run a gateway that has only its known list, with `agent` in place of discovery."""
     gateway = Gateway(
         make_config(agent.address[1], known=known, **changes), asyncio.get_running_loop()
     )
--- a/tests/support/http_messages.py
+++ b/tests/support/http_messages.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages framed by Content-Length, and connections that end by RST."""
+"""HTTP/1.1 messages framed by Content-Length, and connections closed by RST."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> Message:
-    """One message framed by Content-Length; raises `IncompleteReadError` at the connection's
-    end.
+    """Read one message framed by Content-Length; raises `IncompleteReadError` at the end of the
+    stream.
     """
     head = (await reader.readuntil(b"\r\n\r\n")).decode()
     first, *lines = head.strip().split("\r\n")
@@ -44,6 +44,6 @@
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """End a connection by RST, as a host that dies does."""
+    """Close a connection by RST, as a crashed host does."""
     reset_on_close(writer.get_extra_info("socket"))
     writer.transport.abort()
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -1,4 +1,4 @@
-"""An independent checker of the four rules. It sees settings, events and actions only."""
+"""Independent checker of the balancer's four rules, from settings, events and actions only."""
 
 from __future__ import annotations
 
@@ -55,13 +55,17 @@
 
 
 class RuleChecker:
-    """Feed it every batch, its actions after it; it raises RuleBrokenError at the first breach."""
+    """Checks each batch of events and its actions; raises RuleBrokenError at the first
+    violation.
+    """
 
     def __init__(self, given: Settings, work_us: int) -> None:
         self.settings = given
-        self.work_us = work_us  # true work of a request, on a core of a cold server's kind
+        self.work_us = (
+            work_us  # real processing time of a request on a core of a cold server's machine type
+        )
         self.cases: dict[int, Case] = {}
-        self.ended_by_events: list[int] = []  # in this batch; a send in its reply is no breach yet
+        self.ended_by_events: list[int] = []  # in this batch; sends among its actions are permitted
         self.known: dict[int, Server] = {}
         self.drained_since: dict[int, int] = {}
         self.cold_sends: dict[tuple[int, int], list[int]] = {}
