--- a/tests/gateway/test_client_connections.py
+++ b/tests/gateway/test_client_connections.py
@@ -223,9 +223,8 @@
     ):
         stayed = [await harness.client().__aenter__() for _ in range(15)]
         for client in stayed:
-            assert (
-                await usual.request()
-            ).status == 200  # used in between, it is never the longest idle
+            # used in between, it is never the longest idle
+            assert (await usual.request()).status == 200
             assert (await client.request()).status == 200
         assert await read_to_end(stayed[0]) == b""
         await until(lambda: len(harness.gateway.server.connections) <= 10)
--- a/tests/gateway/test_departures.py
+++ b/tests/gateway/test_departures.py
@@ -174,16 +174,14 @@
 @on_loop
 async def test_a_hedge_is_not_sent_after_a_disconnect(leaves: bool, copies: int) -> None:
     async with running_gateway(serve_ok, serve_ok) as harness:
-        alarms = HeldAlarms(
-            harness
-        )  # a hedge sent while latencies are learned would use up a token
+        # a hedge sent while latencies are learned would use up a token
+        alarms = HeldAlarms(harness)
         async with harness.client() as client:
             for _ in range(20):  # the balancer learns the usual latency
                 await client.request()
             while not all(host.idle for host in harness.gateway.engine.hosts.values()):
-                await (
-                    client.request()
-                )  # a hedge that had to connect first would be sent after the disconnect
+                # a hedge that had to connect first would be sent after the disconnect
+                await client.request()
         await until(lambda: len(alarms.held) == len(harness.gateway.engine._balancer.alarms))
         alarms.ring()  # those of earlier requests; alarms held from now on belong to the next one
         for host in harness.hosts:
@@ -207,9 +205,8 @@
     """The last bytes of the request and the end of stream are in the kernel together."""
     async with running_gateway(serve_ok) as harness:
         async with harness.client() as usual:
-            assert (
-                await usual.request()
-            ).status == 200  # leaves an idle connection to write to at once
+            # leaves an idle connection to write to at once
+            assert (await usual.request()).status == 200
         asked, client, (number, data) = (
             accepted_requests(harness),
             BlockingClient(harness.gateway.port),
--- a/tests/gateway/test_discovery.py
+++ b/tests/gateway/test_discovery.py
@@ -412,9 +412,8 @@
             Cause.UNRESPONSIVE: WATCH_TIMEOUT_S,
         }
         given_up_s = timeouts_s.get(cause, took_s)
-        now = 1000.0 + 6.0 * len(
-            waits
-        )  # as if the delay had passed: after the previous call's deadline
+        # as if the delay had passed: after the previous call's deadline
+        now = 1000.0 + 6.0 * len(waits)
         waits.append(given_up_s + wait_s(pacing, cause, now, took_s))
         return 0.0
 
--- a/tests/gateway/test_malformed_requests.py
+++ b/tests/gateway/test_malformed_requests.py
@@ -46,9 +46,8 @@
 ) -> None:
     async with running_gateway(serve_ok) as harness, harness.client() as client:
         assert (await client.request(path, **headers)).status == status
-        assert (
-            await client.request()
-        ).status == 200  # its framing was valid, so the connection stays in use
+        # its framing was valid, so the connection stays in use
+        assert (await client.request()).status == 200
         assert len(harness.hosts[0].seen) == 1
 
 
--- a/tests/gateway/test_pacing.py
+++ b/tests/gateway/test_pacing.py
@@ -164,9 +164,8 @@
 @pytest.mark.parametrize("list_deadline_s", [3.0, 10.0])
 @pytest.mark.parametrize("cause", [Cause.START, Cause.ENDED, Cause.MALFORMED])
 def test_the_delay_keeps_the_list_deadline(cause: Cause, list_deadline_s: float) -> None:
-    bound = min(
-        0.6 * list_deadline_s, FAILED_DEADLINE_S - CALL_TIME_S
-    )  # its call may fail, and then the deadline after a failed call applies too
+    # its call may fail, and then the deadline after a failed call applies too
+    bound = min(0.6 * list_deadline_s, FAILED_DEADLINE_S - CALL_TIME_S)
     assert 0.9 * bound < max_delay_s(cause, list_deadline_s=list_deadline_s) <= bound
 
 
--- a/tests/gateway/test_retries.py
+++ b/tests/gateway/test_retries.py
@@ -157,9 +157,8 @@
 @on_loop
 async def test_a_slow_request_is_hedged_and_the_slower_attempt_cancelled() -> None:
     async with running_gateway(serve_ok, serve_ok) as harness, harness.client() as client:
-        for _ in range(
-            20
-        ):  # the balancer learns the usual latency, and earns the token for a hedge
+        # the balancer learns the usual latency, and earns the token for a hedge
+        for _ in range(20):
             await client.request()
         slow, quick = harness.hosts
         slow.seen.clear()
--- a/tests/http/test_host_pool.py
+++ b/tests/http/test_host_pool.py
@@ -474,9 +474,8 @@
 
     def late(connection: HostConnection, transport: asyncio.BaseTransport) -> None:
         made(connection, transport)
-        time.sleep(
-            0.3
-        )  # the time-out expires in the loop iteration in which the connection comes up
+        # the time-out expires in the loop iteration in which the connection comes up
+        time.sleep(0.3)
 
     monkeypatch.setattr(HostConnection, "connection_made", late)
     assert (await harness.run())[0] is Outcome.CONNECT_FAILED
--- a/tests/support/fake_discovery.py
+++ b/tests/support/fake_discovery.py
@@ -17,9 +17,8 @@
         self.generation = 1
         self.initial_list: bytes = self.encode_list(*entries)
         self.requests: asyncio.Queue[str] = asyncio.Queue()
-        self.ended: asyncio.Queue[int] = (
-            asyncio.Queue()
-        )  # indices of watches that the gateway closed
+        # indices of watches that the gateway closed
+        self.ended: asyncio.Queue[int] = asyncio.Queue()
         self.watches: list[asyncio.StreamWriter] = []
 
     def encode_list(self, *entries: dict[str, Any], full: bool = True) -> bytes:
--- a/tests/support/fake_hosts.py
+++ b/tests/support/fake_hosts.py
@@ -42,9 +42,8 @@
         self.name, self.behave = name, behave
         self.seen: list[Message] = []
         self.came: asyncio.Queue[Message] = asyncio.Queue()
-        self.closed: asyncio.Queue[int] = (
-            asyncio.Queue()
-        )  # indices of connections that the gateway closed
+        # indices of connections that the gateway closed
+        self.closed: asyncio.Queue[int] = asyncio.Queue()
         self.writers: list[asyncio.StreamWriter] = []
 
     async def start(self, port: int = 0) -> FakeHost:
