--- a/tests/gateway/test_closes.py
+++ b/tests/gateway/test_closes.py
@@ -43,22 +43,22 @@
         return b""
 
 
-def sweep(to: Server, connection: ServerConnection) -> None:
+def sweep(server: Server, connection: ServerConnection) -> None:
     connection.last_progress_at -= 1000.0
-    to.sweep()
+    server.sweep()
 
 
-def idle_limit(to: Server, connection: ServerConnection) -> None:
-    to._used_limit = -1
-    to.connection_idle(next(other for other in to.connections if other is not connection))
+def idle_limit(server: Server, connection: ServerConnection) -> None:
+    server._used_limit = -1
+    server.connection_idle(next(other for other in server.connections if other is not connection))
 
 
-def connection_limit(to: Server, connection: ServerConnection) -> None:
-    to._close_another(connection)
+def connection_limit(server: Server, connection: ServerConnection) -> None:
+    server._close_another(connection)
 
 
-def drain(to: Server, connection: ServerConnection) -> None:
-    to.close_idle()
+def drain(server: Server, connection: ServerConnection) -> None:
+    server.close_idle()
 
 
 @pytest.mark.parametrize("close", [sweep, idle_limit, connection_limit, drain])
@@ -138,20 +138,20 @@
 async def test_a_slow_client_receives_the_complete_last_response(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    looks: list[ServerConnection] = []
-    lingered = ServerConnection._close_after_linger
+    calls: list[ServerConnection] = []
+    close_after_linger = ServerConnection._close_after_linger
 
-    def look(connection: ServerConnection) -> None:
-        looks.append(connection)
-        lingered(connection)
+    def record_call(connection: ServerConnection) -> None:
+        calls.append(connection)
+        close_after_linger(connection)
 
     monkeypatch.setattr(server_connection, "LINGER_S", 0.001)
-    monkeypatch.setattr(ServerConnection, "_close_after_linger", look)
+    monkeypatch.setattr(ServerConnection, "_close_after_linger", record_call)
     async with running_gateway(sends(response(b"x" * BODY_LIMIT))) as harness:
         client, connection = await unread_response(harness)
         connection._keep_alive = False
         connection._close()
-        await until(lambda: len(looks) >= 3 or connection._transport is None)  # expired each time
+        await until(lambda: len(calls) >= 3 or connection._transport is None)  # expired each time
         data = b""
         while part := await received(client):
             data += part
@@ -178,10 +178,10 @@
         assert not connection._writing_paused
         client.send()
         close(connection)
-        got = b""
+        data_received = b""
         while data := await received(client):
-            got += data
-        assert got.count(b"x") == BODY_LIMIT
+            data_received += data
+        assert data_received.count(b"x") == BODY_LIMIT
         close(connection)  # nothing is in transit now
         await until(lambda: not harness.gateway.server.connections)
 
@@ -190,21 +190,25 @@
 async def test_a_drain_serves_an_unread_pipelined_request(monkeypatch: pytest.MonkeyPatch) -> None:
     """The second, pipelined request is in the kernel when the first response is written."""
     async with running_gateway(serve_ok) as harness:
-        client, whole = BlockingClient(harness.gateway.port), ClientConnection.respond
+        client, respond = BlockingClient(harness.gateway.port), ClientConnection.respond
         harness.gateway.server.draining = True
 
-        def cross(connection: ClientConnection, *reply: object) -> None:
+        def send_then_respond(connection: ClientConnection, *reply: object) -> None:
             if not harness.hosts[0].seen[1:]:
                 client.send()
-            whole(connection, *reply)  # type: ignore[arg-type]
+            respond(connection, *reply)  # type: ignore[arg-type]
 
-        monkeypatch.setattr(ClientConnection, "respond", cross)
+        monkeypatch.setattr(ClientConnection, "respond", send_then_respond)
         client.send()
-        got = b""
+        data_received = b""
         while data := await received(client):
-            got += data
-        assert got.count(b"HTTP/1.1 200 OK") == 2
-        assert got.count(b"Connection: keep-alive") == got.count(b"Connection: close") == 1
+            data_received += data
+        assert data_received.count(b"HTTP/1.1 200 OK") == 2
+        assert (
+            data_received.count(b"Connection: keep-alive")
+            == data_received.count(b"Connection: close")
+            == 1
+        )
 
 
 @on_loop
@@ -214,7 +218,7 @@
     """The client sees the end of the connection and retries on a new one."""
     monkeypatch.setattr(server_connection, "LINGER_S", 1000.0)
     async with running_gateway(serve_ok) as harness:
-        asked, client = accepted_requests(harness), BlockingClient(harness.gateway.port)
+        requests, client = accepted_requests(harness), BlockingClient(harness.gateway.port)
         harness.gateway.server.draining = True
         client.send()
         await until(lambda: bool(harness.gateway.server._finishing))
@@ -223,20 +227,20 @@
         await until(lambda: connection._discarded_bytes > 0)
         assert b"Connection: close" in await received(client)
         assert await received(client) == b""
-        assert len(asked) == len(harness.hosts[0].seen) == 1
+        assert len(requests) == len(harness.hosts[0].seen) == 1
 
 
 @on_loop
 async def test_late_requests_in_a_drain_get_a_shorter_deadline() -> None:
     async with running_gateway(serve_ok) as harness, harness.client() as client:
-        asked = accepted_requests(harness)
-        for taken_s in (1000.0, 0.0):
+        requests = accepted_requests(harness)
+        for short_deadline_after_s in (1000.0, 0.0):
             harness.gateway.server.draining = False
-            harness.gateway.server.drain(taken_s, 2.5)
+            harness.gateway.server.drain(short_deadline_after_s, 2.5)
             harness.gateway.server.draining = (
                 False  # so that the connection is kept for the second request
             )
             assert (await client.request(Request_Timeout_Ms="4000")).status == 200
-        early, late = (request.expires for request in asked)
+        early, late = (request.expires for request in requests)
         assert late == harness.gateway.server.checks._short_deadline
         assert early > late
--- a/tests/gateway/test_deadlines.py
+++ b/tests/gateway/test_deadlines.py
@@ -25,12 +25,12 @@
 async def test_the_deadline_of_a_pipelined_request_counts_from_its_arrival() -> None:
     """The request waits unparsed for earlier responses, while its client's time-out runs."""
     async with running_gateway(hang) as harness, harness.client() as client:
-        asked = accepted_requests(harness)
+        requests = accepted_requests(harness)
         head = b"GET /status-check/k HTTP/1.1\r\nTenant: acme\r\nRequest-Timeout-Ms: 300\r\n"
         client.writer.write(b"".join(b"%bRequest-Id: a%d\r\n\r\n" % (head, n) for n in range(60)))
         for _ in range(60):
             assert (await client.receive()).status in (503, 504)
-        assert len({request.expires for request in asked}) == 1
+        assert len({request.expires for request in requests}) == 1
 
 
 @on_loop
@@ -38,13 +38,13 @@
     """Reading is paused while earlier requests wait, and the client's time-out runs on."""
     loop = asyncio.get_running_loop()
 
-    async def tick() -> float:
+    async def next_tick() -> float:
         before = loop.time()
         await until(lambda: loop.time() > before + 0.01)
         return loop.time()
 
     async with running_gateway(hang) as harness:
-        asked, client, host = (
+        requests, client, host = (
             accepted_requests(harness),
             BlockingClient(harness.gateway.port),
             harness.hosts[0],
@@ -52,17 +52,17 @@
         client.send(count=60)
         await host.came.get()
         assert (await only_connection(harness))._reading_paused
-        earliest = await tick()
+        earliest = await next_tick()
         host.writers[-1].write(response())
         await host.came.get()
-        await tick()
+        await next_tick()
         client.send(count=60)  # stays in the kernel until the first batch is parsed
         latest = loop.time()
-        await tick()
+        await next_tick()
         host.behave = serve_ok
         host.writers[-1].write(response())
-        await until(lambda: len(asked) == 120)
-        for request in asked[60:]:
+        await until(lambda: len(requests) == 120)
+        for request in requests[60:]:
             assert earliest - 0.001 < request.expires - 9.0 < latest + 0.005
 
 
@@ -70,7 +70,7 @@
 async def test_the_deadline_of_a_slow_writer_counts_from_its_last_byte() -> None:
     loop = asyncio.get_running_loop()
     async with running_gateway(serve_ok) as harness, harness.client() as client:
-        asked, (_, data) = accepted_requests(harness), client_request()
+        requests, (_, data) = accepted_requests(harness), client_request()
         client.writer.write(data[:-2])
         connection = await only_connection(harness)
         await until(lambda: connection._in_request)
@@ -78,4 +78,4 @@
         await until(lambda: loop.time() > began + 0.01)
         client.writer.write(data[-2:])
         assert (await client.receive()).status == 200
-        assert asked[0].expires - 9.0 > began + 0.005
+        assert requests[0].expires - 9.0 > began + 0.005
--- a/tests/gateway/test_departures.py
+++ b/tests/gateway/test_departures.py
@@ -54,7 +54,7 @@
         else:
             self._feed(event)
 
-    def ring(self) -> None:
+    def deliver(self) -> None:
         held, self.held = self.held, []
         for event in held:
             self._feed(event)
@@ -102,7 +102,7 @@
         await until(lambda: bool(alarms.held))
         harness.gateway.server.draining = draining
         client.disconnect()
-        alarms.ring()
+        alarms.deliver()
         harness.gateway.server.draining = False
         await all_requests_ended(harness)
         assert ids(*harness.hosts).count(number) == 1
@@ -116,12 +116,12 @@
         client = BlockingClient(harness.gateway.port)
         made = HostConnection.connection_made
 
-        def leave(connection: HostConnection, transport: asyncio.BaseTransport) -> None:
+        def disconnect(connection: HostConnection, transport: asyncio.BaseTransport) -> None:
             made(connection, transport)
             client.disconnect()
 
         with monkeypatch.context() as patch:
-            patch.setattr(HostConnection, "connection_made", leave)
+            patch.setattr(HostConnection, "connection_made", disconnect)
             [number] = client.send()
             await until(lambda: client.disconnected and not harness.gateway.engine._open)
         await all_requests_ended(harness)
@@ -135,14 +135,14 @@
     """The previous response and the client's end of stream come in one loop iteration."""
     async with running_gateway(hang) as harness:
         client = BlockingClient(harness.gateway.port)
-        whole = ClientConnection.respond
+        respond = ClientConnection.respond
 
-        def leave(connection: ClientConnection, *reply: object) -> None:
-            whole(connection, *reply)  # type: ignore[arg-type]
+        def disconnect(connection: ClientConnection, *reply: object) -> None:
+            respond(connection, *reply)  # type: ignore[arg-type]
             client.disconnect()
 
         with monkeypatch.context() as patch:
-            patch.setattr(ClientConnection, "respond", leave)
+            patch.setattr(ClientConnection, "respond", disconnect)
             first, second = client.send(count=2)
             await harness.hosts[0].came.get()
             harness.hosts[0].writers[0].write(response())
@@ -170,9 +170,9 @@
         assert not set(others) & set(ids(*harness.hosts))
 
 
-@pytest.mark.parametrize(("leaves", "copies"), [(True, 1), (False, 2)])
+@pytest.mark.parametrize(("disconnects", "attempts"), [(True, 1), (False, 2)])
 @on_loop
-async def test_a_hedge_is_not_sent_after_a_disconnect(leaves: bool, copies: int) -> None:
+async def test_a_hedge_is_not_sent_after_a_disconnect(disconnects: bool, attempts: int) -> None:
     async with running_gateway(serve_ok, serve_ok) as harness:
         # a hedge sent while latencies are learned would use up a token
         alarms = HeldAlarms(harness)
@@ -183,40 +183,41 @@
                 # a hedge that had to connect first would be sent after the disconnect
                 await client.request()
         await until(lambda: len(alarms.held) == len(harness.gateway.engine._balancer.alarms))
-        alarms.ring()  # those of earlier requests; alarms held from now on belong to the next one
+        # alarms of earlier requests; those held from now on belong to the next one
+        alarms.deliver()
         for host in harness.hosts:
             host.behave = hang
         hedged_client = BlockingClient(harness.gateway.port)
         [number] = hedged_client.send()
         await until(lambda: number in ids(*harness.hosts) and bool(alarms.held))
-        if leaves:
+        if disconnects:
             hedged_client.disconnect()
-        alarms.ring()
-        if not leaves:
+        alarms.deliver()
+        if not disconnects:
             await until(lambda: ids(*harness.hosts).count(number) == 2)
             hedged_client.disconnect()
         await all_requests_ended(harness, hang)
-        assert ids(*harness.hosts).count(number) == copies
+        assert ids(*harness.hosts).count(number) == attempts
 
 
-@pytest.mark.parametrize("pieces", [1, 2])
+@pytest.mark.parametrize("segments", [1, 2])
 @on_loop
-async def test_a_request_followed_by_a_disconnect_is_not_sent(pieces: int) -> None:
+async def test_a_request_followed_by_a_disconnect_is_not_sent(segments: int) -> None:
     """The last bytes of the request and the end of stream are in the kernel together."""
     async with running_gateway(serve_ok) as harness:
         async with harness.client() as usual:
             # leaves an idle connection to write to at once
             assert (await usual.request()).status == 200
-        asked, client, (number, data) = (
+        requests, client, (number, data) = (
             accepted_requests(harness),
             BlockingClient(harness.gateway.port),
             client_request(),
         )
-        if pieces == 2:
+        if segments == 2:
             client.socket.sendall(data[:20])
             await until(lambda: any(c._in_request for c in harness.gateway.server.connections))
-        client.socket.sendall(data[20 * (pieces - 1) :])
+        client.socket.sendall(data[20 * (segments - 1) :])
         client.disconnect()
-        await until(lambda: bool(asked))
+        await until(lambda: bool(requests))
         await all_requests_ended(harness)
         assert number not in ids(*harness.hosts)
--- a/tests/gateway/test_discovery.py
+++ b/tests/gateway/test_discovery.py
@@ -240,10 +240,13 @@
 async def test_the_known_list_serves_until_discovery_responds() -> None:
     host = await FakeHost("s-known").start()
     known = {"generation": 41, "reset": True, "instances": [host.entry()]}
-    silent = await FakeHost("discovery", hang).start()
-    async with gateway_with_known_list(silent, known) as gateway, Client(gateway.port) as client:
+    unresponsive = await FakeHost("discovery", hang).start()
+    async with (
+        gateway_with_known_list(unresponsive, known) as gateway,
+        Client(gateway.port) as client,
+    ):
         assert (await client.request()).status == 200
-        assert (await silent.came.get()).first.split()[1].endswith("from=41")
+        assert (await unresponsive.came.get()).first.split()[1].endswith("from=41")
 
 
 @on_loop
@@ -309,9 +312,9 @@
 async def test_the_list_stays_in_force_until_another_discovery_responds() -> None:
     async with running_gateway(serve_ok) as harness, harness.client() as client:
         assert (await client.request()).status == 200
-        silent = await FakeHost("discovery", hang).start()
-        harness.gateway.discovery.switch_to(silent.address)
-        await silent.came.get()
+        unresponsive = await FakeHost("discovery", hang).start()
+        harness.gateway.discovery.switch_to(unresponsive.address)
+        await unresponsive.came.get()
         assert (await client.request()).status == 200
         assert harness.hosts[0].closed.empty()  # the connection to the host stays open too
 
@@ -365,8 +368,8 @@
     monkeypatch.setattr(discovery, "WATCH_TIMEOUT_S", 0.3)
     causes: list[Cause] = []
 
-    def record(pacing: CallPacing, why: Cause, now: float, took_s: float = 0.0) -> float:
-        causes.append(why)
+    def record(pacing: CallPacing, cause: Cause, now: float, took_s: float = 0.0) -> float:
+        causes.append(cause)
         return 0.0 if len(causes) < 3 else 1000.0
 
     monkeypatch.setattr(CallPacing, "wait_s", record)
@@ -381,7 +384,7 @@
 
 
 @pytest.mark.parametrize(
-    "trouble",
+    "failure",
     [
         None,
         hang,
@@ -392,11 +395,11 @@
         sends(HEAD),
         sends(HEAD, end=True),
     ],
-    ids=["refused", "nothing", "reset", "503", "noise", "no list", "silent", "ended"],
+    ids=["refused", "nothing", "reset", "503", "noise", "no list", "unresponsive", "ended"],
 )
 @on_loop
 async def test_a_drain_is_received_by_the_deadline_after_failed_calls(
-    trouble: Behaviour | None, monkeypatch: pytest.MonkeyPatch
+    failure: Behaviour | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """With 200 gateways, for each way in which calls can fail, and discovery recovering right after
     the last failed call began. The real delays are added up instead of waited for.
@@ -406,44 +409,44 @@
     waits: list[float] = []
     wait_s = CallPacing.wait_s
 
-    def add_up(pacing: CallPacing, cause: Cause, now: float, took_s: float = 0.0) -> float:
+    def record_delay(pacing: CallPacing, cause: Cause, now: float, took_s: float = 0.0) -> float:
         timeouts_s = {
             Cause.UNANSWERED: RESPONSE_TIMEOUT_S,
             Cause.UNRESPONSIVE: WATCH_TIMEOUT_S,
         }
-        given_up_s = timeouts_s.get(cause, took_s)
+        call_s = timeouts_s.get(cause, took_s)
         # as if the delay had passed: after the previous call's deadline
         now = 1000.0 + 6.0 * len(waits)
-        waits.append(given_up_s + wait_s(pacing, cause, now, took_s))
+        waits.append(call_s + wait_s(pacing, cause, now, took_s))
         return 0.0
 
-    monkeypatch.setattr(CallPacing, "wait_s", add_up)
+    monkeypatch.setattr(CallPacing, "wait_s", record_delay)
     host = await FakeHost("s-known").start()
     known = {"generation": 41, "reset": True, "instances": [host.entry()]}
     drain = {"generation": 42, "reset": False, "instances": [host.entry(lifecycle="draining")]}
-    agent = await FakeHost("discovery", trouble or hang).start()
-    if trouble is None:
+    agent = await FakeHost("discovery", failure or hang).start()
+    if failure is None:
         agent.down()
     async with gateway_with_known_list(
         agent, known, settings=settings_data(balancers=200)
     ) as gateway:
         await until(lambda: len(waits) >= 4)
         agent.behave = sends(HEAD + chunk(json.dumps(drain).encode() + b"\n"))
-        if trouble is None:
+        if failure is None:
             await agent.up()
         await until(lambda: not next(iter(gateway.engine.hosts.values())).ready)
         assert max(waits[1:4]) + CALL_TIME_S <= FAILED_DEADLINE_S
 
 
-@pytest.mark.parametrize("lost", ["spoilt", "silent"])
+@pytest.mark.parametrize("ended_by", ["malformed", "unresponsive"])
 @on_loop
 async def test_a_watch_that_ends_during_a_reload_leaves_one_watch_of_the_new_discovery(
-    lost: str, monkeypatch: pytest.MonkeyPatch
+    ended_by: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(discovery, "WATCH_TIMEOUT_S", 0.2 if lost == "silent" else 1000.0)
+    monkeypatch.setattr(discovery, "WATCH_TIMEOUT_S", 0.2 if ended_by == "unresponsive" else 1000.0)
     async with running_gateway(serve_ok) as harness:
         new = await FakeDiscovery(harness.hosts[0].entry()).start()
-        if lost == "silent":
+        if ended_by == "unresponsive":
             harness.discovery.send(b"\n")
             await asyncio.sleep(0.01)  # the gateway has set its time-out
             time.sleep(0.3)  # which expires in this loop iteration
--- a/tests/gateway/test_host_changes.py
+++ b/tests/gateway/test_host_changes.py
@@ -50,49 +50,49 @@
 
 @on_loop
 async def test_a_drain_during_a_connect_moves_the_request() -> None:
-    dead = FullBacklogListener()
+    unreachable = FullBacklogListener()
     async with running_gateway() as harness, harness.client() as client:
-        stuck = FakeHost("s-stuck")
-        stuck.address = dead.address
-        harness.discovery.send_changes(stuck.entry())
+        connecting = FakeHost("s-stuck")
+        connecting.address = unreachable.address
+        harness.discovery.send_changes(connecting.entry())
         await until(lambda: len(harness.gateway.engine.hosts) == 1)
         client.send()
         await until(lambda: any(h.connecting for h in harness.gateway.engine.hosts.values()))
         good = await FakeHost("s-good").start()
-        harness.discovery.send_changes(stuck.entry(lifecycle="draining"), good.entry())
+        harness.discovery.send_changes(connecting.entry(lifecycle="draining"), good.entry())
         assert (await client.receive()).status == 200
         assert len(good.seen) == 1
-    dead.close()
+    unreachable.close()
 
 
 @on_loop
 async def test_the_balancer_gets_the_list_before_the_outcomes_of_ended_attempts() -> None:
     """In the other order the balancer retried by the old list, on another draining host."""
-    dead = FullBacklogListener()
+    unreachable = FullBacklogListener()
     async with running_gateway() as harness, harness.client() as client:
-        stuck, other = FakeHost("s-stuck"), FakeHost("s-other")
-        stuck.address = other.address = dead.address
-        harness.discovery.send_changes(stuck.entry(), other.entry())
+        connecting, other = FakeHost("s-stuck"), FakeHost("s-other")
+        connecting.address = other.address = unreachable.address
+        harness.discovery.send_changes(connecting.entry(), other.entry())
         await until(lambda: len(harness.gateway.engine.hosts) == 2)
         client.send()
         await until(lambda: any(h.connecting for h in harness.gateway.engine.hosts.values()))
-        told: list[Event] = []
+        handled: list[Event] = []
         handle = harness.gateway.engine._balancer.handle
 
         def record(now_us: int, events: list[Event]) -> list[Action]:
-            told.extend(events)
+            handled.extend(events)
             return handle(now_us, events)
 
         harness.gateway.engine._balancer.handle = record  # type: ignore[method-assign]
         good = await FakeHost("s-good").start()
         harness.discovery.send_changes(
-            stuck.entry(lifecycle="draining"), other.entry(lifecycle="draining"), good.entry()
+            connecting.entry(lifecycle="draining"), other.entry(lifecycle="draining"), good.entry()
         )
         assert (await client.receive()).status == 200
-        ended = [event for event in told if isinstance(event, AttemptDone)]
-        assert isinstance(told[0], ServerList)
+        ended = [event for event in handled if isinstance(event, AttemptDone)]
+        assert isinstance(handled[0], ServerList)
         assert [event.outcome for event in ended] == [Outcome.MOOT, Outcome.SUCCESS]
-    dead.close()
+    unreachable.close()
 
 
 @on_loop
@@ -115,9 +115,9 @@
     async with running_gateway(serve_ok, settings=settings_data(guarantees=rules)) as harness:
         now_ms = time.time_ns() // 1_000_000
         assert abs(harness.gateway.engine.now_us() / 1000 - now_ms) < 60_000
-        young, old = await FakeHost("s-young").start(), await FakeHost("s-old").start()
+        recent, old = await FakeHost("s-young").start(), await FakeHost("s-old").start()
         harness.discovery.send_changes(
-            young.entry(startedAtMs=now_ms - 1000), old.entry(startedAtMs=now_ms - 3_600_000)
+            recent.entry(startedAtMs=now_ms - 1000), old.entry(startedAtMs=now_ms - 3_600_000)
         )
         await until(lambda: len(harness.gateway.engine.hosts) == 3)
         balancer = harness.gateway.engine._balancer
--- a/tests/gateway/test_json_framer.py
+++ b/tests/gateway/test_json_framer.py
@@ -27,11 +27,11 @@
     values: list[Any], indent: int | str | None, step: int
 ) -> None:
     data = b"".join(json.dumps(value, indent=indent).encode() + b"\n" for value in values)
-    framer, got = JsonFramer(4096), list[bytes]()
+    framer, framed = JsonFramer(4096), list[bytes]()
     for start in range(0, len(data), step):
-        got += framer.feed(data[start : start + step])
-    assert [json.loads(value) for value in got if value] == values
-    assert got.count(b"") == len(values)  # one for the line break after each value
+        framed += framer.feed(data[start : start + step])
+    assert [json.loads(value) for value in framed if value] == values
+    assert framed.count(b"") == len(values)  # one for the line break after each value
     assert not framer.in_value
 
 
@@ -53,26 +53,27 @@
 
 def test_each_byte_is_scanned_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """A list in chunks of one byte costs linear work, not quadratic."""
-    looked = 0
+    scanned = 0
 
-    class Counted:
+    class CountingPattern:
         def __init__(self, inner: Any) -> None:
             self.inner = inner
 
         def search(self, data: bytes, at: int) -> Any:
-            nonlocal looked
-            looked += len(data) - at
+            nonlocal scanned
+            scanned += len(data) - at
             return self.inner.search(data, at)
 
     for name in ("_STRUCTURE", "_IN_STRING"):
         monkeypatch.setattr(
-            f"roselink.gateway.json_framer.{name}", Counted(JsonFramer.feed.__globals__[name])
+            f"roselink.gateway.json_framer.{name}",
+            CountingPattern(JsonFramer.feed.__globals__[name]),
         )
     data = json.dumps({"instances": [{"id": "x" * 9}] * 500}, indent=1).encode()
     framer = JsonFramer(2**20)
-    got = [value for i in range(len(data)) for value in framer.feed(data[i : i + 1])]
-    assert got == [data]
-    assert looked <= len(data)
+    framed = [value for i in range(len(data)) for value in framer.feed(data[i : i + 1])]
+    assert framed == [data]
+    assert scanned <= len(data)
 
 
 def test_values_before_invalid_data_are_yielded() -> None:
--- a/tests/gateway/test_pacing.py
+++ b/tests/gateway/test_pacing.py
@@ -40,23 +40,23 @@
         self.recovered_after_s = 0.0
         self.free_at = 0.0
 
-    def watch(self, begin: list[float]) -> float:
+    def watch(self, start_times: list[float]) -> float:
         """Simulate all calls, each gateway's first at its given time; returns when the last has a
         watch.
         """
-        due = [(at, i) for i, at in enumerate(begin)]
+        due = [(at, i) for i, at in enumerate(start_times)]
         heapq.heapify(due)
         last = 0.0
         while due:
             at, i = heapq.heappop(due)
             self.calls += 1
-            assert self.calls < 100 * len(begin), "the fleet never comes to its watches"
+            assert self.calls < 100 * len(start_times), "the fleet never gets its watches"
             self.free_at = max(self.free_at, at) + self.service_s
             if self.free_at - at > CALL_TIMEOUT_S:
                 self.failed += 1
-                again = at + CALL_TIMEOUT_S
-                again += self.pacing[i].wait_s(Cause.FAILED, again, CALL_TIMEOUT_S)
-                heapq.heappush(due, (again, i))
+                retry_at = at + CALL_TIMEOUT_S
+                retry_at += self.pacing[i].wait_s(Cause.FAILED, retry_at, CALL_TIMEOUT_S)
+                heapq.heappush(due, (retry_at, i))
             else:
                 last = max(last, self.free_at)
         return last
@@ -98,14 +98,14 @@
     """A fleet whose watches all end at once because discovery goes down for `down_s`. Until it
     recovers, calls fail after `fails_after_s`, also those that wait at that moment.
     """
-    fleet, begin = Fleet(gateways, seed, service_s), []
+    fleet, start_times = Fleet(gateways, seed, service_s), []
     for pacing in fleet.pacing:
         at = pacing.wait_s(Cause.ENDED, 0.0)
         while at < down_s:
             at += fails_after_s
             at += pacing.wait_s(Cause.FAILED, at, fails_after_s)
-        begin.append(at - down_s)
-    fleet.recovered_after_s = fleet.watch(begin)
+        start_times.append(at - down_s)
+    fleet.recovered_after_s = fleet.watch(start_times)
     return fleet
 
 
@@ -141,11 +141,11 @@
 
 
 def test_a_successful_watch_resets_the_backoff() -> None:
-    worn, fresh = polling(40, 5), polling(40, 5)
+    after_failures, without_failures = polling(40, 5), polling(40, 5)
     for _ in range(6):
-        worn.wait_s(Cause.FAILED, 0.0)
-        fresh.wait_s(Cause.ENDED, 0.0)
-    assert worn.wait_s(Cause.ENDED, 0.0) == fresh.wait_s(Cause.ENDED, 0.0)
+        after_failures.wait_s(Cause.FAILED, 0.0)
+        without_failures.wait_s(Cause.ENDED, 0.0)
+    assert after_failures.wait_s(Cause.ENDED, 0.0) == without_failures.wait_s(Cause.ENDED, 0.0)
 
 
 # Each cause has a deadline, which the spread over a large fleet must not exceed.
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -57,11 +57,11 @@
     """Reserve a port for a gateway: a socket stays bound to it, so that no other process gets
     it.
     """
-    keeper = socket.socket()
-    keeper.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    keeper.bind(("127.0.0.1", 0))
-    _reserved_sockets.append(keeper)
-    port: int = keeper.getsockname()[1]
+    reserved = socket.socket()
+    reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    reserved.bind(("127.0.0.1", 0))
+    _reserved_sockets.append(reserved)
+    port: int = reserved.getsockname()[1]
     return port
 
 
@@ -103,9 +103,9 @@
     """A restart while discovery is down: nothing listens at its address."""
     host, port = await FakeHost().start(), reserved_port()
     known = {"generation": 41, "reset": True, "instances": [host.entry()]}
-    with socket.socket() as nobody:
-        nobody.bind(("127.0.0.1", 0))
-        given = config_data(nobody.getsockname()[1], listen=f"127.0.0.1:{port}", known=known)
+    with socket.socket() as unused:
+        unused.bind(("127.0.0.1", 0))
+        given = config_data(unused.getsockname()[1], listen=f"127.0.0.1:{port}", known=known)
         process = await start_program(tmp_path, given)
         await wait_for_up(port)
         async with Client(port) as client:
@@ -120,12 +120,12 @@
     tmp_path: Path,
 ) -> None:
     host, port = await FakeHost().start(), reserved_port()
-    with socket.socket() as later:
-        later.bind(("127.0.0.1", 0))
-        given = config_data(later.getsockname()[1], listen=f"127.0.0.1:{port}", known={})
+    with socket.socket() as discovery_socket:
+        discovery_socket.bind(("127.0.0.1", 0))
+        given = config_data(discovery_socket.getsockname()[1], listen=f"127.0.0.1:{port}", known={})
         process = await start_program(tmp_path, given)
         await wait_for_up(port, 503)
-        await FakeDiscovery(host.entry()).start(later)
+        await FakeDiscovery(host.entry()).start(discovery_socket)
         await wait_for_up(port)
         assert threads(process) == 1  # no thread was started to resolve discovery's address
         process.send_signal(signal.SIGTERM)
@@ -248,7 +248,7 @@
         await Client(port).__aenter__()
 
 
-BAD: list[tuple[Any, str]] = [
+INVALID_CONFIGS: list[tuple[Any, str]] = [
     ("{", "GW_CONFIG"),
     ("[]", "GW_CONFIG"),
     (config_data(1, settings=None), "settings"),
@@ -286,7 +286,7 @@
 ]
 
 
-@pytest.mark.parametrize(("data", "field"), BAD)
+@pytest.mark.parametrize(("data", "field"), INVALID_CONFIGS)
 def test_an_invalid_configuration_names_the_field(tmp_path: Path, data: Any, field: str) -> None:
     path = tmp_path / "config.json"
     path.write_text(data if isinstance(data, str) else json.dumps(data))
@@ -297,7 +297,11 @@
 
 @pytest.mark.parametrize(
     ("data", "field"),
-    [BAD[0], BAD[3], (config_data(1, known={"generation": 1, "instances": [3]}), "known")],
+    [
+        INVALID_CONFIGS[0],
+        INVALID_CONFIGS[3],
+        (config_data(1, known={"generation": 1, "instances": [3]}), "known"),
+    ],
 )
 @on_loop
 async def test_an_invalid_configuration_exits_with_one_line(
@@ -311,8 +315,8 @@
 
 @on_loop
 async def test_an_address_in_use_exits_with_one_line(tmp_path: Path) -> None:
-    with socket.create_server(("127.0.0.1", 0)) as taken:
-        port = taken.getsockname()[1]
+    with socket.create_server(("127.0.0.1", 0)) as in_use:
+        port = in_use.getsockname()[1]
         code, text = await exit_status(
             await start_program(tmp_path, config_data(1, listen=f"127.0.0.1:{port}"))
         )
@@ -372,8 +376,8 @@
             "GW_CONFIG": str(path),
             "GW_DISCOVERY": f"127.0.0.1:{harness.discovery.port}",
         }
-        for bad in ("{", json.dumps(config_data(1, discovery="nowhere")), "[" * 200_000):
-            path.write_text(bad)
+        for invalid in ("{", json.dumps(config_data(1, discovery="nowhere")), "[" * 200_000):
+            path.write_text(invalid)
             caplog.clear()
             with caplog.at_level("INFO", "roselink.gateway"):
                 harness.gateway.reload(environment)
--- a/tests/http/test_host_pool.py
+++ b/tests/http/test_host_pool.py
@@ -33,20 +33,24 @@
     from roselink.http.address import Address
 
 REQUEST = b"GET /status-check/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 1\r\n\r\n"
-LONG_S = 15.0
+LONG_TIMEOUT_S = 15.0
 
 
 class PoolHarness:
     """A connection pool and one host."""
 
-    def __init__(self, address: Address, connect_s: float = LONG_S, sockets: int = 100) -> None:
+    def __init__(
+        self, address: Address, connect_timeout_s: float = LONG_TIMEOUT_S, sockets: int = 100
+    ) -> None:
         self.descriptors = Descriptors(RESERVED + sockets)
-        self.upstream = HostPool(asyncio.get_running_loop(), self.descriptors, connect_s, 15.0)
+        self.upstream = HostPool(
+            asyncio.get_running_loop(), self.descriptors, connect_timeout_s, 15.0
+        )
         self.host = PooledHost("s-1", address)
         self.results: list[tuple[Outcome, HostResponse | None]] = []
         self.wanted = True
 
-    def start(self, request: bytes = REQUEST, timeout_s: float = LONG_S) -> Attempt:
+    def start(self, request: bytes = REQUEST, timeout_s: float = LONG_TIMEOUT_S) -> Attempt:
         return self.upstream.start(
             self.host,
             request,
@@ -56,7 +60,7 @@
         )
 
     async def run(
-        self, request: bytes = REQUEST, timeout_s: float = LONG_S
+        self, request: bytes = REQUEST, timeout_s: float = LONG_TIMEOUT_S
     ) -> tuple[Outcome, HostResponse | None]:
         before = len(self.results)
         self.start(request, timeout_s)
@@ -145,10 +149,10 @@
     await until(lambda: harness.descriptors.used == len(harness.host.idle))
 
 
-@pytest.mark.parametrize("taken_for_an_end", [False, True])
+@pytest.mark.parametrize("reported_as_end", [False, True])
 @on_loop
 async def test_a_response_without_a_length_is_not_served_after_a_reset(
-    taken_for_an_end: bool,
+    reported_as_end: bool,
 ) -> None:
     """The reset comes after the first bytes were read. A loop that sees the closed connection
     before it reads the error may report an end of stream.
@@ -163,7 +167,7 @@
     await until(lambda: connection._overdue_timer is not None)
     reset_on_close(host)
     host.close()
-    if taken_for_an_end:
+    if reported_as_end:
         connection.eof_received()
     await until(lambda: bool(harness.results))
     assert harness.results == [(Outcome.RESET, None)]
@@ -184,7 +188,7 @@
     deadline.
     """
     host = await FakeHost(behave=sends(start)).start()
-    harness = PoolHarness(host.address, connect_s=0.1)
+    harness = PoolHarness(host.address, connect_timeout_s=0.1)
     assert (await harness.run())[0] is Outcome.ERROR
     assert await host.closed.get() == 0
 
@@ -219,31 +223,31 @@
 
 @on_loop
 async def test_a_connect_timeout_is_connect_failed() -> None:
-    dead = FullBacklogListener()
-    harness = PoolHarness(dead.address, connect_s=0.1)
+    unreachable = FullBacklogListener()
+    harness = PoolHarness(unreachable.address, connect_timeout_s=0.1)
     assert (await harness.run())[0] is Outcome.CONNECT_FAILED
     await until(lambda: harness.descriptors.used == 0)
-    dead.close()
+    unreachable.close()
 
 
 @on_loop
 async def test_an_attempt_timeout_while_connecting_is_connect_failed() -> None:
-    dead = FullBacklogListener()
-    harness = PoolHarness(dead.address)
+    unreachable = FullBacklogListener()
+    harness = PoolHarness(unreachable.address)
     assert (await harness.run(timeout_s=0.05))[0] is Outcome.CONNECT_FAILED
     await until(lambda: harness.descriptors.used == 0)
-    dead.close()
+    unreachable.close()
 
 
 @on_loop
 async def test_a_reset_before_the_last_byte_is_connect_failed() -> None:
     """The host resets while most of the request is unsent, so it cannot have run it."""
 
-    async def cut(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def reset_early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.read(10)
         reset(writer)
 
-    server = await asyncio.start_server(cut, "127.0.0.1", 0)
+    server = await asyncio.start_server(reset_early, "127.0.0.1", 0)
     harness = PoolHarness(server.sockets[0].getsockname())
     request = b"POST / HTTP/1.1\r\n\r\n" + b"x" * 32 * 1024 * 1024
     assert (await harness.run(request))[0] is Outcome.CONNECT_FAILED
@@ -321,11 +325,11 @@
     await until(lambda: not harness.host.idle)
 
 
-@pytest.mark.parametrize("extra", [response(b"again"), b"noise", b"HTTP/1.1 200 OK\r\n"])
+@pytest.mark.parametrize("surplus", [response(b"again"), b"noise", b"HTTP/1.1 200 OK\r\n"])
 @on_loop
-async def test_a_connection_with_surplus_bytes_is_not_reused(extra: bytes) -> None:
+async def test_a_connection_with_surplus_bytes_is_not_reused(surplus: bytes) -> None:
     """A surplus response would be given to the next client."""
-    host = await FakeHost(behave=sends(response(b"mine") + extra)).start()
+    host = await FakeHost(behave=sends(response(b"mine") + surplus)).start()
     harness = PoolHarness(host.address)
     outcome, reply = await harness.run()
     assert outcome is Outcome.SUCCESS
@@ -345,9 +349,9 @@
     host = await FakeHost(behave=sends(response(b"first"))).start()
     harness = PoolHarness(host.address)
     await harness.run()
-    waiting = harness.host.idle[0]
+    idle_connection = harness.host.idle[0]
     host.writers[0].write(response(b"copy"))  # is sent at once, and this loop has not read it yet
-    while not waiting.has_unread():
+    while not idle_connection.has_unread():
         pass
     host.behave = sends(response(b"second"))
     outcome, reply = await harness.run()
@@ -390,25 +394,27 @@
     assert await host.closed.get() == 0
 
 
-@pytest.mark.parametrize("act", [lambda b, a: b.upstream.retire(b.host), lambda b, a: a.cancel()])
+@pytest.mark.parametrize(
+    "end_attempt", [lambda b, a: b.upstream.retire(b.host), lambda b, a: a.cancel()]
+)
 @pytest.mark.parametrize("turns", [0, 3])
 @on_loop
 async def test_an_attempt_that_is_connecting_is_withdrawn(
-    act: Callable[[PoolHarness, Attempt], None], turns: int
+    end_attempt: Callable[[PoolHarness, Attempt], None], turns: int
 ) -> None:
     """Rule 3: a drain applies to requests whose first byte was not sent, and the balancer may send
     them elsewhere. The descriptor is released also if the connect had not run its first step.
     """
-    dead = FullBacklogListener()
-    harness = PoolHarness(dead.address)
+    unreachable = FullBacklogListener()
+    harness = PoolHarness(unreachable.address)
     attempt = harness.start()
     for _ in range(turns):
         await asyncio.sleep(0)
     assert harness.host.connecting
-    act(harness, attempt)
+    end_attempt(harness, attempt)
     assert [outcome for outcome, _ in harness.results] == [Outcome.MOOT]
     await until(lambda: harness.descriptors.used == 0)
-    dead.close()
+    unreachable.close()
 
 
 @on_loop
@@ -450,13 +456,13 @@
 
 @on_loop
 async def test_a_response_in_many_segments_is_complete() -> None:
-    async def dribble(message: Message, writer: asyncio.StreamWriter) -> None:
+    async def send_bytewise(message: Message, writer: asyncio.StreamWriter) -> None:
         for byte in response(b"in pieces"):
             writer.write(bytes((byte,)))
             await writer.drain()
             await asyncio.sleep(0)
 
-    harness = PoolHarness((await FakeHost(behave=dribble).start()).address)
+    harness = PoolHarness((await FakeHost(behave=send_bytewise).start()).address)
     outcome, reply = await harness.run()
     assert (outcome, reply and reply.body) == (Outcome.SUCCESS, b"in pieces")
 
@@ -469,7 +475,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     host = await FakeHost().start()
-    harness = PoolHarness(host.address, connect_s=0.2)
+    harness = PoolHarness(host.address, connect_timeout_s=0.2)
     made = HostConnection.connection_made
 
     def late(connection: HostConnection, transport: asyncio.BaseTransport) -> None:
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -32,7 +32,7 @@
 
 
 @dataclass
-class Sent:
+class SentAttempt:
     at_us: int
     server: Server
     outcome: Outcome | None = None
@@ -43,11 +43,11 @@
 
 
 @dataclass
-class Case:
+class RequestState:
     route: Route
     give_up_us: int
     ended: bool = False
-    sent: list[Sent] = field(default_factory=list)
+    sent: list[SentAttempt] = field(default_factory=list)
 
 
 class RuleBrokenError(AssertionError):
@@ -64,7 +64,7 @@
         self.work_us = (
             work_us  # real processing time of a request on a core of a cold server's machine type
         )
-        self.cases: dict[int, Case] = {}
+        self.requests: dict[int, RequestState] = {}
         self.ended_by_events: list[int] = []  # in this batch; sends among its actions are permitted
         self.known: dict[int, Server] = {}
         self.drained_since: dict[int, int] = {}
@@ -73,29 +73,29 @@
     def before(self, now_us: int, events: list[Event]) -> None:
         for event in events:
             if isinstance(event, ServerList):
-                self._list(now_us, event)
+                self._apply_list(now_us, event)
             elif isinstance(event, Arrived):
-                self.cases[event.request] = Case(
+                self.requests[event.request] = RequestState(
                     self.settings.routes[event.route], event.give_up_us
                 )
             elif isinstance(event, Departed):
                 self.ended_by_events.append(event.request)
             elif isinstance(event, AttemptDone):
-                case = self.cases[event.request]
-                case.sent[event.attempt].outcome = event.outcome
+                state = self.requests[event.request]
+                state.sent[event.attempt].outcome = event.outcome
                 if event.closed:
                     self.ended_by_events.append(event.request)
 
-    def _list(self, now_us: int, event: ServerList) -> None:
+    def _apply_list(self, now_us: int, event: ServerList) -> None:
         if event.kind is ListKind.FAILED:
             return
-        listed = {line.id: line for line in event.servers}
+        listed = {server.id: server for server in event.servers}
         if event.kind is not ListKind.CHANGES:
             for gone in set(self.known) - set(listed):
                 self.drained_since.setdefault(gone, now_us)
-        for number, line in listed.items():
-            self.known[number] = line
-            if line.state is State.READY:
+        for number, server in listed.items():
+            self.known[number] = server
+            if server.state is State.READY:
                 self.drained_since.pop(number, None)
             else:
                 self.drained_since.setdefault(number, now_us)
@@ -103,59 +103,59 @@
     def after(self, now_us: int, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Send):
-                self._send(now_us, action)
+                self._check_send(now_us, action)
             elif isinstance(action, Refuse | Fail):
-                self._end(now_us, action)
+                self._check_end(now_us, action)
             elif isinstance(action, Cancel):
-                assert action.attempt < len(self.cases[action.request].sent)
+                assert action.attempt < len(self.requests[action.request].sent)
         for number in self.ended_by_events:
-            self.cases[number].ended = True
+            self.requests[number].ended = True
         self.ended_by_events = []
-        for number, case in self.cases.items():
-            if not case.ended and now_us > case.give_up_us + self.settings.answer_slack_us:
+        for number, state in self.requests.items():
+            if not state.ended and now_us > state.give_up_us + self.settings.answer_slack_us:
                 raise RuleBrokenError(f"1: request {number} has no final answer in time")
 
-    def _end(self, now_us: int, action: Refuse | Fail) -> None:
-        case = self.cases[action.request]
-        if case.ended:
+    def _check_end(self, now_us: int, action: Refuse | Fail) -> None:
+        state = self.requests[action.request]
+        if state.ended:
             return
-        if isinstance(action, Refuse) and any(s.may_have_run for s in case.sent):
-            spec = case.route
-            if spec.effect is Effect.UNSAFE or (
-                spec.effect is Effect.KEYED and spec.group is not Group.ALL
+        if isinstance(action, Refuse) and any(s.may_have_run for s in state.sent):
+            route = state.route
+            if route.effect is Effect.UNSAFE or (
+                route.effect is Effect.KEYED and route.group is not Group.ALL
             ):
                 raise RuleBrokenError(f"2: request {action.request} refused though it may have run")
-        case.ended = True
+        state.ended = True
 
-    def _send(self, now_us: int, action: Send) -> None:
-        case, spec = self.cases[action.request], self.cases[action.request].route
+    def _check_send(self, now_us: int, action: Send) -> None:
+        state, route = self.requests[action.request], self.requests[action.request].route
         server = self.known[action.server]
-        if case.ended:
+        if state.ended:
             raise RuleBrokenError(f"1: request {action.request} sent after its end")
-        if len(case.sent) >= self.settings.max_attempts:
-            raise RuleBrokenError(f"attempts: request {action.request}")
-        if any(s.outcome is None for s in case.sent) and not self.settings.parallel_tries:
-            raise RuleBrokenError(f"2: request {action.request} out twice")
-        for earlier in [s for s in case.sent if s.may_have_run]:
-            if spec.effect is Effect.UNSAFE:
+        if len(state.sent) >= self.settings.max_attempts:
+            raise RuleBrokenError(f"attempts: too many for request {action.request}")
+        if any(s.outcome is None for s in state.sent) and not self.settings.parallel_tries:
+            raise RuleBrokenError(f"2: request {action.request} has two open attempts")
+        for earlier in [s for s in state.sent if s.may_have_run]:
+            if route.effect is Effect.UNSAFE:
                 raise RuleBrokenError(f"2: unsafe request {action.request} sent again")
-            if spec.effect is Effect.KEYED:
-                same = {
+            if route.effect is Effect.KEYED:
+                same_group = {
                     Group.ALL: True,
                     Group.ZONE: earlier.server.zone == server.zone,
                     Group.CELL: earlier.server.cell == server.cell,
-                }[spec.group]
-                if not same or now_us >= earlier.at_us + spec.memory_span_us:
+                }[route.group]
+                if not same_group or now_us >= earlier.at_us + route.memory_span_us:
                     raise RuleBrokenError(
-                        f"2: keyed request {action.request} sent outside its group or time"
+                        f"2: keyed request {action.request} sent outside its group or memory span"
                     )
         drained_since = self.drained_since.get(action.server)
         if drained_since is not None and now_us > drained_since + self.settings.drain_grace_us:
-            raise RuleBrokenError(f"3: server {action.server} sent to after its drain")
-        case.sent.append(Sent(now_us, server))
-        self._cold(now_us, server)
+            raise RuleBrokenError(f"3: server {action.server} got a request after its drain")
+        state.sent.append(SentAttempt(now_us, server))
+        self._check_cold_start(now_us, server)
 
-    def _cold(self, now_us: int, server: Server) -> None:
+    def _check_cold_start(self, now_us: int, server: Server) -> None:
         started = server.started_us
         if not started or now_us >= started + self.settings.cold_us:
             return
@@ -171,5 +171,5 @@
         )
         if work > self.settings.fall_multiple * warmth * window:
             raise RuleBrokenError(
-                f"4: cold server {server.id} sent more than its budget by one balancer alone"
+                f"4: cold server {server.id} got more than its budget from one balancer"
             )
