--- a/tests/gateway/test_client_connections.py
+++ b/tests/gateway/test_client_connections.py
@@ -176,9 +176,7 @@
 async def test_idle_connections_with_one_request_have_a_shorter_timeout(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """In a simulated day of client churn, 625 such clients per minute held memory and
-    descriptors.
-    """
+    """Under client churn, 625 such clients per minute held memory and descriptors for good."""
     async with (
         running_gateway(serve_ok) as harness,
         harness.client() as once,
--- a/tests/gateway/test_host_changes.py
+++ b/tests/gateway/test_host_changes.py
@@ -126,8 +126,8 @@
 
 @on_loop
 async def test_a_cold_host_gets_a_limited_share_of_a_burst() -> None:
-    """Without latencies measured, a request counts as much work as its target allows: of 50
-    requests at once, the cold host gets at most one.
+    """A request counts as at most the work of its target latency: of 50 requests at once, at most
+    one may go to the cold host.
     """
     rules = {"cold": 60_000_000, "cold_from": 0.3, "fall_multiple": 1.0}
     async with running_gateway(hang, hang, settings=settings_data(guarantees=rules)) as harness:
