--- a/tests/dataplane/test_client_guarantees.py
+++ b/tests/dataplane/test_client_guarantees.py
@@ -62,7 +62,7 @@
         connection.last_progress_at -= 3600.0
         server.sweep()
         server.close_idle()
-        server._end_another(connection)
+        server._close_another(connection)
         assert list(server.connections) == [connection]
         delayed_host.go.set()
         response = await client.read_response()
--- a/tests/gateway/test_discovery.py
+++ b/tests/gateway/test_discovery.py
@@ -1,4 +1,4 @@
-"""The watch of the host list: whatever happens to it, the last list stands and a new watch
+"""The watch of the host list: after any failure the last list stays in force and a new watch
 begins.
 """
 
@@ -15,7 +15,7 @@
 from roselink.gateway import discovery
 from roselink.gateway.host_list import server_number
 from roselink.gateway.pacing import (
-    CALL_S,
+    CALL_TIME_S,
     FAILED_DEADLINE_S,
     RESPONSE_TIMEOUT_S,
     WATCH_TIMEOUT_S,
@@ -24,10 +24,15 @@
 )
 from tests.support.event_loop import on_loop, until
 from tests.support.fake_discovery import FakeDiscovery
-from tests.support.fake_hosts import Behaviour, FakeHost, break_off, hang, say, serve_ok
+from tests.support.fake_hosts import Behaviour, FakeHost, hang, reset_connection, sends, serve_ok
 from tests.support.gateway_clients import Client
-from tests.support.gateway_harness import World, alone, settings_data, world
-from tests.support.http_messages import Message, answer
+from tests.support.gateway_harness import (
+    GatewayHarness,
+    gateway_with_known_list,
+    running_gateway,
+    settings_data,
+)
+from tests.support.http_messages import Message, response
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -42,7 +47,7 @@
 
 
 def entry_with(change: dict[str, Any]) -> Callable[[FakeDiscovery], None]:
-    """A list of a good entry and one that is spoilt, which must not be taken in part."""
+    """Sends a list with a valid and an invalid entry, which must be rejected as a unit."""
     good = {"instanceId": "s-8", "hostPort": "127.0.0.1:9", "lifecycle": "up"}
     given = {
         "generation": 9,
@@ -52,7 +57,7 @@
     return lambda d: d.send(json.dumps(given).encode() + b"\n")
 
 
-SPOILT: list[dict[str, Any]] = [
+INVALID_FIELDS: list[dict[str, Any]] = [
     {"instanceId": ""},
     {"instanceId": None},
     {"instanceId": 5},
@@ -76,7 +81,7 @@
     {"zone": 7},
     {"machineType": []},
 ]
-BROKEN: list[Callable[[FakeDiscovery], None]] = [
+INVALID_WATCHES: list[Callable[[FakeDiscovery], None]] = [
     end,
     finish,
     lambda d: d.watches[-1].write(b"no chunk at all\r\n"),
@@ -87,49 +92,51 @@
     lambda d: d.send(b'{"generation":9,"reset":true,"instances":[7]}\n'),
     lambda d: d.send(b'{"generation":-1,"reset":true,"instances":[]}\n'),
     lambda d: d.send(b'{"generation":9,"reset":"no","instances":[]}\n'),
-    *(entry_with(change) for change in SPOILT),
+    *(entry_with(change) for change in INVALID_FIELDS),
 ]
 
 
-@pytest.mark.parametrize("spoil", BROKEN)
+@pytest.mark.parametrize("break_watch", INVALID_WATCHES)
 @on_loop
-async def test_a_spoilt_watch_begins_again_and_the_list_stands(
-    spoil: Callable[[FakeDiscovery], None],
+async def test_an_invalid_watch_is_restarted_and_the_list_stays_in_force(
+    break_watch: Callable[[FakeDiscovery], None],
 ) -> None:
-    async with world(serve_ok) as w, w.client() as client:
-        spoil(w.discovery)
-        assert (await w.discovery.asked.get()).endswith("from=1")
-        assert (await client.ask()).status == 200
+    async with running_gateway(serve_ok) as harness, harness.client() as client:
+        break_watch(harness.discovery)
+        assert (await harness.discovery.requests.get()).endswith("from=1")
+        assert (await client.request()).status == 200
         new = await FakeHost("s-new").start()
-        w.discovery.tell(new.entry())
-        await until(lambda: len(w.gateway.engine.hosts) == 2)
+        harness.discovery.send_changes(new.entry())
+        await until(lambda: len(harness.gateway.engine.hosts) == 2)
 
 
 @on_loop
-async def test_a_silent_watch_begins_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    """An agent that is cut off says nothing, and a connection to it stays open for ever."""
+async def test_a_watch_is_restarted_after_its_keep_alive_timeout(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Across a network partition nothing arrives, and the connection stays open for ever."""
     monkeypatch.setattr(discovery, "WATCH_TIMEOUT_S", 0.2)
-    async with world(serve_ok) as w, w.client() as client:
-        await w.discovery.asked.get()
-        assert (await client.ask()).status == 200
+    async with running_gateway(serve_ok) as harness, harness.client() as client:
+        await harness.discovery.requests.get()
+        assert (await client.request()).status == 200
 
 
 @on_loop
-async def test_an_empty_line_is_a_sign_of_life() -> None:
-    async with world(serve_ok) as w:
-        w.discovery.send(b"\n")
-        w.discovery.tell(w.hosts[0].entry(lifecycle="draining"))
-        await until(lambda: not next(iter(w.gateway.engine.hosts.values())).ready)
-        assert len(w.discovery.watches) == 1
+async def test_an_empty_line_is_a_keep_alive() -> None:
+    async with running_gateway(serve_ok) as harness:
+        harness.discovery.send(b"\n")
+        harness.discovery.send_changes(harness.hosts[0].entry(lifecycle="draining"))
+        await until(lambda: not next(iter(harness.gateway.engine.hosts.values())).ready)
+        assert len(harness.discovery.watches) == 1
 
 
 @on_loop
-async def test_a_line_may_come_in_pieces() -> None:
-    async with world(serve_ok) as w:
-        line = w.discovery.line(w.hosts[0].entry(lifecycle="draining"))
+async def test_a_list_may_arrive_in_several_chunks() -> None:
+    async with running_gateway(serve_ok) as harness:
+        line = harness.discovery.encode_list(harness.hosts[0].entry(lifecycle="draining"))
         for start in range(0, len(line), 7):
-            w.discovery.send(line[start : start + 7])
-        await until(lambda: not next(iter(w.gateway.engine.hosts.values())).ready)
+            harness.discovery.send(line[start : start + 7])
+        await until(lambda: not next(iter(harness.gateway.engine.hosts.values())).ready)
 
 
 INDENTS: list[int | str] = [2, "\t"]
@@ -138,51 +145,51 @@
 @pytest.mark.parametrize("indent", INDENTS)
 @pytest.mark.parametrize("step", [1, 7, 65536])
 @on_loop
-async def test_a_list_on_a_watch_may_be_laid_out_over_lines(step: int, indent: int | str) -> None:
-    async with world(serve_ok) as w:
-        given = json.loads(w.discovery.line(w.hosts[0].entry(lifecycle="draining")))
+async def test_a_list_on_a_watch_may_contain_line_breaks(step: int, indent: int | str) -> None:
+    async with running_gateway(serve_ok) as harness:
+        given = json.loads(
+            harness.discovery.encode_list(harness.hosts[0].entry(lifecycle="draining"))
+        )
         data = json.dumps(given, indent=indent).encode() + b"\n\n"
         for start in range(0, len(data), step):
-            w.discovery.send(data[start : start + step])
-        await until(lambda: not next(iter(w.gateway.engine.hosts.values())).ready)
-        assert len(w.discovery.watches) == 1
+            harness.discovery.send(data[start : start + step])
+        await until(lambda: not next(iter(harness.gateway.engine.hosts.values())).ready)
+        assert len(harness.discovery.watches) == 1
 
 
 @pytest.mark.parametrize("indent", INDENTS)
 @on_loop
-async def test_a_whole_list_may_be_laid_out_over_lines(indent: int | str) -> None:
-    async with world(serve_ok) as w:
-        new = await FakeDiscovery(w.hosts[0].entry(lifecycle="draining")).start()
-        new.first = json.dumps(json.loads(new.first), indent=indent).encode()
-        w.gateway.discovery.follow(("127.0.0.1", new.port))
-        await until(lambda: not next(iter(w.gateway.engine.hosts.values())).ready)
+async def test_a_full_list_may_contain_line_breaks(indent: int | str) -> None:
+    async with running_gateway(serve_ok) as harness:
+        new = await FakeDiscovery(harness.hosts[0].entry(lifecycle="draining")).start()
+        new.initial_list = json.dumps(json.loads(new.initial_list), indent=indent).encode()
+        harness.gateway.discovery.switch_to(("127.0.0.1", new.port))
+        await until(lambda: not next(iter(harness.gateway.engine.hosts.values())).ready)
 
 
-TRICKLES: list[bytes] = [
-    b'{"generation":2,"reset":true,"instances":[',  # a list that stalls half way
-    b" ",  # neither a line's end nor a list
+PARTIAL_DATA: list[bytes] = [
+    b'{"generation":2,"reset":true,"instances":[',  # an incomplete list
+    b" ",  # neither a line break nor a list
 ]
 
 
-@pytest.mark.parametrize("trickle", TRICKLES)
+@pytest.mark.parametrize("data", PARTIAL_DATA)
 @on_loop
-async def test_a_trickle_keeps_no_dead_watch(
-    trickle: bytes, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """Bytes go on coming, each well before the time-out, but never a list or an empty line."""
+async def test_partial_data_is_no_keep_alive(data: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Bytes keep arriving within the time-out, but no complete list or empty line."""
     monkeypatch.setattr(discovery, "WATCH_TIMEOUT_S", 0.3)
-    async with world(serve_ok) as w:
-        old = w.discovery.watches[0]
-        w.discovery.send(trickle)
+    async with running_gateway(serve_ok) as harness:
+        old = harness.discovery.watches[0]
+        harness.discovery.send(data)
         while not old.is_closing():
             old.write(b"1\r\n \r\n")
             await asyncio.sleep(0.02)
-        assert await w.discovery.ended.get() == 0
-        assert (await w.discovery.asked.get()).endswith("from=1")
+        assert await harness.discovery.ended.get() == 0
+        assert (await harness.discovery.requests.get()).endswith("from=1")
 
 
 @on_loop
-async def test_an_answer_that_stalls_in_its_head_is_given_up(
+async def test_a_response_that_stalls_in_its_head_is_timed_out(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(discovery, "RESPONSE_TIMEOUT_S", 0.3)
@@ -195,7 +202,9 @@
             await asyncio.sleep(0.02)
 
     agent = await FakeHost("discovery", stall).start()
-    async with alone(agent, {"generation": 41, "reset": True, "instances": [host.entry()]}):
+    async with gateway_with_known_list(
+        agent, {"generation": 41, "reset": True, "instances": [host.entry()]}
+    ):
         await agent.came.get()
         await agent.closed.get()
         await agent.came.get()
@@ -207,116 +216,123 @@
     ids=["text", "array", "depth", "noise"],
 )
 @on_loop
-async def test_a_list_without_end_is_given_up_before_it_fills_the_memory(endless: bytes) -> None:
-    async with world(serve_ok) as w, w.client() as client:
-        w.discovery.send(endless)
-        assert (await w.discovery.asked.get()).endswith("from=1")
-        assert (await client.ask()).status == 200
+async def test_an_endless_list_ends_the_watch(endless: bytes) -> None:
+    async with running_gateway(serve_ok) as harness, harness.client() as client:
+        harness.discovery.send(endless)
+        assert (await harness.discovery.requests.get()).endswith("from=1")
+        assert (await client.request()).status == 200
 
 
 @on_loop
-async def test_a_pushed_list_is_fetched_at_once_by_each_of_a_large_fleet() -> None:
-    """At the pace for asked lists the first call of one of 4,000 gateways would come seconds
+async def test_push_mode_has_no_paced_delay_in_a_large_fleet() -> None:
+    """With the spread of poll mode, the first call of one of 4,000 gateways would come seconds
     later.
     """
     host = await FakeHost("s-known").start()
     known = {"generation": 41, "reset": True, "instances": [host.entry()]}
     agent = await FakeHost("agent", hang).start()
     settings = settings_data(balancers=4000, discovery="push")
-    async with alone(agent, known, settings=settings):
+    async with gateway_with_known_list(agent, known, settings=settings):
         assert (await agent.came.get()).first.split()[1].endswith("from=41")
 
 
 @on_loop
-async def test_known_serves_until_discovery_answers() -> None:
+async def test_the_known_list_serves_until_discovery_responds() -> None:
     host = await FakeHost("s-known").start()
     known = {"generation": 41, "reset": True, "instances": [host.entry()]}
-    silent = await FakeHost("discovery", hang).start()
-    async with alone(silent, known) as gateway, Client(gateway.port) as client:
-        assert (await client.ask()).status == 200
-        assert (await silent.came.get()).first.split()[1].endswith("from=41")
+    unresponsive = await FakeHost("discovery", hang).start()
+    async with (
+        gateway_with_known_list(unresponsive, known) as gateway,
+        Client(gateway.port) as client,
+    ):
+        assert (await client.request()).status == 200
+        assert (await unresponsive.came.get()).first.split()[1].endswith("from=41")
 
 
 @on_loop
-async def test_a_refusing_discovery_is_asked_again() -> None:
+async def test_a_call_that_got_503_is_retried() -> None:
     host = await FakeHost("s-known").start()
     known = {"generation": 41, "reset": True, "instances": [host.entry()]}
-    busy = await FakeHost("discovery", say(answer(b"", "503 Busy"))).start()
-    async with alone(busy, known) as gateway, Client(gateway.port) as client:
+    busy = await FakeHost("discovery", sends(response(b"", "503 Busy"))).start()
+    async with gateway_with_known_list(busy, known) as gateway, Client(gateway.port) as client:
         await busy.came.get()
         await busy.came.get()
-        assert (await client.ask()).status == 200
+        assert (await client.request()).status == 200
 
 
-def test_numbers_of_hosts_are_the_same_everywhere() -> None:
+def test_host_numbers_depend_on_the_name_only() -> None:
     assert server_number("s-5be2a07c") == server_number("s-5be2a07c")
     assert server_number("s-5be2a07c") != server_number("s-5be2a07d")
 
 
-async def successor(w: World, *entries: dict[str, Any]) -> FakeDiscovery:
-    """Another discovery, whose generations begin anew, and a gateway told to watch it."""
+async def switch_discovery(harness: GatewayHarness, *entries: dict[str, Any]) -> FakeDiscovery:
+    """Start another discovery, with generations of its own, and switch the gateway to it."""
     new = await FakeDiscovery(*entries).start()
-    w.gateway.discovery.follow(("127.0.0.1", new.port))
+    harness.gateway.discovery.switch_to(("127.0.0.1", new.port))
     return new
 
 
 @on_loop
-async def test_another_discovery_is_asked_for_its_whole_list() -> None:
-    """Its generations may be lower: `from=9` there would leave out what happened up to its ninth,
-    and `from=0` what was there before its first.
+async def test_the_full_list_is_requested_from_another_discovery() -> None:
+    """Its generations may be lower: `from=9` would leave out its changes up to generation 9, and
+    `from=0` the hosts from before its first generation.
     """
-    async with world(serve_ok) as w, w.client() as client:
-        w.discovery.generation = 8
-        w.discovery.tell(w.hosts[0].entry(weight=2.0))
-        await until(lambda: w.gateway.discovery._generation == 9)
+    async with running_gateway(serve_ok) as harness, harness.client() as client:
+        harness.discovery.generation = 8
+        harness.discovery.send_changes(harness.hosts[0].entry(weight=2.0))
+        await until(lambda: harness.gateway.discovery._generation == 9)
         other = await FakeHost("s-other").start()
-        new = await successor(w, w.hosts[0].entry(lifecycle="draining"), other.entry())
-        assert await new.asked.get() == "/discovery/hosts"
-        new.first = b"\n"
-        assert (await new.asked.get()).endswith("from=1")
-        await until(lambda: len(w.gateway.engine.hosts) == 2)
-        assert (await client.ask()).status == 200
-        assert (len(w.hosts[0].seen), len(other.seen)) == (0, 1)
+        new = await switch_discovery(
+            harness, harness.hosts[0].entry(lifecycle="draining"), other.entry()
+        )
+        assert await new.requests.get() == "/discovery/hosts"
+        new.initial_list = b"\n"
+        assert (await new.requests.get()).endswith("from=1")
+        await until(lambda: len(harness.gateway.engine.hosts) == 2)
+        assert (await client.request()).status == 200
+        assert (len(harness.hosts[0].seen), len(other.seen)) == (0, 1)
 
 
 @on_loop
-async def test_the_old_watch_cannot_undo_what_the_new_one_tells() -> None:
-    """A line that lies read but not taken at the move, and whatever the old discovery says after
-    it.
+async def test_data_of_the_old_watch_is_ignored_after_a_switch() -> None:
+    """Neither a line that is received but not applied at the switch, nor anything that the old
+    discovery sends later, takes effect.
     """
-    async with world(serve_ok) as w, w.client() as client:
+    async with running_gateway(serve_ok) as harness, harness.client() as client:
         other = await FakeHost("s-other").start()
-        w.discovery.tell(w.hosts[0].entry(lifecycle="removed"))
-        new = await successor(w, w.hosts[0].entry(), other.entry())
+        harness.discovery.send_changes(harness.hosts[0].entry(lifecycle="removed"))
+        new = await switch_discovery(harness, harness.hosts[0].entry(), other.entry())
         await until(lambda: len(new.watches) == 1)
-        assert await w.discovery.ended.get() == 0
-        assert all(host.ready for host in w.gateway.engine.hosts.values())
-        assert (await client.ask()).status == 200
+        assert await harness.discovery.ended.get() == 0
+        assert all(host.ready for host in harness.gateway.engine.hosts.values())
+        assert (await client.request()).status == 200
 
 
 @on_loop
-async def test_the_list_stands_until_another_discovery_answers() -> None:
-    async with world(serve_ok) as w, w.client() as client:
-        assert (await client.ask()).status == 200
-        silent = await FakeHost("discovery", hang).start()
-        w.gateway.discovery.follow(silent.address)
-        await silent.came.get()
-        assert (await client.ask()).status == 200
-        assert w.hosts[0].closed.empty()  # its connection stands too
+async def test_the_list_stays_in_force_until_another_discovery_responds() -> None:
+    async with running_gateway(serve_ok) as harness, harness.client() as client:
+        assert (await client.request()).status == 200
+        unresponsive = await FakeHost("discovery", hang).start()
+        harness.gateway.discovery.switch_to(unresponsive.address)
+        await unresponsive.came.get()
+        assert (await client.request()).status == 200
+        assert harness.hosts[0].closed.empty()  # the connection to the host stays open too
 
 
 @on_loop
-async def test_zones_that_the_settings_do_not_name_differ() -> None:
-    """As one zone their hosts would be taken for a group that drops each other's repeats."""
-    async with world(serve_ok) as w:
+async def test_unknown_zones_get_different_numbers() -> None:
+    """With one number, their hosts would count as a group that detects each other's duplicates."""
+    async with running_gateway(serve_ok) as harness:
         hosts = [await FakeHost(f"s-{name}").start() for name in ("attic", "cellar", "loft")]
         zones = ("attic", "cellar", "attic")
-        w.discovery.tell(*(host.entry(zone=zone) for host, zone in zip(hosts, zones, strict=True)))
-        known = w.gateway.engine._balancer.state.servers
+        harness.discovery.send_changes(
+            *(host.entry(zone=zone) for host, zone in zip(hosts, zones, strict=True))
+        )
+        known = harness.gateway.engine._balancer.state.servers
         await until(lambda: len(known) == 4)
         attic, cellar, loft = (known[server_number(host.name)].spec.zone for host in hosts)
         assert attic == loft != cellar
-        assert known[server_number(w.hosts[0].name)].spec.zone not in (attic, cellar)
+        assert known[server_number(harness.hosts[0].name)].spec.zone not in (attic, cellar)
 
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -330,118 +346,122 @@
 @pytest.mark.parametrize(
     ("behave", "cause"),
     [
-        (hang, Cause.UNANSWERED),  # it may be a watch that fell silent before its answer
-        (say(HEAD), Cause.UNRESPONSIVE),
-        (say(HEAD + chunk(b"\n")), Cause.UNRESPONSIVE),
-        (say(HEAD, end=True), Cause.ENDED),
-        (say(HEAD + chunk(EMPTY), end=True), Cause.ENDED),
-        (say(HEAD + chunk(EMPTY + b"[]\n")), Cause.ENDED),
-        (say(HEAD + chunk(EMPTY) + b"no chunk\r\n"), Cause.ENDED),
-        (say(HEAD + chunk(b"[]\n")), Cause.MALFORMED),
-        (say(b"no HTTP\r\n\r\n"), Cause.FAILED),
-        (say(answer(b"", "503 Busy")), Cause.FAILED),
-        (break_off, Cause.FAILED),
+        (hang, Cause.UNANSWERED),  # may be a watch that became unresponsive before its response
+        (sends(HEAD), Cause.UNRESPONSIVE),
+        (sends(HEAD + chunk(b"\n")), Cause.UNRESPONSIVE),
+        (sends(HEAD, end=True), Cause.ENDED),
+        (sends(HEAD + chunk(EMPTY), end=True), Cause.ENDED),
+        (sends(HEAD + chunk(EMPTY + b"[]\n")), Cause.ENDED),
+        (sends(HEAD + chunk(EMPTY) + b"no chunk\r\n"), Cause.ENDED),
+        (sends(HEAD + chunk(b"[]\n")), Cause.MALFORMED),
+        (sends(b"no HTTP\r\n\r\n"), Cause.FAILED),
+        (sends(response(b"", "503 Busy")), Cause.FAILED),
+        (reset_connection, Cause.FAILED),
     ],
 )
 @on_loop
-async def test_what_ends_a_watch_is_told_apart(
+async def test_each_end_of_a_watch_has_its_cause(
     behave: Behaviour, cause: Cause, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Each has a time of its own by which the list must be here."""
+    """Each cause has its own deadline for receiving a list."""
     monkeypatch.setattr(discovery, "RESPONSE_TIMEOUT_S", 0.3)
     monkeypatch.setattr(discovery, "WATCH_TIMEOUT_S", 0.3)
     causes: list[Cause] = []
 
-    def record(pacing: CallPacing, why: Cause, now: float, took_s: float = 0.0) -> float:
-        causes.append(why)
+    def record(pacing: CallPacing, cause: Cause, now: float, took_s: float = 0.0) -> float:
+        causes.append(cause)
         return 0.0 if len(causes) < 3 else 1000.0
 
     monkeypatch.setattr(CallPacing, "wait_s", record)
     host = await FakeHost("s-known").start()
     known = {"generation": 41, "reset": True, "instances": [host.entry()]}
     agent = await FakeHost("discovery", behave).start()
-    async with alone(agent, known) as gateway:
+    async with gateway_with_known_list(agent, known) as gateway:
         await until(lambda: len(causes) == 3)
         assert causes == [Cause.START, cause, cause]
-        gateway.discovery.follow(agent.address)
+        gateway.discovery.switch_to(agent.address)
         assert causes[-1] is Cause.MOVED
 
 
 @pytest.mark.parametrize(
-    "trouble",
+    "failure",
     [
         None,
         hang,
-        break_off,
-        say(answer(b"", "503 Busy")),
-        say(b"no HTTP\r\n\r\n"),
-        say(HEAD + chunk(b"[]\n")),
-        say(HEAD),
-        say(HEAD, end=True),
+        reset_connection,
+        sends(response(b"", "503 Busy")),
+        sends(b"no HTTP\r\n\r\n"),
+        sends(HEAD + chunk(b"[]\n")),
+        sends(HEAD),
+        sends(HEAD, end=True),
     ],
-    ids=["refused", "nothing", "reset", "503", "noise", "no list", "silent", "ended"],
+    ids=["refused", "nothing", "reset", "503", "noise", "no list", "unresponsive", "ended"],
 )
 @on_loop
-async def test_a_drain_is_heard_in_time_after_whatever_trouble_of_discovery(
-    trouble: Behaviour | None, monkeypatch: pytest.MonkeyPatch
+async def test_a_drain_is_received_by_the_deadline_after_failed_calls(
+    failure: Behaviour | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """At 200 gateways, however the calls before ended, and though discovery came back right after
-    the last of them began. The waits are those of service; they are added up here instead of waited
-    for.
+    """With 200 gateways, for each way in which calls can fail, and discovery recovering right after
+    the last failed call began. The real delays are added up instead of waited for.
     """
     for name in ("RESPONSE_TIMEOUT_S", "WATCH_TIMEOUT_S"):
         monkeypatch.setattr(discovery, name, 0.05)
     waits: list[float] = []
     wait_s = CallPacing.wait_s
 
-    def add_up(pacing: CallPacing, cause: Cause, now: float, took_s: float = 0.0) -> float:
+    def record_delay(pacing: CallPacing, cause: Cause, now: float, took_s: float = 0.0) -> float:
         timeouts_s = {
             Cause.UNANSWERED: RESPONSE_TIMEOUT_S,
             Cause.UNRESPONSIVE: WATCH_TIMEOUT_S,
         }
-        given_up_s = timeouts_s.get(cause, took_s)
-        now = 1000.0 + 6.0 * len(waits)  # as if waited for: past the bound of the call before
-        waits.append(given_up_s + wait_s(pacing, cause, now, took_s))
+        call_s = timeouts_s.get(cause, took_s)
+        # as if the delay had passed: after the previous call's deadline
+        now = 1000.0 + 6.0 * len(waits)
+        waits.append(call_s + wait_s(pacing, cause, now, took_s))
         return 0.0
 
-    monkeypatch.setattr(CallPacing, "wait_s", add_up)
+    monkeypatch.setattr(CallPacing, "wait_s", record_delay)
     host = await FakeHost("s-known").start()
     known = {"generation": 41, "reset": True, "instances": [host.entry()]}
     drain = {"generation": 42, "reset": False, "instances": [host.entry(lifecycle="draining")]}
-    agent = await FakeHost("discovery", trouble or hang).start()
-    if trouble is None:
+    agent = await FakeHost("discovery", failure or hang).start()
+    if failure is None:
         agent.down()
-    async with alone(agent, known, settings=settings_data(balancers=200)) as gateway:
+    async with gateway_with_known_list(
+        agent, known, settings=settings_data(balancers=200)
+    ) as gateway:
         await until(lambda: len(waits) >= 4)
-        agent.behave = say(HEAD + chunk(json.dumps(drain).encode() + b"\n"))
-        if trouble is None:
+        agent.behave = sends(HEAD + chunk(json.dumps(drain).encode() + b"\n"))
+        if failure is None:
             await agent.up()
         await until(lambda: not next(iter(gateway.engine.hosts.values())).ready)
-        assert max(waits[1:4]) + CALL_S <= FAILED_DEADLINE_S
+        assert max(waits[1:4]) + CALL_TIME_S <= FAILED_DEADLINE_S
 
 
-@pytest.mark.parametrize("lost", ["spoilt", "silent"])
+@pytest.mark.parametrize("ended_by", ["malformed", "unresponsive"])
 @on_loop
-async def test_a_watch_lost_in_the_turn_of_a_reload_leaves_one_watch_of_the_new_discovery(
-    lost: str, monkeypatch: pytest.MonkeyPatch
+async def test_a_watch_that_ends_during_a_reload_leaves_one_watch_of_the_new_discovery(
+    ended_by: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(discovery, "WATCH_TIMEOUT_S", 0.2 if lost == "silent" else 1000.0)
-    async with world(serve_ok) as w:
-        new = await FakeDiscovery(w.hosts[0].entry()).start()
-        if lost == "silent":
-            w.discovery.send(b"\n")
-            await asyncio.sleep(0.01)  # it has set its time-out
-            time.sleep(0.3)  # which falls due in this turn
+    monkeypatch.setattr(discovery, "WATCH_TIMEOUT_S", 0.2 if ended_by == "unresponsive" else 1000.0)
+    async with running_gateway(serve_ok) as harness:
+        new = await FakeDiscovery(harness.hosts[0].entry()).start()
+        if ended_by == "unresponsive":
+            harness.discovery.send(b"\n")
+            await asyncio.sleep(0.01)  # the gateway has set its time-out
+            time.sleep(0.3)  # which expires in this loop iteration
         else:
-            os.write(w.discovery.watches[-1].get_extra_info("socket").fileno(), b"no chunk\r\n")
+            os.write(
+                harness.discovery.watches[-1].get_extra_info("socket").fileno(), b"no chunk\r\n"
+            )
         monkeypatch.setattr(discovery, "WATCH_TIMEOUT_S", 1000.0)
-        w.gateway.discovery.follow(("127.0.0.1", new.port))
-        assert await new.asked.get() == "/discovery/hosts"
-        assert (await new.asked.get()).endswith("from=1")
-        new.tell(w.hosts[0].entry(lifecycle="draining"))
-        await until(lambda: not next(iter(w.gateway.engine.hosts.values())).ready)
+        harness.gateway.discovery.switch_to(("127.0.0.1", new.port))
+        assert await new.requests.get() == "/discovery/hosts"
+        assert (await new.requests.get()).endswith("from=1")
+        new.send_changes(harness.hosts[0].entry(lifecycle="draining"))
+        await until(lambda: not next(iter(harness.gateway.engine.hosts.values())).ready)
         watches = [
             task for task in asyncio.all_tasks() if "Discovery._run" in repr(task.get_coro())
         ]
         assert len(watches) == 1
-        assert (len(w.discovery.watches), len(new.watches)) == (1, 1)
+        assert (len(harness.discovery.watches), len(new.watches)) == (1, 1)
--- a/tests/support/fake_discovery.py
+++ b/tests/support/fake_discovery.py
@@ -1,4 +1,4 @@
-"""A discovery on a loopback socket that a test feeds."""
+"""A discovery service on a loopback socket, whose lists a test sends."""
 
 from __future__ import annotations
 
@@ -7,22 +7,21 @@
 import socket
 from typing import Any
 
-from tests.support.http_messages import answer, read_message, reset
+from tests.support.http_messages import read_message, reset, response
 
 
 class FakeDiscovery:
-    """Watches that tests feed; `lists` holds what a new watch is told first."""
+    """Accepts watches; `initial_list` is the first data sent on each new watch."""
 
     def __init__(self, *entries: dict[str, Any]) -> None:
         self.generation = 1
-        self.first: bytes = self.line(*entries)
-        self.asked: asyncio.Queue[str] = asyncio.Queue()
-        self.ended: asyncio.Queue[int] = (
-            asyncio.Queue()
-        )  # numbers of watches that the gateway ended
+        self.initial_list: bytes = self.encode_list(*entries)
+        self.requests: asyncio.Queue[str] = asyncio.Queue()
+        # indices of watches that the gateway closed
+        self.ended: asyncio.Queue[int] = asyncio.Queue()
         self.watches: list[asyncio.StreamWriter] = []
 
-    def line(self, *entries: dict[str, Any], full: bool = True) -> bytes:
+    def encode_list(self, *entries: dict[str, Any], full: bool = True) -> bytes:
         given = {"generation": self.generation, "reset": full, "instances": list(entries)}
         return json.dumps(given).encode() + b"\n"
 
@@ -33,7 +32,7 @@
         return self
 
     def down(self) -> None:
-        """End the watches, and refuse connections until `up`."""
+        """Reset the watches, and refuse connections until `up`."""
         self._server.close()
         for watch in self.watches:
             reset(watch)
@@ -47,27 +46,25 @@
             message = await read_message(reader)
             target = message.first.split()[1]
             if "watch=1" not in target:
-                writer.write(answer(self.first.strip()))
-                self.asked.put_nowait(target)
+                writer.write(response(self.initial_list.strip()))
+                self.requests.put_nowait(target)
                 return
             number = len(self.watches)
             self.watches.append(writer)
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            self.send(self.first)
-            self.asked.put_nowait(target)
+            self.send(self.initial_list)
+            self.requests.put_nowait(target)
             await reader.read()
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
         finally:
             writer.close()
-            if (
-                number is not None
-            ):  # also by RST, which is how it ends with bytes unread at the gateway
+            if number is not None:  # also by RST, which the gateway sends if it has unread bytes
                 self.ended.put_nowait(number)
 
     def send(self, data: bytes) -> None:
         self.watches[-1].write(b"%x\r\n%b\r\n" % (len(data), data))
 
-    def tell(self, *entries: dict[str, Any]) -> None:
+    def send_changes(self, *entries: dict[str, Any]) -> None:
         self.generation += 1
-        self.send(self.line(*entries, full=False))
+        self.send(self.encode_list(*entries, full=False))
--- a/tests/support/fake_hosts.py
+++ b/tests/support/fake_hosts.py
@@ -1,4 +1,6 @@
-"""Hosts on loopback sockets whose behaviour a test chooses; ports are the kernel's choice."""
+"""Hosts on loopback sockets with a behaviour that the test chooses, on ports assigned by the
+kernel.
+"""
 
 from __future__ import annotations
 
@@ -7,20 +9,20 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from tests.support.http_messages import Message, answer, read_message, reset
+from tests.support.http_messages import Message, read_message, reset, response
 
 Behaviour = Callable[[Message, asyncio.StreamWriter], Awaitable[None]]
 
 
 async def serve_ok(message: Message, writer: asyncio.StreamWriter) -> None:
-    writer.write(answer())
+    writer.write(response())
 
 
 async def hang(message: Message, writer: asyncio.StreamWriter) -> None:
     await asyncio.Event().wait()
 
 
-def say(data: bytes, end: bool = False) -> Behaviour:
+def sends(data: bytes, end: bool = False) -> Behaviour:
     async def behave(message: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(data)
         if end:
@@ -29,20 +31,19 @@
     return behave
 
 
-async def break_off(message: Message, writer: asyncio.StreamWriter) -> None:
+async def reset_connection(message: Message, writer: asyncio.StreamWriter) -> None:
     reset(writer)
 
 
 class FakeHost:
-    """Answers by `behave`, remembers what came, and tells when connections end."""
+    """Responds by `behave`, and records requests and closed connections."""
 
     def __init__(self, name: str = "s-1", behave: Behaviour = serve_ok) -> None:
         self.name, self.behave = name, behave
         self.seen: list[Message] = []
         self.came: asyncio.Queue[Message] = asyncio.Queue()
-        self.closed: asyncio.Queue[int] = (
-            asyncio.Queue()
-        )  # numbers of connections that the gateway ended
+        # indices of connections that the gateway closed
+        self.closed: asyncio.Queue[int] = asyncio.Queue()
         self.writers: list[asyncio.StreamWriter] = []
 
     async def start(self, port: int = 0) -> FakeHost:
@@ -92,10 +93,8 @@
         return line | changes
 
 
-class NeverUp:
-    """An address whose connections never come up: its queue of connections is full, so SYNs are
-    dropped.
-    """
+class FullBacklogListener:
+    """A listener that accepts no connection: its backlog is full, so SYNs are dropped."""
 
     def __init__(self) -> None:
         self.listener = socket.socket()
