--- a/roselink/controller/chain_driver.py
+++ b/roselink/controller/chain_driver.py
@@ -197,7 +197,9 @@
         Then the delay of each message counts: whatever else can be deferred should be.
         """
         return (
-            self._member is not None and self._running and self._member.forming(self._loop.time())
+            self._member is not None
+            and self._running
+            and self._member.is_awaited(self._loop.time())
         )
 
     @property
--- a/roselink/coordination/heartbeats.py
+++ b/roselink/coordination/heartbeats.py
@@ -74,7 +74,7 @@
             disk_ok=self.disk.healthy,
             leaving=self.leaving,
             live=True,
-            steady=True,
+            stable=True,
             since_heartbeat_s=0.0,
             reachable=frozenset(self.peers.reachable(now)),
         )
--- a/roselink/coordination/member.py
+++ b/roselink/coordination/member.py
@@ -188,7 +188,7 @@
         """Whether the disk took the last saves, in time."""
         return self.disk.healthy
 
-    def forming(self, now: float) -> bool:
+    def is_awaited(self, now: float) -> bool:
         """Whether others may be waiting for this member.
 
         They are while it is not on its disk yet, and while a majority of the voters is reachable
--- a/roselink/coordination/peer_table.py
+++ b/roselink/coordination/peer_table.py
@@ -18,8 +18,8 @@
 # A machine without a heartbeat for so long is suspected.
 SUSPECT_TIMEOUT_S = 0.45
 
-# A machine that has been live and eligible for so long is steady: it may join a chain.
-STEADY_AFTER_S = 0.3
+# A machine that has been live and eligible for so long is stable: it may join a chain.
+STABLE_AFTER_S = 0.3
 
 # A machine without a heartbeat for so long is removed from the table.
 FORGET_AFTER_S = 10.0
@@ -138,8 +138,8 @@
             disk_ok=heartbeat.disk_ok,
             leaving=heartbeat.leaving,
             live=self._is_live(known, now),
-            steady=known.eligible_since is not None
-            and now - known.eligible_since >= STEADY_AFTER_S,
+            stable=known.eligible_since is not None
+            and now - known.eligible_since >= STABLE_AFTER_S,
             since_heartbeat_s=since_heartbeat_s,
             reachable=frozenset(heartbeat.reachable),
         )
@@ -152,7 +152,7 @@
 
 
 def _expected_status(address: str, own: PeerStatus) -> PeerStatus:
-    """A machine that may be starting: taken as eligible and steady, and as reaching everybody."""
+    """A machine that may be starting: taken as eligible and stable, and as reaching everybody."""
     return PeerStatus(
         voter=Voter(address, 0),
         session=0,
@@ -162,7 +162,7 @@
         disk_ok=True,
         leaving=False,
         live=True,
-        steady=True,
+        stable=True,
         since_heartbeat_s=0.0,
         reachable=own.reachable | {own.voter.address},
     )
--- a/roselink/coordination/proposal_round.py
+++ b/roselink/coordination/proposal_round.py
@@ -29,14 +29,14 @@
     Attributes:
         view: the view whose voters decide.
         ballot: the round's number.
-        wanted: the view to propose if nothing was accepted before.
+        preferred: the view to propose if nothing was accepted before.
         started_at: when the round began, in seconds of the member's clock.
         value: the proposed view; None in phase 1.
     """
 
     view: View
     ballot: Ballot
-    wanted: View
+    preferred: View
     started_at: float
     value: View | None = None
     _promises: dict[Voter, Promise] = field(default_factory=dict)
@@ -63,14 +63,14 @@
         return same and reply.sender in self.view.voters
 
     def _choose(self) -> View:
-        """The value of the highest ballot that was accepted before; else the wanted one (R2)."""
+        """The value of the highest ballot that was accepted before; else the preferred one (R2)."""
         accepted = [
             (reply.accepted.sort_key, reply.proposal)
             for reply in self._promises.values()
             if reply.accepted is not None and reply.proposal is not None
         ]
         if not accepted:
-            return self.wanted
+            return self.preferred
         return max(accepted, key=lambda pair: pair[0])[1]
 
     def on_accepted(self, reply: Accepted) -> View | None:
--- a/roselink/coordination/scrub.py
+++ b/roselink/coordination/scrub.py
@@ -28,9 +28,9 @@
 
 # Between two reads of one member, times a factor drawn between the two bounds. Each of the two
 # records is so read about three times a minute, in bursts of one.
-INTERVAL_S = 10.0
-FIRST_FACTOR = 0.5
-FACTOR_RANGE = 1.0
+READ_INTERVAL_S = 10.0
+MIN_INTERVAL_FACTOR = 0.5
+INTERVAL_FACTOR_RANGE = 1.0
 # The least time for a record's bytes, so that a large state is read at a bounded rate.
 MAX_BYTES_PER_S = 100_000.0
 # A session's bits choose the factors.
@@ -90,5 +90,5 @@
 
     def _pause_s(self, size: int) -> float:
         bits = (self.session >> (self._turn % FACTOR_SHIFTS)) % FACTOR_VALUES
-        factor = FIRST_FACTOR + FACTOR_RANGE * bits / FACTOR_VALUES
-        return max(INTERVAL_S * factor, size / MAX_BYTES_PER_S)
+        factor = MIN_INTERVAL_FACTOR + INTERVAL_FACTOR_RANGE * bits / FACTOR_VALUES
+        return max(READ_INTERVAL_S * factor, size / MAX_BYTES_PER_S)
--- a/roselink/coordination/state.py
+++ b/roselink/coordination/state.py
@@ -77,7 +77,7 @@
     Each refusal stays true in every state that follows (S1). A change without a document only
     requests its outcome, or its refusal: it is never appended.
     """
-    entry = find(state, change.digest)
+    entry = find_in_history(state, change.digest)
     if entry is not None:
         generation, sequence = entry
         if generation:
@@ -94,7 +94,7 @@
     return Validation(ValidationKind.APPEND, state.sequence + 1)
 
 
-def find(state: ConfigurationState, digest: bytes) -> tuple[int, int] | None:
+def find_in_history(state: ConfigurationState, digest: bytes) -> tuple[int, int] | None:
     """The (generation, sequence) under which the history has a digest."""
     key = _key(digest)
     offset = state.history.find(key)
--- a/roselink/coordination/views.py
+++ b/roselink/coordination/views.py
@@ -92,7 +92,7 @@
         disk_ok: whether its disk takes saves in time.
         leaving: whether its process is about to end.
         live: whether it and the planner receive each other's heartbeats.
-        steady: whether it has been live and eligible for long enough to join.
+        stable: whether it has been live and eligible for long enough to join.
         since_heartbeat_s: the time since its last heartbeat; 0 while a live machine receives any.
         reachable: the addresses from which it reports to receive heartbeats.
     """
@@ -105,7 +105,7 @@
     disk_ok: bool
     leaving: bool
     live: bool
-    steady: bool
+    stable: bool
     since_heartbeat_s: float
     reachable: frozenset[str]
 
@@ -205,7 +205,7 @@
     if not chain_is_complete(view, peers) or not present < members:
         return False
     return any(
-        peer.eligible and not peer.steady and peer.voter not in members for peer in peers.values()
+        peer.eligible and not peer.stable and peer.voter not in members for peer in peers.values()
     )
 
 
@@ -234,7 +234,7 @@
     joiners = [
         peer.voter
         for peer in peers.values()
-        if peer.eligible and peer.steady and peer.voter not in view.voters
+        if peer.eligible and peer.stable and peer.voter not in view.voters
     ]
     for joiner in joiners:
         same = next(
@@ -277,7 +277,7 @@
     """
     candidates = [peer for peer in peers.values() if peer.eligible and peer.voter in voters]
     candidates = [
-        peer for peer in candidates if replica_of(view, peer.voter) is not None or peer.steady
+        peer for peer in candidates if replica_of(view, peer.voter) is not None or peer.stable
     ]
     min_length = min(policy.tolerated + 1, len(voters) // 2 + 1)
     best: tuple[tuple[int, int, tuple[int, ...]], tuple[PeerStatus, ...]] | None = None
--- a/roselink/simulation/model_checker.py
+++ b/roselink/simulation/model_checker.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from roselink.coordination.state import find
+from roselink.coordination.state import find_in_history
 from roselink.protocol.chain import ConfigurationState, Decided, StoredState, Sync, View, Voter
 from roselink.protocol.records import decode, record_number_of_class
 from roselink.simulation.exceptions import InvariantViolatedError
@@ -245,7 +245,7 @@
 
 
 def _in_force(state: ConfigurationState, digest: bytes) -> bool:
-    found = find(state, digest)
+    found = find_in_history(state, digest)
     return found is not None and found[0] > 0
 
 
--- a/roselink/simulation/scenarios.py
+++ b/roselink/simulation/scenarios.py
@@ -6,8 +6,8 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from roselink.coordination.scrub import FACTOR_RANGE, FIRST_FACTOR, INTERVAL_S
-from roselink.coordination.state import find
+from roselink.coordination.scrub import INTERVAL_FACTOR_RANGE, MIN_INTERVAL_FACTOR, READ_INTERVAL_S
+from roselink.coordination.state import find_in_history
 from roselink.simulation.clients import Operator, Reader, change_in
 from roselink.simulation.cluster import Cluster
 from roselink.simulation.exceptions import (
@@ -52,7 +52,7 @@
 # Until all machines form the first view, in virtual seconds.
 START_S = 3.0
 # Within this time the scrub has read each record of every member, in virtual seconds.
-SCRUB_S = 2 * (FIRST_FACTOR + FACTOR_RANGE) * INTERVAL_S + 1.0
+SCRUB_S = 2 * (MIN_INTERVAL_FACTOR + INTERVAL_FACTOR_RANGE) * READ_INTERVAL_S + 1.0
 # From the last fault to the checks, in virtual seconds.
 SETTLING_S = 8.0
 STORM_FAULTS = (
@@ -189,7 +189,7 @@
     state = machine.member.chain.durable
     for call in cluster.history.calls:
         text = call.change.text
-        found = find(state, cluster.digests[text])
+        found = find_in_history(state, cluster.digests[text])
         in_force = found is not None and found[0] > 0
         kept = in_force and found is not None and found[1] == cluster.confirmed_sequences.get(text)
         if call.result is CallResult.CONFIRMED and not kept:
--- a/roselink/simulation/system_state.py
+++ b/roselink/simulation/system_state.py
@@ -261,7 +261,7 @@
         disk_ok=True,
         leaving=False,
         live=True,
-        steady=True,
+        stable=True,
         since_heartbeat_s=0.0,
         reachable=reachable,
     )
--- a/tests/controller/test_chain_driver.py
+++ b/tests/controller/test_chain_driver.py
@@ -213,5 +213,5 @@
 def test_a_record_that_rots_is_written_anew_and_reported(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    monkeypatch.setattr(scrub, "INTERVAL_S", 0.05)
+    monkeypatch.setattr(scrub, "READ_INTERVAL_S", 0.05)
     asyncio.run(rot(tmp_path, capsys))
--- a/tests/coordination/test_member.py
+++ b/tests/coordination/test_member.py
@@ -112,17 +112,17 @@
 
 def test_others_wait_for_a_member_until_its_view_is_active() -> None:
     new = Harness(FRESH)
-    assert new.member.forming(0.0)  # not on its disk yet
+    assert new.member.is_awaited(0.0)  # not on its disk yet
     while any(isinstance(effect, Persist) for effect in new.effects):
         new.save()
-    assert not new.member.forming(0.0)  # nobody is heard
+    assert not new.member.is_awaited(0.0)  # nobody is heard
     stored = Harness(STORED)
-    assert not stored.member.forming(0.0)
+    assert not stored.member.is_awaited(0.0)
     stored.deliver(heartbeat_of(A))
-    assert stored.member.forming(0.1)
-    assert not stored.member.forming(9.0)  # silent since
+    assert stored.member.is_awaited(0.1)
+    assert not stored.member.is_awaited(9.0)  # silent since
     stored.member.chain.active = True
-    assert not stored.member.forming(0.1)
+    assert not stored.member.is_awaited(0.1)
 
 
 @pytest.mark.parametrize(
@@ -246,7 +246,7 @@
 
 
 @pytest.mark.parametrize(
-    ("heartbeats", "now", "live", "steady"),
+    ("heartbeats", "now", "live", "stable"),
     [
         ([(0.0, heartbeat_from(A))], 0.1, True, False),
         ([(0.0, heartbeat_from(A)), (0.3, heartbeat_from(A))], 0.35, True, True),
@@ -267,14 +267,14 @@
     ],
 )
 def test_peers(
-    *, heartbeats: list[tuple[float, Heartbeat]], now: float, live: bool, steady: bool
+    *, heartbeats: list[tuple[float, Heartbeat]], now: float, live: bool, stable: bool
 ) -> None:
     peers = PeerTable(B)
     for at, heartbeat in heartbeats:
         peers.on_heartbeat(heartbeat, at)
     own = Harness(STORED).member.heartbeats.own_status(None, now)
     seen = peers.snapshot(now, own, ())["a:1"]
-    assert (seen.live, seen.steady) == (live, steady)
+    assert (seen.live, seen.stable) == (live, stable)
 
 
 def test_an_own_pause_is_not_counted_as_silence_of_others() -> None:
--- a/tests/coordination/test_scrub.py
+++ b/tests/coordination/test_scrub.py
@@ -14,9 +14,9 @@
 )
 from roselink.coordination.member import TICK_S, Member, Start
 from roselink.coordination.scrub import (
-    FIRST_FACTOR,
-    INTERVAL_S,
     MAX_BYTES_PER_S,
+    MIN_INTERVAL_FACTOR,
+    READ_INTERVAL_S,
     Scrubber,
 )
 from roselink.coordination.state import EMPTY, apply_change, digest_of
@@ -67,9 +67,9 @@
     reads = scrubbed(300.0)
     assert [store for _, store in reads[:4]] == [*Store, *Store]
     gaps = [after - before for (before, _), (after, _) in itertools.pairwise(reads)]
-    assert min(gaps) >= FIRST_FACTOR * INTERVAL_S
-    assert max(gaps) <= (FIRST_FACTOR + 1.0) * INTERVAL_S + TICK_S
-    assert reads[0][0] >= FIRST_FACTOR * INTERVAL_S  # not beside the start
+    assert min(gaps) >= MIN_INTERVAL_FACTOR * READ_INTERVAL_S
+    assert max(gaps) <= (MIN_INTERVAL_FACTOR + 1.0) * READ_INTERVAL_S + TICK_S
+    assert reads[0][0] >= MIN_INTERVAL_FACTOR * READ_INTERVAL_S  # not beside the start
 
 
 def test_members_read_at_different_times() -> None:
--- a/tests/coordination/test_state.py
+++ b/tests/coordination/test_state.py
@@ -15,7 +15,7 @@
     ValidationKind,
     apply_change,
     digest_of,
-    find,
+    find_in_history,
     validate,
 )
 from roselink.protocol.chain import (
@@ -71,15 +71,15 @@
     full = replace(state, sequence=1, history=b"\1" * (entry * HISTORY_LIMIT))
     after = apply_change(full, changes[0], refused=False)
     assert len(after.history) == entry * HISTORY_LIMIT
-    assert find(after, changes[0].digest) == (1, 2)
+    assert find_in_history(after, changes[0].digest) == (1, 2)
 
 
 def test_a_digest_is_found_at_the_begin_of_an_entry_only() -> None:
     """The bytes of a change's digest may stand anywhere in others' entries by chance."""
     entry = apply_change(EMPTY, change_on(0, 5), refused=False).history
     inside = entry[16:48]
-    assert find(replace(EMPTY, history=entry), inside) is None
-    assert find(replace(EMPTY, history=entry + inside + entry[32:]), inside) is not None
+    assert find_in_history(replace(EMPTY, history=entry), inside) is None
+    assert find_in_history(replace(EMPTY, history=entry + inside + entry[32:]), inside) is not None
 
 
 def test_examples_of_the_state_module() -> None:
--- a/tests/coordination/test_views.py
+++ b/tests/coordination/test_views.py
@@ -31,7 +31,7 @@
         disk_ok=True,
         leaving=False,
         live=True,
-        steady=True,
+        stable=True,
         since_heartbeat_s=0.0,
         reachable=ALL - {name},
     )
@@ -39,7 +39,7 @@
 
 
 def gone(name: str, since_heartbeat_s: float = 0.5) -> PeerStatus:
-    return peer(name, live=False, steady=False, since_heartbeat_s=since_heartbeat_s)
+    return peer(name, live=False, stable=False, since_heartbeat_s=since_heartbeat_s)
 
 
 def joiner(name: str, **changes: object) -> PeerStatus:
@@ -61,8 +61,8 @@
     return voters, "".join(replica.voter.address for replica in proposal.chain)
 
 
-def unsteady(name: str) -> PeerStatus:
-    return joiner(name, steady=False)
+def unstable(name: str) -> PeerStatus:
+    return joiner(name, stable=False)
 
 
 JOINED_BY_C = (peer("a"), peer("b"), joiner("c"))
@@ -73,20 +73,20 @@
     [
         pytest.param(JOINED_BY_C, False, id="one joins"),
         pytest.param((*JOINED_BY_C, joiner("d")), False, id="two join"),
-        pytest.param((*JOINED_BY_C, unsteady("d")), True, id="another may soon"),
+        pytest.param((*JOINED_BY_C, unstable("d")), True, id="another may soon"),
         pytest.param((*JOINED_BY_C, gone("d")), False, id="another is gone"),
         pytest.param(
-            (*JOINED_BY_C, joiner("d", steady=False, disk_ok=False)), False, id="another can't"
+            (*JOINED_BY_C, joiner("d", stable=False, disk_ok=False)), False, id="another can't"
         ),
         pytest.param(
-            (gone("a"), peer("b"), joiner("c"), unsteady("d")), False, id="the head is gone"
+            (gone("a"), peer("b"), joiner("c"), unstable("d")), False, id="the head is gone"
         ),
         pytest.param(
-            (peer("a", session=9), peer("b"), joiner("c"), unsteady("d")),
+            (peer("a", session=9), peer("b"), joiner("c"), unstable("d")),
             False,
             id="the head is restarted",
         ),
-        pytest.param((peer("a"), peer("b"), unsteady("c")), False, id="nothing is proposed"),
+        pytest.param((peer("a"), peer("b"), unstable("c")), False, id="nothing is proposed"),
     ],
 )
 def test_joiners_wait_for_each_other(*, peers: tuple[PeerStatus, ...], waits: bool) -> None:
@@ -162,9 +162,9 @@
         pytest.param(
             THREE,
             1,
-            (peer("a"), peer("b"), peer("c"), joiner("d", steady=False)),
+            (peer("a"), peer("b"), peer("c"), joiner("d", stable=False)),
             None,
-            id="joiner not steady",
+            id="joiner not stable",
         ),
         pytest.param(
             THREE,
@@ -209,7 +209,7 @@
             id="back again",
         ),
         pytest.param(
-            SHORT, 1, (*AB, peer("c", epoch=4, steady=False)), None, id="back, not steady"
+            SHORT, 1, (*AB, peer("c", epoch=4, stable=False)), None, id="back, not stable"
         ),
         pytest.param(
             SHORT,
--- a/tests/mutations/coordination.py
+++ b/tests/mutations/coordination.py
@@ -59,8 +59,8 @@
             "len(voters) > 1",
         ),
         (
-            "a joiner need not be steady",
-            "if peer.eligible and peer.steady and",
+            "a joiner need not be stable",
+            "if peer.eligible and peer.stable and",
             "if peer.eligible and",
         ),
     ),
@@ -364,8 +364,8 @@
         ),
         (
             "a large record is read as fast as a small one",
-            "return max(INTERVAL_S * factor, size / MAX_BYTES_PER_S)",
-            "return INTERVAL_S * factor",
+            "return max(READ_INTERVAL_S * factor, size / MAX_BYTES_PER_S)",
+            "return READ_INTERVAL_S * factor",
         ),
     ),
     *mutations_of(
--- a/tests/simulation/test_model_checker.py
+++ b/tests/simulation/test_model_checker.py
@@ -134,7 +134,7 @@
 
 def forgets_what_was_accepted(self: ProposalRound) -> View:
     """A proposer puts its own view forward, whatever was accepted before."""
-    return self.wanted
+    return self.preferred
 
 
 @pytest.mark.parametrize(
