--- a/roselink/coordination/acceptor.py
+++ b/roselink/coordination/acceptor.py
@@ -66,8 +66,8 @@
 
     def is_newest(self, epoch: int) -> bool:
         """Whether this voter has accepted nothing, and knows of nothing, after `epoch`."""
-        known = self.view is not None and self.view.epoch == epoch
-        return known and self.is_voter and self.accepted is None
+        in_epoch = self.view is not None and self.view.epoch == epoch
+        return in_epoch and self.is_voter and self.accepted is None
 
     def enter(self, view: View) -> bool:
         """Enter a decided view; False if it isn't newer than the present one."""
--- a/roselink/coordination/chain.py
+++ b/roselink/coordination/chain.py
@@ -111,20 +111,20 @@
         """Whether this process is the tail, and its view is active."""
         return self.participating and self.active and self._successor is None
 
-    def enter(self, view: View, now: float, *, is_fresh: bool) -> None:
+    def enter(self, view: View, now: float, *, is_bootstrapping: bool) -> None:
         """Leave the present epoch, and participate in the new view if it names this process.
 
         Args:
             view: the new view.
             now: seconds of the member's clock.
-            is_fresh: whether this process itself made the first view, at the start of a new system.
+            is_bootstrapping: whether this process made the first view of a new system.
         """
         replica = replica_of(view, self.voter)
         self.view = view
         # No process has the session 0: the first view has it, in which each process participates
         # that made that view.
         self.participating = replica is not None and (
-            is_fresh if replica.session == 0 else replica.session == self.session
+            is_bootstrapping if replica.session == 0 else replica.session == self.session
         )
         self.synced = False
         self.active = False
@@ -212,7 +212,7 @@
         """Save what a refusing disk did not take."""
         self._save()
 
-    def save_again(self) -> None:
+    def rewrite_durable_state(self) -> None:
         """Save the durable state once more: the copy on the disk is damaged.
 
         A save that is in flight already, or a newer state's, takes its place as well.
@@ -252,7 +252,7 @@
         self._saving = StoredState(self.applied_epoch, self.applied)
         self.emit(Persist(Store.STATE, encode(self._saving)))
 
-    def _initial_is_durable(self) -> bool:
+    def _initial_state_is_durable(self) -> bool:
         """Whether the state with which the epoch begins is durable here."""
         if self.view is None or not self.synced:
             return False
@@ -262,7 +262,7 @@
 
     def _advance(self, now: float) -> bool:
         """Forward what has become durable, or commit it at the tail."""
-        if not self.participating or not self._initial_is_durable():
+        if not self.participating or not self._initial_state_is_durable():
             return False
         if not self._epoch_started:
             self._epoch_started = True
--- a/roselink/coordination/disk_health.py
+++ b/roselink/coordination/disk_health.py
@@ -40,11 +40,11 @@
 
     Attributes:
         healthy: whether it takes saves, in time.
-        refusing: whether it refused the last one that ended.
+        last_save_failed: whether it refused the last one that ended.
     """
 
     healthy: bool = True
-    refusing: bool = False
+    last_save_failed: bool = False
     _saves: list[_Save] = field(default_factory=list)
 
     def save_requested(self, now: float, size: int) -> None:
@@ -56,7 +56,7 @@
         save = self._saves.pop(0)
         if self._saves:
             self._saves[0].started_at = max(self._saves[0].started_at, now)
-        self.refusing = not succeeded
+        self.last_save_failed = not succeeded
         if not succeeded or not save.within(STUCK_TIMEOUT_S, now):
             self.healthy = False
         elif save.within(RECOVERED_WITHIN_S, now):
--- a/roselink/coordination/heartbeats.py
+++ b/roselink/coordination/heartbeats.py
@@ -23,7 +23,7 @@
 EARLY_HEARTBEAT_INTERVAL_S = 0.02
 
 # A machine that sends no heartbeats gets one in this many of this member's.
-BEATS_PER_UNREACHABLE_PEER = 3
+UNREACHABLE_PEER_PERIOD = 3
 
 
 @dataclass(slots=True)
@@ -50,7 +50,7 @@
     emit: Emit
     leaving: bool = False
     _sent_at: float = float("-inf")
-    _beats: int = 0
+    _heartbeat_count: int = 0
 
     def leave(self) -> None:
         """Have the next heartbeat, due at once, report that this process is about to end."""
@@ -92,31 +92,31 @@
     def contacts(self, view: View | None, now: float) -> list[str]:
         """The addresses that get heartbeats: seeds, voters, and whoever sends some."""
         voters = view.voters if view is not None else ()
-        known = (*self.seeds, *(voter.address for voter in voters), *self.peers.contacts(now))
-        return [address for address in dict.fromkeys(known) if address != self.voter.address]
+        addresses = (*self.seeds, *(voter.address for voter in voters), *self.peers.contacts(now))
+        return [address for address in dict.fromkeys(addresses) if address != self.voter.address]
 
     def send_due(self, view: View | None, now: float) -> None:
         """Send heartbeats if they are due."""
         if now - self._sent_at < HEARTBEAT_INTERVAL_S * DUE_FRACTION:
             return
         self._sent_at = now
-        self._beats += 1
-        own = self.own_status(view, now)
+        self._heartbeat_count += 1
+        status = self.own_status(view, now)
         heartbeat = Heartbeat(
             sender=self.voter,
-            session=own.session,
-            epoch=own.epoch,
-            state_epoch=own.state_epoch,
+            session=status.session,
+            epoch=status.epoch,
+            state_epoch=status.state_epoch,
             sequence=self.chain.durable.sequence,
-            participating=own.participating,
-            disk_ok=own.disk_ok,
-            leaving=own.leaving,
+            participating=status.participating,
+            disk_ok=status.disk_ok,
+            leaving=status.leaving,
             chain_is_complete=self._reports_complete_chain(view, now),
-            reachable=tuple(sorted(own.reachable)),
+            reachable=tuple(sorted(status.reachable)),
         )
-        sending = self.peers.contacts(now)
+        known_senders = self.peers.contacts(now)
         for address in self.contacts(view, now):
-            if address in sending or self._beats % BEATS_PER_UNREACHABLE_PEER == 1:
+            if address in known_senders or self._heartbeat_count % UNREACHABLE_PEER_PERIOD == 1:
                 self.emit(Send(address, heartbeat))
 
     def _reports_complete_chain(self, view: View | None, now: float) -> bool:
@@ -124,7 +124,7 @@
         if view is None or not self.chain.participating:
             return False
         snapshot = self.snapshot(view, now)
-        known = [snapshot.get(replica.voter.address) for replica in view.chain]
-        return all(peer is not None and peer.eligible for peer in known) and chain_is_complete(
+        statuses = [snapshot.get(replica.voter.address) for replica in view.chain]
+        return all(peer is not None and peer.eligible for peer in statuses) and chain_is_complete(
             view, snapshot
         )
--- a/roselink/coordination/member.py
+++ b/roselink/coordination/member.py
@@ -41,7 +41,7 @@
 )
 from roselink.coordination.exceptions import DriverContractError
 from roselink.coordination.heartbeats import HeartbeatSender
-from roselink.coordination.messages import MessageHandler
+from roselink.coordination.messages import MessageDispatcher
 from roselink.coordination.peer_table import PeerTable
 from roselink.coordination.pending_calls import PendingCalls
 from roselink.coordination.proposer import Proposer
@@ -108,7 +108,7 @@
 
 
 @dataclass(slots=True)
-class _Pending:
+class _PendingOutput:
     """What the present input has caused so far: effects, and messages to this member itself."""
 
     effects: list[Effect] = field(default_factory=list)
@@ -121,9 +121,9 @@
     def __init__(self, start: Start, now: float) -> None:
         """Build the parts; nothing is emitted before `begin`."""
         self._start = start
-        self._pending = _Pending()
+        self._pending_output = _PendingOutput()
         is_new = start.acceptor_state is None or start.state is None
-        self._is_fresh = is_new and start.bootstrap and start.address in start.seeds
+        self._is_bootstrapping = is_new and start.bootstrap and start.address in start.seeds
         self._is_on_disk = not is_new
         voter = self._identity(is_new=is_new)
         self.acceptor = (
@@ -143,17 +143,17 @@
         self.sequencer = ChangeSequencer(self.chain, self.emit)
         self.pending_calls = PendingCalls(voter, self.emit)
         self.scrubber = Scrubber(start.session, self.emit)
-        self._messages = self._message_handler()
+        self._dispatcher = self._message_dispatcher()
         self._last_number = start.session
-        self._announced = (0, False)
+        self._reported_view = (0, False)
         self._ticked_at = now
         self._started_at = now
-        self._disk_tried_at = now
+        self._disk_retried_at = now
         if start.state is not None and not is_new:
             self.chain.restore(start.state)
 
-    def _message_handler(self) -> MessageHandler:
-        return MessageHandler(
+    def _message_dispatcher(self) -> MessageDispatcher:
+        return MessageDispatcher(
             acceptor=self.acceptor,
             reply_gate=self.reply_gate,
             chain=self.chain,
@@ -164,14 +164,16 @@
             sequencer=self.sequencer,
             pending_calls=self.pending_calls,
             emit=self.emit,
-            follow=self.follow,
+            adopt_view=self.adopt_view,
             on_committed=self.on_committed,
         )
 
     def _identity(self, *, is_new: bool) -> Voter:
         if not is_new and self._start.acceptor_state is not None:
             return self._start.acceptor_state.voter
-        return Voter(self._start.address, 0 if self._is_fresh else self._start.fresh_incarnation)
+        return Voter(
+            self._start.address, 0 if self._is_bootstrapping else self._start.fresh_incarnation
+        )
 
     @property
     def view(self) -> View | None:
@@ -208,15 +210,15 @@
             if self.view is not None:
                 self._enter(now)
         else:
-            self.chain.applied_epoch = 1 if self._is_fresh else 0
-            if self._is_fresh:
+            self.chain.applied_epoch = 1 if self._is_bootstrapping else 0
+            if self._is_bootstrapping:
                 self.acceptor.view = first_view(self._start.seeds)
                 self.peers.start_grace(now)
             self.acceptor.version = 1
-            self._save_first()
+            self._save_initial_state()
         return self._flush(now)
 
-    def _save_first(self) -> None:
+    def _save_initial_state(self) -> None:
         """Nothing leaves a new member before its identity and an empty state are on the disk."""
         self.emit(Persist(Store.STATE, encode(StoredState(self.chain.applied_epoch, EMPTY))))
 
@@ -229,12 +231,12 @@
         self._ticked_at = now
         self.disk.check(now)
         self._retry_disk(now)
-        self.pending_calls.proceed(self._known_view(), now)
+        self.pending_calls.advance(self._known_view(), now)
         if self._is_on_disk:
             self.heartbeats.send_due(self.view, now)
             self.chain.resend(now)
             if self.view is not None and self.chain.is_tail:
-                self.reads.proceed(self.view, now)
+                self.reads.advance(self.view, now)
             self._propose(now)
             self._scrub(now)
         return self._flush(now)
@@ -270,14 +272,14 @@
     def receive(self, message: ChainMessage, now: float) -> list[Effect]:
         """Handle a message of the classes that `messages.is_chain_message` accepts."""
         if self._is_on_disk:
-            self._messages.handle(message, now)
+            self._dispatcher.handle(message, now)
         return self._flush(now)
 
     def persisted(self, store: Store, now: float) -> list[Effect]:
         """The oldest `Persist` of that store is durable."""
         self.disk.save_ended(now, succeeded=True)
         if not self._is_on_disk:
-            self._first_saved(store, now)
+            self._on_initial_record_saved(store, now)
         elif store is Store.STATE:
             if self.chain.on_persisted(now):
                 self.on_committed(now)
@@ -300,7 +302,7 @@
         if outcome is VerificationOutcome.UNREADABLE:
             self.disk.read_failed()
         elif outcome is VerificationOutcome.DAMAGED:
-            self._save_again(store)
+            self._rewrite_record(store)
         return self._flush(now)
 
     def collect_effects(self, now: float) -> list[Effect]:
@@ -309,7 +311,7 @@
 
     # --- saves
 
-    def _first_saved(self, store: Store, now: float) -> None:
+    def _on_initial_record_saved(self, store: Store, now: float) -> None:
         if store is Store.STATE:
             self.reply_gate.save()
             return
@@ -328,12 +330,12 @@
                 # A save of the state was refused, and another one brought the disk back.
                 self.chain.retry_save()
             return
-        if now - self._disk_tried_at < DISK_RETRY_INTERVAL_S:
+        if now - self._disk_retried_at < DISK_RETRY_INTERVAL_S:
             return
-        self._disk_tried_at = now
-        self.disk.refusing = False
+        self._disk_retried_at = now
+        self.disk.last_save_failed = False
         if not self._is_on_disk:
-            self._save_first()
+            self._save_initial_state()
             return
         self.chain.retry_save()
         self.reply_gate.request_save()
@@ -341,18 +343,18 @@
     def _scrub(self, now: float) -> None:
         """Have a record read back while nothing else wants the disk."""
         state = self.chain.durable
-        self.scrubber.consider(
+        self.scrubber.request_due_read(
             now,
             {Store.ACCEPTOR: 0, Store.STATE: len(state.document) + len(state.history)},
-            is_quiet=self.disk.healthy
+            is_idle=self.disk.healthy
             and self.disk.idle
             and self.acceptor.accepted is None
             and (self.chain.active or not self.chain.participating),
         )
 
-    def _save_again(self, store: Store) -> None:
+    def _rewrite_record(self, store: Store) -> None:
         if store is Store.STATE:
-            self.chain.save_again()
+            self.chain.rewrite_durable_state()
         else:
             self.reply_gate.request_save()
 
@@ -361,20 +363,20 @@
     def _known_view(self) -> View | None:
         return self.view if self._is_on_disk else None
 
-    def follow(self, view: View, now: float) -> None:
+    def adopt_view(self, view: View, now: float) -> None:
         """Enter a decided view if it is newer than the present one."""
         if self.acceptor.enter(view):
-            self._is_fresh = False
+            self._is_bootstrapping = False
             self._enter(now)
 
     def _enter(self, now: float) -> None:
         if self.view is None:
             raise DriverContractError("_enter", "a view is known")
         self.proposer.view_changed(now)
-        self.reads.drop()
-        self.sequencer.drop()
-        self.chain.enter(self.view, now, is_fresh=self._is_fresh)
-        self._announce()
+        self.reads.clear()
+        self.sequencer.clear()
+        self.chain.enter(self.view, now, is_bootstrapping=self._is_bootstrapping)
+        self._report_view_change()
         self.pending_calls.view_changed(self.view, now)
         if self.chain.active:
             self.on_committed(now)
@@ -383,19 +385,19 @@
         """Something was committed, or the chain has become active."""
         self.sequencer.on_committed()
         if self.view is not None and self.chain.is_tail:
-            self.reads.proceed(self.view, now)
-        self._announce()
+            self.reads.advance(self.view, now)
+        self._report_view_change()
 
-    def _announce(self) -> None:
+    def _report_view_change(self) -> None:
         """Emit that the view is new, or that its chain has become active."""
-        if self.view is not None and self._announced != (self.view.epoch, self.chain.active):
-            self._announced = (self.view.epoch, self.chain.active)
+        if self.view is not None and self._reported_view != (self.view.epoch, self.chain.active):
+            self._reported_view = (self.view.epoch, self.chain.active)
             self.emit(ViewChanged(self.view))
 
     def _propose(self, now: float) -> None:
         if self.view is None or not self.acceptor.is_voter:
             return
-        defers = not self.chain.participating and self.peers.reports_complete_chain(
+        outside_complete_chain = not self.chain.participating and self.peers.reports_complete_chain(
             now, self.view.epoch
         )
         snapshot = self.heartbeats.snapshot(self.view, now)
@@ -403,30 +405,32 @@
             self.view, snapshot
         ):
             return  # the others may be starting too, after a loss of the whole core
-        self.proposer.consider(self.acceptor, snapshot, now, defers=defers)
+        self.proposer.advance(
+            self.acceptor, snapshot, now, outside_complete_chain=outside_complete_chain
+        )
 
     # --- effects
 
     def emit(self, effect: Effect) -> None:
         """Emit an effect; a message to this member itself is handled before the input ends."""
         if isinstance(effect, Send) and effect.to == self.voter.address:
-            self._pending.own_messages.append(effect.message)
+            self._pending_output.own_messages.append(effect.message)
         else:
-            self._pending.effects.append(effect)
+            self._pending_output.effects.append(effect)
 
     def _flush(self, now: float) -> list[Effect]:
         """Handle messages to this member itself and save acceptor state; the effects to perform."""
-        while self._pending.own_messages:
-            messages = self._pending.own_messages
-            self._pending.own_messages = []
+        while self._pending_output.own_messages:
+            messages = self._pending_output.own_messages
+            self._pending_output.own_messages = []
             for message in messages:
-                self._messages.handle(message, now)
+                self._dispatcher.handle(message, now)
         if self._is_on_disk:
             self.reply_gate.release()
-            if not self.disk.refusing:
+            if not self.disk.last_save_failed:
                 self.reply_gate.save()
-        effects = self._pending.effects
-        self._pending.effects = []
+        effects = self._pending_output.effects
+        self._pending_output.effects = []
         for effect in effects:
             if isinstance(effect, Persist):
                 self.disk.save_requested(now, len(effect.payload))
--- a/roselink/coordination/messages.py
+++ b/roselink/coordination/messages.py
@@ -44,11 +44,11 @@
 
 
 @dataclass(slots=True)
-class MessageHandler:
+class MessageDispatcher:
     """Dispatches each message to the parts of one member that it concerns.
 
     Attributes:
-        follow: enters a decided view if it is newer.
+        adopt_view: enters a decided view if it is newer.
         on_committed: to be called when the chain has committed.
     """
 
@@ -62,7 +62,7 @@
     sequencer: ChangeSequencer
     pending_calls: PendingCalls
     emit: Emit
-    follow: Callable[[View, float], None]
+    adopt_view: Callable[[View, float], None]
     on_committed: Callable[[float], None]
 
     def handle(self, message: ChainMessage, now: float) -> None:
@@ -96,15 +96,15 @@
     def _on_accepted(self, reply: Accepted, now: float) -> None:
         decided = self.proposer.on_accepted(reply)
         if decided is not None:
-            self.follow(decided, now)
+            self.adopt_view(decided, now)
             for address in self.heartbeats.contacts(self.acceptor.view, now):
                 self.emit(Send(address, Decided(self.acceptor.voter, decided)))
 
     def _on_decided(self, message: Decided, now: float) -> None:
-        self.follow(message.view, now)
+        self.adopt_view(message.view, now)
 
     def _on_sync(self, message: Sync, now: float) -> None:
-        self.follow(message.view, now)
+        self.adopt_view(message.view, now)
         if self.chain.on_sync(message, now):
             self.on_committed(now)
 
@@ -142,7 +142,7 @@
             epoch = self.acceptor.view.epoch
             reply = ReadReply(read.number, epoch, state.sequence, state.generation, document)
             self.emit(Send(read.requester, reply))
-        self.reads.proceed(self.acceptor.view, now)
+        self.reads.advance(self.acceptor.view, now)
 
     def _on_read_request(self, message: ReadRequest, now: float) -> None:
         if self.acceptor.view is not None and self.chain.is_last:
@@ -174,4 +174,4 @@
 
 def is_chain_message(message: object) -> TypeGuard[ChainMessage]:
     """Whether a member handles messages of this class."""
-    return type(message) in MessageHandler.HANDLERS
+    return type(message) in MessageDispatcher.HANDLERS
--- a/roselink/coordination/peer_table.py
+++ b/roselink/coordination/peer_table.py
@@ -40,7 +40,7 @@
 class PeerTable:
     """The other machines by address."""
 
-    own: Voter
+    voter: Voter
     _known: dict[str, _KnownPeer] = field(default_factory=dict)
     _grace_until: float = 0.0
 
@@ -98,13 +98,13 @@
         )
 
     def snapshot(
-        self, now: float, own: PeerStatus, expected: Iterable[str]
+        self, now: float, own_status: PeerStatus, expected: Iterable[str]
     ) -> dict[str, PeerStatus]:
         """Every known machine by address, as a plan needs it.
 
         Args:
             now: seconds of the member's clock.
-            own: this member's own status.
+            own_status: this member's own status.
             expected: addresses that count as live during the grace time of a new system.
         """
         for address in [
@@ -115,7 +115,7 @@
             del self._known[address]
         live = [known for known in self._known.values() if self._is_live(known, now)]
         reachable_by_others = {address for known in live for address in known.heartbeat.reachable}
-        statuses = {own.voter.address: own}
+        statuses = {own_status.voter.address: own_status}
         for address, known in self._known.items():
             since_heartbeat_s = (
                 0.0 if address in reachable_by_others else now - known.last_heartbeat_at
@@ -124,7 +124,7 @@
         if now < self._grace_until:
             for address in expected:
                 if address not in statuses:
-                    statuses[address] = _expected_status(address, own)
+                    statuses[address] = _expected_status(address, own_status)
         return statuses
 
     def _status(self, known: _KnownPeer, now: float, since_heartbeat_s: float) -> PeerStatus:
@@ -147,11 +147,11 @@
     def _is_live(self, known: _KnownPeer, now: float) -> bool:
         return (
             now - known.last_heartbeat_at < SUSPECT_TIMEOUT_S
-            and self.own.address in known.heartbeat.reachable
+            and self.voter.address in known.heartbeat.reachable
         )
 
 
-def _expected_status(address: str, own: PeerStatus) -> PeerStatus:
+def _expected_status(address: str, own_status: PeerStatus) -> PeerStatus:
     """A machine that may be starting: taken as eligible and stable, and as reaching everybody."""
     return PeerStatus(
         voter=Voter(address, 0),
@@ -164,5 +164,5 @@
         live=True,
         stable=True,
         since_heartbeat_s=0.0,
-        reachable=own.reachable | {own.voter.address},
+        reachable=own_status.reachable | {own_status.voter.address},
     )
--- a/roselink/coordination/pending_calls.py
+++ b/roselink/coordination/pending_calls.py
@@ -59,27 +59,27 @@
     emit: Emit
     _submits: dict[int, _SubmitCall] = field(default_factory=dict)
     _reads: dict[int, _Call] = field(default_factory=dict)
-    _newest: Confirmation | None = None
+    _newest_read: Confirmation | None = None
 
     def submit(
         self, number: int, change: ConfigurationChange, view: View | None, now: float
     ) -> None:
         """Carry a change; ends with one `SubmitDone`."""
         self._submits[number] = _SubmitCall(now + SUBMIT_TIMEOUT_S, change=change)
-        self.proceed(view, now)
+        self.advance(view, now)
 
     def read(self, number: int, view: View | None, now: float) -> None:
         """Carry a read; ends with one `ReadDone`."""
         self._reads[number] = _Call(now + READ_TIMEOUT_S)
-        self.proceed(view, now)
+        self.advance(view, now)
 
     def view_changed(self, view: View, now: float) -> None:
         """Send what has had no reply to the new head and tail at once."""
         for call in (*self._submits.values(), *self._reads.values()):
             call.sent_at = float("-inf")
-        self.proceed(view, now)
+        self.advance(view, now)
 
-    def proceed(self, view: View | None, now: float) -> None:
+    def advance(self, view: View | None, now: float) -> None:
         """End what is overdue, and send again what has had no reply for its retry interval."""
         for number in [n for n, call in self._submits.items() if now >= call.deadline]:
             del self._submits[number]
@@ -94,11 +94,11 @@
                 submit.sent_at = now
                 submit_request = SubmitRequest(self.voter, view.epoch, number, submit.change)
                 self.emit(Send(view.chain[0].voter.address, submit_request))
-        known = self._newest.sequence if self._newest is not None else -1
+        known_sequence = self._newest_read.sequence if self._newest_read is not None else -1
         for number, read in list(self._reads.items()):
             if now - read.sent_at >= READ_RETRY_INTERVAL_S:
                 read.sent_at = now
-                read_request = ReadRequest(self.voter, number, known)
+                read_request = ReadRequest(self.voter, number, known_sequence)
                 self.emit(Send(view.chain[-1].voter.address, read_request))
 
     def on_submit_reply(self, reply: SubmitReply) -> None:
@@ -116,13 +116,13 @@
             return
         document = reply.document
         if document is None and reply.sequence > 0:
-            if self._newest is None or self._newest.sequence != reply.sequence:
+            if self._newest_read is None or self._newest_read.sequence != reply.sequence:
                 return
-            document = self._newest.document
+            document = self._newest_read.document
         del self._reads[reply.number]
         confirmation = Confirmation(reply.epoch, reply.sequence, document or None, reply.generation)
-        if self._newest is None or reply.sequence >= self._newest.sequence:
-            self._newest = confirmation
+        if self._newest_read is None or reply.sequence >= self._newest_read.sequence:
+            self._newest_read = confirmation
         self.emit(ReadDone(reply.number, confirmation))
 
 
--- a/roselink/coordination/proposal_round.py
+++ b/roselink/coordination/proposal_round.py
@@ -59,8 +59,8 @@
 
     def _concerns(self, reply: Promise | Accepted) -> bool:
         """Whether this very ballot of this epoch is meant (R4)."""
-        same = reply.ballot == self.ballot and reply.epoch == self.view.epoch + 1
-        return same and reply.sender in self.view.voters
+        is_current = reply.ballot == self.ballot and reply.epoch == self.view.epoch + 1
+        return is_current and reply.sender in self.view.voters
 
     def _choose(self) -> View:
         """The value of the highest ballot that was accepted before; else the preferred one (R2)."""
--- a/roselink/coordination/proposer.py
+++ b/roselink/coordination/proposer.py
@@ -17,7 +17,7 @@
     ViewPolicy,
     majority,
     plan,
-    waits_for_joiners,
+    should_await_joiners,
 )
 from roselink.protocol.chain import Accept, Accepted, Ballot, Prepare, Promise, Refusal, View, Voter
 
@@ -49,13 +49,13 @@
 
 # In a view no older than this, a replica before one that is new to the chain may come back in time
 # to pass the state on (V3 in `views`).
-YOUNG_VIEW_S = 1.0
+NEW_VIEW_PERIOD_S = 1.0
 
 # Who may join a complete chain waits so long for others that are about to be able to.
-JOIN_TOGETHER_S = 0.6
+JOIN_BATCH_WINDOW_S = 0.6
 
 # The added delay of a member outside the chain, while the chain's members report it complete.
-OUTSIDE_DELAY_S = 1.0
+NON_MEMBER_DELAY_S = 1.0
 
 
 @dataclass(slots=True)
@@ -66,27 +66,32 @@
     session: int
     policy: ViewPolicy
     emit: Emit
-    _current: ProposalRound | None = None
+    _current_round: ProposalRound | None = None
     _requested_at: float = 0.0
     _ballot_round: int = 0
     _rounds_begun: int = 0
-    _wanted_since: float | None = None
+    _planned_since: float | None = None
     _undecided_since: float | None = None
-    _not_before: float = float("-inf")
-    _view_since: float = float("-inf")
+    _next_round_at: float = float("-inf")
+    _view_entered_at: float = float("-inf")
 
     def view_changed(self, now: float) -> None:
         """A newer view is known: the round is over."""
-        self._view_since = now
-        self._current = None
+        self._view_entered_at = now
+        self._current_round = None
         self._ballot_round = 0
         self._rounds_begun = 0
-        self._wanted_since = None
+        self._planned_since = None
         self._undecided_since = None
-        self._not_before = float("-inf")
+        self._next_round_at = float("-inf")
 
-    def consider(
-        self, acceptor: Acceptor, peers: Mapping[str, PeerStatus], now: float, *, defers: bool
+    def advance(
+        self,
+        acceptor: Acceptor,
+        peers: Mapping[str, PeerStatus],
+        now: float,
+        *,
+        outside_complete_chain: bool,
     ) -> None:
         """Begin a round if one is due, or give up one that has taken too long.
 
@@ -94,38 +99,43 @@
             acceptor: this member's acceptor, which knows the view.
             peers: the membership snapshot.
             now: seconds of the member's clock.
-            defers: whether this member is outside a chain whose members report it complete.
+            outside_complete_chain: whether this member isn't in the chain, whose
+                members report it complete.
         """
         view = acceptor.view
         if view is None:
             return
-        if self._current is not None:
-            if now - self._current.started_at < self._round_timeout_s():
-                self._retry_requests(self._current, now)
+        if self._current_round is not None:
+            if now - self._current_round.started_at < self._round_timeout_s():
+                self._retry_requests(self._current_round, now)
                 return
-            self._current = None
-            self._not_before = now + self._backoff_s(self._rounds_begun)
-        wanted = self._due(acceptor, view, peers, now, defers=defers)
-        if wanted is not None and now >= self._not_before and _reaches_majority(view, peers):
-            self.propose(acceptor, view, wanted, now)
+            self._current_round = None
+            self._next_round_at = now + self._backoff_s(self._rounds_begun)
+        planned = self._view_to_propose(
+            acceptor, view, peers, now, outside_complete_chain=outside_complete_chain
+        )
+        if planned is not None and now >= self._next_round_at and _reaches_majority(view, peers):
+            self.propose(acceptor, view, planned, now)
 
     def _round_timeout_s(self) -> float:
         grown_s = ROUND_TIMEOUT_S * ROUND_TIMEOUT_GROWTH**self._rounds_begun
         return min(grown_s, MAX_ROUND_TIMEOUT_S)
 
-    def _due(
+    def _view_to_propose(
         self,
         acceptor: Acceptor,
         view: View,
         peers: Mapping[str, PeerStatus],
         now: float,
         *,
-        defers: bool,
+        outside_complete_chain: bool,
     ) -> View | None:
         """The view to propose now."""
-        wanted = plan(view, peers, self.policy, is_young=now - self._view_since < YOUNG_VIEW_S)
-        self._wanted_since = _since(self._wanted_since, now, holds=wanted is not None)
-        self._undecided_since = _since(
+        planned = plan(
+            view, peers, self.policy, is_recent=now - self._view_entered_at < NEW_VIEW_PERIOD_S
+        )
+        self._planned_since = _held_since(self._planned_since, now, holds=planned is not None)
+        self._undecided_since = _held_since(
             self._undecided_since, now, holds=acceptor.accepted is not None
         )
         delay_s = self._rank(view, peers) * RANK_DELAY_S
@@ -133,13 +143,17 @@
             self._undecided_since is not None
             and now - self._undecided_since >= UNDECIDED_TIMEOUT_S + delay_s
         ):
-            return wanted or acceptor.proposal
-        if wanted is None or self._wanted_since is None:
+            return planned or acceptor.proposal
+        if planned is None or self._planned_since is None:
             return None
-        wanted_s = now - self._wanted_since
-        if wanted_s < JOIN_TOGETHER_S and waits_for_joiners(view, wanted, peers):
+        planned_for_s = now - self._planned_since
+        if planned_for_s < JOIN_BATCH_WINDOW_S and should_await_joiners(view, planned, peers):
             return None
-        return None if wanted_s < delay_s + (OUTSIDE_DELAY_S if defers else 0.0) else wanted
+        return (
+            None
+            if planned_for_s < delay_s + (NON_MEMBER_DELAY_S if outside_complete_chain else 0.0)
+            else planned
+        )
 
     def _rank(self, view: View, peers: Mapping[str, PeerStatus]) -> int:
         """How many live voters come before this one: the chain from its head, then the rest."""
@@ -153,14 +167,14 @@
         fraction = ((self.session >> (rounds % BACKOFF_SHIFTS)) % BACKOFF_VALUES) / BACKOFF_VALUES
         return fraction * BACKOFF_STEP_S * min(rounds + 1, MAX_BACKOFF_STEPS)
 
-    def propose(self, acceptor: Acceptor, view: View, wanted: View, now: float) -> None:
-        """Begin a round to have `wanted` follow the present view."""
+    def propose(self, acceptor: Acceptor, view: View, preferred: View, now: float) -> None:
+        """Begin a round to have `preferred` follow the present view."""
         promised = acceptor.promised.round if acceptor.promised is not None else 0
         self._ballot_round = max(self._ballot_round, promised) + 1
         self._rounds_begun += 1
         ballot = Ballot(self._ballot_round, self.voter.address, self.session)
-        self._current = ProposalRound(view, ballot, wanted, now)
-        self._send_requests(self._current, now)
+        self._current_round = ProposalRound(view, ballot, preferred, now)
+        self._send_requests(self._current_round, now)
 
     def _send_requests(self, current: ProposalRound, now: float) -> None:
         """Send the phase's request to those who have not replied to it."""
@@ -177,21 +191,21 @@
 
     def on_promise(self, reply: Promise, now: float) -> None:
         """Count a voter's promise."""
-        if self._current is not None and self._current.on_promise(reply):
-            self._send_requests(self._current, now)
+        if self._current_round is not None and self._current_round.on_promise(reply):
+            self._send_requests(self._current_round, now)
 
     def on_refusal(self, reply: Refusal, now: float) -> None:
         """A voter has promised another ballot: back off, then begin a round with a higher one."""
-        if self._current is None or reply.epoch != self._current.view.epoch + 1:
+        if self._current_round is None or reply.epoch != self._current_round.view.epoch + 1:
             return
         self._ballot_round = max(self._ballot_round, reply.promised.round)
-        if reply.ballot == self._current.ballot:
-            self._current = None
-            self._not_before = now + ROUND_TIMEOUT_S / 2 + self._backoff_s(self._rounds_begun)
+        if reply.ballot == self._current_round.ballot:
+            self._current_round = None
+            self._next_round_at = now + ROUND_TIMEOUT_S / 2 + self._backoff_s(self._rounds_begun)
 
     def on_accepted(self, reply: Accepted) -> View | None:
         """Count a voter's acceptance; the decided view once a majority has accepted."""
-        return None if self._current is None else self._current.on_accepted(reply)
+        return None if self._current_round is None else self._current_round.on_accepted(reply)
 
 
 def _is_live(voter: Voter, peers: Mapping[str, PeerStatus]) -> bool:
@@ -199,7 +213,7 @@
     return peer is not None and peer.live and peer.voter == voter and peer.disk_ok
 
 
-def _since(before: float | None, now: float, *, holds: bool) -> float | None:
+def _held_since(before: float | None, now: float, *, holds: bool) -> float | None:
     """From when a condition has held."""
     if not holds:
         return None
--- a/roselink/coordination/reads.py
+++ b/roselink/coordination/reads.py
@@ -61,23 +61,23 @@
     _round: int = 0
     _view: View | None = None
     _in_flight: list[WaitingRead] = field(default_factory=list)
-    _next: list[WaitingRead] = field(default_factory=list)
+    _queued: list[WaitingRead] = field(default_factory=list)
     _confirmed_by: set[Voter] = field(default_factory=set)
     _started_at: float = 0.0
 
-    def drop(self) -> None:
+    def clear(self) -> None:
         """Forget all reads: the view has changed."""
         self._in_flight = []
-        self._next = []
+        self._queued = []
         self._view = None
 
     def request(self, read: WaitingRead, view: View, now: float, *, is_active: bool) -> None:
         """Take a read; it needs a round that begins now or later, once the chain is active."""
-        if read in self._next or read in self._in_flight:
+        if read in self._queued or read in self._in_flight:
             return
-        self._next.append(read)
+        self._queued.append(read)
         if is_active:
-            self.proceed(view, now)
+            self.advance(view, now)
 
     def on_reply(self, reply: ConfirmReply) -> list[WaitingRead]:
         """Count a voter's reply; the reads that are confirmed by it."""
@@ -98,19 +98,19 @@
         self._in_flight = []
         return confirmed
 
-    def proceed(self, view: View, now: float) -> None:
+    def advance(self, view: View, now: float) -> None:
         """Begin the next round if reads wait, and retry one without a majority."""
         if self._in_flight and now - self._started_at >= ROUND_RETRY_INTERVAL_S:
-            self._next = self._in_flight + self._next
+            self._queued = self._in_flight + self._queued
             self._in_flight = []
-        if self._next and not self._in_flight:
+        if self._queued and not self._in_flight:
             self._begin(view, now)
 
     def _begin(self, view: View, now: float) -> None:
         self._view = view
         self._started_at = now
-        self._in_flight = self._next
-        self._next = []
+        self._in_flight = self._queued
+        self._queued = []
         self._round += 1
         self._confirmed_by = set()
         for voter in view.voters:
--- a/roselink/coordination/scrub.py
+++ b/roselink/coordination/scrub.py
@@ -55,31 +55,31 @@
     checks: int = 0
     damaged: int = 0
     checked_at: float | None = None
-    _next_at: float | None = None
-    _reading: Store | None = None
-    _turn: int = 0
+    _next_read_at: float | None = None
+    _read_in_flight: Store | None = None
+    _reads_started: int = 0
 
-    def consider(self, now: float, sizes: Mapping[Store, int], *, is_quiet: bool) -> None:
+    def request_due_read(self, now: float, sizes: Mapping[Store, int], *, is_idle: bool) -> None:
         """Have the next record read if it is due.
 
         Args:
             now: seconds of the member's clock.
             sizes: how many bytes each record has, about.
-            is_quiet: whether neither a save nor an agreement on a view is under way.
+            is_idle: whether neither a save nor an agreement on a view is under way.
         """
-        if self._next_at is None:
-            self._next_at = now + self._pause_s(0)
-        if self._reading is not None or now < self._next_at or not is_quiet:
+        if self._next_read_at is None:
+            self._next_read_at = now + self._interval_s(0)
+        if self._read_in_flight is not None or now < self._next_read_at or not is_idle:
             return
-        store = tuple(Store)[self._turn % len(Store)]
-        self._turn += 1
-        self._reading = store
-        self._next_at = now + self._pause_s(sizes[store])
+        store = tuple(Store)[self._reads_started % len(Store)]
+        self._reads_started += 1
+        self._read_in_flight = store
+        self._next_read_at = now + self._interval_s(sizes[store])
         self.emit(VerifyRecord(store))
 
     def on_verified(self, store: Store, outcome: VerificationOutcome, now: float) -> None:
         """Take the result of the read that was emitted last."""
-        self._reading = None
+        self._read_in_flight = None
         if outcome is VerificationOutcome.UNREADABLE:
             return
         self.checks += 1
@@ -88,7 +88,7 @@
             self.damaged += 1
             self.emit(RecordDamaged(store, self.damaged))
 
-    def _pause_s(self, size: int) -> float:
-        bits = (self.session >> (self._turn % FACTOR_SHIFTS)) % FACTOR_VALUES
+    def _interval_s(self, size: int) -> float:
+        bits = (self.session >> (self._reads_started % FACTOR_SHIFTS)) % FACTOR_VALUES
         factor = MIN_INTERVAL_FACTOR + INTERVAL_FACTOR_RANGE * bits / FACTOR_VALUES
         return max(READ_INTERVAL_S * factor, size / MAX_BYTES_PER_S)
--- a/roselink/coordination/sequencer.py
+++ b/roselink/coordination/sequencer.py
@@ -24,7 +24,7 @@
 if TYPE_CHECKING:
     from roselink.coordination.chain import ChainMember
 
-_KINDS = {
+_OUTCOME_KINDS = {
     ValidationKind.COMMITTED: OutcomeKind.COMMITTED,
     ValidationKind.APPEND: OutcomeKind.COMMITTED,
     ValidationKind.STALE_GENERATION: OutcomeKind.STALE_GENERATION,
@@ -49,22 +49,22 @@
 
     chain: ChainMember
     emit: Emit
-    _before_active: list[SubmitRequest] = field(default_factory=list)
-    _replies: list[_WaitingReply] = field(default_factory=list)
+    _queued_requests: list[SubmitRequest] = field(default_factory=list)
+    _waiting_replies: list[_WaitingReply] = field(default_factory=list)
 
-    def drop(self) -> None:
+    def clear(self) -> None:
         """Forget all: the view has changed."""
-        self._before_active = []
-        self._replies = []
+        self._queued_requests = []
+        self._waiting_replies = []
 
     def submit(self, request: SubmitRequest) -> None:
         """Validate a change now, or once the chain is active."""
         if not self.chain.active:
             if all(
                 (waiting.sender, waiting.number) != (request.sender, request.number)
-                for waiting in self._before_active
+                for waiting in self._queued_requests
             ):
-                self._before_active.append(request)
+                self._queued_requests.append(request)
             return
         self._sequence(request)
 
@@ -72,13 +72,15 @@
         """Something was committed, or the chain has become active."""
         if not self.chain.active:
             return
-        before_active = self._before_active
-        self._before_active = []
-        for request in before_active:
+        queued_requests = self._queued_requests
+        self._queued_requests = []
+        for request in queued_requests:
             self._sequence(request)
         committed = self.chain.committed
-        released = [waiting for waiting in self._replies if waiting.sequence <= committed]
-        self._replies = [waiting for waiting in self._replies if waiting.sequence > committed]
+        released = [waiting for waiting in self._waiting_replies if waiting.sequence <= committed]
+        self._waiting_replies = [
+            waiting for waiting in self._waiting_replies if waiting.sequence > committed
+        ]
         for waiting in released:
             self.emit(Send(waiting.requester, waiting.reply))
 
@@ -93,11 +95,11 @@
         elif validation.kind is ValidationKind.REFUSE_PERMANENTLY:
             sequence = self.chain.append(request.change, refused=True)
         requester = request.sender.address
-        reply = SubmitReply(request.number, _KINDS[validation.kind], validation.value)
+        reply = SubmitReply(request.number, _OUTCOME_KINDS[validation.kind], validation.value)
         if sequence <= self.chain.committed:
             self.emit(Send(requester, reply))
         elif all(
             (waiting.requester, waiting.reply.number) != (requester, request.number)
-            for waiting in self._replies
+            for waiting in self._waiting_replies
         ):
-            self._replies.append(_WaitingReply(sequence, requester, reply))
+            self._waiting_replies.append(_WaitingReply(sequence, requester, reply))
--- a/roselink/coordination/state.py
+++ b/roselink/coordination/state.py
@@ -96,7 +96,7 @@
 
 def find_in_history(state: ConfigurationState, digest: bytes) -> tuple[int, int] | None:
     """The (generation, sequence) under which the history has a digest."""
-    key = _key(digest)
+    key = _padded_digest(digest)
     offset = state.history.find(key)
     while offset >= 0:
         if offset % _ENTRY.size == 0:
@@ -117,12 +117,12 @@
     """The state after the change, or after the record that it is refused."""
     sequence = state.sequence + 1
     generation = 0 if refused else change.generation
-    entry = _ENTRY.pack(_key(change.digest), generation, sequence)
+    entry = _ENTRY.pack(_padded_digest(change.digest), generation, sequence)
     history = (state.history + entry)[-HISTORY_LIMIT * _ENTRY.size :]
     if refused:
         return ConfigurationState(sequence, state.generation, state.document, history)
     return ConfigurationState(sequence, change.generation, change.document, history)
 
 
-def _key(digest: bytes) -> bytes:
+def _padded_digest(digest: bytes) -> bytes:
     return digest[:DIGEST_BYTES].ljust(DIGEST_BYTES, b"\0")
--- a/roselink/coordination/views.py
+++ b/roselink/coordination/views.py
@@ -121,13 +121,13 @@
 
     Attributes:
         tolerated: how many machines may be lost at once.
-        gone_after_s: a voter without a heartbeat for so long is replaced by a joiner, or removed
-            while more than `2 * tolerated + 1` voters stay: fewer votes of the living then decide.
-            It is let in again as any joiner is.
+        absence_timeout_s: a voter without a heartbeat for this time is replaced by a joiner, or
+            removed while more than `2 * tolerated + 1` voters remain, so that a majority needs
+            fewer live voters. It may join again like any other machine.
     """
 
     tolerated: int
-    gone_after_s: float = 0.45
+    absence_timeout_s: float = 0.45
 
 
 def first_view(seeds: Iterable[str]) -> View:
@@ -155,7 +155,7 @@
 
 
 def plan(
-    view: View, peers: Mapping[str, PeerStatus], policy: ViewPolicy, *, is_young: bool = False
+    view: View, peers: Mapping[str, PeerStatus], policy: ViewPolicy, *, is_recent: bool = False
 ) -> View | None:
     """The view that should follow, or None while the present one is the best that can be had.
 
@@ -163,17 +163,17 @@
         view: the present view.
         peers: every known machine by address, the planner too.
         policy: the figures to go by.
-        is_young: whether the view is in its first second (V3).
+        is_recent: whether the view is in its first second (V3).
     """
     if _needs_no_plan(view, peers):
         return None
     voters = _plan_voters(view, peers, policy)
     chain = _plan_chain(view, voters, peers, policy)
-    if chain is None or _awaits_state(view, chain, peers, policy, is_young=is_young):
+    if chain is None or _awaits_state_transfer(view, chain, peers, policy, is_recent=is_recent):
         return None
     proposal = View(view.epoch + 1, voters, chain)
-    same = {replica.voter for replica in chain} == {replica.voter for replica in view.chain}
-    if voters == view.voters and same and chain_is_complete(view, peers):
+    same_members = {replica.voter for replica in chain} == {replica.voter for replica in view.chain}
+    if voters == view.voters and same_members and chain_is_complete(view, peers):
         return None
     return proposal
 
@@ -183,8 +183,8 @@
 
     Their processes may be other ones than those that the view names.
     """
-    found = [peers.get(replica.voter.address) for replica in view.chain]
-    group = tuple(peer for peer in found if peer is not None and peer.eligible)
+    statuses = [peers.get(replica.voter.address) for replica in view.chain]
+    group = tuple(peer for peer in statuses if peer is not None and peer.eligible)
     return len(group) == len(view.chain) and _all_reach_each_other(group)
 
 
@@ -195,7 +195,7 @@
     )
 
 
-def waits_for_joiners(view: View, proposal: View, peers: Mapping[str, PeerStatus]) -> bool:
+def should_await_joiners(view: View, proposal: View, peers: Mapping[str, PeerStatus]) -> bool:
     """Whether a proposal should wait for further joiners.
 
     It should if it only lets machines join a complete chain, while others are about to be able to.
@@ -237,35 +237,35 @@
         if peer.eligible and peer.stable and peer.voter not in view.voters
     ]
     for joiner in joiners:
-        same = next(
+        same_address = next(
             (index for index, voter in enumerate(voters) if voter.address == joiner.address), None
         )
-        if same is not None:
-            voters[same] = joiner
+        if same_address is not None:
+            voters[same_address] = joiner
             continue
-        gone = _longest_gone(voters, peers, policy.gone_after_s)
-        if gone is not None:
-            voters[gone] = joiner
+        absent = _longest_absent(voters, peers, policy.absence_timeout_s)
+        if absent is not None:
+            voters[absent] = joiner
         elif len(voters) < MAX_VOTERS:
             voters.append(joiner)
     while len(voters) > 2 * policy.tolerated + 1:
-        gone = _longest_gone(voters, peers, policy.gone_after_s)
-        if gone is None:
+        absent = _longest_absent(voters, peers, policy.absence_timeout_s)
+        if absent is None:
             break
-        del voters[gone]
+        del voters[absent]
     return tuple(voters)
 
 
-def _longest_gone(
-    voters: list[Voter], peers: Mapping[str, PeerStatus], after_s: float
+def _longest_absent(
+    voters: list[Voter], peers: Mapping[str, PeerStatus], timeout_s: float
 ) -> int | None:
-    """The index of the voter longest without a heartbeat, and for `after_s` at least."""
+    """The index of the voter longest without a heartbeat, and for `timeout_s` at least."""
     absences = [
         (peers[voter.address].since_heartbeat_s if voter.address in peers else float("inf"), index)
         for index, voter in enumerate(voters)
     ]
     longest_s, index = max(absences)
-    return index if longest_s >= after_s else None
+    return index if longest_s >= timeout_s else None
 
 
 def _plan_chain(
@@ -282,29 +282,29 @@
     min_length = min(policy.tolerated + 1, len(voters) // 2 + 1)
     best: tuple[tuple[int, int, tuple[int, ...]], tuple[PeerStatus, ...]] | None = None
     index_of = {replica.voter: index for index, replica in enumerate(view.chain)}
-    new_index = len(index_of)
-    candidates.sort(key=lambda peer: (index_of.get(peer.voter, new_index), peer.voter.address))
+    joiner_index = len(index_of)
+    candidates.sort(key=lambda peer: (index_of.get(peer.voter, joiner_index), peer.voter.address))
     for size in range(len(candidates), min_length - 1, -1):
         for group in combinations(candidates, size):
             if not any(is_intact(view, peer) for peer in group) or not _all_reach_each_other(group):
                 continue
-            staying = sum(peer.voter in index_of for peer in group)
-            by_index = tuple(-index_of.get(peer.voter, new_index) for peer in group)
-            rank = (staying, size, by_index)
+            retained_count = sum(peer.voter in index_of for peer in group)
+            positions = tuple(-index_of.get(peer.voter, joiner_index) for peer in group)
+            rank = (retained_count, size, positions)
             if best is None or rank > best[0]:
                 best = rank, group
         if best is not None:
-            return _chain_of(view, best[1])
+            return _order_chain(view, best[1])
     return None
 
 
-def _awaits_state(
+def _awaits_state_transfer(
     view: View,
     chain: tuple[ChainReplica, ...],
     peers: Mapping[str, PeerStatus],
     policy: ViewPolicy,
     *,
-    is_young: bool,
+    is_recent: bool,
 ) -> bool:
     """Whether a chain should wait for a member that still takes over the state (V3)."""
     members = [peers[replica.voter.address] for replica in chain]
@@ -314,16 +314,16 @@
         peer.participating
         and peer.epoch == view.epoch
         and not is_intact(view, peer)
-        and (is_young or _state_can_reach(view, peer, members))
+        and (is_recent or _state_can_reach(view, peer, members))
         for peer in members
     )
 
 
-def _state_can_reach(view: View, behind: PeerStatus, members: list[PeerStatus]) -> bool:
+def _state_can_reach(view: View, lagging: PeerStatus, members: list[PeerStatus]) -> bool:
     """Whether every replica before it in the view's chain is a member that passes the state on."""
     eligible = {peer.voter: peer for peer in members}
     for replica in view.chain:
-        if replica.voter == behind.voter:
+        if replica.voter == lagging.voter:
             return True
         if not _participates(view, replica, eligible.get(replica.voter)):
             return False
@@ -337,19 +337,19 @@
     )
 
 
-def _chain_of(view: View, group: tuple[PeerStatus, ...]) -> tuple[ChainReplica, ...]:
+def _order_chain(view: View, group: tuple[PeerStatus, ...]) -> tuple[ChainReplica, ...]:
     """The group as a chain, head first.
 
     Those who were in the chain keep their order, behind an intact head. Whoever is new goes before
     the tail if that isn't the head: the tail, which serves reads, stays the same one.
     """
-    stayed = [peer for peer in group if replica_of(view, peer.voter) is not None]
-    new = [peer for peer in group if replica_of(view, peer.voter) is None]
-    intact = [peer for peer in stayed if is_intact(view, peer)]
-    behind = [peer for peer in stayed if not is_intact(view, peer)]
+    retained = [peer for peer in group if replica_of(view, peer.voter) is not None]
+    joining = [peer for peer in group if replica_of(view, peer.voter) is None]
+    intact = [peer for peer in retained if is_intact(view, peer)]
+    lagging = [peer for peer in retained if not is_intact(view, peer)]
     head = intact[0]
-    rest = intact[1:]
-    ordered = [head, *rest[:-1], *behind, *new, *rest[-1:]]
+    others = intact[1:]
+    ordered = [head, *others[:-1], *lagging, *joining, *others[-1:]]
     replicas = []
     for peer in ordered:
         replica = replica_of(view, peer.voter)
--- a/tests/coordination/test_acceptor.py
+++ b/tests/coordination/test_acceptor.py
@@ -25,78 +25,78 @@
 ONE, TWO = View(2, VIEW.voters, VIEW.chain[:2]), View(2, VIEW.voters, VIEW.chain[1:])
 
 
-def acceptor(**changes: object) -> Acceptor:
-    own = Acceptor(C, VIEW)
+def make_acceptor(**changes: object) -> Acceptor:
+    acceptor = Acceptor(C, VIEW)
     for name, value in changes.items():
-        setattr(own, name, value)
-    return own
+        setattr(acceptor, name, value)
+    return acceptor
 
 
 @pytest.mark.parametrize(
-    ("own", "message", "expected"),
+    ("acceptor", "message", "expected"),
     [
-        (acceptor(), Prepare(A, 2, LOW), Promise(C, 2, LOW, None, None)),
-        (acceptor(promised=HIGH), Prepare(A, 2, LOW), Refusal(C, 2, LOW, HIGH)),
-        (acceptor(promised=LOW), Prepare(A, 2, LOW), Promise(C, 2, LOW, None, None)),
+        (make_acceptor(), Prepare(A, 2, LOW), Promise(C, 2, LOW, None, None)),
+        (make_acceptor(promised=HIGH), Prepare(A, 2, LOW), Refusal(C, 2, LOW, HIGH)),
+        (make_acceptor(promised=LOW), Prepare(A, 2, LOW), Promise(C, 2, LOW, None, None)),
         (
-            acceptor(promised=LOW, accepted=LOW, proposal=ONE),
+            make_acceptor(promised=LOW, accepted=LOW, proposal=ONE),
             Prepare(B, 2, HIGH),
             Promise(C, 2, HIGH, LOW, ONE),
         ),
-        (acceptor(), Prepare(A, 3, LOW), None),
-        (acceptor(), Prepare(A, 1, LOW), None),
-        (acceptor(voter=OUTSIDER), Prepare(A, 2, LOW), None),
-        (acceptor(voter=Voter("c", 8)), Prepare(A, 2, LOW), None),
-        (acceptor(view=None), Prepare(A, 1, LOW), None),
+        (make_acceptor(), Prepare(A, 3, LOW), None),
+        (make_acceptor(), Prepare(A, 1, LOW), None),
+        (make_acceptor(voter=OUTSIDER), Prepare(A, 2, LOW), None),
+        (make_acceptor(voter=Voter("c", 8)), Prepare(A, 2, LOW), None),
+        (make_acceptor(view=None), Prepare(A, 1, LOW), None),
     ],
 )
-def test_phase_one(own: Acceptor, message: Prepare, expected: object) -> None:
-    assert own.prepare(message) == expected
+def test_phase_one(acceptor: Acceptor, message: Prepare, expected: object) -> None:
+    assert acceptor.prepare(message) == expected
 
 
 @pytest.mark.parametrize(
-    ("own", "message", "expected"),
+    ("acceptor", "message", "expected"),
     [
-        (acceptor(), Accept(A, LOW, ONE), Accepted(C, 2, LOW)),
-        (acceptor(promised=LOW), Accept(A, LOW, ONE), Accepted(C, 2, LOW)),
-        (acceptor(promised=HIGH), Accept(A, LOW, ONE), Refusal(C, 2, LOW, HIGH)),
-        (acceptor(promised=LOW), Accept(B, HIGH, TWO), Accepted(C, 2, HIGH)),
-        (acceptor(voter=OUTSIDER), Accept(A, LOW, ONE), None),
-        (acceptor(view=ONE), Accept(A, LOW, ONE), None),
+        (make_acceptor(), Accept(A, LOW, ONE), Accepted(C, 2, LOW)),
+        (make_acceptor(promised=LOW), Accept(A, LOW, ONE), Accepted(C, 2, LOW)),
+        (make_acceptor(promised=HIGH), Accept(A, LOW, ONE), Refusal(C, 2, LOW, HIGH)),
+        (make_acceptor(promised=LOW), Accept(B, HIGH, TWO), Accepted(C, 2, HIGH)),
+        (make_acceptor(voter=OUTSIDER), Accept(A, LOW, ONE), None),
+        (make_acceptor(view=ONE), Accept(A, LOW, ONE), None),
     ],
 )
-def test_phase_two(own: Acceptor, message: Accept, expected: object) -> None:
-    assert own.accept(message) == expected
+def test_phase_two(acceptor: Acceptor, message: Accept, expected: object) -> None:
+    assert acceptor.accept(message) == expected
 
 
 @pytest.mark.parametrize(
-    ("own", "epoch", "expected"),
+    ("acceptor", "epoch", "expected"),
     [
-        (acceptor(), 1, True),
-        (acceptor(promised=HIGH), 1, True),
-        (acceptor(accepted=LOW, proposal=ONE), 1, False),
-        (acceptor(), 2, False),
-        (acceptor(view=ONE), 1, False),
-        (acceptor(view=ONE), 2, True),
-        (acceptor(voter=OUTSIDER), 1, False),
+        (make_acceptor(), 1, True),
+        (make_acceptor(promised=HIGH), 1, True),
+        (make_acceptor(accepted=LOW, proposal=ONE), 1, False),
+        (make_acceptor(), 2, False),
+        (make_acceptor(view=ONE), 1, False),
+        (make_acceptor(view=ONE), 2, True),
+        (make_acceptor(voter=OUTSIDER), 1, False),
     ],
 )
-def test_newest(*, own: Acceptor, epoch: int, expected: bool) -> None:
-    assert own.is_newest(epoch) is expected
+def test_newest(*, acceptor: Acceptor, epoch: int, expected: bool) -> None:
+    assert acceptor.is_newest(epoch) is expected
 
 
 def test_each_change_has_a_version_and_a_repeated_reply_has_none() -> None:
-    own = acceptor()
-    versions = [own.version]
+    acceptor = make_acceptor()
+    versions = [acceptor.version]
     for step in (Prepare(A, 2, LOW), Prepare(A, 2, LOW), Accept(A, LOW, ONE), Accept(A, LOW, ONE)):
-        _ = own.prepare(step) if isinstance(step, Prepare) else own.accept(step)
-        versions.append(own.version)
+        _ = acceptor.prepare(step) if isinstance(step, Prepare) else acceptor.accept(step)
+        versions.append(acceptor.version)
     assert versions == [0, 1, 1, 2, 2]
 
 
 def test_a_new_view_clears_the_votes_and_an_old_one_is_ignored() -> None:
-    own = acceptor(promised=HIGH, accepted=LOW, proposal=ONE)
-    assert own.enter(ONE)
-    assert own.to_record() == AcceptorState(C, ONE, None, None, None)
-    assert not own.enter(TWO)
-    assert own.view == ONE
+    acceptor = make_acceptor(promised=HIGH, accepted=LOW, proposal=ONE)
+    assert acceptor.enter(ONE)
+    assert acceptor.to_record() == AcceptorState(C, ONE, None, None, None)
+    assert not acceptor.enter(TWO)
+    assert acceptor.view == ONE
--- a/tests/coordination/test_chain.py
+++ b/tests/coordination/test_chain.py
@@ -46,7 +46,7 @@
         self.effects: list[Effect] = []
         self.member = ChainMember(voter, session, self.effects.append)
         self.member.restore(stored or StoredState(2, STATE))
-        self.member.enter(VIEW, 0.0, is_fresh=False)
+        self.member.enter(VIEW, 0.0, is_bootstrapping=False)
 
     def take_effects(self) -> list[Effect]:
         effects = list(self.effects)
@@ -86,7 +86,7 @@
     harness.member.on_ack(Ack(B, 3, 1))
     harness.member.append(SECOND, refused=False)
     harness.take_effects()
-    harness.member.enter(replace(VIEW, epoch=4), 0.0, is_fresh=False)
+    harness.member.enter(replace(VIEW, epoch=4), 0.0, is_bootstrapping=False)
     assert harness.sent() == []
     newest = apply_change(STATE, SECOND, refused=False)
     harness.member.on_persisted(0.0)
@@ -210,7 +210,7 @@
     harness.member.append(SECOND, refused=False)
     harness.take_effects()
     harness.member.on_persist_failed()
-    harness.member.enter(replace(VIEW, epoch=4), 0.0, is_fresh=False)
+    harness.member.enter(replace(VIEW, epoch=4), 0.0, is_bootstrapping=False)
     newest = apply_change(STATE, SECOND, refused=False)
     assert harness.take_effects() == [Persist(Store.STATE, encode(StoredState(3, newest)))]
     assert harness.complete_save() == [("b", sync(A, 4, newest))]
@@ -253,7 +253,7 @@
     harness = middle()
     harness.member.on_write(WRITE)
     harness.take_effects()
-    harness.member.enter(replace(VIEW, epoch=4), 0.0, is_fresh=False)
+    harness.member.enter(replace(VIEW, epoch=4), 0.0, is_bootstrapping=False)
     assert harness.complete_save() == []
     harness.member.on_sync(sync(A, 4, STATE), 0.0)
     assert harness.complete_save() == [("c", sync(B, 4, STATE))]
--- a/tests/coordination/test_pending_calls.py
+++ b/tests/coordination/test_pending_calls.py
@@ -41,7 +41,7 @@
     effects.clear()
     calls.on_read_reply(ReadReply(2, 1, 4, 5, None))
     assert effects == []
-    calls.proceed(view, 0.5)
+    calls.advance(view, 0.5)
     assert [e.message for e in effects if isinstance(e, Send)] == [ReadRequest(B, 2, 6)]
     effects.clear()
     calls.on_read_reply(ReadReply(2, 1, 6, 7, None))
--- a/tests/coordination/test_proposal_round.py
+++ b/tests/coordination/test_proposal_round.py
@@ -77,9 +77,9 @@
     for step in range(400):
         if step % 40 == 0:
             voter = draw.choice(view.voters)
-            wanted = View(2, view.voters, tuple(draw.sample(view.chain, 2)))
+            preferred = View(2, view.voters, tuple(draw.sample(view.chain, 2)))
             current = ProposalRound(
-                view, Ballot(step // 80 + 1, voter.address, step + 1), wanted, 0.0
+                view, Ballot(step // 80 + 1, voter.address, step + 1), preferred, 0.0
             )
             rounds.append(current)
             in_flight += [(to, current, Prepare(voter, 2, current.ballot)) for to in view.voters]
@@ -91,8 +91,10 @@
             continue
         if draw.random() < 0.1:
             voters[to] = Acceptor.from_record(voters[to].to_record())
-        own = voters[to]
-        reply = own.prepare(message) if isinstance(message, Prepare) else own.accept(message)
+        acceptor = voters[to]
+        reply = (
+            acceptor.prepare(message) if isinstance(message, Prepare) else acceptor.accept(message)
+        )
         if isinstance(reply, Promise):
             if current.on_promise(reply) and current.value is not None:
                 accept = Accept(reply.sender, current.ballot, current.value)
--- a/tests/coordination/test_reads.py
+++ b/tests/coordination/test_reads.py
@@ -48,7 +48,7 @@
     assert rounds.reply(C, 1, newest=False) == rounds.reply(Voter("c", 5), 1) == []
     assert rounds.reply(C, 1, epoch=2) == rounds.reply(C, 9) == []
     assert rounds.reply(C, 1) == [1]
-    rounds.reads.proceed(rounds.view, 0.0)
+    rounds.reads.advance(rounds.view, 0.0)
     assert rounds.requested_rounds() == [2, 2, 2]
     assert rounds.reply(A, 1) == rounds.reply(C, 1) == rounds.reply(A, 2) == []
     assert rounds.reply(B, 2) == [2]
@@ -60,7 +60,7 @@
     rounds.request(1)
     rounds.request(2)
     assert rounds.requested_rounds() == [1, 1, 1]
-    rounds.reads.drop()
+    rounds.reads.clear()
     rounds.request(1)
     assert rounds.requested_rounds() == [2, 2, 2]
     assert rounds.reply(A, 2) == []
@@ -72,10 +72,10 @@
     rounds.request(1)
     rounds.reply(A, 1)
     rounds.requested_rounds()
-    rounds.reads.proceed(rounds.view, 0.1)
+    rounds.reads.advance(rounds.view, 0.1)
     assert rounds.requested_rounds() == []
-    rounds.reads.proceed(rounds.view, 0.2)
+    rounds.reads.advance(rounds.view, 0.2)
     assert rounds.requested_rounds() == [2, 2, 2]
     assert rounds.reply(C, 1) == rounds.reply(C, 2) == []
-    rounds.reads.drop()
+    rounds.reads.clear()
     assert rounds.reply(A, 2) == []
--- a/tests/coordination/test_scrub.py
+++ b/tests/coordination/test_scrub.py
@@ -45,7 +45,7 @@
     session: int = 40,
     sizes: dict[Store, int] = SMALL,
     *,
-    is_quiet: bool = True,
+    is_idle: bool = True,
 ) -> list[tuple[float, Store]]:
     """When which record is read, if each read ends at once."""
     effects: list[Effect] = []
@@ -53,7 +53,7 @@
     reads = []
     for step in range(int(seconds / TICK_S)):
         now = step * TICK_S
-        scrubber.consider(now, sizes, is_quiet=is_quiet)
+        scrubber.request_due_read(now, sizes, is_idle=is_idle)
         for effect in effects:
             assert isinstance(effect, VerifyRecord)
             reads.append((now, effect.store))
@@ -83,11 +83,11 @@
 
 
 def test_nothing_is_read_beside_a_save_or_an_agreement_and_one_read_at_a_time() -> None:
-    assert scrubbed(300.0, is_quiet=False) == []
+    assert scrubbed(300.0, is_idle=False) == []
     effects: list[Effect] = []
     scrubber = Scrubber(40, effects.append)
     for step in range(1000):
-        scrubber.consider(step * 1.0, SMALL, is_quiet=True)
+        scrubber.request_due_read(step * 1.0, SMALL, is_idle=True)
     assert effects == [VerifyRecord(Store.ACCEPTOR)]
 
 
--- a/tests/coordination/test_sequencer.py
+++ b/tests/coordination/test_sequencer.py
@@ -43,7 +43,7 @@
         self.chain = ChainMember(A, 7, self.effects.append)
         self.chain.restore(StoredState(2, REFUSED_ONE))
         self.sequencer = ChangeSequencer(self.chain, self.effects.append)
-        self.chain.enter(VIEW, 0.0, is_fresh=False)
+        self.chain.enter(VIEW, 0.0, is_bootstrapping=False)
 
     def activate(self) -> None:
         self.chain.on_ack(Ack(B, 3, self.chain.applied.sequence))
@@ -101,5 +101,5 @@
     head = Head()
     head.activate()
     head.submit(change_on(5, 9))
-    head.sequencer.drop()
+    head.sequencer.clear()
     assert head.commit(3) == []
--- a/tests/coordination/test_views.py
+++ b/tests/coordination/test_views.py
@@ -13,7 +13,7 @@
     is_intact,
     majority,
     plan,
-    waits_for_joiners,
+    should_await_joiners,
 )
 from roselink.protocol.chain import ChainReplica, View, Voter
 
@@ -96,7 +96,9 @@
         tuple(ChainReplica(Voter(name, 0), 1, 1) for name in "ab"),
     )
     proposal = plan(pair, snapshot(*peers), ViewPolicy(0))
-    assert waits is (proposal is not None and waits_for_joiners(pair, proposal, snapshot(*peers)))
+    assert waits is (
+        proposal is not None and should_await_joiners(pair, proposal, snapshot(*peers))
+    )
 
 
 THREE = first_view("abc")
@@ -363,8 +365,8 @@
 
     For the first second it also waits where the state's way is broken: who is suspected may live.
     """
-    for is_young, expected in ((True, young), (False, old)):
-        proposal = plan(view, snapshot(*peers), ViewPolicy(tolerated), is_young=is_young)
+    for is_recent, expected in ((True, young), (False, old)):
+        proposal = plan(view, snapshot(*peers), ViewPolicy(tolerated), is_recent=is_recent)
         if expected is None:
             assert proposal is None
             continue
--- a/tests/mutations/coordination.py
+++ b/tests/mutations/coordination.py
@@ -30,27 +30,28 @@
         ("a bad disk stays", "self.live and self.disk_ok and", "self.live and"),
         (
             "a chain with few intact members does not wait",
-            "chain is None or _awaits_state(view, chain, peers, policy, is_young=is_young)",
+            "chain is None or "
+            "_awaits_state_transfer(view, chain, peers, policy, is_recent=is_recent)",
             "chain is None",
         ),
         (
             "the wait for the state ends with time",
-            "and (is_young or _state_can_reach(view, peer, members))",
-            "and is_young",
+            "and (is_recent or _state_can_reach(view, peer, members))",
+            "and is_recent",
         ),
         (
             "a broken way is not waited for in the first second",
-            "and (is_young or _state_can_reach(view, peer, members))",
+            "and (is_recent or _state_can_reach(view, peer, members))",
             "and _state_can_reach(view, peer, members)",
         ),
         (
             "the wait does not end where the way is broken",
-            "and (is_young or _state_can_reach(view, peer, members))\n",
+            "and (is_recent or _state_can_reach(view, peer, members))\n",
             "\n",
         ),
         (
             "any voter gives its place up",
-            "return index if longest_s >= after_s else None",
+            "return index if longest_s >= timeout_s else None",
             "return index",
         ),
         (
@@ -124,8 +125,8 @@
         ),
         (
             "replies of non-voters count",
-            "return same and reply.sender in self.view.voters",
-            "return same",
+            "return is_current and reply.sender in self.view.voters",
+            "return is_current",
         ),
     ),
     *mutations_of(
@@ -149,7 +150,7 @@
         ("records of another epoch", "            and epoch == self.view.epoch\n", ""),
         (
             "the epoch begins before it is on disk",
-            "not self.participating or not self._initial_is_durable()",
+            "not self.participating or not self._initial_state_is_durable()",
             "not self.participating",
         ),
         (
@@ -212,18 +213,18 @@
         ("whoever is no voter confirms", " or reply.sender not in view.voters", ""),
         (
             "a round of the former view holds up the reads of the next",
-            "        self._in_flight = []\n        self._next = []\n        self._view = None\n",
+            "        self._in_flight = []\n        self._queued = []\n        self._view = None\n",
             "        self._view = None\n",
         ),
         (
             "a round of the former view confirms",
-            "        self._in_flight = []\n        self._next = []\n        self._view = None\n",
+            "        self._in_flight = []\n        self._queued = []\n        self._view = None\n",
             "",
         ),
         (
             "a read joins a round under way",
-            "self._next.append(read)",
-            "(self._in_flight or self._next).append(read)",
+            "self._queued.append(read)",
+            "(self._in_flight or self._queued).append(read)",
         ),
     ),
     *mutations_of(
@@ -239,19 +240,19 @@
             "if waiting.sequence <= committed]",
             "if True]",
         ),
-        ("pending replies outlive the view", "        self._replies = []\n", ""),
+        ("pending replies outlive the view", "        self._waiting_replies = []\n", ""),
     ),
     *mutations_of(
         "coordination/pending_calls.py",
         COORDINATION,
         (
             "a document of another version is shown",
-            "self._newest is None or self._newest.sequence != reply.sequence",
-            "self._newest is None",
+            "self._newest_read is None or self._newest_read.sequence != reply.sequence",
+            "self._newest_read is None",
         ),
         (
             "a late reply makes the newest document go back",
-            "if self._newest is None or reply.sequence >= self._newest.sequence:",
+            "if self._newest_read is None or reply.sequence >= self._newest_read.sequence:",
             "if True:",
         ),
     ),
@@ -283,13 +284,13 @@
         COORDINATION,
         (
             "a wiped machine keeps its name",
-            "0 if self._is_fresh else self._start.fresh_incarnation",
+            "0 if self._is_bootstrapping else self._start.fresh_incarnation",
             "0",
         ),
         (
             "a new member speaks before it is on disk",
-            "        if self._is_on_disk:\n            self._messages.handle(message, now)",
-            "        self._messages.handle(message, now)",
+            "        if self._is_on_disk:\n            self._dispatcher.handle(message, now)",
+            "        self._dispatcher.handle(message, now)",
         ),
         (
             "a refused state is not saved again once the disk is healthy",
@@ -317,7 +318,7 @@
         ),
         (
             "a sync of an unknown view is dropped",
-            "        self.follow(message.view, now)\n        if self.chain.on_sync",
+            "        self.adopt_view(message.view, now)\n        if self.chain.on_sync",
             "        if self.chain.on_sync",
         ),
     ),
@@ -326,7 +327,7 @@
         COORDINATION,
         (
             "a link that carries one way counts",
-            "            and self.own.address in known.heartbeat.reachable\n",
+            "            and self.voter.address in known.heartbeat.reachable\n",
             "",
         ),
         (
@@ -345,7 +346,8 @@
         COORDINATION,
         (
             "joiners come one by one",
-            "if wanted_s < JOIN_TOGETHER_S and waits_for_joiners(view, wanted, peers):",
+            "if planned_for_s < JOIN_BATCH_WINDOW_S and "
+            "should_await_joiners(view, planned, peers):",
             "if False:",
         ),
     ),
@@ -354,12 +356,12 @@
         ("tests/coordination/test_scrub.py",),
         (
             "a record is read beside a save",
-            "or now < self._next_at or not is_quiet:",
-            "or now < self._next_at:",
+            "or now < self._next_read_at or not is_idle:",
+            "or now < self._next_read_at:",
         ),
         (
             "a second read begins before the first has ended",
-            "if self._reading is not None or now",
+            "if self._read_in_flight is not None or now",
             "if now",
         ),
         (
@@ -373,7 +375,7 @@
         ("tests/coordination/test_scrub.py",),
         (
             "a damaged record stays as it is",
-            "            self._save_again(store)\n",
+            "            self._rewrite_record(store)\n",
             "            pass\n",
         ),
         (
