--- a/roselink/protocol/framing.py
+++ b/roselink/protocol/framing.py
@@ -18,7 +18,7 @@
 _HEADER = struct.Struct("!IIBHQ")
 MAX_FRAME_BYTES = 32 * 1024 * 1024
 # Reasons of a `FrameError`, as the log shows them.
-_NOT_A_FRAME = "no frame"
+_INVALID_HEADER = "no frame"
 _BAD_CHECKSUM = "checksum"
 
 
@@ -34,18 +34,20 @@
 
 
 class Frame(NamedTuple):
-    """One decoded frame; `call` is 0 for a notice."""
+    """One decoded frame; `call_number` is 0 for a notice."""
 
     kind: FrameKind
-    call: int
+    call_number: int
     message: Any
 
 
-def encode_frame(kind: FrameKind, call: int, message: Record) -> bytes:
+def encode_frame(kind: FrameKind, call_number: int, message: Record) -> bytes:
     """One message as it goes on the wire."""
     payload = encode(message)
-    number = record_number_of(message)
-    return _HEADER.pack(len(payload), zlib.crc32(payload), kind, number, call) + payload
+    record_number = record_number_of(message)
+    return (
+        _HEADER.pack(len(payload), zlib.crc32(payload), kind, record_number, call_number) + payload
+    )
 
 
 class FrameDecoder:
@@ -65,9 +67,11 @@
         frames = []
         position = 0
         while len(self._buffered) - position >= _HEADER.size:
-            size, checksum, kind, number, call = _HEADER.unpack_from(self._buffered, position)
+            size, checksum, kind, record_number, call_number = _HEADER.unpack_from(
+                self._buffered, position
+            )
             if size > MAX_FRAME_BYTES or kind > _HIGHEST_KIND:
-                raise FrameError(_NOT_A_FRAME)
+                raise FrameError(_INVALID_HEADER)
             end = position + _HEADER.size + size
             if end > len(self._buffered):
                 break
@@ -75,10 +79,10 @@
             if zlib.crc32(payload) != checksum:
                 raise FrameError(_BAD_CHECKSUM)
             try:
-                message = decode(number, payload)
+                message = decode(record_number, payload)
             except RecordError as error:
                 raise FrameError(str(error)) from None
-            frames.append(Frame(FrameKind(kind), call, message))
+            frames.append(Frame(FrameKind(kind), call_number, message))
             position = end
         del self._buffered[:position]
         return frames
--- a/roselink/protocol/peer_connection.py
+++ b/roselink/protocol/peer_connection.py
@@ -54,10 +54,10 @@
         self.transport = cast("asyncio.Transport", transport)
         peer = transport.get_extra_info("peername") or ("", 0)
         self._peer = (peer[0], peer[1])
-        raw = transport.get_extra_info("socket")
-        if raw is not None:
-            raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
+        sock = transport.get_extra_info("socket")
+        if sock is not None:
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
 
     def data_received(self, data: bytes) -> None:
         """Bytes arrived (`asyncio.Protocol`): dispatch each frame that they complete."""
@@ -70,17 +70,21 @@
             )
             self.abort()
             return
-        for kind, call, message in frames:
+        for kind, call_number, message in frames:
             if kind == FrameKind.REPLY:
-                on_reply = self.pending_calls.pop(call, None)
+                on_reply = self.pending_calls.pop(call_number, None)
                 if on_reply is not None:
                     on_reply(message)
             else:
-                reply = partial(self._send_reply, call) if kind == FrameKind.CALL else _ignore
+                reply = (
+                    partial(self._send_reply, call_number)
+                    if kind == FrameKind.CALL
+                    else _discard_reply
+                )
                 self._handler(self._peer, message, reply)
 
-    def _send_reply(self, call: int, message: Record) -> None:
-        self.write(encode_frame(FrameKind.REPLY, call, message))
+    def _send_reply(self, call_number: int, message: Record) -> None:
+        self.write(encode_frame(FrameKind.REPLY, call_number, message))
 
     def write(self, data: bytes) -> None:
         """Send bytes; a peer that leaves too many unread loses its connection."""
@@ -105,5 +109,5 @@
             on_reply(None)
 
 
-def _ignore(message: Record) -> None:
+def _discard_reply(message: Record) -> None:
     """The reply to a notice: none."""
--- a/roselink/protocol/peer_pool.py
+++ b/roselink/protocol/peer_pool.py
@@ -35,16 +35,16 @@
         self._connecting: asyncio.Task[None] | None = None
 
     def send(
-        self, kind: FrameKind, call: int, message: Record, on_reply: ReplyCallback | None
+        self, kind: FrameKind, call_number: int, message: Record, on_reply: ReplyCallback | None
     ) -> None:
         if self._connection is not None and self._connection.transport is not None:
             if on_reply is not None:
-                self._connection.pending_calls[call] = on_reply
-            self._connection.write(encode_frame(kind, call, message))
+                self._connection.pending_calls[call_number] = on_reply
+            self._connection.write(encode_frame(kind, call_number, message))
             return
-        self._queue.append(Frame(kind, call, message))
+        self._queue.append(Frame(kind, call_number, message))
         if on_reply is not None:
-            self._queued_calls[call] = on_reply
+            self._queued_calls[call_number] = on_reply
         if self._connecting is None:
             self._connecting = asyncio.get_running_loop().create_task(self._connect())
 
@@ -83,15 +83,15 @@
         if self._connection is connection:
             self._connection = None
 
-    def expire(self, call: int, started_at: float) -> None:
+    def expire(self, call_number: int, started_at: float) -> None:
         """End a call whose time-out has passed.
 
         A connection on which nothing arrived since the call started may be dead: it ends too.
         """
-        on_reply = self._queued_calls.pop(call, None)
+        on_reply = self._queued_calls.pop(call_number, None)
         connection = self._connection
         if on_reply is None and connection is not None:
-            on_reply = connection.pending_calls.pop(call, None)
+            on_reply = connection.pending_calls.pop(call_number, None)
             if on_reply is not None and connection.last_received_at < started_at:
                 connection.abort()
         if on_reply is not None:
--- a/roselink/protocol/records.py
+++ b/roselink/protocol/records.py
@@ -66,14 +66,14 @@
         self.data = data
         self.position = 0
 
-    def take(self, layout: struct.Struct) -> Any:
+    def read(self, layout: struct.Struct) -> Any:
         """The one value that `layout` describes; its type is the layout's."""
         value = layout.unpack_from(self.data, self.position)[0]
         self.position += layout.size
         return value
 
-    def take_bytes(self) -> bytes:
-        size = self.take(_SIZE)
+    def read_bytes(self) -> bytes:
+        size = self.read(_SIZE)
         end = self.position + size
         if end > len(self.data):
             raise TruncatedFieldError(size, len(self.data) - self.position)
@@ -204,32 +204,32 @@
 
 
 def _unpack_text(cursor: _Cursor) -> str:
-    return cursor.take_bytes().decode()
+    return cursor.read_bytes().decode()
 
 
 def _scalar_codec(layout: struct.Struct) -> _Codec[float]:
     return _Codec(
         lambda value, packed: packed.extend(layout.pack(value)),
-        lambda cursor: cursor.take(layout),
+        lambda cursor: cursor.read(layout),
     )
 
 
 def _enum_codec(enum_class: type[IntEnum]) -> _Codec[IntEnum]:
     return _Codec(
         lambda value, packed: packed.extend(_INT.pack(value)),
-        lambda cursor: enum_class(cursor.take(_INT)),
+        lambda cursor: enum_class(cursor.read(_INT)),
     )
 
 
 def _optional_codec(field_type: FieldType) -> _Codec[Any]:
-    choices = typing.get_args(field_type)
-    inner = [choice for choice in choices if choice is not types.NoneType]
-    if len(inner) != 1 or len(choices) - len(inner) != 1:
+    arguments = typing.get_args(field_type)
+    value_types = [argument for argument in arguments if argument is not types.NoneType]
+    if len(value_types) != 1 or len(arguments) - len(value_types) != 1:
         raise UnsupportedFieldTypeError(field_type, "a union in a record is `X | None`")
-    return _nullable(_codec_of(inner[0]))
+    return _optional_of(_codec_of(value_types[0]))
 
 
-def _nullable(codec: _Codec[Value]) -> _Codec[Value | None]:
+def _optional_of(codec: _Codec[Value]) -> _Codec[Value | None]:
     pack = codec.pack
     unpack = codec.unpack
 
@@ -238,17 +238,17 @@
         if value is not None:
             pack(value, packed)
 
-    return _Codec(pack_optional, lambda cursor: unpack(cursor) if cursor.take(_FLAG) else None)
+    return _Codec(pack_optional, lambda cursor: unpack(cursor) if cursor.read(_FLAG) else None)
 
 
 def _tuple_codec(field_type: FieldType) -> _Codec[Any]:
-    choices = typing.get_args(field_type)
-    if choices[1:] != (Ellipsis,):
+    arguments = typing.get_args(field_type)
+    if arguments[1:] != (Ellipsis,):
         raise UnsupportedFieldTypeError(field_type, "a tuple in a record is `tuple[X, ...]`")
-    return _sequence(_codec_of(choices[0]))
+    return _tuple_of(_codec_of(arguments[0]))
 
 
-def _sequence(codec: _Codec[Value]) -> _Codec[tuple[Value, ...]]:
+def _tuple_of(codec: _Codec[Value]) -> _Codec[tuple[Value, ...]]:
     pack = codec.pack
     unpack = codec.unpack
 
@@ -258,7 +258,7 @@
             pack(item, packed)
 
     def unpack_items(cursor: _Cursor) -> tuple[Value, ...]:
-        count = cursor.take(_SIZE)
+        count = cursor.read(_SIZE)
         if count > MAX_ITEMS:
             raise TooManyItemsError(count)
         return tuple([unpack(cursor) for _ in range(count)])
@@ -289,6 +289,6 @@
     bool: _scalar_codec(_FLAG),
     int: _scalar_codec(_INT),
     float: _scalar_codec(_FLOAT),
-    bytes: _Codec(_pack_bytes, _Cursor.take_bytes),
+    bytes: _Codec(_pack_bytes, _Cursor.read_bytes),
     str: _Codec(_pack_text, _unpack_text),
 }
--- a/tests/mutations/protocol.py
+++ b/tests/mutations/protocol.py
@@ -12,8 +12,8 @@
         PEERS,
         (
             "a reply after its time-out is delivered",
-            "            on_reply = connection.pending_calls.pop(call, None)\n",
-            "            on_reply = connection.pending_calls.get(call)\n",
+            "            on_reply = connection.pending_calls.pop(call_number, None)\n",
+            "            on_reply = connection.pending_calls.get(call_number)\n",
         ),
     ),
     *mutations_of(
--- a/tests/protocol/test_framing.py
+++ b/tests/protocol/test_framing.py
@@ -19,17 +19,17 @@
     for size in (1, 3, 50):
         decoder = FrameDecoder()
         found = []
-        for at in range(0, len(stream), size):
-            found += decoder.feed(stream[at : at + size])
+        for start in range(0, len(stream), size):
+            found += decoder.feed(stream[start : start + size])
         assert found == [(0, 7, PingRequest("a")), (1, 8, PingReply("b"))]
 
 
 def broken_frames() -> list[bytes]:
-    good = encode_frame(FrameKind.CALL, 1, PingRequest("abc"))
-    flipped = bytearray(good)
-    flipped[-1] ^= 1
+    intact = encode_frame(FrameKind.CALL, 1, PingRequest("abc"))
+    corrupted = bytearray(intact)
+    corrupted[-1] ^= 1
     return [
-        bytes(flipped),
+        bytes(corrupted),
         b"GET / HTTP/1.1\r\nHost: a.example\r\n\r\n",
         struct.pack("!IIBHQ", framing.MAX_FRAME_BYTES + 1, 0, 0, 0xFF10, 1),
         struct.pack("!IIBHQ", 0, 0, 9, 0xFF10, 1),
--- a/tests/protocol/test_peer_pool.py
+++ b/tests/protocol/test_peer_pool.py
@@ -27,10 +27,10 @@
 async def test_calls_get_their_own_replies() -> None:
     pending: list[tuple[str, ReplySender]] = []
 
-    def postpone(_: Address, message: Any, reply: ReplySender) -> None:
+    def queue_reply(_: Address, message: Any, reply: ReplySender) -> None:
         pending.append((message.text, reply))
 
-    server = PeerServer(postpone)
+    server = PeerServer(queue_reply)
     port = await server.listen("127.0.0.1", 0)
     pool = PeerPool(ignore)
     requests = [
@@ -64,11 +64,11 @@
         await asyncio.sleep(0)
     server.close()
     assert await request is None
-    again = PeerServer(echo)
-    await again.listen("127.0.0.1", port)
+    restarted = PeerServer(echo)
+    await restarted.listen("127.0.0.1", port)
     assert await pool.request(("127.0.0.1", port), PingRequest("y"), 5.0) == PingReply("y")
     pool.close()
-    again.close()
+    restarted.close()
 
 
 @on_loop
