--- a/roselink/protocol/budgets.py
+++ b/roselink/protocol/budgets.py
@@ -1,7 +1,7 @@
-"""Records between gateways and the owners of quotas and of the services' retry budgets.
+"""Records between gateways and the owners of tenants' quotas and services' retry budgets.
 
-Every request carries the fencing token (the roster's version) under which the requester takes the
-receiver for the owner of the key.
+Every request has the fencing token (the roster's version) under which the requester considers the
+receiver the owner of the key.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
     DECIDED = 1
     # The requester's token is older than the owner's.
     STALE_TOKEN = 2
-    # The requester's token is newer than the owner's, or the owner wasn't confirmed lately.
+    # The requester's token is newer than the owner's, or the owner has no recent confirmation.
     NOT_READY = 3
-    # Under the same token another gateway owns the key: rosters differ, or programs do.
+    # Under the same token another gateway owns the key: the rosters or program versions differ.
     NOT_OWNER = 4
-    # The owner has no usage of this requester in its term: repeat the request with a report.
+    # The owner has no usage of this requester in its term; repeat the request with a report.
     REPORT_WANTED = 5
 
 
@@ -40,8 +40,8 @@
 class BucketLevel:
     """The state of an owner's token bucket `age_ms` milliseconds ago.
 
-    `term` identifies that owner's term; `level` is in tokens; `recent_usage` is what the gateways
-    that the owner took for live had used in the window before, in tokens.
+    `term` identifies that owner's term; `level` is in tokens; `recent_usage` is the usage of all
+    gateways that the owner considered live, over the previous window, in tokens.
     """
 
     term: int
@@ -53,13 +53,13 @@
 @record(97)
 @dataclass(frozen=True, slots=True)
 class QuotaRequest:
-    """Whether these amounts of tokens may run now, each decided by itself and in sequence.
+    """Asks whether these amounts of tokens are admitted now, each decided separately, in order.
 
-    `lease_wanted`: tokens wanted on top, to be used within the lease. `returned`: tokens admitted
-    or leased before that weren't used. `admitted_locally`: what the requester admitted without an
-    owner since one last replied. `draining`: the requester drains and admits nothing locally.
-    `last_level`: the bucket's level in the last reply. `usage_report`: all that the requester
-    admitted in the last window, where the owner may not know it.
+    `lease_wanted`: additional tokens to lease. `returned`: tokens admitted or leased earlier and
+    not used. `admitted_locally`: tokens that the requester admitted without an owner since an owner
+    last replied. `draining`: the requester is draining and admits nothing locally. `last_level`:
+    the bucket's level in the last reply. `usage_report`: all that the requester admitted in the
+    last window; sent if the owner may not know it.
     """
 
     tenant: str
@@ -80,10 +80,10 @@
 class QuotaReply:
     """The owner's decisions: `admitted` has one for each amount of the request.
 
-    `lease_granted`: tokens that the requester may use within the lease. `retry_after_s`: when the
-    first refused amount may be requested again. `usage_fraction`: the requester's fraction of
-    `recent_usage` (0 to 1), which is what all live gateways admitted of the tenant in the last
-    window, in tokens. `term` and `level` are the bucket's, after these decisions. `fencing_token`
+    `lease_granted`: tokens that the requester may use within the lease. `retry_after_s`: the time
+    until the first refused amount may be requested again. `usage_fraction`: the requester's
+    fraction (0 to 1) of `recent_usage`, the tokens that all live gateways admitted for the tenant
+    in the last window. `term` and `level` are the bucket's, after these decisions. `fencing_token`
     is the newest that the owner knows.
     """
 
@@ -101,7 +101,7 @@
 @record(99)
 @dataclass(frozen=True, slots=True)
 class RetryBudgetRequest:
-    """Whether one retry to a service may draw on its retry budget."""
+    """Asks whether one retry may use the service's retry budget."""
 
     service: str
     fencing_token: int
@@ -110,7 +110,7 @@
 @record(100)
 @dataclass(frozen=True, slots=True)
 class RetryBudgetReply:
-    """The owner's decision; a refusal stands for at least `retry_after_s` seconds."""
+    """The owner's decision; a refusal is valid for at least `retry_after_s` seconds."""
 
     status: ReplyStatus
     fencing_token: int
--- a/roselink/protocol/chain.py
+++ b/roselink/protocol/chain.py
@@ -1,8 +1,8 @@
 """Records between the core's members: heartbeats, votes on views, the chain, confirmed reads.
 
 Every message between members names its sender. Chain messages (`Sync`, `Write`, `Ack`) and
-submitted changes carry the epoch of the view in which they were sent; a member handles them in that
-epoch only.
+submitted changes include the epoch of the view in which they were sent; a member handles them only
+in that epoch.
 
 The messages of phase 1 and 2 (`Prepare`, `Promise`, `Accept`, `Accepted`) are those of Paxos
 (Lamport, "Paxos Made Simple", 2001); `Sync`, `Write` and `Ack` are those of chain replication
@@ -24,7 +24,7 @@
 
     Attributes:
         address: its peer address ("ip:port").
-        incarnation: a number that is drawn anew whenever its disk is empty.
+        incarnation: a random number that a machine draws whenever it starts with an empty disk.
     """
 
     address: str
@@ -36,10 +36,10 @@
     """One replica of a view's chain.
 
     Attributes:
-        voter: whose replica it is.
+        voter: the voter that holds the replica.
         since: the epoch from which the voter has been in every view's chain.
-        session: the process that participates; a process with another number, started later, does
-            not. 0 in the first view, where any process does.
+        session: identifies the process that participates. A process that the same voter starts
+            later has another number and does not. 0 in the first view, where any process does.
     """
 
     voter: Voter
@@ -50,7 +50,7 @@
 @record(32)
 @dataclass(frozen=True, slots=True)
 class View:
-    """One agreed membership: who votes on the next view, and the chain from head to tail."""
+    """An agreed membership: the voters that decide the next view, and the chain, head first."""
 
     epoch: int
     voters: tuple[Voter, ...]
@@ -62,9 +62,9 @@
     """A proposal's number in Paxos; no two proposals have the same.
 
     Attributes:
-        round: the proposer's count, raised above every one that it knows of.
+        round: a counter; each proposer chooses one above every round that it knows of.
         address: the proposer's peer address.
-        session: the proposer's process; each draws its own number.
+        session: identifies the proposer's process by a random number.
     """
 
     round: int
@@ -73,21 +73,21 @@
 
     @property
     def sort_key(self) -> tuple[int, str, int]:
-        """What ballots are compared by."""
+        """The key by which ballots are ordered."""
         return self.round, self.address, self.session
 
 
 @record(33)
 @dataclass(frozen=True, slots=True)
 class AcceptorState:
-    """What an acceptor keeps on its disk.
+    """An acceptor's durable state.
 
     Attributes:
         voter: its identity.
         view: the newest decided view that it knows.
-        promised: the highest ballot that it has promised, on the view that follows.
+        promised: the highest ballot that it has promised for the next view.
         accepted: the ballot whose proposal it has accepted, if any.
-        proposal: that proposal.
+        proposal: the view that it has accepted with that ballot.
     """
 
     voter: Voter
@@ -100,15 +100,15 @@
 @record(34)
 @dataclass(frozen=True, slots=True)
 class ConfigurationChange:
-    """One change that the operator proposes: a whole document on top of the generation `base`.
+    """A change that the operator submits: a complete document, based on generation `base`.
 
     Attributes:
-        base: the generation that the change builds on.
-        generation: the generation that it makes.
-        document: the new document; empty where it could not be made, as the base was not current
+        base: the generation on which the change is based.
+        generation: the generation that it creates.
+        document: the new document; empty if it could not be built because the base was not current
             (`coordination.state.validate`).
-        digest: taken over base and bytes as the operator sent them; identifies the change when it
-            is sent again.
+        digest: the digest of the base and the bytes as the operator sent them; identifies the
+            change if it is sent again.
     """
 
     base: int
@@ -123,7 +123,7 @@
     """The replicated state.
 
     Attributes:
-        sequence: how many writes led to it.
+        sequence: the number of writes applied so far.
         generation: the document's generation.
         document: the current document; empty before the first change.
         history: packed entries of the newest changes (`coordination.state`).
@@ -138,7 +138,7 @@
 @record(36)
 @dataclass(frozen=True, slots=True)
 class StoredState:
-    """The state as a member keeps it on its disk, with the epoch in which it was written."""
+    """A member's durable state, with the epoch in which it was written."""
 
     epoch: int
     state: ConfigurationState
@@ -147,20 +147,20 @@
 @record(37)
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """Sent to every known core machine.
+    """A member's own status, sent to every known core machine.
 
     Attributes:
-        sender: who sends.
-        session: its process.
+        sender: the sending member.
+        session: identifies its process.
         epoch: the epoch of the newest view that it knows; 0 without one.
         state_epoch: the epoch of the state on its disk.
         sequence: the sequence of that state.
         participating: whether it participates in the chain of `epoch`.
-        disk_ok: whether its disk takes saves in time.
+        disk_ok: whether its disk completes saves in time.
         leaving: whether its process is about to end.
-        chain_is_complete: whether it participates in the chain of `epoch` and finds each replica of
-            that chain eligible and participating.
-        reachable: the addresses from which it has received heartbeats lately.
+        chain_is_complete: whether it participates in the chain of `epoch` and considers each
+            replica of that chain eligible and participating.
+        reachable: the addresses from which it has recently received heartbeats.
     """
 
     sender: Voter
@@ -190,7 +190,7 @@
 class Promise:
     """Phase 1b: the acceptor refuses every ballot below this one.
 
-    `accepted` and `proposal` are what it has accepted before, if anything.
+    `accepted` and `proposal` are the ballot and view that it has accepted before, if any.
     """
 
     sender: Voter
@@ -243,10 +243,10 @@
 @record(44)
 @dataclass(frozen=True, slots=True)
 class Sync:
-    """The whole state with which the epoch begins, from predecessor to successor.
+    """The complete state with which the epoch begins, from predecessor to successor.
 
-    It carries the view, so that a successor that has not received the decision yet enters it at
-    once.
+    It includes the view, so that a successor that has not received the decision yet enters the view
+    at once.
     """
 
     sender: Voter
@@ -264,7 +264,7 @@
 class Write:
     """One change, from predecessor to successor.
 
-    `refused`: the change is only recorded as refused permanently.
+    `refused`: whether the change is only recorded as permanently refused.
     """
 
     sender: Voter
@@ -277,7 +277,7 @@
 @record(46)
 @dataclass(frozen=True, slots=True)
 class Ack:
-    """All up to `sequence` is on every disk of the epoch's chain, from successor to predecessor."""
+    """From successor to predecessor: every disk of the epoch's chain has all up to `sequence`."""
 
     sender: Voter
     epoch: int
@@ -287,7 +287,7 @@
 @record(47)
 @dataclass(frozen=True, slots=True)
 class ConfirmRequest:
-    """The tail's request: has the voter accepted, or learned of, a view after `epoch`?"""
+    """The tail's question whether a voter has accepted, or learned of, a view after `epoch`."""
 
     sender: Voter
     epoch: int
@@ -306,7 +306,7 @@
 
 
 class OutcomeKind(IntEnum):
-    """How a submitted change ended."""
+    """The outcome of a submitted change."""
 
     COMMITTED = 1
     CONFLICT = 2
@@ -317,7 +317,7 @@
 @record(49)
 @dataclass(frozen=True, slots=True)
 class SubmitRequest:
-    """A change for the head of the epoch's chain, from the member that the operator called."""
+    """A change, sent to the head of the epoch's chain by the member that the operator called."""
 
     sender: Voter
     epoch: int
@@ -328,9 +328,9 @@
 @record(50)
 @dataclass(frozen=True, slots=True)
 class SubmitReply:
-    """How the change of that number ended.
+    """The outcome of the change with this number.
 
-    `value`: the sequence of its write when committed, else the current generation.
+    `value`: the sequence of its write if committed, else the current generation.
     """
 
     number: int
@@ -343,7 +343,7 @@
 class ReadRequest:
     """A request for the tail's confirmed state.
 
-    `known_sequence`: the sequence whose document the requester has already; -1 for none.
+    `known_sequence`: the sequence whose document the requester already has; -1 for none.
     """
 
     sender: Voter
@@ -354,7 +354,7 @@
 @record(52)
 @dataclass(frozen=True, slots=True)
 class ReadReply:
-    """The confirmed state; `document` is None when the requester has it already."""
+    """The confirmed state; `document` is None if the requester already has it."""
 
     number: int
     epoch: int
@@ -381,4 +381,4 @@
     | ReadRequest
     | ReadReply
 )
-"""Every message that one core member sends to another."""
+"""All messages that core members send to each other."""
--- a/roselink/protocol/exceptions.py
+++ b/roselink/protocol/exceptions.py
@@ -12,31 +12,31 @@
 
 
 class RecordNumberTakenError(ProtocolError, ValueError):
-    """Two classes ask for one record number."""
+    """Two classes were registered under the same record number."""
 
     code = "PRT-001"
 
     def __init__(self, number: int, registered: str) -> None:
-        """`registered` is the name of the class that has the number."""
+        """`registered` is the name of the class that is registered under the number."""
         super().__init__(f"record number {number} is taken by {registered}")
         self.number = number
         self.registered = registered
 
 
 class UnsupportedFieldTypeError(ProtocolError, TypeError):
-    """A field is annotated with a type that has no codec."""
+    """A field is annotated with a type for which there is no codec."""
 
     code = "PRT-002"
 
     def __init__(self, field_type: object, supported: str) -> None:
-        """`supported` says what is allowed in its place."""
-        super().__init__(f"a record can't hold {field_type!r}: {supported}")
+        """`supported` describes the types that are allowed instead."""
+        super().__init__(f"unsupported field type {field_type!r}: {supported}")
         self.field_type = field_type
         self.supported = supported
 
 
 class RecordError(ProtocolError, ValueError):
-    """The bytes are no record of the type that they claim to be."""
+    """The bytes are not a valid record of the expected class."""
 
     code = "PRT-003"
 
@@ -47,13 +47,13 @@
     code = "PRT-004"
 
     def __init__(self, number: int) -> None:
-        """`number` is the record number that came with the bytes."""
+        """`number` is the record number that was received with the bytes."""
         super().__init__(f"unknown record {number}")
         self.number = number
 
 
 class MalformedRecordError(RecordError):
-    """The bytes can't be decoded as a record of the class."""
+    """The bytes can't be decoded as a record of this class."""
 
     code = "PRT-005"
 
@@ -65,34 +65,34 @@
 
 
 class TruncatedFieldError(RecordError):
-    """A field is longer than the rest of its record."""
+    """A field's announced length exceeds the bytes that remain in its record."""
 
     code = "PRT-006"
 
     def __init__(self, size: int, available: int) -> None:
-        """`size` is the length that the field announces, `available` what is left, in bytes."""
-        super().__init__("cut short")
+        """`size` is the announced length, `available` the number of remaining bytes."""
+        super().__init__("field is longer than the rest of the record")
         self.size = size
         self.available = available
 
 
 class TooManyItemsError(RecordError):
-    """A tuple announces more items than a record may hold."""
+    """A tuple announces more items than `records.MAX_ITEMS`."""
 
     code = "PRT-007"
 
     def __init__(self, count: int) -> None:
         """`count` is the announced number of items."""
-        super().__init__("too many items")
+        super().__init__("tuple has too many items")
         self.count = count
 
 
 class FrameError(ProtocolError, ValueError):
-    """The stream holds no frame at this position."""
+    """The stream has no valid frame at this position."""
 
     code = "PRT-008"
 
     def __init__(self, reason: str) -> None:
-        """`reason` is what the log shows."""
+        """`reason` is the text that is logged."""
         super().__init__(reason)
         self.reason = reason
--- a/roselink/protocol/framing.py
+++ b/roselink/protocol/framing.py
@@ -1,7 +1,7 @@
-"""Frames: records with a header, as they follow each other on a TCP connection.
+"""Frames: records with a header, in sequence on a TCP connection.
 
-A header holds the payload's length and CRC-32, the kind of frame, the record number and the call
-number, in network byte order.
+A header consists of the payload's length and CRC-32, the kind of frame, the record number and the
+call number, in network byte order.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 from roselink.protocol.exceptions import FrameError, RecordError
 from roselink.protocol.records import Record, decode, encode, record_number_of
 
-# Payload bytes, checksum, kind, record number, call number.
+# Payload length, checksum, kind, record number, call number.
 _HEADER = struct.Struct("!IIBHQ")
 MAX_FRAME_BYTES = 32 * 1024 * 1024
-# Reasons of a `FrameError`, as the log shows them.
-_INVALID_HEADER = "no frame"
+# Reasons of a `FrameError`, as they are logged.
+_INVALID_HEADER = "invalid frame header"
 _BAD_CHECKSUM = "checksum"
 
 
 class FrameKind(IntEnum):
-    """What a frame is for."""
+    """The role of a frame: a call, the reply to one, or a one-way notice."""
 
     CALL = 0
     REPLY = 1
@@ -42,7 +42,7 @@
 
 
 def encode_frame(kind: FrameKind, call_number: int, message: Record) -> bytes:
-    """One message as it goes on the wire."""
+    """The message as a frame, header included."""
     payload = encode(message)
     record_number = record_number_of(message)
     return (
@@ -51,17 +51,17 @@
 
 
 class FrameDecoder:
-    """Cuts a stream into frames."""
+    """Splits a byte stream into frames."""
 
     def __init__(self) -> None:
-        """Start at the beginning of a stream."""
+        """Create a decoder for the beginning of a stream."""
         self._buffered = bytearray()
 
     def feed(self, data: bytes) -> list[Frame]:
-        """The frames that `data` completes.
+        """Append received bytes; returns the frames that they complete.
 
         Raises:
-            FrameError: the stream is broken; the decoder is of no more use.
+            FrameError: the stream is invalid; the decoder must not be used again.
         """
         self._buffered += data
         frames = []
--- a/roselink/protocol/gossip.py
+++ b/roselink/protocol/gossip.py
@@ -16,7 +16,7 @@
 @record(128)
 @dataclass(frozen=True, slots=True)
 class ViewEntry:
-    """A gateway in a partial view; `age` counts the exchanges since it sent this entry itself."""
+    """A gateway in a partial view; `age` is the number of exchanges since it sent this entry."""
 
     member: Member
     age: int
@@ -25,9 +25,9 @@
 @record(129)
 @dataclass(frozen=True, slots=True)
 class GossipDigest:
-    """The versions in force at the sender, and the core's peer addresses ("ip:port").
+    """The versions in use at the sender, and the core's peer addresses ("ip:port").
 
-    A confirmed pull named these addresses `age_ms` milliseconds ago.
+    The addresses are those of a confirmed pull `age_ms` milliseconds ago.
     """
 
     vector: VersionVector
@@ -38,9 +38,9 @@
 @record(130)
 @dataclass(frozen=True, slots=True)
 class ShuffleRequest:
-    """A subset of the sender's view, the sender included.
+    """A subset of the sender's view, including the sender.
 
-    The `ShuffleReply` to it has no more entries.
+    The `ShuffleReply` never has more entries.
     """
 
     entries: tuple[ViewEntry, ...]
--- a/roselink/protocol/payoffs.py
+++ b/roselink/protocol/payoffs.py
@@ -1,8 +1,7 @@
 """Records of hosts' payoffs: outcomes that gateways report, and payoffs pooled over the fleet.
 
-Among many gateways each one sends a host a request only now and then, and learns from these alone
-too slowly. The payoff stays the design's: one for an attempt served within the objective, else
-zero.
+In a large fleet each gateway sends a given host few requests, and would learn its payoff too slowly
+from these alone. The payoff of an attempt is one if it was served within the objective, else zero.
 """
 
 from __future__ import annotations
@@ -15,7 +14,7 @@
 @record(24)
 @dataclass(frozen=True, slots=True)
 class HostOutcomes:
-    """One gateway's attempts at a host since its report before.
+    """One gateway's attempts at a host since its previous report.
 
     `served` counts the attempts served within the objective, `missed` all others.
     """
--- a/roselink/protocol/peer_connection.py
+++ b/roselink/protocol/peer_connection.py
@@ -1,6 +1,6 @@
-"""One TCP connection between two of roselink's processes, from either side.
+"""One TCP connection between two roselink processes; both ends use the same class.
 
-Frames that can't be decoded are logged and end their connection.
+A frame that can't be decoded is logged, and the connection is aborted.
 """
 
 from __future__ import annotations
@@ -20,33 +20,34 @@
 
 # IP address and port.
 Address = tuple[str, int]
-# Called once for a call: with the reply, or with None when there is none.
+# Called once per call, with the reply, or with None if there is none.
 ReplyCallback = Callable[[Record | None], None]
-# Sends the reply to a call, once; for a notice it does nothing.
+# Sends the reply to a call; must be called once. For a notice it does nothing.
 ReplySender = Callable[[Record], None]
-# Takes a call or a notice: the peer's address, the message, and the way to reply.
+# Handles a call or a notice; takes the peer's address, the message and the reply function.
 MessageHandler = Callable[[Address, Record, ReplySender], None]
 
-# A peer that doesn't read may leave so much unsent here before its connection ends.
+# Maximum size of the write buffer. The connection to a peer that reads too slowly is aborted.
 MAX_UNSENT_BYTES = 8 * 1024 * 1024
-# Bytes that stay unacknowledged for so long end the connection (RFC 5482; `TCP_USER_TIMEOUT`).
+# Time for which sent bytes may stay unacknowledged before the kernel closes the connection
+# (RFC 5482; `TCP_USER_TIMEOUT`).
 USER_TIMEOUT_MS = 1500
 
 
 class PeerConnection(asyncio.Protocol):
-    """A connection, and the calls on it that have no reply yet."""
+    """A connection and its calls that have no reply yet."""
 
     def __init__(
         self, handler: MessageHandler, on_closed: Callable[[PeerConnection], None]
     ) -> None:
-        """`handler` takes the peer's calls and notices; `on_closed` is called at the end."""
+        """`handler` gets the peer's calls and notices; `on_closed` is called after the close."""
         self._handler = handler
         self._on_closed = on_closed
         self._decoder = FrameDecoder()
         self._peer: Address = ("", 0)
         self.transport: asyncio.Transport | None = None
         self.pending_calls: dict[int, ReplyCallback] = {}
-        # When bytes arrived last, by the loop's clock.
+        # When bytes were last received, in seconds of the loop's clock.
         self.last_received_at = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -60,7 +61,7 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes arrived (`asyncio.Protocol`): dispatch each frame that they complete."""
+        """Bytes were received (`asyncio.Protocol`): dispatch the frames that they complete."""
         self.last_received_at = asyncio.get_running_loop().time()
         try:
             frames = self._decoder.feed(data)
@@ -87,7 +88,7 @@
         self.write(encode_frame(FrameKind.REPLY, call_number, message))
 
     def write(self, data: bytes) -> None:
-        """Send bytes; a peer that leaves too many unread loses its connection."""
+        """Send bytes; aborts the connection if more than `MAX_UNSENT_BYTES` are buffered."""
         if self.transport is None:
             return
         self.transport.write(data)
@@ -95,12 +96,12 @@
             self.abort()
 
     def abort(self) -> None:
-        """End the connection at once; what is unsent is lost."""
+        """Close the connection at once; unsent bytes are lost."""
         if self.transport is not None:
             self.transport.abort()
 
     def connection_lost(self, _: Exception | None) -> None:
-        """The connection has ended (`asyncio.Protocol`): its calls end with None."""
+        """The connection was closed (`asyncio.Protocol`): pending calls get None."""
         self.transport = None
         callbacks = list(self.pending_calls.values())
         self.pending_calls = {}
@@ -110,4 +111,4 @@
 
 
 def _discard_reply(message: Record) -> None:
-    """The reply to a notice: none."""
+    """Discard the reply to a notice: none is sent."""
--- a/roselink/protocol/peer_pool.py
+++ b/roselink/protocol/peer_pool.py
@@ -1,7 +1,7 @@
-"""The calling side: calls with one reply and one-way notices, over one connection to each peer.
+"""The calling side: calls with one reply, and one-way notices, over one connection per peer.
 
-A call ends with exactly one outcome: the reply, or None when none came in time or the connection
-broke; None says nothing about whether the other side acted.
+A call has exactly one outcome: the reply, or None if it timed out or the connection was lost. After
+None it is unknown whether the peer has processed the call.
 """
 
 from __future__ import annotations
@@ -18,19 +18,20 @@
 )
 from roselink.protocol.records import Record
 
+# Time-out of a connection attempt, in seconds.
 CONNECT_TIMEOUT_S = 0.6
 
 
 class _Peer:
-    """The connection to one address, made when first needed, and what is queued for it."""
+    """The connection to one address, opened on first use, and the frames queued for it."""
 
     def __init__(self, handler: MessageHandler, address: Address) -> None:
         self._handler = handler
         self._address = address
         self._connection: PeerConnection | None = None
-        # Sent as soon as the connection stands.
+        # Frames to send once the connection is established.
         self._queue: list[Frame] = []
-        # Calls that are queued; the connection has those that are sent.
+        # The queued calls; those that have been sent are in the connection's `pending_calls`.
         self._queued_calls: dict[int, ReplyCallback] = {}
         self._connecting: asyncio.Task[None] | None = None
 
@@ -84,9 +85,10 @@
             self._connection = None
 
     def expire(self, call_number: int, started_at: float) -> None:
-        """End a call whose time-out has passed.
+        """End a call that timed out.
 
-        A connection on which nothing arrived since the call started may be dead: it ends too.
+        If nothing was received on the connection since the call started, it may be dead and is
+        aborted.
         """
         on_reply = self._queued_calls.pop(call_number, None)
         connection = self._connection
@@ -107,10 +109,10 @@
 
 
 class PeerPool:
-    """Calls and notices to any number of addresses, one connection each."""
+    """Sends calls and notices to any number of addresses, over one connection each."""
 
     def __init__(self, handler: MessageHandler) -> None:
-        """`handler` takes what peers send on their side of these connections."""
+        """`handler` gets the calls and notices that peers send on these connections."""
         self._handler = handler
         self._peers: dict[Address, _Peer] = {}
         self._call_numbers = itertools.count(1)
@@ -118,7 +120,7 @@
     def call(
         self, address: Address, message: Record, timeout_s: float, on_reply: ReplyCallback
     ) -> None:
-        """Send a call; `on_reply` gets the reply, or None if none came within `timeout_s`."""
+        """Send a call; `on_reply` gets the reply, or None if there is none in `timeout_s`."""
         loop = asyncio.get_running_loop()
         number = next(self._call_numbers)
         peer = self._peer(address)
@@ -133,7 +135,7 @@
         peer.send(FrameKind.CALL, number, message, finish)
 
     async def request(self, address: Address, message: Record, timeout_s: float) -> Record | None:
-        """`call` for coroutines: the reply, or None."""
+        """The same as `call`, for coroutines; returns the reply, or None."""
         outcome: asyncio.Future[Record | None] = asyncio.get_running_loop().create_future()
 
         def resolve(reply: Record | None) -> None:
@@ -148,13 +150,13 @@
         self._peer(address).send(FrameKind.NOTICE, 0, message, None)
 
     def disconnect(self, address: Address) -> None:
-        """End the connection to an address that is not needed any more."""
+        """Close the connection to an address that is no longer needed."""
         peer = self._peers.pop(address, None)
         if peer is not None:
             peer.close()
 
     def close(self) -> None:
-        """End every connection; calls without a reply get None."""
+        """Close every connection; calls without a reply get None."""
         for address in list(self._peers):
             self.disconnect(address)
 
--- a/roselink/protocol/peer_server.py
+++ b/roselink/protocol/peer_server.py
@@ -1,4 +1,4 @@
-"""The listening side: takes calls and notices of peers."""
+"""The listening side: accepts peers' connections and receives their calls and notices."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 from roselink.protocol.peer_connection import MessageHandler, PeerConnection
 
-# Connections that the kernel queues before they are accepted.
+# Maximum number of connections that the kernel queues until they are accepted.
 BACKLOG = 1024
 
 
 class PeerServer:
-    """Accepts peers' connections; replies to a call may be sent later, once."""
+    """Accepts peers' connections. The reply to a call may be sent after the handler returns."""
 
     def __init__(self, handler: MessageHandler) -> None:
-        """`handler` gets each call and notice, with the way to reply."""
+        """`handler` gets each call and notice, and the function that sends the reply."""
         self._handler = handler
         self._connections: set[PeerConnection] = set()
         self._listener: asyncio.Server | None = None
 
     async def listen(self, host: str, port: int) -> int:
-        """Start to listen; returns the port, which the kernel chooses for port 0.
+        """Start listening; returns the port, which the kernel chooses if `port` is 0.
 
         Raises:
             OSError: the address can't be bound.
@@ -37,7 +37,7 @@
         return connection
 
     def close(self) -> None:
-        """Stop listening and end every connection."""
+        """Stop listening and close every connection."""
         if self._listener is not None:
             self._listener.close()
             self._listener = None
--- a/roselink/protocol/pull.py
+++ b/roselink/protocol/pull.py
@@ -1,10 +1,10 @@
 """Records between gateways and the core: pulls by version vector.
 
-`PullRequest` goes to any core member, which replies through the chain's tail. A reply is
-`confirmed` when, after the request arrived, a majority of the core's voters replied that the tail's
-view is still the newest: then all that was acknowledged before the request was sent is in it, and
-the gateway may count the confirmation from the moment at which it sent the request, on its own
-clock.
+A `PullRequest` is sent to any core member, which gets the reply from the chain's tail. A reply is
+`confirmed` if, after the request arrived, a majority of the core's voters replied that the tail's
+view is still the newest. It then includes everything that was acknowledged before the request was
+sent, and the gateway may date the confirmation from the time at which it sent the request, on its
+own clock.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 @record(16)
 @dataclass(frozen=True, slots=True)
 class PullRequest:
-    """A gateway's request for what is newer than its `vector`; also its heartbeat.
+    """A gateway's request for everything newer than its `vector`; also its heartbeat.
 
-    `serving`: it may hold roles. `outcomes`: its attempts at hosts since the pull before; they are
-    lost with a pull that fails.
+    `serving`: whether it may hold roles. `outcomes`: its attempts at hosts since the previous pull;
+    they are lost if the pull fails.
     """
 
     member: Member
@@ -34,12 +34,12 @@
 @record(17)
 @dataclass(frozen=True, slots=True)
 class PullReply:
-    """What the gateway lacks; each part is None when its version is the newest, or none exists.
+    """The updates for the gateway; a field is None if the gateway is up to date or none exists.
 
     `configuration` is the operator's document as sent (JSON). `cores` are the peer addresses
-    ("ip:port") of the core's members, for the next pulls. With `confirmed` false only `cores`
-    counts, and the gateway pulls from another member. `payoffs` is an encoded `PooledPayoffs`, or
-    empty: encoded once for all gateways.
+    ("ip:port") of the core's members, for the next pulls. If `confirmed` is false, only `cores` is
+    valid, and the gateway pulls from another member. `payoffs` is an encoded `PooledPayoffs`, or
+    empty; it is encoded once for all gateways.
     """
 
     confirmed: bool
@@ -54,7 +54,7 @@
 @record(18)
 @dataclass(frozen=True, slots=True)
 class HostList:
-    """A full list of hosts, by id; encoded once for all gateways and sent in `DeltaPullReply`."""
+    """A full list of hosts, sorted by id; encoded once for all `DeltaPullReply` messages."""
 
     hosts: tuple[Host, ...]
 
@@ -64,8 +64,8 @@
 class HostChanges:
     """The difference between the list of version `base` and a newer one.
 
-    `removed` are the ids of hosts to take out first; `updated` are hosts that are new or differ.
-    The time left of a warm-up makes no difference.
+    `removed` are the ids of hosts to remove first; `updated` are hosts that are new or have
+    changed. A change of the remaining warm-up time alone doesn't count.
     """
 
     base: int
@@ -84,11 +84,11 @@
 @record(21)
 @dataclass(frozen=True, slots=True)
 class DeltaPullReply:
-    """A `PullReply` with a compressed configuration and, where possible, changes of hosts only.
+    """A `PullReply` with a compressed configuration and, if possible, only the changed hosts.
 
-    `configuration` is compressed (zlib). Hosts come as an encoded `HostList`, or as encoded
-    `HostChanges` from the version in the request; both are None when that is the newest. All three
-    are encoded once for all gateways.
+    `configuration` is compressed (zlib). Hosts are sent as an encoded `HostList`, or as encoded
+    `HostChanges` from the version in the request; both are None if that version is the newest. All
+    three are encoded once for all gateways.
     """
 
     confirmed: bool
--- a/roselink/protocol/records.py
+++ b/roselink/protocol/records.py
@@ -2,8 +2,8 @@
 
 A message is a frozen dataclass marked with `@record(number)`. Its fields may be int (64 bits,
 signed), float, bool, str, bytes, an IntEnum, another dataclass, `tuple[X, ...]` of these, or `X |
-None`. The codec of each class is built once, from its annotations, which are resolved at run time:
-a module of records can't import the types of its fields under `TYPE_CHECKING`.
+None`. The codec of each class is built once, from its annotations. They are resolved at run time,
+so a module that defines records can't import the types of their fields under `TYPE_CHECKING`.
 
 >>> from dataclasses import dataclass
 >>> @record(0xFFF0)
@@ -36,7 +36,7 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Callable
 
-# Items of one tuple; a larger count is the mark of a torn or hostile record.
+# Maximum number of items in a tuple; a larger count indicates a corrupt or malicious record.
 MAX_ITEMS = 1_000_000
 
 _INT = struct.Struct("!q")
@@ -53,12 +53,12 @@
 
 RecordType = TypeVar("RecordType", bound=Record)
 Value = TypeVar("Value")
-# An annotation of a field, as `typing.get_type_hints` resolves it.
+# A field's annotation as resolved by `typing.get_type_hints`.
 FieldType: TypeAlias = type[Any] | types.GenericAlias | types.UnionType
 
 
 class _Cursor:
-    """A position in the bytes of a record."""
+    """A read position in the bytes of a record."""
 
     __slots__ = ("data", "position")
 
@@ -67,7 +67,7 @@
         self.position = 0
 
     def read(self, layout: struct.Struct) -> Any:
-        """The one value that `layout` describes; its type is the layout's."""
+        """Read the single value that `layout` describes."""
         value = layout.unpack_from(self.data, self.position)[0]
         self.position += layout.size
         return value
@@ -83,7 +83,7 @@
 
 
 class _Codec(Generic[Value]):
-    """How values of one type are appended to a record, and read from one."""
+    """Functions that append values of one type to a record and read them from one."""
 
     __slots__ = ("pack", "unpack")
 
@@ -95,13 +95,13 @@
 
 
 def record(number: int) -> Callable[[type[RecordType]], type[RecordType]]:
-    """Register a dataclass under a number that is unique in the project.
+    """Decorator that registers a dataclass under a number that is unique in the project.
 
     Args:
         number: from 0 to 65535.
 
     Raises:
-        RecordNumberTakenError: the number belongs to another class.
+        RecordNumberTakenError: another class is registered under the number.
     """
 
     def register(record_class: type[RecordType]) -> type[RecordType]:
@@ -134,10 +134,10 @@
 
 
 def encode(message: Record) -> bytes:
-    """The message's fields as bytes; its record number travels beside them.
+    """The message's fields as bytes; the record number is not included.
 
     Raises:
-        UnsupportedFieldTypeError: a field of the class is of a type that has no codec.
+        UnsupportedFieldTypeError: a field of the class has a type without a codec.
     """
     packed = bytearray()
     _codec_of(type(message)).pack(message, packed)
@@ -145,10 +145,10 @@
 
 
 def decode(number: int, data: bytes) -> Any:
-    """The message of that record number; its class is the one registered under the number.
+    """Decode a message of the class that is registered under the number.
 
     Raises:
-        RecordError: the number is unknown, or the bytes are not exactly one record of its class.
+        RecordError: the number is unknown, or the bytes are not exactly one record of that class.
     """
     record_class = _classes_by_number.get(number)
     if record_class is None:
@@ -157,7 +157,7 @@
 
 
 def decode_as(record_class: type[RecordType], data: bytes) -> RecordType:
-    """The message of that class.
+    """Decode a message of the class.
 
     Raises:
         RecordError: the bytes are not exactly one record of the class.
@@ -169,7 +169,7 @@
         raise MalformedRecordError(record_class.__name__, str(error)) from None
     if cursor.position != len(data):
         surplus = len(data) - cursor.position
-        raise MalformedRecordError(record_class.__name__, f"{surplus} bytes too many")
+        raise MalformedRecordError(record_class.__name__, f"{surplus} trailing bytes")
     return message
 
 
@@ -284,7 +284,7 @@
 
 _classes_by_number: dict[int, type[Record]] = {}
 _numbers_by_class: dict[type[Record], int] = {}
-# `_Codec[Any]`: the codecs of unrelated types side by side.
+# The values are `_Codec[Any]`, as the codecs are of unrelated types.
 _codecs: dict[FieldType, _Codec[Any]] = {
     bool: _scalar_codec(_FLAG),
     int: _scalar_codec(_INT),
