--- a/roselink/coordination/acceptor.py
+++ b/roselink/coordination/acceptor.py
@@ -1,16 +1,16 @@
-"""The acceptor of single-decree Paxos, on the view that follows. No I/O, no clock.
+"""The acceptor of single-decree Paxos, which decides the next view. No I/O, no clock.
 
-Paxos as in Lamport, "Paxos Made Simple" (2001). Each epoch is an instance of its own among the
-voters of the view before. What an acceptor has to keep for its safety:
+Paxos as in Lamport, "Paxos Made Simple" (2001). Each epoch is a separate instance among the voters
+of the previous view. The safety rules of an acceptor:
 
-A1. Promises and acceptances outlive a restart: a reply may leave only once the `AcceptorState` that
-    it rests on is on the disk. `Acceptor.version` counts changes, and `reply_gate` buffers each
-    reply until its version is durable.
+A1. Promises and acceptances survive a restart: a reply may be sent only once the `AcceptorState` on
+    which it depends is on the disk. `Acceptor.version` counts changes, and `reply_gate` buffers
+    each reply until its version is durable.
 A2. A ballot below the promised one is neither promised nor accepted.
-A3. An acceptor that has learned the decided view replies nothing new about that instance. A reply
-    that was buffered before may still leave once the newer state is durable: it was true when it
-    was made, and an acceptor that makes no further promise in the instance can't break it, so it
-    is as one that was delayed on its way.
+A3. An acceptor that has learned the decided view makes no new reply in that instance. A reply that
+    was buffered before may still be sent once the newer state is durable: it was true when it was
+    made, and an acceptor that makes no further promise in the instance can't violate it, so it is
+    equivalent to a message that was delayed in transit.
 """
 
 from __future__ import annotations
@@ -35,12 +35,12 @@
     """One voter's acceptor.
 
     Attributes:
-        voter: whose it is.
-        view: the newest decided view that it knows; the rest is about its successor.
+        voter: the voter whose acceptor this is.
+        view: the newest decided view that it knows; the fields below concern its successor.
         promised: the highest ballot that it has promised.
         accepted: the ballot that it has accepted, if any.
         proposal: the view that it has accepted with that ballot.
-        version: counts the changes of all this, for saves.
+        version: counts the changes of these fields, to match replies with saves.
     """
 
     voter: Voter
@@ -52,11 +52,11 @@
 
     @staticmethod
     def from_record(state: AcceptorState) -> Acceptor:
-        """The acceptor as it was on the disk."""
+        """Restore an acceptor from its durable state."""
         return Acceptor(state.voter, state.view, state.promised, state.accepted, state.proposal)
 
     def to_record(self) -> AcceptorState:
-        """What has to be on the disk before a reply leaves."""
+        """The state that must be on the disk before a reply is sent (A1)."""
         return AcceptorState(self.voter, self.view, self.promised, self.accepted, self.proposal)
 
     @property
@@ -65,12 +65,12 @@
         return self.view is not None and self.voter in self.view.voters
 
     def is_newest(self, epoch: int) -> bool:
-        """Whether this voter has accepted nothing, and knows of nothing, after `epoch`."""
+        """Whether this voter has neither accepted nor learned of a view after `epoch`."""
         in_epoch = self.view is not None and self.view.epoch == epoch
         return in_epoch and self.is_voter and self.accepted is None
 
     def enter(self, view: View) -> bool:
-        """Enter a decided view; False if it isn't newer than the present one."""
+        """Enter a decided view; returns False if it isn't newer than the current one."""
         if self.view is not None and view.epoch <= self.view.epoch:
             return False
         self.view = view
@@ -81,7 +81,7 @@
         return True
 
     def prepare(self, request: Prepare) -> Promise | Refusal | None:
-        """Phase 1; None where this member has no vote."""
+        """Reply to phase 1; None if this member has no vote on the view."""
         if not self._votes_on(request.epoch):
             return None
         if self.promised is not None and request.ballot.sort_key < self.promised.sort_key:
@@ -92,7 +92,7 @@
         return Promise(self.voter, request.epoch, request.ballot, self.accepted, self.proposal)
 
     def accept(self, request: Accept) -> Accepted | Refusal | None:
-        """Phase 2; None where this member has no vote."""
+        """Reply to phase 2; None if this member has no vote on the view."""
         epoch = request.proposal.epoch
         if not self._votes_on(epoch):
             return None
--- a/roselink/coordination/chain.py
+++ b/roselink/coordination/chain.py
@@ -1,24 +1,24 @@
-"""One member's replica in the chain of one epoch after the other. No I/O, no clock.
+"""One member's replica in the chains of successive epochs. No I/O, no clock.
 
 Chain replication (van Renesse and Schneider, OSDI 2004), under views that are agreed on outside the
 chain, as in Vertical Paxos (Lamport, Malkhi and Zhou, PODC 2009). An epoch begins with the head's
-state: it travels down the chain as `Sync`, each member puts it on its disk before it forwards it,
-and the tail's `Ack` travels back; from then the chain is active at each member that has the `Ack`.
-Writes travel the same way. Of this follows:
-
-K1. What the tail has on its disk is on every disk of the chain: it is committed. `applied` may be
-    ahead of the disk; only what is durable is forwarded, acknowledged or shown.
-K2. A member handles messages of its present epoch only, and only if its process is the one that the
-    view names. Once it has entered a newer view nothing of the older epoch is acknowledged by it.
-K3. A member gets an `Ack` of an epoch only after it has put that epoch's initial state on its disk.
-
-  Proof. A successor acknowledges only while its chain is active, which begins with an `Ack` from
-  its own successor, or at the tail with the tail's save of the initial state. That state reached
-  the tail from member to member, each of which had saved it, this process among them: a process
-  enters an epoch once, and another process of the same machine does not participate in it.
-
-Messages may be lost, duplicated or reordered: each is handled in sequence only, and is sent again
-until the `Ack` that covers it.
+state: it is sent down the chain as `Sync`, each member saves it before it forwards it, and the
+tail's `Ack` is sent back up; the chain is active at each member that has received the `Ack`. Writes
+take the same path. It follows that:
+
+K1. What is on the tail's disk is on every disk of the chain: it is committed. `applied` may be
+    ahead of the disk; only durable state is forwarded, acknowledged or returned to readers.
+K2. A member handles messages of its current epoch only, and only if its process is the one that the
+    view names. Once it has entered a newer view, it acknowledges nothing of the older epoch.
+K3. A member receives an `Ack` of an epoch only after it has saved that epoch's initial state.
+
+  Proof. A successor acknowledges only while its chain is active. It becomes active with an `Ack`
+  from its own successor, or at the tail with the tail's save of the initial state. That state
+  reached the tail from member to member, and each of them had saved it, including this process: a
+  process enters an epoch once, and another process of the same machine doesn't participate in it.
+
+Messages may be lost, duplicated or reordered: a member handles each only in sequence, and sends it
+again until it gets the `Ack` that covers it.
 """
 
 from __future__ import annotations
@@ -42,30 +42,29 @@
 )
 from roselink.protocol.records import encode
 
-# A state without an acknowledgement for so long, and for the time that its bytes take, is sent
-# again.
+# An unacknowledged `Sync` is sent again after this interval plus the transfer time of its bytes.
 SYNC_RETRY_INTERVAL_S = 0.3
 SYNC_BYTES_PER_S = 4e6
 
-# Writes without an acknowledgement for so long are sent again.
+# Unacknowledged writes are sent again after this interval.
 WRITE_RETRY_INTERVAL_S = 0.2
 
 
 @dataclass(slots=True)
 class ChainMember:
-    """The state, what of it is durable, and the replica in the present epoch's chain.
+    """The applied and the durable state, and the replica in the current epoch's chain.
 
     Attributes:
         voter: this member.
-        session: its process.
-        emit: takes the effects.
-        applied: the newest state here, and `applied_epoch` its epoch.
-        durable: the newest state on the disk, and `durable_epoch` its epoch.
+        session: identifies its process.
+        emit: called with each effect.
+        applied: the newest state in memory; `applied_epoch` is its epoch.
+        durable: the newest state on the disk; `durable_epoch` is its epoch.
         view: the newest view that this member has entered.
         participating: whether this process is in the chain of that view.
         synced: whether it has the state with which the epoch begins.
-        active: whether it knows that the whole chain has that state.
-        committed: the sequence up to which it knows that all is on every disk; -1 for none.
+        active: whether it knows that every member of the chain has saved that state.
+        committed: the highest sequence that it knows to be on every disk; -1 for none.
     """
 
     voter: Voter
@@ -90,7 +89,7 @@
     _sent_at: float = 0.0
 
     def restore(self, stored: StoredState) -> None:
-        """Begin with the state that was on the disk."""
+        """Start from the state that was read from the disk."""
         self.applied = stored.state
         self.durable = stored.state
         self.applied_epoch = stored.epoch
@@ -103,16 +102,16 @@
 
     @property
     def is_last(self) -> bool:
-        """Whether this process is the last of its view's chain, active or not."""
+        """Whether this process is the last in its view's chain, active or not."""
         return self.participating and self._successor is None
 
     @property
     def is_tail(self) -> bool:
-        """Whether this process is the tail, and its view is active."""
+        """Whether this process is the last in its view's chain, and the chain is active."""
         return self.participating and self.active and self._successor is None
 
     def enter(self, view: View, now: float, *, is_bootstrapping: bool) -> None:
-        """Leave the present epoch, and participate in the new view if it names this process.
+        """Leave the current epoch, and participate in the new view if it names this process.
 
         Args:
             view: the new view.
@@ -121,8 +120,8 @@
         """
         replica = replica_of(view, self.voter)
         self.view = view
-        # No process has the session 0: the first view has it, in which each process participates
-        # that made that view.
+        # Session 0 stands for no process. Only the first view has it, and only processes that
+        # made that view themselves participate in it.
         self.participating = replica is not None and (
             is_bootstrapping if replica.session == 0 else replica.session == self.session
         )
@@ -139,13 +138,13 @@
         self._predecessor = view.chain[index - 1] if index else None
         self._successor = view.chain[index + 1] if index + 1 < len(view.chain) else None
         if self._predecessor is None:
-            # What it has not saved yet keeps the epoch in which it took part and got it (V1).
+            # State that is not saved yet keeps the epoch in which this member received it (V1).
             self.synced = True
             self._save()
             self._advance(now)
 
     def on_sync(self, message: Sync, now: float) -> bool:
-        """Take the epoch's initial state from the predecessor; whether that committed anything."""
+        """Handle the epoch's initial state; returns whether that committed anything."""
         if not self._is_from(self._predecessor, message.sender, message.epoch):
             return False
         if self.synced:
@@ -158,7 +157,7 @@
         return self._saving is None and self._advance(now)
 
     def on_write(self, message: Write) -> None:
-        """Take a change from the predecessor; one out of sequence is dropped, and is sent again."""
+        """Handle a change from the predecessor, which sends one that is out of sequence again."""
         if not self._is_from(self._predecessor, message.sender, message.epoch) or not self.synced:
             return
         if message.sequence == self.applied.sequence + 1:
@@ -167,7 +166,7 @@
             self._acknowledge()
 
     def append(self, change: ConfigurationChange, *, refused: bool) -> int:
-        """Append a change at the head; its sequence.
+        """Append a change at the head; returns its sequence.
 
         Raises:
             DriverContractError: this process is not the head of an active view.
@@ -179,10 +178,10 @@
         return sequence
 
     def on_ack(self, message: Ack) -> bool:
-        """Take an acknowledgement; whether it committed anything new.
+        """Handle an acknowledgement; returns whether it committed anything new.
 
         Raises:
-            UnreachableMessageError: this member has not forwarded the epoch's state yet (K3).
+            UnreachableMessageError: this member has not forwarded the epoch's state (K3).
         """
         if not self._is_from(self._successor, message.sender, message.epoch):
             return False
@@ -191,7 +190,7 @@
         return self._commit(message.sequence)
 
     def on_persisted(self, now: float) -> bool:
-        """The save in flight is durable; whether anything was committed by it.
+        """Handle the completion of the save in flight; returns whether it committed anything.
 
         Raises:
             DriverContractError: no save was in flight.
@@ -205,17 +204,17 @@
         return self._advance(now)
 
     def on_persist_failed(self) -> None:
-        """The disk has refused the save in flight; `retry_save` saves again."""
+        """Handle the failure of the save in flight; `retry_save` repeats it."""
         self._saving = None
 
     def retry_save(self) -> None:
-        """Save what a refusing disk did not take."""
+        """Save the applied state if an earlier save of it failed."""
         self._save()
 
     def rewrite_durable_state(self) -> None:
-        """Save the durable state once more: the copy on the disk is damaged.
+        """Save the durable state again, because the copy on the disk is damaged.
 
-        A save that is in flight already, or a newer state's, takes its place as well.
+        A save that is already in flight, or one of a newer state, replaces the damaged copy too.
         """
         self._save()
         if self._saving is None:
@@ -223,7 +222,7 @@
             self.emit(Persist(Store.STATE, encode(self._saving)))
 
     def resend(self, now: float) -> None:
-        """Send again what has had no acknowledgement for its retry interval."""
+        """Send again what is unacknowledged after its retry interval."""
         if self._successor is None or not self.participating or not self._epoch_started:
             return
         if not self.active:
@@ -244,7 +243,7 @@
         self._save()
 
     def _save(self) -> None:
-        """Save the newest state, one save at a time; changes meanwhile share the next save."""
+        """Save the newest state, one save at a time; changes during a save share the next."""
         if self._saving is not None:
             return
         if self.applied is self.durable and self.applied_epoch == self.durable_epoch:
@@ -253,7 +252,7 @@
         self.emit(Persist(Store.STATE, encode(self._saving)))
 
     def _initial_state_is_durable(self) -> bool:
-        """Whether the state with which the epoch begins is durable here."""
+        """Whether the epoch's initial state is on this member's disk."""
         if self.view is None or not self.synced:
             return False
         if self._predecessor is None:
@@ -261,7 +260,7 @@
         return self.durable_epoch == self.view.epoch
 
     def _advance(self, now: float) -> bool:
-        """Forward what has become durable, or commit it at the tail."""
+        """Forward newly durable writes, or commit them at the tail; whether it committed."""
         if not self.participating or not self._initial_state_is_durable():
             return False
         if not self._epoch_started:
--- a/roselink/coordination/disk_health.py
+++ b/roselink/coordination/disk_health.py
@@ -1,4 +1,4 @@
-"""Whether this machine's disk takes saves in time. No I/O, no clock.
+"""Whether this machine's disk completes saves in time. No I/O, no clock.
 
 Times are seconds of the member's own clock.
 """
@@ -7,13 +7,13 @@
 
 from dataclasses import dataclass, field
 
-# A save that takes longer than this, and than its bytes take, makes the disk unhealthy.
+# A save that takes longer than this plus the time for its bytes makes the disk unhealthy.
 STUCK_TIMEOUT_S = 0.3
 
-# A save that takes no longer than this, and than its bytes take, makes it healthy again.
+# A save that takes at most this plus the time for its bytes makes the disk healthy again.
 RECOVERED_WITHIN_S = 0.2
 
-# The least that a healthy disk writes in a second.
+# Minimum write throughput of a healthy disk, by which the time for a save's bytes is estimated.
 MIN_BYTES_PER_S = 20e6
 
 
@@ -22,25 +22,25 @@
     """A requested save.
 
     Attributes:
-        started_at: when it was the first in the disk's queue.
-        size: its bytes.
+        started_at: when it became the first in the disk's queue.
+        size: its size in bytes.
     """
 
     started_at: float
     size: int
 
     def within(self, limit_s: float, now: float) -> bool:
-        """Whether it has taken no longer than the limit and the time for its bytes."""
+        """Whether it has taken at most the limit plus the time for its bytes."""
         return now - self.started_at <= limit_s + self.size / MIN_BYTES_PER_S
 
 
 @dataclass(slots=True)
 class DiskHealth:
-    """The disk's health, by the saves that were requested.
+    """The disk's health, judged by the requested saves.
 
     Attributes:
-        healthy: whether it takes saves, in time.
-        last_save_failed: whether it refused the last one that ended.
+        healthy: whether the disk completes saves, in time.
+        last_save_failed: whether the save that ended last has failed.
     """
 
     healthy: bool = True
@@ -48,11 +48,11 @@
     _saves: list[_Save] = field(default_factory=list)
 
     def save_requested(self, now: float, size: int) -> None:
-        """A save of `size` bytes was requested."""
+        """Record the request of a save of `size` bytes."""
         self._saves.append(_Save(now, size))
 
     def save_ended(self, now: float, *, succeeded: bool) -> None:
-        """The oldest save has ended."""
+        """Record the end of the oldest save."""
         save = self._saves.pop(0)
         if self._saves:
             self._saves[0].started_at = max(self._saves[0].started_at, now)
@@ -63,11 +63,11 @@
             self.healthy = True
 
     def read_failed(self) -> None:
-        """The disk could not read a record: it has to take a save before it counts as healthy."""
+        """Record a failed read; the disk is unhealthy until it has completed a save."""
         self.healthy = False
 
     def check(self, now: float) -> bool:
-        """Whether the disk is healthy now."""
+        """Update the health by the save in flight; returns whether the disk is healthy."""
         if self._saves and not self._saves[0].within(STUCK_TIMEOUT_S, now):
             self.healthy = False
         return self.healthy
@@ -78,6 +78,6 @@
         return not self._saves
 
     def discount_pause(self, pause_s: float, now: float) -> None:
-        """Don't count a time in which this process did not run."""
+        """Exclude a time during which this process didn't run from the saves' durations."""
         for save in self._saves:
             save.started_at = min(now, save.started_at + pause_s)
--- a/roselink/coordination/effects.py
+++ b/roselink/coordination/effects.py
@@ -1,4 +1,4 @@
-"""What a member's state machines emit for their driver, and how submitted changes and reads end."""
+"""Effects that a member's state machines emit for their driver; outcomes of changes and reads."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeCommitted:
-    """The change is in force or was: every disk of the chain has it.
+    """The change is committed: every disk of the chain has it. A newer one may have replaced it.
 
-    `sequence`: its position in the history.
+    `sequence`: the sequence of its write.
     """
 
     sequence: int
@@ -23,21 +23,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """The change builds on another generation than `current`. It will never come into force."""
+    """The change is based on another generation than `current`. It is never committed."""
 
     current: int
 
 
 @dataclass(frozen=True, slots=True)
 class StaleGeneration:
-    """The change's generation isn't above `current`. It will never come into force."""
+    """The change's generation isn't above `current`. It is never committed."""
 
     current: int
 
 
 @dataclass(frozen=True, slots=True)
 class OutcomeUnknown:
-    """Nothing is promised: the change may come into force or not."""
+    """The change may or may not be committed, now or later."""
 
 
 SubmitOutcome = ChangeCommitted | Conflict | StaleGeneration | OutcomeUnknown
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Confirmation:
-    """A committed state that is no older than anything acknowledged before the read began.
+    """A committed state that includes everything acknowledged before the read began.
 
     Attributes:
         epoch: the epoch of the view that confirmed it.
@@ -87,12 +87,12 @@
 
 
 class VerificationOutcome(Enum):
-    """What a read of a record found."""
+    """The result of reading a record back."""
 
     INTACT = 1
-    # Torn, or its checksum is wrong.
+    # The record is torn, or its checksum is wrong.
     DAMAGED = 2
-    # The disk failed, and nothing is known of the record.
+    # The read failed, so the record's condition is unknown.
     UNREADABLE = 3
 
 
@@ -100,7 +100,7 @@
 class VerifyRecord:
     """Read the newest durable generation of a record, and check it.
 
-    `verified` with this store must follow; saves that were requested before it come first.
+    `verified` with this store must follow. Saves that were requested earlier are completed first.
     """
 
     store: Store
@@ -108,9 +108,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordDamaged:
-    """A record was found damaged, and is written anew.
+    """A record was found damaged, and is rewritten.
 
-    `times`: how many were found so far by this process.
+    `times`: the number of damaged records that this process has found so far.
     """
 
     store: Store
@@ -119,7 +119,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SubmitDone:
-    """The end of the submitted change with this number."""
+    """The outcome of the submitted change with this number."""
 
     number: int
     outcome: SubmitOutcome
@@ -127,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadDone:
-    """The end of the read with this number; None: no majority confirmed it in time."""
+    """The result of the read with this number; None if no majority confirmed it in time."""
 
     number: int
     confirmation: Confirmation | None
--- a/roselink/coordination/exceptions.py
+++ b/roselink/coordination/exceptions.py
@@ -12,40 +12,40 @@
 
 
 class BrokenInvariantError(CoordinationError, AssertionError):
-    """A state that cannot be, by the proofs of this package: the process must not go on in it."""
+    """A state that the proofs of this package exclude; the process must not continue."""
 
     code = "CRD-001"
 
 
 class UnreachableMessageError(BrokenInvariantError):
-    """A message that no member can have sent in the state of this one.
+    """A message that no member can have sent, given the state of this one.
 
     Attributes:
         message: the message's class.
-        invariant: what it contradicts.
+        invariant: the invariant that it violates.
     """
 
     code = "CRD-002"
 
     def __init__(self, message: type[object], invariant: str) -> None:
-        """Name the message and the invariant that it contradicts."""
+        """`message` is the message's class, `invariant` what it violates."""
         super().__init__(f"{message.__name__}: {invariant}")
         self.message = message
         self.invariant = invariant
 
 
 class DriverContractError(BrokenInvariantError):
-    """A state machine was called when it may not be: a fault of the program that embeds it.
+    """A method was called in a state that doesn't allow it: a fault of the embedding program.
 
     Attributes:
-        operation: what was called.
-        requirement: what has to hold for that, and did not.
+        operation: the method that was called.
+        requirement: the precondition that did not hold.
     """
 
     code = "CRD-003"
 
     def __init__(self, operation: str, requirement: str) -> None:
-        """Name the call and the condition that it breaks."""
+        """`operation` is the method's name, `requirement` its violated precondition."""
         super().__init__(f"{operation}: {requirement}")
         self.operation = operation
         self.requirement = requirement
--- a/roselink/coordination/heartbeats.py
+++ b/roselink/coordination/heartbeats.py
@@ -1,4 +1,4 @@
-"""A member's heartbeats, and the membership snapshot that it plans by. No I/O, no clock."""
+"""A member's heartbeats, and the membership snapshot for its plans. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -14,15 +14,17 @@
     from roselink.coordination.disk_health import DiskHealth
     from roselink.coordination.peer_table import PeerTable
 
+# Interval between two heartbeats of a member.
 HEARTBEAT_INTERVAL_S = 0.1
 
-# Ticks come about on time only: a heartbeat is due from this fraction of the interval on.
+# A heartbeat is due after this fraction of the interval, because ticks are not exactly on time.
 DUE_FRACTION = 0.9
 
-# The least between a heartbeat and an early one to a machine that does not list this one yet.
+# Minimum time between a heartbeat and an early one, which is sent to a machine that does not list
+# this one as reachable yet.
 EARLY_HEARTBEAT_INTERVAL_S = 0.02
 
-# A machine that sends no heartbeats gets one in this many of this member's.
+# A machine that sends no heartbeats gets only every n-th heartbeat of this member.
 UNREACHABLE_PEER_PERIOD = 3
 
 
@@ -32,12 +34,12 @@
 
     Attributes:
         voter: this member.
-        session: its process.
-        seeds: addresses that get heartbeats whatever the view is.
+        session: identifies its process.
+        seeds: addresses that get heartbeats in every view.
         chain: its replica.
-        peers: what it knows of the others.
+        peers: the other machines, by their heartbeats.
         disk: its disk's health.
-        emit: takes the effects.
+        emit: called with each effect.
         leaving: whether its process is about to end.
     """
 
@@ -53,18 +55,18 @@
     _heartbeat_count: int = 0
 
     def leave(self) -> None:
-        """Have the next heartbeat, due at once, report that this process is about to end."""
+        """Report in the next heartbeat, which is due at once, that this process is about to end."""
         self.leaving = True
         self._sent_at = float("-inf")
 
     def send_early(self, view: View | None, now: float) -> None:
-        """Send heartbeats now: a machine that sends some does not list this one as reachable."""
+        """Send heartbeats early, for a machine that doesn't list this one as reachable."""
         if now - self._sent_at >= EARLY_HEARTBEAT_INTERVAL_S:
             self._sent_at = float("-inf")
             self.send_due(view, now)
 
     def own_status(self, view: View | None, now: float) -> PeerStatus:
-        """This member as the others know it."""
+        """This member's status as the others see it."""
         return PeerStatus(
             voter=self.voter,
             session=self.session,
@@ -80,7 +82,7 @@
         )
 
     def snapshot(self, view: View | None, now: float) -> dict[str, PeerStatus]:
-        """Every known machine by address.
+        """The status of every known machine, by address.
 
         In the first view, replicas whose processes may still be starting count as live too.
         """
@@ -90,7 +92,7 @@
         )
 
     def contacts(self, view: View | None, now: float) -> list[str]:
-        """The addresses that get heartbeats: seeds, voters, and whoever sends some."""
+        """The addresses that get heartbeats: seeds, voters, and senders of heartbeats."""
         voters = view.voters if view is not None else ()
         addresses = (*self.seeds, *(voter.address for voter in voters), *self.peers.contacts(now))
         return [address for address in dict.fromkeys(addresses) if address != self.voter.address]
--- a/roselink/coordination/member.py
+++ b/roselink/coordination/member.py
@@ -1,26 +1,26 @@
-"""One core member: heartbeats, agreed views, the chain, changes and confirmed reads together.
+"""One core member: heartbeats, agreed views, the chain, changes and confirmed reads combined.
 
 No I/O, no clock. Inputs are method calls with `now` (seconds of one monotonic clock); each returns
-the effects in order. What the parts prove: V1 to V4 in `views` (what is acknowledged outlives view
-changes), A1 to A3 in `acceptor` and R1 to R4 in `proposal_round` (one decided view an epoch, by
-Paxos), K1 and K2 in `chain` (what is committed), C1 and C2 in `reads` (a confirmed read misses
-nothing), H1 in `sequencer` and S1 in `state` (a refusal lasts). What is left to this module:
-
-M1. A vote leaves only after the disk has it: `reply_gate` buffers each reply until its version of
-    the `AcceptorState` is durable.
+the effects in order. The invariants are documented, with proofs, in the modules: V1 to V5 in
+`views` (acknowledged writes survive view changes), A1 to A3 in `acceptor` and R1 to R4 in
+`proposal_round` (Paxos decides one view per epoch), K1 to K3 in `chain` (what is committed), C1 and
+C2 in `reads` (a confirmed read misses no write), H1 in `sequencer` and S1 in `state` (a refusal is
+permanent). This module has to ensure:
+
+M1. A vote is sent only once it is durable: `reply_gate` buffers each reply until its version of the
+    `AcceptorState` is on the disk.
 M2. A decided view is entered at once, before it is on this disk. A member that restarts with an
-    older view is as one that hasn't learned of the newer one; it does not participate in any chain
-    of its earlier process, as the view names another session. Its state may be of a later epoch
-    than its view, which only says how new the state is.
-M3. From the moment at which a member enters a newer view it handles nothing of the older epoch.
-    Acceptance of a proposal alone changes nothing in its chain: the older epoch may still
-    acknowledge through it, and the new head begins with what it has when it enters the new view
-    itself.
-M4. A process that was frozen wakes with its old view. Each write that it could still acknowledge is
-    on the disks of that whole chain, the next head's too; a read needs replies to a round, which
-    voters that accepted a newer view refuse.
-M5. A member whose disk was lost has a new incarnation: it is another voter, and is let in by a view
-    change.
+    older view is equivalent to one that hasn't learned of the newer one; it does not participate in
+    any chain of its earlier process, because the view names another session. Its state may be of a
+    later epoch than its view, which only says how new the state is.
+M3. Once a member has entered a newer view, it handles no message of the older epoch. Accepting a
+    proposal changes nothing in its chain: the older epoch may still acknowledge through it, and the
+    new head begins with the state that it has when it enters the new view itself.
+M4. A process that was suspended resumes with its old view. Each write that it could still
+    acknowledge is on the disks of that entire chain, including the next head's; a read needs
+    replies to a round, which voters that accepted a newer view refuse.
+M5. A member whose disk was lost has a new incarnation: it is a different voter, and is added by a
+    view change.
 """
 
 from __future__ import annotations
@@ -69,29 +69,29 @@
 if TYPE_CHECKING:
     from roselink.protocol.chain import ChainMessage
 
-# How often the driver calls `tick`.
+# Interval at which the driver calls `tick`.
 TICK_S = 0.05
 
-# After its start a member waits so long for the chain's other machines before it plans.
+# After its start a member waits at most this time for the chain's other machines before it plans.
 START_TIMEOUT_S = 0.3
 
-# Ticks further apart than this mean that the process did not run.
+# If two ticks are further apart than this, the process was suspended in between.
 PAUSE_THRESHOLD_S = 0.3
 
-# An unhealthy disk is tried with a save after this time.
+# Interval between saves that test whether an unhealthy disk has recovered.
 DISK_RETRY_INTERVAL_S = 0.2
 
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """What a process starts with.
+    """The parameters and the durable state with which a process starts.
 
     Attributes:
         address: its peer address.
-        seeds: the addresses of the first view, which get heartbeats whatever the view is.
+        seeds: the addresses of the first view, which get heartbeats in every view.
         bootstrap: whether this is the first start of a new system.
         tolerated: how many machines may be lost at once.
-        session: a random number above 0 for this process.
+        session: a random number above 0 that identifies this process.
         fresh_incarnation: a random number above 0, used if the disk is empty.
         acceptor_state: the acceptor state on the disk; None unless the disk has both records.
         state: the chain's state on the disk; None unless the disk has both records.
@@ -109,17 +109,17 @@
 
 @dataclass(slots=True)
 class _PendingOutput:
-    """What the present input has caused so far: effects, and messages to this member itself."""
+    """The effects of the current input so far, and its messages to this member itself."""
 
     effects: list[Effect] = field(default_factory=list)
     own_messages: list[ChainMessage] = field(default_factory=list)
 
 
 class Member:
-    """One member: `begin` once, then `tick`, `receive` and the other inputs (see the module)."""
+    """One member: call `begin` once, then `tick`, `receive` and the other inputs."""
 
     def __init__(self, start: Start, now: float) -> None:
-        """Build the parts; nothing is emitted before `begin`."""
+        """Create the state machines; nothing is emitted before `begin`."""
         self._start = start
         self._pending_output = _PendingOutput()
         is_new = start.acceptor_state is None or start.state is None
@@ -187,14 +187,14 @@
 
     @property
     def disk_is_healthy(self) -> bool:
-        """Whether the disk took the last saves, in time."""
+        """Whether the disk has completed the last saves, in time."""
         return self.disk.healthy
 
     def is_awaited(self, now: float) -> bool:
-        """Whether others may be waiting for this member.
+        """Whether other members may be waiting for this one.
 
-        They are while it is not on its disk yet, and while a majority of the voters is reachable
-        but the newest view's chain is not active here.
+        They may be until its initial records are on its disk, and while a majority of the voters is
+        reachable but the newest view's chain is not active at this member.
         """
         if not self._is_on_disk:
             return True
@@ -204,7 +204,7 @@
         return sum(voter.address in reachable for voter in self.view.voters) >= majority(self.view)
 
     def begin(self, now: float) -> list[Effect]:
-        """The first step of the process."""
+        """Perform the first step of the process."""
         if self._is_on_disk:
             self.reply_gate.restored()
             if self.view is not None:
@@ -219,11 +219,11 @@
         return self._flush(now)
 
     def _save_initial_state(self) -> None:
-        """Nothing leaves a new member before its identity and an empty state are on the disk."""
+        """Save an empty state. A new member sends nothing before state and identity are saved."""
         self.emit(Persist(Store.STATE, encode(StoredState(self.chain.applied_epoch, EMPTY))))
 
     def tick(self, now: float) -> list[Effect]:
-        """Do what is due; called about every `TICK_S`."""
+        """Perform all actions that are due; called about every `TICK_S`."""
         pause_s = now - self._ticked_at
         if pause_s > PAUSE_THRESHOLD_S:
             self.peers.discount_pause(pause_s, now)
@@ -242,19 +242,19 @@
         return self._flush(now)
 
     def submit(self, change: ConfigurationChange, now: float) -> tuple[int, list[Effect]]:
-        """Carry a change; a `SubmitDone` of the returned number follows."""
+        """Submit a change; a `SubmitDone` with the returned number follows."""
         self._last_number += 1
         self.pending_calls.submit(self._last_number, change, self._known_view(), now)
         return self._last_number, self._flush(now)
 
     def read(self, now: float) -> tuple[int, list[Effect]]:
-        """Carry a confirmed read; a `ReadDone` of the returned number follows."""
+        """Request a confirmed read; a `ReadDone` with the returned number follows."""
         self._last_number += 1
         self.pending_calls.read(self._last_number, self._known_view(), now)
         return self._last_number, self._flush(now)
 
     def leave(self, now: float) -> list[Effect]:
-        """Request a view whose chain this member isn't in."""
+        """Request a view without this member in its chain."""
         self.heartbeats.leave()
         if self._is_on_disk:
             self.heartbeats.send_due(self.view, now)
@@ -266,17 +266,17 @@
         return replica_of(self.view, self.voter) is None
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Send heartbeats to other seeds from now on: the settings have changed."""
+        """Replace the seeds to which heartbeats are sent, after a change of the settings."""
         self.heartbeats.seeds = seeds
 
     def receive(self, message: ChainMessage, now: float) -> list[Effect]:
-        """Handle a message of the classes that `messages.is_chain_message` accepts."""
+        """Handle a message that `messages.is_chain_message` accepts."""
         if self._is_on_disk:
             self._dispatcher.handle(message, now)
         return self._flush(now)
 
     def persisted(self, store: Store, now: float) -> list[Effect]:
-        """The oldest `Persist` of that store is durable."""
+        """Handle the completion of the oldest `Persist` of the store."""
         self.disk.save_ended(now, succeeded=True)
         if not self._is_on_disk:
             self._on_initial_record_saved(store, now)
@@ -288,7 +288,7 @@
         return self._flush(now)
 
     def persist_failed(self, store: Store, now: float) -> list[Effect]:
-        """The disk has refused the oldest `Persist` of that store; nothing of it counts."""
+        """Handle the failure of the oldest `Persist` of the store; nothing of it is durable."""
         self.disk.save_ended(now, succeeded=False)
         if store is Store.ACCEPTOR:
             self.reply_gate.save_failed()
@@ -297,7 +297,7 @@
         return self._flush(now)
 
     def verified(self, store: Store, outcome: VerificationOutcome, now: float) -> list[Effect]:
-        """The `VerifyRecord` of that store has ended."""
+        """Handle the result of the `VerifyRecord` of the store."""
         self.scrubber.on_verified(store, outcome, now)
         if outcome is VerificationOutcome.UNREADABLE:
             self.disk.read_failed()
@@ -306,7 +306,7 @@
         return self._flush(now)
 
     def collect_effects(self, now: float) -> list[Effect]:
-        """What a call to one of this member's parts has caused."""
+        """The effects of calls to this member's state machines from outside."""
         return self._flush(now)
 
     # --- saves
@@ -322,12 +322,12 @@
             self._enter(now)
 
     def _retry_disk(self, now: float) -> None:
-        """Try a disk that refused, or was too slow, with a save of the acceptor state."""
+        """Test a disk that failed, or was too slow, with a save of the acceptor state."""
         if not self.disk.idle:
             return
         if self.disk.healthy:
             if self._is_on_disk:
-                # A save of the state was refused, and another one brought the disk back.
+                # Repeats a failed save of the state if the disk recovered with another save.
                 self.chain.retry_save()
             return
         if now - self._disk_retried_at < DISK_RETRY_INTERVAL_S:
@@ -341,7 +341,7 @@
         self.reply_gate.request_save()
 
     def _scrub(self, now: float) -> None:
-        """Have a record read back while nothing else wants the disk."""
+        """Have a record read back while the disk isn't needed for anything else."""
         state = self.chain.durable
         self.scrubber.request_due_read(
             now,
@@ -364,7 +364,7 @@
         return self.view if self._is_on_disk else None
 
     def adopt_view(self, view: View, now: float) -> None:
-        """Enter a decided view if it is newer than the present one."""
+        """Enter a decided view if it is newer than the current one."""
         if self.acceptor.enter(view):
             self._is_bootstrapping = False
             self._enter(now)
@@ -382,14 +382,14 @@
             self.on_committed(now)
 
     def on_committed(self, now: float) -> None:
-        """Something was committed, or the chain has become active."""
+        """Handle a commit, or the chain's becoming active."""
         self.sequencer.on_committed()
         if self.view is not None and self.chain.is_tail:
             self.reads.advance(self.view, now)
         self._report_view_change()
 
     def _report_view_change(self) -> None:
-        """Emit that the view is new, or that its chain has become active."""
+        """Emit `ViewChanged` if the view is new, or its chain has become active."""
         if self.view is not None and self._reported_view != (self.view.epoch, self.chain.active):
             self._reported_view = (self.view.epoch, self.chain.active)
             self.emit(ViewChanged(self.view))
@@ -404,7 +404,7 @@
         if now - self._started_at < START_TIMEOUT_S and not chain_is_reconnected(
             self.view, snapshot
         ):
-            return  # the others may be starting too, after a loss of the whole core
+            return  # the others may be starting too, after a loss of the entire core
         self.proposer.advance(
             self.acceptor, snapshot, now, outside_complete_chain=outside_complete_chain
         )
@@ -419,7 +419,7 @@
             self._pending_output.effects.append(effect)
 
     def _flush(self, now: float) -> list[Effect]:
-        """Handle messages to this member itself and save acceptor state; the effects to perform."""
+        """Handle own messages, and save the acceptor state; returns the effects to perform."""
         while self._pending_output.own_messages:
             messages = self._pending_output.own_messages
             self._pending_output.own_messages = []
--- a/roselink/coordination/messages.py
+++ b/roselink/coordination/messages.py
@@ -1,4 +1,4 @@
-"""What a member does with each message that it receives. No I/O, no clock."""
+"""Dispatch of the messages that a member receives. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -39,17 +39,17 @@
     from roselink.coordination.reply_gate import ReplyGate
     from roselink.coordination.sequencer import ChangeSequencer
 
-# Each takes the handler, a message of its class, and now; the table below pairs them.
+# Takes the dispatcher, a message of the class in `MessageDispatcher.HANDLERS`, and `now`.
 _Handler = Callable[[Any, Any, float], None]
 
 
 @dataclass(slots=True)
 class MessageDispatcher:
-    """Dispatches each message to the parts of one member that it concerns.
+    """Dispatches each message to the state machines of one member.
 
     Attributes:
         adopt_view: enters a decided view if it is newer.
-        on_committed: to be called when the chain has committed.
+        on_committed: called when the chain has committed or has become active.
     """
 
     acceptor: Acceptor
@@ -66,7 +66,7 @@
     on_committed: Callable[[float], None]
 
     def handle(self, message: ChainMessage, now: float) -> None:
-        """Handle a message; one that is not the chain's is dropped."""
+        """Handle a message; one that is not a chain message is dropped."""
         handler = self.HANDLERS.get(type(message))
         if handler is not None:
             handler(self, message, now)
@@ -134,7 +134,7 @@
     def _on_confirm_reply(self, message: ConfirmReply, now: float) -> None:
         if self.acceptor.view is None or not self.chain.is_tail:
             # No round is in flight: only the tail of an active view begins one, and a new view
-            # drops it. A late reply must not begin one before the tail has the view's state.
+            # clears it. A late reply must not begin one before the tail has the view's state.
             return
         state = self.chain.durable
         for read in self.reads.on_reply(message):
--- a/roselink/coordination/peer_table.py
+++ b/roselink/coordination/peer_table.py
@@ -1,7 +1,7 @@
-"""What a member knows of the other core machines from their heartbeats. No I/O, no clock.
+"""The other core machines as a member knows them from their heartbeats. No I/O, no clock.
 
-Times are seconds of the member's own clock. A machine is live while its heartbeats come and list
-this one as reachable: a link that carries one way only counts as broken on both ends.
+Times are seconds of the member's own clock. A machine is live while its heartbeats arrive and list
+this one as reachable: a link that works in one direction only counts as broken at both ends.
 """
 
 from __future__ import annotations
@@ -15,17 +15,18 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# A machine without a heartbeat for so long is suspected.
+# A machine is suspected after this time without a heartbeat. A smaller value replaces a failed
+# machine sooner; a larger one suspects fewer machines that are only slow.
 SUSPECT_TIMEOUT_S = 0.45
 
-# A machine that has been live and eligible for so long is stable: it may join a chain.
+# A machine that has been live and eligible for this time is stable, and may join a chain.
 STABLE_AFTER_S = 0.3
 
-# A machine without a heartbeat for so long is removed from the table.
+# A machine is removed from the table after this time without a heartbeat.
 FORGET_AFTER_S = 10.0
 
-# After the start of a new system, machines that have not sent a heartbeat yet count as live so
-# long.
+# Time after the start of a new system in which machines that have not sent a heartbeat yet count as
+# live.
 START_GRACE_S = 1.5
 
 
@@ -45,16 +46,16 @@
     _grace_until: float = 0.0
 
     def start_grace(self, now: float) -> None:
-        """Suspect no machine for `START_GRACE_S`: none may be up yet."""
+        """Suspect no machine for `START_GRACE_S`, as the others may not be running yet."""
         self._grace_until = now + START_GRACE_S
 
     def discount_pause(self, pause_s: float, now: float) -> None:
-        """Don't count a time in which this process did not run as silence of others."""
+        """Exclude a time during which this process didn't run from the age of heartbeats."""
         for known in self._known.values():
             known.last_heartbeat_at = min(now, known.last_heartbeat_at + pause_s)
 
     def on_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
-        """Take a heartbeat."""
+        """Record a received heartbeat."""
         address = heartbeat.sender.address
         known = self._known.get(address)
         if known is None or known.heartbeat.session != heartbeat.session:
@@ -71,7 +72,7 @@
             known.eligible_since = now
 
     def reachable(self, now: float) -> tuple[str, ...]:
-        """The addresses from which a heartbeat came lately, sorted."""
+        """The addresses with a heartbeat in the last `SUSPECT_TIMEOUT_S`, sorted."""
         return tuple(
             sorted(
                 address
@@ -81,7 +82,7 @@
         )
 
     def contacts(self, now: float) -> tuple[str, ...]:
-        """The addresses of machines that sent a heartbeat in the last seconds."""
+        """The addresses with a heartbeat in the last `FORGET_AFTER_S`."""
         return tuple(
             address
             for address, known in self._known.items()
@@ -100,7 +101,7 @@
     def snapshot(
         self, now: float, own_status: PeerStatus, expected: Iterable[str]
     ) -> dict[str, PeerStatus]:
-        """Every known machine by address, as a plan needs it.
+        """The status of every known machine by address, as input for `views.plan`.
 
         Args:
             now: seconds of the member's clock.
@@ -152,7 +153,7 @@
 
 
 def _expected_status(address: str, own_status: PeerStatus) -> PeerStatus:
-    """A machine that may be starting: taken as eligible and stable, and as reaching everybody."""
+    """The assumed status of a machine that may be starting: eligible, stable, fully connected."""
     return PeerStatus(
         voter=Voter(address, 0),
         session=0,
--- a/roselink/coordination/pending_calls.py
+++ b/roselink/coordination/pending_calls.py
@@ -1,7 +1,7 @@
-"""Changes and reads that this member carries for its own callers. No I/O, no clock.
+"""Changes and reads that this member's own callers have requested. No I/O, no clock.
 
-Each is sent to the head or the tail of the newest view, and sent again, until a reply comes or its
-time-out ends it.
+Each is sent to the head or the tail of the newest view, and is sent again until a reply arrives or
+it times out.
 """
 
 from __future__ import annotations
@@ -31,11 +31,11 @@
     Voter,
 )
 
-# After this time a call ends without an outcome.
+# A call without a reply ends without an outcome after this time.
 SUBMIT_TIMEOUT_S = 2.5
 READ_TIMEOUT_S = 1.5
 
-# A request without a reply is sent again after this time.
+# A request without a reply is sent again after this interval.
 SUBMIT_RETRY_INTERVAL_S = 0.5
 READ_RETRY_INTERVAL_S = 0.25
 
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True)
 class PendingCalls:
-    """Calls of this member's callers by number; each ends with one effect."""
+    """The calls of this member's callers by number; each ends with exactly one effect."""
 
     voter: Voter
     emit: Emit
@@ -64,23 +64,23 @@
     def submit(
         self, number: int, change: ConfigurationChange, view: View | None, now: float
     ) -> None:
-        """Carry a change; ends with one `SubmitDone`."""
+        """Submit a change; ends with one `SubmitDone`."""
         self._submits[number] = _SubmitCall(now + SUBMIT_TIMEOUT_S, change=change)
         self.advance(view, now)
 
     def read(self, number: int, view: View | None, now: float) -> None:
-        """Carry a read; ends with one `ReadDone`."""
+        """Request a read; ends with one `ReadDone`."""
         self._reads[number] = _Call(now + READ_TIMEOUT_S)
         self.advance(view, now)
 
     def view_changed(self, view: View, now: float) -> None:
-        """Send what has had no reply to the new head and tail at once."""
+        """Send all calls without a reply to the new head and tail at once."""
         for call in (*self._submits.values(), *self._reads.values()):
             call.sent_at = float("-inf")
         self.advance(view, now)
 
     def advance(self, view: View | None, now: float) -> None:
-        """End what is overdue, and send again what has had no reply for its retry interval."""
+        """End calls that timed out, and retry those whose retry interval has passed."""
         for number in [n for n, call in self._submits.items() if now >= call.deadline]:
             del self._submits[number]
             self.emit(SubmitDone(number, OutcomeUnknown()))
@@ -102,15 +102,15 @@
                 self.emit(Send(view.chain[-1].voter.address, read_request))
 
     def on_submit_reply(self, reply: SubmitReply) -> None:
-        """End a change by the head's reply."""
+        """End a change with the head's reply."""
         if self._submits.pop(reply.number, None) is not None:
             self.emit(SubmitDone(reply.number, _outcome(reply)))
 
     def on_read_reply(self, reply: ReadReply) -> None:
-        """End a read by the tail's reply.
+        """End a read with the tail's reply.
 
-        A reply without a document is about the one of its own sequence. If this member has another
-        one by now the reply is dropped, and the read is sent again.
+        A reply without a document refers to the document of the reply's sequence. If this member
+        has another one by now, the reply is dropped, and the read is sent again.
         """
         if reply.number not in self._reads:
             return
--- a/roselink/coordination/proposal_round.py
+++ b/roselink/coordination/proposal_round.py
@@ -1,14 +1,14 @@
 """One ballot of a proposer in single-decree Paxos. No I/O, no clock.
 
-Paxos as in Lamport, "Paxos Made Simple" (2001); `acceptor` has the other side. What a round has to
-keep, so that two rounds never decide two values:
+Paxos as in Lamport, "Paxos Made Simple" (2001); `acceptor` is the other side. The safety rules of a
+round, by which two rounds never decide different values:
 
 R1. Phase 2 begins after a majority of the voters has promised the ballot.
 R2. Its value is that of the highest ballot among the acceptances that those promises report; only
-    without any is it the view that this proposer wants.
+    if there are none is it the view that this proposer prefers.
 R3. The value is decided once a majority of the voters has accepted it with this ballot.
-R4. Only replies to this very ballot and epoch from voters of this epoch count: a proposer's rounds
-    begin at 1 again in each epoch, so the same ballot may occur in two of them.
+R4. Only replies to exactly this ballot and epoch from voters of this epoch count: a proposer's
+    rounds restart at 1 in each epoch, so the same ballot may occur in two epochs.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
     Attributes:
         view: the view whose voters decide.
-        ballot: the round's number.
+        ballot: the round's ballot.
         preferred: the view to propose if nothing was accepted before.
         started_at: when the round began, in seconds of the member's clock.
         value: the proposed view; None in phase 1.
@@ -43,7 +43,7 @@
     _accepted_by: set[Voter] = field(default_factory=set)
 
     def on_promise(self, reply: Promise) -> bool:
-        """Count a promise; whether phase 2 begins by it: then `value` is what to propose."""
+        """Count a promise; returns whether phase 2 begins, to propose `value`."""
         if not self._concerns(reply) or self.value is not None:
             return False
         self._promises[reply.sender] = reply
@@ -58,12 +58,12 @@
         return [voter for voter in self.view.voters if voter not in replied]
 
     def _concerns(self, reply: Promise | Accepted) -> bool:
-        """Whether this very ballot of this epoch is meant (R4)."""
+        """Whether the reply is from a voter and to this ballot and epoch (R4)."""
         is_current = reply.ballot == self.ballot and reply.epoch == self.view.epoch + 1
         return is_current and reply.sender in self.view.voters
 
     def _choose(self) -> View:
-        """The value of the highest ballot that was accepted before; else the preferred one (R2)."""
+        """The value of the highest ballot accepted before, else the preferred view (R2)."""
         accepted = [
             (reply.accepted.sort_key, reply.proposal)
             for reply in self._promises.values()
@@ -74,7 +74,7 @@
         return max(accepted, key=lambda pair: pair[0])[1]
 
     def on_accepted(self, reply: Accepted) -> View | None:
-        """Count an acceptance; the decided view once a majority has accepted (R3)."""
+        """Count an acceptance; returns the decided view once a majority has accepted (R3)."""
         if not self._concerns(reply) or self.value is None:
             return None
         self._accepted_by.add(reply.sender)
--- a/roselink/coordination/proposer.py
+++ b/roselink/coordination/proposer.py
@@ -1,8 +1,8 @@
-"""When a voter proposes the next view, and its rounds to have it decided. No I/O, no clock.
+"""Schedules a voter's proposals of the next view, and runs their rounds. No I/O, no clock.
 
-A voter proposes what `views.plan` wants, after a delay by its rank, so that two rarely propose at
-once. A round that another began and did not finish is finished by whoever notices it first: while
-an accepted proposal is undecided, no read can be confirmed.
+A voter proposes the result of `views.plan` after a delay by its rank, so that two voters rarely
+propose at once. A round that another voter began and didn't finish is finished by the first voter
+that detects it: while an accepted proposal is undecided, no read can be confirmed.
 """
 
 from __future__ import annotations
@@ -26,41 +26,43 @@
 
     from roselink.coordination.acceptor import Acceptor
 
-# Delay for each live voter of a lower rank, so that one proposes before the next does.
+# Delay for each live voter of a lower rank, so that voters propose one after the other.
 RANK_DELAY_S = 0.12
 
-# Another's proposal that is accepted and undecided for so long is taken over.
+# Another voter's proposal is taken over after it has been accepted and undecided for this time.
 UNDECIDED_TIMEOUT_S = 0.25
 
-# A round without a majority is given up after this time, times the growth for each round before it.
+# A round without a majority is abandoned after this time, multiplied by the growth factor for each
+# round begun, up to the maximum.
 ROUND_TIMEOUT_S = 0.4
 ROUND_TIMEOUT_GROWTH = 1.5
 MAX_ROUND_TIMEOUT_S = 1.6
 
-# Voters that have not replied are sent the request again.
+# Interval at which the request is sent again to voters that have not replied.
 REQUEST_RETRY_INTERVAL_S = 0.15
 
-# The random-like delay between rounds: the session's bits choose a fraction of the step, which
-# grows with the number of rounds up to the limit.
+# The pseudo-random backoff between rounds: the session's bits select a fraction of a delay that
+# grows by this step with each round, up to the maximum number of steps.
 BACKOFF_STEP_S = 0.1
 MAX_BACKOFF_STEPS = 4
 BACKOFF_VALUES = 97
 BACKOFF_SHIFTS = 8
 
-# In a view no older than this, a replica before one that is new to the chain may come back in time
-# to pass the state on (V3 in `views`).
+# A view is recent for this time. In a recent view a suspected replica may still return and forward
+# the state to a new one after it in the chain (V3 in `views`).
 NEW_VIEW_PERIOD_S = 1.0
 
-# Who may join a complete chain waits so long for others that are about to be able to.
+# A proposal that only adds members to a complete chain is delayed by up to this time if other
+# machines will soon be able to join, so that they are added together.
 JOIN_BATCH_WINDOW_S = 0.6
 
-# The added delay of a member outside the chain, while the chain's members report it complete.
+# Additional delay of a member that isn't in the chain, while its members report it complete.
 NON_MEMBER_DELAY_S = 1.0
 
 
 @dataclass(slots=True)
 class Proposer:
-    """The proposer's side of one voter."""
+    """The proposer role of one voter."""
 
     voter: Voter
     session: int
@@ -76,7 +78,7 @@
     _view_entered_at: float = float("-inf")
 
     def view_changed(self, now: float) -> None:
-        """A newer view is known: the round is over."""
+        """Abandon the round, because a newer view is known."""
         self._view_entered_at = now
         self._current_round = None
         self._ballot_round = 0
@@ -93,10 +95,10 @@
         *,
         outside_complete_chain: bool,
     ) -> None:
-        """Begin a round if one is due, or give up one that has taken too long.
+        """Begin a round if one is due, or abandon one that has timed out.
 
         Args:
-            acceptor: this member's acceptor, which knows the view.
+            acceptor: this member's acceptor, which has the current view.
             peers: the membership snapshot.
             now: seconds of the member's clock.
             outside_complete_chain: whether this member isn't in the chain, whose
@@ -130,7 +132,7 @@
         *,
         outside_complete_chain: bool,
     ) -> View | None:
-        """The view to propose now."""
+        """The view to propose now, or None."""
         planned = plan(
             view, peers, self.policy, is_recent=now - self._view_entered_at < NEW_VIEW_PERIOD_S
         )
@@ -156,19 +158,19 @@
         )
 
     def _rank(self, view: View, peers: Mapping[str, PeerStatus]) -> int:
-        """How many live voters come before this one: the chain from its head, then the rest."""
+        """The number of live voters ranked before this one: the chain, head first, then others."""
         chain = [replica.voter for replica in view.chain]
         ranked = [*chain, *(voter for voter in view.voters if voter not in chain)]
         before = ranked[: ranked.index(self.voter)] if self.voter in ranked else ranked
         return sum(_is_live(voter, peers) for voter in before)
 
     def _backoff_s(self, rounds: int) -> float:
-        """A delay that differs between proposers."""
+        """A delay that differs between proposers, so that they don't collide again."""
         fraction = ((self.session >> (rounds % BACKOFF_SHIFTS)) % BACKOFF_VALUES) / BACKOFF_VALUES
         return fraction * BACKOFF_STEP_S * min(rounds + 1, MAX_BACKOFF_STEPS)
 
     def propose(self, acceptor: Acceptor, view: View, preferred: View, now: float) -> None:
-        """Begin a round to have `preferred` follow the present view."""
+        """Begin a round that proposes `preferred` as the next view."""
         promised = acceptor.promised.round if acceptor.promised is not None else 0
         self._ballot_round = max(self._ballot_round, promised) + 1
         self._rounds_begun += 1
@@ -177,7 +179,7 @@
         self._send_requests(self._current_round, now)
 
     def _send_requests(self, current: ProposalRound, now: float) -> None:
-        """Send the phase's request to those who have not replied to it."""
+        """Send the phase's request to the voters that have not replied to it."""
         self._requested_at = now
         request: Prepare | Accept = Prepare(self.voter, current.view.epoch + 1, current.ballot)
         if current.value is not None:
@@ -195,7 +197,7 @@
             self._send_requests(self._current_round, now)
 
     def on_refusal(self, reply: Refusal, now: float) -> None:
-        """A voter has promised another ballot: back off, then begin a round with a higher one."""
+        """Handle a refusal: back off, then begin a round with a higher ballot."""
         if self._current_round is None or reply.epoch != self._current_round.view.epoch + 1:
             return
         self._ballot_round = max(self._ballot_round, reply.promised.round)
@@ -204,7 +206,7 @@
             self._next_round_at = now + ROUND_TIMEOUT_S / 2 + self._backoff_s(self._rounds_begun)
 
     def on_accepted(self, reply: Accepted) -> View | None:
-        """Count a voter's acceptance; the decided view once a majority has accepted."""
+        """Count a voter's acceptance; returns the decided view once a majority has accepted."""
         return None if self._current_round is None else self._current_round.on_accepted(reply)
 
 
@@ -214,7 +216,7 @@
 
 
 def _held_since(before: float | None, now: float, *, holds: bool) -> float | None:
-    """From when a condition has held."""
+    """The time since which a condition has held without interruption, or None."""
     if not holds:
         return None
     return now if before is None else before
--- a/roselink/coordination/reads.py
+++ b/roselink/coordination/reads.py
@@ -9,20 +9,20 @@
   Proof. What was acknowledged in an epoch up to e is in the tail's state (V1 in
   `roselink.coordination.views`; the tail itself acknowledges in e). Suppose that a write was
   acknowledged in an epoch after e before the read began. Then the view e+1 had been decided before:
-  a majority of the voters of e had its acceptance on their disks. Any majority of the same voters
-  has one of them in common (the quorum intersection of Paxos), and that one, requested afterwards,
-  does not deny it: a voter keeps its acceptance over a restart, and one that lost its disk has
-  another identity and no vote. The tail itself replies like any other voter.
+  a majority of the voters of e had saved its acceptance. Any other majority of the same voters has
+  one of them in common (the quorum intersection of Paxos), and that voter, asked afterwards, does
+  not deny it: a voter keeps its acceptance over a restart, and one that lost its disk has another
+  identity and no vote. The tail itself replies like any other voter.
 
 C2. Reads don't go backwards.
 
-  Proof. A read shows what is on every disk of the chain, the next head's too, which had it before
-  it left e; each later view begins with at least that.
+  Proof. A read returns what is on every disk of the chain, including the next head's, which had it
+  before it left e; each later view begins with at least that.
 
-In chain replication (van Renesse and Schneider, OSDI 2004) the tail alone serves reads, as a
+In chain replication (van Renesse and Schneider, OSDI 2004) the tail alone serves reads, because a
 configuration master stops every other tail. Here views are agreed as in Vertical Paxos (Lamport,
-Malkhi and Zhou, PODC 2009), and a tail may be cut off without noticing it: hence the round. No
-clock is read, and no clocks are compared.
+Malkhi and Zhou, PODC 2009), and a tail may be partitioned without detecting it, so each read needs
+a round. No clock is read, and no clocks are compared.
 """
 
 from __future__ import annotations
@@ -33,18 +33,18 @@
 from roselink.coordination.views import majority
 from roselink.protocol.chain import ConfirmReply, ConfirmRequest, View, Voter
 
-# A round without a majority for so long is begun again, with the reads that came meanwhile.
+# A round without a majority is restarted after this interval, together with the queued reads.
 ROUND_RETRY_INTERVAL_S = 0.15
 
 
 @dataclass(frozen=True, slots=True)
 class WaitingRead:
-    """A read that waits for a round.
+    """A read that waits for the confirmation of a round.
 
     Attributes:
-        requester: the peer address to reply to.
+        requester: the peer address to which the reply is sent.
         number: the requester's number of the read.
-        known_sequence: the sequence whose document the requester has already.
+        known_sequence: the sequence whose document the requester already has.
     """
 
     requester: str
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True)
 class ReadRounds:
-    """Rounds of one tail, one at a time; reads that are requested meanwhile share the next."""
+    """The tail's rounds, one at a time; reads requested during a round share the next one."""
 
     voter: Voter
     emit: Emit
@@ -66,13 +66,13 @@
     _started_at: float = 0.0
 
     def clear(self) -> None:
-        """Forget all reads: the view has changed."""
+        """Discard all reads, after a change of view."""
         self._in_flight = []
         self._queued = []
         self._view = None
 
     def request(self, read: WaitingRead, view: View, now: float, *, is_active: bool) -> None:
-        """Take a read; it needs a round that begins now or later, once the chain is active."""
+        """Queue a read for a round that begins now or later, once the chain is active."""
         if read in self._queued or read in self._in_flight:
             return
         self._queued.append(read)
@@ -80,7 +80,7 @@
             self.advance(view, now)
 
     def on_reply(self, reply: ConfirmReply) -> list[WaitingRead]:
-        """Count a voter's reply; the reads that are confirmed by it."""
+        """Count a voter's reply; returns the reads that it confirms."""
         view = self._view
         if (
             view is None
@@ -99,7 +99,7 @@
         return confirmed
 
     def advance(self, view: View, now: float) -> None:
-        """Begin the next round if reads wait, and retry one without a majority."""
+        """Begin the next round if reads are queued, and restart one that has timed out."""
         if self._in_flight and now - self._started_at >= ROUND_RETRY_INTERVAL_S:
             self._queued = self._in_flight + self._queued
             self._in_flight = []
--- a/roselink/coordination/reply_gate.py
+++ b/roselink/coordination/reply_gate.py
@@ -1,4 +1,4 @@
-"""An acceptor's replies and its disk: no reply leaves before the disk has its state.
+"""Delays an acceptor's replies until the state on which they depend is durable.
 
 No I/O, no clock.
 """
@@ -28,27 +28,27 @@
     _durable_version: int = 0
 
     def restored(self) -> None:
-        """The acceptor state is as it was on the disk."""
+        """Record that the acceptor state was restored from the disk, and is durable."""
         self._durable_version = 1
         self.acceptor.version = self._durable_version
 
     def reply(self, to: str, reply: Promise | Accepted | Refusal | None) -> None:
-        """Buffer an acceptor's reply, if there is one."""
+        """Buffer the acceptor's reply, if there is one."""
         if reply is not None:
             self._buffered.append((self.acceptor.version, Send(to, reply)))
 
     def request_save(self) -> None:
-        """Have the acceptor state saved again though nothing changed, to try the disk."""
+        """Have the acceptor state saved again although it has not changed."""
         self.acceptor.version += 1
 
     def save(self) -> None:
-        """Save the acceptor state if it changed and no save is in flight."""
+        """Save the acceptor state if it has changed and no save is in flight."""
         if self._saving_version is None and self._durable_version < self.acceptor.version:
             self._saving_version = self.acceptor.version
             self.emit(Persist(Store.ACCEPTOR, encode(self.acceptor.to_record())))
 
     def saved(self) -> None:
-        """The save that was in flight is durable.
+        """Handle the completion of the save in flight.
 
         Raises:
             DriverContractError: no save was in flight.
@@ -60,7 +60,7 @@
         self.release()
 
     def save_failed(self) -> None:
-        """The disk has refused the save that was in flight."""
+        """Handle the failure of the save in flight."""
         self._saving_version = None
 
     def release(self) -> None:
--- a/roselink/coordination/scrub.py
+++ b/roselink/coordination/scrub.py
@@ -1,13 +1,14 @@
 """The background scrub: a member reads its two records back from the disk. No I/O, no clock.
 
-What a member acknowledged is safe only while its disk still has it. A record that rots unseen is
-found when the process starts again, which after a loss of power may be too late: the same may have
-happened to the others. So each member has its disk read the newest generation of each record from
-time to time, and check it. A damaged one is written anew from memory, which is what the member goes
-by while it runs. A disk on which that happens twice is reported.
+Acknowledged writes are safe only while they stay intact on the disk. Without the scrub, silent
+corruption would be found when the process restarts, which after a power failure may be too late:
+the other members' records may be corrupt as well. So each member periodically reads and checks the
+newest generation of each record. A damaged record is rewritten from the copy in memory, which is
+authoritative while the process runs. A disk on which that happens twice is reported.
 
-The pace is slow, differs between members, and falls with the record's size. Nothing is read while a
-save is in flight or a view is being agreed on: both wait for the same disk.
+Reads are infrequent, happen at different times on different members, and the interval grows with
+the record's size. Nothing is read while a save is in flight or a view is being agreed on, because
+both need the same disk.
 """
 
 from __future__ import annotations
@@ -26,25 +27,26 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-# Between two reads of one member, times a factor drawn between the two bounds. Each of the two
-# records is so read about three times a minute, in bursts of one.
+# The interval between two reads of one member is this value times a factor, which lies between the
+# minimum and the minimum plus the range. So each of the two records is read about three times a
+# minute, one at a time.
 READ_INTERVAL_S = 10.0
 MIN_INTERVAL_FACTOR = 0.5
 INTERVAL_FACTOR_RANGE = 1.0
-# The least time for a record's bytes, so that a large state is read at a bounded rate.
+# Maximum average read rate, which lengthens the interval after the read of a large record.
 MAX_BYTES_PER_S = 100_000.0
-# A session's bits choose the factors.
+# The factors are taken from the session's bits: this many values, from this many bit positions.
 FACTOR_VALUES = 97
 FACTOR_SHIFTS = 40
 
 
 @dataclass(slots=True)
 class Scrubber:
-    """When the next record is read, and what was found so far.
+    """Schedules the reads of records, and counts their results.
 
     Attributes:
-        session: the member's process, whose bits spread the reads of different members.
-        emit: takes the effects.
+        session: identifies the member's process; its bits spread the reads of different members.
+        emit: called with each effect.
         checks: how many reads have ended with a result.
         damaged: how many records were found damaged.
         checked_at: when the last read ended; None before the first.
@@ -64,8 +66,8 @@
 
         Args:
             now: seconds of the member's clock.
-            sizes: how many bytes each record has, about.
-            is_idle: whether neither a save nor an agreement on a view is under way.
+            sizes: the approximate size of each record, in bytes.
+            is_idle: whether neither a save nor an agreement on a view is in progress.
         """
         if self._next_read_at is None:
             self._next_read_at = now + self._interval_s(0)
@@ -78,7 +80,7 @@
         self.emit(VerifyRecord(store))
 
     def on_verified(self, store: Store, outcome: VerificationOutcome, now: float) -> None:
-        """Take the result of the read that was emitted last."""
+        """Handle the result of the read that was emitted last."""
         self._read_in_flight = None
         if outcome is VerificationOutcome.UNREADABLE:
             return
--- a/roselink/coordination/sequencer.py
+++ b/roselink/coordination/sequencer.py
@@ -1,15 +1,15 @@
 """Submitted changes at the head. No I/O, no clock.
 
-The head validates a change on top of everything that it has appended, and replies once the state by
-which it validated is committed. A view change drops what has had no reply; the member that
-submitted the change sends it again.
+The head validates a change against everything that it has appended, and replies once the state
+against which it validated is committed. A view change discards requests without a reply; the member
+that submitted the change sends it again.
 
-H1. A refused change never comes into force.
+H1. A refused change is never committed.
 
-  Proof. A refusal leaves only when it rests on a committed state. Every later head's state follows
-  that one (V1 in `roselink.coordination.views`), and in every state that follows the change is
-  refused as well (S1 in `roselink.coordination.state`): generations only rise, and a change whose
-  base is still to come is recorded in the state itself as refused.
+  Proof. A refusal is sent only when it depends on a committed state. Every later head's state
+  follows that one (V1 in `roselink.coordination.views`), and the change is refused in every state
+  that follows as well (S1 in `roselink.coordination.state`): generations only increase, and a
+  change whose base is a future generation is recorded in the state itself as refused.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _WaitingReply:
-    """A reply that waits until `sequence` is committed."""
+    """A reply that is sent once `sequence` is committed."""
 
     sequence: int
     requester: str
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class ChangeSequencer:
-    """The head's side of submitted changes: it gives each accepted one its sequence."""
+    """The head's handling of submitted changes; assigns a sequence to each accepted one."""
 
     chain: ChainMember
     emit: Emit
@@ -53,12 +53,12 @@
     _waiting_replies: list[_WaitingReply] = field(default_factory=list)
 
     def clear(self) -> None:
-        """Forget all: the view has changed."""
+        """Discard all requests and replies, after a change of view."""
         self._queued_requests = []
         self._waiting_replies = []
 
     def submit(self, request: SubmitRequest) -> None:
-        """Validate a change now, or once the chain is active."""
+        """Validate a change now, or queue it until the chain is active."""
         if not self.chain.active:
             if all(
                 (waiting.sender, waiting.number) != (request.sender, request.number)
@@ -69,7 +69,7 @@
         self._sequence(request)
 
     def on_committed(self) -> None:
-        """Something was committed, or the chain has become active."""
+        """Handle a commit, or the chain's becoming active."""
         if not self.chain.active:
             return
         queued_requests = self._queued_requests
@@ -85,7 +85,7 @@
             self.emit(Send(waiting.requester, waiting.reply))
 
     def _sequence(self, request: SubmitRequest) -> None:
-        """Validate and append a change, and reply once what the reply rests on is committed."""
+        """Validate and append a change, and reply once the state it depends on is committed."""
         validation = validate(self.chain.applied, request.change)
         sequence = self.chain.applied.sequence
         if validation.kind is ValidationKind.COMMITTED:
--- a/roselink/coordination/state.py
+++ b/roselink/coordination/state.py
@@ -1,15 +1,15 @@
-"""The replicated configuration state and the rules by which a change alters it.
+"""The replicated configuration state, and the rules by which changes are applied to it.
 
 Pure functions of values. The history holds the newest changes as packed entries of digest,
-generation and sequence. An entry of generation 0 is a change that was refused although a later
+generation and sequence. An entry with generation 0 is a change that was refused although a later
 state might have accepted it; it stays refused.
 
 S1. A change that was refused is refused in every state that follows.
 
   Proof. Every write keeps or raises the generation. A change whose generation isn't above the
-  current one, or whose base is below it, is so in every later state too. One whose base is still to
-  come could be accepted later; its refusal is written into the state first, as an entry by which
-  `validate` finds it again.
+  current one, or whose base is below it, is refused for the same reason in every later state. One
+  whose base is a future generation could be accepted later; its refusal is first written into the
+  state, as a history entry that `validate` finds.
 
 >>> first = ConfigurationChange(0, 5, b"{}", digest_of(0, b"{}"))
 >>> validate(EMPTY, first)
@@ -30,11 +30,11 @@
 
 from roselink.protocol.chain import ConfigurationChange, ConfigurationState
 
-# How many changes' digests are kept: a change that is sent again is recognized within so many
-# others.
+# Maximum number of history entries. A change that is sent again is recognized until this many
+# others have been recorded after it.
 HISTORY_LIMIT = 10_000
 
-# A SHA-256 digest.
+# Size of a SHA-256 digest.
 DIGEST_BYTES = 32
 
 EMPTY = ConfigurationState(0, 0, b"", b"")
@@ -43,15 +43,15 @@
 
 
 class ValidationKind(Enum):
-    """What the head does with a change."""
+    """The head's decision on a change."""
 
     APPEND = 1
     COMMITTED = 2
     STALE_GENERATION = 3
     CONFLICT = 4
-    # A later state might accept it: the refusal is recorded first.
+    # A later state might accept the change, so the refusal is recorded first.
     REFUSE_PERMANENTLY = 5
-    # It may be accepted now, but came without its document, which has to be made and sent.
+    # The change would be accepted, but came without its document, which must be built and sent.
     DOCUMENT_MISSING = 6
 
 
@@ -72,10 +72,10 @@
 
 
 def validate(state: ConfigurationState, change: ConfigurationChange) -> Validation:
-    """What becomes of a change on top of `state`.
+    """Decide on a change that is submitted in `state`.
 
-    Each refusal stays true in every state that follows (S1). A change without a document only
-    requests its outcome, or its refusal: it is never appended.
+    Each refusal is also valid in every state that follows (S1). A change without a document only
+    asks for its earlier outcome or for its refusal: it is never appended.
     """
     entry = find_in_history(state, change.digest)
     if entry is not None:
@@ -95,7 +95,7 @@
 
 
 def find_in_history(state: ConfigurationState, digest: bytes) -> tuple[int, int] | None:
-    """The (generation, sequence) under which the history has a digest."""
+    """The (generation, sequence) of the history entry with a digest, or None."""
     key = _padded_digest(digest)
     offset = state.history.find(key)
     while offset >= 0:
@@ -107,14 +107,14 @@
 
 
 def history_length(state: ConfigurationState) -> int:
-    """How many changes the history has."""
+    """The number of changes in the history."""
     return len(state.history) // _ENTRY.size
 
 
 def apply_change(
     state: ConfigurationState, change: ConfigurationChange, *, refused: bool
 ) -> ConfigurationState:
-    """The state after the change, or after the record that it is refused."""
+    """The state after the change, or after its recorded refusal."""
     sequence = state.sequence + 1
     generation = 0 if refused else change.generation
     entry = _ENTRY.pack(_padded_digest(change.digest), generation, sequence)
--- a/roselink/coordination/views.py
+++ b/roselink/coordination/views.py
@@ -1,14 +1,14 @@
-"""Membership views: what a member knows of its peers, and which view it would propose next.
+"""Membership views: the status of a member's peers, and the view that it would propose next.
 
-No I/O, no clock. A view lists the voters who decide its successor, and the chain.
+No I/O, no clock. A view lists the voters that decide its successor, and the chain.
 `ChainReplica.since` of a chain member is the epoch from which it has been in every chain. A member
 whose disk has a state written in epoch `since` or later is *intact*.
 
 The chain is that of chain replication (van Renesse and Schneider, OSDI 2004): a write is
 acknowledged once it is on every disk of the chain. As in Vertical Paxos (Lamport, Malkhi and Zhou,
-PODC 2009) the configuration of each epoch is agreed on apart from the writes, and a new epoch
-begins with the state of a member of the epoch before. Other than there, no separate master decides
-on views: the voters of the view before do, by one instance of Paxos an epoch (`acceptor`,
+PODC 2009) the configuration of each epoch is agreed on separately from the writes, and a new epoch
+begins with the state of a member of the previous epoch. Unlike there, no separate master decides on
+views: the voters of the previous view do, by one instance of Paxos per epoch (`acceptor`,
 `proposal_round`).
 
 V1. The state of an intact member of the chain of epoch e, once it has stopped participating in e,
@@ -18,50 +18,52 @@
   <= e.
 
   1. B participated in s, so its state of s began as that of the head of s, which was intact in the
-     view before (V2), and has all from before s.
-  2. A write is acknowledged in s only when every member of the chain has it on its disk, B too, and
-     B had to participate in s for that, so it had it when it left.
+     previous view (V2), and has all writes from before s.
+  2. A write is acknowledged in s only when every member of the chain, including B, has it on its
+     disk. B had to participate in s for that, so it had the write when it left s.
   3. For each epoch k between s and e, B is in the chain of k. If B isn't its head, no write is
-     acknowledged in k before B has put the state of k on its disk, and then the state on its disk
-     were of k and not of s. If B is its head, B's own state is that with which k begins, and it has
-     what it appends. B never participates in k after it has left k. So nothing is acknowledged in
-     k, ever, that B lacks.
-
-V2. The head of a proposed view is intact in the view before. It pushes its state down the chain,
-    and nothing is acknowledged before the tail has it on its disk. This also holds when a view
-    never becomes active: its members that were in the chain before stay intact until they take over
-    the new state. Whoever is not intact can only be synced.
-
-V3. No chain is proposed that has fewer than `tolerated + 1` intact members while the state can
-    still reach one of its members that takes it over. For the first second of a view it is also not
-    proposed while such a member's way to the state is broken.
-
-  Why: a member that is new to the chain is not intact before it has taken over the state. Were
-  another suspected falsely just then, a shorter chain would rest on fewer intact members than may
-  be lost, and the loss of those would leave a chain that nobody can head. The state comes down the
-  chain within some hundredths of a second, whether the suspected member lives or not, unless it is
-  one that passes it on. The wait ends as soon as the member has the state, or is ineligible itself:
-  its disk refuses or is late, or it is out of reach.
-
-V4. A chain has `tolerated + 1` members at least (save that a majority of the voters are fewer),
-    also when a majority of the voters could decide a shorter one.
-
-  Why: what is acknowledged is on every disk of the chain, so it outlives the loss of any
-  `tolerated` disks. A machine that is away counts as lost until `sync_s` after its return, and
-  within that time it is back in the chain; so the disks that a shorter chain lacks are already
+     acknowledged in k before B has saved the state of k, and then the state on its disk would be of
+     k and not of s. If B is its head, k begins with B's own state, and B has what it appends. B
+     never participates in k after it has left k. So no write is ever acknowledged in k that B
+     lacks.
+
+V2. The head of a proposed view is intact in the previous view. It sends its state down the chain,
+    and nothing is acknowledged before that state is on the tail's disk. This also holds if a view
+    never becomes active: its members that were in the chain before stay intact until they have
+    received the new state. A member that is not intact can only be synced.
+
+V3. No chain with fewer than `tolerated + 1` intact members is proposed while the state can still
+    reach one of its members that is being synced. In the first second of a view, it is also not
+    proposed while the path of the state to such a member is broken.
+
+  Reason: a member that is new to the chain is not intact before it has received the state. If
+  another member were falsely suspected at that time, a shorter chain would depend on fewer intact
+  members than may be lost, and their loss would leave a chain without an eligible head. The state
+  is sent down the chain within some hundredths of a second, whether the suspected member is alive
+  or not, unless that member has to forward it. The wait ends as soon as the member has the state,
+  or is ineligible itself: its disk fails or is slow, or it is unreachable.
+
+V4. A chain has at least `tolerated + 1` members (or a majority of the voters, if that is fewer),
+    even if a majority of the voters could decide a shorter one.
+
+  Reason: what is acknowledged is on every disk of the chain, so it survives the loss of any
+  `tolerated` disks. A machine that is absent counts as lost until `sync_s` after its return, and
+  within that time it is back in the chain, so the disks that a shorter chain lacks are already
   counted.
 
-V5. A chain that nobody can head takes more than `tolerated` machines of which each has lost its
-    disk, or was dropped from the chain, since the last view with `tolerated + 1` intact members.
+V5. A chain without an eligible head requires that more than `tolerated` machines have each lost
+    their disk, or were removed from the chain, since the last view with `tolerated + 1` intact
+    members.
 
-  Proof. Take that last view. Each of its intact members either stayed in every chain since, and so
-  stayed intact: nobody can head the chain, so its disk is lost. Or a later proposal dropped it.
-  They are `tolerated + 1` at least. A proposal drops a member only if it is suspected, leaves, or
-  has a disk that refuses or is late, all of which count as lost under the rules save a suspicion by
-  mistake. V3 keeps proposals from dropping one while another's take-over would end such a stretch.
+  Proof. Take that last view. Each of its intact members either remained in every chain since, and
+  so stayed intact: as no member can head the chain, its disk is lost. Or a later proposal removed
+  it. There are at least `tolerated + 1` of them. A proposal removes a member only if it is
+  suspected, is leaving, or has a disk that fails or is slow. All of these count as lost under the
+  rules, except a false suspicion. V3 keeps proposals from removing a member while the sync of
+  another is about to restore `tolerated + 1` intact members.
 
-  What is left when it happens: `roselink disk recover` (docs/operations.md), by a person who knows
-  which machines will not come back.
+  The remedy is `roselink disk recover` (docs/operations.md), run by an operator who knows which
+  machines will not return.
 """
 
 from __future__ import annotations
@@ -75,26 +77,26 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
-# A joiner beyond so many voters is let in only in place of one that is gone.
+# Maximum number of voters. At the maximum, a joiner is only added in place of an absent voter.
 MAX_VOTERS = 9
 
 
 @dataclass(frozen=True, slots=True)
 class PeerStatus:
-    """What is known of one core machine at the moment of a plan.
+    """The status of one core machine at the time of a plan.
 
     Attributes:
         voter: its identity.
-        session: its process.
+        session: identifies its process.
         epoch: the epoch of the newest view that it knows.
         state_epoch: the epoch of the state on its disk.
         participating: whether it participates in the chain of `epoch`.
-        disk_ok: whether its disk takes saves in time.
+        disk_ok: whether its disk completes saves in time.
         leaving: whether its process is about to end.
         live: whether it and the planner receive each other's heartbeats.
         stable: whether it has been live and eligible for long enough to join.
         since_heartbeat_s: the time since its last heartbeat; 0 while a live machine receives any.
-        reachable: the addresses from which it reports to receive heartbeats.
+        reachable: the addresses from which it reports that it receives heartbeats.
     """
 
     voter: Voter
@@ -117,7 +119,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewPolicy:
-    """The figures that plans go by.
+    """The parameters of plans.
 
     Attributes:
         tolerated: how many machines may be lost at once.
@@ -131,13 +133,13 @@
 
 
 def first_view(seeds: Iterable[str]) -> View:
-    """The view with which a new system starts: the seeds, in order."""
+    """The first view of a new system: the seeds, in the given order."""
     voters = tuple(Voter(address, 0) for address in dict.fromkeys(seeds))
     return View(1, voters, tuple(ChainReplica(voter, 1, 0) for voter in voters))
 
 
 def majority(view: View) -> int:
-    """How many of the view's voters are a majority."""
+    """The size of a majority of the view's voters."""
     return len(view.voters) // 2 + 1
 
 
@@ -157,12 +159,12 @@
 def plan(
     view: View, peers: Mapping[str, PeerStatus], policy: ViewPolicy, *, is_recent: bool = False
 ) -> View | None:
-    """The view that should follow, or None while the present one is the best that can be had.
+    """The view that should be proposed next, or None if none is better than the current one.
 
     Args:
-        view: the present view.
-        peers: every known machine by address, the planner too.
-        policy: the figures to go by.
+        view: the current view.
+        peers: the status of every known machine by address, including this one.
+        policy: the parameters of the plan.
         is_recent: whether the view is in its first second (V3).
     """
     if _needs_no_plan(view, peers):
@@ -181,7 +183,7 @@
 def chain_is_reconnected(view: View, peers: Mapping[str, PeerStatus]) -> bool:
     """Whether all machines of the view's chain are eligible and reach each other.
 
-    Their processes may be other ones than those that the view names.
+    They may run other processes than those that the view names.
     """
     statuses = [peers.get(replica.voter.address) for replica in view.chain]
     group = tuple(peer for peer in statuses if peer is not None and peer.eligible)
@@ -189,7 +191,7 @@
 
 
 def chain_is_complete(view: View, peers: Mapping[str, PeerStatus]) -> bool:
-    """Whether every process in the view's chain participates, as far as is known."""
+    """Whether every process in the view's chain participates, as far as this member knows."""
     return all(
         _participates(view, replica, peers.get(replica.voter.address)) for replica in view.chain
     )
@@ -198,7 +200,7 @@
 def should_await_joiners(view: View, proposal: View, peers: Mapping[str, PeerStatus]) -> bool:
     """Whether a proposal should wait for further joiners.
 
-    It should if it only lets machines join a complete chain, while others are about to be able to.
+    It should if it only adds machines to a complete chain, and others will soon be able to join.
     """
     members = {replica.voter for replica in proposal.chain}
     present = {replica.voter for replica in view.chain}
@@ -210,7 +212,7 @@
 
 
 def _needs_no_plan(view: View, peers: Mapping[str, PeerStatus]) -> bool:
-    """Whether every known machine is in the chain and eligible: the ordinary case, found fast."""
+    """Whether every known machine is in the chain and eligible: a fast check of the usual case."""
     if not len(peers) == len(view.chain) == len(view.voters):
         return False
     return (
@@ -229,7 +231,7 @@
 def _plan_voters(
     view: View, peers: Mapping[str, PeerStatus], policy: ViewPolicy
 ) -> tuple[Voter, ...]:
-    """The voters of the next view: each joiner replaces one that is gone, or is added."""
+    """The voters of the next view: each joiner replaces an absent voter, or is added."""
     voters = list(view.voters)
     joiners = [
         peer.voter
@@ -259,7 +261,7 @@
 def _longest_absent(
     voters: list[Voter], peers: Mapping[str, PeerStatus], timeout_s: float
 ) -> int | None:
-    """The index of the voter longest without a heartbeat, and for `timeout_s` at least."""
+    """The index of the voter longest without a heartbeat; None if below `timeout_s`."""
     absences = [
         (peers[voter.address].since_heartbeat_s if voter.address in peers else float("inf"), index)
         for index, voter in enumerate(voters)
@@ -273,7 +275,7 @@
 ) -> tuple[ChainReplica, ...] | None:
     """The longest chain of eligible machines that all reach each other, one of them intact (V4).
 
-    Of several the one that keeps most of the present replicas, then those nearest to its head.
+    Of several, the one that keeps the most current replicas, then those nearest to the head.
     """
     candidates = [peer for peer in peers.values() if peer.eligible and peer.voter in voters]
     candidates = [
@@ -306,7 +308,7 @@
     *,
     is_recent: bool,
 ) -> bool:
-    """Whether a chain should wait for a member that still takes over the state (V3)."""
+    """Whether to wait until a member of a proposed chain has received the state (V3)."""
     members = [peers[replica.voter.address] for replica in chain]
     if sum(is_intact(view, peer) for peer in members) > policy.tolerated:
         return False
@@ -320,7 +322,7 @@
 
 
 def _state_can_reach(view: View, lagging: PeerStatus, members: list[PeerStatus]) -> bool:
-    """Whether every replica before it in the view's chain is a member that passes the state on."""
+    """Whether every replica before the lagging one in the view's chain can forward the state."""
     eligible = {peer.voter: peer for peer in members}
     for replica in view.chain:
         if replica.voter == lagging.voter:
@@ -340,8 +342,8 @@
 def _order_chain(view: View, group: tuple[PeerStatus, ...]) -> tuple[ChainReplica, ...]:
     """The group as a chain, head first.
 
-    Those who were in the chain keep their order, behind an intact head. Whoever is new goes before
-    the tail if that isn't the head: the tail, which serves reads, stays the same one.
+    Current members keep their order, after an intact head. New ones are inserted before the tail
+    unless that is the head, so that the tail, which serves reads, stays the same.
     """
     retained = [peer for peer in group if replica_of(view, peer.voter) is not None]
     joining = [peer for peer in group if replica_of(view, peer.voter) is None]
