--- a/roselink/coordination/member.py
+++ b/roselink/coordination/member.py
@@ -382,7 +382,7 @@
             self.on_committed(now)
 
     def on_committed(self, now: float) -> None:
-        """Handle a commit, or the chain's becoming active."""
+        """Handle a commit, or the activation of the chain."""
         self.sequencer.on_committed()
         if self.view is not None and self.chain.is_tail:
             self.reads.advance(self.view, now)
--- a/roselink/coordination/proposer.py
+++ b/roselink/coordination/proposer.py
@@ -136,8 +136,8 @@
         planned = plan(
             view, peers, self.policy, is_recent=now - self._view_entered_at < NEW_VIEW_PERIOD_S
         )
-        self._planned_since = _held_since(self._planned_since, now, holds=planned is not None)
-        self._undecided_since = _held_since(
+        self._planned_since = _true_since(self._planned_since, now, holds=planned is not None)
+        self._undecided_since = _true_since(
             self._undecided_since, now, holds=acceptor.accepted is not None
         )
         delay_s = self._rank(view, peers) * RANK_DELAY_S
@@ -215,7 +215,7 @@
     return peer is not None and peer.live and peer.voter == voter and peer.disk_ok
 
 
-def _held_since(before: float | None, now: float, *, holds: bool) -> float | None:
+def _true_since(before: float | None, now: float, *, holds: bool) -> float | None:
     """The time since which a condition has held without interruption, or None."""
     if not holds:
         return None
--- a/roselink/coordination/sequencer.py
+++ b/roselink/coordination/sequencer.py
@@ -69,7 +69,7 @@
         self._sequence(request)
 
     def on_committed(self) -> None:
-        """Handle a commit, or the chain's becoming active."""
+        """Handle a commit, or the activation of the chain."""
         if not self.chain.active:
             return
         queued_requests = self._queued_requests
--- a/roselink/coordination/views.py
+++ b/roselink/coordination/views.py
@@ -296,7 +296,7 @@
             if best is None or rank > best[0]:
                 best = rank, group
         if best is not None:
-            return _order_chain(view, best[1])
+            return _arrange_chain(view, best[1])
     return None
 
 
@@ -339,7 +339,7 @@
     )
 
 
-def _order_chain(view: View, group: tuple[PeerStatus, ...]) -> tuple[ChainReplica, ...]:
+def _arrange_chain(view: View, group: tuple[PeerStatus, ...]) -> tuple[ChainReplica, ...]:
     """The group as a chain, head first.
 
     Current members keep their order, after an intact head. New ones are inserted before the tail
