--- a/tests/mutations/coordination.py
+++ b/tests/mutations/coordination.py
@@ -1,4 +1,4 @@
-"""Guards of `roselink/coordination`, with the edit that removes each and the tests that miss it."""
+"""Guards of `roselink/coordination`, the edit that removes each, and the tests that detect it."""
 
 from __future__ import annotations
 
@@ -14,53 +14,65 @@
     *mutations_of(
         "coordination/views.py",
         COORDINATION,
-        ("whoever is in the chain may lead", "peer.state_epoch >= replica.since", "True"),
         (
-            "a chain of any length",
+            "a member that is not intact heads the chain",
+            "peer.state_epoch >= replica.since",
+            "True",
+        ),
+        (
+            "a chain below the minimum length is planned",
             "range(len(candidates), min_length - 1, -1)",
             "range(len(candidates), 0, -1)",
         ),
-        ("a chain of machines that are cut off", " or not _all_reach_each_other(group):", ":"),
         (
-            "whoever joins counts as intact",
+            "a chain of machines that can't reach each other is planned",
+            " or not _all_reach_each_other(group):",
+            ":",
+        ),
+        (
+            "a joiner counts as intact",
             "since = view.epoch + 1 if replica is None",
             "since = 1 if replica is None",
         ),
-        ("a leaving machine stays", "self.disk_ok and not self.leaving", "self.disk_ok"),
-        ("a bad disk stays", "self.live and self.disk_ok and", "self.live and"),
+        ("a leaving machine is eligible", "self.disk_ok and not self.leaving", "self.disk_ok"),
         (
-            "a chain with few intact members does not wait",
+            "a machine with an unhealthy disk is eligible",
+            "self.live and self.disk_ok and",
+            "self.live and",
+        ),
+        (
+            "a chain with too few intact members does not wait",
             "chain is None or "
             "_awaits_state_transfer(view, chain, peers, policy, is_recent=is_recent)",
             "chain is None",
         ),
         (
-            "the wait for the state ends with time",
+            "the wait for the state ends with the first second",
             "and (is_recent or _state_can_reach(view, peer, members))",
             "and is_recent",
         ),
         (
-            "a broken way is not waited for in the first second",
+            "an unreachable member is not awaited in the first second",
             "and (is_recent or _state_can_reach(view, peer, members))",
             "and _state_can_reach(view, peer, members)",
         ),
         (
-            "the wait does not end where the way is broken",
+            "the wait does not end if the state can't reach the member",
             "and (is_recent or _state_can_reach(view, peer, members))\n",
             "\n",
         ),
         (
-            "any voter gives its place up",
+            "any voter is replaced by a joiner",
             "return index if longest_s >= timeout_s else None",
             "return index",
         ),
         (
-            "voters go below what is tolerated",
+            "voters are removed below the tolerated minimum",
             "len(voters) > 2 * policy.tolerated + 1",
             "len(voters) > 1",
         ),
         (
-            "a joiner need not be stable",
+            "an unstable joiner is added",
             "if peer.eligible and peer.stable and",
             "if peer.eligible and",
         ),
@@ -84,8 +96,8 @@
             "            return None\n        if False:\n"
             "            return Refusal(self.voter, epoch,",
         ),
-        ("votes on any epoch", " and epoch == self.view.epoch + 1", ""),
-        ("whoever is no voter votes", "self.voter in self.view.voters", "True"),
+        ("a vote on any epoch is accepted", " and epoch == self.view.epoch + 1", ""),
+        ("a non-voter votes", "self.voter in self.view.voters", "True"),
         (
             "an accepted view is not reported to a read round",
             "self.is_voter and self.accepted is None",
@@ -97,7 +109,7 @@
             "self.view.epoch >= 0\n",
         ),
         (
-            "an older view is followed",
+            "an older view is entered",
             "view.epoch <= self.view.epoch",
             "view.epoch == self.view.epoch",
         ),
@@ -105,26 +117,30 @@
     *mutations_of(
         "coordination/proposal_round.py",
         COORDINATION,
-        ("the lowest accepted value is kept", "return max(accepted,", "return min(accepted,"),
-        ("accepted values are forgotten", "        if not accepted:\n", "        if True:\n"),
         (
-            "one promise is enough",
+            "the value of the lowest accepted ballot is proposed",
+            "return max(accepted,",
+            "return min(accepted,",
+        ),
+        ("accepted values are ignored", "        if not accepted:\n", "        if True:\n"),
+        (
+            "one promise suffices",
             "if len(self._promises) < majority(self.view)",
             "if len(self._promises) < 1",
         ),
         (
-            "one acceptance is enough",
+            "one acceptance suffices",
             "len(self._accepted_by) >= majority(self.view)",
             "len(self._accepted_by) >= 1",
         ),
-        ("replies of other epochs count", " and reply.epoch == self.view.epoch + 1", ""),
+        ("replies of other epochs are counted", " and reply.epoch == self.view.epoch + 1", ""),
         (
             "a late promise chooses a second value",
             "if not self._concerns(reply) or self.value is not None:",
             "if not self._concerns(reply):",
         ),
         (
-            "replies of non-voters count",
+            "replies of non-voters are counted",
             "return is_current and reply.sender in self.view.voters",
             "return is_current",
         ),
@@ -133,7 +149,7 @@
         "coordination/reply_gate.py",
         COORDINATION,
         (
-            "votes leave before they are on disk",
+            "votes are sent before they are durable",
             "for version, send in self._buffered if version <= durable]",
             "for version, send in self._buffered]",
         ),
@@ -142,25 +158,29 @@
         "coordination/chain.py",
         COORDINATION,
         (
-            "writes out of order",
+            "writes out of sequence are appended",
             "message.sequence == self.applied.sequence + 1",
             "message.sequence > 0",
         ),
-        ("writes of anyone", "            and replica.voter == sender\n", ""),
-        ("records of another epoch", "            and epoch == self.view.epoch\n", ""),
+        ("messages of any sender are accepted", "            and replica.voter == sender\n", ""),
+        (
+            "messages of another epoch are accepted",
+            "            and epoch == self.view.epoch\n",
+            "",
+        ),
         (
-            "the epoch begins before it is on disk",
+            "the epoch begins before its initial state is durable",
             "not self.participating or not self._initial_state_is_durable()",
             "not self.participating",
         ),
         (
-            "writes go on before they are on disk",
+            "writes are forwarded before they are durable",
             "if self._forwarded < write.sequence <= self.durable.sequence:",
             "if self._forwarded < write.sequence:",
         ),
-        ("a restarted process takes part", "else replica.session == self.session", "else True"),
+        ("a restarted process participates", "else replica.session == self.session", "else True"),
         (
-            "a second sync starts anew",
+            "a repeated sync is applied again",
             "        if self.synced:\n            self._acknowledge()",
             "        if False:\n            self._acknowledge()",
         ),
@@ -170,7 +190,7 @@
             "",
         ),
         (
-            "writes before the sync",
+            "writes before the sync are appended",
             "message.epoch) or not self.synced:\n            return\n        if message.seq",
             "message.epoch):\n            return\n        if message.seq",
         ),
@@ -190,7 +210,7 @@
             "return self._successor is None",
         ),
         (
-            "an acknowledgement before the state is forwarded counts",
+            "an acknowledgement before the state is forwarded is accepted",
             "        if not self._epoch_started:\n            raise",
             "        if False:\n            raise",
         ),
@@ -204,25 +224,25 @@
         "coordination/reads.py",
         COORDINATION,
         (
-            "one reply confirms",
+            "one confirm reply suffices",
             "len(self._confirmed_by) < majority(view)",
             "len(self._confirmed_by) < 1",
         ),
-        ("a no confirms", "if not reply.is_newest or reply.sender", "if reply.sender"),
+        ("a negative reply confirms", "if not reply.is_newest or reply.sender", "if reply.sender"),
         ("replies to an older round confirm", "            or reply.round != self._round\n", ""),
-        ("whoever is no voter confirms", " or reply.sender not in view.voters", ""),
+        ("a non-voter confirms", " or reply.sender not in view.voters", ""),
         (
-            "a round of the former view holds up the reads of the next",
+            "a round of the previous view blocks the reads of the next",
             "        self._in_flight = []\n        self._queued = []\n        self._view = None\n",
             "        self._view = None\n",
         ),
         (
-            "a round of the former view confirms",
+            "a round of the previous view confirms",
             "        self._in_flight = []\n        self._queued = []\n        self._view = None\n",
             "",
         ),
         (
-            "a read joins a round under way",
+            "a read joins the round in flight",
             "self._queued.append(read)",
             "(self._in_flight or self._queued).append(read)",
         ),
@@ -236,22 +256,26 @@
             "if True:",
         ),
         (
-            "pending replies leave before their sequence is committed",
+            "pending replies are sent before their sequence is committed",
             "if waiting.sequence <= committed]",
             "if True]",
         ),
-        ("pending replies outlive the view", "        self._waiting_replies = []\n", ""),
+        (
+            "pending replies are kept after a change of view",
+            "        self._waiting_replies = []\n",
+            "",
+        ),
     ),
     *mutations_of(
         "coordination/pending_calls.py",
         COORDINATION,
         (
-            "a document of another version is shown",
+            "a document of another sequence is returned",
             "self._newest_read is None or self._newest_read.sequence != reply.sequence",
             "self._newest_read is None",
         ),
         (
-            "a late reply makes the newest document go back",
+            "a late reply replaces the newest document by an older one",
             "if self._newest_read is None or reply.sequence >= self._newest_read.sequence:",
             "if True:",
         ),
@@ -259,9 +283,9 @@
     *mutations_of(
         "coordination/state.py",
         COORDINATION,
-        ("a digest is found across entries", "if offset % _ENTRY.size == 0:", "if True:"),
+        ("a digest is found inside or across entries", "if offset % _ENTRY.size == 0:", "if True:"),
         (
-            "a change that is sent again is validated anew",
+            "a repeated change is validated again",
             "    if entry is not None:",
             "    if False:",
         ),
@@ -283,22 +307,22 @@
         "coordination/member.py",
         COORDINATION,
         (
-            "a wiped machine keeps its name",
+            "a wiped machine keeps its incarnation",
             "0 if self._is_bootstrapping else self._start.fresh_incarnation",
             "0",
         ),
         (
-            "a new member speaks before it is on disk",
+            "a new member replies before its identity is durable",
             "        if self._is_on_disk:\n            self._dispatcher.handle(message, now)",
             "        self._dispatcher.handle(message, now)",
         ),
         (
-            "a refused state is not saved again once the disk is healthy",
+            "a failed state save is not retried once the disk is healthy",
             "                self.chain.retry_save()\n            return\n",
             "                pass\n            return\n",
         ),
         (
-            "a disk with one of the two records is started from",
+            "a disk with only one of the two records is restored",
             "start.acceptor_state is None or start.state is None\n",
             "start.acceptor_state is None\n",
         ),
@@ -326,12 +350,12 @@
         "coordination/peer_table.py",
         COORDINATION,
         (
-            "a link that carries one way counts",
+            "a one-way link counts as reachable",
             "            and self.voter.address in known.heartbeat.reachable\n",
             "",
         ),
         (
-            "a sleeper suspects everyone",
+            "a suspended process suspects every peer",
             "known.last_heartbeat_at = min(now, known.last_heartbeat_at + pause_s)",
             "pass",
         ),
@@ -345,7 +369,7 @@
         "coordination/proposer.py",
         COORDINATION,
         (
-            "joiners come one by one",
+            "joiners are added one by one",
             "if planned_for_s < JOIN_BATCH_WINDOW_S and "
             "should_await_joiners(view, planned, peers):",
             "if False:",
@@ -355,7 +379,7 @@
         "coordination/scrub.py",
         ("tests/coordination/test_scrub.py",),
         (
-            "a record is read beside a save",
+            "a record is read during a save",
             "or now < self._next_read_at or not is_idle:",
             "or now < self._next_read_at:",
         ),
@@ -365,7 +389,7 @@
             "if now",
         ),
         (
-            "a large record is read as fast as a small one",
+            "a large record is read as often as a small one",
             "return max(READ_INTERVAL_S * factor, size / MAX_BYTES_PER_S)",
             "return READ_INTERVAL_S * factor",
         ),
@@ -374,12 +398,12 @@
         "coordination/member.py",
         ("tests/coordination/test_scrub.py",),
         (
-            "a damaged record stays as it is",
+            "a damaged record is not rewritten",
             "            self._rewrite_record(store)\n",
             "            pass\n",
         ),
         (
-            "a disk that cannot be read counts as healthy",
+            "an unreadable disk counts as healthy",
             "            self.disk.read_failed()\n",
             "            pass\n",
         ),
--- a/tests/mutations/protocol.py
+++ b/tests/mutations/protocol.py
@@ -1,15 +1,15 @@
-"""Guards of `roselink/protocol`, with the edit that removes each and the tests that miss it."""
+"""Guards of `roselink/protocol`, the edit that removes each, and the tests that detect it."""
 
 from __future__ import annotations
 
 from tests.mutations.mutation import Mutation, mutations_of
 
-PEERS = ("tests/protocol",)
+PROTOCOL = ("tests/protocol",)
 
 MUTATIONS: tuple[Mutation, ...] = (
     *mutations_of(
         "protocol/peer_pool.py",
-        PEERS,
+        PROTOCOL,
         (
             "a reply after its time-out is delivered",
             "            on_reply = connection.pending_calls.pop(call_number, None)\n",
@@ -18,7 +18,7 @@
     ),
     *mutations_of(
         "protocol/framing.py",
-        PEERS,
+        PROTOCOL,
         ("a corrupt frame is accepted", "if zlib.crc32(payload) != checksum:", "if False:"),
     ),
 )
