--- a/tests/compatibility/test_disks.py
+++ b/tests/compatibility/test_disks.py
@@ -1,4 +1,4 @@
-"""Disks that three controllers of eadcd3c left behind are read as that version read them."""
+"""Disks written by three controllers of version eadcd3c are read as that version read them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize("controller", EXPECTED)
-def test_a_disk_of_the_earlier_version_is_read(controller: str, tmp_path: Path) -> None:
+def test_disk_of_an_earlier_version_is_read(controller: str, tmp_path: Path) -> None:
     disk = tmp_path / "disk"
     shutil.copytree(RECORDED / "disks" / controller, disk)
     acceptor, state = Storage(str(disk)).load()
--- a/tests/compatibility/test_records.py
+++ b/tests/compatibility/test_records.py
@@ -1,8 +1,8 @@
-"""Records that eadcd3c encoded: their numbers, bytes and order of fields are the wire, and stay.
+"""Records encoded by version eadcd3c: numbers, bytes and field order are the wire format.
 
 `recorded/records.json` holds four samples of each record of that version: its number, the values of
-its fields in order, and its bytes. A process of that version and one of this understand each other
-only as long as every sample decodes to the same values and encodes to the same bytes.
+its fields in order, and its bytes. Processes of that version and of this one are compatible only
+while every sample decodes to the same values and encodes to the same bytes.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 RECORDED = Path(__file__).parent / "recorded" / "records.json"
 SAMPLES: list[dict[str, Any]] = json.loads(RECORDED.read_text(encoding="utf-8"))
 
-# A record is known once its module is imported. Modules without records stay out: some of the
-# controller's import the reactor.
+# A record is registered when its module is imported. Modules without records are not imported,
+# because some of the controller's import the reactor.
 for path in sorted(PACKAGE.rglob("*.py")):
     if re.search(r"^@record\(\d", path.read_text(encoding="utf-8"), re.MULTILINE):
         module = ".".join(path.relative_to(PACKAGE.parent).with_suffix("").parts)
@@ -36,7 +36,7 @@
     SAMPLES,
     ids=[f"{sample['number']}-{index % 4}" for index, sample in enumerate(SAMPLES)],
 )
-def test_a_recorded_message_is_read_and_written_as_it_was(sample: dict[str, Any]) -> None:
+def test_recorded_message_decodes_and_encodes_identically(sample: dict[str, Any]) -> None:
     message = records.decode(sample["number"], bytes.fromhex(sample["bytes"]))
     assert plain_values(message) == sample["values"]
     assert records.record_number_of(message) == sample["number"]
--- a/tests/compatibility/values.py
+++ b/tests/compatibility/values.py
@@ -1,4 +1,4 @@
-"""Field values of a message as plain JSON, in the order of its fields and without their names."""
+"""A message's field values as plain JSON, in the order of the fields, without names."""
 
 from __future__ import annotations
 
--- a/tests/coordination/test_acceptor.py
+++ b/tests/coordination/test_acceptor.py
@@ -1,4 +1,4 @@
-"""One acceptor's replies and the state that it keeps."""
+"""The acceptor's replies, and the state that it records."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
         (make_acceptor(view=None), Prepare(A, 1, LOW), None),
     ],
 )
-def test_phase_one(acceptor: Acceptor, message: Prepare, expected: object) -> None:
+def test_reply_to_prepare(acceptor: Acceptor, message: Prepare, expected: object) -> None:
     assert acceptor.prepare(message) == expected
 
 
@@ -65,7 +65,7 @@
         (make_acceptor(view=ONE), Accept(A, LOW, ONE), None),
     ],
 )
-def test_phase_two(acceptor: Acceptor, message: Accept, expected: object) -> None:
+def test_reply_to_accept(acceptor: Acceptor, message: Accept, expected: object) -> None:
     assert acceptor.accept(message) == expected
 
 
@@ -81,11 +81,13 @@
         (make_acceptor(voter=OUTSIDER), 1, False),
     ],
 )
-def test_newest(*, acceptor: Acceptor, epoch: int, expected: bool) -> None:
+def test_epoch_is_newest_without_acceptance_or_later_view(
+    *, acceptor: Acceptor, epoch: int, expected: bool
+) -> None:
     assert acceptor.is_newest(epoch) is expected
 
 
-def test_each_change_has_a_version_and_a_repeated_reply_has_none() -> None:
+def test_version_grows_with_each_change_and_not_with_repeated_requests() -> None:
     acceptor = make_acceptor()
     versions = [acceptor.version]
     for step in (Prepare(A, 2, LOW), Prepare(A, 2, LOW), Accept(A, LOW, ONE), Accept(A, LOW, ONE)):
@@ -94,7 +96,7 @@
     assert versions == [0, 1, 1, 2, 2]
 
 
-def test_a_new_view_clears_the_votes_and_an_old_one_is_ignored() -> None:
+def test_newer_view_clears_votes_and_older_view_is_ignored() -> None:
     acceptor = make_acceptor(promised=HIGH, accepted=LOW, proposal=ONE)
     assert acceptor.enter(ONE)
     assert acceptor.to_record() == AcceptorState(C, ONE, None, None, None)
--- a/tests/coordination/test_chain.py
+++ b/tests/coordination/test_chain.py
@@ -1,4 +1,4 @@
-"""One member's replica in a chain: what it forwards, acknowledges, accepts and drops."""
+"""One replica of a chain: the messages that it forwards, acknowledges, accepts and drops."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def sync(sender: Voter, epoch: int, state: ConfigurationState) -> Sync:
-    """The state with which an epoch of the same members begins."""
+    """The initial state of an epoch with the members of `VIEW`."""
     return Sync(sender, replace(VIEW, epoch=epoch), state)
 
 
@@ -40,7 +40,7 @@
 
 
 class Harness:
-    """One member in `VIEW`, and what it emitted."""
+    """One member in `VIEW`, and the effects that it has emitted."""
 
     def __init__(self, voter: Voter, session: int = 7, stored: StoredState | None = None) -> None:
         self.effects: list[Effect] = []
@@ -61,14 +61,14 @@
         ]
 
     def complete_save(self) -> list[tuple[str, object]]:
-        """Complete one save; what is sent by it."""
+        """Complete one save; returns the messages sent as a result."""
         self.take_effects()
         self.member.on_persisted(0.0)
         return self.sent()
 
 
 def middle() -> Harness:
-    """The middle member, synced and active."""
+    """The second member of the chain, synced and active."""
     harness = Harness(B)
     harness.member.on_sync(SYNC, 0.0)
     harness.complete_save()
@@ -77,11 +77,11 @@
     return harness
 
 
-def test_the_head_pushes_its_durable_state() -> None:
+def test_head_syncs_its_durable_state() -> None:
     assert Harness(A).sent() == [("b", sync(A, 3, STATE))]
 
 
-def test_the_head_saves_what_it_had_not_saved_before_it_pushes() -> None:
+def test_head_saves_unsaved_state_before_it_syncs() -> None:
     harness = Harness(A)
     harness.member.on_ack(Ack(B, 3, 1))
     harness.member.append(SECOND, refused=False)
@@ -93,7 +93,7 @@
     assert ("b", sync(A, 4, newest)) in harness.sent()
 
 
-def test_a_member_saves_before_it_forwards() -> None:
+def test_initial_state_is_saved_before_it_is_forwarded() -> None:
     harness = Harness(B)
     harness.member.on_sync(SYNC, 0.0)
     assert harness.take_effects() == [Persist(Store.STATE, encode(StoredState(3, STATE)))]
@@ -101,7 +101,7 @@
     assert not harness.member.active
 
 
-def test_a_state_that_is_on_the_disk_is_forwarded_at_once() -> None:
+def test_durable_initial_state_is_forwarded_at_once() -> None:
     harness = Harness(B)
     harness.member.durable = harness.member.applied = STATE
     harness.member.durable_epoch = harness.member.applied_epoch = 3
@@ -109,7 +109,7 @@
     assert harness.sent() == [("c", sync(B, 3, STATE))]
 
 
-def test_the_tail_commits_with_its_save() -> None:
+def test_tail_commits_when_its_save_completes() -> None:
     harness = Harness(C)
     harness.member.on_sync(sync(B, 3, STATE), 0.0)
     assert not harness.member.is_tail
@@ -118,7 +118,7 @@
     assert harness.member.committed == 1
 
 
-def test_a_write_goes_down_after_the_save_and_its_acknowledgement_up() -> None:
+def test_write_is_forwarded_after_its_save_and_its_ack_is_returned() -> None:
     harness = middle()
     harness.member.on_write(WRITE)
     assert harness.sent() == []
@@ -128,7 +128,7 @@
     assert not harness.member.on_ack(Ack(C, 3, 2))
 
 
-def test_writes_that_come_during_a_save_share_the_next() -> None:
+def test_writes_received_during_a_save_share_the_next_save() -> None:
     harness = middle()
     third = ConfigurationChange(2, 3, b"three", digest_of(2, b"three"))
     harness.member.on_write(WRITE)
@@ -137,7 +137,7 @@
     assert harness.complete_save() == [("c", Write(B, 3, 3, refused=False, change=third))]
 
 
-def test_a_repeated_write_is_acknowledged_again_and_a_gap_is_not_accepted() -> None:
+def test_repeated_write_is_acknowledged_again_and_sequence_gap_is_dropped() -> None:
     harness = middle()
     harness.member.on_write(Write(A, 3, 1, refused=False, change=FIRST))
     assert harness.sent() == [("a", Ack(B, 3, 1))]
@@ -160,7 +160,7 @@
         Ack(Voter("c", 9), 3, 9),
     ],
 )
-def test_what_another_epoch_or_machine_sends_is_dropped(message: Sync | Write | Ack) -> None:
+def test_messages_of_other_epochs_and_senders_are_dropped(message: Sync | Write | Ack) -> None:
     harness = middle()
     before = harness.member.applied, harness.member.committed
     deliver(harness, message)
@@ -178,7 +178,7 @@
 
 
 @pytest.mark.parametrize("voter", [A, B, C])
-def test_a_process_that_started_later_does_not_participate(voter: Voter) -> None:
+def test_process_of_another_session_does_not_participate(voter: Voter) -> None:
     harness = Harness(voter, session=8)
     assert not harness.member.participating
     for message in (SYNC, sync(B, 3, STATE), WRITE, Ack(B, 3, 1), Ack(C, 3, 1)):
@@ -188,23 +188,23 @@
     assert not harness.member.is_tail
 
 
-def test_a_member_that_was_not_synced_accepts_no_write() -> None:
+def test_unsynced_member_drops_writes() -> None:
     harness = Harness(B)
     harness.member.on_write(WRITE)
     assert harness.take_effects() == []
 
 
-def test_an_acknowledgement_before_the_state_has_been_forwarded_is_a_broken_invariant() -> None:
-    """K3 says that none can have been sent."""
+def test_ack_before_the_state_was_forwarded_raises_broken_invariant() -> None:
+    """No member can have sent such an `Ack` (K3 in `chain`)."""
     harness = Harness(B)
     for _ in range(2):
         with pytest.raises(BrokenInvariantError):
             harness.member.on_ack(Ack(C, 3, 1))
-        harness.member.on_sync(SYNC, 0.0)  # received, and not on the disk yet
+        harness.member.on_sync(SYNC, 0.0)  # received, but not durable yet
     assert not harness.member.active
 
 
-def test_a_head_forwards_after_one_save_what_it_had_not_saved_before() -> None:
+def test_new_epochs_head_retries_a_failed_save_and_then_syncs() -> None:
     harness = Harness(A)
     harness.member.on_ack(Ack(B, 3, 1))
     harness.member.append(SECOND, refused=False)
@@ -217,8 +217,8 @@
     assert harness.take_effects() == []
 
 
-def test_roles_in_an_active_chain_and_before() -> None:
-    """Reads that the head answered would show what is not committed."""
+def test_roles_before_and_after_activation() -> None:
+    """Reads served by another member than the tail could return uncommitted state."""
     head, tail = Harness(A), Harness(C)
     head.member.on_ack(Ack(B, 3, 1))
     tail.member.on_sync(sync(B, 3, STATE), 0.0)
@@ -232,12 +232,12 @@
 
 
 @pytest.mark.parametrize("voter", [A, B, C, Voter("d", 0)])
-def test_a_process_outside_the_chain_has_no_role(voter: Voter) -> None:
+def test_process_outside_the_chain_has_no_role(voter: Voter) -> None:
     member = Harness(voter, session=8).member
     assert (member.is_head, member.is_last, member.is_tail) == (False, False, False)
 
 
-def test_a_refused_save_is_retried_and_nothing_is_sent_before() -> None:
+def test_failed_save_is_retried_and_nothing_is_forwarded_before() -> None:
     harness = middle()
     harness.member.on_write(WRITE)
     harness.take_effects()
@@ -249,7 +249,7 @@
     assert harness.sent() == [("c", Write(B, 3, 2, refused=False, change=SECOND))]
 
 
-def test_a_save_of_the_older_epoch_forwards_nothing_in_the_newer() -> None:
+def test_save_of_an_older_epoch_forwards_nothing_in_the_newer_epoch() -> None:
     harness = middle()
     harness.member.on_write(WRITE)
     harness.take_effects()
@@ -259,7 +259,7 @@
     assert harness.complete_save() == [("c", sync(B, 4, STATE))]
 
 
-def test_what_has_no_acknowledgement_is_sent_again() -> None:
+def test_unacknowledged_messages_are_sent_again() -> None:
     head = Harness(A)
     head.take_effects()
     head.member.resend(0.1)
@@ -276,6 +276,6 @@
     assert head.sent() == []
 
 
-def test_only_the_head_of_an_active_view_appends() -> None:
+def test_append_before_activation_raises() -> None:
     with pytest.raises(AssertionError):
         Harness(A).member.append(SECOND, refused=False)
--- a/tests/coordination/test_docs.py
+++ b/tests/coordination/test_docs.py
@@ -1,5 +1,5 @@
-"""The example of docs/coordination.md prints what the page says; packages import no more than they
-may.
+"""The example in docs/coordination.md prints the documented output; packages import only allowed
+packages, and no module reads the wall clock.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 
 ROOT = Path(__file__).parent.parent.parent
 PAGE = ROOT / "docs" / "coordination.md"
-# `exceptions` is the one module of the base class, and imports nothing of roselink itself.
-ALLOWED = {
+# `exceptions` has the base class of all errors, and imports nothing from roselink.
+ALLOWED_IMPORTS = {
     "coordination": {"coordination", "protocol", "exceptions"},
     "model": {"model", "exceptions"},
     "protocol": {"protocol", "model", "exceptions"},
 }
 WALL_CLOCKS = {"time", "time_ns", "now", "utcnow", "today"}
-OF_LOGS = {"startup_log.py", "logging_setup.py"}
+LOGGING_MODULES = {"startup_log.py", "logging_setup.py"}
 
 
 def modules(package: str) -> list[Path]:
     return sorted((ROOT / "roselink" / package).glob("*.py"))
 
 
-def imported(path: Path) -> set[str]:
-    """The packages of roselink that a module imports."""
+def imported_packages(path: Path) -> set[str]:
+    """The roselink packages that a module imports."""
     found = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom) and node.module and node.module.startswith("roselink."):
@@ -37,7 +37,7 @@
     return found
 
 
-def test_the_example_prints_what_the_page_says() -> None:
+def test_documented_example_prints_the_documented_output() -> None:
     text = PAGE.read_text()
     example = re.findall(r"```python\n(.*?)```", text, re.DOTALL)
     assert len(example) == 1
@@ -49,20 +49,20 @@
     assert printed.getvalue().strip() == expected.group(1)
 
 
-@pytest.mark.parametrize("package", ALLOWED)
-def test_packages_import_no_more_than_they_may(package: str) -> None:
+@pytest.mark.parametrize("package", ALLOWED_IMPORTS)
+def test_packages_import_only_allowed_packages(package: str) -> None:
     for path in modules(package):
-        assert imported(path) <= ALLOWED[package], path.name
+        assert imported_packages(path) <= ALLOWED_IMPORTS[package], path.name
 
 
-def test_the_base_exception_imports_nothing_of_roselink() -> None:
-    assert imported(ROOT / "roselink" / "exceptions.py") == set()
+def test_base_exception_imports_nothing_from_roselink() -> None:
+    assert imported_packages(ROOT / "roselink" / "exceptions.py") == set()
 
 
-def test_no_program_imports_the_simulation() -> None:
+def test_only_the_cli_imports_the_simulation() -> None:
     for path in (ROOT / "roselink").rglob("*.py"):
         if path.parent.name != "simulation" and path.name != "cli.py":
-            assert "simulation" not in imported(path), path
+            assert "simulation" not in imported_packages(path), path
 
 
 @pytest.mark.parametrize(
@@ -78,13 +78,17 @@
         "router",
     ],
 )
-def test_nothing_reads_the_time_of_day(package: str) -> None:
-    """A step of a machine's clock can change nothing but the stamps of its log."""
+def test_no_module_reads_the_wall_clock(package: str) -> None:
+    """A jump of a machine's clock may only affect log timestamps."""
     for path in modules(package):
-        if path.name in OF_LOGS:
+        if path.name in LOGGING_MODULES:
             continue
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.Call) and isinstance(node.func, ast.Attribute):
                 owner = ast.unparse(node.func.value)
-                wall = node.func.attr in WALL_CLOCKS and owner in {"time", "datetime", "date"}
-                assert not wall, f"{path.name}:{node.lineno}"
+                reads_wall_clock = node.func.attr in WALL_CLOCKS and owner in {
+                    "time",
+                    "datetime",
+                    "date",
+                }
+                assert not reads_wall_clock, f"{path.name}:{node.lineno}"
--- a/tests/coordination/test_member.py
+++ b/tests/coordination/test_member.py
@@ -1,6 +1,4 @@
-"""A whole member on its own: identities, what waits for the disk, liveness, and its disk's
-health.
-"""
+"""A single member: identity, messages that wait for a save, liveness of peers, disk health."""
 
 from __future__ import annotations
 
@@ -49,8 +47,8 @@
 SEEDS = ("a:1", "b:1", "c:1")
 VIEW = first_view(SEEDS)
 A, B, C = VIEW.voters
-ORDER = ConfigurationChange(0, 1, b"one", digest_of(0, b"one"))
-STATE = StoredState(1, apply_change(EMPTY, ORDER, refused=False))
+CHANGE = ConfigurationChange(0, 1, b"one", digest_of(0, b"one"))
+STATE = StoredState(1, apply_change(EMPTY, CHANGE, refused=False))
 FRESH = Start(
     address="b:1",
     seeds=SEEDS,
@@ -78,7 +76,7 @@
         return self.sent()
 
     def sent(self) -> list[ChainMessage]:
-        """What was sent, save heartbeats; saves stay waiting."""
+        """The messages sent so far, without heartbeats; saves stay pending."""
         sent: list[ChainMessage] = [
             e.message
             for e in self.effects
@@ -88,7 +86,7 @@
         return sent
 
     def save(self, now: float = 0.0) -> Persist:
-        """The oldest save is done."""
+        """Complete the oldest save."""
         oldest = next(e for e in self.effects if isinstance(e, Persist))
         self.effects.remove(oldest)
         self.effects += self.member.persisted(oldest.store, now)
@@ -110,17 +108,17 @@
     )
 
 
-def test_others_wait_for_a_member_until_its_view_is_active() -> None:
+def test_member_is_awaited_until_its_view_is_active() -> None:
     new = Harness(FRESH)
-    assert new.member.is_awaited(0.0)  # not on its disk yet
+    assert new.member.is_awaited(0.0)  # its identity is not saved yet
     while any(isinstance(effect, Persist) for effect in new.effects):
         new.save()
-    assert not new.member.is_awaited(0.0)  # nobody is heard
+    assert not new.member.is_awaited(0.0)  # no peer is reachable
     stored = Harness(STORED)
     assert not stored.member.is_awaited(0.0)
     stored.deliver(heartbeat_of(A))
     assert stored.member.is_awaited(0.1)
-    assert not stored.member.is_awaited(9.0)  # silent since
+    assert not stored.member.is_awaited(9.0)  # no heartbeat since
     stored.member.chain.active = True
     assert not stored.member.is_awaited(0.1)
 
@@ -137,13 +135,13 @@
         (replace(STORED, bootstrap=True), Voter("b:1", 0), 1),
     ],
 )
-def test_identity(start: Start, voter: Voter, epoch: int) -> None:
+def test_identity_and_view_after_start(start: Start, voter: Voter, epoch: int) -> None:
     member = Harness(start).member
     assert member.voter == voter
     assert (member.view.epoch if member.view else 0) == epoch
 
 
-def test_a_new_member_sends_nothing_before_its_identity_is_saved() -> None:
+def test_new_member_sends_nothing_before_its_identity_is_saved() -> None:
     harness = Harness(FRESH)
     assert harness.deliver(Prepare(A, 2, BALLOT)) == []
     harness.effects += harness.member.tick(0.1)
@@ -153,7 +151,7 @@
     assert harness.member.chain.participating
 
 
-def test_a_restarted_member_does_not_participate_but_votes() -> None:
+def test_restarted_member_votes_but_does_not_participate() -> None:
     harness = Harness(STORED)
     assert not harness.member.chain.participating
     assert harness.deliver(ConfirmRequest(C, 1, 3)) == [ConfirmReply(B, 1, 3, is_newest=True)]
@@ -164,18 +162,18 @@
     assert harness.sent() == [Promise(B, 2, BALLOT, None, None)]
 
 
-def test_an_acceptance_is_sent_after_its_save_and_ends_confirmations_at_once() -> None:
+def test_acceptance_is_sent_after_its_save_and_ends_confirmations_at_once() -> None:
     harness = Harness(STORED)
     assert harness.deliver(Accept(A, BALLOT, NEXT)) == []
     assert harness.deliver(ConfirmRequest(C, 1, 3)) == [ConfirmReply(B, 1, 3, is_newest=False)]
     saved = decode(33, harness.save().payload)
     assert (saved.accepted, saved.proposal) == (BALLOT, NEXT)
     assert harness.sent() == [Accepted(B, 2, BALLOT)]
-    again = Harness(replace(STORED, acceptor_state=saved))
-    assert again.deliver(ConfirmRequest(C, 1, 4)) == [ConfirmReply(B, 1, 4, is_newest=False)]
+    restarted = Harness(replace(STORED, acceptor_state=saved))
+    assert restarted.deliver(ConfirmRequest(C, 1, 4)) == [ConfirmReply(B, 1, 4, is_newest=False)]
 
 
-def test_with_a_refusing_disk_no_vote_is_sent_and_it_is_retried() -> None:
+def test_failed_save_of_a_vote_is_retried_and_the_vote_is_not_sent_before() -> None:
     harness = Harness(STORED)
     harness.deliver(Prepare(A, 2, BALLOT))
     harness.effects = harness.member.persist_failed(Store.ACCEPTOR, 0.0)
@@ -187,7 +185,7 @@
     assert harness.sent() == [Promise(B, 2, BALLOT, None, None)]
 
 
-def test_a_decided_view_is_entered_and_sent_to_whoever_is_behind() -> None:
+def test_decided_view_is_entered_and_sent_to_members_with_an_older_view() -> None:
     harness = Harness(STORED)
     harness.deliver(Decided(A, NEXT))
     assert harness.member.view == NEXT
@@ -199,10 +197,8 @@
 
 
 @pytest.mark.parametrize(("epoch", "accepted"), [(2, True), (1, False), (3, False)])
-def test_a_head_accepts_changes_for_its_own_epoch_only(*, epoch: int, accepted: bool) -> None:
-    """A late copy of an order whose caller has gone on to another head is not judged here as
-    well.
-    """
+def test_head_accepts_changes_for_its_own_epoch_only(*, epoch: int, accepted: bool) -> None:
+    """A change for another epoch may be decided by that epoch's head, so not here as well."""
     harness = Harness(STORED)
     harness.deliver(Decided(A, NEXT))
     assert harness.member.chain.is_head
@@ -213,24 +209,24 @@
     assert (harness.member.chain.applied.sequence == 2) is accepted
 
 
-def test_calls_end_in_time_without_a_core() -> None:
+def test_calls_time_out_without_other_members() -> None:
     harness = Harness(STORED)
-    change, _ = harness.member.submit(ORDER, 0.0)
+    change, _ = harness.member.submit(CHANGE, 0.0)
     read, _ = harness.member.read(0.0)
-    ends: list[tuple[float, Effect]] = []
+    completed: list[tuple[float, Effect]] = []
     for step in range(1, 60):
         now = step * 0.05
         done = [e for e in harness.member.tick(now) if isinstance(e, SubmitDone | ReadDone)]
-        ends += [(now, effect) for effect in done]
-    assert [effect for _, effect in ends] == [
+        completed += [(now, effect) for effect in done]
+    assert [effect for _, effect in completed] == [
         ReadDone(read, None),
         SubmitDone(change, OutcomeUnknown()),
     ]
-    assert [at for at, _ in ends] == pytest.approx([1.5, 2.5])
+    assert [at for at, _ in completed] == pytest.approx([1.5, 2.5])
 
 
 def heartbeat_from(sender: Voter, **changes: object) -> Heartbeat:
-    well = Heartbeat(
+    healthy_heartbeat = Heartbeat(
         sender=sender,
         session=3,
         epoch=1,
@@ -242,7 +238,7 @@
         chain_is_complete=True,
         reachable=("b:1", "a:1", "c:1"),
     )
-    return replace(well, **changes)  # type: ignore[arg-type]
+    return replace(healthy_heartbeat, **changes)  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize(
@@ -266,18 +262,18 @@
         ([(0.0, heartbeat_from(A)), (0.3, heartbeat_from(A, session=4))], 0.4, True, False),
     ],
 )
-def test_peers(
+def test_peer_is_live_and_stable_by_its_heartbeats(
     *, heartbeats: list[tuple[float, Heartbeat]], now: float, live: bool, stable: bool
 ) -> None:
     peers = PeerTable(B)
     for at, heartbeat in heartbeats:
         peers.on_heartbeat(heartbeat, at)
-    own = Harness(STORED).member.heartbeats.own_status(None, now)
-    seen = peers.snapshot(now, own, ())["a:1"]
-    assert (seen.live, seen.stable) == (live, stable)
+    own_status = Harness(STORED).member.heartbeats.own_status(None, now)
+    status = peers.snapshot(now, own_status, ())["a:1"]
+    assert (status.live, status.stable) == (live, stable)
 
 
-def test_an_own_pause_is_not_counted_as_silence_of_others() -> None:
+def test_own_suspension_does_not_count_as_missing_heartbeats() -> None:
     peers = PeerTable(B)
     peers.on_heartbeat(heartbeat_from(A), 0.0)
     assert peers.reachable(5.0) == ()
@@ -292,12 +288,14 @@
     [
         (0, 0.29, True),
         (0, 0.31, False),
-        (4_500_000, 0.5, True),  # a document of 4 MB and a whole history
+        (4_500_000, 0.5, True),  # a document of 4 MB and a full history
         (4_500_000, 0.54, False),
         (16_000_000, 1.05, True),
     ],
 )
-def test_a_large_save_may_take_longer(*, size: int, seconds: float, healthy: bool) -> None:
+def test_time_limit_of_a_save_grows_with_its_size(
+    *, size: int, seconds: float, healthy: bool
+) -> None:
     disk = DiskHealth()
     disk.save_requested(0.0, size)
     assert disk.check(seconds) is healthy
@@ -318,7 +316,7 @@
         ([(0.0, 0.5, True), (0.6, 0.65, True)], 0.9, True),
     ],
 )
-def test_disk_health(
+def test_disk_health_by_the_durations_and_results_of_saves(
     *, saves: list[tuple[float, float | None, bool]], now: float, healthy: bool
 ) -> None:
     disk = DiskHealth()
@@ -329,8 +327,8 @@
     assert disk.check(now) is healthy
 
 
-def test_a_late_reply_of_a_former_round_begins_none_before_the_tail_has_the_state() -> None:
-    """Else a tail shows the state of before, confirmed: seed 20348 of the simulated days."""
+def test_late_confirm_reply_begins_no_round_before_the_tail_has_the_state() -> None:
+    """Otherwise the tail confirms reads of an outdated state (simulation, seed 20348)."""
     harness = Harness(STORED)
     view = View(2, VIEW.voters, tuple(ChainReplica(voter, 1, 40) for voter in (A, B)))
     harness.deliver(Decided(A, view))
@@ -342,8 +340,8 @@
         assert harness.deliver(ConfirmReply(voter, 2, 1, is_newest=True)) == []
 
 
-def test_a_refused_state_is_saved_again_though_another_save_brought_the_disk_back() -> None:
-    """Else the chain never becomes active: seed 40040 of the simulated days."""
+def test_failed_state_save_is_retried_after_another_save_succeeds() -> None:
+    """Otherwise the chain never becomes active (simulation, seed 40040)."""
     harness = Harness(STORED)
     view = View(2, VIEW.voters, tuple(ChainReplica(voter, 1, 40) for voter in (A, B)))
     harness.deliver(Sync(A, view, STATE.state))
@@ -353,7 +351,7 @@
     harness.effects += harness.member.persisted(Store.ACCEPTOR, 0.02)
     assert harness.member.disk_is_healthy
     harness.effects += harness.member.tick(0.05)
-    again = [effect for effect in harness.effects if isinstance(effect, Persist)]
-    assert [save.payload for save in again] == [saves[0].payload]
+    retries = [effect for effect in harness.effects if isinstance(effect, Persist)]
+    assert [save.payload for save in retries] == [saves[0].payload]
     harness.member.persisted(Store.STATE, 0.06)
     assert harness.member.chain.is_tail
--- a/tests/coordination/test_pending_calls.py
+++ b/tests/coordination/test_pending_calls.py
@@ -1,4 +1,4 @@
-"""Calls of a member's own callers."""
+"""Changes and reads that a member's own callers have requested."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 A, B, C = (Voter(name, 0) for name in "abc")
 
 
-def test_a_late_older_reply_does_not_have_the_newest_document_sent_again() -> None:
+def test_late_older_reply_does_not_replace_the_newest_document() -> None:
     effects: list[Effect] = []
     calls = PendingCalls(B, effects.append)
     view = first_view("abc")
@@ -28,8 +28,8 @@
     assert [e.message for e in effects if isinstance(e, Send)] == [ReadRequest(B, 3, 6)]
 
 
-def test_a_reply_that_leaves_the_document_out_shows_the_one_of_its_own_sequence() -> None:
-    """A read that knew an older version is not shown the newer document under the older number."""
+def test_reply_without_document_returns_the_document_of_its_sequence() -> None:
+    """A reply about an older sequence must not return the newer document that is cached."""
     effects: list[Effect] = []
     calls = PendingCalls(B, effects.append)
     view = first_view("abc")
--- a/tests/coordination/test_proposal_round.py
+++ b/tests/coordination/test_proposal_round.py
@@ -1,4 +1,4 @@
-"""One view an epoch is decided, whatever is lost, duplicated or restarted."""
+"""At most one view per epoch is decided, despite lost or duplicated messages and restarts."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 ONE, TWO = View(2, VIEW.voters, VIEW.chain[:2]), View(2, VIEW.voters, VIEW.chain[1:])
 
 
-def test_a_round_takes_up_what_may_be_decided() -> None:
+def test_round_proposes_a_value_that_may_be_decided() -> None:
     current = ProposalRound(VIEW, Ballot(9, "a", 5), ONE, 0.0)
     assert current.pending_voters() == [A, B, C]
     assert not current.on_promise(Promise(A, 2, current.ballot, None, None))
@@ -48,15 +48,15 @@
         Promise(A, 2, Ballot(9, "a", 5), None, None),
     ],
 )
-def test_promises_that_do_not_count(reply: Promise) -> None:
+def test_invalid_promise_is_not_counted(reply: Promise) -> None:
     current = ProposalRound(VIEW, Ballot(9, "a", 5), ONE, 0.0)
     assert not current.on_promise(Promise(A, 2, current.ballot, None, None))
     assert not current.on_promise(reply)
     assert current.value is None
 
 
-def test_a_promise_that_comes_in_phase_2_changes_nothing() -> None:
-    """Else one ballot could propose two views: one acceptance each, and both would count as one."""
+def test_promise_in_phase_2_is_ignored() -> None:
+    """Otherwise one ballot could propose two views, whose acceptances are counted together."""
     current = ProposalRound(VIEW, Ballot(9, "a", 5), ONE, 0.0)
     current.on_promise(Promise(A, 2, current.ballot, None, None))
     assert current.on_promise(Promise(B, 2, current.ballot, None, None))
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize("seed", range(300))
-def test_one_value_is_decided_in_any_order_of_messages(seed: int) -> None:
+def test_at_most_one_value_is_decided_for_any_message_order(seed: int) -> None:
     draw = random.Random(seed)
     view = first_view("abcde"[: draw.choice([3, 4, 5])])
     voters = {voter: Acceptor(voter, view) for voter in view.voters}
--- a/tests/coordination/test_reads.py
+++ b/tests/coordination/test_reads.py
@@ -1,4 +1,4 @@
-"""Rounds by which the tail confirms reads."""
+"""The rounds by which the tail confirms reads."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
         ]
 
 
-def test_a_majority_confirms_the_reads_of_the_round() -> None:
+def test_majority_confirms_the_reads_of_a_round() -> None:
     rounds = Rounds()
     rounds.request(1)
     assert rounds.requested_rounds() == [1, 1, 1]
@@ -54,8 +54,8 @@
     assert rounds.reply(B, 2) == [2]
 
 
-def test_a_read_that_is_requested_again_in_a_new_view_begins_a_round_at_once() -> None:
-    """With the round of the former view still in flight it would wait for that round's time-out."""
+def test_read_repeated_in_a_new_view_begins_a_round_at_once() -> None:
+    """If the previous view's round stayed in flight, the read would wait for its time-out."""
     rounds = Rounds()
     rounds.request(1)
     rounds.request(2)
@@ -67,7 +67,7 @@
     assert rounds.reply(C, 2) == [1]
 
 
-def test_a_round_without_a_majority_is_retried_and_a_new_view_drops_it() -> None:
+def test_round_without_majority_is_restarted_and_cleared_by_a_new_view() -> None:
     rounds = Rounds()
     rounds.request(1)
     rounds.reply(A, 1)
--- a/tests/coordination/test_scrub.py
+++ b/tests/coordination/test_scrub.py
@@ -1,4 +1,4 @@
-"""The background scrub: its pace, and what follows a record that was found damaged."""
+"""The background scrub: its schedule, and the handling of damaged records."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 VIEW = first_view(("a:1",))
 CHANGE = ConfigurationChange(0, 1, b"one", digest_of(0, b"one"))
 STATE = StoredState(1, apply_change(EMPTY, CHANGE, refused=False))
-ALONE = Start(
+SINGLE_MEMBER = Start(
     address="a:1",
     seeds=("a:1",),
     bootstrap=False,
@@ -40,14 +40,14 @@
 )
 
 
-def scrubbed(
+def scheduled_reads(
     seconds: float,
     session: int = 40,
     sizes: dict[Store, int] = SMALL,
     *,
     is_idle: bool = True,
 ) -> list[tuple[float, Store]]:
-    """When which record is read, if each read ends at once."""
+    """The time and record of each read, if each read ends at once."""
     effects: list[Effect] = []
     scrubber = Scrubber(session, effects.append)
     reads = []
@@ -63,27 +63,27 @@
     return reads
 
 
-def test_both_records_are_read_in_turn_at_a_slow_pace() -> None:
-    reads = scrubbed(300.0)
+def test_records_are_read_alternately_with_bounded_intervals() -> None:
+    reads = scheduled_reads(300.0)
     assert [store for _, store in reads[:4]] == [*Store, *Store]
     gaps = [after - before for (before, _), (after, _) in itertools.pairwise(reads)]
     assert min(gaps) >= MIN_INTERVAL_FACTOR * READ_INTERVAL_S
     assert max(gaps) <= (MIN_INTERVAL_FACTOR + 1.0) * READ_INTERVAL_S + TICK_S
-    assert reads[0][0] >= MIN_INTERVAL_FACTOR * READ_INTERVAL_S  # not beside the start
+    assert reads[0][0] >= MIN_INTERVAL_FACTOR * READ_INTERVAL_S  # none right after the start
 
 
-def test_members_read_at_different_times() -> None:
-    assert len({scrubbed(30.0, session)[0][0] for session in (3, 40, 95, 1234567)}) == 4
+def test_members_read_at_different_times_by_session() -> None:
+    assert len({scheduled_reads(30.0, session)[0][0] for session in (3, 40, 95, 1234567)}) == 4
 
 
-def test_a_large_record_is_read_at_a_bounded_rate() -> None:
+def test_large_record_is_read_at_a_bounded_rate() -> None:
     size = int(60.0 * MAX_BYTES_PER_S)
-    reads = scrubbed(600.0, sizes={Store.ACCEPTOR: 0, Store.STATE: size})
+    reads = scheduled_reads(600.0, sizes={Store.ACCEPTOR: 0, Store.STATE: size})
     assert sum(store is Store.STATE for _, store in reads) * size <= 600.0 * MAX_BYTES_PER_S
 
 
-def test_nothing_is_read_beside_a_save_or_an_agreement_and_one_read_at_a_time() -> None:
-    assert scrubbed(300.0, is_idle=False) == []
+def test_one_read_at_a_time_and_none_while_not_idle() -> None:
+    assert scheduled_reads(300.0, is_idle=False) == []
     effects: list[Effect] = []
     scrubber = Scrubber(40, effects.append)
     for step in range(1000):
@@ -91,66 +91,66 @@
     assert effects == [VerifyRecord(Store.ACCEPTOR)]
 
 
-class Alone:
-    """A member that is its whole core, with a disk that ends each save at once."""
+class SingleMember:
+    """A member that is the only one of its core; its disk completes each save at once."""
 
     def __init__(self) -> None:
         self.now = 100.0
-        self.seen: list[Effect] = []
-        self.member = Member(ALONE, self.now)
+        self.effects: list[Effect] = []
+        self.member = Member(SINGLE_MEMBER, self.now)
         self.perform(self.member.begin(self.now))
         while not self.member.chain.active:
             self.tick()
-        self.seen.clear()
+        self.effects.clear()
 
     def tick(self) -> None:
         self.now += TICK_S
         self.perform(self.member.tick(self.now))
 
     def perform(self, effects: list[Effect]) -> None:
-        self.seen += effects
+        self.effects += effects
         for effect in effects:
             if isinstance(effect, Persist):
                 self.perform(self.member.persisted(effect.store, self.now))
 
     def read_one(self, outcome: VerificationOutcome) -> Store:
-        """Run until a record is read, with this outcome."""
-        while not self.seen or not isinstance(self.seen[-1], VerifyRecord):
+        """Run until a record is read, and report this outcome; returns the record's store."""
+        while not self.effects or not isinstance(self.effects[-1], VerifyRecord):
             self.tick()
-        read = self.seen[-1]
+        read = self.effects[-1]
         assert isinstance(read, VerifyRecord)
-        self.seen.clear()
+        self.effects.clear()
         self.perform(self.member.verified(read.store, outcome, self.now))
         return read.store
 
 
-def test_an_intact_record_is_left_alone() -> None:
-    alone = Alone()
-    alone.read_one(VerificationOutcome.INTACT)
-    assert alone.seen == []
-    assert (alone.member.scrubber.checks, alone.member.scrubber.damaged) == (1, 0)
-    assert alone.member.scrubber.checked_at == alone.now
+def test_intact_record_is_not_rewritten() -> None:
+    harness = SingleMember()
+    harness.read_one(VerificationOutcome.INTACT)
+    assert harness.effects == []
+    assert (harness.member.scrubber.checks, harness.member.scrubber.damaged) == (1, 0)
+    assert harness.member.scrubber.checked_at == harness.now
 
 
-def test_a_damaged_record_is_written_anew() -> None:
-    alone = Alone()
-    assert alone.read_one(VerificationOutcome.DAMAGED) is Store.ACCEPTOR
-    acceptor = Persist(Store.ACCEPTOR, encode(alone.member.acceptor.to_record()))
-    assert alone.seen == [RecordDamaged(Store.ACCEPTOR, 1), acceptor]
-    alone.seen.clear()
-    assert alone.read_one(VerificationOutcome.DAMAGED) is Store.STATE
-    chain = alone.member.chain
+def test_damaged_record_is_rewritten_and_reported() -> None:
+    harness = SingleMember()
+    assert harness.read_one(VerificationOutcome.DAMAGED) is Store.ACCEPTOR
+    acceptor = Persist(Store.ACCEPTOR, encode(harness.member.acceptor.to_record()))
+    assert harness.effects == [RecordDamaged(Store.ACCEPTOR, 1), acceptor]
+    harness.effects.clear()
+    assert harness.read_one(VerificationOutcome.DAMAGED) is Store.STATE
+    chain = harness.member.chain
     state = Persist(Store.STATE, encode(StoredState(chain.durable_epoch, STATE.state)))
-    assert alone.seen == [RecordDamaged(Store.STATE, 2), state]
+    assert harness.effects == [RecordDamaged(Store.STATE, 2), state]
     assert chain.active
     assert chain.durable == STATE.state
 
 
-def test_a_disk_that_cannot_read_has_to_take_a_save_before_it_is_healthy() -> None:
-    alone = Alone()
-    alone.read_one(VerificationOutcome.UNREADABLE)
-    assert not alone.member.disk_is_healthy
-    assert alone.member.scrubber.checks == 0
-    while not alone.member.disk_is_healthy:
-        alone.tick()
-    assert any(isinstance(effect, Persist) for effect in alone.seen)
+def test_unreadable_disk_is_healthy_again_after_a_save() -> None:
+    harness = SingleMember()
+    harness.read_one(VerificationOutcome.UNREADABLE)
+    assert not harness.member.disk_is_healthy
+    assert harness.member.scrubber.checks == 0
+    while not harness.member.disk_is_healthy:
+        harness.tick()
+    assert any(isinstance(effect, Persist) for effect in harness.effects)
--- a/tests/coordination/test_sequencer.py
+++ b/tests/coordination/test_sequencer.py
@@ -1,4 +1,4 @@
-"""Replies of the head to submitted changes."""
+"""The head's replies to submitted changes."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class Head:
-    """The head of a chain of two, active."""
+    """The head of a chain of two replicas."""
 
     def __init__(self) -> None:
         self.effects: list[Effect] = []
@@ -66,14 +66,14 @@
         return self.replies()
 
 
-def test_changes_wait_for_an_active_chain() -> None:
+def test_changes_are_queued_until_the_chain_is_active() -> None:
     head = Head()
     assert head.submit(FIRST) == head.submit(FIRST) == []
     head.activate()
     assert head.replies() == [SubmitReply(1, OutcomeKind.COMMITTED, 1)]
 
 
-def test_a_reply_waits_for_what_it_rests_on() -> None:
+def test_reply_is_sent_once_its_sequence_is_committed() -> None:
     head = Head()
     head.activate()
     assert head.submit(change_on(5, 9), 1) == []
@@ -90,14 +90,14 @@
     assert head.submit(change_on(5, 30, "late"), 5) == [SubmitReply(5, OutcomeKind.CONFLICT, 20)]
 
 
-def test_a_refusal_that_could_turn_false_is_committed_first() -> None:
+def test_refusal_of_a_future_base_is_committed_before_its_reply() -> None:
     head = Head()
     head.activate()
     assert head.submit(change_on(50, 60)) == []
     assert head.commit(3) == [SubmitReply(1, OutcomeKind.CONFLICT, 5)]
 
 
-def test_a_new_view_drops_what_had_no_reply() -> None:
+def test_clear_discards_pending_replies() -> None:
     head = Head()
     head.activate()
     head.submit(change_on(5, 9))
--- a/tests/coordination/test_state.py
+++ b/tests/coordination/test_state.py
@@ -1,4 +1,4 @@
-"""Validation of changes, and the history that it goes by."""
+"""Validation of changes, and the history that it uses."""
 
 from __future__ import annotations
 
@@ -58,13 +58,13 @@
         (REFUSED_ONE, replace(FIRST, document=b""), Validation(ValidationKind.COMMITTED, 1)),
     ],
 )
-def test_validate(
+def test_validation_by_history_generation_and_base(
     state: ConfigurationState, change: ConfigurationChange, expected: Validation
 ) -> None:
     assert validate(state, change) == expected
 
 
-def test_the_history_is_bounded_and_keeps_the_newest() -> None:
+def test_history_is_bounded_and_keeps_the_newest_entries() -> None:
     state = EMPTY
     changes = [change_on(n, n + 1) for n in range(HISTORY_LIMIT + 2)]
     entry = len(apply_change(EMPTY, FIRST, refused=False).history)
@@ -74,8 +74,8 @@
     assert find_in_history(after, changes[0].digest) == (1, 2)
 
 
-def test_a_digest_is_found_at_the_begin_of_an_entry_only() -> None:
-    """The bytes of a change's digest may stand anywhere in others' entries by chance."""
+def test_digest_is_found_only_at_the_start_of_an_entry() -> None:
+    """A digest's bytes may occur by chance inside other entries, or across two of them."""
     entry = apply_change(EMPTY, change_on(0, 5), refused=False).history
     inside = entry[16:48]
     assert find_in_history(replace(EMPTY, history=entry), inside) is None
--- a/tests/coordination/test_views.py
+++ b/tests/coordination/test_views.py
@@ -1,4 +1,4 @@
-"""Which view is proposed next, as tables of what is known."""
+"""The view that is proposed next, for tables of peers' statuses."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def peer(name: str, **changes: object) -> PeerStatus:
-    well = PeerStatus(
+    healthy_status = PeerStatus(
         voter=Voter(name, 0),
         session=1,
         epoch=1,
@@ -35,10 +35,10 @@
         since_heartbeat_s=0.0,
         reachable=ALL - {name},
     )
-    return replace(well, **changes)  # type: ignore[arg-type]
+    return replace(healthy_status, **changes)  # type: ignore[arg-type]
 
 
-def gone(name: str, since_heartbeat_s: float = 0.5) -> PeerStatus:
+def absent(name: str, since_heartbeat_s: float = 0.5) -> PeerStatus:
     return peer(name, live=False, stable=False, since_heartbeat_s=since_heartbeat_s)
 
 
@@ -51,7 +51,7 @@
 
 
 def planned(view: View, tolerated: int, *peers: PeerStatus) -> tuple[str, str] | None:
-    """Voters and chain of the plan, as names."""
+    """The voters and the chain of the planned view, as strings of names."""
     proposal = plan(view, snapshot(*peers), ViewPolicy(tolerated))
     if proposal is None:
         return None
@@ -65,31 +65,31 @@
     return joiner(name, stable=False)
 
 
-JOINED_BY_C = (peer("a"), peer("b"), joiner("c"))
+JOINING_C = (peer("a"), peer("b"), joiner("c"))
 
 
 @pytest.mark.parametrize(
     ("peers", "waits"),
     [
-        pytest.param(JOINED_BY_C, False, id="one joins"),
-        pytest.param((*JOINED_BY_C, joiner("d")), False, id="two join"),
-        pytest.param((*JOINED_BY_C, unstable("d")), True, id="another may soon"),
-        pytest.param((*JOINED_BY_C, gone("d")), False, id="another is gone"),
+        pytest.param(JOINING_C, False, id="one joiner"),
+        pytest.param((*JOINING_C, joiner("d")), False, id="two joiners"),
+        pytest.param((*JOINING_C, unstable("d")), True, id="another joiner not stable yet"),
+        pytest.param((*JOINING_C, absent("d")), False, id="another machine absent"),
         pytest.param(
-            (*JOINED_BY_C, joiner("d", stable=False, disk_ok=False)), False, id="another can't"
-        ),
-        pytest.param(
-            (gone("a"), peer("b"), joiner("c"), unstable("d")), False, id="the head is gone"
+            (*JOINING_C, joiner("d", stable=False, disk_ok=False)),
+            False,
+            id="another joiner with an unhealthy disk",
         ),
+        pytest.param((absent("a"), peer("b"), joiner("c"), unstable("d")), False, id="head absent"),
         pytest.param(
             (peer("a", session=9), peer("b"), joiner("c"), unstable("d")),
             False,
-            id="the head is restarted",
+            id="head restarted",
         ),
-        pytest.param((peer("a"), peer("b"), unstable("c")), False, id="nothing is proposed"),
+        pytest.param((peer("a"), peer("b"), unstable("c")), False, id="nothing proposed"),
     ],
 )
-def test_joiners_wait_for_each_other(*, peers: tuple[PeerStatus, ...], waits: bool) -> None:
+def test_proposal_awaits_further_joiners(*, peers: tuple[PeerStatus, ...], waits: bool) -> None:
     pair = View(
         1,
         (Voter("a", 0), Voter("b", 0)),
@@ -111,16 +111,32 @@
 @pytest.mark.parametrize(
     ("view", "tolerated", "peers", "expected"),
     [
-        pytest.param(THREE, 1, (peer("a"), peer("b"), peer("c")), None, id="all well"),
-        pytest.param(THREE, 1, (gone("a"), peer("b"), peer("c")), ("abc", "bc"), id="head gone"),
-        pytest.param(THREE, 1, (peer("a"), gone("b"), peer("c")), ("abc", "ac"), id="middle gone"),
-        pytest.param(THREE, 1, (peer("a"), peer("b"), gone("c")), ("abc", "ab"), id="tail gone"),
+        pytest.param(THREE, 1, (peer("a"), peer("b"), peer("c")), None, id="all healthy"),
+        pytest.param(
+            THREE, 1, (absent("a"), peer("b"), peer("c")), ("abc", "bc"), id="head absent"
+        ),
         pytest.param(
-            THREE, 1, (peer("a"), peer("b"), gone("c", 9.0)), ("abc", "ab"), id="dead voter stays"
+            THREE, 1, (peer("a"), absent("b"), peer("c")), ("abc", "ac"), id="middle absent"
         ),
-        pytest.param(THREE, 1, (peer("a"), gone("b"), gone("c")), None, id="too few for a chain"),
         pytest.param(
-            THREE, 1, (peer("a"), peer("b"), peer("c", disk_ok=False)), ("abc", "ab"), id="bad disk"
+            THREE, 1, (peer("a"), peer("b"), absent("c")), ("abc", "ab"), id="tail absent"
+        ),
+        pytest.param(
+            THREE,
+            1,
+            (peer("a"), peer("b"), absent("c", 9.0)),
+            ("abc", "ab"),
+            id="absent voter stays",
+        ),
+        pytest.param(
+            THREE, 1, (peer("a"), absent("b"), absent("c")), None, id="too few for a chain"
+        ),
+        pytest.param(
+            THREE,
+            1,
+            (peer("a"), peer("b"), peer("c", disk_ok=False)),
+            ("abc", "ab"),
+            id="unhealthy disk",
         ),
         pytest.param(
             THREE, 1, (peer("a", leaving=True), peer("b"), peer("c")), ("abc", "bc"), id="leaving"
@@ -136,23 +152,23 @@
         pytest.param(
             THREE,
             1,
-            (peer("a"), peer("b"), gone("c", 1.0), joiner("d")),
+            (peer("a"), peer("b"), absent("c", 1.0), joiner("d")),
             ("abd", "adb"),
             id="replaced",
         ),
         pytest.param(
             THREE,
             1,
-            (peer("a"), peer("b"), gone("c", 0.4), joiner("d")),
+            (peer("a"), peer("b"), absent("c", 0.4), joiner("d")),
             ("abcd", "adb"),
-            id="new, none dead yet",
+            id="joiner, no voter absent long enough",
         ),
         pytest.param(
             THREE,
             1,
-            (peer("a"), peer("b"), gone("c", 0.5), joiner("d")),
+            (peer("a"), peer("b"), absent("c", 0.5), joiner("d")),
             ("abd", "adb"),
-            id="new, one just gone",
+            id="joiner, one voter absent long enough",
         ),
         pytest.param(
             THREE,
@@ -173,70 +189,70 @@
             1,
             (peer("a", reachable=frozenset("c")), peer("b", reachable=frozenset("c")), peer("c")),
             ("abc", "ac"),
-            id="two that don't hear each other",
+            id="two members can't reach each other",
         ),
         pytest.param(
             FOUR,
             1,
-            (peer("a"), peer("b"), peer("c"), gone("d", 3.0)),
+            (peer("a"), peer("b"), peer("c"), absent("d", 3.0)),
             ("abc", "abc"),
-            id="spare voter goes",
+            id="surplus absent voter removed",
         ),
         pytest.param(
             FOUR,
             1,
-            (peer("a"), peer("b"), peer("c"), gone("d", 0.4)),
+            (peer("a"), peer("b"), peer("c"), absent("d", 0.4)),
             ("abcd", "abc"),
-            id="not at once",
+            id="surplus voter stays until absent long enough",
         ),
         pytest.param(
             FIVE,
             2,
-            (peer("a"), gone("b", 9), peer("c"), gone("d", 9), peer("e")),
+            (peer("a"), absent("b", 9), peer("c"), absent("d", 9), peer("e")),
             ("abcde", "ace"),
-            id="5",
+            id="five voters, two absent",
         ),
         pytest.param(
             FIVE,
             2,
-            (peer("a"), gone("b"), gone("c"), gone("d"), peer("e")),
+            (peer("a"), absent("b"), absent("c"), absent("d"), peer("e")),
             None,
-            id="5, three gone",
+            id="five voters, three absent",
         ),
         pytest.param(
             SHORT,
             1,
             (*AB, peer("c", epoch=4, participating=False)),
             ("abc", "acb"),
-            id="back again",
+            id="removed member returns",
         ),
         pytest.param(
-            SHORT, 1, (*AB, peer("c", epoch=4, stable=False)), None, id="back, not stable"
+            SHORT, 1, (*AB, peer("c", epoch=4, stable=False)), None, id="returned member not stable"
         ),
         pytest.param(
             SHORT,
             1,
-            (gone("a"), gone("b"), peer("c", epoch=4)),
+            (absent("a"), absent("b"), peer("c", epoch=4)),
             None,
-            id="only one that the chain went on without",
+            id="only a member that is not in the chain",
         ),
         pytest.param(
             SHORT,
             1,
-            (gone("a"), AB[1], peer("c", epoch=4)),
+            (absent("a"), AB[1], peer("c", epoch=4)),
             ("abc", "bc"),
-            id="one left, one comes back",
+            id="one member left, one returns",
         ),
         pytest.param(
             SHORT,
             1,
-            (gone("a"), peer("b", state_epoch=0), peer("c", epoch=4)),
+            (absent("a"), peer("b", state_epoch=0), peer("c", epoch=4)),
             None,
-            id="none is_intact: wait",
+            id="no intact member",
         ),
     ],
 )
-def test_plan(
+def test_planned_voters_and_chain(
     view: View, tolerated: int, peers: tuple[PeerStatus, ...], expected: tuple[str, str] | None
 ) -> None:
     assert planned(view, tolerated, *peers) == expected
@@ -248,7 +264,7 @@
 NEW_C = peer("c", epoch=5, state_epoch=4)
 
 
-# Two joined between the head and the tail: the state reaches d by c.
+# Two machines joined between the head and the tail; c forwards the state to d.
 WIDE = View(
     5,
     FIVE.voters,
@@ -262,23 +278,23 @@
 
 
 @pytest.mark.parametrize(
-    ("view", "tolerated", "peers", "young", "old"),
+    ("view", "tolerated", "peers", "expected_recent", "expected_later"),
     [
         pytest.param(
             GROWN,
             1,
-            (peer("a", epoch=5), gone("b"), NEW_C),
+            (peer("a", epoch=5), absent("b"), NEW_C),
             None,
             None,
-            id="a new member takes the state over",
+            id="new member is synced",
         ),
         pytest.param(
             GROWN,
             1,
-            (peer("a", epoch=5), gone("b"), replace(NEW_C, state_epoch=5)),
+            (peer("a", epoch=5), absent("b"), replace(NEW_C, state_epoch=5)),
             ("abc", "ac"),
             ("abc", "ac"),
-            id="it has it",
+            id="new member has the state",
         ),
         pytest.param(
             GROWN,
@@ -286,7 +302,7 @@
             (peer("a", epoch=5), peer("b", epoch=5, disk_ok=False), NEW_C),
             None,
             None,
-            id="bad disk: the same",
+            id="old member's disk unhealthy",
         ),
         pytest.param(
             GROWN,
@@ -294,7 +310,7 @@
             (peer("a", epoch=5), peer("b", epoch=5, leaving=True), NEW_C),
             None,
             None,
-            id="leaving: the same",
+            id="old member leaving",
         ),
         pytest.param(
             GROWN,
@@ -302,70 +318,70 @@
             (peer("a", epoch=5), peer("b", epoch=5), replace(NEW_C, disk_ok=False)),
             ("abc", "ab"),
             ("abc", "ab"),
-            id="enough others",
+            id="enough intact members without the new one",
         ),
         pytest.param(
             GROWN,
             1,
-            (peer("a", epoch=5), gone("b"), replace(NEW_C, session=9, participating=False)),
+            (peer("a", epoch=5), absent("b"), replace(NEW_C, session=9, participating=False)),
             ("abc", "ac"),
             ("abc", "ac"),
-            id="a new process of it waits for the next view",
+            id="new member restarted",
         ),
         pytest.param(
             GROWN,
             1,
-            (peer("a", epoch=5, session=9, participating=False), gone("b"), NEW_C),
+            (peer("a", epoch=5, session=9, participating=False), absent("b"), NEW_C),
             None,
             ("abc", "ac"),
-            id="a new process of the head passes nothing on",
+            id="head restarted, forwards nothing",
         ),
         pytest.param(
             WIDE,
             2,
-            (A5, B5, NEW_C, NEW_D, gone("e")),
+            (A5, B5, NEW_C, NEW_D, absent("e")),
             None,
             None,
-            id="both take the state over",
+            id="two new members are synced",
         ),
         pytest.param(
             WIDE,
             2,
-            (A5, gone("b"), NEW_C, NEW_D, E5),
+            (A5, absent("b"), NEW_C, NEW_D, E5),
             None,
             ("abcde", "acde"),
-            id="who passes it on is gone",
+            id="forwarding member absent",
         ),
         pytest.param(
             WIDE,
             2,
-            (A5, gone("b"), replace(NEW_C, state_epoch=5), NEW_D, E5),
+            (A5, absent("b"), replace(NEW_C, state_epoch=5), NEW_D, E5),
             ("abcde", "acde"),
             ("abcde", "acde"),
-            id="three have it",
+            id="three members have the state",
         ),
         pytest.param(
             WIDE,
             2,
-            (A5, B5, replace(NEW_C, session=9, participating=False), NEW_D, gone("e")),
+            (A5, B5, replace(NEW_C, session=9, participating=False), NEW_D, absent("e")),
             None,
             ("abcde", "acdb"),
-            id="a new process of who passes it on",
+            id="forwarding member restarted",
         ),
     ],
 )
-def test_a_chain_waits_for_who_takes_the_state_over(
+def test_chain_awaits_a_member_that_is_being_synced(
     view: View,
     tolerated: int,
     peers: tuple[PeerStatus, ...],
-    young: tuple[str, str] | None,
-    old: tuple[str, str] | None,
+    expected_recent: tuple[str, str] | None,
+    expected_later: tuple[str, str] | None,
 ) -> None:
-    """Else the loss of too few intact members would leave a chain that nobody can head.
+    """Otherwise the loss of too few intact members would leave a chain without an eligible head.
 
-    For the first second it also waits where the state's way is broken: who is suspected may live.
+    A recent view also waits if the state can't reach the member, as the suspicion may be false.
     """
-    for is_recent, expected in ((True, young), (False, old)):
+    for is_recent, expected in ((True, expected_recent), (False, expected_later)):
         proposal = plan(view, snapshot(*peers), ViewPolicy(tolerated), is_recent=is_recent)
         if expected is None:
             assert proposal is None
@@ -375,7 +391,7 @@
         assert "".join(replica.voter.address for replica in proposal.chain) == expected[1]
 
 
-def test_since_is_kept_by_those_who_stay_and_new_for_the_others() -> None:
+def test_since_is_kept_by_remaining_members_and_set_for_new_ones() -> None:
     proposal = plan(
         SHORT, snapshot(*AB, peer("c", epoch=4, participating=False, session=9)), ViewPolicy(1)
     )
@@ -393,7 +409,9 @@
     ("since", "state_epoch", "expected"),
     [(1, 1, True), (3, 3, True), (3, 5, True), (3, 2, False), (1, 0, False)],
 )
-def test_intact(*, since: int, state_epoch: int, expected: bool) -> None:
+def test_member_is_intact_with_a_state_of_since_or_later(
+    *, since: int, state_epoch: int, expected: bool
+) -> None:
     voter = Voter("a", 0)
     view = View(5, (voter,), (ChainReplica(voter, since, 1),))
     assert is_intact(view, peer("a", state_epoch=state_epoch)) is expected
@@ -401,10 +419,12 @@
     assert not is_intact(view, peer("b"))
 
 
-def test_a_view_that_never_became_active_leaves_the_old_members_able_to_lead() -> None:
-    second = plan(THREE, snapshot(peer("a"), peer("b"), gone("c")), ViewPolicy(1))
+def test_old_member_can_head_the_chain_after_a_view_that_never_became_active() -> None:
+    second = plan(THREE, snapshot(peer("a"), peer("b"), absent("c")), ViewPolicy(1))
     assert second is not None
-    third = plan(second, snapshot(gone("a"), peer("b", epoch=2), peer("c", epoch=2)), ViewPolicy(1))
+    third = plan(
+        second, snapshot(absent("a"), peer("b", epoch=2), peer("c", epoch=2)), ViewPolicy(1)
+    )
     assert third is not None
     assert third.chain[0].voter.address == "b"
 
@@ -412,5 +432,5 @@
 @pytest.mark.parametrize(
     ("names", "expected"), [("a", 1), ("ab", 2), ("abc", 2), ("abcd", 3), ("abcde", 3)]
 )
-def test_majority(names: str, expected: int) -> None:
+def test_majority_of_each_number_of_voters(names: str, expected: int) -> None:
     assert majority(first_view(names)) == expected
--- a/tests/protocol/messages.py
+++ b/tests/protocol/messages.py
@@ -1,4 +1,4 @@
-"""Messages of the tests of framing and connections."""
+"""Messages for the tests of framing and connections."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 @record(0xFF10)
 @dataclass(frozen=True, slots=True)
 class PingRequest:
-    """A call."""
+    """A call with a text."""
 
     text: str
 
@@ -18,6 +18,6 @@
 @record(0xFF11)
 @dataclass(frozen=True, slots=True)
 class PingReply:
-    """Its reply."""
+    """The reply to a `PingRequest`."""
 
     text: str
--- a/tests/protocol/test_framing.py
+++ b/tests/protocol/test_framing.py
@@ -1,4 +1,4 @@
-"""Frames cut out of a stream, and what is refused as one."""
+"""Decoding of frames from a byte stream, and rejection of invalid ones."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tests.protocol.messages import PingReply, PingRequest
 
 
-def test_frames_are_decoded_from_any_pieces() -> None:
+def test_frames_are_decoded_from_chunks_of_any_size() -> None:
     stream = encode_frame(FrameKind.CALL, 7, PingRequest("a")) + encode_frame(
         FrameKind.REPLY, 8, PingReply("b")
     )
@@ -38,6 +38,6 @@
 
 
 @pytest.mark.parametrize("data", broken_frames())
-def test_what_is_no_frame_is_rejected(data: bytes) -> None:
+def test_invalid_frame_is_rejected(data: bytes) -> None:
     with pytest.raises(FrameError):
         FrameDecoder().feed(data)
--- a/tests/protocol/test_peer_pool.py
+++ b/tests/protocol/test_peer_pool.py
@@ -1,4 +1,4 @@
-"""Calls between processes on real loopback sockets: each ends with one outcome."""
+"""Calls over real loopback sockets; each ends with exactly one outcome."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def ignore(*_: object) -> None:
-    """A pool that takes no calls."""
+    """Message handler that ignores calls and notices."""
 
 
 def echo(_: Address, message: Any, reply: ReplySender) -> None:
@@ -46,7 +46,7 @@
 
 
 @on_loop
-async def test_a_dead_port_ends_a_call_with_none() -> None:
+async def test_call_to_a_closed_port_ends_with_none() -> None:
     server = PeerServer(echo)
     port = await server.listen("127.0.0.1", 0)
     server.close()
@@ -55,7 +55,7 @@
 
 
 @on_loop
-async def test_a_closed_connection_ends_its_calls_and_the_next_call_connects_again() -> None:
+async def test_closed_connection_ends_its_calls_and_the_next_call_reconnects() -> None:
     server = PeerServer(ignore)
     port = await server.listen("127.0.0.1", 0)
     pool = PeerPool(ignore)
@@ -72,7 +72,7 @@
 
 
 @on_loop
-async def test_a_peer_without_reply_ends_a_call_at_its_timeout_and_loses_its_connection() -> None:
+async def test_call_timeout_aborts_a_connection_without_received_bytes() -> None:
     server = PeerServer(ignore)
     port = await server.listen("127.0.0.1", 0)
     pool = PeerPool(ignore)
@@ -84,8 +84,8 @@
 
 
 @on_loop
-async def test_a_reply_after_the_timeout_reaches_nobody() -> None:
-    """The connection lives, as another call got its reply on it meanwhile."""
+async def test_reply_after_the_timeout_is_discarded() -> None:
+    """The connection stays open, because another call has got its reply on it meanwhile."""
     pending: list[ReplySender] = []
 
     def reply_late(_: Address, message: Any, reply: ReplySender) -> None:
@@ -113,7 +113,7 @@
 
 
 @on_loop
-async def test_a_peer_that_sends_no_frame_loses_its_connection_only() -> None:
+async def test_invalid_frame_closes_only_its_own_connection() -> None:
     server = PeerServer(echo)
     port = await server.listen("127.0.0.1", 0)
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
--- a/tests/protocol/test_records.py
+++ b/tests/protocol/test_records.py
@@ -1,4 +1,4 @@
-"""The record codec: what goes in comes out, and nothing else is taken for a record."""
+"""The record codec: records round-trip, and all other bytes are rejected."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class Colour(IntEnum):
-    """A small enumeration."""
+    """An enumeration for a record's field."""
 
     RED = 1
     BLUE = 2
 
 
 @dataclass(frozen=True, slots=True)
-class Part:
+class Item:
     """A dataclass inside a record."""
 
     name: str
@@ -32,7 +32,7 @@
 
 @record(0xFF00)
 @dataclass(frozen=True, slots=True)
-class Everything:
+class AllFieldTypes:
     """A record with a field of each kind."""
 
     number: int
@@ -41,56 +41,56 @@
     text: str
     data: bytes
     colour: Colour
-    parts: tuple[Part, ...]
-    maybe: Part | None
+    items: tuple[Item, ...]
+    maybe: Item | None
 
 
-parts = st.builds(Part, st.text(), st.integers(-(2**63), 2**63 - 1))
-everything = st.builds(
-    Everything,
+items = st.builds(Item, st.text(), st.integers(-(2**63), 2**63 - 1))
+records = st.builds(
+    AllFieldTypes,
     st.integers(-(2**63), 2**63 - 1),
     st.floats(allow_nan=False),
     st.booleans(),
     st.text(),
     st.binary(),
     st.sampled_from(Colour),
-    st.lists(parts).map(tuple),
-    st.none() | parts,
+    st.lists(items).map(tuple),
+    st.none() | items,
 )
 
 
-@given(everything)
-def test_a_record_comes_back_as_it_was(message: Everything) -> None:
+@given(records)
+def test_record_round_trips(message: AllFieldTypes) -> None:
     assert decode(record_number_of(message), encode(message)) == message
 
 
-@given(everything, st.data())
-def test_a_record_cut_short_is_refused(message: Everything, data: Any) -> None:
+@given(records, st.data())
+def test_truncated_record_is_rejected(message: AllFieldTypes, data: Any) -> None:
     packed = encode(message)
     kept = data.draw(st.integers(0, len(packed) - 1))
     with pytest.raises(RecordError):
         decode(0xFF00, packed[:kept])
 
 
-@given(everything, st.binary(min_size=1))
-def test_bytes_behind_a_record_are_refused(message: Everything, more: bytes) -> None:
+@given(records, st.binary(min_size=1))
+def test_trailing_bytes_are_rejected(message: AllFieldTypes, surplus: bytes) -> None:
     with pytest.raises(RecordError):
-        decode(0xFF00, encode(message) + more)
+        decode(0xFF00, encode(message) + surplus)
 
 
 @given(st.binary())
-def test_any_bytes_are_a_record_or_refused(data: bytes) -> None:
+def test_arbitrary_bytes_are_decoded_or_rejected(data: bytes) -> None:
     with contextlib.suppress(RecordError):
         decode(0xFF00, data)
 
 
-def test_an_unknown_number_is_refused() -> None:
+def test_unknown_record_number_is_rejected() -> None:
     with pytest.raises(RecordError, match="unknown record"):
         decode(0xFF7F, b"")
 
 
-def test_a_number_is_given_once() -> None:
-    with pytest.raises(ValueError, match="taken by Everything"):
+def test_duplicate_record_number_is_rejected() -> None:
+    with pytest.raises(ValueError, match="taken by AllFieldTypes"):
 
         @record(0xFF00)
         @dataclass(frozen=True, slots=True)
@@ -101,10 +101,10 @@
 
 
 @pytest.mark.parametrize("kind", [dict[str, int], tuple[int, str], int | str, complex])
-def test_what_a_record_cannot_hold_is_refused(kind: Any) -> None:
+def test_unsupported_field_type_is_rejected(kind: Any) -> None:
     @dataclass(frozen=True)
     class Holder:
-        """Holds a value of a kind that has no codec."""
+        """Has a field of a type without a codec."""
 
         value: Any
 
