--- a/roselink/coordination/disk_health.py
+++ b/roselink/coordination/disk_health.py
@@ -7,7 +7,9 @@
 
 from dataclasses import dataclass, field
 
-# A save that takes longer than this plus the time for its bytes makes the disk unhealthy.
+# A save that takes longer than this plus the time for its bytes makes the disk unhealthy, and its
+# machine ineligible for the chain. A larger value tolerates longer stalls; with a smaller one a
+# stuck disk holds up writes for a shorter time.
 STUCK_TIMEOUT_S = 0.3
 
 # A save that takes at most this plus the time for its bytes makes the disk healthy again.
--- a/roselink/coordination/peer_table.py
+++ b/roselink/coordination/peer_table.py
@@ -19,7 +19,8 @@
 # machine sooner; a larger one suspects fewer machines that are only slow.
 SUSPECT_TIMEOUT_S = 0.45
 
-# A machine that has been live and eligible for this time is stable, and may join a chain.
+# A machine that has been live and eligible for this time is stable, and may join a chain. A larger
+# value keeps unreliable machines out; with a smaller one a machine joins sooner.
 STABLE_AFTER_S = 0.3
 
 # A machine is removed from the table after this time without a heartbeat.
--- a/roselink/coordination/proposer.py
+++ b/roselink/coordination/proposer.py
@@ -26,7 +26,8 @@
 
     from roselink.coordination.acceptor import Acceptor
 
-# Delay for each live voter of a lower rank, so that voters propose one after the other.
+# Delay for each live voter of a lower rank. A larger value makes competing rounds rarer; with a
+# smaller one the next voter proposes sooner if the first doesn't.
 RANK_DELAY_S = 0.12
 
 # Another voter's proposal is taken over after it has been accepted and undecided for this time.
@@ -53,7 +54,8 @@
 NEW_VIEW_PERIOD_S = 1.0
 
 # A proposal that only adds members to a complete chain is delayed by up to this time if other
-# machines will soon be able to join, so that they are added together.
+# machines will soon be able to join. A larger value adds more of them in one view change; with a
+# smaller one each joins sooner.
 JOIN_BATCH_WINDOW_S = 0.6
 
 # Additional delay of a member that isn't in the chain, while its members report it complete.
--- a/roselink/coordination/state.py
+++ b/roselink/coordination/state.py
@@ -31,7 +31,7 @@
 from roselink.protocol.chain import ConfigurationChange, ConfigurationState
 
 # Maximum number of history entries. A change that is sent again is recognized until this many
-# others have been recorded after it.
+# others have been recorded after it. The history is part of every save and sync.
 HISTORY_LIMIT = 10_000
 
 # Size of a SHA-256 digest.
--- a/roselink/protocol/peer_connection.py
+++ b/roselink/protocol/peer_connection.py
@@ -27,7 +27,8 @@
 # Handles a call or a notice; takes the peer's address, the message and the reply function.
 MessageHandler = Callable[[Address, Record, ReplySender], None]
 
-# Maximum size of the write buffer. The connection to a peer that reads too slowly is aborted.
+# Maximum size of the write buffer; the connection to a peer that reads too slowly is aborted. A
+# larger value tolerates slower peers; a smaller one limits the memory per connection.
 MAX_UNSENT_BYTES = 8 * 1024 * 1024
 # Time for which sent bytes may stay unacknowledged before the kernel closes the connection
 # (RFC 5482; `TCP_USER_TIMEOUT`).
