--- a/roselink/coordination/views.py
+++ b/roselink/coordination/views.py
@@ -203,8 +203,8 @@
     It should if it only adds machines to a complete chain, and others will soon be able to join.
     """
     members = {replica.voter for replica in proposal.chain}
-    present = {replica.voter for replica in view.chain}
-    if not chain_is_complete(view, peers) or not present < members:
+    current = {replica.voter for replica in view.chain}
+    if not chain_is_complete(view, peers) or not current < members:
         return False
     return any(
         peer.eligible and not peer.stable and peer.voter not in members for peer in peers.values()
--- a/roselink/protocol/chain.py
+++ b/roselink/protocol/chain.py
@@ -39,7 +39,8 @@
         voter: the voter that holds the replica.
         since: the epoch from which the voter has been in every view's chain.
         session: identifies the process that participates. A process that the same voter starts
-            later has another number and does not. 0 in the first view, where any process does.
+            later has another number and does not. 0 in the first view, in which the processes that
+            made that view participate.
     """
 
     voter: Voter
