--- a/roselink/controller/app.py
+++ b/roselink/controller/app.py
@@ -190,7 +190,7 @@
         reactor.startRunning(installSignalHandlers=False)
         if self._settings.platform is not None:
             self._client = HostListClient(reactor, self._settings.platform, pulls.hosts_listed)
-            chain.on_view(self._role_changed)
+            chain.on_view_change(self._role_changed)
             self._role_changed()
 
     def _start_api(self, chain: RunnableChain, pulls: PullDriver, reactor: Reactor) -> None:
--- a/roselink/controller/chain_driver.py
+++ b/roselink/controller/chain_driver.py
@@ -157,7 +157,7 @@
         if self._member is not None:
             self._member.set_seeds(_seeds(settings))
 
-    def on_view(self, watcher: Callable[[], None]) -> None:
+    def on_view_change(self, watcher: Callable[[], None]) -> None:
         """Have `watcher` called when the view changes or its chain becomes active."""
         self._watchers.append(watcher)
 
--- a/roselink/controller/chain_interface.py
+++ b/roselink/controller/chain_interface.py
@@ -91,7 +91,7 @@
     def disk_status(self) -> DiskStatus:
         """The disk's health, and what the scrub has found on it."""
 
-    def on_view(self, callback: Callable[[], None]) -> None:
+    def on_view_change(self, callback: Callable[[], None]) -> None:
         """Have `callback` called after each change of the active view."""
 
 
--- a/roselink/controller/pull_driver.py
+++ b/roselink/controller/pull_driver.py
@@ -71,7 +71,7 @@
 
     def start(self) -> None:
         """Begin to follow the chain's view."""
-        self._chain.on_view(self.view_changed)
+        self._chain.on_view_change(self.view_changed)
         self.view_changed()
 
     def view_changed(self) -> None:
--- a/tests/controller/fakes.py
+++ b/tests/controller/fakes.py
@@ -26,7 +26,7 @@
         self.is_tail = True
         self.tail: Address | None = ("10.0.0.3", 7500)
         self.cores: tuple[str, ...] = ("10.0.0.1:7500", "10.0.0.2:7500", "10.0.0.3:7500")
-        self.orders: asyncio.Queue[tuple[ConfigurationChange, Callable[[SubmitOutcome], None]]] = (
+        self.submits: asyncio.Queue[tuple[ConfigurationChange, Callable[[SubmitOutcome], None]]] = (
             asyncio.Queue()
         )
         self.reads: asyncio.Queue[Callable[[Confirmation | None], None]] = asyncio.Queue()
@@ -39,7 +39,7 @@
         return self.core_addresses()
 
     def submit(self, order: ConfigurationChange, done: Callable[[SubmitOutcome], None]) -> None:
-        self.orders.put_nowait((order, done))
+        self.submits.put_nowait((order, done))
 
     def confirm(self, done: Callable[[Confirmation | None], None]) -> None:
         self.reads.put_nowait(done)
@@ -47,7 +47,7 @@
     def disk_status(self) -> DiskStatus:
         return DiskStatus(healthy=True, checks=3, damaged=1, checked_s=2.0)
 
-    def on_view(self, callback: Callable[[], None]) -> None:
+    def on_view_change(self, callback: Callable[[], None]) -> None:
         self.watchers.append(callback)
 
     def change_view(self, epoch: int, tail: Address | None, *, is_tail: bool) -> None:
--- a/tests/controller/reactor.py
+++ b/tests/controller/reactor.py
@@ -18,14 +18,14 @@
 REACTOR = install_reactor(LOOP)
 REACTOR.startRunning(installSignalHandlers=False)
 
-PATIENCE_S = 10.0
+TIMEOUT_S = 10.0
 
 
-def play(work: Coroutine[Any, Any, Result]) -> Result:
+def run_on_reactor(work: Coroutine[Any, Any, Result]) -> Result:
     """Run a coroutine on the reactor's loop; fail if it hangs."""
 
     async def bounded() -> Result:
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TIMEOUT_S):
             return await work
 
     return LOOP.run_until_complete(bounded())
--- a/tests/controller/single_member_core.py
+++ b/tests/controller/single_member_core.py
@@ -83,7 +83,7 @@
     def disk_status(self) -> DiskStatus:
         return DiskStatus(healthy=True, checks=3, damaged=1, checked_s=2.0)
 
-    def on_view(self, callback: Callable[[], None]) -> None:
+    def on_view_change(self, callback: Callable[[], None]) -> None:
         pass
 
 
--- a/tests/controller/test_api.py
+++ b/tests/controller/test_api.py
@@ -24,7 +24,7 @@
 from roselink.coordination.state import digest_of
 from roselink.model.fleet import VersionVector
 from tests.controller.fakes import FakeChain
-from tests.controller.reactor import REACTOR, play
+from tests.controller.reactor import REACTOR, run_on_reactor
 from tests.controller.test_validation import document
 
 from roselink.controller.api import (  # isort: skip - after the reactor
@@ -119,7 +119,7 @@
         async with served() as serving:
             await work(serving)
 
-    play(whole())
+    run_on_reactor(whole())
 
 
 @pytest.mark.parametrize(
@@ -147,7 +147,7 @@
     async def work(serving: Served) -> None:
         caller = await serving.caller()
         caller.send("POST", "/config/replace", ORDER, X_Base_Version=str(base))
-        order, done = await serving.node.orders.get()
+        order, done = await serving.node.submits.get()
         assert (order.base, order.generation, order.document) == (base, 7, ORDER)
         assert order.digest == digest_of(base, ORDER)
         assert serving.api.in_flight == 1
@@ -168,7 +168,7 @@
         caller = await serving.caller()
         caller.send("POST", "/config/update", UPDATE, X_Base_Version="7")
         (await serving.node.reads.get())(Confirmation(3, 5, ORDER, 7))
-        order, done = await serving.node.orders.get()
+        order, done = await serving.node.submits.get()
         assert (order.base, order.generation, order.digest) == (7, 9, digest_of_update(7, UPDATE))
         assert [route["name"] for route in json.loads(order.document)["routes"]] == ["r-1"]
         assert serving.api.in_flight == 1
@@ -210,11 +210,11 @@
         if status != 400 or confirmation is not None:
             (await serving.node.reads.get())(confirmation)
         if status in (200, 412):
-            _, done = await serving.node.orders.get()
+            _, done = await serving.node.submits.get()
             done(Conflict(7) if status == 412 else ChangeCommitted(6))
         answer = await caller.receive()
         assert answer.status == status
-        assert serving.node.orders.empty()
+        assert serving.node.submits.empty()
         assert serving.node.reads.empty()
 
     with_interface(work)
@@ -230,14 +230,14 @@
     async def work(serving: Served) -> None:
         caller = await serving.caller()
         caller.send("POST", "/config/replace", ORDER, X_Base_Version="0")
-        _, done = await serving.node.orders.get()
+        _, done = await serving.node.submits.get()
         serving.clock.advance(SUBMIT_TIMEOUT_S)
         answer = await caller.receive()
         assert answer.status == 503
         assert 0 < float(answer.headers["retry-after"]) < 1
         done(ChangeCommitted(1))
         caller.send("POST", "/config/replace", ORDER, X_Base_Version="0")
-        order, done = await serving.node.orders.get()
+        order, done = await serving.node.submits.get()
         done(ChangeCommitted(1))
         assert (await caller.receive()).status == 200
         assert order.digest == digest_of(0, ORDER)
@@ -249,7 +249,7 @@
     async def work(serving: Served) -> None:
         leaving = await serving.caller()
         leaving.send("POST", "/config/replace", ORDER, X_Base_Version="0")
-        _, done = await serving.node.orders.get()
+        _, done = await serving.node.submits.get()
         leaving.writer.transport.abort()
         while serving.api.in_flight:
             await asyncio.sleep(0)
@@ -257,7 +257,7 @@
         serving.clock.advance(SUBMIT_TIMEOUT_S)
         caller = await serving.caller()
         caller.send("POST", "/config/replace", ORDER, X_Base_Version="0")
-        (await serving.node.orders.get())[1](ChangeCommitted(1))
+        (await serving.node.submits.get())[1](ChangeCommitted(1))
         assert (await caller.receive()).status == 200
 
     with_interface(work)
@@ -268,7 +268,7 @@
         callers = [await serving.caller() for _ in range(8)]
         for base, caller in enumerate(callers):
             caller.send("POST", "/config/replace", ORDER, X_Base_Version=str(base))
-        waiting = [await serving.node.orders.get() for _ in callers]
+        waiting = [await serving.node.submits.get() for _ in callers]
         for order, done in reversed(waiting):
             done(ChangeCommitted(100 + order.base))
         answers = [await caller.receive() for caller in callers]
@@ -290,7 +290,7 @@
         assert said["error"] == "invalid"
         assert said["faults"]
         assert all(set(fault) == {"path", "reason"} for fault in said["faults"])
-        assert serving.node.orders.empty()
+        assert serving.node.submits.empty()
 
     with_interface(work)
 
@@ -324,7 +324,7 @@
         answer = await (await serving.caller()).ask("POST", "/config/replace", ORDER, **headers)
         assert answer.status == 400
         assert answer.json()["faults"][0]["path"] == "X-Base-Version"
-        assert serving.node.orders.empty()
+        assert serving.node.submits.empty()
 
     with_interface(work)
 
@@ -335,7 +335,7 @@
     async def work(serving: Served) -> None:
         caller = await serving.caller()
         caller.send("POST", "/config/replace", large, X_Base_Version="0")
-        order, done = await serving.node.orders.get()
+        order, done = await serving.node.submits.get()
         assert order.document == large
         done(ChangeCommitted(1))
         assert (await caller.receive()).status == 200
@@ -354,7 +354,7 @@
         for piece in (ORDER[:100], ORDER[100:]):
             caller.writer.write(b"%x\r\n%s\r\n" % (len(piece), piece))
         caller.writer.write(b"0\r\n\r\n")
-        order, done = await serving.node.orders.get()
+        order, done = await serving.node.submits.get()
         assert order.document == ORDER
         done(ChangeCommitted(1))
         assert (await caller.receive()).status == 200
@@ -368,7 +368,7 @@
         body = b" " * (MAX_BODY_BYTES + 1)
         answer = await caller.ask("POST", "/config/replace", body, X_Base_Version="0")
         assert answer.status == 413
-        assert serving.node.orders.empty()
+        assert serving.node.submits.empty()
 
     with_interface(work)
 
@@ -447,6 +447,6 @@
             "POST", "/config/replace", ORDER, X_Base_Version="0"
         )
         assert answer.status == 503
-        assert serving.node.orders.empty()
+        assert serving.node.submits.empty()
 
     with_interface(work)
--- a/tests/controller/test_app.py
+++ b/tests/controller/test_app.py
@@ -15,7 +15,7 @@
 from roselink.model.settings import ENVIRONMENT_VARIABLE
 from roselink.protocol.peer_pool import PeerPool
 from roselink.protocol.pull import PullReply, PullRequest
-from tests.controller.reactor import play
+from tests.controller.reactor import run_on_reactor
 from tests.controller.test_api import Answered, Caller
 from tests.controller.test_host_list_client import StandIn
 from tests.controller.test_host_list_reader import body, entry
@@ -161,7 +161,7 @@
         assert core.process is not None
         assert await core.process.wait() == 1
 
-    play(work())
+    run_on_reactor(work())
 
 
 def test_a_broken_invariant_ends_the_process_and_another_fault_of_a_callback_does_not(
@@ -179,7 +179,7 @@
         end = (await core.process.stderr.read()).decode()
         assert "DriverContractError: tick: it is begun" in end
 
-    play(work())
+    run_on_reactor(work())
 
 
 def test_a_process_that_waits_for_its_port_can_be_ended(tmp_path: Path) -> None:
@@ -189,7 +189,7 @@
             await core.start(until="port_taken")
             assert await core.end() == 0
 
-    play(work())
+    run_on_reactor(work())
 
 
 def test_a_reload_has_the_real_chain_send_heartbeats_to_the_new_seeds(tmp_path: Path) -> None:
@@ -221,8 +221,8 @@
         seed.close()
         assert await core.end() == 0
 
-    play(work())
+    run_on_reactor(work())
 
 
 def test_a_life_of_a_core_process(tmp_path: Path) -> None:
-    play(a_life(tmp_path))
+    run_on_reactor(a_life(tmp_path))
--- a/tests/controller/test_chain_driver.py
+++ b/tests/controller/test_chain_driver.py
@@ -113,7 +113,7 @@
     folders = {host: folder / host for host in HOSTS}
     processes = [Process(host, port, folders[host]) for host in HOSTS]
     views: list[int] = []
-    processes[1].node.on_view(lambda: views.append(processes[1].node.epoch))
+    processes[1].node.on_view_change(lambda: views.append(processes[1].node.epoch))
     for process in processes:
         await process.begin()
     assert await settled(processes[1], order_on(0, 1)) == ChangeCommitted(1)
--- a/tests/controller/test_host_list_client.py
+++ b/tests/controller/test_host_list_client.py
@@ -8,7 +8,7 @@
 
 from roselink.controller.host_list_reader import ReaderTimes
 from roselink.model.settings import PlatformSettings
-from tests.controller.reactor import REACTOR, play
+from tests.controller.reactor import REACTOR, run_on_reactor
 from tests.controller.test_host_list_reader import body, entry
 
 if TYPE_CHECKING:
@@ -98,7 +98,7 @@
     stand_in = StandIn(
         {"": body(entry(id="i-1"), token="p 2&x"), "p 2&x": body(entry(id="i-2"), token=None)}
     )
-    assert play(read_lists(stand_in, 3)) == [(3, ["i-1", "i-2"])] * 3
+    assert run_on_reactor(read_lists(stand_in, 3)) == [(3, ["i-1", "i-2"])] * 3
     assert stand_in.asked[:4] == [("/instances", ""), ("/instances", "p 2&x")] * 2
     assert stand_in.connections == 1
 
@@ -106,21 +106,21 @@
 def test_driver_goes_on_after_refusals() -> None:
     stand_in = StandIn({"": body(entry())})
     stand_in.refusals = 3
-    assert play(read_lists(stand_in, 1)) == [(3, ["i-1"])]
+    assert run_on_reactor(read_lists(stand_in, 1)) == [(3, ["i-1"])]
     assert len(stand_in.asked) >= 4
 
 
 def test_driver_gives_up_a_call_without_an_answer() -> None:
     stand_in = StandIn({"": body(entry())})
     stand_in.silent = 2
-    assert play(read_lists(stand_in, 1, call_s=0.2)) == [(3, ["i-1"])]
+    assert run_on_reactor(read_lists(stand_in, 1, call_s=0.2)) == [(3, ["i-1"])]
     assert len(stand_in.asked) >= 3
     assert stand_in.connections >= 3
 
 
 def test_driver_takes_the_role_in_another_view() -> None:
     stand_in = StandIn({"": body(entry())})
-    lists = play(read_lists(stand_in, 2, lambda client: client.set_role(4)))
+    lists = run_on_reactor(read_lists(stand_in, 2, lambda client: client.set_role(4)))
     assert lists == [(4, ["i-1"])] * 2
 
 
@@ -136,5 +136,5 @@
         stand_in.stop()
 
     stand_in = StandIn({"": body()})
-    play(hold_and_drop())
+    run_on_reactor(hold_and_drop())
     assert stand_in.asked == []
