--- a/roselink/cli.py
+++ b/roselink/cli.py
@@ -118,7 +118,7 @@
             return EXIT_UNAVAILABLE
         sys.stdout.write("\n".join(disk_recovery.describe_plan(plan, str(into))) + "\n")
         if write:
-            disk_recovery.carry_out(plan, disks, str(into))
+            disk_recovery.execute_plan(plan, disks, str(into))
             sys.stdout.write("written; start this machine first, then all others\n")
     except OSError as error:
         return _report_faults([f"{error.filename}: {error.strerror}"])
@@ -150,7 +150,7 @@
         return _report_faults([f"routers: 1 to {MOST_ROUTERS}; clients: 1 at least"])
     if folder is not None and folder.exists():
         return _report_faults([f"{folder}: is there already"])
-    report = run_lab(LabOptions(routers, clients, seconds, kill, folder), _print_line)
+    report = run_lab(LabOptions(routers, clients, seconds, kill, folder), _print_flushed)
     return EXIT_UNAVAILABLE if report.error is not None or report.overdue else 0
 
 
@@ -166,10 +166,10 @@
 
     if days < 1 or jobs < 1 or (machines is not None and not 1 <= machines <= MAX_MACHINES):
         return _report_faults([f"days and jobs: 1 at least; machines: 1 to {MAX_MACHINES}"])
-    return EXIT_UNAVAILABLE if run_days(seed, days, machines, jobs, _print_line) else 0
+    return EXIT_UNAVAILABLE if run_days(seed, days, machines, jobs, _print_flushed) else 0
 
 
-def _print_line(line: str) -> None:
+def _print_flushed(line: str) -> None:
     sys.stdout.write(line + "\n")
     sys.stdout.flush()
 
--- a/roselink/controller/app.py
+++ b/roselink/controller/app.py
@@ -92,16 +92,16 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self.failure: BaseException | None = None
         self._chain: RunnableChain | None = None
-        self._pulls: PullDriver | None = None
+        self._pull_driver: PullDriver | None = None
         self._api: AdminApi | None = None
-        self._client: HostListClient | None = None
+        self._host_list_client: HostListClient | None = None
         self._admin_port: ListeningPort | None = None
         self._pool = PeerPool(self._handle)
         self._server = PeerServer(self._handle)
 
     def begin(self) -> None:
         """Start all components; signals are handled from here on."""
-        self._loop.set_exception_handler(self._callback_failed)
+        self._loop.set_exception_handler(self._on_callback_error)
         self._loop.add_signal_handler(signal.SIGTERM, self.stop)
         self._loop.add_signal_handler(signal.SIGINT, self.stop)
         self._loop.add_signal_handler(signal.SIGHUP, self._reload)
@@ -116,10 +116,10 @@
     def _start_task(self, coroutine: Coroutine[None, None, None]) -> asyncio.Task[None]:
         task = self._loop.create_task(coroutine)
         self._tasks.add(task)
-        task.add_done_callback(self._task_ended)
+        task.add_done_callback(self._on_task_done)
         return task
 
-    def _task_ended(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if task.cancelled() or task.exception() is None:
             return
@@ -127,7 +127,7 @@
         log.error("core_failed", error=repr(self.failure), code=code_of(self.failure))
         self._halt()
 
-    def _callback_failed(self, _: asyncio.AbstractEventLoop, context: dict[str, object]) -> None:
+    def _on_callback_error(self, _: asyncio.AbstractEventLoop, context: dict[str, object]) -> None:
         """End the process at a broken invariant; any other fault costs one callback only."""
         from roselink.coordination.exceptions import BrokenInvariantError
 
@@ -151,16 +151,16 @@
         settings = self._settings
         log.set_node_name(settings.node_name)
         self._chain = chain = self._make_chain(settings, self._pool)
-        self._pulls = PullDriver(chain, self._pool)
+        self._pull_driver = PullDriver(chain, self._pool)
         await self._listen(settings.ip, settings.peer_port)
         chain.start()
-        self._pulls.start()
-        await self._start_http(chain, self._pulls)
+        self._pull_driver.start()
+        await self._start_http(chain, self._pull_driver)
         gc.collect()
         gc.freeze()
         log.info("core_started", peer_port=settings.peer_port, epoch=chain.epoch)
 
-    async def _start_http(self, chain: RunnableChain, pulls: PullDriver) -> None:
+    async def _start_http(self, chain: RunnableChain, pull_driver: PullDriver) -> None:
         """Load the HTTP libraries beside the chain: the platform's client, then the interface."""
         from roselink.controller.stepwise_imports import (
             CLIENT_MODULES,
@@ -174,11 +174,13 @@
         await imports.load(REACTOR_MODULES)
         reactor = install_reactor(self._loop)
         await imports.load(CLIENT_MODULES)
-        self._start_client(chain, pulls, reactor)
+        self._start_host_list_client(chain, pull_driver, reactor)
         await imports.load(SERVER_MODULES)
-        self._start_api(chain, pulls, reactor)
+        self._start_api(chain, pull_driver, reactor)
 
-    def _start_client(self, chain: RunnableChain, pulls: PullDriver, reactor: Reactor) -> None:
+    def _start_host_list_client(
+        self, chain: RunnableChain, pull_driver: PullDriver, reactor: Reactor
+    ) -> None:
         """Log through structlog, and read the platform's list while this member is the tail."""
         import structlog
 
@@ -189,15 +191,17 @@
         log.use_logger(structlog.get_logger("roselink.core"))
         reactor.startRunning(installSignalHandlers=False)
         if self._settings.platform is not None:
-            self._client = HostListClient(reactor, self._settings.platform, pulls.hosts_listed)
-            chain.on_view_change(self._role_changed)
-            self._role_changed()
+            self._host_list_client = HostListClient(
+                reactor, self._settings.platform, pull_driver.hosts_listed
+            )
+            chain.on_view_change(self._update_reader_role)
+            self._update_reader_role()
 
-    def _start_api(self, chain: RunnableChain, pulls: PullDriver, reactor: Reactor) -> None:
+    def _start_api(self, chain: RunnableChain, pull_driver: PullDriver, reactor: Reactor) -> None:
         """Serve the operator's HTTP interface."""
         from roselink.controller.api import AdminApi
 
-        self._api = AdminApi(chain, pulls, reactor)
+        self._api = AdminApi(chain, pull_driver, reactor)
         admin = self._settings.bind.get("admin")
         if admin is not None:
             self._admin_port = reactor.listenTCP(
@@ -218,17 +222,17 @@
             else:
                 return
 
-    def _role_changed(self) -> None:
+    def _update_reader_role(self) -> None:
         """The tail of the active view reads the platform's list."""
-        if self._client is not None and self._chain is not None and not self._stopping:
-            self._client.set_role(self._chain.epoch if self._chain.is_tail else None)
+        if self._host_list_client is not None and self._chain is not None and not self._stopping:
+            self._host_list_client.set_role(self._chain.epoch if self._chain.is_tail else None)
 
     def _handle(self, peer: Address, message: object, reply: ReplySender) -> None:
         chain = self._chain
-        pulls = self._pulls
+        pull_driver = self._pull_driver
         if chain is None or chain.handle(peer, message, reply):
             return
-        if pulls is not None and not pulls.handle(peer, message, reply):
+        if pull_driver is not None and not pull_driver.handle(peer, message, reply):
             log.warning("record_unknown", record=type(message).__name__, peer=peer)
 
     def _reload(self) -> None:
@@ -251,15 +255,15 @@
             self._admin_port.stopListening()
         if self._api is not None:
             self._api.stop()
-        if self._client is not None:
-            self._client.close()
-        bound_s = min(MAX_STOP_S, self._settings.thresholds.grace_s * STOP_GRACE_FRACTION)
-        deadline = self._loop.time() + bound_s
+        if self._host_list_client is not None:
+            self._host_list_client.close()
+        timeout_s = min(MAX_STOP_S, self._settings.thresholds.grace_s * STOP_GRACE_FRACTION)
+        deadline = self._loop.time() + timeout_s
         while self._api is not None and self._api.in_flight and self._loop.time() < deadline:
             await asyncio.sleep(STOP_CHECK_INTERVAL_S)
         if self._chain is not None:
             try:
-                async with asyncio.timeout(bound_s):
+                async with asyncio.timeout(timeout_s):
                     await self._chain.stop()
             except TimeoutError:
                 log.warning("chain_leave_timed_out")
--- a/roselink/controller/chain_driver.py
+++ b/roselink/controller/chain_driver.py
@@ -41,7 +41,7 @@
 LEAVE_TIMEOUT_S = 1.0
 LOAD_RETRY_INTERVAL_S = 0.2
 # A disk that damages so many records in the life of one process should be replaced.
-UNTRUSTED_AFTER_TIMES = 2
+UNTRUSTED_AFTER_DAMAGES = 2
 _LEAVE_CHECK_INTERVAL_S = 0.02
 # Random, so that no two starts have the same; below the largest integer of a record.
 _SESSION_BITS = 61
@@ -83,7 +83,7 @@
         self._timer: asyncio.TimerHandle | None = None
         self._submits: dict[int, Callable[[SubmitOutcome], None]] = {}
         self._reads: dict[int, Callable[[Confirmation | None], None]] = {}
-        self._watchers: list[Callable[[], None]] = []
+        self._view_callbacks: list[Callable[[], None]] = []
 
     # --- start and stop
 
@@ -94,7 +94,7 @@
         disk's thread begins with the first save.
         """
         self._running = True
-        self._load()
+        self._load_records()
 
     async def stop(self) -> None:
         """Leave the chain within `LEAVE_TIMEOUT_S` if possible, and end."""
@@ -157,9 +157,9 @@
         if self._member is not None:
             self._member.set_seeds(_seeds(settings))
 
-    def on_view_change(self, watcher: Callable[[], None]) -> None:
-        """Have `watcher` called when the view changes or its chain becomes active."""
-        self._watchers.append(watcher)
+    def on_view_change(self, callback: Callable[[], None]) -> None:
+        """Have `callback` called when the view changes or its chain becomes active."""
+        self._view_callbacks.append(callback)
 
     # --- the view
 
@@ -244,8 +244,8 @@
 
     def _view_changed(self, view: View) -> None:
         self._log_view(view)
-        for watcher in self._watchers:
-            watcher()
+        for callback in self._view_callbacks:
+            callback()
 
     def _log_view(self, view: View) -> None:
         """Log once a view that it is agreed, and at its tail that its chain is active."""
@@ -265,13 +265,13 @@
 
     # --- the disk's worker thread
 
-    def _work(self) -> None:
+    def _run_jobs(self) -> None:
         while (job := self._jobs.get()) is not None:
             job()
 
     def _queue_job(self, job: Callable[[], None]) -> None:
         if self._worker is None:
-            self._worker = threading.Thread(target=self._work, name="disk", daemon=True)
+            self._worker = threading.Thread(target=self._run_jobs, name="disk", daemon=True)
             self._worker.start()
         self._jobs.put(job)
 
@@ -282,7 +282,7 @@
         except RuntimeError:
             log.info("disk_result_dropped")
 
-    def _load(self) -> None:
+    def _load_records(self) -> None:
         """Read the disk; retried until it succeeds."""
         if not self._running:
             return
@@ -290,18 +290,18 @@
             loaded = self._storage.load()
         except OSError as error:
             log.warning("disk_read_failed", error=str(error))
-            self._loop.call_later(LOAD_RETRY_INTERVAL_S, self._load)
+            self._loop.call_later(LOAD_RETRY_INTERVAL_S, self._load_records)
             return
-        self._log_load(loaded)
-        self._loaded(loaded)
+        self._log_unusable_records(loaded)
+        self._start_member(loaded)
 
-    def _log_load(self, loaded: LoadedRecords) -> None:
+    def _log_unusable_records(self, loaded: LoadedRecords) -> None:
         for store, generation in self._storage.damaged:
             log.warning("disk_record_unusable", record=store.value, generation=generation)
         if self._storage.damaged and loaded == (None, None):
             log.error("disk_counts_as_lost")
 
-    def _loaded(self, loaded: LoadedRecords) -> None:
+    def _start_member(self, loaded: LoadedRecords) -> None:
         settings = self._settings
         start = Start(
             address=f"{settings.ip}:{settings.peer_port}",
@@ -352,7 +352,7 @@
 
     def _log_damage(self, damage: RecordDamaged) -> None:
         log.warning("disk_record_damaged", record=damage.store.value, times=damage.times)
-        if damage.times >= UNTRUSTED_AFTER_TIMES:
+        if damage.times >= UNTRUSTED_AFTER_DAMAGES:
             log.error("disk_untrusted", times=damage.times)
 
 
--- a/roselink/controller/disk_inspection.py
+++ b/roselink/controller/disk_inspection.py
@@ -30,13 +30,13 @@
     @property
     def acceptor(self) -> AcceptorState | None:
         """The newest intact acceptor state."""
-        found = self._newest(Store.ACCEPTOR)
+        found = self._newest_record(Store.ACCEPTOR)
         return found if isinstance(found, AcceptorState) else None
 
     @property
     def state(self) -> StoredState | None:
         """The newest intact state of the chain."""
-        found = self._newest(Store.STATE)
+        found = self._newest_record(Store.STATE)
         return found if isinstance(found, StoredState) else None
 
     @property
@@ -44,7 +44,7 @@
         """Whether a member starts with what is here, and not as one with an empty disk."""
         return self.acceptor is not None and self.state is not None
 
-    def _newest(self, store: Store) -> AcceptorState | StoredState | None:
+    def _newest_record(self, store: Store) -> AcceptorState | StoredState | None:
         records = [each.record for each in self.generations if each.store is store]
         return next((record for record in reversed(records) if record is not None), None)
 
@@ -61,11 +61,11 @@
 def describe(contents: DiskContents) -> list[str]:
     """What is on a disk, as lines for a person."""
     lines = [f"folder     {contents.folder}"]
-    lines += [f"record     {_generation_line(each)}" for each in contents.generations]
+    lines += [f"record     {_format_generation(each)}" for each in contents.generations]
     if contents.acceptor is not None:
-        lines += _acceptor_lines(contents.acceptor)
+        lines += _format_acceptor(contents.acceptor)
     if contents.state is not None:
-        lines += _state_lines(contents.state)
+        lines += _format_state(contents.state)
     if not contents.is_usable:
         lines.append("unusable   a member that starts here begins as one with an empty disk")
     return lines
@@ -76,34 +76,36 @@
     return hashlib.sha256(stored.state.document).hexdigest()
 
 
-def name_of(voter: Voter) -> str:
+def format_voter(voter: Voter) -> str:
     """A voter as it is printed: its address, and its incarnation unless it is the first."""
     return voter.address if not voter.incarnation else f"{voter.address}#{voter.incarnation}"
 
 
-def _generation_line(each: StoredGeneration) -> str:
-    condition = "intact" if each.record is not None else "BAD: torn, or its checksum is wrong"
-    return f"{each.store.value} generation {each.generation}: {condition}"
+def _format_generation(stored: StoredGeneration) -> str:
+    condition = "intact" if stored.record is not None else "BAD: torn, or its checksum is wrong"
+    return f"{stored.store.value} generation {stored.generation}: {condition}"
 
 
-def _acceptor_lines(acceptor: AcceptorState) -> list[str]:
-    lines = [f"identity   {name_of(acceptor.voter)}"]
-    lines.append("view       none" if acceptor.view is None else _view_line("view", acceptor.view))
+def _format_acceptor(acceptor: AcceptorState) -> list[str]:
+    lines = [f"identity   {format_voter(acceptor.voter)}"]
+    lines.append(
+        "view       none" if acceptor.view is None else _format_view("view", acceptor.view)
+    )
     if acceptor.promised is not None:
         ballot = acceptor.promised
         lines.append(f"promised   round {ballot.round} of {ballot.address}")
     if acceptor.proposal is not None:
-        lines.append(_view_line("accepted", acceptor.proposal))
+        lines.append(_format_view("accepted", acceptor.proposal))
     return lines
 
 
-def _view_line(title: str, view: View) -> str:
-    chain = " -> ".join(f"{name_of(link.voter)} (since {link.since})" for link in view.chain)
-    voters = ", ".join(name_of(voter) for voter in view.voters)
+def _format_view(title: str, view: View) -> str:
+    chain = " -> ".join(f"{format_voter(link.voter)} (since {link.since})" for link in view.chain)
+    voters = ", ".join(format_voter(voter) for voter in view.voters)
     return f"{title:<11}{view.epoch}: chain {chain}; voters {voters}"
 
 
-def _state_lines(stored: StoredState) -> list[str]:
+def _format_state(stored: StoredState) -> list[str]:
     state = stored.state
     lines = [f"state      epoch {stored.epoch}, sequence {state.sequence}"]
     if state == EMPTY:
--- a/roselink/controller/logging_setup.py
+++ b/roselink/controller/logging_setup.py
@@ -52,7 +52,7 @@
         return dropped
 
 
-class _RateLimit:
+class _RateLimitProcessor:
     """A structlog processor that drops lines beyond the rate limit."""
 
     def __init__(self) -> None:
@@ -69,7 +69,7 @@
         return event
 
 
-class _AddNodeName:
+class _NodeNameProcessor:
     """A structlog processor that adds the process's name, whichever thread logs."""
 
     def __init__(self, node_name: str) -> None:
@@ -82,7 +82,7 @@
         return event
 
 
-class _ToStructlog(logging.Handler):
+class _StructlogHandler(logging.Handler):
     """Forwards records of the standard library's loggers to structlog."""
 
     def emit(self, record: logging.LogRecord) -> None:
@@ -96,7 +96,7 @@
 
 
 @provider(ILogObserver)  # type: ignore[untyped-decorator]
-def _from_twisted(event: dict[str, Any]) -> None:
+def _log_twisted_event(event: dict[str, Any]) -> None:
     level = event.get("log_level")
     if level is None or level < LogLevel.warn:
         return
@@ -118,8 +118,8 @@
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
-            _AddNodeName(node_name),
-            _RateLimit(),
+            _NodeNameProcessor(node_name),
+            _RateLimitProcessor(),
             structlog.processors.TimeStamper(fmt="iso"),
             structlog.processors.JSONRenderer(default=str),
         ],
@@ -128,6 +128,8 @@
         cache_logger_on_first_use=True,
     )
     root = logging.getLogger()
-    root.handlers[:] = [_ToStructlog()]
+    root.handlers[:] = [_StructlogHandler()]
     root.setLevel(logging.WARNING)
-    globalLogBeginner.beginLoggingTo([_from_twisted], redirectStandardIO=False, discardBuffer=True)
+    globalLogBeginner.beginLoggingTo(
+        [_log_twisted_event], redirectStandardIO=False, discardBuffer=True
+    )
--- a/roselink/controller/payoffs.py
+++ b/roselink/controller/payoffs.py
@@ -35,18 +35,18 @@
 
 
 @dataclass(slots=True)
-class _Evidence:
-    """A host's decayed outcomes as of the time `at`."""
+class _DecayedOutcomes:
+    """A host's decayed outcomes as of the time `updated_at`."""
 
     served: float
     missed: float
-    at: float
+    updated_at: float
 
-    def age(self, now: float) -> None:
-        decay = 0.5 ** (max(0.0, now - self.at) / HALF_LIFE_S)
-        self.served *= decay
-        self.missed *= decay
-        self.at = max(self.at, now)
+    def decay(self, now: float) -> None:
+        factor = 0.5 ** (max(0.0, now - self.updated_at) / HALF_LIFE_S)
+        self.served *= factor
+        self.missed *= factor
+        self.updated_at = max(self.updated_at, now)
 
     def add(self, served: int, missed: int) -> None:
         self.served += min(MAX_REPORTED_COUNT, max(0, served))
@@ -61,24 +61,24 @@
 
 
 class PayoffPool:
-    """The evidence of one member while it is the tail."""
+    """The totals of one member while it is the tail."""
 
     def __init__(self) -> None:
-        """Begin without evidence."""
-        self._hosts: dict[str, _Evidence] = {}
+        """Begin without totals."""
+        self._hosts: dict[str, _DecayedOutcomes] = {}
         self._encoded = b""
         self._encoded_at = float("-inf")
 
     def add_report(self, now: float, outcomes: Iterable[HostOutcomes]) -> None:
         """Add a gateway's report."""
         for outcome in outcomes:
-            known = self._hosts.get(outcome.host)
-            if known is None:
+            totals = self._hosts.get(outcome.host)
+            if totals is None:
                 if len(self._hosts) >= MAX_HOSTS:
                     continue
-                known = self._hosts[outcome.host] = _Evidence(0.0, 0.0, now)
-            known.age(now)
-            known.add(outcome.served, outcome.missed)
+                totals = self._hosts[outcome.host] = _DecayedOutcomes(0.0, 0.0, now)
+            totals.decay(now)
+            totals.add(outcome.served, outcome.missed)
 
     def encoded(self, now: float) -> bytes:
         """The `PooledPayoffs` record to send; empty when no host's payoff is low."""
@@ -90,14 +90,14 @@
 
     def _low_payoffs(self, now: float) -> tuple[HostPayoff, ...]:
         low = []
-        for name, evidence in list(self._hosts.items()):
-            evidence.age(now)
-            if evidence.served + evidence.missed < MIN_WEIGHT:
+        for name, totals in list(self._hosts.items()):
+            totals.decay(now)
+            if totals.served + totals.missed < MIN_WEIGHT:
                 del self._hosts[name]
-            elif evidence.payoff() < PUBLISH_BELOW:
+            elif totals.payoff() < PUBLISH_BELOW:
                 low.append(
                     HostPayoff(
-                        name, ROUNDING_PERCENT * round(evidence.payoff() * 100 / ROUNDING_PERCENT)
+                        name, ROUNDING_PERCENT * round(totals.payoff() * 100 / ROUNDING_PERCENT)
                     )
                 )
         return tuple(sorted(low, key=lambda entry: entry.host))
--- a/roselink/controller/stepwise_imports.py
+++ b/roselink/controller/stepwise_imports.py
@@ -74,7 +74,7 @@
         """
         self._view_forming = view_forming
         self._clock = clock
-        self._wait_left_s = MAX_VIEW_WAIT_S
+        self._wait_budget_s = MAX_VIEW_WAIT_S
 
     async def load(self, names: tuple[str, ...]) -> None:
         """Import these modules."""
@@ -85,7 +85,7 @@
 
     async def _wait_for_view(self) -> None:
         """Wait while a view is being agreed, until the total wait is used up."""
-        while self._wait_left_s > 0 and self._view_forming():
+        while self._wait_budget_s > 0 and self._view_forming():
             began_at = self._clock()
             await asyncio.sleep(VIEW_CHECK_INTERVAL_S)
-            self._wait_left_s -= self._clock() - began_at
+            self._wait_budget_s -= self._clock() - began_at
--- a/roselink/controller/storage.py
+++ b/roselink/controller/storage.py
@@ -79,7 +79,7 @@
         """Open the database of these files: `n` for a new one, `r` to read."""
 
 
-class _Files(dbm.dumb._Database):
+class _DumbDatabase(dbm.dumb._Database):
     """`dbm.dumb` without setting file modes, which a machine's disk may not offer."""
 
     def _chmod(self, file: str) -> None:
@@ -103,11 +103,11 @@
 
     def sync(self, path: str) -> None:
         """Make a file's bytes, or a folder's names, survive a power failure (fsync)."""
-        _sync(path)
+        _fsync(path)
 
     def database(self, base: str, flag: str) -> Database:
         """Open the database of these files: `n` for a new one, `r` to read."""
-        return _Files(base, "", flag)
+        return _DumbDatabase(base, "", flag)
 
 
 @dataclass(slots=True)
@@ -124,14 +124,14 @@
     files: FileSystem = field(default_factory=LocalFiles)
     damaged: list[tuple[Store, int]] = field(default_factory=list)
     # The highest generation that was begun, and the one that is durable.
-    _newest: dict[Store, int] = field(default_factory=dict)
+    _last_started: dict[Store, int] = field(default_factory=dict)
     _durable: dict[Store, int] = field(default_factory=dict)
 
     def load(self) -> tuple[AcceptorState | None, StoredState | None]:
         """Load both records; both are None unless both are intact."""
         self.files.make_folder(self.folder)
-        acceptor = self._load(Store.ACCEPTOR)
-        state = self._load(Store.STATE)
+        acceptor = self._load_newest(Store.ACCEPTOR)
+        state = self._load_newest(Store.STATE)
         if isinstance(acceptor, AcceptorState) and isinstance(state, StoredState):
             return acceptor, state
         return None, None
@@ -139,43 +139,43 @@
     def generations(self) -> list[StoredGeneration]:
         """Every generation of both records, the oldest first of each; nothing is changed."""
         return [
-            StoredGeneration(store, generation, self._read(store, generation))
+            StoredGeneration(store, generation, self._read_record(store, generation))
             for store in Store
-            for generation in self._generations(store)
+            for generation in self._list_generations(store)
         ]
 
-    def save(self, store: Store, record: int, payload: bytes) -> None:
+    def save(self, store: Store, number: int, payload: bytes) -> None:
         """Make a record durable: once this returns it survives a power failure.
 
         Args:
             store: which of the two records.
-            record: the record's number on the wire.
+            number: the record's number on the wire.
             payload: the encoded record.
         """
-        generation = self._newest.get(store, 0) + 1
-        self._newest[store] = generation
-        base = self._base(store, generation)
+        generation = self._last_started.get(store, 0) + 1
+        self._last_started[store] = generation
+        base = self._base_path(store, generation)
         try:
-            self._write(base, generation, record, payload)
+            self._write(base, generation, number, payload)
         except OSError:
-            self._remove(base)
+            self._remove_files(base)
             raise
         self._durable[store] = generation
-        for older in self._generations(store):
+        for older in self._list_generations(store):
             if older < generation:
-                self._remove(self._base(store, older))
+                self._remove_files(self._base_path(store, older))
 
     def verify(self, store: Store) -> VerificationOutcome:
         """Read the durable generation of a record back, and check it."""
         try:
-            payload = self._payload(store, self._durable.get(store, 0))
+            payload = self._read_payload(store, self._durable.get(store, 0))
         except OSError:
             return VerificationOutcome.UNREADABLE
         intact = payload is not None
         return VerificationOutcome.INTACT if intact else VerificationOutcome.DAMAGED
 
-    def _write(self, base: str, generation: int, record: int, payload: bytes) -> None:
-        header = _HEADER.pack(generation, record, _checksum(generation, record, payload))
+    def _write(self, base: str, generation: int, number: int, payload: bytes) -> None:
+        header = _HEADER.pack(generation, number, _checksum(generation, number, payload))
         self._create_database(base, header + payload)
         for suffix in (".dat", ".dir"):
             self.files.sync(base + suffix)
@@ -190,24 +190,24 @@
         with contextlib.suppress(FileNotFoundError):
             self.files.remove(base + ".bak")
 
-    def _load(self, store: Store) -> StoredRecord | None:
-        generations = self._generations(store)
-        self._newest[store] = max(generations, default=0)
+    def _load_newest(self, store: Store) -> StoredRecord | None:
+        generations = self._list_generations(store)
+        self._last_started[store] = max(generations, default=0)
         for generation in sorted(generations, reverse=True):
-            record = self._read(store, generation)
+            record = self._read_record(store, generation)
             if record is not None:
                 self._durable[store] = generation
                 return record
             self.damaged.append((store, generation))
         return None
 
-    def _read(self, store: Store, generation: int) -> StoredRecord | None:
+    def _read_record(self, store: Store, generation: int) -> StoredRecord | None:
         """The record of one generation, or None when it isn't intact.
 
         Raises:
             OSError: the disk failed, and nothing is known of the record.
         """
-        found = self._payload(store, generation)
+        found = self._read_payload(store, generation)
         if found is None:
             return None
         try:
@@ -216,38 +216,38 @@
             return None
         return decoded
 
-    def _payload(self, store: Store, generation: int) -> tuple[int, bytes] | None:
+    def _read_payload(self, store: Store, generation: int) -> tuple[int, bytes] | None:
         """The record number and the bytes of one generation; None when it isn't intact.
 
         Raises:
             OSError: the disk failed, and nothing is known of the record.
         """
         try:
-            database = self.files.database(self._base(store, generation), "r")
+            database = self.files.database(self._base_path(store, generation), "r")
             try:
                 value = database[_KEY]
             finally:
                 database.close()
-            _, record, checksum = _HEADER.unpack_from(value)
+            _, number, checksum = _HEADER.unpack_from(value)
         except (FileNotFoundError, KeyError, ValueError, SyntaxError, TypeError, struct.error):
             return None
         payload = value[_HEADER.size :]
-        return (record, payload) if checksum == _checksum(generation, record, payload) else None
+        return (number, payload) if checksum == _checksum(generation, number, payload) else None
 
-    def _generations(self, store: Store) -> list[int]:
+    def _list_generations(self, store: Store) -> list[int]:
         """All generations that have any file, intact or not."""
         generations = set()
         for name in self.files.names(self.folder):
             stem, suffix = os.path.splitext(name)
-            kind, dash, number = stem.rpartition("-")
-            if dash and kind == store.value and suffix in _SUFFIXES and number.isdigit():
-                generations.add(int(number))
+            prefix, dash, digits = stem.rpartition("-")
+            if dash and prefix == store.value and suffix in _SUFFIXES and digits.isdigit():
+                generations.add(int(digits))
         return sorted(generations)
 
-    def _base(self, store: Store, generation: int) -> str:
+    def _base_path(self, store: Store, generation: int) -> str:
         return os.path.join(self.folder, f"{store.value}-{generation:012d}")
 
-    def _remove(self, base: str) -> None:
+    def _remove_files(self, base: str) -> None:
         for suffix in _SUFFIXES:
             with contextlib.suppress(OSError):
                 self.files.remove(base + suffix)
@@ -258,12 +258,12 @@
     return {Store.ACCEPTOR: 33, Store.STATE: 36}[store]
 
 
-def _checksum(generation: int, record: int, payload: bytes) -> bytes:
-    header = struct.pack("!QH", generation, record)
+def _checksum(generation: int, number: int, payload: bytes) -> bytes:
+    header = struct.pack("!QH", generation, number)
     return hashlib.blake2b(header + payload, digest_size=16).digest()
 
 
-def _sync(path: str) -> None:
+def _fsync(path: str) -> None:
     descriptor = os.open(path, os.O_RDONLY)
     try:
         os.fsync(descriptor)
--- a/roselink/startup_signals.py
+++ b/roselink/startup_signals.py
@@ -17,7 +17,7 @@
     from types import FrameType
 
 STDERR = 2
-EXIT_ENDED_IN_ORDER = 0
+EXIT_SUCCESS = 0
 
 
 class SignalSafeLog:
@@ -50,10 +50,10 @@
     """
     log = SignalSafeLog(program)
 
-    def end(number: int, _frame: FrameType | None) -> None:
+    def exit_cleanly(number: int, _frame: FrameType | None) -> None:
         log.info("ended_while_starting", signal_name=signal.Signals(number).name)
-        raise SystemExit(EXIT_ENDED_IN_ORDER)
+        raise SystemExit(EXIT_SUCCESS)
 
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    signal.signal(signal.SIGTERM, end)
-    signal.signal(signal.SIGINT, end)
+    signal.signal(signal.SIGTERM, exit_cleanly)
+    signal.signal(signal.SIGINT, exit_cleanly)
--- a/tests/controller/test_disk_recovery.py
+++ b/tests/controller/test_disk_recovery.py
@@ -149,7 +149,7 @@
 def test_a_majority_without_an_intact_member_begins_with_what_it_has() -> None:
     plan = planned(disk(B, SIX, state_epoch=4), disk(C, SIX, state_epoch=5), lost="a")
     assert isinstance(plan, RecoveryPlan)
-    assert (plan.source, plan.may_lack) == ("disk-c", ("a",))
+    assert (plan.source_folder, plan.may_lack) == ("disk-c", ("a",))
     new = Voter("n", 99)
     epoch = 6 + EPOCH_GAP
     expected = View(epoch, (new,), (ChainReplica(new, epoch, 1),))
@@ -163,7 +163,7 @@
     """A state of a later epoch on a member that was dropped does not go before it."""
     plan = planned(disk(A, SIX, state_epoch=5), lost="bc", has_every_disk=True)
     assert isinstance(plan, RecoveryPlan)
-    assert (plan.source, plan.may_lack) == ("disk-a", ())
+    assert (plan.source_folder, plan.may_lack) == ("disk-a", ())
 
 
 def test_a_machine_whose_disk_was_replaced_is_named_by_its_former_identity() -> None:
--- a/tests/controller/test_storage.py
+++ b/tests/controller/test_storage.py
@@ -136,7 +136,7 @@
         patch.setattr(dbm.dumb, "_os", shim)
         patch.setattr(dbm.dumb._Database, "_io", SimpleNamespace(open=disk.open))
         patch.setattr(dbm.dumb._Database, "_os", shim)
-        patch.setattr(storage, "_sync", disk.sync)
+        patch.setattr(storage, "_fsync", disk.sync)
         patch.setattr(
             storage, "os", SimpleNamespace(remove=disk.remove, listdir=os.listdir, path=os.path)
         )
--- a/tests/mutations/controller.py
+++ b/tests/mutations/controller.py
@@ -26,7 +26,7 @@
         ("the folder is not synced", "        self.files.sync(self.folder)\n", ""),
         (
             "a torn record is loaded",
-            " if checksum == _checksum(generation, record, payload) else None",
+            " if checksum == _checksum(generation, number, payload) else None",
             "",
         ),
         (
@@ -36,7 +36,7 @@
         ),
         (
             "a refused save leaves its files",
-            "            self._remove(base)\n            raise",
+            "            self._remove_files(base)\n            raise",
             "            raise",
         ),
     ),
@@ -145,12 +145,12 @@
         ("tests/controller/test_disk_recovery.py",),
         (
             "a machine that may have a newer state is not asked for",
-            "        *_unaccounted(views, given, lost),\n",
+            "        *_explain_missing_voters(views, given, lost),\n",
             "",
         ),
         (
             "a core that can start is begun anew",
-            "if not reasons and _can_start_by_itself(usable, given):",
+            "if not reasons and _can_start_without_recovery(usable, given):",
             "if False:",
         ),
         (
@@ -160,14 +160,18 @@
         ),
         (
             "gateways keep what the lost members had told them",
-            "taken.state.sequence + SEQUENCE_GAP",
-            "taken.state.sequence",
+            "source_state.state.sequence + SEQUENCE_GAP",
+            "source_state.state.sequence",
+        ),
+        (
+            "a member starts with the former disk",
+            "        _move_aside(disk.folder)\n",
+            "        pass\n",
         ),
-        ("a member starts with the former disk", "        _fence(disk.folder)\n", "        pass\n"),
         (
             "a proposal that may have been decided is left out",
-            "for view in (each.proposal, each.view) if",
-            "for view in (each.view,) if",
+            "for view in (acceptor.proposal, acceptor.view)",
+            "for view in (acceptor.view,)",
         ),
     ),
     *mutations_of(
@@ -175,8 +179,8 @@
         ("tests/controller/test_storage.py",),
         (
             "a generation whose save failed is read back",
-            "self._payload(store, self._durable.get(store, 0))",
-            "self._payload(store, self._newest.get(store, 0))",
+            "self._read_payload(store, self._durable.get(store, 0))",
+            "self._read_payload(store, self._last_started.get(store, 0))",
         ),
     ),
 )
