--- a/roselink/cli.py
+++ b/roselink/cli.py
@@ -1,7 +1,7 @@
 """Commands for operators and developers: `check`, `status`, `disk`, `lab` and `simulate`.
 
 Each returns the exit status: 0 for success, 1 if the fleet is unavailable or a run failed, 2 if the
-input is at fault.
+input is invalid.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 EXIT_UNAVAILABLE = 1
 EXIT_FAULTS = 2
 MAX_MACHINES = 9
-# Below the largest integer of a record.
+# Incarnations stay below the largest integer of a record.
 INCARNATION_BITS = 61
 
 
@@ -90,7 +90,7 @@
     has_every_disk: bool = False,
     write: bool = False,
 ) -> int:
-    """Make the disk with which a stopped core begins anew, from the disks that are left.
+    """Make the disk from which a stopped core is restarted, from the disks that are left.
 
     Stop all controllers first. Without `--write` the plan is printed and nothing is changed.
 
@@ -98,7 +98,7 @@
     :param into: the new disk's folder, for the machine that is started first
     :param address: that machine's peer address, as ip:port
     :param lost: voters, as `inspect` shows them, whose disks will never come back
-    :param has_every_disk: no machine that ever ran is missing, but for the lost ones
+    :param has_every_disk: the disks of all machines that ever ran are given, except the lost ones
     :param write: carry the plan out; the given disks' records are moved aside
     """
     from roselink.controller import disk_recovery
@@ -137,7 +137,7 @@
 
     Prints the addresses and one line a second, until Ctrl-C.
 
-    :param routers: number of gateways, beside 3 controllers
+    :param routers: number of gateways, in addition to 3 controllers
     :param clients: number of clients, each with one request in flight
     :param seconds: duration of the run
     :param kill: kill a gateway and the chain's tail during the run
@@ -147,9 +147,9 @@
     from roselink.lab.fleet import MOST_ROUTERS
 
     if not (1 <= routers <= MOST_ROUTERS and clients >= 1):
-        return _report_faults([f"routers: 1 to {MOST_ROUTERS}; clients: 1 at least"])
+        return _report_faults([f"routers: 1 to {MOST_ROUTERS}; clients: at least 1"])
     if folder is not None and folder.exists():
-        return _report_faults([f"{folder}: is there already"])
+        return _report_faults([f"{folder}: already exists"])
     report = run_lab(LabOptions(routers, clients, seconds, kill, folder), _print_flushed)
     return EXIT_UNAVAILABLE if report.error is not None or report.overdue else 0
 
@@ -159,18 +159,18 @@
 
     :param seed: seed of the first day; each next day has the next seed
     :param days: number of days
-    :param machines: number of core members; by default size and kind of day follow from the seed
+    :param machines: number of core members; by default the seed determines it and the kind of day
     :param jobs: number of days in parallel
     """
     from roselink.simulation.command import run_days
 
     if days < 1 or jobs < 1 or (machines is not None and not 1 <= machines <= MAX_MACHINES):
-        return _report_faults([f"days and jobs: 1 at least; machines: 1 to {MAX_MACHINES}"])
+        return _report_faults([f"days and jobs: at least 1; machines: 1 to {MAX_MACHINES}"])
     return EXIT_UNAVAILABLE if run_days(seed, days, machines, jobs, _print_flushed) else 0
 
 
-def _print_flushed(line: str) -> None:
-    sys.stdout.write(line + "\n")
+def _print_flushed(text: str) -> None:
+    sys.stdout.write(text + "\n")
     sys.stdout.flush()
 
 
@@ -190,6 +190,6 @@
 
 
 def run_command(arguments: list[str]) -> int:
-    """Run one of the commands above; return its exit status."""
+    """Run one of `COMMANDS`; return its exit status."""
     result = defopt.run(COMMANDS, argv=arguments, short={})
     return int(result or 0)
--- a/roselink/controller/__init__.py
+++ b/roselink/controller/__init__.py
@@ -1,4 +1,4 @@
-"""The control plane: what a core process runs. Gateways import nothing of it.
+"""The control plane: what a core process runs. Gateways import none of it.
 
 Each concern is a state machine without I/O and a driver that gives it sockets, a clock and a disk:
 
--- a/roselink/controller/app.py
+++ b/roselink/controller/app.py
@@ -1,10 +1,10 @@
 """One core process: the chain, the pull service, the host list's reader and the HTTP interface.
 
-The chain takes part before the HTTP libraries are loaded: their imports are most of a start's
-processor time, and while the core waits for a view the gateways wait for the core. So they are
-imported in short steps beside the running chain (`stepwise_imports`). The platform's client comes
-first, as gateways need hosts before the operator's requests matter. The order matters for one more
-reason: Twisted's reactor must be installed on the event loop before anything else imports it.
+The chain starts before the HTTP libraries are loaded: their imports take most of a start's
+processor time, and gateways have to wait until the core has agreed on a view. The libraries are
+therefore imported in short steps while the chain runs (`stepwise_imports`). The platform's client
+comes first, as gateways need hosts before the operator's requests matter. Twisted's reactor must be
+installed on the event loop before anything else imports it.
 """
 
 from __future__ import annotations
@@ -38,8 +38,10 @@
     from roselink.controller.twisted_reactor import ListeningPort, Reactor
     from roselink.protocol.peer_connection import ReplySender
 
-# Of `grace_s`: how long changes in flight may take to end after SIGTERM.
+# After SIGTERM, the fraction of `grace_s` that changes in flight may take to complete, and then
+# leaving the chain. More lets more changes complete; less ends the process sooner.
 STOP_GRACE_FRACTION = 0.25
+# Upper bound of each of these two times, in seconds.
 MAX_STOP_S = 1.5
 STOP_CHECK_INTERVAL_S = 0.05
 MAX_LISTEN_ATTEMPTS = 50
@@ -67,7 +69,7 @@
     """The components of one process, their start and their shutdown.
 
     Attributes:
-        failure: why the process must end with an error, if it must.
+        failure: the exception that ends the process; None if it ends in order.
     """
 
     def __init__(
@@ -81,7 +83,7 @@
         Args:
             settings: the process's settings.
             loop: the event loop that the process runs on.
-            make_chain: makes the driver of the replicated chain.
+            make_chain: creates the driver of the replicated chain.
         """
         self._settings = settings
         self._loop = loop
@@ -100,7 +102,7 @@
         self._server = PeerServer(self._handle)
 
     def begin(self) -> None:
-        """Start all components; signals are handled from here on."""
+        """Install the signal handlers and start all components."""
         self._loop.set_exception_handler(self._on_callback_error)
         self._loop.add_signal_handler(signal.SIGTERM, self.stop)
         self._loop.add_signal_handler(signal.SIGINT, self.stop)
@@ -108,7 +110,7 @@
         self._starting = self._start_task(self._start())
 
     def stop(self) -> None:
-        """Shut down in order."""
+        """Shut all components down in order, then stop the event loop."""
         if not self._stopping:
             self._stopping = True
             self._start_task(self._stop())
@@ -128,7 +130,7 @@
         self._halt()
 
     def _on_callback_error(self, _: asyncio.AbstractEventLoop, context: dict[str, object]) -> None:
-        """End the process at a broken invariant; any other fault costs one callback only."""
+        """End the process if an invariant is broken; only log any other exception."""
         from roselink.coordination.exceptions import BrokenInvariantError
 
         error = context.get("exception")
@@ -161,7 +163,7 @@
         log.info("core_started", peer_port=settings.peer_port, epoch=chain.epoch)
 
     async def _start_http(self, chain: RunnableChain, pull_driver: PullDriver) -> None:
-        """Load the HTTP libraries beside the chain: the platform's client, then the interface."""
+        """Load the HTTP libraries while the chain runs, and start what needs them."""
         from roselink.controller.stepwise_imports import (
             CLIENT_MODULES,
             REACTOR_MODULES,
@@ -209,7 +211,7 @@
             )
 
     async def _listen(self, host: str, port: int) -> None:
-        """Listen on the port for peers, which a former process may still have for a moment."""
+        """Listen on the peer port; retry while an earlier process still has it."""
         for attempt in range(1, MAX_LISTEN_ATTEMPTS + 1):
             try:
                 await self._server.listen(host, port)
@@ -223,7 +225,7 @@
                 return
 
     def _update_reader_role(self) -> None:
-        """The tail of the active view reads the platform's list."""
+        """Have the host list read if this member is the tail of the active view, else not."""
         if self._host_list_client is not None and self._chain is not None and not self._stopping:
             self._host_list_client.set_role(self._chain.epoch if self._chain.is_tail else None)
 
--- a/roselink/controller/chain_driver.py
+++ b/roselink/controller/chain_driver.py
@@ -40,10 +40,11 @@
 
 LEAVE_TIMEOUT_S = 1.0
 LOAD_RETRY_INTERVAL_S = 0.2
-# A disk that damages so many records in the life of one process should be replaced.
+# Damaged records that one process finds before it logs that the disk should be replaced.
 UNTRUSTED_AFTER_DAMAGES = 2
 _LEAVE_CHECK_INTERVAL_S = 0.02
-# Random, so that no two starts have the same; below the largest integer of a record.
+# Sessions and incarnations are random, so that no two starts share one, and stay below the largest
+# integer of a record.
 _SESSION_BITS = 61
 
 LoadedRecords = tuple[AcceptorState | None, StoredState | None]
@@ -88,16 +89,16 @@
     # --- start and stop
 
     def start(self) -> None:
-        """Read the disk, then take part.
+        """Read the disk, then join the chain.
 
-        Nothing else can be done before the disk is read, so the event loop's thread reads it; the
-        disk's thread begins with the first save.
+        Nothing else can be done before the disk is read, so the event loop's thread reads it. The
+        first save or verification starts the disk's worker thread.
         """
         self._running = True
         self._load_records()
 
     async def stop(self) -> None:
-        """Leave the chain within `LEAVE_TIMEOUT_S` if possible, and end."""
+        """Leave the chain, within `LEAVE_TIMEOUT_S` if possible, and stop."""
         if self._member is not None and self._running:
             deadline = self._loop.time() + LEAVE_TIMEOUT_S
             self._perform(self._member.leave(self._loop.time()))
@@ -106,7 +107,7 @@
         self.halt()
 
     def halt(self) -> None:
-        """End at once; the outcome of calls in flight is unknown."""
+        """Stop at once; calls in flight end with an unknown outcome."""
         self._running = False
         self._jobs.put(None)
         if self._timer is not None:
@@ -123,7 +124,7 @@
     # --- calls
 
     def handle(self, peer: Address, message: object, reply: ReplySender) -> bool:
-        """Handle a record from a peer; False if it is none of the chain's."""
+        """Handle a chain record from a peer; return False for any other record."""
         if not is_chain_message(message):
             return False
         if self._member is not None and self._running:
@@ -131,7 +132,7 @@
         return True
 
     def submit(self, change: ConfigurationChange, done: Callable[[SubmitOutcome], None]) -> None:
-        """Submit a change to the chain's head; `done` gets one outcome within about 2.5 s."""
+        """Submit a change to the chain's head; `done` gets its outcome within about 2.5 s."""
         if self._member is None or not self._running:
             done(OutcomeUnknown())
             return
@@ -140,7 +141,7 @@
         self._perform(effects)
 
     def confirm(self, done: Callable[[Confirmation | None], None]) -> None:
-        """Read the committed state, confirmed after this call.
+        """Read the committed state linearizably, as of a moment after this call.
 
         `done` gets None if nothing could be confirmed within about 1.5 s.
         """
@@ -152,20 +153,20 @@
         self._perform(effects)
 
     def set_seeds(self, settings: ProcessSettings) -> None:
-        """The settings file names other seeds."""
+        """Use the seeds of a changed settings file."""
         self._settings = settings
         if self._member is not None:
             self._member.set_seeds(_seeds(settings))
 
     def on_view_change(self, callback: Callable[[], None]) -> None:
-        """Have `callback` called when the view changes or its chain becomes active."""
+        """Register a callback, called when the view changes or its chain becomes active."""
         self._view_callbacks.append(callback)
 
     # --- the view
 
     @property
     def is_tail(self) -> bool:
-        """Whether this member is the tail of an active view, as far as it knows."""
+        """Whether this member is the tail of an active view, to its knowledge."""
         return self._member is not None and self._running and self._member.chain.is_tail
 
     @property
@@ -181,7 +182,7 @@
         return 0 if view is None else view.epoch
 
     def core_addresses(self) -> tuple[str, ...]:
-        """The peer addresses of the present voters."""
+        """The peer addresses of the newest known view's voters."""
         view = self._member.view if self._member is not None else None
         return () if view is None else tuple(voter.address for voter in view.voters)
 
@@ -194,7 +195,7 @@
     def forming(self) -> bool:
         """Whether enough members are live to agree on a view, and none is active here yet.
 
-        Then the delay of each message counts: whatever else can be deferred should be.
+        Each delay of a message delays the view then, so other work should be deferred.
         """
         return (
             self._member is not None
@@ -204,7 +205,7 @@
 
     @property
     def disk_ok(self) -> bool:
-        """Whether the disk took the last saves in time."""
+        """Whether the last saves succeeded in time."""
         return self._member is not None and self._member.disk_is_healthy
 
     def disk_status(self) -> DiskStatus:
@@ -248,7 +249,7 @@
             callback()
 
     def _log_view(self, view: View) -> None:
-        """Log once a view that it is agreed, and at its tail that its chain is active."""
+        """Log each agreed view once, and at its tail the activation of its chain."""
         if view.epoch != self._logged_epoch:
             self._logged_epoch = view.epoch
             chain = [link.voter.address for link in view.chain]
@@ -259,7 +260,7 @@
     def _tick(self) -> None:
         if self._member is None or not self._running:
             return
-        # Before the work: a member whose ticks ended with one fault would be silent for ever.
+        # Scheduled before the work, so that an exception in one tick doesn't end all later ones.
         self._timer = self._loop.call_later(TICK_S, self._tick)
         self._perform(self._member.tick(self._loop.time()))
 
@@ -276,14 +277,14 @@
         self._jobs.put(job)
 
     def _call_in_loop(self, callback: Callable[[], None]) -> None:
-        """Have the event loop's thread make a call; the loop may have stopped."""
+        """Schedule a call on the event loop's thread; drop it if the loop is closed."""
         try:
             self._loop.call_soon_threadsafe(callback)
         except RuntimeError:
             log.info("disk_result_dropped")
 
     def _load_records(self) -> None:
-        """Read the disk; retried until it succeeds."""
+        """Read the disk, with retries until it succeeds, and start the member."""
         if not self._running:
             return
         try:
--- a/roselink/controller/chain_interface.py
+++ b/roselink/controller/chain_interface.py
@@ -43,13 +43,13 @@
 
 @dataclass(frozen=True, slots=True)
 class DiskStatus:
-    """This member's disk.
+    """Health of this member's disk.
 
     Attributes:
-        healthy: whether it took the last saves, in time.
-        checks: how many records the scrub has read back.
-        damaged: how many of them were damaged, and written anew.
-        checked_s: the time since the last read in seconds; None before the first.
+        healthy: whether the last saves succeeded in time.
+        checks: number of records that the scrub has read back.
+        damaged: number of those records that were damaged, and written again.
+        checked_s: time since the scrub's last read, in seconds; None before the first.
     """
 
     healthy: bool
@@ -80,19 +80,19 @@
         """The peer addresses of the newest known view's chain, from head to tail."""
 
     def submit(self, change: ConfigurationChange, done: Callable[[SubmitOutcome], None]) -> None:
-        """Have a configuration change decided; `done` is called once."""
+        """Submit a configuration change; `done` is called once with its outcome."""
 
     def confirm(self, done: Callable[[Confirmation | None], None]) -> None:
-        """Read linearizably, begun after this call.
+        """Read the committed state linearizably, as of a moment after this call.
 
-        `done` gets None when nothing could be confirmed.
+        `done` gets None if nothing could be confirmed.
         """
 
     def disk_status(self) -> DiskStatus:
         """The disk's health, and what the scrub has found on it."""
 
     def on_view_change(self, callback: Callable[[], None]) -> None:
-        """Have `callback` called after each change of the active view."""
+        """Register a callback, called after each change of the active view."""
 
 
 class RunnableChain(ReplicatedChain, Protocol):
@@ -102,14 +102,14 @@
         """Read the disk and begin to join the core."""
 
     async def stop(self) -> None:
-        """Leave the chain in order; what is acknowledged is on disk."""
+        """Leave the chain in order; every acknowledged change is on disk then."""
 
     def handle(self, peer: Address, message: object, reply: ReplySender) -> bool:
-        """Handle a record of the chain; False for any other."""
+        """Handle a chain record; return False for any other record."""
 
     def set_seeds(self, settings: ProcessSettings) -> None:
-        """The settings name other seeds: members that may be queried for the core's state."""
+        """Use other seeds: members that may be queried for the core's state."""
 
     @property
     def forming(self) -> bool:
-        """Whether enough members are there to agree on a view, and none is active here yet."""
+        """Whether enough members are live to agree on a view, and none is active here yet."""
--- a/roselink/controller/disk_inspection.py
+++ b/roselink/controller/disk_inspection.py
@@ -1,4 +1,4 @@
-"""What is on a core member's disk, without starting the member: for `roselink disk`."""
+"""Reads a core member's disk without starting the member, for `roselink disk`."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
     Attributes:
         folder: the folder.
-        generations: every generation of both records, intact or not, the oldest first.
+        generations: every generation of both records, intact or not, oldest first.
     """
 
     folder: str
@@ -41,7 +41,7 @@
 
     @property
     def is_usable(self) -> bool:
-        """Whether a member starts with what is here, and not as one with an empty disk."""
+        """Whether a member can start from these records, rather than as one with an empty disk."""
         return self.acceptor is not None and self.state is not None
 
     def _newest_record(self, store: Store) -> AcceptorState | StoredState | None:
@@ -59,7 +59,7 @@
 
 
 def describe(contents: DiskContents) -> list[str]:
-    """What is on a disk, as lines for a person."""
+    """Format the contents of a disk as lines of text for an operator."""
     lines = [f"folder     {contents.folder}"]
     lines += [f"record     {_format_generation(each)}" for each in contents.generations]
     if contents.acceptor is not None:
@@ -77,7 +77,7 @@
 
 
 def format_voter(voter: Voter) -> str:
-    """A voter as it is printed: its address, and its incarnation unless it is the first."""
+    """Format a voter as its address, followed by `#` and its incarnation unless that is 0."""
     return voter.address if not voter.incarnation else f"{voter.address}#{voter.incarnation}"
 
 
--- a/roselink/controller/disk_recovery.py
+++ b/roselink/controller/disk_recovery.py
@@ -1,16 +1,16 @@
-"""A way back for a core that can't agree on a view any more: offline, from the disks that are left.
+"""Offline recovery of a core that can no longer agree on a view, from the remaining disks.
 
 A core stops for good when no majority of its newest view's voters is left, or none of that view's
-intact members (V5 in `coordination.views`). The disks that are left then may lack what was
-acknowledged, and only a person can know which machines will not come back. So nothing here is
-decided without a name: a recovery needs the disk of each machine that may vote, or have a newer
-state, or the word that this very machine is lost.
-
-What is made is the disk of one machine, in a view of an epoch that none had, with that machine as
-its only voter. It starts as any member does that comes back alone, and all others join it with
-empty disks. Two things fence the former core: the disks that were given are moved aside, so that
-nobody starts with them, and the new state's sequence is beyond any that gateways may have, so that
-they follow it.
+intact members (V5 in `coordination.views`). The remaining disks may lack acknowledged changes, and
+only an operator can know which machines will not come back. A recovery therefore needs, for each
+machine that may vote or may have a newer state, either its disk or the operator's statement that
+this machine is lost.
+
+The result is the disk of one machine, with a view of an unused epoch in which that machine is the
+only voter. It starts like any member that restarts alone, and all others join it with empty disks.
+Two things fence the former core: the given disks' records are moved aside, so that no member
+starts from them, and the new state's sequence is above any that gateways may have, so that they
+accept it.
 """
 
 from __future__ import annotations
@@ -29,22 +29,22 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
 
-# Writes that the lost members may have acknowledged and gateways may have taken: the recovered
-# state's sequence goes beyond them.
+# Added to the state's sequence: more than the changes that lost members may have acknowledged, and
+# gateways applied, after the recovered state.
 SEQUENCE_GAP = 1_000_000
-# Views that the lost members may have agreed on: the recovered view's epoch goes beyond them.
+# Added to the newest known epoch: more than the views that lost members may have agreed on since.
 EPOCH_GAP = 1_000
-# No process has this session, so the first process that starts here proposes a view of its own.
+# No process has this session, so the first process started on the new disk proposes its own view.
 UNUSED_SESSION = 1
 FENCED_FOLDER = "before-recovery"
 
 
 @dataclass(frozen=True, slots=True)
 class RecoveryRefused:
-    """Why no recovery is made.
+    """The reasons against a recovery.
 
     Attributes:
-        reasons: one line each, with the names of the machines that are concerned.
+        reasons: one line each, with the machines concerned.
     """
 
     reasons: tuple[str, ...]
@@ -55,11 +55,11 @@
     """The two records of the new disk.
 
     Attributes:
-        source_folder: the folder whose state is taken.
-        source_state: that state as it was found.
+        source_folder: the folder whose state is recovered.
+        source_state: that state as it is on the disk.
         acceptor: the new acceptor state.
         state: the new state.
-        may_lack: the machines whose newer acknowledged state this one may lack.
+        may_lack: the machines that may have acknowledged changes which this state lacks.
     """
 
     source_folder: str
@@ -77,15 +77,15 @@
     *,
     has_every_disk: bool,
 ) -> RecoveryPlan | RecoveryRefused:
-    """Plan the disk with which a core begins anew.
+    """Plan the disk from which a core is restarted.
 
     Args:
-        disks: the disks of all machines that are left.
+        disks: the disks of all remaining machines.
         address: the peer address of the machine that starts first.
         incarnation: a new random number above 0.
         lost: voters, as `format_voter` prints them, whose disks will never come back.
-        has_every_disk: the operator's word that no machine that ever ran, but for the lost ones,
-            is missing among the disks; needed where a view that none of them knows is possible.
+        has_every_disk: the operator's statement that the disks of all machines that ever ran are
+            given, except the lost ones; needed where a view that no given disk knows is possible.
     """
     usable = [disk for disk in disks if disk.is_usable]
     views = _newest_views(usable)
@@ -113,7 +113,7 @@
 
 
 def describe_plan(plan: RecoveryPlan, folder: str) -> list[str]:
-    """A plan, as lines for a person."""
+    """Format a plan as lines of text for an operator."""
     source_state = plan.source_state
     lines = [
         f"takes      the state of {plan.source_folder}: epoch {source_state.epoch},"
@@ -132,12 +132,12 @@
 
     Args:
         plan: the plan made from these disks.
-        disks: the disks of all machines that are left.
-        folder: the new disk's folder; it may be one of theirs.
+        disks: the disks of all remaining machines.
+        folder: the new disk's folder; it may be the folder of one of these disks.
 
     Raises:
-        OSError: a disk failed; what was moved is in `before-recovery` beside it, and a new plan
-            can be made from there.
+        OSError: a disk failed; the records moved so far are in the `before-recovery` folder of
+            each disk, and a new plan can be made from there.
     """
     for disk in disks:
         _move_aside(disk.folder)
@@ -148,9 +148,10 @@
 
 
 def _newest_views(usable: Sequence[DiskContents]) -> list[View]:
-    """The newest known view, and the one before if a disk knows it; the newest first.
+    """The views of the newest known epoch and of the epoch before it, newest first.
 
-    One that was accepted counts: it may have been decided. If it was not, the one before holds.
+    A view that was only accepted counts, as it may have been decided; if it was not, the view
+    before it is still in force.
     """
     acceptors = [disk.acceptor for disk in usable if disk.acceptor is not None]
     known = [
@@ -166,7 +167,7 @@
 
 
 def _distinct_views(views: Sequence[View], epoch: int) -> list[View]:
-    """The different views of an epoch: several while it is not decided."""
+    """The distinct views of an epoch; there can be several while none is decided."""
     return list(dict.fromkeys(view for view in views if view.epoch == epoch))
 
 
@@ -189,7 +190,7 @@
 def _explain_missing_voters(
     views: Iterable[View], given: set[Voter], lost: frozenset[str]
 ) -> list[str]:
-    """Why voters that are neither given nor named as lost have to be one of them."""
+    """Explain why each voter whose disk is not given has to be given or named as lost."""
     missing = [
         (voter, view)
         for view in views
@@ -212,7 +213,7 @@
 
 
 def _can_start_without_recovery(usable: Sequence[DiskContents], given: set[Voter]) -> bool:
-    """Whether the given machines agree on a next view without help."""
+    """Whether the given machines can agree on the next view without a recovery."""
     decided = [disk.acceptor.view for disk in usable if disk.acceptor and disk.acceptor.view]
     if not decided:
         return False
@@ -221,7 +222,7 @@
 
 
 def _is_intact(view: View, disk: DiskContents) -> bool:
-    """Whether the disk has all that was acknowledged up to this view (V1)."""
+    """Whether the disk has every change acknowledged up to this view (V1)."""
     if disk.acceptor is None or disk.state is None:
         return False
     replica = replica_of(view, disk.acceptor.voter)
@@ -253,7 +254,7 @@
 
 
 def _move_aside(folder: str) -> None:
-    """Move a disk's records into a folder of their own, from which no member starts."""
+    """Move a disk's records into a subfolder, from which no member starts."""
     fenced_folder = os.path.join(folder, FENCED_FOLDER)
     os.makedirs(fenced_folder, exist_ok=True)
     for name in os.listdir(folder):
--- a/roselink/controller/exceptions.py
+++ b/roselink/controller/exceptions.py
@@ -22,7 +22,7 @@
     code = "CTL-001"
 
     def __init__(self, node_name: str) -> None:
-        """Note whose settings lack the key."""
+        """Make the error for the process whose settings lack the key."""
         super().__init__("data_dir: a core member needs a disk")
         self.key = "data_dir"
         self.node_name = node_name
--- a/roselink/controller/logging_setup.py
+++ b/roselink/controller/logging_setup.py
@@ -1,4 +1,4 @@
-"""Logging of a core process: one JSON event a line on standard error, rate-limited by event.
+"""Logging of a core process: one JSON event per line on standard error, rate-limited per event.
 
 Records of the standard library's and Twisted's loggers at warning and above are logged likewise.
 """
@@ -17,16 +17,16 @@
 if TYPE_CHECKING:
     from structlog.typing import EventDict
 
-# Of one event.
+# Lines of one event that may be logged at once.
 BURST_LINES = 20
-# Of one event, beyond the burst.
+# Lines of one event per second, beyond the burst.
 LINES_PER_S = 1.0
-# With a token bucket; beyond them all buckets begin anew, full.
+# Number of token buckets; when it is reached, all are dropped and start again full.
 MAX_EVENTS = 512
 
 
 class EventRateLimiter:
-    """A token bucket for the lines of each event."""
+    """Token buckets that limit the lines of each event."""
 
     def __init__(self, burst: float = BURST_LINES, per_s: float = LINES_PER_S) -> None:
         """Make full buckets.
@@ -40,7 +40,11 @@
         self._buckets: dict[str, tuple[float, float, int]] = {}
 
     def spend(self, now: float, event: str) -> int | None:
-        """Spend a token: how many lines were dropped since the last; None to drop this one too."""
+        """Spend a token for a line of an event.
+
+        Returns:
+            The lines dropped since the last one that was logged; None to drop this one too.
+        """
         tokens, refilled_at, dropped = self._buckets.get(event, (self._burst, now, 0))
         tokens = min(self._burst, tokens + (now - refilled_at) * self._per_s)
         if len(self._buckets) >= MAX_EVENTS:
@@ -73,11 +77,11 @@
     """A structlog processor that adds the process's name, whichever thread logs."""
 
     def __init__(self, node_name: str) -> None:
-        """Note the name."""
+        """Make the processor for a process's name."""
         self._node_name = node_name
 
     def __call__(self, _logger: object, _method: str, event: EventDict) -> EventDict:
-        """Add the name."""
+        """Add the process's name to the event."""
         event["node"] = self._node_name
         return event
 
--- a/roselink/controller/payoffs.py
+++ b/roselink/controller/payoffs.py
@@ -1,8 +1,8 @@
 """Payoffs of hosts, pooled from the reports of all gateways. Sans I/O.
 
-A host's payoff is its fraction of served outcomes. Evidence decays exponentially and its weight is
-bounded, so that a host which recovers is trusted soon. A host that few requests reach any more,
-since it is avoided, returns by the decay alone. `now` is in seconds of a steady clock.
+A host's payoff is its fraction of served outcomes. Outcomes decay exponentially and their weight is
+bounded, so that a host which recovers is trusted soon. A host that gateways avoid gets few new
+outcomes; its payoff recovers by the decay alone. `now` is in seconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -16,21 +16,25 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
+# Half-life of an outcome's weight, in seconds. A longer one avoids a failing host for longer, a
+# shorter one returns to a recovered host sooner.
 HALF_LIFE_S = 2.0
-# Outcomes that are remembered of a host.
+# Largest total weight of a host's outcomes. A larger one makes payoffs steadier, a smaller one lets
+# them change sooner.
 MAX_WEIGHT = 12.0
-# Below this weight a host is forgotten.
+# A host whose outcomes weigh less is dropped.
 MIN_WEIGHT = 0.05
-# Served outcomes that are assumed of a host before any came.
+# Served outcomes that are assumed of each host in addition to those reported.
 PRIOR_SERVED = 1.0
-# Payoffs below this are published.
+# Only payoffs below this are published.
 PUBLISH_BELOW = 0.75
-# Payoffs are rounded to multiples of this, so that the published record changes seldom.
+# Payoffs are rounded to multiples of this, so that the published record changes rarely.
 ROUNDING_PERCENT = 5
-# Between two encodings of the published record.
+# Shortest time between two encodings of the published record, in seconds.
 PUBLISH_INTERVAL_S = 0.1
+# Hosts with outcomes; reports about further hosts are ignored.
 MAX_HOSTS = 4096
-# Of the outcomes of one host in one report.
+# Each count of one host in one report is limited to this.
 MAX_REPORTED_COUNT = 1000
 
 
@@ -61,10 +65,10 @@
 
 
 class PayoffPool:
-    """The totals of one member while it is the tail."""
+    """The hosts' outcomes that one member has pooled while it is the tail."""
 
     def __init__(self) -> None:
-        """Begin without totals."""
+        """Start without outcomes."""
         self._hosts: dict[str, _DecayedOutcomes] = {}
         self._encoded = b""
         self._encoded_at = float("-inf")
--- a/roselink/controller/startup_log.py
+++ b/roselink/controller/startup_log.py
@@ -1,7 +1,7 @@
-"""Events of a core process as JSON lines on standard error, from its first moment on.
+"""Logs a core process's events as JSON lines on standard error, before the logging library loads.
 
-The logging library takes a tenth of a second to load, while the chain should be running. Until
-`use_logger` names its logger, events are written here in the same form.
+Loading the library takes a tenth of a second, in which the chain should already be running. Until
+`use_logger` sets its logger, events are written here in the same form.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Logger(Protocol):
-    """What is used of the library's logger."""
+    """The methods that are used of the library's logger."""
 
     def info(self, event: str, **fields: object) -> object:
         """Log a normal event."""
@@ -29,7 +29,7 @@
     """Logs events: as plain JSON until the logging library is loaded, then through it."""
 
     def __init__(self) -> None:
-        """Begin without a name and without the library."""
+        """Start without a process name and without the library's logger."""
         self._node_name = ""
         self._logger: Logger | None = None
 
--- a/roselink/controller/stepwise_imports.py
+++ b/roselink/controller/stepwise_imports.py
@@ -1,7 +1,7 @@
-"""The imports that a starting core member defers, in steps beside the running chain.
+"""Imports a core member's HTTP libraries in short steps while its chain runs.
 
-The libraries' imports are most of a start's processor time. While the members are agreeing on a
-view none is begun: each of the view's messages would wait for an import at every member on its way.
+These imports take most of a start's processor time. None is started while the members are agreeing
+on a view: each message of the agreement would wait for an import at every member that it reaches.
 The lists of modules are in the order in which a start needs them.
 """
 
@@ -56,21 +56,22 @@
     "roselink.controller.updates",
     "roselink.controller.api",
 )
-# Between two checks whether a view is being agreed.
+# Interval, in seconds, of the checks whether the members are agreeing on a view.
 VIEW_CHECK_INTERVAL_S = 0.02
-# So long in all imports wait for the members to agree on a view.
+# Total time, in seconds, that imports wait while the members agree on a view. More delays the HTTP
+# interface, less delays the agreement.
 MAX_VIEW_WAIT_S = 1.5
 
 
 class StepwiseImporter:
-    """Imports modules in order; between two of them the event loop gets a turn."""
+    """Imports modules in order; the event loop runs between two of them."""
 
     def __init__(self, view_forming: Callable[[], bool], clock: Callable[[], float]) -> None:
         """Make the importer.
 
         Args:
-            view_forming: whether the members are agreeing on a view just now.
-            clock: a steady clock, in seconds.
+            view_forming: whether the members are agreeing on a view now.
+            clock: a monotonic clock, in seconds.
         """
         self._view_forming = view_forming
         self._clock = clock
--- a/roselink/controller/storage.py
+++ b/roselink/controller/storage.py
@@ -1,6 +1,6 @@
 """A core member's disk: two records, each as generations of `dbm.dumb` files.
 
-All methods block; they are for one worker thread.
+All methods block; only one thread may call them at a time.
 
 `dbm.dumb` rewrites its index in place and syncs nothing. Here a database has one record and is
 never changed: a save creates the files of the next generation, syncs both and the folder, and only
@@ -61,7 +61,7 @@
 
 
 class FileSystem(Protocol):
-    """What `Storage` needs of files. Every method raises OSError when the disk fails."""
+    """The file operations that `Storage` uses. All raise OSError when the disk fails."""
 
     def make_folder(self, folder: str) -> None:
         """Create a folder unless it exists."""
@@ -80,14 +80,14 @@
 
 
 class _DumbDatabase(dbm.dumb._Database):
-    """`dbm.dumb` without setting file modes, which a machine's disk may not offer."""
+    """`dbm.dumb` that sets no file modes, as a file system may not support them."""
 
     def _chmod(self, file: str) -> None:
-        """Leave the mode as the process's umask gave it."""
+        """Keep the mode that the process's umask gave."""
 
 
 class LocalFiles:
-    """The files of this machine."""
+    """The file system of this machine."""
 
     def make_folder(self, folder: str) -> None:
         """Create a folder unless it exists."""
@@ -123,7 +123,7 @@
     folder: str
     files: FileSystem = field(default_factory=LocalFiles)
     damaged: list[tuple[Store, int]] = field(default_factory=list)
-    # The highest generation that was begun, and the one that is durable.
+    # Of each record, the newest generation whose save was started, and the one that is durable.
     _last_started: dict[Store, int] = field(default_factory=dict)
     _durable: dict[Store, int] = field(default_factory=dict)
 
@@ -137,7 +137,7 @@
         return None, None
 
     def generations(self) -> list[StoredGeneration]:
-        """Every generation of both records, the oldest first of each; nothing is changed."""
+        """Read every generation of both records, oldest first; nothing is changed."""
         return [
             StoredGeneration(store, generation, self._read_record(store, generation))
             for store in Store
@@ -166,7 +166,7 @@
                 self._remove_files(self._base_path(store, older))
 
     def verify(self, store: Store) -> VerificationOutcome:
-        """Read the durable generation of a record back, and check it."""
+        """Read the durable generation of a record back and check it."""
         try:
             payload = self._read_payload(store, self._durable.get(store, 0))
         except OSError:
--- a/roselink/controller/twisted_reactor.py
+++ b/roselink/controller/twisted_reactor.py
@@ -1,4 +1,4 @@
-"""Twisted's reactor on the process's asyncio event loop, and what is used of it."""
+"""Installs Twisted's reactor on the asyncio event loop, and types the methods that are used."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
     """A port on which the reactor accepts connections."""
 
     def getHost(self) -> IPv4Address:
-        """The address that the port has."""
+        """The address that the port listens on."""
 
     def stopListening(self) -> Deferred[None]:
         """Accept no more connections."""
 
 
 class Clock(Protocol):
-    """What makes delayed calls: the reactor, or a test's clock."""
+    """A scheduler of delayed calls: the reactor, or a test's clock."""
 
     def callLater(self, delay: float, callable: Callable[[], object]) -> DelayedCall:
         """Call `callable` after `delay` seconds."""
@@ -57,10 +57,10 @@
 
 
 def install_reactor(loop: asyncio.AbstractEventLoop) -> Reactor:
-    """Put Twisted on the event loop and return its reactor.
+    """Install Twisted's reactor on the event loop and return it.
 
-    This must come before anything else imports `twisted.internet.reactor`. No TLS is spoken, so its
-    libraries stay unloaded.
+    This must come before anything else imports `twisted.internet.reactor`. No connection uses TLS,
+    so its libraries are kept from being loaded.
     """
     sys.modules.setdefault("OpenSSL", None)  # type: ignore[arg-type]
     asyncioreactor = importlib.import_module("twisted.internet.asyncioreactor")
--- a/roselink/exceptions.py
+++ b/roselink/exceptions.py
@@ -17,5 +17,5 @@
 
 
 def code_of(error: BaseException | None) -> str | None:
-    """The code of an error; None of one that roselink does not define."""
+    """The code of an error; None for an exception that roselink does not define."""
     return error.code if isinstance(error, RoselinkError) else None
--- a/roselink/startup_signals.py
+++ b/roselink/startup_signals.py
@@ -1,8 +1,9 @@
-"""Signals that come while a program of the fleet still starts, before it has an event loop.
+"""Handlers of signals that reach a program while it starts, before it has an event loop.
 
-Their default action would end the process without a word, and SIGHUP would end it at all. A process
-that ends here has taken nothing yet, so there is nothing to drain and nobody to tell. What is left
-without a word is the interpreter's own start, before any module of this project runs.
+The default actions would end the process without a log line, even at SIGHUP, which asks for a
+reload only. A process that ends here has accepted no work, so there is nothing to drain and no peer
+to notify. Signals during the interpreter's own start, before any module of this project runs, are
+not covered.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 class SignalSafeLog:
-    """Writes past the buffers of `sys.stderr`, which the interrupted code may be writing to."""
+    """Bypasses the buffer of `sys.stderr`, which the interrupted code may be writing to."""
 
     def __init__(self, program: str) -> None:
         """Log for `program`: `controller` writes JSON lines, `router` plain ones."""
@@ -41,9 +42,9 @@
 
 
 def handle_signals_while_starting(program: str) -> None:
-    """End in order at SIGTERM and SIGINT, until the event loop's own handlers take their place.
+    """Exit with a log line at SIGTERM and SIGINT, until the event loop's handlers replace these.
 
-    SIGHUP is ignored: the settings that it says have changed are still to be read.
+    SIGHUP is ignored: the changed settings that it announces are still to be read.
 
     Args:
         program: `controller` or `router`.
