--- a/tests/cli/test_check.py
+++ b/tests/cli/test_check.py
@@ -1,4 +1,4 @@
-"""`check`: which files pass, and how each fault is printed."""
+"""The command `check`, and refusals of the other commands' options."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
     from pathlib import Path
 
 
-def play(folder: Path, content: bytes) -> int:
+def run_check(folder: Path, content: bytes) -> int:
     path = folder / "file.json"
     path.write_bytes(content)
     return main(["check", str(path)])
 
 
 @pytest.mark.parametrize("value", [configuration(), settings()], ids=["configuration", "settings"])
-def test_what_is_valid_passes_in_silence(
+def test_a_valid_file_passes_without_output(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], value: dict[str, Any]
 ) -> None:
-    assert play(tmp_path, json.dumps(value).encode()) == 0
+    assert run_check(tmp_path, json.dumps(value).encode()) == 0
     assert capsys.readouterr() == ("", "")
 
 
@@ -47,7 +47,7 @@
 def test_every_fault_is_printed_with_its_path(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], value: object, paths: list[str]
 ) -> None:
-    assert play(tmp_path, json.dumps(value).encode()) == EXIT_FAULTS
+    assert run_check(tmp_path, json.dumps(value).encode()) == EXIT_FAULTS
     out, err = capsys.readouterr()
     assert out == ""
     lines = err.splitlines()
@@ -56,16 +56,14 @@
 
 
 @pytest.mark.parametrize("content", [b"", b"{", b"\xff\xfe\x00", b"[" * 100_000])
-def test_what_is_no_json_is_a_fault(
+def test_a_file_that_is_not_json_is_a_fault(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], content: bytes
 ) -> None:
-    assert play(tmp_path, content) == EXIT_FAULTS
+    assert run_check(tmp_path, content) == EXIT_FAULTS
     assert "is not JSON" in capsys.readouterr().err
 
 
-def test_a_file_that_is_not_there_is_a_fault(
-    tmp_path: Path, capsys: pytest.CaptureFixture[str]
-) -> None:
+def test_a_missing_file_is_a_fault(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["check", str(tmp_path / "none.json")]) == EXIT_FAULTS
     assert "cannot be read" in capsys.readouterr().err
 
@@ -73,24 +71,24 @@
 @pytest.mark.parametrize(
     "arguments", [[], ["no-such-command"], ["check"], ["lab", "--routers", "x"]]
 )
-def test_a_command_line_that_cannot_be_read_ends_with_2(arguments: list[str]) -> None:
-    with pytest.raises(SystemExit) as ended:
+def test_an_invalid_command_line_exits_with_status_2(arguments: list[str]) -> None:
+    with pytest.raises(SystemExit) as exit_info:
         main(arguments)
-    assert ended.value.code == EXIT_FAULTS
+    assert exit_info.value.code == EXIT_FAULTS
 
 
 @pytest.mark.parametrize(
     "arguments", [["--routers", "0"], ["--routers", "101"], ["--clients", "0"]]
 )
-def test_a_lab_that_cannot_be_is_refused(arguments: list[str]) -> None:
+def test_lab_options_out_of_range_are_refused(arguments: list[str]) -> None:
     assert main(["lab", *arguments]) == EXIT_FAULTS
 
 
-def test_a_lab_does_not_write_into_a_folder_that_is_there(tmp_path: Path) -> None:
+def test_the_lab_refuses_an_existing_folder(tmp_path: Path) -> None:
     assert main(["lab", "--folder", str(tmp_path)]) == EXIT_FAULTS
 
 
-def test_the_gateway_in_service_is_a_command(
+def test_the_gateway_command_runs_the_gateway_program(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setenv("GW_CONFIG", "/nowhere/config.json")
--- a/tests/cli/test_simulate.py
+++ b/tests/cli/test_simulate.py
@@ -1,4 +1,4 @@
-"""`simulate`: a day that holds, one that does not, and what it refuses to begin."""
+"""The command `simulate`: days with and without violations, and refused options."""
 
 from __future__ import annotations
 
@@ -17,32 +17,32 @@
     from roselink.simulation.scenarios import ScenarioResult
 
 
-def test_a_day_that_holds(capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_day_without_violations_exits_with_status_0(capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["simulate", "--seed", "3"]) == 0
     assert "1 days, 0 failed" in capsys.readouterr().out
 
 
-def test_a_failing_seed_is_explained(monkeypatch: pytest.MonkeyPatch) -> None:
-    def fails(_: int) -> ScenarioResult:
+def test_a_violation_is_reported_with_its_details(monkeypatch: pytest.MonkeyPatch) -> None:
+    def raise_violation(_: int) -> ScenarioResult:
         raise ScenarioError("unexplained", (Violation("an old configuration was shown", "3 at 7"),))
 
-    monkeypatch.setattr(command, "day_of_seed", fails)
-    outcome = run_job(Job(7, None))
-    assert outcome.failure is not None
-    assert "an old configuration was shown: 3 at 7" in outcome.failure
+    monkeypatch.setattr(command, "day_of_seed", raise_violation)
+    result = run_job(Job(7, None))
+    assert result.failure is not None
+    assert "an old configuration was shown: 3 at 7" in result.failure
 
 
-def test_failures_decide_the_exit_status(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_failed_day_exits_with_status_1(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(command, "run_days", lambda *_: 1)
     assert main(["simulate", "--days", "2"]) == EXIT_UNAVAILABLE
 
 
 @pytest.mark.parametrize("arguments", [["--days", "0"], ["--jobs", "0"], ["--machines", "10"]])
-def test_what_can_not_be_simulated_is_refused(arguments: list[str]) -> None:
+def test_simulate_options_out_of_range_are_refused(arguments: list[str]) -> None:
     assert main(["simulate", *arguments]) == EXIT_FAULTS
 
 
 @pytest.mark.parametrize(("seed", "machines"), [(2, 4), (5, 3)])
-def test_the_size_may_be_given(seed: int, machines: int) -> None:
-    outcome = run_job(Job(seed, machines))
-    assert outcome == JobResult(seed, outcome.result, None)
+def test_a_day_with_a_given_number_of_machines(seed: int, machines: int) -> None:
+    result = run_job(Job(seed, machines))
+    assert result == JobResult(seed, result.result, None)
--- a/tests/cli/test_startup_signals.py
+++ b/tests/cli/test_startup_signals.py
@@ -1,4 +1,4 @@
-"""Signals to a program of the fleet that still starts, as real processes."""
+"""Signals to real processes of the fleet's programs while they start."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from roselink.model.settings import ENVIRONMENT_VARIABLE
 
 ROOT = Path(__file__).resolve().parents[2]
-BOUND_S = 60.0
+TIMEOUT_S = 60.0
 
 
-def start_up_to_its_settings(program: str, settings: Path) -> subprocess.Popen[bytes]:
-    """A program that reads its settings from a pipe, and waits there for the first byte."""
+def start_until_settings_are_read(program: str, settings: Path) -> subprocess.Popen[bytes]:
+    """Start a program that blocks on reading its settings from a named pipe."""
     os.mkfifo(settings)
     return subprocess.Popen(
         [sys.executable, "-m", "roselink", program],
@@ -30,15 +30,15 @@
 
 @pytest.mark.parametrize("program", ["controller", "router"])
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
-def test_a_program_that_still_starts_says_that_it_ends(
+def test_sigterm_and_sigint_during_startup_exit_with_a_log_line(
     program: str, number: signal.Signals, tmp_path: Path
 ) -> None:
-    """Beside load a controller that was restarted a moment before ended without a word."""
+    """Under load, a controller stopped shortly after its start ended without a log line."""
     settings = tmp_path / "boot.json"
-    process = start_up_to_its_settings(program, settings)
+    process = start_until_settings_are_read(program, settings)
     with settings.open("wb"):  # opens once the program reads it
         process.send_signal(number)
-        _, errors = process.communicate(timeout=BOUND_S)
+        _, errors = process.communicate(timeout=TIMEOUT_S)
     assert process.returncode == 0
     (line,) = errors.decode().splitlines()
     if program == "controller":
@@ -49,12 +49,12 @@
 
 
 @pytest.mark.parametrize("program", ["controller", "router"])
-def test_a_reload_does_not_end_a_program_that_still_starts(program: str, tmp_path: Path) -> None:
+def test_sighup_during_startup_does_not_end_the_program(program: str, tmp_path: Path) -> None:
     settings = tmp_path / "boot.json"
-    process = start_up_to_its_settings(program, settings)
+    process = start_until_settings_are_read(program, settings)
     with settings.open("wb") as pipe:
         process.send_signal(signal.SIGHUP)
         pipe.write(b"no settings")
-    _, errors = process.communicate(timeout=BOUND_S)
+    _, errors = process.communicate(timeout=TIMEOUT_S)
     assert process.returncode == 2
     assert errors.startswith(b"settings: ")
--- a/tests/controller/fakes.py
+++ b/tests/controller/fakes.py
@@ -1,4 +1,4 @@
-"""A stand-in for the replicated chain: it keeps each call until the test ends it."""
+"""A fake replicated chain that keeps each call until the test completes it."""
 
 from __future__ import annotations
 
@@ -38,8 +38,8 @@
     def chain_addresses(self) -> tuple[str, ...]:
         return self.core_addresses()
 
-    def submit(self, order: ConfigurationChange, done: Callable[[SubmitOutcome], None]) -> None:
-        self.submits.put_nowait((order, done))
+    def submit(self, change: ConfigurationChange, done: Callable[[SubmitOutcome], None]) -> None:
+        self.submits.put_nowait((change, done))
 
     def confirm(self, done: Callable[[Confirmation | None], None]) -> None:
         self.reads.put_nowait(done)
--- a/tests/controller/reactor.py
+++ b/tests/controller/reactor.py
@@ -1,5 +1,6 @@
-"""Twisted's reactor on an event loop of the tests' own, installed once; what needs it imports this
-first.
+"""Twisted's reactor on an event loop for tests, installed when this module is first imported.
+
+Tests that need the reactor import this module before anything else that imports Twisted.
 """
 
 from __future__ import annotations
@@ -21,11 +22,11 @@
 TIMEOUT_S = 10.0
 
 
-def run_on_reactor(work: Coroutine[Any, Any, Result]) -> Result:
+def run_on_reactor(coroutine: Coroutine[Any, Any, Result]) -> Result:
     """Run a coroutine on the reactor's loop; fail if it hangs."""
 
-    async def bounded() -> Result:
+    async def with_timeout() -> Result:
         async with asyncio.timeout(TIMEOUT_S):
-            return await work
+            return await coroutine
 
-    return LOOP.run_until_complete(bounded())
+    return LOOP.run_until_complete(with_timeout())
--- a/tests/controller/single_member_core.py
+++ b/tests/controller/single_member_core.py
@@ -1,4 +1,4 @@
-"""A core process whose chain is one dictionary: run as a program by the tests of the assembly."""
+"""A core process with a single-member chain in memory, started by `test_app` as a program."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
     from roselink.protocol.peer_pool import PeerPool
 
-START = sys.argv[2] if len(sys.argv) > 2 else "succeeds"
+START_BEHAVIOUR = sys.argv[2] if len(sys.argv) > 2 else "succeeds"
 
 
 class SingleMemberChain:
@@ -37,14 +37,14 @@
         self.loop = loop
         self.epoch, self.is_tail, self.forming = 1, True, False
         self.tail: Address | None = (settings.ip, settings.peer_port)
-        self.taken: dict[bytes, int] = {}
+        self.committed: dict[bytes, int] = {}
         self.newest = Confirmation(1, 0, None, 0)
         self.seeds = settings.seed_peers()
 
     def start(self) -> None:
-        if START == "fails":
+        if START_BEHAVIOUR == "fails":
             raise RuntimeError("no disk")
-        if START == "breaks":
+        if START_BEHAVIOUR == "breaks":
             self.loop.call_soon(self.fail, RuntimeError("one callback"))
             self.loop.call_later(0.01, self.fail, DriverContractError("tick", "it is begun"))
 
@@ -67,14 +67,14 @@
     def chain_addresses(self) -> tuple[str, ...]:
         return self.core_addresses()
 
-    def submit(self, order: ConfigurationChange, done: Callable[[SubmitOutcome], None]) -> None:
-        if order.digest in self.taken:
-            done(ChangeCommitted(self.taken[order.digest]))
-        elif order.base != self.newest.generation:
+    def submit(self, change: ConfigurationChange, done: Callable[[SubmitOutcome], None]) -> None:
+        if change.digest in self.committed:
+            done(ChangeCommitted(self.committed[change.digest]))
+        elif change.base != self.newest.generation:
             done(Conflict(self.newest.generation))
         else:
-            sequence = self.taken[order.digest] = self.newest.sequence + 1
-            self.newest = Confirmation(1, sequence, order.document, order.generation)
+            sequence = self.committed[change.digest] = self.newest.sequence + 1
+            self.newest = Confirmation(1, sequence, change.document, change.generation)
             done(ChangeCommitted(sequence))
 
     def confirm(self, done: Callable[[Confirmation | None], None]) -> None:
@@ -88,9 +88,9 @@
 
 
 def main() -> None:
-    stand_in = types.ModuleType("roselink.controller.chain_driver")
-    stand_in.ChainDriver = SingleMemberChain  # type: ignore[attr-defined]
-    sys.modules["roselink.controller.chain_driver"] = stand_in
+    fake_module = types.ModuleType("roselink.controller.chain_driver")
+    fake_module.ChainDriver = SingleMemberChain  # type: ignore[attr-defined]
+    sys.modules["roselink.controller.chain_driver"] = fake_module
     run(load_settings(sys.argv[1]))
 
 
--- a/tests/controller/test_app.py
+++ b/tests/controller/test_app.py
@@ -1,4 +1,4 @@
-"""A whole core process with a stand-in for the chain: start, orders, pulls, signals, logs, end."""
+"""A core process with a fake chain: start, requests, pulls, signals, logs and shutdown."""
 
 from __future__ import annotations
 
@@ -22,21 +22,21 @@
 from tests.controller.test_validation import document
 
 ROOT = Path(__file__).resolve().parents[2]
-BOUND_S = 30.0
+TIMEOUT_S = 30.0
 GATEWAY = Member("g-1", "10.1.0.1:7500", 1)
 
 
 def free_ports(count: int) -> list[int]:
-    """Ports that nobody listens on just now."""
-    held = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
-    ports = [each.getsockname()[1] for each in held]
-    for each in held:
-        each.close()
+    """Ports on which nothing listens."""
+    servers = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
+    ports = [server.getsockname()[1] for server in servers]
+    for server in servers:
+        server.close()
     return ports
 
 
-class Core:
-    """A process, its settings file, and what it logs."""
+class CoreProcess:
+    """A core process, its settings file and its log."""
 
     def __init__(self, folder: Path, platform: tuple[str, int]) -> None:
         self.admin, self.peer = free_ports(2)
@@ -64,89 +64,102 @@
 
     async def start(
         self,
-        how: str = "succeeds",
-        until: str = "core_started",
+        start_behaviour: str = "succeeds",
+        until_event: str = "core_started",
         program: tuple[str, ...] = (),
     ) -> None:
         self.write()
-        stand_in = ("-m", "tests.controller.single_member_core", str(self.path), how)
+        single_member_core = (
+            "-m",
+            "tests.controller.single_member_core",
+            str(self.path),
+            start_behaviour,
+        )
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
-            *(program or stand_in),
+            *(program or single_member_core),
             cwd=ROOT,
             env={"PATH": "/usr/bin", ENVIRONMENT_VARIABLE: str(self.path)},
             stderr=PIPE,
         )
-        await self.logged(until)
+        await self.wait_for_event(until_event)
 
-    async def logged(self, event: str) -> dict[str, Any]:
-        """The next line of that event; every line must be JSON."""
+    async def wait_for_event(self, event: str) -> dict[str, Any]:
+        """Read the log up to the next line of the event; every line must be JSON."""
         assert self.process is not None
         assert self.process.stderr is not None
         while line := await self.process.stderr.readline():
-            said: dict[str, Any] = json.loads(line)
-            if said["event"] == event:
-                return said
-        raise AssertionError(f"ended without {event}")
-
-    async def ask(self, method: str, path: str, content: bytes = b"", **headers: str) -> Answered:
+            fields: dict[str, Any] = json.loads(line)
+            if fields["event"] == event:
+                return fields
+        raise AssertionError(f"the process ended without logging {event}")
+
+    async def request(
+        self, method: str, path: str, content: bytes = b"", **headers: str
+    ) -> Answered:
         caller = Caller(*await asyncio.open_connection("127.0.0.1", self.admin))
         try:
             return await caller.ask(method, path, content, **headers)
         finally:
             caller.writer.close()
 
-    async def pull(self, held: VersionVector) -> PullReply:
+    async def pull(self, versions: VersionVector) -> PullReply:
         reply = await self.pool.request(
-            ("127.0.0.1", self.peer), PullRequest(GATEWAY, held, True), 5.0
+            ("127.0.0.1", self.peer), PullRequest(GATEWAY, versions, True), 5.0
         )
         assert isinstance(reply, PullReply)
         return reply
 
-    async def end(self) -> int:
+    async def terminate(self) -> int:
         self.pool.close()
         assert self.process is not None
         self.process.send_signal(signal.SIGTERM)
-        await self.logged("core_stopped")
+        await self.wait_for_event("core_stopped")
         return await self.process.wait()
 
 
-async def a_life(folder: Path) -> None:
+async def serve_until_sigterm(folder: Path) -> None:
     platform = StandIn({"": body(entry())})
-    core = Core(folder, await platform.start())
+    core = CoreProcess(folder, await platform.start())
     await core.start()
     assert core.process is not None
     try:
-        assert (await core.ask("GET", "/config/get")).status == 404
-        order = json.dumps(document()).encode()
-        assert (await core.ask("POST", "/config/replace", order, X_Base_Version="0")).status == 200
-        assert (await core.ask("POST", "/config/replace", order, X_Base_Version="0")).status == 200
-        assert (await core.ask("POST", "/config/replace", order, X_Base_Version="3")).status == 412
+        assert (await core.request("GET", "/config/get")).status == 404
+        configuration = json.dumps(document()).encode()
+        assert (
+            await core.request("POST", "/config/replace", configuration, X_Base_Version="0")
+        ).status == 200
+        assert (
+            await core.request("POST", "/config/replace", configuration, X_Base_Version="0")
+        ).status == 200
+        assert (
+            await core.request("POST", "/config/replace", configuration, X_Base_Version="3")
+        ).status == 412
         assert (
-            await core.ask("POST", "/config/replace", order[:-1], X_Base_Version="7")
+            await core.request("POST", "/config/replace", configuration[:-1], X_Base_Version="7")
         ).status == 400
-        assert (await core.ask("GET", "/config/get")).body == order
-        held = VersionVector()
-        while not held.hosts or not held.roster:
-            reply = await core.pull(held)
+        assert (await core.request("GET", "/config/get")).body == configuration
+        versions = VersionVector()
+        while not versions.hosts or not versions.roster:
+            reply = await core.pull(versions)
             assert reply.confirmed
-            held = reply.vector
+            versions = reply.vector
             if reply.hosts is not None:
                 assert [host.id for host in reply.hosts] == ["i-1"]
             if reply.roster is not None:
                 assert reply.roster == (GATEWAY,)
-        assert (await core.pull(held)).configuration is None
-        assert (await core.ask("GET", "/status")).json()["gateways"][0]["name"] == "g-1"
+        assert (await core.pull(versions)).configuration is None
+        assert (await core.request("GET", "/status")).json()["gateways"][0]["name"] == "g-1"
         core.settings["seeds"] = ["127.0.0.1:1"]
         core.write()
         core.process.send_signal(signal.SIGHUP)
-        await core.logged("settings_read")
-        assert (await core.pull(held)).cores == (f"127.0.0.1:{core.peer}",)
+        await core.wait_for_event("settings_read")
+        assert (await core.pull(versions)).cores == (f"127.0.0.1:{core.peer}",)
         core.path.write_text("{")
         core.process.send_signal(signal.SIGHUP)
-        await core.logged("settings_rejected")
-        assert (await core.ask("GET", "/config/get")).status == 200
-        assert await core.end() == 0
+        await core.wait_for_event("settings_rejected")
+        assert (await core.request("GET", "/config/get")).status == 200
+        assert await core.terminate() == 0
     finally:
         if core.process.returncode is None:
             core.process.kill()
@@ -156,73 +169,73 @@
 
 def test_a_start_that_fails_ends_the_process_with_an_error(tmp_path: Path) -> None:
     async def work() -> None:
-        core = Core(tmp_path, ("127.0.0.1", 1))
-        await core.start("fails", until="core_failed")
+        core = CoreProcess(tmp_path, ("127.0.0.1", 1))
+        await core.start("fails", until_event="core_failed")
         assert core.process is not None
         assert await core.process.wait() == 1
 
     run_on_reactor(work())
 
 
-def test_a_broken_invariant_ends_the_process_and_another_fault_of_a_callback_does_not(
+def test_a_broken_invariant_in_a_callback_ends_the_process_and_other_exceptions_do_not(
     tmp_path: Path,
 ) -> None:
-    """In a callback of the loop a broken invariant was logged, and the member went on in it."""
+    """A broken invariant in an event loop callback was only logged, and the member kept running."""
 
     async def work() -> None:
-        core = Core(tmp_path, ("127.0.0.1", 1))
-        await core.start("breaks", until="callback_failed")
-        await core.logged("core_failed")
+        core = CoreProcess(tmp_path, ("127.0.0.1", 1))
+        await core.start("breaks", until_event="callback_failed")
+        await core.wait_for_event("core_failed")
         assert core.process is not None
         assert core.process.stderr is not None
         assert await core.process.wait() == 1
-        end = (await core.process.stderr.read()).decode()
-        assert "DriverContractError: tick: it is begun" in end
+        remaining_log = (await core.process.stderr.read()).decode()
+        assert "DriverContractError: tick: it is begun" in remaining_log
 
     run_on_reactor(work())
 
 
-def test_a_process_that_waits_for_its_port_can_be_ended(tmp_path: Path) -> None:
+def test_sigterm_ends_a_process_that_waits_for_its_peer_port(tmp_path: Path) -> None:
     async def work() -> None:
-        core = Core(tmp_path, ("127.0.0.1", 1))
+        core = CoreProcess(tmp_path, ("127.0.0.1", 1))
         with socket.create_server(("127.0.0.1", core.peer)):
-            await core.start(until="port_taken")
-            assert await core.end() == 0
+            await core.start(until_event="port_taken")
+            assert await core.terminate() == 0
 
     run_on_reactor(work())
 
 
 def test_a_reload_has_the_real_chain_send_heartbeats_to_the_new_seeds(tmp_path: Path) -> None:
-    """With the stand-in of these tests alone, a method that the chain's driver did not have passed.
+    """Members never connected to changed seeds, so machines known only from them could not join.
 
-    Seeds that were exchanged were never greeted, so machines that knew only them could not join.
+    The fake chain had a method for this that the real chain's driver lacked.
     """
 
     async def work() -> None:
-        core = Core(tmp_path, ("127.0.0.1", 1))
+        core = CoreProcess(tmp_path, ("127.0.0.1", 1))
         core.settings["data_dir"] = str(tmp_path / "disk")
         (tmp_path / "disk").mkdir()
-        greeted = asyncio.Event()
+        connected = asyncio.Event()
 
-        async def greet(_: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            greeted.set()
+        async def accept(_: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            connected.set()
             writer.close()
 
-        seed = await asyncio.start_server(greet, "127.0.41.2", core.peer)
+        seed_server = await asyncio.start_server(accept, "127.0.41.2", core.peer)
         await core.start(program=("-m", "roselink", "controller"))
         assert core.process is not None
-        assert not greeted.is_set()
+        assert not connected.is_set()
         core.settings["seeds"] = ["127.0.41.2:1"]
         core.write()
         core.process.send_signal(signal.SIGHUP)
-        await core.logged("settings_read")
-        async with asyncio.timeout(BOUND_S):
-            await greeted.wait()
-        seed.close()
-        assert await core.end() == 0
+        await core.wait_for_event("settings_read")
+        async with asyncio.timeout(TIMEOUT_S):
+            await connected.wait()
+        seed_server.close()
+        assert await core.terminate() == 0
 
     run_on_reactor(work())
 
 
-def test_a_life_of_a_core_process(tmp_path: Path) -> None:
-    run_on_reactor(a_life(tmp_path))
+def test_a_core_process_serves_requests_pulls_and_reloads_until_sigterm(tmp_path: Path) -> None:
+    run_on_reactor(serve_until_sigterm(tmp_path))
--- a/tests/controller/test_chain_driver.py
+++ b/tests/controller/test_chain_driver.py
@@ -1,4 +1,4 @@
-"""Three core members on real sockets of this machine, with folders as disks."""
+"""Core members on loopback sockets, with folders as disks."""
 
 from __future__ import annotations
 
@@ -52,8 +52,8 @@
     )
 
 
-class Process:
-    """What a core process has of it: a server, a pool and the node."""
+class MemberProcess:
+    """The part of a core process that a chain needs: a server, a connection pool and the driver."""
 
     def __init__(
         self,
@@ -68,137 +68,139 @@
         self.pool = PeerPool(self._handle)
         self.server = PeerServer(self._handle)
         settings = settings_of(host, port, folder, bootstrap, seeds)
-        self.node = ChainDriver(settings, self.pool, asyncio.get_running_loop())
+        self.driver = ChainDriver(settings, self.pool, asyncio.get_running_loop())
 
     def _handle(self, peer: Address, message: object, reply: ReplySender) -> None:
-        assert self.node.handle(peer, message, reply)
+        assert self.driver.handle(peer, message, reply)
 
-    async def begin(self) -> None:
+    async def start(self) -> None:
         await self.server.listen(self.host, self.port)
-        self.node.start()
+        self.driver.start()
 
     def kill(self) -> None:
-        self.node.halt()
+        self.driver.halt()
         self.server.close()
         self.pool.close()
 
-    async def submit(self, order: ConfigurationChange) -> SubmitOutcome:
-        ended: asyncio.Future[SubmitOutcome] = asyncio.get_running_loop().create_future()
-        self.node.submit(order, ended.set_result)
-        return await ended
+    async def submit(self, change: ConfigurationChange) -> SubmitOutcome:
+        result: asyncio.Future[SubmitOutcome] = asyncio.get_running_loop().create_future()
+        self.driver.submit(change, result.set_result)
+        return await result
 
     async def confirm(self) -> Confirmation | None:
-        ended: asyncio.Future[Confirmation | None] = asyncio.get_running_loop().create_future()
-        self.node.confirm(ended.set_result)
-        return await ended
+        result: asyncio.Future[Confirmation | None] = asyncio.get_running_loop().create_future()
+        self.driver.confirm(result.set_result)
+        return await result
 
 
-def order_on(base: int, generation: int) -> ConfigurationChange:
+def change_on(base: int, generation: int) -> ConfigurationChange:
     document = f"{base}-{generation}".encode()
     return ConfigurationChange(base, generation, document, digest_of(base, document))
 
 
-async def settled(process: Process, order: ConfigurationChange) -> SubmitOutcome:
-    """As the operator does: again until there is a clear answer."""
+async def submit_until_decided(
+    process: MemberProcess, change: ConfigurationChange
+) -> SubmitOutcome:
+    """Submit a change, as an operator does, until it is committed or conflicts."""
     async with asyncio.timeout(10):
         while True:
-            outcome = await process.submit(order)
+            outcome = await process.submit(change)
             if isinstance(outcome, ChangeCommitted | Conflict):
                 return outcome
             await asyncio.sleep(0.01)
 
 
-async def play(folder: Path, planned: bool) -> None:
+async def stop_the_head(folder: Path, planned: bool) -> None:
     port = free_port()
     folders = {host: folder / host for host in HOSTS}
-    processes = [Process(host, port, folders[host]) for host in HOSTS]
+    processes = [MemberProcess(host, port, folders[host]) for host in HOSTS]
     views: list[int] = []
-    processes[1].node.on_view_change(lambda: views.append(processes[1].node.epoch))
+    processes[1].driver.on_view_change(lambda: views.append(processes[1].driver.epoch))
     for process in processes:
-        await process.begin()
-    assert await settled(processes[1], order_on(0, 1)) == ChangeCommitted(1)
-    assert await settled(processes[2], order_on(0, 2)) == Conflict(1)
+        await process.start()
+    assert await submit_until_decided(processes[1], change_on(0, 1)) == ChangeCommitted(1)
+    assert await submit_until_decided(processes[2], change_on(0, 2)) == Conflict(1)
     for process in processes:
-        shown = await process.confirm()
-        assert shown is not None
-        assert shown.document == b"0-1"
+        confirmation = await process.confirm()
+        assert confirmation is not None
+        assert confirmation.document == b"0-1"
     if planned:
-        await processes[0].node.stop()
+        await processes[0].driver.stop()
     processes[0].kill()
-    assert await settled(processes[2], order_on(1, 5)) == ChangeCommitted(2)
-    assert processes[1].node.epoch > 1
+    assert await submit_until_decided(processes[2], change_on(1, 5)) == ChangeCommitted(2)
+    assert processes[1].driver.epoch > 1
     assert views
-    again = Process(HOSTS[0], port, folders[HOSTS[0]], bootstrap=False)
-    await again.begin()
+    restarted = MemberProcess(HOSTS[0], port, folders[HOSTS[0]], bootstrap=False)
+    await restarted.start()
     async with asyncio.timeout(10):
-        while (shown := await again.confirm()) is None:
+        while (confirmation := await restarted.confirm()) is None:
             await asyncio.sleep(0.01)
-    assert (shown.sequence, shown.generation, shown.document) == (2, 5, b"1-5")
-    assert sum(process.node.is_tail for process in (again, *processes[1:])) == 1
-    assert set(again.node.core_addresses()) == {f"{host}:{port}" for host in HOSTS}
-    for process in (again, *processes[1:]):
+    assert (confirmation.sequence, confirmation.generation, confirmation.document) == (2, 5, b"1-5")
+    assert sum(process.driver.is_tail for process in (restarted, *processes[1:])) == 1
+    assert set(restarted.driver.core_addresses()) == {f"{host}:{port}" for host in HOSTS}
+    for process in (restarted, *processes[1:]):
         process.kill()
 
 
-async def restart_alone(folder: Path) -> list[str]:
-    """The threads that a member has begun on a disk that holds its state."""
+async def restart_and_list_disk_threads(folder: Path) -> list[str]:
+    """Restart a member on a disk with its state; return the disk threads that it has started."""
     port = free_port()
-    first = Process(HOSTS[0], port, folder)
-    await first.begin()
+    first = MemberProcess(HOSTS[0], port, folder)
+    await first.start()
     async with asyncio.timeout(10):
-        while first.node.epoch == 0 or not any(folder.iterdir()):
+        while first.driver.epoch == 0 or not any(folder.iterdir()):
             await asyncio.sleep(0.01)
-    await first.node.stop()
+    await first.driver.stop()
     first.kill()
     async with asyncio.timeout(10):
         while _disk_threads():
             await asyncio.sleep(0.01)
-    again = Process(HOSTS[0], port, folder, bootstrap=False)
-    await again.begin()
-    assert again.node.epoch == 1
-    begun = _disk_threads()
-    again.kill()
-    return begun
+    restarted = MemberProcess(HOSTS[0], port, folder, bootstrap=False)
+    await restarted.start()
+    assert restarted.driver.epoch == 1
+    started_threads = _disk_threads()
+    restarted.kill()
+    return started_threads
 
 
 def _disk_threads() -> list[str]:
     return [thread.name for thread in threading.enumerate() if thread.name == "disk"]
 
 
-def test_the_disk_is_read_by_the_loop_and_its_thread_begins_with_a_save(tmp_path: Path) -> None:
-    assert asyncio.run(restart_alone(tmp_path)) == []
+def test_a_restart_reads_the_disk_without_starting_the_disk_thread(tmp_path: Path) -> None:
+    assert asyncio.run(restart_and_list_disk_threads(tmp_path)) == []
 
 
 @pytest.mark.parametrize("planned", [False, True])
-def test_three_nodes_serve_on_when_the_head_ends(tmp_path: Path, planned: bool) -> None:
-    asyncio.run(play(tmp_path, planned))
+def test_three_members_keep_serving_after_the_head_stops(tmp_path: Path, planned: bool) -> None:
+    asyncio.run(stop_the_head(tmp_path, planned))
 
 
-async def rot(folder: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    """One byte of a running member's disk flips, twice; then the member starts again."""
-    process = Process(HOSTS[0], free_port(), folder, seeds=HOSTS[:1])
-    await process.begin()
-    await settled(process, order_on(0, 1))
+async def damage_state_record_twice(folder: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    """Flip a byte of a running member's state record, twice, then restart it on a torn one."""
+    process = MemberProcess(HOSTS[0], free_port(), folder, seeds=HOSTS[:1])
+    await process.start()
+    await submit_until_decided(process, change_on(0, 1))
     for times in (1, 2):
         (path,) = folder.glob("state-*.dat")
         content = bytearray(path.read_bytes())
         content[-1] ^= 1
         path.write_bytes(content)
         async with asyncio.timeout(10):
-            while process.node.disk_status().damaged < times:
+            while process.driver.disk_status().damaged < times:
                 await asyncio.sleep(0.01)
             while Storage(str(folder)).load() == (None, None):
                 await asyncio.sleep(0.01)
-    status = process.node.disk_status()
+    status = process.driver.disk_status()
     assert status.healthy
     assert status.checks >= 2
     assert status.checked_s is not None
     process.kill()
     (path,) = folder.glob("state-*.dat")
     path.write_bytes(path.read_bytes()[:-1])
-    again = Process(HOSTS[0], process.port, folder, bootstrap=False)
-    await again.begin()
-    again.kill()
+    restarted = MemberProcess(HOSTS[0], process.port, folder, bootstrap=False)
+    await restarted.start()
+    restarted.kill()
     logged = [json.loads(line) for line in capsys.readouterr().err.splitlines()]
     events = [(line["event"], line.get("times")) for line in logged if "disk" in line["event"]]
     assert events == [
@@ -210,8 +212,8 @@
     ]
 
 
-def test_a_record_that_rots_is_written_anew_and_reported(
+def test_a_damaged_record_is_rewritten_and_logged(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setattr(scrub, "READ_INTERVAL_S", 0.05)
-    asyncio.run(rot(tmp_path, capsys))
+    asyncio.run(damage_state_record_twice(tmp_path, capsys))
--- a/tests/controller/test_imports.py
+++ b/tests/controller/test_imports.py
@@ -1,4 +1,4 @@
-"""When a starting core member imports what can wait."""
+"""Imports of a starting core member wait while its members agree on a view."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 MODULE = "this"  # of the standard library, and imported by nothing else
 
 
-class Member:
-    """Agrees on a view after a number of looks; each wait for it takes as long on its clock."""
+class FakeMember:
+    """Agrees on a view after a number of checks; each wait advances its clock by `wait_s`."""
 
-    def __init__(self, looks: int, wait_s: float) -> None:
-        self.looks, self.wait_s = looks, wait_s
+    def __init__(self, checks_until_agreed: int, wait_s: float) -> None:
+        self.checks_until_agreed, self.wait_s = checks_until_agreed, wait_s
         self.now = 0.0
-        self.asked = 0
+        self.checks = 0
 
     def forming(self) -> bool:
         assert MODULE not in sys.modules
-        self.asked += 1
-        return self.asked <= self.looks
+        self.checks += 1
+        return self.checks <= self.checks_until_agreed
 
     async def sleep(self, delay: float) -> None:
         if delay > 0:
@@ -31,24 +31,24 @@
 
 
 @pytest.mark.parametrize(
-    ("looks", "wait_s", "asked"),
+    ("checks_until_agreed", "wait_s", "checks"),
     [
         pytest.param(0, 0.02, 1, id="no view is being agreed"),
-        pytest.param(3, 0.02, 4, id="until one is agreed"),
-        pytest.param(99, MAX_VIEW_WAIT_S / 2, 2, id="no longer than there is patience"),
+        pytest.param(3, 0.02, 4, id="a view is agreed after three checks"),
+        pytest.param(99, MAX_VIEW_WAIT_S / 2, 2, id="no view within the longest wait"),
     ],
 )
-def test_an_import_waits_while_a_view_is_agreed(
-    looks: int,
+def test_an_import_waits_while_a_view_is_being_agreed(
+    checks_until_agreed: int,
     wait_s: float,
-    asked: int,
+    checks: int,
     monkeypatch: pytest.MonkeyPatch,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    member = Member(looks, wait_s)
+    member = FakeMember(checks_until_agreed, wait_s)
     monkeypatch.setattr(asyncio, "sleep", member.sleep)
     sys.modules.pop(MODULE, None)
     with pytest.raises(StopIteration):
         StepwiseImporter(member.forming, lambda: member.now).load((MODULE,)).send(None)
     assert MODULE in sys.modules
-    assert member.asked == asked
+    assert member.checks == checks
--- a/tests/controller/test_logging_setup.py
+++ b/tests/controller/test_logging_setup.py
@@ -1,4 +1,4 @@
-"""Logs: JSON, one event a line, with a bound on lines of each event."""
+"""The rate limit of log lines per event."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
         ([(0.0, "a"), (9.0, "a"), (9.0, "a"), (9.0, "a")], [0, 0, 0, None]),
     ],
 )
-def test_lines_beyond_the_budget_are_counted(
+def test_lines_beyond_the_rate_limit_are_dropped_and_counted(
     lines: list[tuple[float, str]], expected: list[int | None]
 ) -> None:
-    budget = EventRateLimiter(burst=2, per_s=1.0)
-    assert [budget.spend(now, event) for now, event in lines] == expected
+    limiter = EventRateLimiter(burst=2, per_s=1.0)
+    assert [limiter.spend(now, event) for now, event in lines] == expected
 
 
-def test_the_number_of_events_kept_apart_is_bounded() -> None:
-    budget = EventRateLimiter(burst=1, per_s=0.0)
+def test_the_number_of_token_buckets_is_bounded() -> None:
+    limiter = EventRateLimiter(burst=1, per_s=0.0)
     for number in range(3 * MAX_EVENTS):
-        assert budget.spend(0.0, f"event {number}") == 0
-    assert len(budget._buckets) <= MAX_EVENTS
+        assert limiter.spend(0.0, f"event {number}") == 0
+    assert len(limiter._buckets) <= MAX_EVENTS
--- a/tests/controller/test_payoffs.py
+++ b/tests/controller/test_payoffs.py
@@ -1,4 +1,4 @@
-"""Payoffs pooled over gateways: what counts, how long, and who is told."""
+"""Payoffs pooled from the gateways' reports: weight, decay and publication."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 )
 
 
-def told(data: bytes) -> dict[str, int]:
+def published_payoffs(data: bytes) -> dict[str, int]:
     if not data:
         return {}
     pooled = decode(record_number_of_class(PooledPayoffs), data)
@@ -34,76 +34,76 @@
     ("served", "missed", "after_s", "percent"),
     [
         (10, 0, 0.0, None),
-        (0, 1, 0.0, 50),  # one outcome is a doubt
+        (0, 1, 0.0, 50),  # the assumed served outcome and one miss
         (0, 12, 0.0, 10),
-        (0, 500, 0.0, 10),  # no more than a bounded number of outcomes is remembered
+        (0, 500, 0.0, 10),  # the weight of outcomes is bounded
         (7, 5, 0.0, 60),
         (11, 1, 0.0, None),
-        (0, 12, 4.0, 25),  # evidence ages
+        (0, 12, 4.0, 25),  # outcomes decay
         (0, 12, 12.0, None),
         (-5, -5, 0.0, None),
     ],
 )
-def test_what_outcomes_come_to(
+def test_payoff_of_a_reported_host_after_some_time(
     served: int, missed: int, after_s: float, percent: int | None
 ) -> None:
     pool = PayoffPool()
     pool.add_report(1.0, [HostOutcomes("h", served, missed)])
-    assert told(pool.encoded(1.0 + after_s)).get("h") == percent
+    assert published_payoffs(pool.encoded(1.0 + after_s)).get("h") == percent
 
 
-def test_single_misses_of_many_gateways_add_up_and_a_recovered_host_is_believed() -> None:
+def test_misses_of_many_gateways_add_up_and_successes_restore_the_host() -> None:
     pool = PayoffPool()
     for gateway in range(10):
-        pool.add_report(0.01 * gateway, [HostOutcomes("h", 0, 1), HostOutcomes("well", 1, 0)])
-    assert told(pool.encoded(0.1)) == {"h": 10}
+        pool.add_report(0.01 * gateway, [HostOutcomes("h", 0, 1), HostOutcomes("healthy", 1, 0)])
+    assert published_payoffs(pool.encoded(0.1)) == {"h": 10}
     for gateway in range(30):
         pool.add_report(1.0 + 0.01 * gateway, [HostOutcomes("h", 1, 0)])
-    assert told(pool.encoded(1.3)) == {}
+    assert published_payoffs(pool.encoded(1.3)) == {}
 
 
-def test_what_is_told_is_summed_now_and_then() -> None:
+def test_payoffs_are_encoded_at_most_once_per_publish_interval() -> None:
     pool = PayoffPool()
     assert pool.encoded(1.0) == b""
     pool.add_report(1.0, [HostOutcomes("h", 0, 9)])
     assert pool.encoded(1.0 + PUBLISH_INTERVAL_S / 2) == b""
-    assert told(pool.encoded(1.0 + PUBLISH_INTERVAL_S)) == {"h": 10}
+    assert published_payoffs(pool.encoded(1.0 + PUBLISH_INTERVAL_S)) == {"h": 10}
 
 
-def test_hosts_are_bounded_and_forgotten() -> None:
+def test_the_number_of_hosts_is_bounded_and_decayed_hosts_are_dropped() -> None:
     pool = PayoffPool()
     pool.add_report(0.0, [HostOutcomes(f"h{number}", 0, 1) for number in range(MAX_HOSTS + 10)])
-    assert len(told(pool.encoded(0.0))) == MAX_HOSTS
+    assert len(published_payoffs(pool.encoded(0.0))) == MAX_HOSTS
     assert pool.encoded(60.0) == b""
     assert not pool._hosts
 
 
-def test_the_tail_pools_what_pulls_bring_and_a_new_view_begins_anew() -> None:
+def test_the_tail_pools_reported_outcomes_and_a_new_view_resets_them() -> None:
     tail = Tail()
     tail.ask(
         PullRequest(member("a"), pull().vector, serving=True, outcomes=(HostOutcomes("h", 0, 3),))
     )
     tail.now += PUBLISH_INTERVAL_S
-    assert told(tail.ask(pull("b")).payoffs) == {"h": 25}
+    assert published_payoffs(tail.ask(pull("b")).payoffs) == {"h": 25}
     tail.pull_server.view_changed(tail.now, EPOCH + 1, TAIL, CORES, is_tail=True)
     assert tail.ask(pull("b")).payoffs == b""
 
 
-def test_an_answer_of_changes_brings_payoffs_too_as_far_as_the_gateway() -> None:
+def test_a_delta_reply_carries_payoffs_to_the_gateway() -> None:
     tail = Tail()
     tail.ask(
         PullRequest(member("a"), pull().vector, serving=True, outcomes=(HostOutcomes("h", 0, 3),))
     )
     tail.now += PUBLISH_INTERVAL_S
     tail.pull_server.pull_received(tail.now, 99, pull("b"), delta=True)
-    (answer,) = tail.pull_server.confirmation_received(tail.now, 99, confirmation(EPOCH))
-    assert isinstance(answer, SendDeltaReply)
-    whole = expand_reply(answer.reply, 0, ())
-    assert whole is not None
-    assert told(whole.payoffs) == {"h": 25}
+    (effect,) = tail.pull_server.confirmation_received(tail.now, 99, confirmation(EPOCH))
+    assert isinstance(effect, SendDeltaReply)
+    full_reply = expand_reply(effect.reply, 0, ())
+    assert full_reply is not None
+    assert published_payoffs(full_reply.payoffs) == {"h": 25}
 
 
-def test_only_the_tail_counts_outcomes() -> None:
+def test_a_member_that_is_not_the_tail_ignores_reported_outcomes() -> None:
     pull_server = PullServer(TIMES)
     pull_server.view_changed(0.0, EPOCH, TAIL, CORES, is_tail=False)
     pull_server.pull_received(
@@ -114,7 +114,7 @@
     assert pull_server._replies.payoffs.encoded(1.0) == b""
 
 
-def test_outcomes_survive_the_wire() -> None:
+def test_a_pull_request_with_outcomes_decodes_to_itself() -> None:
     sent = PullRequest(
         member("a"), pull().vector, serving=True, outcomes=(HostOutcomes("h", 4, 3),)
     )
--- a/tests/mutations/controller.py
+++ b/tests/mutations/controller.py
@@ -30,12 +30,12 @@
             "",
         ),
         (
-            "one record without the other is loaded",
+            "an acceptor state is loaded without an intact state",
             "isinstance(acceptor, AcceptorState) and isinstance(state, StoredState)",
             "isinstance(acceptor, AcceptorState)",
         ),
         (
-            "a refused save leaves its files",
+            "a failed save leaves its files",
             "            self._remove_files(base)\n            raise",
             "            raise",
         ),
@@ -67,7 +67,11 @@
     *mutations_of(
         "controller/stepwise_imports.py",
         ("tests/controller/test_imports.py",),
-        ("imports go on while a view is agreed", "            await self._wait_for_view()\n", ""),
+        (
+            "imports continue while a view is being agreed",
+            "            await self._wait_for_view()\n",
+            "",
+        ),
     ),
     *mutations_of(
         "controller/updates.py",
@@ -144,32 +148,32 @@
         "controller/disk_recovery.py",
         ("tests/controller/test_disk_recovery.py",),
         (
-            "a machine that may have a newer state is not asked for",
+            "a missing voter that may have a newer state is accepted",
             "        *_explain_missing_voters(views, given, lost),\n",
             "",
         ),
         (
-            "a core that can start is begun anew",
+            "a core that can start without recovery is recovered",
             "if not reasons and _can_start_without_recovery(usable, given):",
             "if False:",
         ),
         (
-            "a later view is not thought of",
+            "a later view that no disk knows is ignored",
             "if not reasons and not has_every_disk and",
             "if False and",
         ),
         (
-            "gateways keep what the lost members had told them",
+            "the recovered state's sequence is not raised",
             "source_state.state.sequence + SEQUENCE_GAP",
             "source_state.state.sequence",
         ),
         (
-            "a member starts with the former disk",
+            "the former records are not moved aside",
             "        _move_aside(disk.folder)\n",
             "        pass\n",
         ),
         (
-            "a proposal that may have been decided is left out",
+            "an accepted proposal is ignored",
             "for view in (acceptor.proposal, acceptor.view)",
             "for view in (acceptor.view,)",
         ),
@@ -178,7 +182,7 @@
         "controller/storage.py",
         ("tests/controller/test_storage.py",),
         (
-            "a generation whose save failed is read back",
+            "verify reads a generation whose save failed",
             "self._read_payload(store, self._durable.get(store, 0))",
             "self._read_payload(store, self._last_started.get(store, 0))",
         ),
