--- a/roselink/controller/chain_driver.py
+++ b/roselink/controller/chain_driver.py
@@ -60,7 +60,7 @@
     def __init__(
         self, settings: ProcessSettings, pool: PeerPool, loop: asyncio.AbstractEventLoop
     ) -> None:
-        """Make the driver; `start` begins.
+        """Make the driver; `start` reads the disk and joins the chain.
 
         Args:
             settings: the process's settings, with a `data_dir`.
--- a/roselink/controller/chain_interface.py
+++ b/roselink/controller/chain_interface.py
@@ -99,7 +99,7 @@
     """The chain's driver as the process's assembly sees it."""
 
     def start(self) -> None:
-        """Read the disk and begin to join the core."""
+        """Read the disk and start to join the core."""
 
     async def stop(self) -> None:
         """Leave the chain in order; every acknowledged change is on disk then."""
--- a/roselink/controller/payoffs.py
+++ b/roselink/controller/payoffs.py
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True)
 class _DecayedOutcomes:
-    """A host's decayed outcomes as of the time `updated_at`."""
+    """Weights of a host's outcomes, decayed up to the time `updated_at`."""
 
     served: float
     missed: float
