--- a/roselink/controller/api.py
+++ b/roselink/controller/api.py
@@ -78,7 +78,7 @@
         """The gateways that pull from the tail."""
 
 
-def parse_base(values: list[str]) -> int | None:
+def parse_base_version(values: list[str]) -> int | None:
     """The version in a request's X-Base-Version headers; None unless there is exactly one."""
     if len(values) != 1:
         return None
@@ -183,7 +183,7 @@
         """The version that a change builds on, or the response to a change that is refused."""
         if request.too_large:
             return _error(request, ApiError.TOO_LARGE, most_bytes=MAX_BODY_BYTES)
-        base = parse_base(
+        base = parse_base_version(
             [str(value) for value in request.requestHeaders.getRawHeaders("X-Base-Version", [])]
         )
         if base is None:
--- a/roselink/controller/pull_server.py
+++ b/roselink/controller/pull_server.py
@@ -55,7 +55,7 @@
         self._cores: tuple[str, ...] = ()
         self._pending: dict[int, _PendingPull] = {}
         self._roster = GatewayRoster(times or LivenessTimes())
-        self._replies = ReplyBuilder(self._roster)
+        self._reply_builder = ReplyBuilder(self._roster)
 
     @property
     def versions(self) -> VersionVector:
@@ -63,7 +63,7 @@
 
         The configuration's is 0 here: the chain has it.
         """
-        return VersionVector(0, self._replies.hosts.version, self._roster.version)
+        return VersionVector(0, self._reply_builder.hosts.version, self._roster.version)
 
     def view_changed(
         self, now: float, epoch: int, tail: Address | None, cores: tuple[str, ...], *, is_tail: bool
@@ -86,7 +86,7 @@
             return []
         self._epoch = epoch
         self._is_tail = is_tail
-        self._replies.view_changed()
+        self._reply_builder.view_changed()
         self._roster.view_changed(now, is_tail=is_tail)
         return []
 
@@ -115,7 +115,7 @@
         self._roster.input_received(now)
         if self._is_tail:
             self._roster.pull_received(now, pull)
-            self._replies.payoffs.add_report(now, pull.outcomes)
+            self._reply_builder.payoffs.add_report(now, pull.outcomes)
             self._pending[number] = _PendingPull(pull, delta)
             return [RequestConfirmation(number)]
         if forwarded or self._tail is None:
@@ -151,21 +151,23 @@
         self._roster.publish(now, self._next_version)
         current = pending.pull.vector
         if pending.delta:
-            reply = self._replies.delta_reply(now, current, confirmation, self._cores)
+            reply = self._reply_builder.delta_reply(now, current, confirmation, self._cores)
             return [SendDeltaReply(number, reply)]
-        return [SendReply(number, self._replies.reply(now, current, confirmation, self._cores))]
+        return [
+            SendReply(number, self._reply_builder.reply(now, current, confirmation, self._cores))
+        ]
 
     def hosts_listed(self, now: float, epoch: int, hosts: tuple[Host, ...]) -> list[PullEffect]:
         """A complete list of hosts, read from its first page on in view `epoch`."""
         self._roster.input_received(now)
         if not self._is_tail or epoch != self._epoch:
             return []
-        self._replies.hosts.publish(hosts, self._next_version)
+        self._reply_builder.hosts.publish(hosts, self._next_version)
         return []
 
     def lags(self, now: float) -> tuple[GatewayLag, ...]:
         """The gateways that pull from the tail, and how far behind each was at its last pull."""
-        return self._roster.lags(now, self._replies.hosts.version)
+        return self._roster.lags(now, self._reply_builder.hosts.version)
 
     def _next_version(self, version: int) -> int:
         return max(version, self._epoch << EPOCH_SHIFT) + 1
--- a/tests/controller/test_api.py
+++ b/tests/controller/test_api.py
@@ -32,7 +32,7 @@
     MAX_BODY_BYTES,
     SUBMIT_TIMEOUT_S,
     AdminApi,
-    parse_base,
+    parse_base_version,
 )
 
 if TYPE_CHECKING:
@@ -42,7 +42,7 @@
 
 
 @dataclass
-class Answered:
+class HttpResponse:
     status: int
     headers: dict[str, str]
     body: bytes
@@ -58,7 +58,7 @@
         return (GatewayLag("g-1", "10.1.0.1:7500", True, 0.2, 4, 1, 0),)
 
 
-class Caller:
+class HttpClient:
     """An HTTP client on one connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -69,16 +69,18 @@
         lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
         self.writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
 
-    async def receive(self) -> Answered:
+    async def receive(self) -> HttpResponse:
         head = (await self.reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
         headers = {}
         for line in head[1:-2]:
             name, _, value = line.partition(":")
             headers[name.lower()] = value.strip()
         content = await self.reader.readexactly(int(headers["content-length"]))
-        return Answered(int(head[0].split()[1]), headers, content)
+        return HttpResponse(int(head[0].split()[1]), headers, content)
 
-    async def ask(self, method: str, path: str, body: bytes = b"", **headers: str) -> Answered:
+    async def request(
+        self, method: str, path: str, body: bytes = b"", **headers: str
+    ) -> HttpResponse:
         self.send(method, path, body, **headers)
         return await self.receive()
 
@@ -92,10 +94,10 @@
         self.node, self.clock = FakeChain(), Clock()
         self.api = AdminApi(self.node, FakePublished(), self.clock)
         self.port = REACTOR.listenTCP(0, self.api.site(), interface="127.0.0.1")
-        self.callers: list[Caller] = []
+        self.callers: list[HttpClient] = []
 
-    async def caller(self) -> Caller:
-        made = Caller(*await asyncio.open_connection("127.0.0.1", self.port.getHost().port))
+    async def caller(self) -> HttpClient:
+        made = HttpClient(*await asyncio.open_connection("127.0.0.1", self.port.getHost().port))
         self.callers.append(made)
         return made
 
@@ -282,7 +284,7 @@
 @pytest.mark.parametrize("body", [b"", ORDER[:-1], b"[]", ORDER.replace(b"5000", b"0")])
 def test_what_is_invalid_never_reaches_the_chain(body: bytes) -> None:
     async def work(serving: Served) -> None:
-        answer = await (await serving.caller()).ask(
+        answer = await (await serving.caller()).request(
             "POST", "/config/replace", body, X_Base_Version="0"
         )
         assert answer.status == 400
@@ -315,13 +317,13 @@
     ],
 )
 def test_base_versions(values: list[str], base: int | None) -> None:
-    assert parse_base(values) == base
+    assert parse_base_version(values) == base
 
 
 @pytest.mark.parametrize("headers", [{}, {"X_Base_Version": "new"}])
 def test_no_order_without_a_base_version(headers: dict[str, str]) -> None:
     async def work(serving: Served) -> None:
-        answer = await (await serving.caller()).ask("POST", "/config/replace", ORDER, **headers)
+        answer = await (await serving.caller()).request("POST", "/config/replace", ORDER, **headers)
         assert answer.status == 400
         assert answer.json()["faults"][0]["path"] == "X-Base-Version"
         assert serving.node.submits.empty()
@@ -366,7 +368,7 @@
     async def work(serving: Served) -> None:
         caller = await serving.caller()
         body = b" " * (MAX_BODY_BYTES + 1)
-        answer = await caller.ask("POST", "/config/replace", body, X_Base_Version="0")
+        answer = await caller.request("POST", "/config/replace", body, X_Base_Version="0")
         assert answer.status == 413
         assert serving.node.submits.empty()
 
@@ -435,7 +437,7 @@
 )
 def test_other_paths_and_methods(method: str, path: str, status: int) -> None:
     async def work(serving: Served) -> None:
-        assert (await (await serving.caller()).ask(method, path)).status == status
+        assert (await (await serving.caller()).request(method, path)).status == status
 
     with_interface(work)
 
@@ -443,7 +445,7 @@
 def test_after_the_stop_no_order_is_taken() -> None:
     async def work(serving: Served) -> None:
         serving.api.stop()
-        answer = await (await serving.caller()).ask(
+        answer = await (await serving.caller()).request(
             "POST", "/config/replace", ORDER, X_Base_Version="0"
         )
         assert answer.status == 503
--- a/tests/controller/test_app.py
+++ b/tests/controller/test_app.py
@@ -16,9 +16,9 @@
 from roselink.protocol.peer_pool import PeerPool
 from roselink.protocol.pull import PullReply, PullRequest
 from tests.controller.reactor import run_on_reactor
-from tests.controller.test_api import Answered, Caller
-from tests.controller.test_host_list_client import StandIn
-from tests.controller.test_host_list_reader import body, entry
+from tests.controller.test_api import HttpClient, HttpResponse
+from tests.controller.test_host_list_client import FakePlatform
+from tests.controller.test_host_list_reader import host_entry, page_body
 from tests.controller.test_validation import document
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -96,10 +96,10 @@
 
     async def request(
         self, method: str, path: str, content: bytes = b"", **headers: str
-    ) -> Answered:
-        caller = Caller(*await asyncio.open_connection("127.0.0.1", self.admin))
+    ) -> HttpResponse:
+        caller = HttpClient(*await asyncio.open_connection("127.0.0.1", self.admin))
         try:
-            return await caller.ask(method, path, content, **headers)
+            return await caller.request(method, path, content, **headers)
         finally:
             caller.writer.close()
 
@@ -119,7 +119,7 @@
 
 
 async def serve_until_sigterm(folder: Path) -> None:
-    platform = StandIn({"": body(entry())})
+    platform = FakePlatform({"": page_body(host_entry())})
     core = CoreProcess(folder, await platform.start())
     await core.start()
     assert core.process is not None
--- a/tests/controller/test_host_list_client.py
+++ b/tests/controller/test_host_list_client.py
@@ -9,7 +9,7 @@
 from roselink.controller.host_list_reader import ReaderTimes
 from roselink.model.settings import PlatformSettings
 from tests.controller.reactor import REACTOR, run_on_reactor
-from tests.controller.test_host_list_reader import body, entry
+from tests.controller.test_host_list_reader import host_entry, page_body
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -17,7 +17,7 @@
     from roselink.model.fleet import Host
 
 
-class StandIn:
+class FakePlatform:
     """A platform on a loopback socket, written from the page: pages by token, 429 on order."""
 
     def __init__(self, pages: dict[str, bytes]) -> None:
@@ -65,7 +65,7 @@
 
 
 async def read_lists(
-    stand_in: StandIn,
+    stand_in: FakePlatform,
     count: int,
     then: Callable[[Any], None] = lambda client: None,
     call_s: float = 5.0,
@@ -95,8 +95,11 @@
 
 
 def test_driver_reads_all_pages_on_one_connection() -> None:
-    stand_in = StandIn(
-        {"": body(entry(id="i-1"), token="p 2&x"), "p 2&x": body(entry(id="i-2"), token=None)}
+    stand_in = FakePlatform(
+        {
+            "": page_body(host_entry(id="i-1"), token="p 2&x"),
+            "p 2&x": page_body(host_entry(id="i-2"), token=None),
+        }
     )
     assert run_on_reactor(read_lists(stand_in, 3)) == [(3, ["i-1", "i-2"])] * 3
     assert stand_in.asked[:4] == [("/instances", ""), ("/instances", "p 2&x")] * 2
@@ -104,14 +107,14 @@
 
 
 def test_driver_goes_on_after_refusals() -> None:
-    stand_in = StandIn({"": body(entry())})
+    stand_in = FakePlatform({"": page_body(host_entry())})
     stand_in.refusals = 3
     assert run_on_reactor(read_lists(stand_in, 1)) == [(3, ["i-1"])]
     assert len(stand_in.asked) >= 4
 
 
 def test_driver_gives_up_a_call_without_an_answer() -> None:
-    stand_in = StandIn({"": body(entry())})
+    stand_in = FakePlatform({"": page_body(host_entry())})
     stand_in.silent = 2
     assert run_on_reactor(read_lists(stand_in, 1, call_s=0.2)) == [(3, ["i-1"])]
     assert len(stand_in.asked) >= 3
@@ -119,7 +122,7 @@
 
 
 def test_driver_takes_the_role_in_another_view() -> None:
-    stand_in = StandIn({"": body(entry())})
+    stand_in = FakePlatform({"": page_body(host_entry())})
     lists = run_on_reactor(read_lists(stand_in, 2, lambda client: client.set_role(4)))
     assert lists == [(4, ["i-1"])] * 2
 
@@ -135,6 +138,6 @@
         await client.close().asFuture(asyncio.get_running_loop())
         stand_in.stop()
 
-    stand_in = StandIn({"": body()})
+    stand_in = FakePlatform({"": page_body()})
     run_on_reactor(hold_and_drop())
     assert stand_in.asked == []
--- a/tests/controller/test_host_list_reader.py
+++ b/tests/controller/test_host_list_reader.py
@@ -39,7 +39,7 @@
 HOST = Host("i-1", "model", "10.9.0.1:8080", "z-a", "v1", 64, HostState.READY, 0.0, ("m",))
 
 
-def entry(**changes: Any) -> dict[str, Any]:
+def host_entry(**changes: Any) -> dict[str, Any]:
     return ENTRY | changes
 
 
@@ -50,19 +50,19 @@
 @pytest.mark.parametrize(
     ("given", "field", "value"),
     [
-        (entry(), "id", "i-1"),
-        (entry(state="draining"), "state", HostState.DRAINING),
-        (entry(state="leaving"), "state", HostState.DRAINING),
-        (entry(state=None), "state", HostState.DRAINING),
-        (entry(warmup_left_ms=12.5), "warmup_left_ms", 12.5),
-        (entry(warmup_left_ms=None), "warmup_left_ms", 0.0),
-        (entry(warmup_left_ms=-4), "warmup_left_ms", 0.0),
-        (entry(capacity="many"), "capacity", 0),
-        (entry(generation=3), "generation", "3"),
-        (entry(zone=None), "zone", ""),
-        (entry(models=None), "models", ()),
-        (entry(models=[{"name": "m"}, {"name": "n"}, {}, 5]), "models", ("m", "n")),
-        (entry(colour="red"), "service", "model"),
+        (host_entry(), "id", "i-1"),
+        (host_entry(state="draining"), "state", HostState.DRAINING),
+        (host_entry(state="leaving"), "state", HostState.DRAINING),
+        (host_entry(state=None), "state", HostState.DRAINING),
+        (host_entry(warmup_left_ms=12.5), "warmup_left_ms", 12.5),
+        (host_entry(warmup_left_ms=None), "warmup_left_ms", 0.0),
+        (host_entry(warmup_left_ms=-4), "warmup_left_ms", 0.0),
+        (host_entry(capacity="many"), "capacity", 0),
+        (host_entry(generation=3), "generation", "3"),
+        (host_entry(zone=None), "zone", ""),
+        (host_entry(models=None), "models", ()),
+        (host_entry(models=[{"name": "m"}, {"name": "n"}, {}, 5]), "models", ("m", "n")),
+        (host_entry(colour="red"), "service", "model"),
     ],
 )
 def test_entries_that_can_be_read(given: dict[str, Any], field: str, value: Any) -> None:
@@ -82,38 +82,38 @@
         [],
         "i-1",
         {},
-        entry(id=""),
-        entry(id=7),
-        entry(service=None),
-        entry(address="10.9.0.1"),
-        entry(address=":8080"),
-        entry(address="10.9.0.1:http"),
-        entry(address="10.9.0.1:0"),
-        entry(address="10.9.0.1:70000"),
+        host_entry(id=""),
+        host_entry(id=7),
+        host_entry(service=None),
+        host_entry(address="10.9.0.1"),
+        host_entry(address=":8080"),
+        host_entry(address="10.9.0.1:http"),
+        host_entry(address="10.9.0.1:0"),
+        host_entry(address="10.9.0.1:70000"),
     ],
 )
 def test_entries_that_cannot_be_read_say_why(given: Any) -> None:
     assert isinstance(parse_host(given), str)
 
 
-def body(*entries: Any, token: Any = None) -> bytes:
+def page_body(*entries: Any, token: Any = None) -> bytes:
     return json.dumps({"instances": list(entries), "next_page_token": token}).encode()
 
 
 @pytest.mark.parametrize(
     ("status", "answer", "page"),
     [
-        (200, body(ENTRY), Page((HOST,), (), None)),
-        (200, body(), Page((), (), None)),
-        (200, body(ENTRY, token="p-50"), Page((HOST,), (), "p-50")),
-        (200, body(ENTRY, 5), Page((HOST,), ("no object",), None)),
-        (200, body(token=50), Page((), (), "50")),
-        (200, body(token=""), Page((), (), None)),
+        (200, page_body(ENTRY), Page((HOST,), (), None)),
+        (200, page_body(), Page((), (), None)),
+        (200, page_body(ENTRY, token="p-50"), Page((HOST,), (), "p-50")),
+        (200, page_body(ENTRY, 5), Page((HOST,), ("no object",), None)),
+        (200, page_body(token=50), Page((), (), "50")),
+        (200, page_body(token=""), Page((), (), None)),
         (200, b'{"instances":[]}', Page((), (), None)),
         (200, b'{"instances":[', "no JSON"),
         (200, b"[]", "no instances"),
         (200, b'{"instances":{}}', "no instances"),
-        (429, body(ENTRY), "status 429"),
+        (429, page_body(ENTRY), "status 429"),
         (503, b"", "status 503"),
     ],
 )
--- a/tests/controller/test_payoffs.py
+++ b/tests/controller/test_payoffs.py
@@ -111,7 +111,7 @@
         1,
         PullRequest(member("a"), pull().vector, serving=True, outcomes=(HostOutcomes("h", 0, 3),)),
     )
-    assert pull_server._replies.payoffs.encoded(1.0) == b""
+    assert pull_server._reply_builder.payoffs.encoded(1.0) == b""
 
 
 def test_a_pull_request_with_outcomes_decodes_to_itself() -> None:
