--- a/roselink/controller/api.py
+++ b/roselink/controller/api.py
@@ -112,16 +112,18 @@
 class AdminApi:
     """The routes of the interface."""
 
-    def __init__(self, chain: ReplicatedChain, published: PublishedState, clock: Clock) -> None:
+    def __init__(
+        self, chain: ReplicatedChain, published_state: PublishedState, clock: Clock
+    ) -> None:
         """Make the interface; `site` is served by the caller.
 
         Args:
             chain: the replicated chain.
-            published: what the pull service has published.
+            published_state: what the pull service has published.
             clock: makes the calls that end a request at its time-out.
         """
         self._chain = chain
-        self._published = published
+        self._published_state = published_state
         self._clock = clock
         self._stopping = False
         self._in_flight = 0
@@ -151,20 +153,20 @@
         return self._in_flight
 
     def _replace(self, request: ApiRequest) -> Response:
-        base = self._base_or_error(request)
+        base = self._base_version_or_error(request)
         if not isinstance(base, int):
             return base
         body = request.content.read()
-        valid = validate(body)
-        if isinstance(valid, ValidationFailure):
-            return _validation_failed(request, base, valid)
-        change = ConfigurationChange(base, valid.generation, body, digest_of(base, body))
+        validated = validate(body)
+        if isinstance(validated, ValidationFailure):
+            return _validation_failed(request, base, validated)
+        change = ConfigurationChange(base, validated.generation, body, digest_of(base, body))
         return self._respond_to_change(
-            request, base, valid.generation, lambda done: self._chain.submit(change, done)
+            request, base, validated.generation, lambda done: self._chain.submit(change, done)
         )
 
     def _update(self, request: ApiRequest) -> Response:
-        base = self._base_or_error(request)
+        base = self._base_version_or_error(request)
         if not isinstance(base, int):
             return base
         update_request = parse_update_request(base, request.content.read())
@@ -179,7 +181,7 @@
             ),
         )
 
-    def _base_or_error(self, request: ApiRequest) -> int | bytes:
+    def _base_version_or_error(self, request: ApiRequest) -> int | bytes:
         """The version that a change builds on, or the response to a change that is refused."""
         if request.too_large:
             return _error(request, ApiError.TOO_LARGE, most_bytes=MAX_BODY_BYTES)
@@ -199,12 +201,12 @@
         request: ApiRequest,
         base: int,
         generation: int,
-        begin: Callable[[Callable[[ChangeOutcome], None]], None],
+        operation: Callable[[Callable[[ChangeOutcome], None]], None],
     ) -> Deferred[bytes]:
-        """The response to a change: once `begin` reports its outcome, or at the time-out."""
+        """The response to a change: once `operation` reports its outcome, or at the time-out."""
         self._in_flight += 1
         unknown: ChangeOutcome = OutcomeUnknown()
-        outcome = self._with_timeout(SUBMIT_TIMEOUT_S, begin, unknown)
+        outcome = self._with_timeout(SUBMIT_TIMEOUT_S, operation, unknown)
         return outcome.addBoth(self._change_ended).addCallback(
             self._outcome_response, request, base, generation
         )
@@ -261,7 +263,7 @@
 
     def _status_response(self, confirmation: Confirmation | None, request: ApiRequest) -> bytes:
         chain = self._chain
-        versions = self._published.versions
+        versions = self._published_state.versions
         sequence = confirmation.sequence if confirmation is not None else None
         tail = chain.tail
         return _json_response(
@@ -281,17 +283,17 @@
                     "roster": versions.roster,
                 },
                 "disk": asdict(chain.disk_status()),
-                "gateways": [_lag_as_json(lag, sequence) for lag in self._published.lags()],
+                "gateways": [_lag_as_json(lag, sequence) for lag in self._published_state.lags()],
             },
         )
 
     def _with_timeout(
         self,
         timeout_s: float,
-        begin: Callable[[Callable[[Result], None]], None],
-        otherwise: Result,
+        operation: Callable[[Callable[[Result], None]], None],
+        default: Result,
     ) -> Deferred[Result]:
-        """What `begin` passes to its callback, or `otherwise` after `timeout_s`."""
+        """What `operation` passes to its callback, or `default` after `timeout_s`."""
         deferred: Deferred[Result] = Deferred()
 
         def finish(value: Result) -> None:
@@ -300,10 +302,10 @@
                 deferred.callback(value)
 
         def expire() -> None:
-            deferred.callback(otherwise)
+            deferred.callback(default)
 
         timer = self._clock.callLater(timeout_s, expire)
-        begin(finish)
+        operation(finish)
         return deferred
 
 
--- a/roselink/controller/field_validators.py
+++ b/roselink/controller/field_validators.py
@@ -96,7 +96,7 @@
     return value
 
 
-def or_null(validator: Validator) -> Validator:
+def nullable(validator: Validator) -> Validator:
     """The same validator, which also accepts null: the field counts as absent."""
 
     def validate(value: JsonValue) -> JsonValue:
@@ -105,7 +105,7 @@
     return validate
 
 
-def list_of(entry: Validator) -> Validator:
+def list_of(item_validator: Validator) -> Validator:
     """A list whose entries are all valid; the errors of all are collected, up to `MAX_ERRORS`."""
 
     def validate(value: JsonValue) -> JsonValue:
@@ -114,7 +114,7 @@
         errors: list[Invalid] = []
         for index, item in enumerate(value):
             try:
-                entry(item)
+                item_validator(item)
             except Invalid as invalid:
                 invalid.prepend([index])
                 errors.extend(invalid.errors if isinstance(invalid, MultipleInvalid) else [invalid])
@@ -142,4 +142,4 @@
 
 def optional_field(name: str, validator: Validator) -> Fields:
     """A field that may be absent or null, for use in `object_with`."""
-    return {Optional(name): or_null(validator)}
+    return {Optional(name): nullable(validator)}
--- a/roselink/controller/gateway_roster.py
+++ b/roselink/controller/gateway_roster.py
@@ -67,7 +67,9 @@
     serving: bool
     last_pull_at: float
     vector: VersionVector
-    former: deque[int] = field(default_factory=lambda: deque(maxlen=MAX_FORMER_INCARNATIONS))
+    former_incarnations: deque[int] = field(
+        default_factory=lambda: deque(maxlen=MAX_FORMER_INCARNATIONS)
+    )
 
 
 class GatewayRoster:
@@ -111,9 +113,9 @@
             self._gateways[member.name] = _Gateway(member, pull.serving, now, pull.vector)
             return
         if member.incarnation != known.member.incarnation:
-            if member.incarnation in known.former:
+            if member.incarnation in known.former_incarnations:
                 return
-            known.former.append(known.member.incarnation)
+            known.former_incarnations.append(known.member.incarnation)
         known.member = member
         known.serving = pull.serving
         known.last_pull_at = now
--- a/roselink/controller/host_list_client.py
+++ b/roselink/controller/host_list_client.py
@@ -57,7 +57,7 @@
 
 
 @implementer(IAgentEndpointFactory)
-class _NumericEndpoints:
+class _IpEndpointFactory:
     """Endpoints for addresses that are IP numbers: no name is resolved."""
 
     def __init__(self, reactor: Reactor) -> None:
@@ -76,7 +76,7 @@
         self,
         reactor: Reactor,
         platform: PlatformSettings,
-        listed: Callable[[int, tuple[Host, ...]], None],
+        on_hosts_listed: Callable[[int, tuple[Host, ...]], None],
         clock: Callable[[], float] = time.monotonic,
         times: ReaderTimes | None = None,
     ) -> None:
@@ -85,13 +85,13 @@
         Args:
             reactor: Twisted's reactor.
             platform: the platform's address and rate.
-            listed: gets each complete list, with the view's epoch.
+            on_hosts_listed: called with the view's epoch and each complete list.
             clock: a steady clock, in seconds.
             times: bounds of the reader's schedule.
         """
         self._reactor = reactor
         self._clock = clock
-        self._listed = listed
+        self._on_hosts_listed = on_hosts_listed
         times = times or ReaderTimes()
         self._call_timeout_s = times.call_timeout_s
         self._reader = HostListReader(platform.rate_per_s, random.Random(), times)
@@ -100,17 +100,17 @@
         self._pool.maxPersistentPerHost = 1
         self._pool.cachedConnectionTimeout = IDLE_TIMEOUT_S
         self._pool.retryAutomatically = False
-        endpoints = _NumericEndpoints(reactor)
-        agent = Agent.usingEndpointFactory(reactor, endpoints, self._pool)  # type: ignore[no-untyped-call]
+        endpoint_factory = _IpEndpointFactory(reactor)
+        agent = Agent.usingEndpointFactory(reactor, endpoint_factory, self._pool)  # type: ignore[no-untyped-call]
         self._http = HTTPClient(agent)
         self._timer: DelayedCall | None = None
-        self._call: Deferred[tuple[int, bytes]] | None = None
+        self._open_call: Deferred[tuple[int, bytes]] | None = None
 
     def set_role(self, epoch: int | None) -> None:
         """Have the reader's role in the view with this epoch; None: give it up."""
         if epoch is None:
             self._apply(self._reader.stop())
-            self._cancel()
+            self._cancel_timer_and_call()
         else:
             self._apply(self._reader.start(self._clock(), epoch))
 
@@ -120,12 +120,12 @@
         closed: Deferred[None] = self._pool.closeCachedConnections()  # type: ignore[no-untyped-call]
         return closed
 
-    def _cancel(self) -> None:
+    def _cancel_timer_and_call(self) -> None:
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         self._timer = None
-        call = self._call
-        self._call = None
+        call = self._open_call
+        self._open_call = None
         if call is not None:
             call.cancel()
 
@@ -137,7 +137,7 @@
                 case SetTimer(at):
                     self._set_timer(at)
                 case HostsListed(epoch, hosts):
-                    self._listed(epoch, hosts)
+                    self._on_hosts_listed(epoch, hosts)
                 case LogWarning(event, detail):
                     log.warning(event, detail=detail)
 
@@ -152,22 +152,22 @@
 
     def _fetch(self, number: int, page_token: str | None) -> None:
         # A call that is open here is of a former view.
-        if self._call is not None:
-            self._call.cancel()
+        if self._open_call is not None:
+            self._open_call.cancel()
         call = self._http.get(self._url, params={"page_token": page_token} if page_token else None)
-        page: Deferred[tuple[int, bytes]] = call.addCallback(self._body)
+        page: Deferred[tuple[int, bytes]] = call.addCallback(self._read_body)
         page.addTimeout(self._call_timeout_s, self._reactor)  # type: ignore[arg-type]
-        self._call = page
-        page.addBoth(self._finish, number, page)
+        self._open_call = page
+        page.addBoth(self._call_ended, number, page)
 
-    def _body(self, response: _Response) -> Deferred[tuple[int, bytes]]:
+    def _read_body(self, response: _Response) -> Deferred[tuple[int, bytes]]:
         return response.content().addCallback(lambda content: (response.code, content))
 
-    def _finish(
+    def _call_ended(
         self, outcome: Failure | tuple[int, bytes], number: int, call: Deferred[tuple[int, bytes]]
     ) -> None:
-        if self._call is call:
-            self._call = None
+        if self._open_call is call:
+            self._open_call = None
         if isinstance(outcome, Failure):
             page: Page | str = f"{type(outcome.value).__name__}: {outcome.getErrorMessage()}"
         else:
--- a/roselink/controller/host_list_reader.py
+++ b/roselink/controller/host_list_reader.py
@@ -56,12 +56,12 @@
 
     Attributes:
         hosts: its valid entries.
-        invalid: why each other entry is invalid.
+        rejections: why each other entry is invalid.
         next_token: the token of the next page; None for the last.
     """
 
     hosts: tuple[Host, ...]
-    invalid: tuple[str, ...]
+    rejections: tuple[str, ...]
     next_token: str | None
 
 
@@ -114,14 +114,14 @@
     if token is not None and not isinstance(token, str):
         token = json.dumps(token)
     hosts: list[Host] = []
-    invalid: list[str] = []
+    rejections: list[str] = []
     for entry in entries:
         host = parse_host(entry)
         if isinstance(host, Host):
             hosts.append(host)
         else:
-            invalid.append(host)
-    return Page(tuple(hosts), tuple(invalid), token or None)
+            rejections.append(host)
+    return Page(tuple(hosts), tuple(rejections), token or None)
 
 
 def parse_host(entry: JsonValue) -> Host | str:
@@ -139,22 +139,22 @@
         id=fields["id"],
         service=fields["service"],
         address=fields["address"],
-        zone=_text(fields.get("zone")),
-        generation=_text(fields.get("generation")),
-        capacity=max(0, int(_number(fields.get("capacity")))),
+        zone=_text_or_empty(fields.get("zone")),
+        generation=_text_or_empty(fields.get("generation")),
+        capacity=max(0, int(_number_or_zero(fields.get("capacity")))),
         state=HostState.READY if fields.get("state") == "ready" else HostState.DRAINING,
-        warmup_left_ms=max(0.0, _number(fields.get("warmup_left_ms"))),
-        models=_models(fields.get("models")),
+        warmup_left_ms=max(0.0, _number_or_zero(fields.get("warmup_left_ms"))),
+        models=_model_names(fields.get("models")),
     )
 
 
-def _text(value: JsonValue) -> str:
+def _text_or_empty(value: JsonValue) -> str:
     if isinstance(value, str):
         return value
     return "" if value is None else str(value)
 
 
-def _number(value: JsonValue) -> float:
+def _number_or_zero(value: JsonValue) -> float:
     if (
         isinstance(value, bool)
         or not isinstance(value, int | float)
@@ -164,7 +164,7 @@
     return float(value)
 
 
-def _models(value: JsonValue) -> tuple[str, ...]:
+def _model_names(value: JsonValue) -> tuple[str, ...]:
     if not isinstance(value, list):
         return ()
     names = [item.get("name") if isinstance(item, Mapping) else item for item in value]
@@ -175,34 +175,34 @@
     """The schedule of one reader, between `start` and `stop`; at most one call is in flight."""
 
     def __init__(
-        self, rate_per_s: float, jitter: random.Random, times: ReaderTimes | None = None
+        self, rate_per_s: float, rng: random.Random, times: ReaderTimes | None = None
     ) -> None:
         """Make a stopped reader.
 
         Args:
             rate_per_s: calls a second that the platform allows to all processes together.
-            jitter: the source of the backoff's jitter.
+            rng: the source of the backoff's jitter.
             times: bounds of the schedule.
         """
         self._times = times or ReaderTimes()
         self._call_interval_s = (
             1.0 / (rate_per_s * RATE_FRACTION) if rate_per_s > 0 else self._times.max_backoff_s
         )
-        self._jitter = jitter
+        self._rng = rng
         self._epoch: int | None = None
-        self._last_call = 0
-        self._open_call: int | None = None
+        self._last_call_number = 0
+        self._open_call_number: int | None = None
         self._pass_epoch = 0
-        self._pass_began_at = 0.0
+        self._pass_started_at = 0.0
         self._last_call_at = float("-inf")
         self._next_call_at = 0.0
-        self._token: str | None = None
+        self._page_token: str | None = None
         self._pages_read = 0
         self._page_failures = 0
-        self._failures_in_row = 0
+        self._consecutive_failures = 0
         self._hosts: dict[str, Host] = {}
         self._published: dict[str, Host] | None = None
-        self._missing_once: frozenset[str] = frozenset()
+        self._missing_in_last_pass: frozenset[str] = frozenset()
 
     @property
     def running(self) -> bool:
@@ -217,17 +217,17 @@
         if self._epoch == epoch:
             return []
         self._epoch = epoch
-        self._open_call = None
+        self._open_call_number = None
         self._published = None
-        self._missing_once = frozenset()
-        self._begin_pass()
+        self._missing_in_last_pass = frozenset()
+        self._reset_pass()
         self._next_call_at = max(now, self._last_call_at + self._call_interval_s)
         return self._call_or_wait(now)
 
     def stop(self) -> list[ReaderEffect]:
         """Give up the role; the result of an open call is ignored."""
         self._epoch = None
-        self._open_call = None
+        self._open_call_number = None
         self._hosts = {}
         self._published = None
         return []
@@ -238,41 +238,41 @@
 
     def fetch_completed(self, now: float, number: int, page: Page | str) -> list[ReaderEffect]:
         """The end of a call: a page, or why there is none."""
-        if self._epoch is None or number != self._open_call:
+        if self._epoch is None or number != self._open_call_number:
             return []
-        self._open_call = None
+        self._open_call_number = None
         if isinstance(page, str):
             return self._call_failed(now, page)
-        self._failures_in_row = 0
+        self._consecutive_failures = 0
         self._page_failures = 0
         self._pages_read += 1
         effects: list[ReaderEffect] = [
-            LogWarning("host_entry_rejected", reason) for reason in page.invalid
+            LogWarning("host_entry_rejected", reason) for reason in page.rejections
         ]
         for host in page.hosts:
             self._hosts[host.id] = host
         if page.next_token is not None and self._pages_read < MAX_PAGES:
-            self._token = page.next_token
+            self._page_token = page.next_token
             self._next_call_at = self._last_call_at + self._call_interval_s
         else:
             effects.extend(self._end_pass())
         return effects + self._call_or_wait(now)
 
     def _call_failed(self, now: float, reason: str) -> list[ReaderEffect]:
-        self._failures_in_row += 1
+        self._consecutive_failures += 1
         self._page_failures += 1
         if self._page_failures >= MAX_PAGE_ATTEMPTS:
-            self._begin_pass()
-        bound_s = min(
+            self._reset_pass()
+        max_wait_s = min(
             self._times.max_backoff_s,
-            self._times.backoff_s * 2.0 ** min(self._failures_in_row, MAX_BACKOFF_DOUBLINGS),
+            self._times.backoff_s * 2.0 ** min(self._consecutive_failures, MAX_BACKOFF_DOUBLINGS),
         )
-        wait_s = bound_s * self._jitter.uniform(0.5, 1.0)
+        wait_s = max_wait_s * self._rng.uniform(0.5, 1.0)
         self._next_call_at = max(now + wait_s, self._last_call_at + self._call_interval_s)
         return [LogWarning("platform_call_failed", reason), *self._call_or_wait(now)]
 
-    def _begin_pass(self) -> None:
-        self._token = None
+    def _reset_pass(self) -> None:
+        self._page_token = None
         self._pages_read = 0
         self._page_failures = 0
         self._hosts = {}
@@ -287,28 +287,28 @@
         verify = False
         if self._pages_read > 1 and self._published is not None:
             missing = frozenset(self._published) - frozenset(hosts)
-            newly_missing = missing - self._missing_once
+            newly_missing = missing - self._missing_in_last_pass
             hosts = hosts | {name: self._published[name] for name in newly_missing}
-            self._missing_once = newly_missing
+            self._missing_in_last_pass = newly_missing
             verify = bool(newly_missing)
         self._published = hosts
         listed = HostsListed(self._pass_epoch, tuple(hosts.values()))
-        soonest = self._last_call_at + self._call_interval_s
+        earliest = self._last_call_at + self._call_interval_s
         self._next_call_at = (
-            soonest if verify else max(soonest, self._pass_began_at + self._times.interval_s)
+            earliest if verify else max(earliest, self._pass_started_at + self._times.interval_s)
         )
-        self._begin_pass()
+        self._reset_pass()
         return [listed]
 
     def _call_or_wait(self, now: float) -> list[ReaderEffect]:
-        if self._epoch is None or self._open_call is not None:
+        if self._epoch is None or self._open_call_number is not None:
             return []
         if now < self._next_call_at:
             return [SetTimer(self._next_call_at)]
         if self._pages_read == 0:
-            self._pass_began_at = now
+            self._pass_started_at = now
             self._pass_epoch = self._epoch
-        self._last_call += 1
-        self._open_call = self._last_call
+        self._last_call_number += 1
+        self._open_call_number = self._last_call_number
         self._last_call_at = now
-        return [Fetch(self._last_call, self._token)]
+        return [Fetch(self._last_call_number, self._page_token)]
--- a/roselink/controller/host_versions.py
+++ b/roselink/controller/host_versions.py
@@ -18,21 +18,21 @@
     from roselink.model.fleet import Host
 
 # Versions back from the newest for which changes are known.
-MAX_STEPS = 64
+MAX_DELTAS = 64
 # Of the list's length: more changes than that travel as the complete list.
 MAX_CHANGED_FRACTION = 0.5
 
 
-_Identity = tuple[str | int | bool | tuple[str, ...], ...]
+_Fingerprint = tuple[str | int | bool | tuple[str, ...], ...]
 
 
 @dataclass(frozen=True, slots=True)
-class _Step:
+class _Delta:
     """The changes from the version `base_version` to the next one."""
 
     base_version: int
     removed: tuple[str, ...]
-    put: tuple[Host, ...]
+    updated: tuple[Host, ...]
 
 
 class HostVersions:
@@ -47,8 +47,8 @@
         """Begin without a list."""
         self.hosts: tuple[Host, ...] | None = None
         self.version = 0
-        self._identities: dict[str, _Identity] = {}
-        self._steps: deque[_Step] = deque(maxlen=MAX_STEPS)
+        self._fingerprints: dict[str, _Fingerprint] = {}
+        self._deltas: deque[_Delta] = deque(maxlen=MAX_DELTAS)
         self._encoded_list: bytes | None = None
         self._encoded_changes: dict[int, bytes | None] = {}
 
@@ -60,17 +60,19 @@
             next_version: gives the version that follows the present one.
         """
         ordered = tuple(sorted(hosts, key=lambda host: host.id))
-        identities = {host.id: _identity(host) for host in ordered}
+        fingerprints = {host.id: _fingerprint(host) for host in ordered}
         if self.hosts is not None:
-            removed = tuple(name for name in self._identities if name not in identities)
-            put = tuple(
-                host for host in ordered if self._identities.get(host.id) != identities[host.id]
+            removed = tuple(
+                host_id for host_id in self._fingerprints if host_id not in fingerprints
             )
-            if not removed and not put:
+            updated = tuple(
+                host for host in ordered if self._fingerprints.get(host.id) != fingerprints[host.id]
+            )
+            if not removed and not updated:
                 return
-            self._steps.append(_Step(self.version, removed, put))
+            self._deltas.append(_Delta(self.version, removed, updated))
         self.hosts = ordered
-        self._identities = identities
+        self._fingerprints = fingerprints
         self.version = next_version(self.version)
         self._encoded_list = None
         self._encoded_changes = {}
@@ -87,25 +89,29 @@
         None where they are not known, or so many that the complete list is the better reply.
         """
         if base_version not in self._encoded_changes:
-            self._encoded_changes[base_version] = self._merged(base_version)
+            self._encoded_changes[base_version] = self._encode_merged(base_version)
         return self._encoded_changes[base_version]
 
-    def _merged(self, base_version: int) -> bytes | None:
+    def _encode_merged(self, base_version: int) -> bytes | None:
         latest: dict[str, Host | None] = {}
-        known = False
-        for step in self._steps:
-            known = known or step.base_version == base_version
-            if known:
-                latest.update(dict.fromkeys(step.removed))
-                latest.update((host.id, host) for host in step.put)
-        if not known or self.hosts is None or len(latest) > MAX_CHANGED_FRACTION * len(self.hosts):
+        base_found = False
+        for delta in self._deltas:
+            base_found = base_found or delta.base_version == base_version
+            if base_found:
+                latest.update(dict.fromkeys(delta.removed))
+                latest.update((host.id, host) for host in delta.updated)
+        if (
+            not base_found
+            or self.hosts is None
+            or len(latest) > MAX_CHANGED_FRACTION * len(self.hosts)
+        ):
             return None
-        removed = tuple(name for name, host in latest.items() if host is None)
-        put = tuple(host for host in latest.values() if host is not None)
-        return encode(HostChanges(base_version, removed, put))
+        removed = tuple(host_id for host_id, host in latest.items() if host is None)
+        updated = tuple(host for host in latest.values() if host is not None)
+        return encode(HostChanges(base_version, removed, updated))
 
 
-def _identity(host: Host) -> _Identity:
+def _fingerprint(host: Host) -> _Fingerprint:
     """The fields in which a host differs to a gateway: all but the warm-up time that is left."""
     return (
         host.id,
--- a/roselink/controller/pull_driver.py
+++ b/roselink/controller/pull_driver.py
@@ -28,7 +28,7 @@
 # Of a call to the tail with a forwarded pull.
 FORWARD_TIMEOUT_S = 0.4
 
-Reply = Callable[[AnyReply], None]
+PullReplySender = Callable[[AnyReply], None]
 
 
 class PeerCaller(Protocol):
@@ -66,8 +66,8 @@
         self._pool = pool
         self._clock = clock
         self._server = PullServer(times)
-        self._replies: dict[int, Reply] = {}
-        self._numbers = itertools.count(1)
+        self._reply_senders: dict[int, PullReplySender] = {}
+        self._pull_numbers = itertools.count(1)
 
     def start(self) -> None:
         """Begin to follow the chain's view."""
@@ -87,7 +87,7 @@
             )
         )
 
-    def handle(self, peer: Address, message: object, reply: Reply) -> bool:
+    def handle(self, peer: Address, message: object, reply: PullReplySender) -> bool:
         """Take a record of the pull service; False for any other."""
         if isinstance(message, PullRequest):
             self._receive(message, reply, forwarded=False)
@@ -115,10 +115,10 @@
         return self._server.lags(self._clock())
 
     def _receive(
-        self, pull: PullRequest, reply: Reply, *, forwarded: bool, delta: bool = False
+        self, pull: PullRequest, reply: PullReplySender, *, forwarded: bool, delta: bool = False
     ) -> None:
-        number = next(self._numbers)
-        self._replies[number] = reply
+        number = next(self._pull_numbers)
+        self._reply_senders[number] = reply
         self._server.cores_changed(self._chain.core_addresses())
         self._apply(
             self._server.pull_received(
@@ -130,23 +130,23 @@
         for effect in effects:
             match effect:
                 case RequestConfirmation(number):
-                    self._chain.confirm(self._on_confirmation(number))
+                    self._chain.confirm(self._confirmation_callback(number))
                 case ForwardToTail(number, tail, message):
                     self._pool.call(
-                        tail, message, FORWARD_TIMEOUT_S, self._on_forward_reply(number)
+                        tail, message, FORWARD_TIMEOUT_S, self._forward_reply_callback(number)
                     )
                 case SendReply(number, reply):
-                    self._replies.pop(number)(reply)
+                    self._reply_senders.pop(number)(reply)
                 case SendDeltaReply(number, delta_reply):
-                    self._replies.pop(number)(delta_reply)
+                    self._reply_senders.pop(number)(delta_reply)
 
-    def _on_confirmation(self, number: int) -> Callable[[Confirmation | None], None]:
+    def _confirmation_callback(self, number: int) -> Callable[[Confirmation | None], None]:
         def done(confirmation: Confirmation | None) -> None:
             self._apply(self._server.confirmation_received(self._clock(), number, confirmation))
 
         return done
 
-    def _on_forward_reply(self, number: int) -> Callable[[object], None]:
+    def _forward_reply_callback(self, number: int) -> Callable[[object], None]:
         def done(received: object) -> None:
             reply = received if isinstance(received, PullReply | DeltaPullReply) else None
             self._apply(self._server.forward_completed(self._clock(), number, reply))
--- a/roselink/controller/pull_replies.py
+++ b/roselink/controller/pull_replies.py
@@ -50,7 +50,7 @@
         """The reply to a `PullRequest` of a gateway that has the versions `current`."""
         return PullReply(
             confirmed=True,
-            vector=self._vector(confirmation),
+            vector=self._version_vector(confirmation),
             configuration=_newer_document(current, confirmation),
             hosts=self.hosts.hosts if self.hosts.version > current.hosts else None,
             roster=self._roster.members if self._roster.version > current.roster else None,
@@ -62,20 +62,22 @@
         self, now: float, current: VersionVector, confirmation: Confirmation, cores: tuple[str, ...]
     ) -> DeltaPullReply:
         """The reply to a `DeltaPullRequest` of a gateway that has the versions `current`."""
-        newer = self.hosts.version > current.hosts
-        changes = self.hosts.encoded_changes(current.hosts) if newer else None
+        has_newer_hosts = self.hosts.version > current.hosts
+        changes = self.hosts.encoded_changes(current.hosts) if has_newer_hosts else None
         return DeltaPullReply(
             confirmed=True,
-            vector=self._vector(confirmation),
-            configuration=self._compressed(current, confirmation),
-            host_list=self.hosts.encoded_list() if newer and changes is None else None,
+            vector=self._version_vector(confirmation),
+            configuration=self._newer_document_compressed(current, confirmation),
+            host_list=self.hosts.encoded_list() if has_newer_hosts and changes is None else None,
             host_changes=changes,
             roster=self._roster.members if self._roster.version > current.roster else None,
             cores=cores,
             payoffs=self.payoffs.encoded(now),
         )
 
-    def _compressed(self, current: VersionVector, confirmation: Confirmation) -> bytes | None:
+    def _newer_document_compressed(
+        self, current: VersionVector, confirmation: Confirmation
+    ) -> bytes | None:
         document = _newer_document(current, confirmation)
         if document is None:
             return None
@@ -84,7 +86,7 @@
             self._compressed_document = zlib.compress(document, COMPRESSION_LEVEL)
         return self._compressed_document
 
-    def _vector(self, confirmation: Confirmation) -> VersionVector:
+    def _version_vector(self, confirmation: Confirmation) -> VersionVector:
         return VersionVector(confirmation.sequence, self.hosts.version, self._roster.version)
 
 
--- a/roselink/controller/updates.py
+++ b/roselink/controller/updates.py
@@ -98,12 +98,12 @@
         return value
     if not isinstance(value, dict):
         return ValidationFailure((ValidationFault("", "must be an object"),))
-    shape: JsonObject = value
-    faults = tuple(_shape_faults(shape))
+    fields: JsonObject = value
+    faults = tuple(_shape_faults(fields))
     if faults:
         return ValidationFailure(faults)
-    removed = {section: frozenset(names) for section, names in (shape.get(REMOVE) or {}).items()}
-    return Update(int(shape[GENERATION]), shape.get(UPSERT) or {}, removed)
+    removed = {section: frozenset(names) for section, names in (fields.get(REMOVE) or {}).items()}
+    return Update(int(fields[GENERATION]), fields.get(UPSERT) or {}, removed)
 
 
 def merge(document: JsonObject, update: Update) -> dict[str, Any]:
@@ -118,7 +118,7 @@
         if isinstance(upserted, dict):
             merged[section] = upserted
         else:
-            merged[section] = _merged_items(
+            merged[section] = _merge_items(
                 document.get(section) or [], upserted, update.remove.get(section, frozenset())
             )
     merged[GENERATION] = update.generation
@@ -126,7 +126,7 @@
 
 
 def proposal_from_update(
-    base: int, update: Update, digest: bytes, confirmed: Confirmation
+    base: int, update: Update, digest: bytes, confirmation: Confirmation
 ) -> ConfigurationChange | ValidationFailure:
     """The change that an update proposes, on a state confirmed after the update was parsed.
 
@@ -135,10 +135,12 @@
     generation have the same document, so a change that is sent again, or proposed by two members at
     once, has the same result.
     """
-    if base != confirmed.generation:
+    if base != confirmation.generation:
         return ConfigurationChange(base, update.generation, b"", digest)
     document = (
-        json.loads(confirmed.document) if confirmed.document is not None else _empty_document()
+        json.loads(confirmation.document)
+        if confirmation.document is not None
+        else _empty_document()
     )
     faults = tuple(_section_faults(document, update))
     if faults:
@@ -147,7 +149,7 @@
     valid = validate_document(merged)
     if isinstance(valid, ValidationFailure):
         return valid
-    return _change(base, valid, digest)
+    return _change_from_document(base, valid, digest)
 
 
 def submit_update(
@@ -165,20 +167,20 @@
         done: gets the one outcome.
     """
 
-    def on_state(confirmed: Confirmation | None) -> None:
-        if confirmed is None:
+    def on_confirmation(confirmation: Confirmation | None) -> None:
+        if confirmation is None:
             done(OutcomeUnknown())
             return
-        change = proposal_from_update(request.base, request.update, request.digest, confirmed)
+        change = proposal_from_update(request.base, request.update, request.digest, confirmation)
         if isinstance(change, ValidationFailure):
             done(change)
         else:
             submit(change, done)
 
-    confirm(on_state)
+    confirm(on_confirmation)
 
 
-def _change(base: int, valid: ValidDocument, digest: bytes) -> ConfigurationChange:
+def _change_from_document(base: int, valid: ValidDocument, digest: bytes) -> ConfigurationChange:
     # In ASCII: a lone surrogate, which JSON allows in fields that are ignored, can't be encoded.
     document = json.dumps(valid.document, separators=(",", ":")).encode()
     return ConfigurationChange(base, valid.generation, document, digest)
@@ -188,18 +190,18 @@
     return {"routes": [], "services": []}
 
 
-def _merged_items(
-    present: Sequence[JsonObject], upserted: Sequence[JsonObject], removed: frozenset[str]
+def _merge_items(
+    existing: Sequence[JsonObject], upserted: Sequence[JsonObject], removed: frozenset[str]
 ) -> list[JsonObject]:
-    newest = {item["name"]: item for item in upserted}
+    replacements = {item["name"]: item for item in upserted}
     items = []
-    for item in present:
+    for item in existing:
         name = item.get("name")
         if not isinstance(name, str):
             items.append(item)
         elif name not in removed:
-            items.append(newest.pop(name, item))
-    return items + list(newest.values())
+            items.append(replacements.pop(name, item))
+    return items + list(replacements.values())
 
 
 def _shape_faults(value: JsonObject) -> Iterable[ValidationFault]:
@@ -259,10 +261,10 @@
     for section in {*update.remove, *update.upsert}:
         if isinstance(update.upsert.get(section), dict):
             continue
-        present = document.get(section)
-        if present is not None and not _is_items(present):
+        existing = document.get(section)
+        if existing is not None and not _is_list_of_objects(existing):
             yield ValidationFault(section, "is no list of items")
 
 
-def _is_items(value: JsonValue) -> bool:
+def _is_list_of_objects(value: JsonValue) -> bool:
     return isinstance(value, list) and all(isinstance(item, dict) for item in value)
--- a/roselink/controller/validation.py
+++ b/roselink/controller/validation.py
@@ -91,7 +91,7 @@
     try:
         _SCHEMA(document)
     except MultipleInvalid as invalid:
-        return ValidationFailure(tuple(_fault(error) for error in invalid.errors[:MAX_FAULTS]))
+        return ValidationFailure(tuple(_to_fault(error) for error in invalid.errors[:MAX_FAULTS]))
     except RecursionError:
         return ValidationFailure((ValidationFault("", "is nested too deeply"),))
     assert isinstance(document, dict)
@@ -106,17 +106,19 @@
     raise ValueError(f"{name} is no number")
 
 
-def _fault(error: Invalid) -> ValidationFault:
+def _to_fault(error: Invalid) -> ValidationFault:
     path = ""
-    for step in error.path:
-        path += f"[{step}]" if isinstance(step, int) else f".{step}" if path else str(step)
+    for element in error.path:
+        path += (
+            f"[{element}]" if isinstance(element, int) else f".{element}" if path else str(element)
+        )
     reason = error.msg or "is invalid"
     if reason == "required key not provided":
         reason = "is missing"
     return ValidationFault(path, reason)
 
 
-_KINDS = In(
+_ROUTE_KIND = In(
     [kind.value for kind in RouteKind], msg="must be idempotent, non_idempotent or streaming"
 )
 
@@ -128,7 +130,7 @@
     Required("name"): non_empty_text,
     Required("hostname"): non_empty_text,
     Required("path_prefix"): path_prefix,
-    Required("kind"): _KINDS,
+    Required("kind"): _ROUTE_KIND,
 }
 
 _ROUTE = object_with(
@@ -194,28 +196,28 @@
     services = {service["name"] for service in document["services"]}
     for index, route in enumerate(document["routes"]):
         yield from _route_faults(f"routes[{index}]", route, services)
-    yield from _duplicates("routes", document["routes"], "name", lambda route: route["name"])
-    yield from _duplicates(
+    yield from _duplicate_faults("routes", document["routes"], "name", lambda route: route["name"])
+    yield from _duplicate_faults(
         "services", document["services"], "name", lambda service: service["name"]
     )
-    yield from _duplicates(
+    yield from _duplicate_faults(
         "routes",
         document["routes"],
         "path_prefix",
         lambda route: (route["hostname"].lower(), route["path_prefix"]),
     )
     tenants = document.get("tenants") or []
-    yield from _duplicates("tenants", tenants, "name", lambda tenant: tenant["name"])
-    yield from _shared_key_faults(tenants)
+    yield from _duplicate_faults("tenants", tenants, "name", lambda tenant: tenant["name"])
+    yield from _shared_api_key_faults(tenants)
 
 
 def _route_faults(path: str, route: JsonObject, services: set[str]) -> Iterable[ValidationFault]:
-    single = route.get("service")
+    service = route.get("service")
     split = route.get("traffic_split") or []
-    if single is None and not split:
+    if service is None and not split:
         yield ValidationFault(f"{path}.service", "is missing")
-    if single is not None and single not in services:
-        yield ValidationFault(f"{path}.service", f"no service is named {single!r}")
+    if service is not None and service not in services:
+        yield ValidationFault(f"{path}.service", f"no service is named {service!r}")
     for index, target in enumerate(split):
         if target["service"] not in services:
             yield ValidationFault(
@@ -226,19 +228,19 @@
         yield ValidationFault(f"{path}.traffic_split", "the weights add up to 0")
 
 
-def _duplicates(
-    path: str, entries: Sequence[JsonObject], field: str, identity: Callable[[JsonObject], Hashable]
+def _duplicate_faults(
+    path: str, entries: Sequence[JsonObject], field: str, key: Callable[[JsonObject], Hashable]
 ) -> Iterable[ValidationFault]:
     seen: dict[Hashable, int] = {}
     for index, entry in enumerate(entries):
-        first = seen.setdefault(identity(entry), index)
+        first = seen.setdefault(key(entry), index)
         if first != index:
             yield ValidationFault(
                 f"{path}[{index}].{field}", f"is the same as that of {path}[{first}]"
             )
 
 
-def _shared_key_faults(tenants: Sequence[JsonObject]) -> Iterable[ValidationFault]:
+def _shared_api_key_faults(tenants: Sequence[JsonObject]) -> Iterable[ValidationFault]:
     owners: dict[str, int] = {}
     for index, tenant in enumerate(tenants):
         for position, key in enumerate(tenant.get("api_keys") or []):
--- a/roselink/status.py
+++ b/roselink/status.py
@@ -20,10 +20,10 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
 
-TIMEOUT_S = 3.0
+REQUEST_TIMEOUT_S = 3.0
 # A version made in a view has the view's epoch above these bits and a count in them.
-COUNT_BITS = 32
-COUNT_MASK = (1 << COUNT_BITS) - 1
+COUNTER_BITS = 32
+COUNTER_MASK = (1 << COUNTER_BITS) - 1
 
 JsonObject = dict[str, Any]
 
@@ -105,14 +105,14 @@
     Raises:
         StatusUnavailableError: the controller itself does not respond.
     """
-    status = cast("FleetStatus", _get(address, "/status"))
+    status = cast("FleetStatus", _fetch_json(address, "/status"))
     tail = status.get("tail")
     status["gateways_from"] = address if status.get("is_tail") else None
     if tail is not None and not status.get("is_tail"):
         tail_address = f"{tail.rpartition(':')[0]}:{address.rpartition(':')[2]}"
         _complete_from_tail(status, tail_address)
     try:
-        configuration = _get(address, "/config/get")
+        configuration = _fetch_json(address, "/config/get")
         status["owners"] = budget_owners(configuration, status["gateways"])
     except StatusUnavailableError:
         status["owners"] = {}
@@ -121,14 +121,14 @@
 
 def _complete_from_tail(status: FleetStatus, tail_address: str) -> None:
     try:
-        of_tail = cast("FleetStatus", _get(tail_address, "/status"))
+        tail_status = cast("FleetStatus", _fetch_json(tail_address, "/status"))
     except StatusUnavailableError:
         return
-    if of_tail.get("is_tail"):
-        status["gateways"] = of_tail["gateways"]
+    if tail_status.get("is_tail"):
+        status["gateways"] = tail_status["gateways"]
         status["gateways_from"] = tail_address
-        status["versions"]["hosts"] = of_tail["versions"]["hosts"]
-        status["versions"]["roster"] = of_tail["versions"]["roster"]
+        status["versions"]["hosts"] = tail_status["versions"]["hosts"]
+        status["versions"]["roster"] = tail_status["versions"]["roster"]
 
 
 def budget_owners(configuration: JsonObject, gateways: Iterable[GatewayStatus]) -> dict[str, str]:
@@ -138,19 +138,19 @@
         configuration: the operator's document, with tenants and services.
         gateways: all gateways; only those that serve own keys.
     """
-    live = [
+    serving_members = [
         Member(gateway["name"], gateway["address"], 0) for gateway in gateways if gateway["serving"]
     ]
     keys = [QUOTA_PREFIX + tenant["name"] for tenant in configuration.get("tenants") or ()]
     keys += [
         RETRY_BUDGET_PREFIX + service["name"] for service in configuration.get("services") or ()
     ]
-    found = {key: rendezvous_owner(key, live) for key in keys}
-    return {key: owner.name for key, owner in found.items() if owner is not None}
+    owner_by_key = {key: rendezvous_owner(key, serving_members) for key in keys}
+    return {key: owner.name for key, owner in owner_by_key.items() if owner is not None}
 
 
-def _get(address: str, path: str) -> JsonObject:
-    connection = http.client.HTTPConnection(address, timeout=TIMEOUT_S)
+def _fetch_json(address: str, path: str) -> JsonObject:
+    connection = http.client.HTTPConnection(address, timeout=REQUEST_TIMEOUT_S)
     try:
         connection.request("GET", path)
         response = connection.getresponse()
@@ -177,18 +177,19 @@
         f"view       {status['epoch']} ({confirmed})",
         f"chain      {' -> '.join(status['chain']) or '-'}",
         f"members    {', '.join(status['core']) or '-'}",
-        f"generation {_number_or_unknown(status['generation'])}",
-        "versions   " + ", ".join(f"{kind} {_version(value)}" for kind, value in versions.items()),
+        f"generation {_text_or_unknown(status['generation'])}",
+        "versions   "
+        + ", ".join(f"{kind} {_version_text(value)}" for kind, value in versions.items()),
     ]
     if "disk" in status:
-        lines.append(f"disk       {_disk(status['disk'])}")
+        lines.append(f"disk       {_disk_text(status['disk'])}")
     lines += ["", *_gateway_lines(status)]
     if status.get("owners"):
         lines += ["", *_table(("role", "owner"), sorted(status["owners"].items()))]
     return lines
 
 
-def _disk(disk: DiskFields) -> str:
+def _disk_text(disk: DiskFields) -> str:
     condition = "healthy" if disk["healthy"] else "NOT HEALTHY"
     if disk["checked_s"] is None:
         return f"{condition}, not read back yet"
@@ -203,9 +204,9 @@
         return ["gateways   unknown: the chain's tail did not tell"]
     if not status["gateways"]:
         return ["gateways   none has pulled from the tail"]
-    heads = ("gateway", "address", "serving", "silent s", "configuration", "hosts", "roster")
+    headers = ("gateway", "address", "serving", "silent s", "configuration", "hosts", "roster")
     by_name = sorted(status["gateways"], key=lambda gateway: gateway["name"])
-    return _table(heads, [_gateway_row(gateway) for gateway in by_name])
+    return _table(headers, [_gateway_row(gateway) for gateway in by_name])
 
 
 def _gateway_row(gateway: GatewayStatus) -> tuple[str, ...]:
@@ -215,30 +216,30 @@
         "yes" if gateway["serving"] else "no",
         f"{gateway['silent_s']:.1f}",
         "behind" if gateway["configuration_behind"] else "newest",
-        _lag(gateway["hosts"]),
-        _lag(gateway["roster"]),
+        _lag_text(gateway["hosts"]),
+        _lag_text(gateway["roster"]),
     )
 
 
-def _lag(versions_behind: int) -> str:
+def _lag_text(versions_behind: int) -> str:
     return f"{versions_behind} behind" if versions_behind else "newest"
 
 
-def _table(heads: Sequence[str], rows: Sequence[Sequence[str]]) -> list[str]:
-    widths = [max(map(len, column)) for column in zip(heads, *rows, strict=True)]
-    lines = [heads, *rows]
+def _table(headers: Sequence[str], rows: Sequence[Sequence[str]]) -> list[str]:
+    widths = [max(map(len, column)) for column in zip(headers, *rows, strict=True)]
+    lines = [headers, *rows]
     return [
         "  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip()
         for row in lines
     ]
 
 
-def _version(value: int | None) -> str:
+def _version_text(value: int | None) -> str:
     """Versions made in a view are shown as epoch and count."""
-    if value is not None and value >> COUNT_BITS:
-        return f"{value >> COUNT_BITS}.{value & COUNT_MASK}"
-    return _number_or_unknown(value)
+    if value is not None and value >> COUNTER_BITS:
+        return f"{value >> COUNTER_BITS}.{value & COUNTER_MASK}"
+    return _text_or_unknown(value)
 
 
-def _number_or_unknown(value: int | None) -> str:
+def _text_or_unknown(value: int | None) -> str:
     return "unknown" if value is None else str(value)
--- a/tests/controller/test_host_versions.py
+++ b/tests/controller/test_host_versions.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from roselink.controller.host_versions import MAX_STEPS, HostVersions
+from roselink.controller.host_versions import MAX_DELTAS, HostVersions
 from roselink.model.fleet import Host, HostState
 from roselink.protocol.pull import HostChanges, HostList
 from roselink.protocol.records import decode, record_number_of
@@ -106,8 +106,8 @@
 
 
 def test_changes_are_known_for_a_bounded_number_of_versions() -> None:
-    made = published(*(hosts("ab"[number % 2]) for number in range(MAX_STEPS + 2)))
-    assert made.version == MAX_STEPS + 2
+    made = published(*(hosts("ab"[number % 2]) for number in range(MAX_DELTAS + 2)))
+    assert made.version == MAX_DELTAS + 2
     assert changes(made, 1) is None
     assert changes(made, 2) is not None
 
--- a/tests/mutations/controller.py
+++ b/tests/mutations/controller.py
@@ -82,7 +82,7 @@
             'struct.pack("!q", 0)',
         ),
         ("an update has a whole document's name", "_DIGEST_PREFIX + ", ""),
-        ("an update is merged onto any base", "if base != confirmed.generation:", "if False:"),
+        ("an update is merged onto any base", "if base != confirmation.generation:", "if False:"),
         (
             "a merged document is not checked",
             "    if isinstance(valid, ValidationFailure):\n",
@@ -96,8 +96,8 @@
         ),
         (
             "an unconfirmed state is built on",
-            "        if confirmed is None:\n            done(OutcomeUnknown())",
-            "        if confirmed is None:\n            done(Conflict(0))",
+            "        if confirmation is None:\n            done(OutcomeUnknown())",
+            "        if confirmation is None:\n            done(Conflict(0))",
         ),
     ),
     *mutations_of(
@@ -130,7 +130,8 @@
         PULLS,
         (
             "a late pull of a former start counts",
-            "            if member.incarnation in known.former:\n                return\n",
+            "            if member.incarnation in known.former_incarnations:\n"
+            "                return\n",
             "",
         ),
         (
