--- a/roselink/controller/api.py
+++ b/roselink/controller/api.py
@@ -1,8 +1,8 @@
 """The operator's interface over HTTP: a klein application in front of the replicated chain.
 
-Every member responds for itself. A change's digest covers its kind, its base version and its bytes,
-so the chain recognises a change that is sent again, at any member and after a restart. An update of
-single items is merged onto the confirmed document of its base, and proposed as a complete document.
+Every member serves it. A change's digest covers its kind, its base version and its bytes, so the
+chain recognises a resubmitted change at any member and after a restart. An update of single items
+is merged onto the confirmed document of its base, and proposed as a complete document.
 Responses: 200 committed; 412 another version is current; 400 invalid; 413 too large; 503 with
 Retry-After when the outcome was not known in time.
 """
@@ -44,15 +44,15 @@
 
 MAX_BODY_BYTES = 16 * 1024 * 1024
 SUBMIT_TIMEOUT_S = 2.3
-# Below the second after which a caller tries another member.
+# Less than the 1 s after which a caller tries another member.
 CONFIRM_TIMEOUT_S = 0.9
 STATUS_TIMEOUT_S = 0.5
 RETRY_AFTER_S = "0.2"
 IDLE_TIMEOUT_S = 60
-# Of the largest integer of a record, so that no longer text is converted.
+# Digits of the largest integer of a record; longer text is rejected without conversion.
 MAX_BASE_DIGITS = 19
 
-# The outcomes' names in the log are older than the classes' names, and stay for searches of logs.
+# The log keeps the outcomes' former names, which existing log searches use.
 _LOGGED_OUTCOMES: dict[type[SubmitOutcome], str] = {
     ChangeCommitted: "TakenOrder",
     Conflict: "Conflict",
@@ -90,13 +90,13 @@
 
 
 class ApiRequest(Request):
-    """A request whose body is buffered in memory, up to a bound; past it the body is dropped."""
+    """A request whose body is buffered in memory; one above `MAX_BODY_BYTES` is discarded."""
 
     too_large = False
     content: BytesIO
 
     def gotLength(self, length: int | None) -> None:
-        """Begin the body's buffer; `length` is None for a chunked body."""
+        """Start buffering the body; `length` is None for a chunked body."""
         self.content = BytesIO()
         self.too_large = length is not None and length > MAX_BODY_BYTES
 
@@ -110,17 +110,17 @@
 
 
 class AdminApi:
-    """The routes of the interface."""
+    """The HTTP routes of the operator's interface."""
 
     def __init__(
         self, chain: ReplicatedChain, published_state: PublishedState, clock: Clock
     ) -> None:
-        """Make the interface; `site` is served by the caller.
+        """Create the interface; the caller serves `site`.
 
         Args:
             chain: the replicated chain.
             published_state: what the pull service has published.
-            clock: makes the calls that end a request at its time-out.
+            clock: schedules the requests' time-outs.
         """
         self._chain = chain
         self._published_state = published_state
@@ -149,7 +149,7 @@
 
     @property
     def in_flight(self) -> int:
-        """How many changes are in flight."""
+        """The number of changes in flight."""
         return self._in_flight
 
     def _replace(self, request: ApiRequest) -> Response:
@@ -182,7 +182,7 @@
         )
 
     def _base_version_or_error(self, request: ApiRequest) -> int | bytes:
-        """The version that a change builds on, or the response to a change that is refused."""
+        """The base version of a change, or the error response if the request is rejected."""
         if request.too_large:
             return _error(request, ApiError.TOO_LARGE, most_bytes=MAX_BODY_BYTES)
         base = parse_base_version(
@@ -190,7 +190,7 @@
         )
         if base is None:
             return _invalid(
-                request, (ValidationFault("X-Base-Version", "must be one whole number"),)
+                request, (ValidationFault("X-Base-Version", "must be one non-negative integer"),)
             )
         if self._stopping:
             return _unavailable(request, ApiError.STOPPING)
--- a/roselink/controller/api_errors.py
+++ b/roselink/controller/api_errors.py
@@ -12,11 +12,11 @@
     CONFLICT = ("API-002", 412, "conflict")
     TOO_LARGE = ("API-003", 413, "too large")
     NO_CONFIGURATION = ("API-004", 404, "no configuration yet")
-    # The process ends, and has begun nothing.
+    # The process is shutting down; the change was not started.
     STOPPING = ("API-005", 503, "stopping")
     # The change may or may not be committed, now or later.
     UNSETTLED = ("API-006", 503, "unsettled")
-    # Nobody could say in time which configuration is the newest.
+    # The newest configuration could not be confirmed in time.
     UNCONFIRMED = ("API-007", 503, "unconfirmed")
 
     @property
--- a/roselink/controller/field_validators.py
+++ b/roselink/controller/field_validators.py
@@ -12,14 +12,14 @@
 from voluptuous import ALLOW_EXTRA, In, Invalid, Marker, MultipleInvalid, Optional, Schema
 
 JsonValue: TypeAlias = "bool | int | float | str | list[JsonValue] | dict[str, JsonValue] | None"
-# An object that is indexed by a shape that the schema has checked.
+# A JSON object; callers validate its fields before they use them.
 JsonObject: TypeAlias = Mapping[str, Any]
 Validator: TypeAlias = Callable[[JsonValue], JsonValue]
 Fields: TypeAlias = dict[Marker, Validator | In]
 
 # The largest integer of a record's field (signed, 64 bits).
 MAX_INTEGER = 2**63 - 1
-# Collected of one list.
+# Errors that are collected from one list.
 MAX_ERRORS = 100
 
 
@@ -31,20 +31,20 @@
         try:
             value.encode()
         except UnicodeEncodeError:
-            raise Invalid("holds half a character") from None
+            raise Invalid("contains a lone surrogate") from None
     return value
 
 
 def any_text(value: JsonValue) -> JsonValue:
-    """Text, also empty."""
+    """Text, which may be empty."""
     return non_empty_text(value) if value != "" else value
 
 
 def _require_number(value: JsonValue) -> float:
-    """The value as a finite number that a record can hold; true and false are none."""
+    """The value as a finite number that a record can hold; booleans are not numbers."""
     if isinstance(value, bool) or not isinstance(value, int | float):
         raise Invalid("must be a number")
-    if not -MAX_INTEGER <= value <= MAX_INTEGER:  # also infinite
+    if not -MAX_INTEGER <= value <= MAX_INTEGER:  # rejects NaN and infinities too
         raise Invalid("is out of range")
     return value
 
@@ -97,7 +97,7 @@
 
 
 def nullable(validator: Validator) -> Validator:
-    """The same validator, which also accepts null: the field counts as absent."""
+    """A validator that also accepts null, which counts as absent."""
 
     def validate(value: JsonValue) -> JsonValue:
         return None if value is None else validator(value)
--- a/roselink/controller/gateway_roster.py
+++ b/roselink/controller/gateway_roster.py
@@ -1,7 +1,7 @@
 """Which gateways are live, as the tail infers it from their pulls. Sans I/O.
 
 A pull is also a gateway's heartbeat. The roster is the sorted list of the live gateways that serve;
-each change of it is a new version. `now` is in seconds of a steady clock.
+each change of it makes a new version. `now` is in seconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
     from roselink.model.fleet import Member, VersionVector
     from roselink.protocol.pull import PullRequest
 
-# Kept of each gateway, so that a delayed pull of a former start changes nothing.
+# Former incarnations that are remembered of each gateway, so that their delayed pulls are ignored.
 MAX_FORMER_INCARNATIONS = 8
 
 
@@ -25,10 +25,12 @@
     """Bounds of failure detection, in seconds.
 
     Attributes:
-        gateway_timeout_s: a gateway that has not pulled for so long is dropped.
-        collection_s: how long a new view's tail waits for pulls before its first roster.
-        stall_s: with no input for so long this member itself was stalled, and the gap does not
-            count against any gateway.
+        gateway_timeout_s: a gateway that has not pulled for longer is dropped. A larger value
+            keeps a dead gateway in the roster for longer; a smaller one drops slow gateways.
+        collection_s: how long a new view's tail waits for pulls before its first roster. A larger
+            value delays the roster; with a smaller one it may lack live gateways.
+        stall_s: after a longer gap without input this member itself was stalled, and the gap does
+            not count against any gateway.
     """
 
     gateway_timeout_s: float = 1.2
@@ -81,7 +83,7 @@
     """
 
     def __init__(self, times: LivenessTimes) -> None:
-        """Begin without gateways."""
+        """Start without gateways."""
         self.members: tuple[Member, ...] | None = None
         self.version = 0
         self._times = times
@@ -90,7 +92,7 @@
         self._last_input_at = 0.0
 
     def input_received(self, now: float) -> None:
-        """Discount time in which this member was stalled: the gateways could not be received."""
+        """Discount time in which this member was stalled and could not receive pulls."""
         pause_s = now - self._last_input_at
         self._last_input_at = now
         if pause_s > self._times.stall_s:
@@ -98,7 +100,7 @@
                 gateway.last_pull_at += pause_s
 
     def view_changed(self, now: float, *, is_tail: bool) -> None:
-        """Begin a view: its roster is collected anew; only a tail keeps the gateways it knows."""
+        """Start a view: its roster is collected again; only a tail keeps the gateways it knows."""
         self.members = None
         self.version = 0
         self._collect_until = now + self._times.collection_s
@@ -106,7 +108,7 @@
             self._gateways.clear()
 
     def pull_received(self, now: float, pull: PullRequest) -> None:
-        """Count a pull as its gateway's heartbeat, unless it is of a former incarnation."""
+        """Count a pull as its gateway's heartbeat, unless it is from a former incarnation."""
         member = pull.member
         known = self._gateways.get(member.name)
         if known is None:
@@ -126,7 +128,7 @@
 
         Args:
             now: the time.
-            next_version: gives the version that follows the present one.
+            next_version: returns the version that follows the given one.
         """
         expired = [
             name
--- a/roselink/controller/host_list_client.py
+++ b/roselink/controller/host_list_client.py
@@ -1,7 +1,7 @@
 """The driver of the host list's reader: treq on a pool that keeps one connection to the platform.
 
-Where the member must stop reading it cancels the open call, so that at most the one in flight
-reaches the platform.
+When the member loses the reader's role, the open call is cancelled, so that at most the one in
+flight reaches the platform.
 """
 
 from __future__ import annotations
@@ -41,14 +41,14 @@
     from roselink.model.settings import PlatformSettings
 
 CONNECT_TIMEOUT_S = 0.6
-# An idle connection is closed after so long.
+# Time after which an idle connection is closed.
 IDLE_TIMEOUT_S = 30
 
 log = structlog.get_logger("roselink.platform")
 
 
 class _Response(Protocol):
-    """What is used of treq's response."""
+    """The part of treq's response that the client uses."""
 
     code: int
 
@@ -58,7 +58,7 @@
 
 @implementer(IAgentEndpointFactory)
 class _IpEndpointFactory:
-    """Endpoints for addresses that are IP numbers: no name is resolved."""
+    """Creates endpoints for numeric IP addresses, without name resolution."""
 
     def __init__(self, reactor: Reactor) -> None:
         self._reactor = reactor
@@ -70,7 +70,7 @@
 
 
 class HostListClient:
-    """Reads the list while it has the role."""
+    """Reads the host list while this member has the reader's role."""
 
     def __init__(
         self,
@@ -80,13 +80,13 @@
         clock: Callable[[], float] = time.monotonic,
         times: ReaderTimes | None = None,
     ) -> None:
-        """Make the client, which does not read yet.
+        """Create the client; it reads nothing before `set_role`.
 
         Args:
             reactor: Twisted's reactor.
             platform: the platform's address and rate.
             on_hosts_listed: called with the view's epoch and each complete list.
-            clock: a steady clock, in seconds.
+            clock: a monotonic clock, in seconds.
             times: bounds of the reader's schedule.
         """
         self._reactor = reactor
@@ -107,7 +107,7 @@
         self._open_call: Deferred[tuple[int, bytes]] | None = None
 
     def set_role(self, epoch: int | None) -> None:
-        """Have the reader's role in the view with this epoch; None: give it up."""
+        """Take the reader's role in the view with this epoch; None: give it up."""
         if epoch is None:
             self._apply(self._reader.stop())
             self._cancel_timer_and_call()
@@ -115,7 +115,7 @@
             self._apply(self._reader.start(self._clock(), epoch))
 
     def close(self) -> Deferred[None]:
-        """Stop, and end the connection."""
+        """Stop reading and close the connection."""
         self.set_role(None)
         closed: Deferred[None] = self._pool.closeCachedConnections()  # type: ignore[no-untyped-call]
         return closed
@@ -151,7 +151,7 @@
         self._apply(self._reader.timer_expired(self._clock()))
 
     def _fetch(self, number: int, page_token: str | None) -> None:
-        # A call that is open here is of a former view.
+        # A call that is still open belongs to a former view.
         if self._open_call is not None:
             self._open_call.cancel()
         call = self._http.get(self._url, params={"page_token": page_token} if page_token else None)
--- a/roselink/controller/host_list_reader.py
+++ b/roselink/controller/host_list_reader.py
@@ -1,8 +1,8 @@
 """Reading the platform's list of hosts: parsing its pages, and the schedule of calls. Sans I/O.
 
 A pass reads all pages, one call at a time; only a complete pass replaces the list. A call costs
-money and all processes share the platform's rate limit, so only the fleet's one reader calls: at an
-interval while calls succeed, with exponential backoff and jitter while they fail.
+money and all processes share the platform's rate limit, so only one reader in the fleet calls: at
+an interval while calls succeed, with exponential backoff and jitter while they fail.
 """
 
 from __future__ import annotations
@@ -19,13 +19,14 @@
 
     from roselink.controller.field_validators import JsonObject, JsonValue
 
-# Of the platform's rate: the rest is left for a former reader that has not stopped yet.
+# Fraction of the platform's rate that one reader uses; the rest is for a former reader that has not
+# stopped yet. With a larger value the two can exceed the rate; a smaller one makes passes longer.
 RATE_FRACTION = 0.5
-# A list with more pages is taken to be endless, and ends there.
+# A list with more pages is assumed to be endless, and is truncated here.
 MAX_PAGES = 10_000
-# Of one page, before the pass begins again.
+# Failed calls for one page before the pass restarts.
 MAX_PAGE_ATTEMPTS = 3
-# Doublings of the backoff, so that its exponent stays bounded.
+# Bound of the backoff's exponent.
 MAX_BACKOFF_DOUBLINGS = 10
 HTTP_OK = 200
 MAX_PORT = 65535
@@ -38,8 +39,8 @@
     """Bounds of the schedule, in seconds.
 
     Attributes:
-        interval_s: from the begin of a pass to that of the next.
-        backoff_s: doubled with each failed call in a row; the wait is 50 to 100% of that.
+        interval_s: from the start of a pass to the start of the next.
+        backoff_s: doubled with each consecutive failure; the wait is 50 to 100% of that.
         max_backoff_s: the longest wait after failed calls.
         call_timeout_s: the time-out of one call.
     """
@@ -67,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fetch:
-    """Fetch a page (None: the first); its end comes back as `fetch_completed` with this number."""
+    """Fetch a page (None: the first); `fetch_completed` gets the outcome with this number."""
 
     number: int
     page_token: str | None
@@ -82,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HostsListed:
-    """The complete list, from a pass that began in this view."""
+    """The complete list, from a pass that started in this view."""
 
     epoch: int
     hosts: tuple[Host, ...]
@@ -106,7 +107,7 @@
     try:
         document = json.loads(body)
     except (ValueError, RecursionError):
-        return "no JSON"
+        return "not JSON"
     entries = document.get("instances") if isinstance(document, dict) else None
     if not isinstance(entries, list):
         return "no instances"
@@ -127,14 +128,14 @@
 def parse_host(entry: JsonValue) -> Host | str:
     """The host in an entry, or why the entry is invalid."""
     if not isinstance(entry, Mapping):
-        return "no object"
+        return "not an object"
     fields: JsonObject = entry
     for name in ("id", "service", "address"):
         if not isinstance(fields.get(name), str) or not fields[name]:
             return f"{fields.get('id')!r}: no {name}"
     address, colon, port = fields["address"].rpartition(":")
     if not (colon and address and port.isascii() and port.isdigit() and 0 < int(port) <= MAX_PORT):
-        return f"{fields['id']!r}: no address:port"
+        return f"{fields['id']!r}: address is not host:port"
     return Host(
         id=fields["id"],
         service=fields["service"],
@@ -177,7 +178,7 @@
     def __init__(
         self, rate_per_s: float, rng: random.Random, times: ReaderTimes | None = None
     ) -> None:
-        """Make a stopped reader.
+        """Create a stopped reader.
 
         Args:
             rate_per_s: calls a second that the platform allows to all processes together.
@@ -210,7 +211,7 @@
         return self._epoch is not None
 
     def start(self, now: float, epoch: int) -> list[ReaderEffect]:
-        """Take the role in a view.
+        """Take the reader's role in a view.
 
         A pass of a former view is abandoned, as its pages may be older.
         """
@@ -233,11 +234,11 @@
         return []
 
     def timer_expired(self, now: float) -> list[ReaderEffect]:
-        """The time of the newest `SetTimer` has come."""
+        """Handle the expiry of the newest `SetTimer`."""
         return self._call_or_wait(now)
 
     def fetch_completed(self, now: float, number: int, page: Page | str) -> list[ReaderEffect]:
-        """The end of a call: a page, or why there is none."""
+        """Handle the end of a call: a page, or why there is none."""
         if self._epoch is None or number != self._open_call_number:
             return []
         self._open_call_number = None
@@ -281,7 +282,7 @@
         """Publish the pass.
 
         Entries may shift between pages while these are read. So where a list has several pages, a
-        host that is missing is removed only when a second pass, begun at once, lacks it too.
+        missing host is removed only when a second pass, started at once, lacks it too.
         """
         hosts = self._hosts
         verify = False
--- a/roselink/controller/host_versions.py
+++ b/roselink/controller/host_versions.py
@@ -17,9 +17,10 @@
 
     from roselink.model.fleet import Host
 
-# Versions back from the newest for which changes are known.
+# Number of deltas that are kept. With a larger value a gateway that lags further still gets changes
+# instead of the complete list, at the cost of memory.
 MAX_DELTAS = 64
-# Of the list's length: more changes than that travel as the complete list.
+# Above this ratio of changes to the list's length the complete list is sent instead.
 MAX_CHANGED_FRACTION = 0.5
 
 
@@ -39,12 +40,12 @@
     """The newest list and its versions.
 
     Attributes:
-        hosts: the newest list by id; None while there is none.
-        version: its version; 0 while there is none.
+        hosts: the newest list, sorted by id; None before the first.
+        version: its version; 0 before the first.
     """
 
     def __init__(self) -> None:
-        """Begin without a list."""
+        """Start without a list."""
         self.hosts: tuple[Host, ...] | None = None
         self.version = 0
         self._fingerprints: dict[str, _Fingerprint] = {}
@@ -53,11 +54,11 @@
         self._encoded_changes: dict[int, bytes | None] = {}
 
     def publish(self, hosts: tuple[Host, ...], next_version: Callable[[int], int]) -> None:
-        """Publish a list in any order, as a new version if any host in it differs.
+        """Publish a list, in any order; a new version if a host was added, changed or removed.
 
         Args:
             hosts: the complete list.
-            next_version: gives the version that follows the present one.
+            next_version: returns the version that follows the given one.
         """
         ordered = tuple(sorted(hosts, key=lambda host: host.id))
         fingerprints = {host.id: _fingerprint(host) for host in ordered}
@@ -78,7 +79,7 @@
         self._encoded_changes = {}
 
     def encoded_list(self) -> bytes | None:
-        """The newest list, encoded as a `HostList`; None while there is none."""
+        """The newest list, encoded as a `HostList`; None before the first."""
         if self._encoded_list is None and self.hosts is not None:
             self._encoded_list = encode(HostList(self.hosts))
         return self._encoded_list
@@ -86,7 +87,7 @@
     def encoded_changes(self, base_version: int) -> bytes | None:
         """The changes since an older version, encoded as `HostChanges`.
 
-        None where they are not known, or so many that the complete list is the better reply.
+        None if they are unknown, or too many in comparison with the complete list.
         """
         if base_version not in self._encoded_changes:
             self._encoded_changes[base_version] = self._encode_merged(base_version)
@@ -112,7 +113,7 @@
 
 
 def _fingerprint(host: Host) -> _Fingerprint:
-    """The fields in which a host differs to a gateway: all but the warm-up time that is left."""
+    """The fields whose change makes a new version; of the warm-up time only whether any is left."""
     return (
         host.id,
         host.service,
--- a/roselink/controller/pull_driver.py
+++ b/roselink/controller/pull_driver.py
@@ -1,4 +1,4 @@
-"""The driver of the pull service: records in, confirmed reads and calls to the tail out."""
+"""The driver of the pull service: receives its records and carries out the server's effects."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
     from roselink.controller.gateway_roster import GatewayLag, LivenessTimes
     from roselink.model.fleet import Host, VersionVector
 
-# Of a call to the tail with a forwarded pull.
+# Time-out of a call that forwards a pull to the tail.
 FORWARD_TIMEOUT_S = 0.4
 
 PullReplySender = Callable[[AnyReply], None]
 
 
 class PeerCaller(Protocol):
-    """What the driver needs of a `PeerPool`."""
+    """The part of `PeerPool` that the driver uses."""
 
     def call(
         self,
@@ -45,7 +45,7 @@
 
 
 class PullDriver:
-    """Replies to the pulls that come to one member."""
+    """Replies to the pulls that one member receives."""
 
     def __init__(
         self,
@@ -54,13 +54,13 @@
         times: LivenessTimes | None = None,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Make the driver; `start` lets it follow the chain.
+        """Create the driver; it follows the chain after `start`.
 
         Args:
             chain: the replicated chain.
             pool: the connections to the other members.
             times: bounds of the gateways' liveness.
-            clock: a steady clock, in seconds.
+            clock: a monotonic clock, in seconds.
         """
         self._chain = chain
         self._pool = pool
@@ -70,12 +70,12 @@
         self._pull_numbers = itertools.count(1)
 
     def start(self) -> None:
-        """Begin to follow the chain's view."""
+        """Start following the chain's view."""
         self._chain.on_view_change(self.view_changed)
         self.view_changed()
 
     def view_changed(self) -> None:
-        """Take over the chain's view."""
+        """Pass the chain's view to the pull server."""
         chain = self._chain
         self._apply(
             self._server.view_changed(
@@ -88,7 +88,7 @@
         )
 
     def handle(self, peer: Address, message: object, reply: PullReplySender) -> bool:
-        """Take a record of the pull service; False for any other."""
+        """Handle a record of the pull service; False for any other."""
         if isinstance(message, PullRequest):
             self._receive(message, reply, forwarded=False)
         elif isinstance(message, ForwardedPull):
--- a/roselink/controller/pull_effects.py
+++ b/roselink/controller/pull_effects.py
@@ -15,7 +15,7 @@
 @record(64)
 @dataclass(frozen=True, slots=True)
 class ForwardedPull:
-    """A pull that a member forwards to the tail; replied to like the pull itself.
+    """A pull that a member forwards to the tail, which replies to it as to any pull.
 
     It is never forwarded again.
     """
@@ -26,21 +26,21 @@
 @record(65)
 @dataclass(frozen=True, slots=True)
 class ForwardedDeltaPull:
-    """The same for a `DeltaPullRequest`."""
+    """A `DeltaPullRequest` that a member forwards to the tail, like a `ForwardedPull`."""
 
     pull: PullRequest
 
 
 @dataclass(frozen=True, slots=True)
 class RequestConfirmation:
-    """Begin a confirmed read; its end comes back as `confirmation_received` with this number."""
+    """Start a confirmed read; `confirmation_received` gets the result with this number."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class ForwardToTail:
-    """Call the tail; its reply, or None, comes back as `forward_completed` with this number."""
+    """Call the tail; `forward_completed` gets the reply, or None, with this number."""
 
     number: int
     tail: Address
--- a/roselink/controller/pull_replies.py
+++ b/roselink/controller/pull_replies.py
@@ -1,4 +1,4 @@
-"""What a pull's reply brings: each part that the gateway lacks, of what the tail publishes.
+"""Replies to pulls: each part of the published state that the gateway lacks.
 
 The replies to `PullRequest` carry the complete list of hosts; those to `DeltaPullRequest` carry
 encoded changes and a compressed configuration, each encoded once for all gateways.
@@ -19,7 +19,7 @@
     from roselink.controller.chain_interface import Confirmation
     from roselink.controller.gateway_roster import GatewayRoster
 
-# zlib's fastest: documents repeat themselves so much that more effort gains little.
+# zlib's fastest level; documents are so repetitive that a higher one costs time and saves little.
 COMPRESSION_LEVEL = 1
 
 
@@ -32,7 +32,7 @@
     """
 
     def __init__(self, roster: GatewayRoster) -> None:
-        """Begin without hosts; the roster is read, never changed."""
+        """Start without hosts; the roster is only read."""
         self.hosts = HostVersions()
         self.payoffs = PayoffPool()
         self._roster = roster
@@ -40,7 +40,7 @@
         self._compressed_document = b""
 
     def view_changed(self) -> None:
-        """Collect hosts and payoffs anew."""
+        """Discard the hosts and payoffs of the former view."""
         self.hosts = HostVersions()
         self.payoffs = PayoffPool()
 
@@ -93,7 +93,7 @@
 def unconfirmed_reply(
     number: int, cores: tuple[str, ...], *, delta: bool
 ) -> SendReply | SendDeltaReply:
-    """The reply that confirms nothing: the gateway pulls from another member."""
+    """The reply if nothing was confirmed, after which the gateway pulls from another member."""
     if delta:
         reply = DeltaPullReply(
             confirmed=False,
--- a/roselink/controller/pull_server.py
+++ b/roselink/controller/pull_server.py
@@ -1,12 +1,11 @@
-"""The pull service of one core member: which pulls wait, and for what. Sans I/O.
+"""The state machine of the pull service in one core member. Sans I/O.
 
 The tail of the active view replies; any other member forwards a pull to the tail, one hop only.
-Every reply waits for a confirmation that was begun after its pull came, so a gateway learns all
-that was acknowledged before it sent the pull. What the tail knows beside the configuration (hosts,
-live gateways, payoffs) is collected anew in every view: a newer view's version is never older in
-content.
+Every reply waits for a confirmation that was started after the pull arrived, so a gateway receives
+all that was acknowledged before it sent the pull. Hosts, live gateways and payoffs are collected
+again in every view, so a version of a newer view never has older content.
 
-Inputs are methods with `now` in seconds of a steady clock; each returns its effects.
+Inputs are methods with `now` in seconds of a monotonic clock; each returns its effects.
 """
 
 from __future__ import annotations
@@ -32,13 +31,13 @@
 if TYPE_CHECKING:
     from roselink.controller.chain_interface import Address, Confirmation
 
-# Versions of hosts and roster: the view's epoch above these bits, a counter in them.
+# A version of hosts or roster has the view's epoch above these bits and a counter in them.
 EPOCH_SHIFT = 32
 
 
 @dataclass(frozen=True, slots=True)
 class _PendingPull:
-    """A pull without its reply. `delta`: it came as a `DeltaPullRequest`."""
+    """A pull that awaits its reply. `delta`: it came as a `DeltaPullRequest`."""
 
     pull: PullRequest
     delta: bool
@@ -48,7 +47,7 @@
     """The state of the pull service in one member."""
 
     def __init__(self, times: LivenessTimes | None = None) -> None:
-        """Begin without a view: every pull gets an unconfirmed reply."""
+        """Start without a view: every pull gets an unconfirmed reply."""
         self._epoch = 0
         self._is_tail = False
         self._tail: Address | None = None
@@ -61,16 +60,16 @@
     def versions(self) -> VersionVector:
         """The versions that this member has published in its view.
 
-        The configuration's is 0 here: the chain has it.
+        The configuration's version is always 0 here; the chain has the real one.
         """
         return VersionVector(0, self._reply_builder.hosts.version, self._roster.version)
 
     def view_changed(
         self, now: float, epoch: int, tail: Address | None, cores: tuple[str, ...], *, is_tail: bool
     ) -> list[PullEffect]:
-        """The active view, or what is known of it, has changed.
+        """Handle a change of the active view, or of what is known of it.
 
-        Pending pulls end at their own time-outs.
+        Pending pulls stay until their own read or call ends, at the latest at its time-out.
 
         Args:
             now: the time.
@@ -91,7 +90,7 @@
         return []
 
     def cores_changed(self, cores: tuple[str, ...]) -> None:
-        """The members of the core have changed, in the same view."""
+        """Handle a change of the core's members within a view."""
         self._cores = cores
 
     def pull_received(
@@ -103,7 +102,7 @@
         forwarded: bool = False,
         delta: bool = False,
     ) -> list[PullEffect]:
-        """A pull came.
+        """Handle a pull.
 
         Args:
             now: the time.
@@ -127,7 +126,7 @@
     def forward_completed(
         self, now: float, number: int, reply: AnyReply | None
     ) -> list[PullEffect]:
-        """The tail's reply to a pull that was forwarded, or None."""
+        """Handle the tail's reply to a forwarded pull; None if there is none."""
         self._roster.input_received(now)
         pending = self._pending.pop(number, None)
         if pending is None:
@@ -141,7 +140,7 @@
     def confirmation_received(
         self, now: float, number: int, confirmation: Confirmation | None
     ) -> list[PullEffect]:
-        """The end of a confirmed read; None when nothing could be confirmed."""
+        """Handle the end of a confirmed read; None when nothing could be confirmed."""
         self._roster.input_received(now)
         pending = self._pending.pop(number, None)
         if pending is None:
@@ -158,7 +157,7 @@
         ]
 
     def hosts_listed(self, now: float, epoch: int, hosts: tuple[Host, ...]) -> list[PullEffect]:
-        """A complete list of hosts, read from its first page on in view `epoch`."""
+        """Publish a complete list of hosts, read in view `epoch` from its first page on."""
         self._roster.input_received(now)
         if not self._is_tail or epoch != self._epoch:
             return []
--- a/roselink/controller/updates.py
+++ b/roselink/controller/updates.py
@@ -2,15 +2,15 @@
 
 An update names a section's items by `name`. Items to add or replace are under `upsert`, names to
 remove under `remove`; everything else of the document that it builds on stays, also unknown fields.
-The merged document goes down the chain as any complete document does, so nothing behind the
-operator's interface knows of updates. Decisions on what the interface's page leaves open:
+The merged document is proposed to the chain like any complete document, so only the operator's
+interface knows of updates. Rules for cases that the interface's specification leaves open:
 
-- a section that is an object (`limits`) is replaced as one; it can't be removed;
-- a section that the document has not yet begins empty, known or not; an update on base 0 builds on
-  nothing;
+- a section that is an object (`limits`) is replaced completely; it can't be removed;
+- a section that the document lacks starts empty, whether or not the schema knows it; an update on
+  base 0 starts from an empty document;
 - an item without a name, one that occurs twice, or one that is both upserted and removed is a
   fault;
-- a name to remove that does not exist is no fault: the requested state already holds.
+- a name to remove that does not exist is not a fault: the requested state already holds.
 """
 
 from __future__ import annotations
@@ -44,18 +44,18 @@
 UPSERT = "upsert"
 REMOVE = "remove"
 GENERATION = "generation"
-# No complete document's digest begins with these bytes.
+# Start of the digest's input, which distinguishes updates from complete documents.
 _DIGEST_PREFIX = b"config/update\0"
 
 
 @dataclass(frozen=True, slots=True)
 class Update:
-    """An update whose own shape is valid.
+    """An update that is valid by itself.
 
     Attributes:
         generation: the operator's number for the document after the update.
         upsert: the items by section, or a section's new object.
-        remove: the names to remove by section.
+        remove: the names to remove, by section.
     """
 
     generation: int
@@ -70,7 +70,7 @@
     Attributes:
         base: the generation that it builds on.
         update: the update.
-        digest: identifies it when it is sent again.
+        digest: identifies the update when it is sent again.
     """
 
     base: int
@@ -87,7 +87,7 @@
 
 
 def digest_of_update(base: int, body: bytes) -> bytes:
-    """The digest of this update on this base, which no complete document has."""
+    """The digest of this update on this base, distinct from those of complete documents."""
     return hashlib.sha256(_DIGEST_PREFIX + struct.pack("!q", base) + body).digest()
 
 
@@ -107,10 +107,10 @@
 
 
 def merge(document: JsonObject, update: Update) -> dict[str, Any]:
-    """The document after the update; items keep their positions, and new ones follow as given.
+    """The document after the update; items keep their positions, and new ones are appended.
 
-    The sections of `document` that the update names must be lists of objects or absent; only where
-    the update has an object may they be anything.
+    The sections of `document` that the update names must be lists of objects or absent, except
+    those that the update replaces by an object.
     """
     merged = dict(document)
     for section in (*update.remove, *update.upsert):
@@ -130,10 +130,10 @@
 ) -> ConfigurationChange | ValidationFailure:
     """The change that an update proposes, on a state confirmed after the update was parsed.
 
-    Where the base is not the current generation the change has no document: the chain's head then
-    only looks its digest up, and rejects it if that is unknown. Where it is, all states of that
-    generation have the same document, so a change that is sent again, or proposed by two members at
-    once, has the same result.
+    If the base is not the current generation, the change has no document: the chain's head then
+    only looks up its digest, and rejects the change if that is unknown. If it is, all states of
+    that generation have the same document, so a change that is sent again, or proposed by two
+    members at once, has the same result.
     """
     if base != confirmation.generation:
         return ConfigurationChange(base, update.generation, b"", digest)
@@ -164,7 +164,7 @@
         request: the update.
         confirm: reads the confirmed state; None when nothing could be confirmed.
         submit: has a change decided.
-        done: gets the one outcome.
+        done: called once with the outcome.
     """
 
     def on_confirmation(confirmation: Confirmation | None) -> None:
@@ -181,7 +181,7 @@
 
 
 def _change_from_document(base: int, valid: ValidDocument, digest: bytes) -> ConfigurationChange:
-    # In ASCII: a lone surrogate, which JSON allows in fields that are ignored, can't be encoded.
+    # Escaped to ASCII: a lone surrogate, which ignored fields may contain, has no UTF-8 encoding.
     document = json.dumps(valid.document, separators=(",", ":")).encode()
     return ConfigurationChange(base, valid.generation, document, digest)
 
@@ -216,7 +216,7 @@
             yield ValidationFault(field, "must be an object")
             return
         if GENERATION in sections[field]:
-            yield ValidationFault(f"{field}.{GENERATION}", "is no section")
+            yield ValidationFault(f"{field}.{GENERATION}", "is not a section")
     for section, items in sections[UPSERT].items():
         yield from _upsert_faults(section, items, sections[REMOVE].get(section))
     for section, names in sections[REMOVE].items():
@@ -240,7 +240,7 @@
         if not isinstance(name, str) or not name:
             yield ValidationFault(f"{path}[{index}]", "must be an object with a name")
         elif name in seen:
-            yield ValidationFault(f"{path}[{index}].name", "stands twice")
+            yield ValidationFault(f"{path}[{index}].name", "occurs twice")
         elif isinstance(removed, list) and name in removed:
             yield ValidationFault(f"{path}[{index}].name", "is also removed")
         else:
@@ -257,13 +257,13 @@
 
 
 def _section_faults(document: JsonObject, update: Update) -> Iterable[ValidationFault]:
-    """Sections that are lists in the update and something else in its base."""
+    """Faults of sections that are lists in the update and something else in its base."""
     for section in {*update.remove, *update.upsert}:
         if isinstance(update.upsert.get(section), dict):
             continue
         existing = document.get(section)
         if existing is not None and not _is_list_of_objects(existing):
-            yield ValidationFault(section, "is no list of items")
+            yield ValidationFault(section, "is not a list of items")
 
 
 def _is_list_of_objects(value: JsonValue) -> bool:
--- a/roselink/controller/validation.py
+++ b/roselink/controller/validation.py
@@ -1,8 +1,8 @@
 """Validation of an operator's configuration document.
 
 Its shape is validated by a voluptuous schema, then the references between its sections. Unknown
-fields are ignored. What is absent and has a default is not a fault; null counts as absent. Whatever
-is valid can be read by `Configuration.from_document`.
+fields are ignored. An absent field that has a default is not a fault; null counts as absent.
+`Configuration.from_document` can read every valid document.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Hashable, Iterable, Sequence
 
-# Reported of one document.
+# Faults that are reported for one document.
 MAX_FAULTS = 100
 
 
@@ -44,8 +44,8 @@
     """One fault of a document, as the operator gets it (JSON with these field names).
 
     Attributes:
-        path: where, as in `routes[2].timeout_ms`; empty: the document as a whole.
-        reason: why, for people.
+        path: its location, as in `routes[2].timeout_ms`; empty for the document itself.
+        reason: the reason, for the operator.
     """
 
     path: str
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ValidDocument:
-    """A document without faults, and the operator's number for it."""
+    """A document without faults, and its generation."""
 
     generation: int
     document: JsonObject
@@ -103,7 +103,7 @@
 
 
 def _reject_constant(name: str) -> NoReturn:
-    raise ValueError(f"{name} is no number")
+    raise ValueError(f"{name} is not a JSON number")
 
 
 def _to_fault(error: Invalid) -> ValidationFault:
@@ -189,7 +189,7 @@
 _SCHEMA = Schema(_DOCUMENT)
 
 
-# References between sections; the shapes are valid here.
+# References between sections, in documents that the schema has accepted.
 
 
 def _reference_faults(document: JsonObject) -> Iterable[ValidationFault]:
--- a/roselink/status.py
+++ b/roselink/status.py
@@ -21,7 +21,7 @@
     from collections.abc import Iterable, Sequence
 
 REQUEST_TIMEOUT_S = 3.0
-# A version made in a view has the view's epoch above these bits and a count in them.
+# A version of hosts or roster has the view's epoch above these bits and a counter in them.
 COUNTER_BITS = 32
 COUNTER_MASK = (1 << COUNTER_BITS) - 1
 
@@ -41,7 +41,7 @@
 
 
 class DiskFields(TypedDict):
-    """The disk of the controller that was asked; `checked_s` is None before the first check."""
+    """The disk of the queried controller; `checked_s` is None before the first check."""
 
     healthy: bool
     checks: int
@@ -70,7 +70,7 @@
     versions: Versions
     disk: NotRequired[DiskFields]
     gateways: list[GatewayStatus]
-    # Added here: the operator address that `gateways` are from, and the owner of each budget.
+    # Added here: the operator address that returned `gateways`, and the owner of each budget.
     gateways_from: str | None
     owners: dict[str, str]
 
@@ -80,14 +80,14 @@
 
     Attributes:
         address: the controller's operator address.
-        path: the page of its API.
+        path: the requested path of its API.
         reason: what went wrong.
     """
 
     code = "STA-001"
 
     def __init__(self, address: str, path: str, reason: str) -> None:
-        """Make the message from the page and the reason."""
+        """Create the message from the address, the path and the reason."""
         super().__init__(f"{address}{path}: {reason}")
         self.address = address
         self.path = path
@@ -97,7 +97,7 @@
 def fetch_status(address: str) -> FleetStatus:
     """Fetch the status that a controller knows, completed by the tail's gateways and the owners.
 
-    What the tail or the configuration's page does not return is left out.
+    What the tail or `/config/get` does not return is left out.
 
     Args:
         address: the controller's operator address, as "ip:port".
@@ -163,7 +163,7 @@
     finally:
         connection.close()
     if not isinstance(document, dict):
-        raise StatusUnavailableError(address, path, "no JSON object")
+        raise StatusUnavailableError(address, path, "not a JSON object")
     return document
 
 
@@ -171,7 +171,7 @@
     """Return the lines of the table."""
     versions = cast("dict[str, int | None]", status["versions"])
     confirmed = (
-        "confirmed" if status["confirmed"] else "NOT CONFIRMED: no majority answered in time"
+        "confirmed" if status["confirmed"] else "NOT CONFIRMED: no majority responded in time"
     )
     lines = [
         f"view       {status['epoch']} ({confirmed})",
@@ -201,7 +201,7 @@
 
 def _gateway_lines(status: FleetStatus) -> list[str]:
     if status["gateways_from"] is None:
-        return ["gateways   unknown: the chain's tail did not tell"]
+        return ["gateways   unknown: no status from the chain's tail"]
     if not status["gateways"]:
         return ["gateways   none has pulled from the tail"]
     headers = ("gateway", "address", "serving", "silent s", "configuration", "hosts", "roster")
@@ -235,7 +235,7 @@
 
 
 def _version_text(value: int | None) -> str:
-    """Versions made in a view are shown as epoch and count."""
+    """The version as text; one that has an epoch is shown as epoch and counter."""
     if value is not None and value >> COUNTER_BITS:
         return f"{value >> COUNTER_BITS}.{value & COUNTER_MASK}"
     return _text_or_unknown(value)
--- a/tests/cli/test_status.py
+++ b/tests/cli/test_status.py
@@ -127,7 +127,7 @@
     out = capsys.readouterr().out
     assert "NOT CONFIRMED" in out
     assert "generation unknown" in out
-    assert "the chain's tail did not tell" in out
+    assert "no status from the chain's tail" in out
 
 
 @pytest.mark.parametrize("pages", [{}, {"/status": [1]}], ids=["503", "no object"])
--- a/tests/controller/test_host_list_reader.py
+++ b/tests/controller/test_host_list_reader.py
@@ -106,11 +106,11 @@
         (200, page_body(ENTRY), Page((HOST,), (), None)),
         (200, page_body(), Page((), (), None)),
         (200, page_body(ENTRY, token="p-50"), Page((HOST,), (), "p-50")),
-        (200, page_body(ENTRY, 5), Page((HOST,), ("no object",), None)),
+        (200, page_body(ENTRY, 5), Page((HOST,), ("not an object",), None)),
         (200, page_body(token=50), Page((), (), "50")),
         (200, page_body(token=""), Page((), (), None)),
         (200, b'{"instances":[]}', Page((), (), None)),
-        (200, b'{"instances":[', "no JSON"),
+        (200, b'{"instances":[', "not JSON"),
         (200, b"[]", "no instances"),
         (200, b'{"instances":{}}', "no instances"),
         (429, page_body(ENTRY), "status 429"),
@@ -229,7 +229,7 @@
     driven.start()
     driven.answer(page("a", token="p-1"))
     for _ in range(MAX_PAGE_ATTEMPTS):
-        driven.answer("no JSON")
+        driven.answer("not JSON")
     assert [token for _, token in driven.calls] == [None, *["p-1"] * MAX_PAGE_ATTEMPTS, None]
     driven.answer(page("b"))
     assert driven.lists == [(3, ["b"])]
--- a/tests/controller/test_validation.py
+++ b/tests/controller/test_validation.py
@@ -211,7 +211,7 @@
     "name half a character": (
         with_route(name="\ud800"),
         "routes[0].name",
-        "holds half a character",
+        "contains a lone surrogate",
     ),
     "hostname absent": (with_route(hostname=ABSENT), "routes[0].hostname", "is missing"),
     "hostname a number": (with_route(hostname=3), "routes[0].hostname", "must be text"),
