--- a/tests/cli/test_status.py
+++ b/tests/cli/test_status.py
@@ -23,9 +23,9 @@
 
 
 def gateway(name: str, **changes: Any) -> dict[str, Any]:
-    plain = {"name": name, "address": "127.0.0.9:7500", "serving": True, "silent_s": 0.25}
+    fields = {"name": name, "address": "127.0.0.9:7500", "serving": True, "silent_s": 0.25}
     return (
-        plain
+        fields
         | {"configuration": 4, "hosts": 0, "roster": 0, "configuration_behind": False}
         | changes
     )
@@ -33,10 +33,10 @@
 
 def state(**changes: Any) -> dict[str, Any]:
     chain = ["127.0.0.1:7500", "127.0.0.2:7500"]
-    plain = {"epoch": 7, "is_tail": True, "tail": chain[-1], "core": sorted(chain), "chain": chain}
+    fields = {"epoch": 7, "is_tail": True, "tail": chain[-1], "core": sorted(chain), "chain": chain}
     versions = {"configuration": 4, "hosts": (7 << 32) + 2, "roster": (7 << 32) + 1}
     return (
-        plain
+        fields
         | {"confirmed": True, "generation": 31, "versions": versions, "gateways": []}
         | changes
     )
@@ -49,11 +49,11 @@
 def controllers(*pages: Pages) -> Iterator[list[str]]:
     """Controllers at 127.0.0.1, .2 and so on, all on one port."""
 
-    def handler(answers: Pages) -> type[BaseHTTPRequestHandler]:
+    def handler(pages_by_path: Pages) -> type[BaseHTTPRequestHandler]:
         class Handler(BaseHTTPRequestHandler):
             def do_GET(self) -> None:
-                body = json.dumps(answers.get(self.path)).encode()
-                self.send_response(200 if self.path in answers else 503)
+                body = json.dumps(pages_by_path.get(self.path)).encode()
+                self.send_response(200 if self.path in pages_by_path else 503)
                 self.end_headers()
                 self.wfile.write(body)
 
@@ -64,9 +64,11 @@
 
     servers: list[ThreadingHTTPServer] = []
     try:
-        for number, answers in enumerate(pages):
+        for number, pages_by_path in enumerate(pages):
             port = servers[0].server_address[1] if servers else 0
-            servers.append(ThreadingHTTPServer((f"127.0.0.{number + 1}", port), handler(answers)))
+            servers.append(
+                ThreadingHTTPServer((f"127.0.0.{number + 1}", port), handler(pages_by_path))
+            )
             threading.Thread(target=servers[-1].serve_forever, args=(0.01,), daemon=True).start()
         yield [
             f"127.0.0.{number + 1}:{servers[0].server_address[1]}" for number in range(len(servers))
@@ -77,7 +79,7 @@
             server.server_close()
 
 
-def test_the_table(capsys: pytest.CaptureFixture[str]) -> None:
+def test_table(capsys: pytest.CaptureFixture[str]) -> None:
     lagging = gateway("g-2", serving=False, silent_s=1.25, configuration_behind=True, hosts=3)
     status = state(gateways=[lagging, gateway("g-1")])
     with controllers({"/status": status, "/config/get": CONFIGURATION}) as (address,):
@@ -99,30 +101,34 @@
     ]
 
 
-def test_another_member_is_completed_by_the_tail(capsys: pytest.CaptureFixture[str]) -> None:
+def test_status_of_another_member_is_completed_by_the_tail(
+    capsys: pytest.CaptureFixture[str],
+) -> None:
     first = state(is_tail=False, versions={"configuration": 4, "hosts": 0, "roster": 0})
     tail = state(gateways=[gateway("g-1")])
-    with controllers({"/status": first}, {"/status": tail}) as (address, other):
+    with controllers({"/status": first}, {"/status": tail}) as (address, tail_address):
         assert main(["status", address, "--json"]) == 0
-    shown = json.loads(capsys.readouterr().out)
-    assert shown["gateways"] == tail["gateways"]
-    assert shown["gateways_from"] == other
-    assert shown["versions"] == tail["versions"]
-    assert shown["is_tail"] is False
-    assert shown["owners"] == {}  # the configuration was not available
+    status = json.loads(capsys.readouterr().out)
+    assert status["gateways"] == tail["gateways"]
+    assert status["gateways_from"] == tail_address
+    assert status["versions"] == tail["versions"]
+    assert status["is_tail"] is False
+    assert status["owners"] == {}  # the configuration was not available
 
 
-def _lost(tail: str | None) -> Callable[[], dict[str, Any]]:
+def _without_tail_status(tail: str | None) -> Callable[[], dict[str, Any]]:
     return lambda: state(is_tail=False, confirmed=False, generation=None, tail=tail)
 
 
 @pytest.mark.parametrize(
-    "make", [_lost(None), _lost("127.0.0.200:7500")], ids=["no tail", "dead tail"]
+    "make_status",
+    [_without_tail_status(None), _without_tail_status("127.0.0.200:7500")],
+    ids=["no tail", "unreachable tail"],
 )
-def test_what_is_not_known_is_shown_as_unknown(
-    capsys: pytest.CaptureFixture[str], make: Callable[[], dict[str, Any]]
+def test_unknown_values_are_shown_as_unknown(
+    capsys: pytest.CaptureFixture[str], make_status: Callable[[], dict[str, Any]]
 ) -> None:
-    with controllers({"/status": make()}) as (address,):
+    with controllers({"/status": make_status()}) as (address,):
         assert main(["status", address]) == EXIT_UNAVAILABLE
     out = capsys.readouterr().out
     assert "NOT CONFIRMED" in out
@@ -130,8 +136,8 @@
     assert "no status from the chain's tail" in out
 
 
-@pytest.mark.parametrize("pages", [{}, {"/status": [1]}], ids=["503", "no object"])
-def test_a_controller_without_a_status(capsys: pytest.CaptureFixture[str], pages: Pages) -> None:
+@pytest.mark.parametrize("pages", [{}, {"/status": [1]}], ids=["503", "not an object"])
+def test_controller_without_a_status(capsys: pytest.CaptureFixture[str], pages: Pages) -> None:
     with controllers(pages) as (address,):
         assert main(["status", address]) == EXIT_UNAVAILABLE
     out, err = capsys.readouterr()
@@ -144,20 +150,20 @@
     assert "127.0.0.1:1/status: " in capsys.readouterr().err
 
 
-def test_owners_are_those_that_the_gateways_compute() -> None:
+def test_owners_match_those_computed_by_the_gateways() -> None:
     names = [f"g-{number}" for number in range(5)]
     gateways = [cast("GatewayStatus", gateway(name, serving=name != "g-0")) for name in names]
     roster = [Member(name, "elsewhere:1", 9) for name in names[1:]]
-    found = budget_owners(CONFIGURATION, gateways)
-    assert set(found) == {"quota/t-1", "retry/model"}
-    for key, name in found.items():
+    owners = budget_owners(CONFIGURATION, gateways)
+    assert set(owners) == {"quota/t-1", "retry/model"}
+    for key, name in owners.items():
         owner = rendezvous_owner(key, roster)
         assert owner is not None
         assert owner.name == name
     assert budget_owners(CONFIGURATION, []) == {}
 
 
-def test_nothing_known_yet() -> None:
+def test_table_before_the_first_view() -> None:
     status = state(epoch=0, chain=[], core=[], gateways_from="127.0.0.1:1", generation=None)
     lines = render(cast("FleetStatus", status))
     assert "chain      -" in lines
@@ -177,7 +183,7 @@
         ),
     ],
 )
-def test_the_disk_of_the_controller_that_was_asked(disk: dict[str, Any], line: str) -> None:
+def test_disk_line(disk: dict[str, Any], line: str) -> None:
     lines = render(cast("FleetStatus", state(gateways_from=None, disk=disk)))
     assert line in lines
     without = render(cast("FleetStatus", state(gateways_from=None)))
--- a/tests/controller/test_api.py
+++ b/tests/controller/test_api.py
@@ -38,7 +38,7 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Awaitable, Callable
 
-ORDER = json.dumps(document()).encode()
+CONFIGURATION = json.dumps(document()).encode()
 
 
 @dataclass
@@ -51,7 +51,7 @@
         return json.loads(self.body)
 
 
-class FakePublished:
+class FakePublishedState:
     versions = VersionVector(0, 11, 12)
 
     def lags(self) -> tuple[GatewayLag, ...]:
@@ -85,47 +85,47 @@
         return await self.receive()
 
 
-class Served:
+class ApiServer:
     """The interface on a port of the loopback, its stand-in chain, and a clock for its
     time-outs.
     """
 
     def __init__(self) -> None:
-        self.node, self.clock = FakeChain(), Clock()
-        self.api = AdminApi(self.node, FakePublished(), self.clock)
+        self.chain, self.clock = FakeChain(), Clock()
+        self.api = AdminApi(self.chain, FakePublishedState(), self.clock)
         self.port = REACTOR.listenTCP(0, self.api.site(), interface="127.0.0.1")
-        self.callers: list[HttpClient] = []
+        self.clients: list[HttpClient] = []
 
-    async def caller(self) -> HttpClient:
-        made = HttpClient(*await asyncio.open_connection("127.0.0.1", self.port.getHost().port))
-        self.callers.append(made)
-        return made
+    async def connect(self) -> HttpClient:
+        client = HttpClient(*await asyncio.open_connection("127.0.0.1", self.port.getHost().port))
+        self.clients.append(client)
+        return client
 
     async def close(self) -> None:
-        for each in self.callers:
-            each.writer.close()
+        for client in self.clients:
+            client.writer.close()
         await self.port.stopListening().asFuture(asyncio.get_running_loop())
 
 
 @asynccontextmanager
-async def served() -> AsyncIterator[Served]:
-    serving = Served()
+async def running_api_server() -> AsyncIterator[ApiServer]:
+    server = ApiServer()
     try:
-        yield serving
+        yield server
     finally:
-        await serving.close()
+        await server.close()
 
 
-def with_interface(work: Callable[[Served], Awaitable[None]]) -> None:
-    async def whole() -> None:
-        async with served() as serving:
-            await work(serving)
+def run_with_api_server(scenario: Callable[[ApiServer], Awaitable[None]]) -> None:
+    async def run() -> None:
+        async with running_api_server() as server:
+            await scenario(server)
 
-    run_on_reactor(whole())
+    run_on_reactor(run())
 
 
 @pytest.mark.parametrize(
-    ("base", "outcome", "status", "said"),
+    ("base", "outcome", "status", "expected"),
     [
         (5, ChangeCommitted(9), 200, {"generation": 7, "sequence": 9}),
         (5, Conflict(6), 412, {"error": "conflict", "code": "API-002", "current": 6}),
@@ -143,43 +143,47 @@
         (5, OutcomeUnknown(), 503, {"error": "unsettled", "code": "API-006"}),
     ],
 )
-def test_each_outcome_has_its_answer(
-    base: int, outcome: SubmitOutcome, status: int, said: Any
+def test_each_outcome_maps_to_its_response(
+    base: int, outcome: SubmitOutcome, status: int, expected: Any
 ) -> None:
-    async def work(serving: Served) -> None:
-        caller = await serving.caller()
-        caller.send("POST", "/config/replace", ORDER, X_Base_Version=str(base))
-        order, done = await serving.node.submits.get()
-        assert (order.base, order.generation, order.document) == (base, 7, ORDER)
-        assert order.digest == digest_of(base, ORDER)
-        assert serving.api.in_flight == 1
+    async def scenario(server: ApiServer) -> None:
+        client = await server.connect()
+        client.send("POST", "/config/replace", CONFIGURATION, X_Base_Version=str(base))
+        change, done = await server.chain.submits.get()
+        assert (change.base, change.generation, change.document) == (base, 7, CONFIGURATION)
+        assert change.digest == digest_of(base, CONFIGURATION)
+        assert server.api.in_flight == 1
         done(outcome)
-        answer = await caller.receive()
-        assert (answer.status, answer.json()) == (status, said)
-        assert ("retry-after" in answer.headers) == (status == 503)
-        assert serving.api.in_flight == 0
+        response = await client.receive()
+        assert (response.status, response.json()) == (status, expected)
+        assert ("retry-after" in response.headers) == (status == 503)
+        assert server.api.in_flight == 0
 
-    with_interface(work)
+    run_with_api_server(scenario)
 
 
 UPDATE = json.dumps({"generation": 9, "remove": {"routes": ["r-2"]}}).encode()
 
 
 def test_an_update_is_merged_onto_the_confirmed_document() -> None:
-    async def work(serving: Served) -> None:
-        caller = await serving.caller()
-        caller.send("POST", "/config/update", UPDATE, X_Base_Version="7")
-        (await serving.node.reads.get())(Confirmation(3, 5, ORDER, 7))
-        order, done = await serving.node.submits.get()
-        assert (order.base, order.generation, order.digest) == (7, 9, digest_of_update(7, UPDATE))
-        assert [route["name"] for route in json.loads(order.document)["routes"]] == ["r-1"]
-        assert serving.api.in_flight == 1
+    async def scenario(server: ApiServer) -> None:
+        client = await server.connect()
+        client.send("POST", "/config/update", UPDATE, X_Base_Version="7")
+        (await server.chain.reads.get())(Confirmation(3, 5, CONFIGURATION, 7))
+        change, done = await server.chain.submits.get()
+        assert (change.base, change.generation, change.digest) == (
+            7,
+            9,
+            digest_of_update(7, UPDATE),
+        )
+        assert [route["name"] for route in json.loads(change.document)["routes"]] == ["r-1"]
+        assert server.api.in_flight == 1
         done(ChangeCommitted(6))
-        answer = await caller.receive()
-        assert (answer.status, answer.json()) == (200, {"generation": 9, "sequence": 6})
-        assert serving.api.in_flight == 0
+        response = await client.receive()
+        assert (response.status, response.json()) == (200, {"generation": 9, "sequence": 6})
+        assert server.api.in_flight == 0
 
-    with_interface(work)
+    run_with_api_server(scenario)
 
 
 @pytest.mark.parametrize(
@@ -190,111 +194,113 @@
         (
             UPDATE.replace(b"routes", b"services"),
             {"X_Base_Version": "7"},
-            Confirmation(3, 5, ORDER, 7),
+            Confirmation(3, 5, CONFIGURATION, 7),
             200,
         ),
         (
             UPDATE.replace(b"routes", b"limits"),
             {"X_Base_Version": "7"},
-            Confirmation(3, 5, ORDER, 7),
+            Confirmation(3, 5, CONFIGURATION, 7),
             400,
         ),
         (UPDATE, {"X_Base_Version": "7"}, None, 503),
-        (UPDATE, {"X_Base_Version": "6"}, Confirmation(3, 5, ORDER, 7), 412),
+        (UPDATE, {"X_Base_Version": "6"}, Confirmation(3, 5, CONFIGURATION, 7), 412),
     ],
 )
-def test_answers_to_updates(
+def test_status_codes_of_updates(
     body: bytes, headers: dict[str, str], confirmation: Confirmation | None, status: int
 ) -> None:
-    async def work(serving: Served) -> None:
-        caller = await serving.caller()
-        caller.send("POST", "/config/update", body, **headers)
+    async def scenario(server: ApiServer) -> None:
+        client = await server.connect()
+        client.send("POST", "/config/update", body, **headers)
         if status != 400 or confirmation is not None:
-            (await serving.node.reads.get())(confirmation)
+            (await server.chain.reads.get())(confirmation)
         if status in (200, 412):
-            _, done = await serving.node.submits.get()
+            _, done = await server.chain.submits.get()
             done(Conflict(7) if status == 412 else ChangeCommitted(6))
-        answer = await caller.receive()
-        assert answer.status == status
-        assert serving.node.submits.empty()
-        assert serving.node.reads.empty()
+        response = await client.receive()
+        assert response.status == status
+        assert server.chain.submits.empty()
+        assert server.chain.reads.empty()
 
-    with_interface(work)
+    run_with_api_server(scenario)
 
 
-def test_the_same_order_has_the_same_digest_and_no_other_has() -> None:
-    again = digest_of(5, bytes(ORDER))
-    assert digest_of(5, ORDER) == again
-    assert len({again, digest_of(6, ORDER), digest_of(5, ORDER + b" ")}) == 3
+def test_digest_depends_on_base_and_document_only() -> None:
+    resubmitted = digest_of(5, bytes(CONFIGURATION))
+    assert digest_of(5, CONFIGURATION) == resubmitted
+    assert len({resubmitted, digest_of(6, CONFIGURATION), digest_of(5, CONFIGURATION + b" ")}) == 3
 
 
-def test_an_order_that_is_not_settled_in_time() -> None:
-    async def work(serving: Served) -> None:
-        caller = await serving.caller()
-        caller.send("POST", "/config/replace", ORDER, X_Base_Version="0")
-        _, done = await serving.node.submits.get()
-        serving.clock.advance(SUBMIT_TIMEOUT_S)
-        answer = await caller.receive()
-        assert answer.status == 503
-        assert 0 < float(answer.headers["retry-after"]) < 1
+def test_submit_timeout_returns_503_and_a_retry_succeeds() -> None:
+    async def scenario(server: ApiServer) -> None:
+        client = await server.connect()
+        client.send("POST", "/config/replace", CONFIGURATION, X_Base_Version="0")
+        _, done = await server.chain.submits.get()
+        server.clock.advance(SUBMIT_TIMEOUT_S)
+        response = await client.receive()
+        assert response.status == 503
+        assert 0 < float(response.headers["retry-after"]) < 1
         done(ChangeCommitted(1))
-        caller.send("POST", "/config/replace", ORDER, X_Base_Version="0")
-        order, done = await serving.node.submits.get()
+        client.send("POST", "/config/replace", CONFIGURATION, X_Base_Version="0")
+        change, done = await server.chain.submits.get()
         done(ChangeCommitted(1))
-        assert (await caller.receive()).status == 200
-        assert order.digest == digest_of(0, ORDER)
+        assert (await client.receive()).status == 200
+        assert change.digest == digest_of(0, CONFIGURATION)
 
-    with_interface(work)
+    run_with_api_server(scenario)
 
 
-def test_a_caller_that_leaves_harms_nothing() -> None:
-    async def work(serving: Served) -> None:
-        leaving = await serving.caller()
-        leaving.send("POST", "/config/replace", ORDER, X_Base_Version="0")
-        _, done = await serving.node.submits.get()
-        leaving.writer.transport.abort()
-        while serving.api.in_flight:
+def test_client_disconnect_during_a_change_is_harmless() -> None:
+    async def scenario(server: ApiServer) -> None:
+        disconnecting = await server.connect()
+        disconnecting.send("POST", "/config/replace", CONFIGURATION, X_Base_Version="0")
+        _, done = await server.chain.submits.get()
+        disconnecting.writer.transport.abort()
+        while server.api.in_flight:
             await asyncio.sleep(0)
         done(ChangeCommitted(1))
-        serving.clock.advance(SUBMIT_TIMEOUT_S)
-        caller = await serving.caller()
-        caller.send("POST", "/config/replace", ORDER, X_Base_Version="0")
-        (await serving.node.submits.get())[1](ChangeCommitted(1))
-        assert (await caller.receive()).status == 200
-
-    with_interface(work)
-
-
-def test_eight_orders_at_once() -> None:
-    async def work(serving: Served) -> None:
-        callers = [await serving.caller() for _ in range(8)]
-        for base, caller in enumerate(callers):
-            caller.send("POST", "/config/replace", ORDER, X_Base_Version=str(base))
-        waiting = [await serving.node.submits.get() for _ in callers]
-        for order, done in reversed(waiting):
-            done(ChangeCommitted(100 + order.base))
-        answers = [await caller.receive() for caller in callers]
-        assert [answer.json()["sequence"] for answer in answers] == [
+        server.clock.advance(SUBMIT_TIMEOUT_S)
+        client = await server.connect()
+        client.send("POST", "/config/replace", CONFIGURATION, X_Base_Version="0")
+        (await server.chain.submits.get())[1](ChangeCommitted(1))
+        assert (await client.receive()).status == 200
+
+    run_with_api_server(scenario)
+
+
+def test_eight_concurrent_changes() -> None:
+    async def scenario(server: ApiServer) -> None:
+        clients = [await server.connect() for _ in range(8)]
+        for base, client in enumerate(clients):
+            client.send("POST", "/config/replace", CONFIGURATION, X_Base_Version=str(base))
+        submitted = [await server.chain.submits.get() for _ in clients]
+        for change, done in reversed(submitted):
+            done(ChangeCommitted(100 + change.base))
+        responses = [await client.receive() for client in clients]
+        assert [response.json()["sequence"] for response in responses] == [
             100 + base for base in range(8)
         ]
 
-    with_interface(work)
+    run_with_api_server(scenario)
 
 
-@pytest.mark.parametrize("body", [b"", ORDER[:-1], b"[]", ORDER.replace(b"5000", b"0")])
-def test_what_is_invalid_never_reaches_the_chain(body: bytes) -> None:
-    async def work(serving: Served) -> None:
-        answer = await (await serving.caller()).request(
+@pytest.mark.parametrize(
+    "body", [b"", CONFIGURATION[:-1], b"[]", CONFIGURATION.replace(b"5000", b"0")]
+)
+def test_invalid_document_is_not_submitted_to_the_chain(body: bytes) -> None:
+    async def scenario(server: ApiServer) -> None:
+        response = await (await server.connect()).request(
             "POST", "/config/replace", body, X_Base_Version="0"
         )
-        assert answer.status == 400
-        said = answer.json()
-        assert said["error"] == "invalid"
-        assert said["faults"]
-        assert all(set(fault) == {"path", "reason"} for fault in said["faults"])
-        assert serving.node.submits.empty()
+        assert response.status == 400
+        error = response.json()
+        assert error["error"] == "invalid"
+        assert error["faults"]
+        assert all(set(fault) == {"path", "reason"} for fault in error["faults"])
+        assert server.chain.submits.empty()
 
-    with_interface(work)
+    run_with_api_server(scenario)
 
 
 @pytest.mark.parametrize(
@@ -316,139 +322,145 @@
         (["1", "1"], None),
     ],
 )
-def test_base_versions(values: list[str], base: int | None) -> None:
+def test_parse_base_version(values: list[str], base: int | None) -> None:
     assert parse_base_version(values) == base
 
 
 @pytest.mark.parametrize("headers", [{}, {"X_Base_Version": "new"}])
-def test_no_order_without_a_base_version(headers: dict[str, str]) -> None:
-    async def work(serving: Served) -> None:
-        answer = await (await serving.caller()).request("POST", "/config/replace", ORDER, **headers)
-        assert answer.status == 400
-        assert answer.json()["faults"][0]["path"] == "X-Base-Version"
-        assert serving.node.submits.empty()
+def test_change_without_a_valid_base_version_is_rejected(headers: dict[str, str]) -> None:
+    async def scenario(server: ApiServer) -> None:
+        response = await (await server.connect()).request(
+            "POST", "/config/replace", CONFIGURATION, **headers
+        )
+        assert response.status == 400
+        assert response.json()["faults"][0]["path"] == "X-Base-Version"
+        assert server.chain.submits.empty()
 
-    with_interface(work)
+    run_with_api_server(scenario)
 
 
-def test_a_large_document_comes_whole() -> None:
+def test_large_document_is_received_and_returned_complete() -> None:
     large = json.dumps(document(note="x" * 5_000_000)).encode()
 
-    async def work(serving: Served) -> None:
-        caller = await serving.caller()
-        caller.send("POST", "/config/replace", large, X_Base_Version="0")
-        order, done = await serving.node.submits.get()
-        assert order.document == large
+    async def scenario(server: ApiServer) -> None:
+        client = await server.connect()
+        client.send("POST", "/config/replace", large, X_Base_Version="0")
+        change, done = await server.chain.submits.get()
+        assert change.document == large
         done(ChangeCommitted(1))
-        assert (await caller.receive()).status == 200
-        caller.send("GET", "/config/get")
-        (await serving.node.reads.get())(Confirmation(3, 1, large, 7))
-        assert (await caller.receive()).body == large
+        assert (await client.receive()).status == 200
+        client.send("GET", "/config/get")
+        (await server.chain.reads.get())(Confirmation(3, 1, large, 7))
+        assert (await client.receive()).body == large
 
-    with_interface(work)
+    run_with_api_server(scenario)
 
 
-def test_a_document_in_chunks() -> None:
-    async def work(serving: Served) -> None:
-        caller = await serving.caller()
+def test_chunked_request_body() -> None:
+    async def scenario(server: ApiServer) -> None:
+        client = await server.connect()
         head = b"POST /config/replace HTTP/1.1\r\nHost: x\r\nX-Base-Version: 1\r\n"
-        caller.writer.write(head + b"Transfer-Encoding: chunked\r\n\r\n")
-        for piece in (ORDER[:100], ORDER[100:]):
-            caller.writer.write(b"%x\r\n%s\r\n" % (len(piece), piece))
-        caller.writer.write(b"0\r\n\r\n")
-        order, done = await serving.node.submits.get()
-        assert order.document == ORDER
+        client.writer.write(head + b"Transfer-Encoding: chunked\r\n\r\n")
+        for chunk in (CONFIGURATION[:100], CONFIGURATION[100:]):
+            client.writer.write(b"%x\r\n%s\r\n" % (len(chunk), chunk))
+        client.writer.write(b"0\r\n\r\n")
+        change, done = await server.chain.submits.get()
+        assert change.document == CONFIGURATION
         done(ChangeCommitted(1))
-        assert (await caller.receive()).status == 200
+        assert (await client.receive()).status == 200
 
-    with_interface(work)
+    run_with_api_server(scenario)
 
 
-def test_a_document_past_the_bound_is_refused() -> None:
-    async def work(serving: Served) -> None:
-        caller = await serving.caller()
+def test_document_above_the_size_limit_is_rejected() -> None:
+    async def scenario(server: ApiServer) -> None:
+        client = await server.connect()
         body = b" " * (MAX_BODY_BYTES + 1)
-        answer = await caller.request("POST", "/config/replace", body, X_Base_Version="0")
-        assert answer.status == 413
-        assert serving.node.submits.empty()
+        response = await client.request("POST", "/config/replace", body, X_Base_Version="0")
+        assert response.status == 413
+        assert server.chain.submits.empty()
 
-    with_interface(work)
+    run_with_api_server(scenario)
 
 
 @pytest.mark.parametrize(
     ("confirmation", "status", "content"),
     [
-        (Confirmation(3, 5, ORDER, 7), 200, ORDER),
+        (Confirmation(3, 5, CONFIGURATION, 7), 200, CONFIGURATION),
         (Confirmation(3, 0, None, 0), 404, None),
         (None, 503, None),
     ],
 )
-def test_reading_the_configuration_back(
+def test_get_configuration(
     confirmation: Confirmation | None, status: int, content: bytes | None
 ) -> None:
-    async def work(serving: Served) -> None:
-        caller = await serving.caller()
-        caller.send("GET", "/config/get")
-        (await serving.node.reads.get())(confirmation)
-        answer = await caller.receive()
-        assert (answer.status, answer.headers["content-type"]) == (status, "application/json")
-        assert content is None or answer.body == content
-        assert ("retry-after" in answer.headers) == (status == 503)
-
-    with_interface(work)
-
-
-def test_a_read_that_is_not_confirmed_in_time() -> None:
-    async def work(serving: Served) -> None:
-        caller = await serving.caller()
-        caller.send("GET", "/config/get")
-        done = await serving.node.reads.get()
-        serving.clock.advance(CONFIRM_TIMEOUT_S)
-        assert (await caller.receive()).status == 503
-        done(Confirmation(3, 5, ORDER, 7))
-        assert serving.clock.getDelayedCalls() == []
-
-    with_interface(work)
-
-
-def test_status_for_people() -> None:
-    async def work(serving: Served) -> None:
-        caller = await serving.caller()
-        caller.send("GET", "/status")
-        (await serving.node.reads.get())(Confirmation(3, 5, ORDER, 7))
-        said = (await caller.receive()).json()
-        assert (said["epoch"], said["tail"], said["is_tail"]) == (3, "10.0.0.3:7500", True)
-        assert said["core"] == said["chain"] == list(serving.node.cores)
-        assert said["versions"] == {"configuration": 5, "hosts": 11, "roster": 12}
-        assert said["generation"] == 7
-        (gateway,) = said["gateways"]
+    async def scenario(server: ApiServer) -> None:
+        client = await server.connect()
+        client.send("GET", "/config/get")
+        (await server.chain.reads.get())(confirmation)
+        response = await client.receive()
+        assert (response.status, response.headers["content-type"]) == (status, "application/json")
+        assert content is None or response.body == content
+        assert ("retry-after" in response.headers) == (status == 503)
+
+    run_with_api_server(scenario)
+
+
+def test_unconfirmed_read_times_out_with_503() -> None:
+    async def scenario(server: ApiServer) -> None:
+        client = await server.connect()
+        client.send("GET", "/config/get")
+        done = await server.chain.reads.get()
+        server.clock.advance(CONFIRM_TIMEOUT_S)
+        assert (await client.receive()).status == 503
+        done(Confirmation(3, 5, CONFIGURATION, 7))
+        assert server.clock.getDelayedCalls() == []
+
+    run_with_api_server(scenario)
+
+
+def test_status_page() -> None:
+    async def scenario(server: ApiServer) -> None:
+        client = await server.connect()
+        client.send("GET", "/status")
+        (await server.chain.reads.get())(Confirmation(3, 5, CONFIGURATION, 7))
+        status = (await client.receive()).json()
+        assert (status["epoch"], status["tail"], status["is_tail"]) == (
+            3,
+            "10.0.0.3:7500",
+            True,
+        )
+        assert status["core"] == status["chain"] == list(server.chain.cores)
+        assert status["versions"] == {"configuration": 5, "hosts": 11, "roster": 12}
+        assert status["generation"] == 7
+        (gateway,) = status["gateways"]
         assert (gateway["name"], gateway["configuration_behind"], gateway["hosts"]) == (
             "g-1",
             True,
             1,
         )
 
-    with_interface(work)
+    run_with_api_server(scenario)
 
 
 @pytest.mark.parametrize(
     ("method", "path", "status"),
     [("GET", "/", 404), ("POST", "/config/get", 405), ("GET", "/config/replace", 405)],
 )
-def test_other_paths_and_methods(method: str, path: str, status: int) -> None:
-    async def work(serving: Served) -> None:
-        assert (await (await serving.caller()).request(method, path)).status == status
+def test_unknown_paths_and_wrong_methods(method: str, path: str, status: int) -> None:
+    async def scenario(server: ApiServer) -> None:
+        assert (await (await server.connect()).request(method, path)).status == status
 
-    with_interface(work)
+    run_with_api_server(scenario)
 
 
-def test_after_the_stop_no_order_is_taken() -> None:
-    async def work(serving: Served) -> None:
-        serving.api.stop()
-        answer = await (await serving.caller()).request(
-            "POST", "/config/replace", ORDER, X_Base_Version="0"
+def test_change_after_stop_is_rejected() -> None:
+    async def scenario(server: ApiServer) -> None:
+        server.api.stop()
+        response = await (await server.connect()).request(
+            "POST", "/config/replace", CONFIGURATION, X_Base_Version="0"
         )
-        assert answer.status == 503
-        assert serving.node.submits.empty()
+        assert response.status == 503
+        assert server.chain.submits.empty()
 
-    with_interface(work)
+    run_with_api_server(scenario)
--- a/tests/controller/test_host_list_client.py
+++ b/tests/controller/test_host_list_client.py
@@ -22,10 +22,10 @@
 
     def __init__(self, pages: dict[str, bytes]) -> None:
         self.pages = pages
-        self.asked: list[tuple[str, str]] = []
+        self.requests: list[tuple[str, str]] = []
         self.connections = 0
-        self.refusals = 0
-        self.silent = 0
+        self.calls_to_reject = 0
+        self.calls_to_ignore = 0
         self.server: asyncio.Server | None = None
 
     async def start(self) -> tuple[str, int]:
@@ -38,19 +38,19 @@
         try:
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
-                writer.write(self._answer(head.split(b"\r\n")[0].decode().split()[1]))
+                writer.write(self._response(head.split(b"\r\n")[0].decode().split()[1]))
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
 
-    def _answer(self, target: str) -> bytes:
-        parts = urlsplit(target)
-        token = parse_qs(parts.query).get("page_token", [""])[0]
-        self.asked.append((parts.path, token))
-        if self.silent:
-            self.silent -= 1
+    def _response(self, target: str) -> bytes:
+        url = urlsplit(target)
+        token = parse_qs(url.query).get("page_token", [""])[0]
+        self.requests.append((url.path, token))
+        if self.calls_to_ignore:
+            self.calls_to_ignore -= 1
             return b""
-        if self.refusals:
-            self.refusals -= 1
+        if self.calls_to_reject:
+            self.calls_to_reject -= 1
             return b"HTTP/1.1 429 Too Many Requests\r\nContent-Length: 0\r\n\r\n"
         content = self.pages[token]
         head = (
@@ -65,79 +65,79 @@
 
 
 async def read_lists(
-    stand_in: FakePlatform,
+    platform: FakePlatform,
     count: int,
-    then: Callable[[Any], None] = lambda client: None,
-    call_s: float = 5.0,
+    after_start: Callable[[Any], None] = lambda client: None,
+    call_timeout_s: float = 5.0,
 ) -> list[tuple[int, list[str]]]:
     """Let a client read until it has brought so many whole lists."""
     from roselink.controller.host_list_client import HostListClient  # noqa: PLC0415 - after the reactor
 
     lists: asyncio.Queue[tuple[int, tuple[Host, ...]]] = asyncio.Queue()
-    platform = PlatformSettings(await stand_in.start(), 10_000.0, 0.0)
+    settings = PlatformSettings(await platform.start(), 10_000.0, 0.0)
     client = HostListClient(
         REACTOR,
-        platform,
+        settings,
         lambda epoch, hosts: lists.put_nowait((epoch, hosts)),
         times=ReaderTimes(
-            interval_s=0.005, backoff_s=0.001, max_backoff_s=0.01, call_timeout_s=call_s
+            interval_s=0.005, backoff_s=0.001, max_backoff_s=0.01, call_timeout_s=call_timeout_s
         ),
     )
     client.set_role(3)
-    then(client)
+    after_start(client)
     try:
-        seen = [await lists.get() for _ in range(count)]
+        received = [await lists.get() for _ in range(count)]
     finally:
         closed = client.close()
-        stand_in.stop()
+        platform.stop()
         await closed.asFuture(asyncio.get_running_loop())
-    return [(epoch, sorted(each.id for each in hosts)) for epoch, hosts in seen]
+    return [(epoch, sorted(host.id for host in hosts)) for epoch, hosts in received]
 
 
-def test_driver_reads_all_pages_on_one_connection() -> None:
-    stand_in = FakePlatform(
+def test_client_reads_all_pages_on_one_connection() -> None:
+    platform = FakePlatform(
         {
             "": page_body(host_entry(id="i-1"), token="p 2&x"),
             "p 2&x": page_body(host_entry(id="i-2"), token=None),
         }
     )
-    assert run_on_reactor(read_lists(stand_in, 3)) == [(3, ["i-1", "i-2"])] * 3
-    assert stand_in.asked[:4] == [("/instances", ""), ("/instances", "p 2&x")] * 2
-    assert stand_in.connections == 1
+    assert run_on_reactor(read_lists(platform, 3)) == [(3, ["i-1", "i-2"])] * 3
+    assert platform.requests[:4] == [("/instances", ""), ("/instances", "p 2&x")] * 2
+    assert platform.connections == 1
 
 
-def test_driver_goes_on_after_refusals() -> None:
-    stand_in = FakePlatform({"": page_body(host_entry())})
-    stand_in.refusals = 3
-    assert run_on_reactor(read_lists(stand_in, 1)) == [(3, ["i-1"])]
-    assert len(stand_in.asked) >= 4
+def test_client_retries_after_429_responses() -> None:
+    platform = FakePlatform({"": page_body(host_entry())})
+    platform.calls_to_reject = 3
+    assert run_on_reactor(read_lists(platform, 1)) == [(3, ["i-1"])]
+    assert len(platform.requests) >= 4
 
 
-def test_driver_gives_up_a_call_without_an_answer() -> None:
-    stand_in = FakePlatform({"": page_body(host_entry())})
-    stand_in.silent = 2
-    assert run_on_reactor(read_lists(stand_in, 1, call_s=0.2)) == [(3, ["i-1"])]
-    assert len(stand_in.asked) >= 3
-    assert stand_in.connections >= 3
+def test_client_times_out_a_call_without_a_response() -> None:
+    platform = FakePlatform({"": page_body(host_entry())})
+    platform.calls_to_ignore = 2
+    assert run_on_reactor(read_lists(platform, 1, call_timeout_s=0.2)) == [(3, ["i-1"])]
+    assert len(platform.requests) >= 3
+    assert platform.connections >= 3
 
 
-def test_driver_takes_the_role_in_another_view() -> None:
-    stand_in = FakePlatform({"": page_body(host_entry())})
-    lists = run_on_reactor(read_lists(stand_in, 2, lambda client: client.set_role(4)))
+def test_client_restarts_in_a_new_view() -> None:
+    platform = FakePlatform({"": page_body(host_entry())})
+    lists = run_on_reactor(read_lists(platform, 2, lambda client: client.set_role(4)))
     assert lists == [(4, ["i-1"])] * 2
 
 
-def test_driver_makes_no_call_without_the_role() -> None:
-    async def hold_and_drop() -> None:
+def test_client_makes_no_call_without_the_role() -> None:
+    async def take_and_give_up_role() -> None:
         from roselink.controller.host_list_client import HostListClient  # noqa: PLC0415 - after the reactor
 
-        platform = PlatformSettings(await stand_in.start(), 10_000.0, 0.0)
-        client = HostListClient(REACTOR, platform, lambda epoch, hosts: None)
+        settings = PlatformSettings(await platform.start(), 10_000.0, 0.0)
+        client = HostListClient(REACTOR, settings, lambda epoch, hosts: None)
         client.set_role(3)
         client.set_role(None)
         await client.close().asFuture(asyncio.get_running_loop())
-        stand_in.stop()
+        platform.stop()
 
-    stand_in = FakePlatform({"": page_body()})
-    run_on_reactor(hold_and_drop())
-    assert stand_in.asked == []
+    platform = FakePlatform({"": page_body()})
+    run_on_reactor(take_and_give_up_role())
+    assert platform.requests == []
--- a/tests/controller/test_host_list_reader.py
+++ b/tests/controller/test_host_list_reader.py
@@ -43,12 +43,12 @@
     return ENTRY | changes
 
 
-def host(name: str) -> Host:
-    return Host(name, "model", "10.9.0.1:8080", "z-a", "v1", 64, HostState.READY, 0.0, ("m",))
+def host(host_id: str) -> Host:
+    return Host(host_id, "model", "10.9.0.1:8080", "z-a", "v1", 64, HostState.READY, 0.0, ("m",))
 
 
 @pytest.mark.parametrize(
-    ("given", "field", "value"),
+    ("raw_entry", "field", "value"),
     [
         (host_entry(), "id", "i-1"),
         (host_entry(state="draining"), "state", HostState.DRAINING),
@@ -65,18 +65,20 @@
         (host_entry(colour="red"), "service", "model"),
     ],
 )
-def test_entries_that_can_be_read(given: dict[str, Any], field: str, value: Any) -> None:
-    read = parse_host(given)
-    assert isinstance(read, Host)
-    assert getattr(read, field) == value
+def test_parse_host_reads_each_field_and_applies_defaults(
+    raw_entry: dict[str, Any], field: str, value: Any
+) -> None:
+    parsed = parse_host(raw_entry)
+    assert isinstance(parsed, Host)
+    assert getattr(parsed, field) == value
 
 
-def test_the_entry_of_the_page() -> None:
+def test_parse_host_of_a_complete_entry() -> None:
     assert parse_host(ENTRY) == HOST
 
 
 @pytest.mark.parametrize(
-    "given",
+    "raw_entry",
     [
         None,
         [],
@@ -92,8 +94,8 @@
         host_entry(address="10.9.0.1:70000"),
     ],
 )
-def test_entries_that_cannot_be_read_say_why(given: Any) -> None:
-    assert isinstance(parse_host(given), str)
+def test_parse_host_returns_a_reason_for_an_invalid_entry(raw_entry: Any) -> None:
+    assert isinstance(parse_host(raw_entry), str)
 
 
 def page_body(*entries: Any, token: Any = None) -> bytes:
@@ -101,7 +103,7 @@
 
 
 @pytest.mark.parametrize(
-    ("status", "answer", "page"),
+    ("status", "content", "page"),
     [
         (200, page_body(ENTRY), Page((HOST,), (), None)),
         (200, page_body(), Page((), (), None)),
@@ -117,186 +119,197 @@
         (503, b"", "status 503"),
     ],
 )
-def test_answers(status: int, answer: bytes, page: Page | str) -> None:
-    assert parse_page(status, answer) == page
+def test_parse_page(status: int, content: bytes, page: Page | str) -> None:
+    assert parse_page(status, content) == page
 
 
 TIMES = ReaderTimes(interval_s=0.6, backoff_s=0.1, max_backoff_s=1.0)
-RATE = 40.0
-GAP = 0.05
+RATE_PER_S = 40.0
+CALL_INTERVAL_S = 0.05
 
 
-class Driven:
+class ReaderHarness:
     """A reader and the calls it makes, in a time that the test sets."""
 
-    def __init__(self, rate: float = RATE) -> None:
-        self.reader = HostListReader(rate, random.Random(1), TIMES)
+    def __init__(self, rate_per_s: float = RATE_PER_S) -> None:
+        self.reader = HostListReader(rate_per_s, random.Random(1), TIMES)
         self.now = 0.0
         self.calls: list[tuple[float, str | None]] = []
         self.lists: list[tuple[int, list[str]]] = []
         self.warnings: list[LogWarning] = []
-        self.open: int | None = None
-        self.wake: float | None = None
+        self.open_call: int | None = None
+        self.timer_at: float | None = None
 
-    def take(self, effects: list[ReaderEffect]) -> None:
+    def apply(self, effects: list[ReaderEffect]) -> None:
         for effect in effects:
             match effect:
                 case Fetch(number, page_token):
-                    assert self.open is None, "two calls at once"
-                    self.open = number
+                    assert self.open_call is None, "two calls at once"
+                    self.open_call = number
                     self.calls.append((round(self.now, 6), page_token))
                 case SetTimer(at):
-                    self.wake = at
+                    self.timer_at = at
                 case HostsListed(epoch, hosts):
-                    self.lists.append((epoch, sorted(each.id for each in hosts)))
+                    self.lists.append((epoch, sorted(host.id for host in hosts)))
                 case LogWarning():
                     self.warnings.append(effect)
 
     def start(self, epoch: int = 3) -> None:
-        self.open = None
-        self.take(self.reader.start(self.now, epoch))
+        self.open_call = None
+        self.apply(self.reader.start(self.now, epoch))
 
-    def answer(self, page: Page | str, after: float = 0.01) -> None:
+    def complete_call(self, page: Page | str, duration_s: float = 0.01) -> None:
         """Answer the open call; then go to the time at which the reader wants to be woken, if it
         does.
         """
-        assert self.open is not None
-        number, self.open, self.wake = self.open, None, None
-        self.now += after
-        self.take(self.reader.fetch_completed(self.now, number, page))
-        if self.open is None and self.wake is not None:
-            self.now = self.wake
-            self.take(self.reader.timer_expired(self.now))
+        assert self.open_call is not None
+        number, self.open_call, self.timer_at = self.open_call, None, None
+        self.now += duration_s
+        self.apply(self.reader.fetch_completed(self.now, number, page))
+        if self.open_call is None and self.timer_at is not None:
+            self.now = self.timer_at
+            self.apply(self.reader.timer_expired(self.now))
 
 
-def page(*names: str, token: str | None = None) -> Page:
-    return Page(tuple(host(name) for name in names), (), token)
+def page(*host_ids: str, token: str | None = None) -> Page:
+    return Page(tuple(host(host_id) for host_id in host_ids), (), token)
 
 
-def test_a_new_reader_asks_at_once_and_then_seldom() -> None:
-    driven = Driven()
-    driven.start()
+def test_first_call_is_immediate_and_passes_follow_the_interval() -> None:
+    harness = ReaderHarness()
+    harness.start()
     for _ in range(3):
-        driven.answer(page("a"))
-    assert driven.calls == [(0.0, None), (0.6, None), (1.2, None), (1.8, None)]
-    assert driven.lists == [(3, ["a"])] * 3
-
-
-def test_pages_follow_one_another_within_half_of_the_rate() -> None:
-    driven = Driven()
-    driven.start()
-    driven.answer(page("a", token="p-1"))
-    driven.answer(page("b", token="p-2"))
-    assert driven.lists == []
-    driven.answer(page("c"))
-    assert driven.calls == [(0.0, None), (GAP, "p-1"), (2 * GAP, "p-2"), (0.6, None)]
-    assert driven.lists == [(3, ["a", "b", "c"])]
-
-
-def test_an_empty_list_counts() -> None:
-    driven = Driven()
-    driven.start()
-    driven.answer(page())
-    assert driven.lists == [(3, [])]
-
-
-def test_a_low_rate_is_kept() -> None:
-    driven = Driven(rate=2.0)
-    driven.start()
+        harness.complete_call(page("a"))
+    assert harness.calls == [(0.0, None), (0.6, None), (1.2, None), (1.8, None)]
+    assert harness.lists == [(3, ["a"])] * 3
+
+
+def test_pages_are_fetched_at_half_of_the_rate_limit() -> None:
+    harness = ReaderHarness()
+    harness.start()
+    harness.complete_call(page("a", token="p-1"))
+    harness.complete_call(page("b", token="p-2"))
+    assert harness.lists == []
+    harness.complete_call(page("c"))
+    assert harness.calls == [
+        (0.0, None),
+        (CALL_INTERVAL_S, "p-1"),
+        (2 * CALL_INTERVAL_S, "p-2"),
+        (0.6, None),
+    ]
+    assert harness.lists == [(3, ["a", "b", "c"])]
+
+
+def test_empty_list_is_published() -> None:
+    harness = ReaderHarness()
+    harness.start()
+    harness.complete_call(page())
+    assert harness.lists == [(3, [])]
+
+
+def test_low_rate_limit_delays_passes() -> None:
+    harness = ReaderHarness(rate_per_s=2.0)
+    harness.start()
     for _ in range(3):
-        driven.answer(page("a"))
-    assert [at for at, _ in driven.calls] == [0.0, 1.0, 2.0, 3.0]
+        harness.complete_call(page("a"))
+    assert [at for at, _ in harness.calls] == [0.0, 1.0, 2.0, 3.0]
 
 
-def test_failures_make_the_waits_longer_up_to_a_bound() -> None:
-    driven = Driven()
-    driven.start()
+def test_backoff_doubles_with_consecutive_failures_up_to_the_maximum() -> None:
+    harness = ReaderHarness()
+    harness.start()
     for _ in range(12):
-        driven.answer("status 429", after=0.0)
-    times = [at for at, _ in driven.calls]
-    waits = [later - sooner for sooner, later in itertools.pairwise(times)]
+        harness.complete_call("status 429", duration_s=0.0)
+    times = [at for at, _ in harness.calls]
+    waits = [later - earlier for earlier, later in itertools.pairwise(times)]
     bounds = [min(1.0, 0.1 * 2.0**failures) for failures in range(1, 13)]
     for wait, bound in zip(waits, bounds, strict=True):
         assert bound / 2 - 1e-6 <= wait <= bound + 1e-6
     assert len(set(waits)) == len(waits)
-    driven.answer(page("a"))
-    assert driven.calls[-1][0] - driven.calls[-2][0] == pytest.approx(0.6)
-    assert [warning.event for warning in driven.warnings] == ["platform_call_failed"] * 12
+    harness.complete_call(page("a"))
+    assert harness.calls[-1][0] - harness.calls[-2][0] == pytest.approx(0.6)
+    assert [warning.event for warning in harness.warnings] == ["platform_call_failed"] * 12
 
 
-def test_a_failed_page_is_asked_again_and_then_the_pass() -> None:
-    driven = Driven()
-    driven.start()
-    driven.answer(page("a", token="p-1"))
+def test_failed_page_is_retried_before_the_pass_restarts() -> None:
+    harness = ReaderHarness()
+    harness.start()
+    harness.complete_call(page("a", token="p-1"))
     for _ in range(MAX_PAGE_ATTEMPTS):
-        driven.answer("not JSON")
-    assert [token for _, token in driven.calls] == [None, *["p-1"] * MAX_PAGE_ATTEMPTS, None]
-    driven.answer(page("b"))
-    assert driven.lists == [(3, ["b"])]
-
-
-def test_entries_that_cannot_be_read_are_named_and_skipped() -> None:
-    driven = Driven()
-    driven.start()
-    driven.answer(Page((host("a"),), ("'i-2': no address",), None))
-    assert driven.warnings == [LogWarning("host_entry_rejected", "'i-2': no address")]
-    assert driven.lists == [(3, ["a"])]
-
-
-def test_in_several_pages_a_host_is_gone_when_missed_twice() -> None:
-    driven = Driven()
-    driven.start()
-    driven.answer(page("a", "b", token="p-2"))
-    driven.answer(page("c"))
-    driven.answer(page("a", token="p-2"))
-    driven.answer(page("c"))
-    assert driven.calls[-1][0] - driven.calls[-2][0] == pytest.approx(GAP), "looks again at once"
-    driven.answer(page("a", token="p-2"))
-    driven.answer(page("c"))
-    assert [listed for _, listed in driven.lists] == [["a", "b", "c"], ["a", "b", "c"], ["a", "c"]]
-
-
-def test_a_host_that_was_missed_once_and_came_back_stays() -> None:
-    driven = Driven()
-    driven.start()
-    for first in (("a", "b"), ("a",), ("a", "b"), ("a",)):
-        driven.answer(page(*first, token="p-2"))
-        driven.answer(page("c"))
-    assert [listed for _, listed in driven.lists] == [["a", "b", "c"]] * 4
-
-
-def test_in_one_page_absence_counts_at_once() -> None:
-    driven = Driven()
-    driven.start()
-    driven.answer(page("a", "b"))
-    driven.answer(page("a"))
-    assert [listed for _, listed in driven.lists] == [["a", "b"], ["a"]]
-
-
-def test_one_that_stops_makes_no_call_and_passes_over_what_comes() -> None:
-    driven = Driven()
-    driven.start()
-    number = driven.open
+        harness.complete_call("not JSON")
+    assert [token for _, token in harness.calls] == [None, *["p-1"] * MAX_PAGE_ATTEMPTS, None]
+    harness.complete_call(page("b"))
+    assert harness.lists == [(3, ["b"])]
+
+
+def test_invalid_entries_are_logged_and_skipped() -> None:
+    harness = ReaderHarness()
+    harness.start()
+    harness.complete_call(Page((host("a"),), ("'i-2': no address",), None))
+    assert harness.warnings == [LogWarning("host_entry_rejected", "'i-2': no address")]
+    assert harness.lists == [(3, ["a"])]
+
+
+def test_multi_page_list_removes_a_host_after_two_passes_without_it() -> None:
+    harness = ReaderHarness()
+    harness.start()
+    harness.complete_call(page("a", "b", token="p-2"))
+    harness.complete_call(page("c"))
+    harness.complete_call(page("a", token="p-2"))
+    harness.complete_call(page("c"))
+    assert harness.calls[-1][0] - harness.calls[-2][0] == pytest.approx(CALL_INTERVAL_S), (
+        "looks again at once"
+    )
+    harness.complete_call(page("a", token="p-2"))
+    harness.complete_call(page("c"))
+    assert [host_ids for _, host_ids in harness.lists] == [
+        ["a", "b", "c"],
+        ["a", "b", "c"],
+        ["a", "c"],
+    ]
+
+
+def test_host_missing_from_every_second_pass_is_kept() -> None:
+    harness = ReaderHarness()
+    harness.start()
+    for first_page in (("a", "b"), ("a",), ("a", "b"), ("a",)):
+        harness.complete_call(page(*first_page, token="p-2"))
+        harness.complete_call(page("c"))
+    assert [host_ids for _, host_ids in harness.lists] == [["a", "b", "c"]] * 4
+
+
+def test_single_page_list_removes_a_missing_host_at_once() -> None:
+    harness = ReaderHarness()
+    harness.start()
+    harness.complete_call(page("a", "b"))
+    harness.complete_call(page("a"))
+    assert [host_ids for _, host_ids in harness.lists] == [["a", "b"], ["a"]]
+
+
+def test_stopped_reader_makes_no_call_and_ignores_results() -> None:
+    harness = ReaderHarness()
+    harness.start()
+    number = harness.open_call
     assert number is not None
-    assert driven.reader.stop() == []
-    assert not driven.reader.running
-    assert driven.reader.fetch_completed(0.1, number, page("a")) == []
-    assert driven.reader.timer_expired(5.0) == []
-
-
-def test_another_view_begins_the_pass_anew() -> None:
-    driven = Driven()
-    driven.start(3)
-    driven.answer(page("a", token="p-1"))
-    stale = driven.open
-    assert stale is not None
-    driven.start(4)
-    assert driven.reader.fetch_completed(driven.now, stale, page("b")) == []
-    assert driven.open is None, "the rate is kept over views"
-    assert driven.wake is not None
-    driven.now = driven.wake
-    driven.take(driven.reader.timer_expired(driven.now))
-    assert driven.calls[-1][1] is None
-    driven.answer(page("c"))
-    assert driven.lists == [(4, ["c"])]
-    assert driven.reader.start(driven.now, 4) == []
+    assert harness.reader.stop() == []
+    assert not harness.reader.running
+    assert harness.reader.fetch_completed(0.1, number, page("a")) == []
+    assert harness.reader.timer_expired(5.0) == []
+
+
+def test_new_view_restarts_the_pass_within_the_rate_limit() -> None:
+    harness = ReaderHarness()
+    harness.start(3)
+    harness.complete_call(page("a", token="p-1"))
+    former_call = harness.open_call
+    assert former_call is not None
+    harness.start(4)
+    assert harness.reader.fetch_completed(harness.now, former_call, page("b")) == []
+    assert harness.open_call is None, "the rate is kept over views"
+    assert harness.timer_at is not None
+    harness.now = harness.timer_at
+    harness.apply(harness.reader.timer_expired(harness.now))
+    assert harness.calls[-1][1] is None
+    harness.complete_call(page("c"))
+    assert harness.lists == [(4, ["c"])]
+    assert harness.reader.start(harness.now, 4) == []
--- a/tests/controller/test_host_versions.py
+++ b/tests/controller/test_host_versions.py
@@ -13,41 +13,41 @@
 from roselink.protocol.pull import HostChanges, HostList
 from roselink.protocol.records import decode, record_number_of
 
-MANY = tuple(f"m{number}" for number in range(20))
+OTHER_HOST_IDS = tuple(f"m{number}" for number in range(20))
 
 
 HOST = Host("h", "model", "10.9.0.1:8080", "z", "v1", 64, HostState.READY, 0.0, ("m",))
 
 
-def host(name: str, state: HostState = HostState.READY) -> Host:
-    return replace(HOST, id=name, state=state)
+def host(host_id: str, state: HostState = HostState.READY) -> Host:
+    return replace(HOST, id=host_id, state=state)
 
 
 def hosts(*names: str) -> tuple[Host, ...]:
-    return tuple(host(name) for name in (*names, *MANY))
+    return tuple(host(host_id) for host_id in (*names, *OTHER_HOST_IDS))
 
 
-def published(*lists: tuple[Host, ...]) -> HostVersions:
-    made = HostVersions()
-    for listed in lists:
-        made.publish(listed, lambda version: version + 1)
-    return made
+def publish_all(*lists: tuple[Host, ...]) -> HostVersions:
+    versions = HostVersions()
+    for host_list in lists:
+        versions.publish(host_list, lambda version: version + 1)
+    return versions
 
 
-def changes(made: HostVersions, base_version: int) -> HostChanges | None:
-    data = made.encoded_changes(base_version)
+def decode_changes(versions: HostVersions, base_version: int) -> HostChanges | None:
+    data = versions.encoded_changes(base_version)
     if data is None:
         return None
-    found = decode(record_number_of(HostChanges(0, (), ())), data)
-    assert isinstance(found, HostChanges)
-    return found
+    decoded = decode(record_number_of(HostChanges(0, (), ())), data)
+    assert isinstance(decoded, HostChanges)
+    return decoded
 
 
 DRAINING = host("a", HostState.DRAINING)
 
 
 @pytest.mark.parametrize(
-    ("lists", "base_version", "gone", "put"),
+    ("lists", "base_version", "removed", "updated"),
     [
         ((hosts("a"), hosts("a", "b")), 1, (), (host("b"),)),
         ((hosts("a"), hosts("b")), 1, ("a",), (host("b"),)),
@@ -59,23 +59,25 @@
         ((hosts("a"), hosts("a"), hosts()), 1, ("a",), ()),
     ],
     ids=[
-        "new",
+        "added",
         "replaced",
         "draining",
-        "two steps",
-        "last step",
-        "came and went",
-        "went and came",
-        "same",
+        "two versions",
+        "last version",
+        "added then removed",
+        "removed then added",
+        "unchanged",
     ],
 )
 def test_changes_from_an_older_version(
     lists: tuple[tuple[Host, ...], ...],
     base_version: int,
-    gone: tuple[str, ...],
-    put: tuple[Host, ...],
+    removed: tuple[str, ...],
+    updated: tuple[Host, ...],
 ) -> None:
-    assert changes(published(*lists), base_version) == HostChanges(base_version, gone, put)
+    assert decode_changes(publish_all(*lists), base_version) == HostChanges(
+        base_version, removed, updated
+    )
 
 
 @pytest.mark.parametrize(
@@ -90,40 +92,40 @@
         ((), 0),
     ],
     ids=[
-        "first",
-        "none base_version",
-        "unknown",
+        "one version",
+        "before the first version",
+        "unknown version",
         "former view",
-        "most is new",
-        "all gone",
+        "most hosts replaced",
+        "all hosts removed",
         "no list",
     ],
 )
-def test_only_the_whole_list_will_do(
+def test_no_changes_for_an_unknown_version_or_a_large_difference(
     lists: tuple[tuple[Host, ...], ...], base_version: int
 ) -> None:
-    assert changes(published(*lists), base_version) is None
+    assert decode_changes(publish_all(*lists), base_version) is None
 
 
 def test_changes_are_known_for_a_bounded_number_of_versions() -> None:
-    made = published(*(hosts("ab"[number % 2]) for number in range(MAX_DELTAS + 2)))
-    assert made.version == MAX_DELTAS + 2
-    assert changes(made, 1) is None
-    assert changes(made, 2) is not None
+    versions = publish_all(*(hosts("ab"[number % 2]) for number in range(MAX_DELTAS + 2)))
+    assert versions.version == MAX_DELTAS + 2
+    assert decode_changes(versions, 1) is None
+    assert decode_changes(versions, 2) is not None
 
 
-def test_no_list_has_no_encoding() -> None:
-    assert published().encoded_list() is None
+def test_no_encoding_before_the_first_list() -> None:
+    assert publish_all().encoded_list() is None
 
 
-def test_each_encoding_is_made_once_for_a_version() -> None:
-    made = published(hosts("a"), hosts("b"))
-    assert made.encoded_list() is made.encoded_list()
-    assert made.encoded_changes(1) is made.encoded_changes(1)
-    first = made.encoded_list()
-    made.publish(hosts("c"), lambda version: version + 1)
-    data = made.encoded_list()
+def test_encodings_are_cached_per_version() -> None:
+    versions = publish_all(hosts("a"), hosts("b"))
+    assert versions.encoded_list() is versions.encoded_list()
+    assert versions.encoded_changes(1) is versions.encoded_changes(1)
+    former_encoding = versions.encoded_list()
+    versions.publish(hosts("c"), lambda version: version + 1)
+    data = versions.encoded_list()
     assert data is not None
-    assert data != first
-    assert decode(record_number_of(HostList(())), data) == HostList(made.hosts or ())
-    assert changes(made, 1) == HostChanges(1, ("a", "b"), (host("c"),))
+    assert data != former_encoding
+    assert decode(record_number_of(HostList(())), data) == HostList(versions.hosts or ())
+    assert decode_changes(versions, 1) == HostChanges(1, ("a", "b"), (host("c"),))
--- a/tests/controller/test_payoffs.py
+++ b/tests/controller/test_payoffs.py
@@ -16,7 +16,7 @@
     EPOCH,
     TAIL,
     TIMES,
-    Tail,
+    TailHarness,
     confirmation,
     member,
     pull,
@@ -79,19 +79,19 @@
 
 
 def test_the_tail_pools_reported_outcomes_and_a_new_view_resets_them() -> None:
-    tail = Tail()
-    tail.ask(
+    tail = TailHarness()
+    tail.complete_pull(
         PullRequest(member("a"), pull().vector, serving=True, outcomes=(HostOutcomes("h", 0, 3),))
     )
     tail.now += PUBLISH_INTERVAL_S
-    assert published_payoffs(tail.ask(pull("b")).payoffs) == {"h": 25}
+    assert published_payoffs(tail.complete_pull(pull("b")).payoffs) == {"h": 25}
     tail.pull_server.view_changed(tail.now, EPOCH + 1, TAIL, CORES, is_tail=True)
-    assert tail.ask(pull("b")).payoffs == b""
+    assert tail.complete_pull(pull("b")).payoffs == b""
 
 
 def test_a_delta_reply_carries_payoffs_to_the_gateway() -> None:
-    tail = Tail()
-    tail.ask(
+    tail = TailHarness()
+    tail.complete_pull(
         PullRequest(member("a"), pull().vector, serving=True, outcomes=(HostOutcomes("h", 0, 3),))
     )
     tail.now += PUBLISH_INTERVAL_S
--- a/tests/controller/test_pull_driver.py
+++ b/tests/controller/test_pull_driver.py
@@ -16,10 +16,10 @@
 from tests.controller.test_pull_server import (
     CORES,
     EPOCH,
-    RELAYED,
     TAIL,
+    TAIL_DELTA_REPLY,
+    TAIL_REPLY,
     TIMES,
-    TOLD,
     UNCONFIRMED,
     confirmation,
     pull,
@@ -34,67 +34,67 @@
         self.calls.append((address, message, timeout_s, done))
 
 
-def service(node: FakeChain) -> tuple[PullDriver, FakePool]:
+def start_driver(chain: FakeChain) -> tuple[PullDriver, FakePool]:
     pool = FakePool()
-    made = PullDriver(node, pool, TIMES, clock=lambda: 100.0)
-    made.start()
-    return made, pool
+    driver = PullDriver(chain, pool, TIMES, clock=lambda: 100.0)
+    driver.start()
+    return driver, pool
 
 
-def test_driver_at_the_tail() -> None:
-    node = FakeChain()
-    made, _ = service(node)
+def test_pull_at_the_tail_waits_for_a_confirmed_read() -> None:
+    chain = FakeChain()
+    driver, _ = start_driver(chain)
     replies: list[AnyReply] = []
-    assert made.handle(("10.1.0.1", 4000), pull(), replies.append)
+    assert driver.handle(("10.1.0.1", 4000), pull(), replies.append)
     assert replies == []
-    node.reads.get_nowait()(confirmation())
+    chain.reads.get_nowait()(confirmation())
     assert [(reply.confirmed, reply.configuration, reply.cores) for reply in replies] == [
         (True, b"{}", CORES)
     ]
 
 
-def test_driver_at_another_member() -> None:
-    node = FakeChain()
-    node.is_tail = False
-    made, pool = service(node)
+def test_pull_at_another_member_is_forwarded_to_the_tail() -> None:
+    chain = FakeChain()
+    chain.is_tail = False
+    driver, pool = start_driver(chain)
     replies: list[AnyReply] = []
     for _ in range(2):
-        assert made.handle(("10.1.0.1", 4000), pull(), replies.append)
-    for (address, message, timeout_s, done), answer in zip(
-        pool.calls, (RELAYED, "odd"), strict=True
+        assert driver.handle(("10.1.0.1", 4000), pull(), replies.append)
+    for (address, message, timeout_s, done), tail_reply in zip(
+        pool.calls, (TAIL_REPLY, "odd"), strict=True
     ):
         assert (address, message, timeout_s) == (TAIL, ForwardedPull(pull()), FORWARD_TIMEOUT_S)
-        done(answer)
-    assert replies == [RELAYED, UNCONFIRMED]
+        done(tail_reply)
+    assert replies == [TAIL_REPLY, UNCONFIRMED]
 
 
-def test_driver_follows_the_view_and_the_core() -> None:
-    node = FakeChain()
-    made, _ = service(node)
-    node.change_view(EPOCH + 1, None, is_tail=False)
-    node.cores = CORES[:2]
+def test_driver_uses_the_current_view_and_core() -> None:
+    chain = FakeChain()
+    driver, _ = start_driver(chain)
+    chain.change_view(EPOCH + 1, None, is_tail=False)
+    chain.cores = CORES[:2]
     replies: list[AnyReply] = []
-    assert made.handle(("10.1.0.1", 4000), ForwardedPull(pull()), replies.append)
+    assert driver.handle(("10.1.0.1", 4000), ForwardedPull(pull()), replies.append)
     assert replies == [PullReply(False, VersionVector(), None, None, None, CORES[:2])]
 
 
-def test_driver_leaves_other_records_alone() -> None:
-    made, _ = service(FakeChain())
-    assert not made.handle(("10.1.0.1", 4000), RELAYED, lambda answer: None)
+def test_other_records_are_not_handled() -> None:
+    driver, _ = start_driver(FakeChain())
+    assert not driver.handle(("10.1.0.1", 4000), TAIL_REPLY, lambda reply: None)
 
 
-def test_driver_of_changes_at_the_tail_and_at_another_member() -> None:
-    node = FakeChain()
-    made, pool = service(node)
+def test_delta_pulls_at_the_tail_and_at_another_member() -> None:
+    chain = FakeChain()
+    driver, pool = start_driver(chain)
     replies: list[Any] = []
-    assert made.handle(("10.1.0.1", 4000), DeltaPullRequest(pull()), replies.append)
-    node.reads.get_nowait()(confirmation())
-    assert made.handle(("10.0.0.1", 4000), ForwardedDeltaPull(pull()), replies.append)
-    node.reads.get_nowait()(confirmation())
+    assert driver.handle(("10.1.0.1", 4000), DeltaPullRequest(pull()), replies.append)
+    chain.reads.get_nowait()(confirmation())
+    assert driver.handle(("10.0.0.1", 4000), ForwardedDeltaPull(pull()), replies.append)
+    chain.reads.get_nowait()(confirmation())
     assert [(type(reply), reply.confirmed) for reply in replies] == [(DeltaPullReply, True)] * 2
-    node.change_view(4, ("10.0.0.2", 7500), is_tail=False)
-    made.handle(("10.1.0.1", 4000), DeltaPullRequest(pull()), replies.append)
+    chain.change_view(4, ("10.0.0.2", 7500), is_tail=False)
+    driver.handle(("10.1.0.1", 4000), DeltaPullRequest(pull()), replies.append)
     ((address, message, _, done),) = pool.calls
     assert (address, message) == (("10.0.0.2", 7500), ForwardedDeltaPull(pull()))
-    done(TOLD)
-    assert replies[-1] == TOLD
+    done(TAIL_DELTA_REPLY)
+    assert replies[-1] == TAIL_DELTA_REPLY
--- a/tests/controller/test_updates.py
+++ b/tests/controller/test_updates.py
@@ -35,34 +35,37 @@
     validate,
 )
 from roselink.protocol.chain import ConfigurationChange, ConfigurationState
-from tests.controller.test_validation import document, route, second, service, tenant
+from tests.controller.test_validation import document, route, second_route, service, tenant
 
 BASE = document()  # of generation 7
-OTHER = route(name="r-3", path_prefix="/three/")
+THIRD_ROUTE = route(name="r-3", path_prefix="/three/")
 
 
-def bytes_of(generation: Any = 9, **parts: Any) -> bytes:
-    return json.dumps({"generation": generation, **parts}).encode()
+def update_body(generation: Any = 9, **fields: Any) -> bytes:
+    return json.dumps({"generation": generation, **fields}).encode()
 
 
 def update(body: bytes) -> Update:
-    got = parse_update(body)
-    assert isinstance(got, Update), got
-    return got
+    result = parse_update(body)
+    assert isinstance(result, Update), result
+    return result
 
 
-def confirmed(whole: dict[str, Any] | None) -> Confirmation:
-    if whole is None:
+def confirmation(content: dict[str, Any] | None) -> Confirmation:
+    if content is None:
         return Confirmation(1, 0, None, 0)
-    return Confirmation(1, 4, json.dumps(whole).encode(), whole["generation"])
+    return Confirmation(1, 4, json.dumps(content).encode(), content["generation"])
 
 
-MERGED: dict[str, tuple[dict[str, Any], dict[str, Any]]] = {
+MERGES: dict[str, tuple[dict[str, Any], dict[str, Any]]] = {
     "nothing": ({}, {}),
-    "an item more": ({"upsert": {"routes": [OTHER]}}, {"routes": [route(), second(), OTHER]}),
+    "an item more": (
+        {"upsert": {"routes": [THIRD_ROUTE]}},
+        {"routes": [route(), second_route(), THIRD_ROUTE]},
+    ),
     "an item in its place": (
         {"upsert": {"routes": [route(timeout_ms=1)]}},
-        {"routes": [route(timeout_ms=1), second()]},
+        {"routes": [route(timeout_ms=1), second_route()]},
     ),
     "an item replaced whole": (
         {"upsert": {"tenants": [{"name": "t-1", "api_keys": ["k"]}]}},
@@ -70,15 +73,15 @@
     ),
     "an item less": ({"remove": {"routes": ["r-2"]}}, {"routes": [route()]}),
     "one more and one less": (
-        {"upsert": {"routes": [OTHER]}, "remove": {"routes": ["r-1"]}},
-        {"routes": [second(), OTHER]},
+        {"upsert": {"routes": [THIRD_ROUTE]}, "remove": {"routes": ["r-1"]}},
+        {"routes": [second_route(), THIRD_ROUTE]},
     ),
     "less of another section": (
         {
-            "upsert": {"routes": [route(), second(service="model")]},
+            "upsert": {"routes": [route(), second_route(service="model")]},
             "remove": {"services": ["records"]},
         },
-        {"routes": [route(), second(service="model")], "services": [service()]},
+        {"routes": [route(), second_route(service="model")], "services": [service()]},
     ),
     "a name to remove that is not there": ({"remove": {"routes": ["r-old"]}}, {}),
     "the same name in two sections": (
@@ -99,9 +102,9 @@
 }
 
 
-@pytest.mark.parametrize("case", MERGED)
-def test_a_merge(case: str) -> None:
-    parts, changed = MERGED[case]
+@pytest.mark.parametrize("case", MERGES)
+def test_merge(case: str) -> None:
+    fields, changed = MERGES[case]
     base = document(note_of_base={"kept": True})
     base["services"][1].pop("engine", None)
     expected = copy.deepcopy(base) | changed | {"generation": 9}
@@ -109,52 +112,58 @@
         if each.get("engine") is None:
             each.pop("engine", None)
     before = copy.deepcopy(base)
-    assert merge(base, update(bytes_of(**parts))) == expected
+    assert merge(base, update(update_body(**fields))) == expected
     assert base == before
 
 
-UNREADABLE: dict[str, tuple[bytes, str]] = {
+MALFORMED_UPDATES: dict[str, tuple[bytes, str]] = {
     "no JSON": (b'{"generation":', ""),
     "no object": (b"[]", ""),
     "no generation": (b"{}", "generation"),
-    "generation 0": (bytes_of(0), "generation"),
-    "generation true": (bytes_of(True), "generation"),
-    "generation is a fraction": (bytes_of(1.5), "generation"),
-    "upsert is a list": (bytes_of(upsert=[1]), "upsert"),
-    "remove is a list": (bytes_of(remove=["r-1"]), "remove"),
-    "items of a number": (bytes_of(upsert={"routes": 3}), "upsert.routes"),
+    "generation 0": (update_body(0), "generation"),
+    "generation true": (update_body(True), "generation"),
+    "generation is a fraction": (update_body(1.5), "generation"),
+    "upsert is a list": (update_body(upsert=[1]), "upsert"),
+    "remove is a list": (update_body(remove=["r-1"]), "remove"),
+    "items of a number": (update_body(upsert={"routes": 3}), "upsert.routes"),
     "an item without a name": (
-        bytes_of(upsert={"routes": [{"hostname": "a"}]}),
+        update_body(upsert={"routes": [{"hostname": "a"}]}),
+        "upsert.routes[0]",
+    ),
+    "an item with an empty name": (
+        update_body(upsert={"routes": [{"name": ""}]}),
         "upsert.routes[0]",
     ),
-    "an item with an empty name": (bytes_of(upsert={"routes": [{"name": ""}]}), "upsert.routes[0]"),
-    "an item that is text": (bytes_of(upsert={"routes": ["r-1"]}), "upsert.routes[0]"),
-    "an item twice": (bytes_of(upsert={"routes": [OTHER, OTHER]}), "upsert.routes[1].name"),
+    "an item that is text": (update_body(upsert={"routes": ["r-1"]}), "upsert.routes[0]"),
+    "an item twice": (
+        update_body(upsert={"routes": [THIRD_ROUTE, THIRD_ROUTE]}),
+        "upsert.routes[1].name",
+    ),
     "an item in both parts": (
-        bytes_of(upsert={"routes": [OTHER]}, remove={"routes": ["r-3"]}),
+        update_body(upsert={"routes": [THIRD_ROUTE]}, remove={"routes": ["r-3"]}),
         "upsert.routes[0].name",
     ),
     "names of a section that is an object": (
-        bytes_of(upsert={"limits": {}}, remove={"limits": ["max_body_bytes"]}),
+        update_body(upsert={"limits": {}}, remove={"limits": ["max_body_bytes"]}),
         "remove.limits",
     ),
-    "names that are text": (bytes_of(remove={"routes": "r-1"}), "remove.routes"),
-    "a name that is a number": (bytes_of(remove={"routes": [1]}), "remove.routes[0]"),
-    "generation as a section": (bytes_of(upsert={"generation": {}}), "upsert.generation"),
-    "generation as names": (bytes_of(remove={"generation": []}), "remove.generation"),
+    "names that are text": (update_body(remove={"routes": "r-1"}), "remove.routes"),
+    "a name that is a number": (update_body(remove={"routes": [1]}), "remove.routes[0]"),
+    "generation as a section": (update_body(upsert={"generation": {}}), "upsert.generation"),
+    "generation as names": (update_body(remove={"generation": []}), "remove.generation"),
 }
 
 
-@pytest.mark.parametrize("case", UNREADABLE)
-def test_an_update_that_cannot_be_read(case: str) -> None:
-    body, path = UNREADABLE[case]
-    got = parse_update(body)
-    assert isinstance(got, ValidationFailure)
-    assert got.faults[0].path == path
+@pytest.mark.parametrize("case", MALFORMED_UPDATES)
+def test_malformed_update_is_rejected_with_its_path(case: str) -> None:
+    body, path = MALFORMED_UPDATES[case]
+    result = parse_update(body)
+    assert isinstance(result, ValidationFailure)
+    assert result.faults[0].path == path
     assert isinstance(parse_update_request(7, body), ValidationFailure)
 
 
-INVALID: dict[str, tuple[dict[str, Any], str]] = {
+INVALID_RESULTS: dict[str, tuple[dict[str, Any], str]] = {
     "a route of no service": (
         {"remove": {"services": ["records"]}},
         "routes[0].traffic_split[1].service",
@@ -178,203 +187,216 @@
 }
 
 
-@pytest.mark.parametrize("case", INVALID)
-def test_an_update_whose_result_is_invalid(case: str) -> None:
-    parts, path = INVALID[case]
-    got = proposal_from_update(7, update(bytes_of(**parts)), b"digest", confirmed(BASE))
-    assert isinstance(got, ValidationFailure)
-    assert got.faults[0].path == path
+@pytest.mark.parametrize("case", INVALID_RESULTS)
+def test_update_with_an_invalid_result_is_rejected_with_its_path(case: str) -> None:
+    fields, path = INVALID_RESULTS[case]
+    result = proposal_from_update(7, update(update_body(**fields)), b"digest", confirmation(BASE))
+    assert isinstance(result, ValidationFailure)
+    assert result.faults[0].path == path
 
 
-def test_an_update_that_is_valid_only_once_merged() -> None:
-    by_itself = {
+def test_references_of_an_update_are_validated_after_the_merge() -> None:
+    fields = {
         "upsert": {
             "routes": [
                 route(name="r-4", path_prefix="/four/", traffic_split=None, service="records")
             ]
         }
     }
-    got = proposal_from_update(7, update(bytes_of(**by_itself)), b"digest", confirmed(BASE))
-    assert isinstance(got, ConfigurationChange)
-    assert [each["name"] for each in json.loads(got.document)["routes"]] == ["r-1", "r-2", "r-4"]
-    assert (got.base, got.generation, got.digest) == (7, 9, b"digest")
+    result = proposal_from_update(7, update(update_body(**fields)), b"digest", confirmation(BASE))
+    assert isinstance(result, ConfigurationChange)
+    assert [each["name"] for each in json.loads(result.document)["routes"]] == ["r-1", "r-2", "r-4"]
+    assert (result.base, result.generation, result.digest) == (7, 9, b"digest")
 
 
-def test_half_a_character_in_an_unknown_field_goes_on_as_it_came() -> None:
-    odd = update(b'{"generation":9,"upsert":{"notes":[{"name":"n","text":"\\ud800"}]}}')
-    got = proposal_from_update(7, odd, b"digest", confirmed(BASE))
-    assert isinstance(got, ConfigurationChange)
-    assert json.loads(got.document)["notes"] == [{"name": "n", "text": "\ud800"}]
+def test_lone_surrogate_in_an_unknown_field_is_preserved() -> None:
+    with_surrogate = update(b'{"generation":9,"upsert":{"notes":[{"name":"n","text":"\\ud800"}]}}')
+    result = proposal_from_update(7, with_surrogate, b"digest", confirmation(BASE))
+    assert isinstance(result, ConfigurationChange)
+    assert json.loads(result.document)["notes"] == [{"name": "n", "text": "\ud800"}]
 
 
-def test_no_depth_of_nesting_raises() -> None:
+def test_deep_nesting_does_not_raise() -> None:
     for depth in range(800, 1000):
         body = b'{"generation":9,"upsert":{"note":{"deep":%s%s}}}' % (b"[" * depth, b"]" * depth)
-        read = parse_update(body)
-        if isinstance(read, Update):
-            proposal_from_update(7, read, b"digest", confirmed(BASE))
+        parsed = parse_update(body)
+        if isinstance(parsed, Update):
+            proposal_from_update(7, parsed, b"digest", confirmation(BASE))
 
 
-def test_an_update_on_nothing() -> None:
-    first = update(bytes_of(upsert={"routes": [second()], "services": [service(name="records")]}))
-    got = proposal_from_update(0, first, b"digest", confirmed(None))
-    assert isinstance(got, ConfigurationChange)
-    assert json.loads(got.document)["routes"] == [second()]
+def test_update_on_an_empty_configuration() -> None:
+    first = update(
+        update_body(upsert={"routes": [second_route()], "services": [service(name="records")]})
+    )
+    result = proposal_from_update(0, first, b"digest", confirmation(None))
+    assert isinstance(result, ConfigurationChange)
+    assert json.loads(result.document)["routes"] == [second_route()]
 
 
 @pytest.mark.parametrize("base", [3, 8])
-def test_where_the_base_is_not_in_place_there_is_no_document(base: int) -> None:
-    got = proposal_from_update(base, update(bytes_of()), b"digest", confirmed(BASE))
-    assert got == ConfigurationChange(base, 9, b"", b"digest")
+def test_change_on_another_base_has_no_document(base: int) -> None:
+    result = proposal_from_update(base, update(update_body()), b"digest", confirmation(BASE))
+    assert result == ConfigurationChange(base, 9, b"", b"digest")
 
 
-def test_names_of_updates() -> None:
-    names = {
+def test_digests_differ_by_base_body_and_kind() -> None:
+    digests = {
         digest_of_update(7, b"{}"),
         digest_of_update(8, b"{}"),
         digest_of_update(7, b"{} "),
         digest_of(7, b"{}"),
     }
-    assert len(names) == 4
-    assert digest_of_update(7, b"{}") in names
+    assert len(digests) == 4
+    assert digest_of_update(7, b"{}") in digests
 
 
-class Core:
+class CoreHarness:
     """The replicated state, judged at once; `confirm` shows a state that others may have changed
     since.
     """
 
     def __init__(self) -> None:
-        whole = json.dumps(BASE).encode()
+        document_bytes = json.dumps(BASE).encode()
         self.state = apply_change(
-            EMPTY, ConfigurationChange(0, 7, whole, digest_of(0, whole)), refused=False
+            EMPTY,
+            ConfigurationChange(0, 7, document_bytes, digest_of(0, document_bytes)),
+            refused=False,
         )
         self.confirmable = True
-        self.meanwhile: list[UpdateRequest | ConfigurationChange] = []
+        self.concurrent_calls: list[UpdateRequest | ConfigurationChange] = []
 
     def confirm(self, done: Any) -> None:
-        shown = self.state
-        meanwhile, self.meanwhile = self.meanwhile, []
-        for each in meanwhile:
-            self.take(each)
-        done(_shown(shown) if self.confirmable else None)
-
-    def submit(self, order: ConfigurationChange, done: Any) -> None:
-        verdict = validate(self.state, order)
-        outcome: SubmitOutcome = Conflict(verdict.value)
-        if verdict.kind in (ValidationKind.APPEND, ValidationKind.COMMITTED):
-            outcome = ChangeCommitted(verdict.value)
-        if verdict.kind is ValidationKind.DOCUMENT_MISSING:
+        state_read = self.state
+        concurrent_calls, self.concurrent_calls = self.concurrent_calls, []
+        for each in concurrent_calls:
+            self.execute(each)
+        done(_confirmation_of(state_read) if self.confirmable else None)
+
+    def submit(self, change: ConfigurationChange, done: Any) -> None:
+        validation = validate(self.state, change)
+        outcome: SubmitOutcome = Conflict(validation.value)
+        if validation.kind in (ValidationKind.APPEND, ValidationKind.COMMITTED):
+            outcome = ChangeCommitted(validation.value)
+        if validation.kind is ValidationKind.DOCUMENT_MISSING:
             outcome = OutcomeUnknown()
-        if verdict.kind in (ValidationKind.APPEND, ValidationKind.REFUSE_PERMANENTLY):
+        if validation.kind in (ValidationKind.APPEND, ValidationKind.REFUSE_PERMANENTLY):
             self.state = apply_change(
-                self.state, order, refused=verdict.kind is ValidationKind.REFUSE_PERMANENTLY
+                self.state, change, refused=validation.kind is ValidationKind.REFUSE_PERMANENTLY
             )
         done(outcome)
 
-    def take(self, call: UpdateRequest | ConfigurationChange) -> SubmitOutcome | ValidationFailure:
+    def execute(
+        self, request: UpdateRequest | ConfigurationChange
+    ) -> SubmitOutcome | ValidationFailure:
         outcomes: list[SubmitOutcome | ValidationFailure] = []
-        if isinstance(call, ConfigurationChange):
-            self.submit(call, outcomes.append)
+        if isinstance(request, ConfigurationChange):
+            self.submit(request, outcomes.append)
         else:
-            submit_update(call, self.confirm, self.submit, outcomes.append)
+            submit_update(request, self.confirm, self.submit, outcomes.append)
         (outcome,) = outcomes
         return outcome
 
-    def names(self) -> list[str]:
+    def route_names(self) -> list[str]:
         return [each["name"] for each in json.loads(self.state.document)["routes"]]
 
 
-def _shown(state: ConfigurationState) -> Confirmation:
+def _confirmation_of(state: ConfigurationState) -> Confirmation:
     return Confirmation(1, state.sequence, state.document or None, state.generation)
 
 
-def call(base: int, generation: int, **parts: Any) -> UpdateRequest:
-    got = parse_update_request(base, bytes_of(generation, **parts))
-    assert isinstance(got, UpdateRequest)
-    return got
+def update_request(base: int, generation: int, **fields: Any) -> UpdateRequest:
+    result = parse_update_request(base, update_body(generation, **fields))
+    assert isinstance(result, UpdateRequest)
+    return result
 
 
-def adding(base: int, generation: int, name: str) -> UpdateRequest:
-    return call(base, generation, upsert={"routes": [route(name=name, path_prefix=f"/{name}/")]})
+def route_update(base: int, generation: int, name: str) -> UpdateRequest:
+    return update_request(
+        base, generation, upsert={"routes": [route(name=name, path_prefix=f"/{name}/")]}
+    )
 
 
-def replacing(base: int, generation: int) -> ConfigurationChange:
-    whole = json.dumps(document(generation=generation)).encode()
-    return ConfigurationChange(base, generation, whole, digest_of(base, whole))
+def replacement(base: int, generation: int) -> ConfigurationChange:
+    document_bytes = json.dumps(document(generation=generation)).encode()
+    return ConfigurationChange(base, generation, document_bytes, digest_of(base, document_bytes))
 
 
-def test_an_update_comes_into_force_once() -> None:
-    core = Core()
-    first = adding(7, 9, "new")
-    assert core.take(first) == ChangeCommitted(2)
-    assert core.take(first) == ChangeCommitted(2)
-    assert core.names() == ["r-1", "r-2", "new"]
-    assert core.take(adding(9, 12, "newer")) == ChangeCommitted(3)
-    assert core.take(first) == ChangeCommitted(2)
-    assert core.names() == ["r-1", "r-2", "new", "newer"]
+def test_resubmitted_update_is_applied_once() -> None:
+    core = CoreHarness()
+    first = route_update(7, 9, "new")
+    assert core.execute(first) == ChangeCommitted(2)
+    assert core.execute(first) == ChangeCommitted(2)
+    assert core.route_names() == ["r-1", "r-2", "new"]
+    assert core.execute(route_update(9, 12, "newer")) == ChangeCommitted(3)
+    assert core.execute(first) == ChangeCommitted(2)
+    assert core.route_names() == ["r-1", "r-2", "new", "newer"]
 
 
-def test_two_changes_on_one_base() -> None:
-    core = Core()
-    assert core.take(adding(7, 9, "new")) == ChangeCommitted(2)
-    assert core.take(adding(7, 10, "other")) == Conflict(9)
-    assert core.take(replacing(7, 11)) == Conflict(9)
-    core = Core()
-    assert core.take(replacing(7, 9)) == ChangeCommitted(2)
-    assert core.take(adding(7, 10, "other")) == Conflict(9)
-    assert core.names() == ["r-1", "r-2"]
+def test_second_change_on_one_base_conflicts() -> None:
+    core = CoreHarness()
+    assert core.execute(route_update(7, 9, "new")) == ChangeCommitted(2)
+    assert core.execute(route_update(7, 10, "other")) == Conflict(9)
+    assert core.execute(replacement(7, 11)) == Conflict(9)
+    core = CoreHarness()
+    assert core.execute(replacement(7, 9)) == ChangeCommitted(2)
+    assert core.execute(route_update(7, 10, "other")) == Conflict(9)
+    assert core.route_names() == ["r-1", "r-2"]
 
 
-def test_another_change_is_taken_between_the_reading_and_the_order() -> None:
-    core = Core()
-    core.meanwhile = [replacing(7, 9)]
-    assert core.take(adding(7, 10, "other")) == Conflict(9)
-    assert core.names() == ["r-1", "r-2"]
+def test_change_committed_between_read_and_submit_causes_a_conflict() -> None:
+    core = CoreHarness()
+    core.concurrent_calls = [replacement(7, 9)]
+    assert core.execute(route_update(7, 10, "other")) == Conflict(9)
+    assert core.route_names() == ["r-1", "r-2"]
 
 
-def test_an_update_is_taken_at_two_members_at_once() -> None:
-    core = Core()
-    core.meanwhile = [adding(7, 9, "new")]
-    assert core.take(adding(7, 9, "new")) == ChangeCommitted(2)
-    assert core.names() == ["r-1", "r-2", "new"]
+def test_update_submitted_at_two_members_at_once_is_applied_once() -> None:
+    core = CoreHarness()
+    core.concurrent_calls = [route_update(7, 9, "new")]
+    assert core.execute(route_update(7, 9, "new")) == ChangeCommitted(2)
+    assert core.route_names() == ["r-1", "r-2", "new"]
 
 
-def test_a_base_that_comes_into_place_only_after_the_reading() -> None:
-    core = Core()
-    core.meanwhile = [replacing(7, 9)]
-    early = adding(9, 12, "early")
-    assert core.take(early) == OutcomeUnknown()
-    assert core.take(early) == ChangeCommitted(3)
+def test_base_committed_after_the_read_gives_an_unknown_outcome_and_a_retry_succeeds() -> None:
+    core = CoreHarness()
+    core.concurrent_calls = [replacement(7, 9)]
+    early = route_update(9, 12, "early")
+    assert core.execute(early) == OutcomeUnknown()
+    assert core.execute(early) == ChangeCommitted(3)
 
 
-def test_an_update_on_a_base_to_come_stays_refused() -> None:
-    core = Core()
-    early = adding(9, 12, "early")
-    assert core.take(early) == Conflict(7)
-    assert core.take(replacing(7, 9)) == ChangeCommitted(3)
-    assert core.take(early) == Conflict(9)
+def test_update_on_a_future_base_stays_rejected() -> None:
+    core = CoreHarness()
+    early = route_update(9, 12, "early")
+    assert core.execute(early) == Conflict(7)
+    assert core.execute(replacement(7, 9)) == ChangeCommitted(3)
+    assert core.execute(early) == Conflict(9)
 
 
-def test_an_update_that_comes_again_after_many_others() -> None:
-    core = Core()
-    first = adding(7, 8, "new")
-    assert core.take(first) == ChangeCommitted(2)
+def test_resubmitted_update_is_recognised_within_the_history_limit() -> None:
+    core = CoreHarness()
+    first = route_update(7, 8, "new")
+    assert core.execute(first) == ChangeCommitted(2)
     for number in range(8, 8 + HISTORY_LIMIT - 1):
-        order = ConfigurationChange(number, number + 1, core.state.document, digest_of(number, b""))
-        core.state = apply_change(core.state, order, refused=False)
-    assert core.take(first) == ChangeCommitted(2)
-    core.state = apply_change(core.state, replacing(core.state.generation, 99_999), refused=False)
-    assert core.take(first) == Conflict(99_999)  # forgotten, and refused as any on an older version
+        change = ConfigurationChange(
+            number, number + 1, core.state.document, digest_of(number, b"")
+        )
+        core.state = apply_change(core.state, change, refused=False)
+    assert core.execute(first) == ChangeCommitted(2)
+    core.state = apply_change(core.state, replacement(core.state.generation, 99_999), refused=False)
+    # The digest is no longer in the history: the base is too old, as for any other change.
+    assert core.execute(first) == Conflict(99_999)
 
 
-def test_what_cannot_be_confirmed_is_not_settled() -> None:
-    core = Core()
+def test_unconfirmed_read_gives_an_unknown_outcome() -> None:
+    core = CoreHarness()
     core.confirmable = False
-    assert core.take(adding(7, 9, "new")) == OutcomeUnknown()
+    assert core.execute(route_update(7, 9, "new")) == OutcomeUnknown()
 
 
-def test_an_invalid_result_reaches_nobody() -> None:
-    core = Core()
-    assert isinstance(core.take(call(7, 9, remove={"services": ["records"]})), ValidationFailure)
+def test_invalid_result_is_not_submitted() -> None:
+    core = CoreHarness()
+    assert isinstance(
+        core.execute(update_request(7, 9, remove={"services": ["records"]})), ValidationFailure
+    )
     assert core.state.sequence == 1
--- a/tests/controller/test_validation.py
+++ b/tests/controller/test_validation.py
@@ -22,7 +22,7 @@
 
 
 def route(**changes: Any) -> dict[str, Any]:
-    return _changed(
+    return _with_changes(
         {
             "name": "r-1",
             "hostname": "a.example",
@@ -45,13 +45,13 @@
     )
 
 
-def second(**changes: Any) -> dict[str, Any]:
-    single = {"name": "r-2", "path_prefix": "/two/", "kind": "idempotent", "service": "records"}
-    return route(**({**single, "traffic_split": ABSENT} | changes))
+def second_route(**changes: Any) -> dict[str, Any]:
+    defaults = {"name": "r-2", "path_prefix": "/two/", "kind": "idempotent", "service": "records"}
+    return route(**({**defaults, "traffic_split": ABSENT} | changes))
 
 
 def service(**changes: Any) -> dict[str, Any]:
-    plain = {
+    defaults = {
         "name": "model",
         "health_check": "/healthz",
         "max_connections": 360,
@@ -66,11 +66,11 @@
             "models": [{"name": "m"}],
         },
     }
-    return _changed(plain, changes)
+    return _with_changes(defaults, changes)
 
 
 def tenant(**changes: Any) -> dict[str, Any]:
-    plain = {
+    defaults = {
         "name": "t-1",
         "api_keys": ["key-a", "key-b"],
         "priority": 1,
@@ -79,13 +79,13 @@
         "rate_per_s": 1000,
         "burst": 1000,
     }
-    return _changed(plain, changes)
+    return _with_changes(defaults, changes)
 
 
 def document(**changes: Any) -> dict[str, Any]:
-    plain = {
+    defaults = {
         "generation": 7,
-        "routes": [route(), second()],
+        "routes": [route(), second_route()],
         "services": [service(), service(name="records", engine=ABSENT)],
         "limits": {
             "max_header_bytes": 16384,
@@ -95,16 +95,16 @@
         },
         "tenants": [tenant()],
     }
-    return _changed(plain, changes)
+    return _with_changes(defaults, changes)
 
 
-def _changed(plain: dict[str, Any], changes: dict[str, Any]) -> dict[str, Any]:
-    merged = copy.deepcopy(plain) | changes
+def _with_changes(defaults: dict[str, Any], changes: dict[str, Any]) -> dict[str, Any]:
+    merged = copy.deepcopy(defaults) | changes
     return {name: value for name, value in merged.items() if value is not ABSENT}
 
 
 def with_route(**changes: Any) -> dict[str, Any]:
-    return document(routes=[route(**changes), second()])
+    return document(routes=[route(**changes), second_route()])
 
 
 def with_tenant(**changes: Any) -> dict[str, Any]:
@@ -137,11 +137,11 @@
     "public": with_route(public=True),
     "kind non_idempotent": with_route(kind="non_idempotent"),
     "prefix is a slash": with_route(path_prefix="/"),
-    "longer prefix of another": document(routes=[route(), second(path_prefix="/one/more/")]),
+    "longer prefix of another": document(routes=[route(), second_route(path_prefix="/one/more/")]),
     "same prefix, other host": document(
-        routes=[route(), second(path_prefix="/one/", hostname="b.example")]
+        routes=[route(), second_route(path_prefix="/one/", hostname="b.example")]
     ),
-    "prefixes differ in case": document(routes=[route(), second(path_prefix="/ONE/")]),
+    "prefixes differ in case": document(routes=[route(), second_route(path_prefix="/ONE/")]),
     "unknown field of a route": with_route(colour={"deep": [1, None]}),
     "unknown field": document(note="x", version=[1]),
     "unknown field of limits": document(limits={"max_streams": 9}),
@@ -257,7 +257,7 @@
     "no service": (with_route(traffic_split=ABSENT), "routes[0].service", "is missing"),
     "empty split alone": (with_route(traffic_split=[]), "routes[0].service", "is missing"),
     "unknown service": (
-        document(routes=[route(), second(service="gone")]),
+        document(routes=[route(), second_route(service="gone")]),
         "routes[1].service",
         "no service is named 'gone'",
     ),
@@ -303,17 +303,17 @@
     ),
     "split an object": (with_route(traffic_split={}), "routes[0].traffic_split", "must be a list"),
     "host and prefix shared": (
-        document(routes=[route(), second(path_prefix="/one/")]),
+        document(routes=[route(), second_route(path_prefix="/one/")]),
         "routes[1].path_prefix",
         "is the same as that of routes[0]",
     ),
     "host and prefix shared, host in capitals": (
-        document(routes=[route(), second(path_prefix="/one/", hostname="A.EXAMPLE")]),
+        document(routes=[route(), second_route(path_prefix="/one/", hostname="A.EXAMPLE")]),
         "routes[1].path_prefix",
         "is the same as that of routes[0]",
     ),
     "route name twice": (
-        document(routes=[route(), second(name="r-1")]),
+        document(routes=[route(), second_route(name="r-1")]),
         "routes[1].name",
         "is the same as that of routes[0]",
     ),
@@ -361,31 +361,31 @@
 
 
 @pytest.mark.parametrize("case", VALID)
-def test_what_is_valid_passes_and_can_be_read(case: str) -> None:
-    checked = validate(json.dumps(VALID[case]).encode())
-    assert isinstance(checked, ValidDocument), checked
-    assert checked.generation == VALID[case]["generation"]
-    assert Configuration.from_document(checked.document).generation == checked.generation
+def test_valid_document_is_accepted_and_readable(case: str) -> None:
+    result = validate(json.dumps(VALID[case]).encode())
+    assert isinstance(result, ValidDocument), result
+    assert result.generation == VALID[case]["generation"]
+    assert Configuration.from_document(result.document).generation == result.generation
 
 
 @pytest.mark.parametrize("case", INVALID)
-def test_what_is_invalid_is_refused_with_its_path(case: str) -> None:
-    faulty, path, reason = INVALID[case]
-    refused = validate_document(faulty)
-    assert isinstance(refused, ValidationFailure)
-    assert [(fault.path, fault.reason) for fault in refused.faults] == [(path, reason)]
+def test_invalid_document_is_rejected_with_path_and_reason(case: str) -> None:
+    invalid_document, path, reason = INVALID[case]
+    failure = validate_document(invalid_document)
+    assert isinstance(failure, ValidationFailure)
+    assert [(fault.path, fault.reason) for fault in failure.faults] == [(path, reason)]
 
 
-WHOLE = json.dumps(document()).encode()
+DOCUMENT_BYTES = json.dumps(document()).encode()
 
-UNREADABLE = {
+MALFORMED = {
     "empty": b"",
-    "cut short": WHOLE[:-1],
-    "cut in the middle": WHOLE[: len(WHOLE) // 2],
-    "bytes behind": WHOLE + b"}",
-    "not UTF-8": WHOLE.replace(b"r-1", b"r-\xff"),
-    "no number": WHOLE.replace(b"5000", b"NaN"),
-    "infinite": WHOLE.replace(b"5000", b"-Infinity"),
+    "cut short": DOCUMENT_BYTES[:-1],
+    "cut in the middle": DOCUMENT_BYTES[: len(DOCUMENT_BYTES) // 2],
+    "bytes behind": DOCUMENT_BYTES + b"}",
+    "not UTF-8": DOCUMENT_BYTES.replace(b"r-1", b"r-\xff"),
+    "no number": DOCUMENT_BYTES.replace(b"5000", b"NaN"),
+    "infinite": DOCUMENT_BYTES.replace(b"5000", b"-Infinity"),
     "a list": b"[]",
     "null": b"null",
     "text": b'"x"',
@@ -393,41 +393,43 @@
 }
 
 
-@pytest.mark.parametrize("case", UNREADABLE)
-def test_what_cannot_be_read_whole_is_refused(case: str) -> None:
-    refused = validate(UNREADABLE[case])
-    assert isinstance(refused, ValidationFailure)
-    assert len(refused.faults) == 1
-    assert refused.faults[0].path == ""
+@pytest.mark.parametrize("case", MALFORMED)
+def test_malformed_bytes_are_rejected(case: str) -> None:
+    failure = validate(MALFORMED[case])
+    assert isinstance(failure, ValidationFailure)
+    assert len(failure.faults) == 1
+    assert failure.faults[0].path == ""
 
 
-@pytest.mark.parametrize("end", range(0, len(WHOLE), 7))
-def test_no_document_that_was_cut_passes(end: int) -> None:
-    assert isinstance(validate(WHOLE[:end]), ValidationFailure)
+@pytest.mark.parametrize("end", range(0, len(DOCUMENT_BYTES), 7))
+def test_truncated_document_is_rejected(end: int) -> None:
+    assert isinstance(validate(DOCUMENT_BYTES[:end]), ValidationFailure)
 
 
-def test_all_faults_are_named_at_once() -> None:
-    faulty = document(
-        routes=[route(timeout_ms=0, kind="x"), second(path_prefix="two")], services=[5], tenants=[]
+def test_all_faults_are_reported_at_once() -> None:
+    invalid_document = document(
+        routes=[route(timeout_ms=0, kind="x"), second_route(path_prefix="two")],
+        services=[5],
+        tenants=[],
     )
-    refused = validate_document(faulty)
-    assert isinstance(refused, ValidationFailure)
-    assert sorted(fault.path for fault in refused.faults) == [
+    failure = validate_document(invalid_document)
+    assert isinstance(failure, ValidationFailure)
+    assert sorted(fault.path for fault in failure.faults) == [
         "routes[0].kind",
         "routes[0].timeout_ms",
         "routes[1].path_prefix",
         "services[0]",
     ]
-    assert str(refused.faults[0]).startswith(f"{refused.faults[0].path}: ")
+    assert str(failure.faults[0]).startswith(f"{failure.faults[0].path}: ")
 
 
-def test_the_faults_named_are_bounded() -> None:
-    refused = validate_document(document(routes=[5] * (2 * MAX_FAULTS)))
-    assert isinstance(refused, ValidationFailure)
-    assert len(refused.faults) == MAX_FAULTS
+def test_number_of_reported_faults_is_limited() -> None:
+    failure = validate_document(document(routes=[5] * (2 * MAX_FAULTS)))
+    assert isinstance(failure, ValidationFailure)
+    assert len(failure.faults) == MAX_FAULTS
 
 
-ODD_VALUES: tuple[Any, ...] = (
+MUTATED_VALUES: tuple[Any, ...] = (
     None,
     True,
     0,
@@ -445,43 +447,45 @@
 )
 
 
-def mutated(chance: random.Random) -> dict[str, Any]:
+def mutate(rng: random.Random) -> dict[str, Any]:
     """A document with a few odd values or gaps at random places."""
-    whole: dict[str, Any] = document()
-    for _ in range(chance.randint(1, 3)):
-        place: Any = whole
+    mutated_document: dict[str, Any] = document()
+    for _ in range(rng.randint(1, 3)):
+        container: Any = mutated_document
         while True:
-            keys = list(place) if isinstance(place, dict) else list(range(len(place)))
-            key = chance.choice(keys) if keys else None
+            keys = list(container) if isinstance(container, dict) else list(range(len(container)))
+            key = rng.choice(keys) if keys else None
             if key is None:
                 break
-            if isinstance(place[key], dict | list) and place[key] and chance.random() < 0.8:
-                place = place[key]
+            if isinstance(container[key], dict | list) and container[key] and rng.random() < 0.8:
+                container = container[key]
                 continue
-            if chance.random() < 0.3:
-                del place[key]
+            if rng.random() < 0.3:
+                del container[key]
             else:
-                place[key] = copy.deepcopy(chance.choice(ODD_VALUES))
+                container[key] = copy.deepcopy(rng.choice(MUTATED_VALUES))
             break
-    return whole
+    return mutated_document
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_whatever_passes_can_be_read(seed: int) -> None:
-    chance = random.Random(seed)
-    passed = 0
+def test_random_mutations_that_validate_are_readable(seed: int) -> None:
+    rng = random.Random(seed)
+    valid_count = 0
     for _ in range(200):
-        checked = validate_document(mutated(chance))
-        if isinstance(checked, ValidDocument):
-            passed += 1
-            read = Configuration.from_document(checked.document)
-            assert all(part.service for route in read.routes for part in route.split)
-            assert all(sum(part.weight for part in route.split) > 0 for route in read.routes)
-    assert 0 < passed < 200
-
-
-def test_values_are_not_changed() -> None:
-    given = document()
-    checked = validate_document(given)
-    assert isinstance(checked, ValidDocument)
-    assert checked.document == document()
+        result = validate_document(mutate(rng))
+        if isinstance(result, ValidDocument):
+            valid_count += 1
+            configuration = Configuration.from_document(result.document)
+            assert all(target.service for route in configuration.routes for target in route.split)
+            assert all(
+                sum(target.weight for target in route.split) > 0 for route in configuration.routes
+            )
+    assert 0 < valid_count < 200
+
+
+def test_validation_leaves_the_document_unchanged() -> None:
+    original = document()
+    result = validate_document(original)
+    assert isinstance(result, ValidDocument)
+    assert result.document == document()
