--- a/tests/cli/test_status.py
+++ b/tests/cli/test_status.py
@@ -1,4 +1,4 @@
-"""`status`: the table, all as JSON, and statuses completed by the tail."""
+"""`status`: the table, the JSON output, and statuses completed by the tail."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 @contextmanager
 def controllers(*pages: Pages) -> Iterator[list[str]]:
-    """Controllers at 127.0.0.1, .2 and so on, all on one port."""
+    """Fake controllers at 127.0.0.1, 127.0.0.2 and so on, all on one port."""
 
     def handler(pages_by_path: Pages) -> type[BaseHTTPRequestHandler]:
         class Handler(BaseHTTPRequestHandler):
--- a/tests/controller/test_api.py
+++ b/tests/controller/test_api.py
@@ -1,4 +1,4 @@
-"""The operator's interface over a loopback socket, with a stand-in for the chain."""
+"""The operator's interface over a loopback socket, with a fake chain."""
 
 from __future__ import annotations
 
@@ -86,9 +86,7 @@
 
 
 class ApiServer:
-    """The interface on a port of the loopback, its stand-in chain, and a clock for its
-    time-outs.
-    """
+    """The interface on a loopback port, with a fake chain and a manual clock for time-outs."""
 
     def __init__(self) -> None:
         self.chain, self.clock = FakeChain(), Clock()
--- a/tests/controller/test_host_list_client.py
+++ b/tests/controller/test_host_list_client.py
@@ -1,4 +1,4 @@
-"""The host list's client against a stand-in for the platform."""
+"""The host list's client against a fake platform."""
 
 from __future__ import annotations
 
@@ -18,7 +18,10 @@
 
 
 class FakePlatform:
-    """A platform on a loopback socket, written from the page: pages by token, 429 on order."""
+    """A platform on a loopback socket, which serves pages by token.
+
+    It gives no response to `calls_to_ignore` calls, and status 429 to `calls_to_reject` calls.
+    """
 
     def __init__(self, pages: dict[str, bytes]) -> None:
         self.pages = pages
@@ -70,7 +73,7 @@
     after_start: Callable[[Any], None] = lambda client: None,
     call_timeout_s: float = 5.0,
 ) -> list[tuple[int, list[str]]]:
-    """Let a client read until it has brought so many whole lists."""
+    """Run a client until it has read `count` complete lists; return their epochs and host ids."""
     from roselink.controller.host_list_client import HostListClient  # noqa: PLC0415 - after the reactor
 
     lists: asyncio.Queue[tuple[int, tuple[Host, ...]]] = asyncio.Queue()
--- a/tests/controller/test_host_list_reader.py
+++ b/tests/controller/test_host_list_reader.py
@@ -129,7 +129,7 @@
 
 
 class ReaderHarness:
-    """A reader and the calls it makes, in a time that the test sets."""
+    """A reader in simulated time, with a record of its calls, lists and warnings."""
 
     def __init__(self, rate_per_s: float = RATE_PER_S) -> None:
         self.reader = HostListReader(rate_per_s, random.Random(1), TIMES)
@@ -144,7 +144,7 @@
         for effect in effects:
             match effect:
                 case Fetch(number, page_token):
-                    assert self.open_call is None, "two calls at once"
+                    assert self.open_call is None, "two calls in flight"
                     self.open_call = number
                     self.calls.append((round(self.now, 6), page_token))
                 case SetTimer(at):
@@ -159,9 +159,7 @@
         self.apply(self.reader.start(self.now, epoch))
 
     def complete_call(self, page: Page | str, duration_s: float = 0.01) -> None:
-        """Answer the open call; then go to the time at which the reader wants to be woken, if it
-        does.
-        """
+        """Complete the open call, then advance to the reader's timer if it has set one."""
         assert self.open_call is not None
         number, self.open_call, self.timer_at = self.open_call, None, None
         self.now += duration_s
@@ -258,7 +256,7 @@
     harness.complete_call(page("a", token="p-2"))
     harness.complete_call(page("c"))
     assert harness.calls[-1][0] - harness.calls[-2][0] == pytest.approx(CALL_INTERVAL_S), (
-        "looks again at once"
+        "the second pass starts at once"
     )
     harness.complete_call(page("a", token="p-2"))
     harness.complete_call(page("c"))
@@ -305,7 +303,7 @@
     assert former_call is not None
     harness.start(4)
     assert harness.reader.fetch_completed(harness.now, former_call, page("b")) == []
-    assert harness.open_call is None, "the rate is kept over views"
+    assert harness.open_call is None, "the rate limit also holds after a change of view"
     assert harness.timer_at is not None
     harness.now = harness.timer_at
     harness.apply(harness.reader.timer_expired(harness.now))
--- a/tests/controller/test_host_versions.py
+++ b/tests/controller/test_host_versions.py
@@ -1,6 +1,4 @@
-"""Versions of the list of hosts: which changes lead from one to the newest, and when the whole list
-goes.
-"""
+"""Versions of the host list: changes from an older version, and when the complete list is sent."""
 
 from __future__ import annotations
 
--- a/tests/controller/test_pull_driver.py
+++ b/tests/controller/test_pull_driver.py
@@ -1,4 +1,4 @@
-"""The driver of the pull service: which record it handles, and where replies go."""
+"""The driver of the pull service: which records it handles, and where replies are sent."""
 
 from __future__ import annotations
 
--- a/tests/controller/test_pull_server.py
+++ b/tests/controller/test_pull_server.py
@@ -1,4 +1,4 @@
-"""The pull service: who answers, with what, and which gateways count as live."""
+"""The pull service: which member replies, with what, and which gateways count as live."""
 
 from __future__ import annotations
 
@@ -67,9 +67,9 @@
 
 
 class TailHarness:
-    """A pull server at the tail, queried in steps of time.
+    """A pull server at the tail, in simulated time.
 
-    They are small enough that it never seems to have been stalled.
+    `advance` takes steps shorter than `stall_s`, so that the server does not detect a stall.
     """
 
     def __init__(self) -> None:
@@ -95,7 +95,7 @@
         return effect.reply
 
     def advance(self, seconds: float, *pulls: PullRequest) -> PullReply | None:
-        """Let time go by in steps; these gateways pull at each."""
+        """Advance the time in steps, with these pulls at each; return the last reply."""
         end, reply = self.now + seconds, None
         while self.now < end - 1e-9:
             self.now = min(end, self.now + 0.3)
--- a/tests/controller/test_updates.py
+++ b/tests/controller/test_updates.py
@@ -1,4 +1,4 @@
-"""Updates of items: how they are read, merged, and made orders, also when they come again."""
+"""Updates of items: parsing, merging, proposing and resubmission."""
 
 from __future__ import annotations
 
@@ -58,32 +58,32 @@
 
 
 MERGES: dict[str, tuple[dict[str, Any], dict[str, Any]]] = {
-    "nothing": ({}, {}),
-    "an item more": (
+    "no change": ({}, {}),
+    "an added item": (
         {"upsert": {"routes": [THIRD_ROUTE]}},
         {"routes": [route(), second_route(), THIRD_ROUTE]},
     ),
-    "an item in its place": (
+    "an item replaced in its position": (
         {"upsert": {"routes": [route(timeout_ms=1)]}},
         {"routes": [route(timeout_ms=1), second_route()]},
     ),
-    "an item replaced whole": (
+    "an item replaced, not merged": (
         {"upsert": {"tenants": [{"name": "t-1", "api_keys": ["k"]}]}},
         {"tenants": [{"name": "t-1", "api_keys": ["k"]}]},
     ),
-    "an item less": ({"remove": {"routes": ["r-2"]}}, {"routes": [route()]}),
-    "one more and one less": (
+    "a removed item": ({"remove": {"routes": ["r-2"]}}, {"routes": [route()]}),
+    "one item added and one removed": (
         {"upsert": {"routes": [THIRD_ROUTE]}, "remove": {"routes": ["r-1"]}},
         {"routes": [second_route(), THIRD_ROUTE]},
     ),
-    "less of another section": (
+    "an item removed from another section": (
         {
             "upsert": {"routes": [route(), second_route(service="model")]},
             "remove": {"services": ["records"]},
         },
         {"routes": [route(), second_route(service="model")], "services": [service()]},
     ),
-    "a name to remove that is not there": ({"remove": {"routes": ["r-old"]}}, {}),
+    "removal of an absent name": ({"remove": {"routes": ["r-old"]}}, {}),
     "the same name in two sections": (
         {"upsert": {"services": [service(name="r-2")]}, "remove": {"routes": ["r-2"]}},
         {
@@ -91,14 +91,14 @@
             "services": [service(), service(name="records", engine=None), service(name="r-2")],
         },
     ),
-    "limits are replaced whole": (
+    "limits replaced, not merged": (
         {"upsert": {"limits": {"max_body_bytes": 1}}},
         {"limits": {"max_body_bytes": 1}},
     ),
-    "a section that is new": ({"upsert": {"walls": [{"name": "w"}]}}, {"walls": [{"name": "w"}]}),
-    "an object that is new": ({"upsert": {"note": {"by": "x"}}}, {"note": {"by": "x"}}),
-    "null parts": ({"upsert": None, "remove": None}, {}),
-    "all tenants": ({"remove": {"tenants": ["t-1"]}}, {"tenants": []}),
+    "a new section": ({"upsert": {"walls": [{"name": "w"}]}}, {"walls": [{"name": "w"}]}),
+    "a new object": ({"upsert": {"note": {"by": "x"}}}, {"note": {"by": "x"}}),
+    "null fields": ({"upsert": None, "remove": None}, {}),
+    "all tenants removed": ({"remove": {"tenants": ["t-1"]}}, {"tenants": []}),
 }
 
 
@@ -117,15 +117,15 @@
 
 
 MALFORMED_UPDATES: dict[str, tuple[bytes, str]] = {
-    "no JSON": (b'{"generation":', ""),
-    "no object": (b"[]", ""),
+    "not JSON": (b'{"generation":', ""),
+    "not an object": (b"[]", ""),
     "no generation": (b"{}", "generation"),
     "generation 0": (update_body(0), "generation"),
     "generation true": (update_body(True), "generation"),
     "generation is a fraction": (update_body(1.5), "generation"),
     "upsert is a list": (update_body(upsert=[1]), "upsert"),
     "remove is a list": (update_body(remove=["r-1"]), "remove"),
-    "items of a number": (update_body(upsert={"routes": 3}), "upsert.routes"),
+    "items are a number": (update_body(upsert={"routes": 3}), "upsert.routes"),
     "an item without a name": (
         update_body(upsert={"routes": [{"hostname": "a"}]}),
         "upsert.routes[0]",
@@ -135,22 +135,25 @@
         "upsert.routes[0]",
     ),
     "an item that is text": (update_body(upsert={"routes": ["r-1"]}), "upsert.routes[0]"),
-    "an item twice": (
+    "the same item twice": (
         update_body(upsert={"routes": [THIRD_ROUTE, THIRD_ROUTE]}),
         "upsert.routes[1].name",
     ),
-    "an item in both parts": (
+    "an item both upserted and removed": (
         update_body(upsert={"routes": [THIRD_ROUTE]}, remove={"routes": ["r-3"]}),
         "upsert.routes[0].name",
     ),
-    "names of a section that is an object": (
+    "names to remove from an object": (
         update_body(upsert={"limits": {}}, remove={"limits": ["max_body_bytes"]}),
         "remove.limits",
     ),
     "names that are text": (update_body(remove={"routes": "r-1"}), "remove.routes"),
     "a name that is a number": (update_body(remove={"routes": [1]}), "remove.routes[0]"),
     "generation as a section": (update_body(upsert={"generation": {}}), "upsert.generation"),
-    "generation as names": (update_body(remove={"generation": []}), "remove.generation"),
+    "generation as a section to remove from": (
+        update_body(remove={"generation": []}),
+        "remove.generation",
+    ),
 }
 
 
@@ -164,26 +167,29 @@
 
 
 INVALID_RESULTS: dict[str, tuple[dict[str, Any], str]] = {
-    "a route of no service": (
+    "a route without its service": (
         {"remove": {"services": ["records"]}},
         "routes[0].traffic_split[1].service",
     ),
-    "a host and prefix twice": (
+    "a duplicate hostname and prefix": (
         {"upsert": {"routes": [route(name="r-9")]}},
         "routes[2].path_prefix",
     ),
-    "no weight": (
+    "weights add up to 0": (
         {"upsert": {"routes": [route(traffic_split=[{"service": "model", "weight": 0}])]}},
         "routes[0].traffic_split",
     ),
-    "no timeout": ({"upsert": {"routes": [route(timeout_ms=0)]}}, "routes[0].timeout_ms"),
+    "timeout 0": ({"upsert": {"routes": [route(timeout_ms=0)]}}, "routes[0].timeout_ms"),
     "a key of two tenants": (
         {"upsert": {"tenants": [tenant(name="t-2")]}},
         "tenants[1].api_keys[0]",
     ),
-    "a section that is no list": ({"upsert": {"limits": [{"name": "l"}]}}, "limits"),
-    "names of an object": ({"remove": {"limits": ["max_body_bytes"]}}, "limits"),
-    "a bad limit": ({"upsert": {"limits": {"max_body_bytes": -1}}}, "limits.max_body_bytes"),
+    "a section that is not a list": ({"upsert": {"limits": [{"name": "l"}]}}, "limits"),
+    "names to remove from an object of the base": (
+        {"remove": {"limits": ["max_body_bytes"]}},
+        "limits",
+    ),
+    "a limit below 0": ({"upsert": {"limits": {"max_body_bytes": -1}}}, "limits.max_body_bytes"),
 }
 
 
@@ -251,8 +257,9 @@
 
 
 class CoreHarness:
-    """The replicated state, judged at once; `confirm` shows a state that others may have changed
-    since.
+    """The replicated state, which decides each change at once.
+
+    `confirm` returns the state from before `concurrent_calls`, which it executes.
     """
 
     def __init__(self) -> None:
--- a/tests/controller/test_validation.py
+++ b/tests/controller/test_validation.py
@@ -1,4 +1,4 @@
-"""The check of configuration documents: every kind of fault, and what must pass."""
+"""Validation of configuration documents: every kind of fault, and documents that are valid."""
 
 from __future__ import annotations
 
@@ -119,21 +119,21 @@
 
 
 VALID = {
-    "whole": document(),
-    "weight 0 of one part": with_route(traffic_split=split(0, 3)),
+    "complete": document(),
+    "one weight is 0": with_route(traffic_split=split(0, 3)),
     "weights are fractions": with_route(traffic_split=split(0.25, 0.75)),
-    "one part": with_route(traffic_split=split(1)),
-    "the same service in two parts": with_route(traffic_split=split(1) + split(2)),
+    "split with one service": with_route(traffic_split=split(1)),
+    "same service twice in a split": with_route(traffic_split=split(1) + split(2)),
     "service and split": with_route(service="records"),
     "empty split beside a service": with_route(traffic_split=[], service="model"),
     "null split beside a service": with_route(traffic_split=None, service="model"),
     "no timeout": with_route(timeout_ms=ABSENT),
     "null timeout": with_route(timeout_ms=None),
     "timeout is a fraction": with_route(timeout_ms=0.5),
-    "no aim": with_route(target_latency_ms=ABSENT, gap_aim_ms=ABSENT),
-    "aim 0": with_route(target_latency_ms=0, gap_aim_ms=0),
+    "no target latency": with_route(target_latency_ms=ABSENT, gap_aim_ms=ABSENT),
+    "target latency 0": with_route(target_latency_ms=0, gap_aim_ms=0),
     "no flags": with_route(public=ABSENT, session_affinity=ABSENT, resumable=ABSENT),
-    "no rank": with_route(priority=ABSENT, max_attempts=ABSENT),
+    "no priority": with_route(priority=ABSENT, max_attempts=ABSENT),
     "public": with_route(public=True),
     "kind non_idempotent": with_route(kind="non_idempotent"),
     "prefix is a slash": with_route(path_prefix="/"),
@@ -152,11 +152,11 @@
     "null tenants": document(tenants=None),
     "empty tenants": document(tenants=[]),
     "no routes": document(routes=[]),
-    "nothing": document(routes=[], services=[], tenants=[]),
+    "all lists empty": document(routes=[], services=[], tenants=[]),
     "unused service": document(
         services=[service(), service(name="records"), service(name="other")]
     ),
-    "bare service": document(services=[{"name": "model"}, {"name": "records"}]),
+    "service with a name only": document(services=[{"name": "model"}, {"name": "records"}]),
     "null engine": document(services=[service(engine=None), {"name": "records"}]),
     "empty engine": document(services=[service(engine={}), {"name": "records"}]),
     "empty health check": document(services=[service(health_check=""), {"name": "records"}]),
@@ -167,7 +167,7 @@
     "a key twice in one tenant": with_tenant(api_keys=["k", "k"]),
     "unit requests": with_tenant(unit="requests", plain_tokens=ABSENT),
     "two tenants": document(tenants=[tenant(), tenant(name="t-2", api_keys=["other"])]),
-    "names beyond ASCII": with_tenant(name="žuto"),
+    "name not in ASCII": with_tenant(name="žuto"),
     "generation 1": document(generation=1),
     "large generation": document(generation=2**62),
     "whole number written as a fraction": document(generation=7.0),
@@ -185,10 +185,10 @@
     "routes absent": (document(routes=ABSENT), "routes", "is missing"),
     "routes null": (document(routes=None), "routes", "must be a list"),
     "routes an object": (document(routes={}), "routes", "must be a list"),
-    "route no object": (document(routes=[route(), 5]), "routes[1]", "must be an object"),
+    "route not an object": (document(routes=[route(), 5]), "routes[1]", "must be an object"),
     "services absent": (document(services=ABSENT), "services", "is missing"),
     "services text": (document(services="x"), "services", "must be a list"),
-    "service no object": (document(services=["model"]), "services[0]", "must be an object"),
+    "service not an object": (document(services=["model"]), "services[0]", "must be an object"),
     "service without name": (
         document(services=[{}, {"name": "model"}, {"name": "records"}]),
         "services[0].name",
@@ -208,7 +208,7 @@
     "tenants an object": (document(tenants={}), "tenants", "must be a list"),
     "name absent": (with_route(name=ABSENT), "routes[0].name", "is missing"),
     "name empty": (with_route(name=""), "routes[0].name", "must be text"),
-    "name half a character": (
+    "name with a lone surrogate": (
         with_route(name="\ud800"),
         "routes[0].name",
         "contains a lone surrogate",
@@ -241,7 +241,7 @@
     "timeout 0.0": (with_route(timeout_ms=0.0), "routes[0].timeout_ms", "must be above 0"),
     "timeout below 0": (with_route(timeout_ms=-1), "routes[0].timeout_ms", "must be above 0"),
     "timeout text": (with_route(timeout_ms="5"), "routes[0].timeout_ms", "must be a number"),
-    "aim below 0": (
+    "target latency below 0": (
         with_route(target_latency_ms=-1),
         "routes[0].target_latency_ms",
         "must not be below 0",
@@ -251,7 +251,7 @@
         "routes[0].max_attempts",
         "must be a whole number",
     ),
-    "rank text": (with_route(priority="high"), "routes[0].priority", "must be a number"),
+    "priority text": (with_route(priority="high"), "routes[0].priority", "must be a number"),
     "public a number": (with_route(public=1), "routes[0].public", "must be true or false"),
     "resumable text": (with_route(resumable="yes"), "routes[0].resumable", "must be true or false"),
     "no service": (with_route(traffic_split=ABSENT), "routes[0].service", "is missing"),
@@ -266,12 +266,12 @@
         "routes[0].service",
         "no service is named 'gone'",
     ),
-    "unknown service of a part": (
+    "unknown service in a split": (
         with_route(traffic_split=[*split(1), {"service": "gone", "weight": 1}]),
         "routes[0].traffic_split[1].service",
         "no service is named 'gone'",
     ),
-    "unknown service of a part with weight 0": (
+    "unknown service in a split with weight 0": (
         with_route(traffic_split=[*split(1), {"service": "gone", "weight": 0}]),
         "routes[0].traffic_split[1].service",
         "no service is named 'gone'",
@@ -296,7 +296,7 @@
         "routes[0].traffic_split[0].weight",
         "must be a number",
     ),
-    "part no object": (
+    "split entry not an object": (
         with_route(traffic_split=["model"]),
         "routes[0].traffic_split[0]",
         "must be an object",
@@ -337,7 +337,7 @@
     "keys text": (with_tenant(api_keys="key"), "tenants[0].api_keys", "must be a list"),
     "tenant without name": (with_tenant(name=ABSENT), "tenants[0].name", "is missing"),
     "rate below 0": (with_tenant(rate_per_s=-1), "tenants[0].rate_per_s", "must not be below 0"),
-    "rate beyond numbers": (
+    "rate too large": (
         with_tenant(rate_per_s=10**400),
         "tenants[0].rate_per_s",
         "is out of range",
@@ -380,16 +380,16 @@
 
 MALFORMED = {
     "empty": b"",
-    "cut short": DOCUMENT_BYTES[:-1],
-    "cut in the middle": DOCUMENT_BYTES[: len(DOCUMENT_BYTES) // 2],
-    "bytes behind": DOCUMENT_BYTES + b"}",
+    "last byte missing": DOCUMENT_BYTES[:-1],
+    "second half missing": DOCUMENT_BYTES[: len(DOCUMENT_BYTES) // 2],
+    "trailing bytes": DOCUMENT_BYTES + b"}",
     "not UTF-8": DOCUMENT_BYTES.replace(b"r-1", b"r-\xff"),
-    "no number": DOCUMENT_BYTES.replace(b"5000", b"NaN"),
+    "NaN": DOCUMENT_BYTES.replace(b"5000", b"NaN"),
     "infinite": DOCUMENT_BYTES.replace(b"5000", b"-Infinity"),
     "a list": b"[]",
     "null": b"null",
     "text": b'"x"',
-    "endless nesting": b'{"x":' + b"[" * 100_000,
+    "nested too deeply": b'{"x":' + b"[" * 100_000,
 }
 
 
@@ -448,7 +448,7 @@
 
 
 def mutate(rng: random.Random) -> dict[str, Any]:
-    """A document with a few odd values or gaps at random places."""
+    """Return a document with a few values replaced or removed at random positions."""
     mutated_document: dict[str, Any] = document()
     for _ in range(rng.randint(1, 3)):
         container: Any = mutated_document
--- a/tests/mutations/controller.py
+++ b/tests/mutations/controller.py
@@ -77,25 +77,25 @@
         "controller/updates.py",
         UPDATES,
         (
-            "an update's base is not part of its name",
+            "an update's base is not part of its digest",
             'struct.pack("!q", base)',
             'struct.pack("!q", 0)',
         ),
-        ("an update has a whole document's name", "_DIGEST_PREFIX + ", ""),
+        ("an update has the digest of a complete document", "_DIGEST_PREFIX + ", ""),
         ("an update is merged onto any base", "if base != confirmation.generation:", "if False:"),
         (
-            "a merged document is not checked",
+            "a merged document is not validated",
             "    if isinstance(valid, ValidationFailure):\n",
             "    if False:\n",
         ),
-        ("an item stands twice in an update", "elif name in seen:", "elif False:"),
+        ("an update may contain an item twice", "elif name in seen:", "elif False:"),
         (
-            "an item is both added and removed",
+            "an update may both upsert and remove an item",
             "elif isinstance(removed, list) and name in removed:",
             "elif False:",
         ),
         (
-            "an unconfirmed state is built on",
+            "an unconfirmed read is reported as a conflict",
             "        if confirmation is None:\n            done(OutcomeUnknown())",
             "        if confirmation is None:\n            done(Conflict(0))",
         ),
@@ -103,14 +103,14 @@
     *mutations_of(
         "controller/pull_server.py",
         PULLS,
-        ("a reply of another view is given", " or confirmation.epoch != self._epoch", ""),
+        ("a confirmation of another view is used", " or confirmation.epoch != self._epoch", ""),
         (
-            "an unconfirmed reply is given",
+            "a reply is built without a confirmation",
             "if confirmation is None or not self._is_tail or",
             "if not self._is_tail or",
         ),
         (
-            "a pull is sent on for ever",
+            "a forwarded pull is forwarded again",
             "if forwarded or self._tail is None:",
             "if self._tail is None:",
         ),
@@ -120,7 +120,7 @@
             "if not self._is_tail:",
         ),
         (
-            "a version begins anew in a view",
+            "versions restart from 1 in a new view",
             "return max(version, self._epoch << EPOCH_SHIFT) + 1",
             "return version + 1",
         ),
@@ -129,18 +129,18 @@
         "controller/gateway_roster.py",
         PULLS,
         (
-            "a late pull of a former start counts",
+            "a delayed pull of a former incarnation counts",
             "            if member.incarnation in known.former_incarnations:\n"
             "                return\n",
             "",
         ),
         (
-            "a pause is the gateways' silence",
+            "a stall of the tail times out gateways",
             "        if pause_s > self._times.stall_s:",
             "        if False:",
         ),
         (
-            "a roster before all were heard",
+            "the roster is published before the collection time",
             "        if now < self._collect_until:\n            return\n",
             "",
         ),
