--- a/roselink/controller/api.py
+++ b/roselink/controller/api.py
@@ -68,7 +68,7 @@
 
 
 class PublishedState(Protocol):
-    """What the status page shows of the pull service."""
+    """The state of the pull service that the status page shows."""
 
     @property
     def versions(self) -> VersionVector:
--- a/roselink/controller/host_list_client.py
+++ b/roselink/controller/host_list_client.py
@@ -155,10 +155,10 @@
         if self._open_call is not None:
             self._open_call.cancel()
         call = self._http.get(self._url, params={"page_token": page_token} if page_token else None)
-        page: Deferred[tuple[int, bytes]] = call.addCallback(self._read_body)
-        page.addTimeout(self._call_timeout_s, self._reactor)  # type: ignore[arg-type]
-        self._open_call = page
-        page.addBoth(self._call_ended, number, page)
+        response: Deferred[tuple[int, bytes]] = call.addCallback(self._read_body)
+        response.addTimeout(self._call_timeout_s, self._reactor)  # type: ignore[arg-type]
+        self._open_call = response
+        response.addBoth(self._call_ended, number, response)
 
     def _read_body(self, response: _Response) -> Deferred[tuple[int, bytes]]:
         return response.content().addCallback(lambda content: (response.code, content))
--- a/roselink/controller/host_list_reader.py
+++ b/roselink/controller/host_list_reader.py
@@ -203,7 +203,7 @@
         self._consecutive_failures = 0
         self._hosts: dict[str, Host] = {}
         self._published: dict[str, Host] | None = None
-        self._missing_in_last_pass: frozenset[str] = frozenset()
+        self._pending_removals: frozenset[str] = frozenset()
 
     @property
     def running(self) -> bool:
@@ -220,7 +220,7 @@
         self._epoch = epoch
         self._open_call_number = None
         self._published = None
-        self._missing_in_last_pass = frozenset()
+        self._pending_removals = frozenset()
         self._reset_pass()
         self._next_call_at = max(now, self._last_call_at + self._call_interval_s)
         return self._call_or_wait(now)
@@ -285,21 +285,23 @@
         missing host is removed only when a second pass, started at once, lacks it too.
         """
         hosts = self._hosts
-        verify = False
+        verify_at_once = False
         if self._pages_read > 1 and self._published is not None:
             missing = frozenset(self._published) - frozenset(hosts)
-            newly_missing = missing - self._missing_in_last_pass
-            hosts = hosts | {name: self._published[name] for name in newly_missing}
-            self._missing_in_last_pass = newly_missing
-            verify = bool(newly_missing)
+            newly_missing = missing - self._pending_removals
+            hosts = hosts | {host_id: self._published[host_id] for host_id in newly_missing}
+            self._pending_removals = newly_missing
+            verify_at_once = bool(newly_missing)
         self._published = hosts
-        listed = HostsListed(self._pass_epoch, tuple(hosts.values()))
+        hosts_listed = HostsListed(self._pass_epoch, tuple(hosts.values()))
         earliest = self._last_call_at + self._call_interval_s
         self._next_call_at = (
-            earliest if verify else max(earliest, self._pass_started_at + self._times.interval_s)
+            earliest
+            if verify_at_once
+            else max(earliest, self._pass_started_at + self._times.interval_s)
         )
         self._reset_pass()
-        return [listed]
+        return [hosts_listed]
 
     def _call_or_wait(self, now: float) -> list[ReaderEffect]:
         if self._epoch is None or self._open_call_number is not None:
--- a/roselink/controller/updates.py
+++ b/roselink/controller/updates.py
@@ -131,8 +131,8 @@
     """The change that an update proposes, on a state confirmed after the update was parsed.
 
     If the base is not the current generation, the change has no document: the chain's head then
-    only looks up its digest, and rejects the change if that is unknown. If it is, all states of
-    that generation have the same document, so a change that is sent again, or proposed by two
+    only looks up its digest, and rejects the change if that is unknown. Otherwise all states of
+    the current generation have the same document, so a change that is sent again, or proposed by two
     members at once, has the same result.
     """
     if base != confirmation.generation:
--- a/tests/cli/test_status.py
+++ b/tests/cli/test_status.py
@@ -183,7 +183,7 @@
         ),
     ],
 )
-def test_disk_line(disk: dict[str, Any], line: str) -> None:
+def test_disk_line_of_the_table(disk: dict[str, Any], line: str) -> None:
     lines = render(cast("FleetStatus", state(gateways_from=None, disk=disk)))
     assert line in lines
     without = render(cast("FleetStatus", state(gateways_from=None)))
--- a/tests/controller/test_pull_server.py
+++ b/tests/controller/test_pull_server.py
@@ -120,7 +120,7 @@
         (False, None, True, SendReply(1, UNCONFIRMED)),
     ],
 )
-def test_pull_is_confirmed_forwarded_or_left_unconfirmed(
+def test_pull_is_confirmed_by_the_tail_or_forwarded_once(
     is_tail: bool, tail: Any, forwarded: bool, effect: PullEffect
 ) -> None:
     pull_server = PullServer(TIMES)
@@ -142,7 +142,7 @@
         (False, None, True, SendDeltaReply(1, UNCONFIRMED_DELTA_REPLY)),
     ],
 )
-def test_delta_pull_is_confirmed_forwarded_or_left_unconfirmed(
+def test_delta_pull_is_confirmed_by_the_tail_or_forwarded_once(
     is_tail: bool, tail: Any, forwarded: bool, effect: PullEffect
 ) -> None:
     pull_server = PullServer(TIMES)
--- a/tests/controller/test_updates.py
+++ b/tests/controller/test_updates.py
@@ -275,8 +275,8 @@
     def confirm(self, done: Any) -> None:
         state_read = self.state
         concurrent_calls, self.concurrent_calls = self.concurrent_calls, []
-        for each in concurrent_calls:
-            self.execute(each)
+        for request in concurrent_calls:
+            self.execute(request)
         done(_confirmation_of(state_read) if self.confirmable else None)
 
     def submit(self, change: ConfigurationChange, done: Any) -> None:
