--- a/roselink/controller/updates.py
+++ b/roselink/controller/updates.py
@@ -132,8 +132,8 @@
 
     If the base is not the current generation, the change has no document: the chain's head then
     only looks up its digest, and rejects the change if that is unknown. Otherwise all states of
-    the current generation have the same document, so a change that is sent again, or proposed by two
-    members at once, has the same result.
+    the current generation have the same document, so a change that is sent again, or proposed by
+    two members at once, has the same result.
     """
     if base != confirmation.generation:
         return ConfigurationChange(base, update.generation, b"", digest)
