--- a/tests/tools/test_losses.py
+++ b/tests/tools/test_losses.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from tools.compare import interval, read_report
-from tools.losses import read_days, table
+from tools.compare import confidence_interval, read_report
+from tools.losses import loss_table, read_days
 
 REPORT = {
     "G": 0.5,
@@ -22,7 +22,7 @@
 
 
 def test_causes_come_by_what_they_cost() -> None:
-    head, row, mean = table(list(read_days(REPORT)))
+    head, row, mean = loss_table(list(read_days(REPORT)))
     assert head == ["day", "worth", "machines", "worst windows", "whole day"]
     assert row == ["report:0", "0.500", "0.2000", "0.1500", "0.0700"]
     assert mean[:2] == ["mean", "0.500 +- inf"]
@@ -32,11 +32,11 @@
     entry = {"site": "one", "days": [REPORT | {"name": "a"}, REPORT | {"name": "b", "G": 0.7}]}
     days = list(read_days(entry))
     assert [day.name for day in days] == ["one:a", "one:b"]
-    assert table(days)[-1][1] == "0.600 +- 1.271"
+    assert loss_table(days)[-1][1] == "0.600 +- 1.271"
 
 
 @pytest.mark.parametrize(
-    ("values", "middle", "half"),
+    ("values", "mean", "half_width"),
     [
         ([], 0.0, math.inf),
         ([0.3], 0.3, math.inf),
@@ -44,8 +44,8 @@
         ([0.0, 2.0], 1.0, 12.71),
     ],
 )
-def test_intervals(values: list[float], middle: float, half: float) -> None:
-    assert interval(values) == pytest.approx((middle, half))
+def test_intervals(values: list[float], mean: float, half_width: float) -> None:
+    assert confidence_interval(values) == pytest.approx((mean, half_width))
 
 
 def test_what_a_report_says() -> None:
--- a/tests/tools/test_smoke.py
+++ b/tests/tools/test_smoke.py
@@ -15,34 +15,36 @@
     quota_requests,
     streams,
 )
-from tools.measure import fit
+from tools.measure import fit_line
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
 TINY: dict[str, tuple[Callable[[], object], tuple[str, ...]]] = {
     "decider": (
-        lambda: decider.main((8, 16), requests=20, changes=2, parts=4),
+        lambda: decider.main((8, 16), requests=20, replacements=2, prompt_parts=4),
         ("request:", "replacement:", "memory:"),
     ),
     "pulls": (
-        lambda: pulls.main((8, 16), gateways=(2, 3), cores=(1, 2), pulls=4, changes=1),
+        lambda: pulls.main((8, 16), gateways=(2, 3), cores=(1, 2), pulls=4, repetitions=1),
         ("tail:", "roster:", "decoded at a gateway:"),
     ),
     "quota_requests": (
         lambda: quota_requests.main(
-            (2, 3), tenants=(2, 3), gateways=(2, 3), requests=4, span_s=1.0
+            (2, 3), tenants=(2, 3), gateways=(2, 3), requests=4, duration_s=1.0
         ),
         ("decision:", "asks:", "new roster:"),
     ),
     "configurations": (
-        lambda: configurations.main((1, 2), tenants=2, times=1),
+        lambda: configurations.main((1, 2), tenants=2, repetitions=1),
         ("check:", "read:", "table:"),
     ),
     "streams": (lambda: streams.main((1, 2), reads=4), ("read:",)),
-    "host_list": (lambda: host_list.main((8, 16), times=1), ("pass:", "reading:")),
+    "host_list": (lambda: host_list.main((8, 16), repetitions=1), ("pass:", "reading:")),
     "core": (
-        lambda: core.main((1, 2), cores=(2, 3), documents=(10, 20), times=2, saves=1),
+        lambda: core.main(
+            (1, 2), core_sizes=(2, 3), document_sizes=(10, 20), repetitions=2, saves=1
+        ),
         ("round:", "beat:", "save:"),
     ),
 }
@@ -59,4 +61,4 @@
 
 def test_a_line_needs_two_sizes() -> None:
     with pytest.raises(ValueError, match="two sizes"):
-        fit([(1, 2), (1, 3)])
+        fit_line([(1, 2), (1, 3)])
--- a/tools/compare.py
+++ b/tools/compare.py
@@ -40,15 +40,15 @@
     2.14,
     2.13,
 )
-T_95_BEYOND = 2.0
+T_95_LARGE = 2.0
 # Mean differences of parts and prices below this are not printed.
-LEAST_SHOWN = 0.0005
+MIN_SHOWN_DIFFERENCE = 0.0005
 # How many characters of a failed run's output are printed.
 OUTPUT_TAIL_CHARACTERS = 500
 
 
 @dataclass(frozen=True, slots=True)
-class Play:
+class BenchRun:
     """One day of one site with one seed."""
 
     site: str
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Measured:
+class RunResult:
     """The result of a run.
 
     Attributes:
@@ -74,21 +74,27 @@
     faults: tuple[str, ...]
 
 
-def measure(bench: str, tree: str, play: Play, why: str) -> Measured:
+def run_bench(bench: str, checkout: str, run: BenchRun, why: str) -> RunResult:
     """Run one day in a checkout."""
     with tempfile.TemporaryDirectory() as folder:
         report = Path(folder) / "report.json"
-        command = [bench, "run", play.site, play.day, "--seed", str(play.seed), "--jobs", "1"]
+        command = [bench, "run", run.site, run.day, "--seed", str(run.seed), "--jobs", "1"]
         command += ["--report", str(report), "--why", why]
-        ran = subprocess.run(command, cwd=tree, capture_output=True, text=True, check=False)
+        completed = subprocess.run(
+            command, cwd=checkout, capture_output=True, text=True, check=False
+        )
         if not report.exists():
-            return Measured(
-                {}, (ran.stdout[-OUTPUT_TAIL_CHARACTERS:] + ran.stderr[-OUTPUT_TAIL_CHARACTERS:],)
+            return RunResult(
+                {},
+                (
+                    completed.stdout[-OUTPUT_TAIL_CHARACTERS:]
+                    + completed.stderr[-OUTPUT_TAIL_CHARACTERS:],
+                ),
             )
         return read_report(json.loads(report.read_text()))
 
 
-def read_report(report: dict[str, Any]) -> Measured:
+def read_report(report: dict[str, Any]) -> RunResult:
     """Extract the figures of a report: worth, its parts, and its prices as worth lost."""
     figures = {"worth": float(report["G"])}
     figures |= {f"part: {name}": float(value) for name, _, value in report["parts"]}
@@ -96,59 +102,64 @@
     figures["late"] = report["all"]["late"] / max(1, report["all"]["n"])
     figures["refused"] = report["all"]["refused"] / max(1, report["all"]["n"])
     faults = [f"broken: {rule}" for rule in report["breaks"]]
-    faults += [f"ended by itself: {each}" for each in report["exits"]]
-    faults += [f"short: {each}" for each in report["short"]]
+    faults += [f"ended by itself: {entry}" for entry in report["exits"]]
+    faults += [f"short: {entry}" for entry in report["short"]]
     if report["fault"]:
         faults.append(f"fault: {report['fault']}")
-    return Measured(figures, tuple(faults))
+    return RunResult(figures, tuple(faults))
 
 
-def interval(differences: list[float]) -> tuple[float, float]:
+def confidence_interval(differences: list[float]) -> tuple[float, float]:
     """The mean, and half of the width of its 95% interval."""
     if not differences:
         return 0.0, math.inf
     if len(differences) == 1:
         return differences[0], math.inf
-    freedom = len(differences) - 1
-    factor = T_95[freedom - 1] if freedom <= len(T_95) else T_95_BEYOND
+    degrees_of_freedom = len(differences) - 1
+    factor = T_95[degrees_of_freedom - 1] if degrees_of_freedom <= len(T_95) else T_95_LARGE
     return mean(differences), factor * stdev(differences) / math.sqrt(len(differences))
 
 
-def show(title: str, pairs: list[tuple[Measured, Measured]]) -> None:
+def print_differences(title: str, pairs: list[tuple[RunResult, RunResult]]) -> None:
     """Print the differences of paired runs, figure by figure."""
     names = list(pairs[0][0].figures)
     for name in names:
-        values = [(a.figures.get(name, 0.0), b.figures.get(name, 0.0)) for a, b in pairs]
-        middle, half = interval([after - before for before, after in values])
-        if name == "worth" or abs(middle) >= LEAST_SHOWN:
-            before = mean(a for a, _ in values)
-            after = mean(b for _, b in values)
-            print(f"{title:40} {name:44} {before:8.4f} {after:8.4f}  {middle:+.4f} +- {half:.4f}")
+        values = [
+            (first.figures.get(name, 0.0), second.figures.get(name, 0.0)) for first, second in pairs
+        ]
+        center, half_width = confidence_interval([after - before for before, after in values])
+        if name == "worth" or abs(center) >= MIN_SHOWN_DIFFERENCE:
+            before = mean(first for first, _ in values)
+            after = mean(second for _, second in values)
+            print(
+                f"{title:40} {name:44} {before:8.4f} {after:8.4f}  "
+                f"{center:+.4f} +- {half_width:.4f}"
+            )
 
 
 # A run and its results in both checkouts.
-Pair = tuple[Play, Measured, Measured]
+PairedResult = tuple[BenchRun, RunResult, RunResult]
 
 
-def play_pairs(
-    bench: str, before: str, after: str, plays: list[Play], jobs: int, why: str
-) -> list[Pair]:
+def run_pairs(
+    bench: str, before: str, after: str, runs: list[BenchRun], jobs: int, why: str
+) -> list[PairedResult]:
     """Run each day in both checkouts, one after the other."""
     with ThreadPoolExecutor(jobs) as pool:
-        runs = [
+        submitted = [
             (
-                play,
-                pool.submit(measure, bench, before, play, f"Trial: {why}"),
-                pool.submit(measure, bench, after, play, f"Trial: {why}"),
+                run,
+                pool.submit(run_bench, bench, before, run, f"Trial: {why}"),
+                pool.submit(run_bench, bench, after, run, f"Trial: {why}"),
             )
-            for play in plays
+            for run in runs
         ]
-        return [(play, first.result(), second.result()) for play, first, second in runs]
+        return [(run, first.result(), second.result()) for run, first, second in submitted]
 
 
-def _play(day: str, seed: int) -> Play:
+def _parse_run(day: str, seed: int) -> BenchRun:
     site, _, name = day.rpartition(":")
-    return Play(site, name, seed)
+    return BenchRun(site, name, seed)
 
 
 def compare(
@@ -171,22 +182,26 @@
     :param jobs: runs at a time
     :param why: for the bench's journal
     """
-    done = play_pairs(
-        bench, before, after, [_play(day, seed) for seed in seeds for day in days], jobs, why
+    paired_results = run_pairs(
+        bench, before, after, [_parse_run(day, seed) for seed in seeds for day in days], jobs, why
     )
-    for play, *both in done:
-        worths = " ".join(f"{one.figures.get('worth', math.nan):.4f}" for one in both)
+    for run, *results in paired_results:
+        worths = " ".join(f"{result.figures.get('worth', math.nan):.4f}" for result in results)
         print(
-            f"{play.name:40} seed {play.seed:<8} {worths}",
-            *(one.faults for one in both if one.faults),
+            f"{run.name:40} seed {run.seed:<8} {worths}",
+            *(result.faults for result in results if result.faults),
         )
-    complete = [
-        (play, first, second) for play, first, second in done if first.figures and second.figures
+    complete_pairs = [
+        (run, first, second)
+        for run, first, second in paired_results
+        if first.figures and second.figures
     ]
-    for name in dict.fromkeys(play.name for play, _, _ in complete):
-        show(name, [(first, second) for play, first, second in complete if play.name == name])
-    if complete:
-        show("all", [(first, second) for _, first, second in complete])
+    for name in dict.fromkeys(run.name for run, _, _ in complete_pairs):
+        print_differences(
+            name, [(first, second) for run, first, second in complete_pairs if run.name == name]
+        )
+    if complete_pairs:
+        print_differences("all", [(first, second) for _, first, second in complete_pairs])
 
 
 if __name__ == "__main__":
--- a/tools/configurations.py
+++ b/tools/configurations.py
@@ -12,86 +12,90 @@
 from roselink.dataplane.route_table import RouteTable
 from roselink.model.configuration import Configuration
 from tools.exceptions import MeasurementError
-from tools.measure import heap_bytes, machine, processor_us, show, show_line
+from tools.measure import describe_machine, heap_bytes, print_fit, print_table, processor_us
 from tools.synthetic_fleet import make_document
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-ROUTES = (10, 50, 200, 400)
-TENANTS = 200
-TIMES = 5
+ROUTE_COUNTS = (10, 50, 200, 400)
+TENANT_COUNT = 200
+REPETITIONS = 5
 
 
 @dataclass(frozen=True, slots=True)
-class Cost:
+class ConfigurationCost:
     """The costs of one configuration.
 
     Attributes:
         routes: how many routes it has.
         document_bytes: the size of its document.
-        check_us: processor time of the validation at the core.
+        validate_us: processor time of the validation at the core.
         update_us: processor time of an update of one route.
-        update_memory: bytes on the heap of that update.
-        read_us: processor time to parse the document at a gateway.
-        table_us: processor time to build the gateway's route table.
-        memory: bytes on the heap of that table.
+        update_heap_bytes: bytes on the heap of that update.
+        parse_us: processor time to parse the document at a gateway.
+        route_table_us: processor time to build the gateway's route table.
+        route_table_heap_bytes: bytes on the heap of that table.
     """
 
     routes: int
     document_bytes: int
-    check_us: float
+    validate_us: float
     update_us: float
-    update_memory: int
-    read_us: float
-    table_us: float
-    memory: int
+    update_heap_bytes: int
+    parse_us: float
+    route_table_us: float
+    route_table_heap_bytes: int
 
 
-def measure(routes: int, tenants: int, times: int) -> Cost:
+def measure(routes: int, tenants: int, repetitions: int) -> ConfigurationCost:
     """Measure a document with so many routes and tenants.
 
     Raises:
         MeasurementError: the document is not valid.
     """
     body = json.dumps(make_document(routes, tenants), separators=(",", ":")).encode()
-    checked = validate(body)
-    if not isinstance(checked, ValidDocument):
-        raise MeasurementError("validation", checked)
+    validated = validate(body)
+    if not isinstance(validated, ValidDocument):
+        raise MeasurementError("validation", validated)
     configuration = Configuration.from_document(json.loads(body))
-    return Cost(
+    return ConfigurationCost(
         routes,
         len(body),
-        processor_us(lambda: validate(body), times),
-        processor_us(lambda: _updated(body), times),
-        heap_bytes(lambda: _updated(body)),
-        processor_us(lambda: Configuration.from_document(json.loads(body)), times),
-        processor_us(lambda: RouteTable(configuration), times),
+        processor_us(lambda: validate(body), repetitions),
+        processor_us(lambda: _apply_update(body), repetitions),
+        heap_bytes(lambda: _apply_update(body)),
+        processor_us(lambda: Configuration.from_document(json.loads(body)), repetitions),
+        processor_us(lambda: RouteTable(configuration), repetitions),
         heap_bytes(lambda: RouteTable(Configuration.from_document(json.loads(body)))),
     )
 
 
-def _updated(body: bytes) -> ConfigurationChange:
+def _apply_update(body: bytes) -> ConfigurationChange:
     """Change one route by an update of items, merged into the document."""
     document = json.loads(body)
     generation = document["generation"]
     route = document["routes"][0] | {"timeout_ms": 1234}
     update = {"generation": generation + 1, "upsert": {"routes": [route]}}
-    call = parse_update_request(generation, json.dumps(update).encode())
-    if isinstance(call, ValidationFailure):
-        raise MeasurementError("update", call)
+    request = parse_update_request(generation, json.dumps(update).encode())
+    if isinstance(request, ValidationFailure):
+        raise MeasurementError("update", request)
     change = proposal_from_update(
-        call.base, call.update, call.digest, Confirmation(1, 1, body, generation)
+        request.base, request.update, request.digest, Confirmation(1, 1, body, generation)
     )
     if isinstance(change, ValidationFailure):
         raise MeasurementError("update", change)
     return change
 
 
-def main(routes: Sequence[int] = ROUTES, tenants: int = TENANTS, times: int = TIMES) -> None:
+def main(
+    routes: Sequence[int] = ROUTE_COUNTS,
+    tenants: int = TENANT_COUNT,
+    repetitions: int = REPETITIONS,
+) -> None:
     """Measure and print."""
-    print(machine())
-    costs = [measure(count, tenants, times) for count in routes]
+    print(describe_machine())
+    costs = [measure(count, tenants, repetitions) for count in routes]
     columns = (
         "routes",
         "document bytes",
@@ -104,23 +108,23 @@
     )
     rows = [
         (
-            c.routes,
-            c.document_bytes,
-            c.check_us,
-            c.update_us,
-            c.update_memory,
-            c.read_us,
-            c.table_us,
-            c.memory,
+            cost.routes,
+            cost.document_bytes,
+            cost.validate_us,
+            cost.update_us,
+            cost.update_heap_bytes,
+            cost.parse_us,
+            cost.route_table_us,
+            cost.route_table_heap_bytes,
         )
-        for c in costs
+        for cost in costs
     ]
-    show(f"A configuration with {tenants} tenants", columns, rows)
-    show_line("document", "bytes", "route", [(c.routes, c.document_bytes) for c in costs])
-    show_line("check", "us", "route", [(c.routes, c.check_us) for c in costs])
-    show_line("update", "us", "route", [(c.routes, c.update_us) for c in costs])
-    show_line("read", "us", "route", [(c.routes, c.read_us) for c in costs])
-    show_line("table", "us", "route", [(c.routes, c.table_us) for c in costs])
+    print_table(f"A configuration with {tenants} tenants", columns, rows)
+    print_fit("document", "bytes", "route", [(cost.routes, cost.document_bytes) for cost in costs])
+    print_fit("check", "us", "route", [(cost.routes, cost.validate_us) for cost in costs])
+    print_fit("update", "us", "route", [(cost.routes, cost.update_us) for cost in costs])
+    print_fit("read", "us", "route", [(cost.routes, cost.parse_us) for cost in costs])
+    print_fit("table", "us", "route", [(cost.routes, cost.route_table_us) for cost in costs])
 
 
 if __name__ == "__main__":
--- a/tools/core.py
+++ b/tools/core.py
@@ -28,19 +28,19 @@
 from roselink.protocol.framing import FrameDecoder, FrameKind, encode_frame
 from roselink.protocol.records import encode
 from tools.exceptions import MeasurementError
-from tools.measure import machine, processor_us, show, show_line
-from tools.synthetic_fleet import make_cores
+from tools.measure import describe_machine, print_fit, print_table, processor_us
+from tools.synthetic_fleet import make_core_addresses
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-VOTERS = (3, 5, MAX_VOTERS)
-CORES = (3, 9, 27, 54)
+VOTER_COUNTS = (3, 5, MAX_VOTERS)
+CORE_SIZES = (3, 9, 27, 54)
 # The sizes of documents of 10, 200 and 400 routes with 200 tenants, in bytes.
-DOCUMENTS = (36_640, 98_740, 164_100)
+DOCUMENT_SIZES = (36_640, 98_740, 164_100)
 # The size of one entry of the history, in bytes.
-HISTORY_ENTRY = 48
-TIMES = 100
+HISTORY_ENTRY_BYTES = 48
+REPETITIONS = 100
 SAVES = 3
 
 
@@ -50,13 +50,13 @@
 
     Attributes:
         members: how many members.
-        spent_us: processor time in microseconds.
-        size: bytes of the messages.
+        cpu_us: processor time in microseconds.
+        message_bytes: bytes of the messages.
     """
 
     members: int
-    spent_us: float
-    size: int
+    cpu_us: float
+    message_bytes: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,63 +64,63 @@
     """The cost of one write at one member of the chain, with a full history.
 
     Attributes:
-        document: the size of the document, in bytes.
-        carry_us: processor time to receive, apply and forward the write.
+        document_bytes: the size of the document, in bytes.
+        forward_us: processor time to receive, apply and forward the write.
         save_us: processor time of the save.
-        carried_bytes: the size of the message.
-        saved_bytes: the size of the saved record.
+        message_bytes: the size of the message.
+        record_bytes: the size of the saved record.
     """
 
-    document: int
-    carry_us: float
+    document_bytes: int
+    forward_us: float
     save_us: float
-    carried_bytes: int
-    saved_bytes: int
+    message_bytes: int
+    record_bytes: int
 
 
-def round_cost(count: int, times: int) -> MessageCost:
+def confirm_round_cost(count: int, repetitions: int) -> MessageCost:
     """Measure one confirm round at a tail with so many voters, their replies included.
 
     Raises:
         MeasurementError: the round did something else than sending.
     """
-    voters = tuple(Voter(address, 1) for address in make_cores(count))
+    voters = tuple(Voter(address, 1) for address in make_core_addresses(count))
     view = View(1, voters, tuple(ChainReplica(voter, 1, 1) for voter in voters))
     sent: list[Effect] = []
     rounds = ReadRounds(voters[-1], sent.append)
     number = 0
-    size = 0
+    message_bytes = 0
 
     def confirm() -> None:
-        nonlocal number, size
+        nonlocal number, message_bytes
         number += 1
         sent.clear()
         rounds.request(
             WaitingRead(voters[-1].address, number, 0), view, float(number), is_active=True
         )
-        size = 0
+        message_bytes = 0
         for voter, effect in zip(voters, sent, strict=True):
             if not isinstance(effect, Send):
                 raise MeasurementError("round", effect)
-            size += len(encode_frame(FrameKind.NOTICE, 0, effect.message))
+            message_bytes += len(encode_frame(FrameKind.NOTICE, 0, effect.message))
             reply = encode_frame(
                 FrameKind.NOTICE, 0, ConfirmReply(voter, 1, number, is_newest=True)
             )
-            size += len(reply)
+            message_bytes += len(reply)
             for _, _, message in FrameDecoder().feed(reply):
                 rounds.on_reply(message)
 
-    spent_us = processor_us(confirm, times)
-    return MessageCost(count, spent_us, size)
+    cpu_us = processor_us(confirm, repetitions)
+    return MessageCost(count, cpu_us, message_bytes)
 
 
-def beat_cost(count: int, times: int) -> MessageCost:
+def heartbeat_cost(count: int, repetitions: int) -> MessageCost:
     """Measure one heartbeat of a member to all others, and one from each of them.
 
     The bytes are those of the heartbeats that it sends.
     """
-    beat = Heartbeat(
-        sender=Voter(make_cores(1)[0], 1),
+    heartbeat = Heartbeat(
+        sender=Voter(make_core_addresses(1)[0], 1),
         session=1,
         epoch=1,
         state_epoch=1,
@@ -129,30 +129,30 @@
         disk_ok=True,
         leaving=False,
         chain_is_complete=True,
-        reachable=make_cores(count),
+        reachable=make_core_addresses(count),
     )
-    data = encode_frame(FrameKind.NOTICE, 0, beat)
+    data = encode_frame(FrameKind.NOTICE, 0, heartbeat)
 
-    def beats() -> None:
+    def heartbeats() -> None:
         for _ in range(count - 1):
-            encode_frame(FrameKind.NOTICE, 0, beat)
+            encode_frame(FrameKind.NOTICE, 0, heartbeat)
             FrameDecoder().feed(data)
 
-    return MessageCost(count, processor_us(beats, times), (count - 1) * len(data))
+    return MessageCost(count, processor_us(heartbeats, repetitions), (count - 1) * len(data))
 
 
-def write_cost(document: int, saves: int) -> WriteCost:
+def write_cost(document_bytes: int, saves: int) -> WriteCost:
     """Measure a write of a document that a member receives, saves and forwards."""
-    body = b"x" * document
-    change = ConfigurationChange(0, 5, body, digest_of(0, body))
-    write = Write(Voter(make_cores(1)[0], 1), 1, 2, refused=False, change=change)
+    document = b"x" * document_bytes
+    change = ConfigurationChange(0, 5, document, digest_of(0, document))
+    write = Write(Voter(make_core_addresses(1)[0], 1), 1, 2, refused=False, change=change)
     data = encode_frame(FrameKind.NOTICE, 0, write)
-    full = ConfigurationState(1, 1, b"", bytes(HISTORY_ENTRY * HISTORY_LIMIT))
-    payload = encode(StoredState(1, apply_change(full, change, refused=False)))
+    full_state = ConfigurationState(1, 1, b"", bytes(HISTORY_ENTRY_BYTES * HISTORY_LIMIT))
+    payload = encode(StoredState(1, apply_change(full_state, change, refused=False)))
 
-    def carry() -> None:
+    def forward() -> None:
         FrameDecoder().feed(data)
-        encode(StoredState(1, apply_change(full, change, refused=False)))
+        encode(StoredState(1, apply_change(full_state, change, refused=False)))
         encode_frame(FrameKind.NOTICE, 0, write)
 
     with tempfile.TemporaryDirectory() as folder:
@@ -160,37 +160,42 @@
         storage.load()
         number = record_number(Store.STATE)
         save_us = processor_us(lambda: storage.save(Store.STATE, number, payload), saves)
-    return WriteCost(document, processor_us(carry, saves), save_us, len(data), len(payload))
+    return WriteCost(document_bytes, processor_us(forward, saves), save_us, len(data), len(payload))
 
 
 def main(
-    voters: Sequence[int] = VOTERS,
-    cores: Sequence[int] = CORES,
-    documents: Sequence[int] = DOCUMENTS,
-    times: int = TIMES,
+    voters: Sequence[int] = VOTER_COUNTS,
+    core_sizes: Sequence[int] = CORE_SIZES,
+    document_sizes: Sequence[int] = DOCUMENT_SIZES,
+    repetitions: int = REPETITIONS,
     saves: int = SAVES,
 ) -> None:
     """Measure and print."""
-    print(machine())
-    rounds = [round_cost(count, times) for count in voters]
-    show(
+    print(describe_machine())
+    rounds = [confirm_round_cost(count, repetitions) for count in voters]
+    print_table(
         "Confirm rounds",
         ("voters", "us", "bytes"),
-        [(r.members, r.spent_us, r.size) for r in rounds],
+        [(cost.members, cost.cpu_us, cost.message_bytes) for cost in rounds],
     )
-    show_line("round", "us", "voter", [(r.members, r.spent_us) for r in rounds])
-    beats = [beat_cost(count, times) for count in cores]
-    show(
+    print_fit("round", "us", "voter", [(cost.members, cost.cpu_us) for cost in rounds])
+    heartbeats = [heartbeat_cost(count, repetitions) for count in core_sizes]
+    print_table(
         "Heartbeats",
         ("core members", "us", "bytes"),
-        [(b.members, b.spent_us, b.size) for b in beats],
+        [(cost.members, cost.cpu_us, cost.message_bytes) for cost in heartbeats],
     )
-    show_line("beat", "us", "core member", [(b.members, b.spent_us) for b in beats])
-    writes = [write_cost(size, saves) for size in documents]
+    print_fit("beat", "us", "core member", [(cost.members, cost.cpu_us) for cost in heartbeats])
+    writes = [write_cost(size, saves) for size in document_sizes]
     columns = ("document bytes", "carry us", "save us", "carried bytes", "saved bytes")
-    table = [(w.document, w.carry_us, w.save_us, w.carried_bytes, w.saved_bytes) for w in writes]
-    show("A write at one member", columns, table)
-    show_line("save", "us", "document byte", [(w.document, w.save_us) for w in writes])
+    table = [
+        (cost.document_bytes, cost.forward_us, cost.save_us, cost.message_bytes, cost.record_bytes)
+        for cost in writes
+    ]
+    print_table("A write at one member", columns, table)
+    print_fit(
+        "save", "us", "document byte", [(cost.document_bytes, cost.save_us) for cost in writes]
+    )
 
 
 if __name__ == "__main__":
--- a/tools/decider.py
+++ b/tools/decider.py
@@ -25,9 +25,9 @@
 from roselink.routing.outcome import Outcome
 from roselink.routing.ring import HashRing
 from tools.exceptions import MeasurementError
-from tools.measure import heap_bytes, machine, processor_us, show, show_line
+from tools.measure import describe_machine, heap_bytes, print_fit, print_table, processor_us
 from tools.synthetic_fleet import (
-    MODELS,
+    MODEL_COUNT,
     make_configuration,
     make_host,
     make_hosts,
@@ -41,17 +41,17 @@
     from roselink.model.configuration import Service
     from roselink.model.fleet import Host
 
-HOSTS = (60, 600, 3_000, 12_000)
+HOST_COUNTS = (60, 600, 3_000, 12_000)
 REQUESTS = 3_000
-CHANGES = 6
+REPLACEMENTS = 6
 # How many different prompts requests share.
-SUBJECTS = 500
+SHARED_PROMPTS = 500
 # How many hosts are remembered for each part of a prompt.
-HOLDERS = (1, 4, 16)
+HOSTS_PER_PART = (1, 4, 16)
 # Between two requests, in seconds: 28 a second.
 REQUEST_INTERVAL_S = 0.035
 
-FACTS = RequestFacts(
+REQUEST_FACTS = RequestFacts(
     number=0,
     route="r",
     service="",
@@ -70,17 +70,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Cost:
+class DeciderCost:
     """Processor time in microseconds, memory in bytes on the heap."""
 
     hosts: int
     request_us: float
-    change_us: float
+    replacement_us: float
     ring_us: float
-    memory: int
+    heap_bytes: int
 
 
-class Load:
+class SimulatedLoad:
     """Requests at one decider in simulated time."""
 
     def __init__(self, services: tuple[Service, ...]) -> None:
@@ -90,7 +90,7 @@
         self._numbers = itertools.count(1)
         self._now = 0.0
 
-    def list_hosts(self, hosts: tuple[Host, ...]) -> None:
+    def update_hosts(self, hosts: tuple[Host, ...]) -> None:
         """Give the decider a new list of hosts."""
         self.decider.handle(self._now, TopologyChanged(hosts, self._services))
 
@@ -102,101 +102,117 @@
         """
         number = next(self._numbers)
         self._now += REQUEST_INTERVAL_S
-        subject = number * 7919 % SUBJECTS
-        parts = (PromptSegment(f"{subject % 20:08x}", 800), PromptSegment(f"s{subject:07x}", 410))
+        prompt_number = number * 7919 % SHARED_PROMPTS
+        prompt_parts = (
+            PromptSegment(f"{prompt_number % 20:08x}", 800),
+            PromptSegment(f"s{prompt_number:07x}", 410),
+        )
         facts = replace(
-            FACTS,
+            REQUEST_FACTS,
             number=number,
-            service=service or service_name(number % MODELS),
+            service=service or service_name(number % MODEL_COUNT),
             route=f"r-{number % 50}",
             arrived_at=self._now,
             deadline=self._now + 5.0,
-            prompt=(*parts, PromptSegment(f"n{number:07x}", 250)),
+            prompt=(*prompt_parts, PromptSegment(f"n{number:07x}", 250)),
         )
-        sent = self.decider.handle(self._now, RequestArrived(facts))
-        if not any(isinstance(action, SendAttempt) for action in sent):
-            raise MeasurementError("request", sent)
+        actions = self.decider.handle(self._now, RequestArrived(facts))
+        if not any(isinstance(action, SendAttempt) for action in actions):
+            raise MeasurementError("request", actions)
         self.decider.handle(self._now + 0.01, FirstEvent(number, 0))
         ended = AttemptEnded(number, 0, Outcome.SUCCESS, 0.02, progressed=True)
         self.decider.handle(self._now + 0.02, ended)
 
 
-def measure(count: int, requests: int, changes: int) -> Cost:
+def measure(count: int, requests: int, replacements: int) -> DeciderCost:
     """Measure the costs at one number of hosts."""
     services = make_configuration(1, 1).services
     hosts = make_hosts(count)
-    load = Load(services)
-    load.list_hosts(hosts)
-    for _ in range(max(MODELS, requests // 10)):
+    load = SimulatedLoad(services)
+    load.update_hosts(hosts)
+    for _ in range(max(MODEL_COUNT, requests // 10)):
         load.request()
     request_us = processor_us(load.request, requests)
-    lists = itertools.cycle([replace_host(hosts, 0, start) for start in range(1, 2 * changes)])
+    host_lists = itertools.cycle(
+        [replace_host(hosts, 0, start) for start in range(1, 2 * replacements)]
+    )
 
-    def change() -> None:
-        load.list_hosts(next(lists))
+    def replace_one() -> None:
+        load.update_hosts(next(host_lists))
         load.request(service_name(0))
 
-    change_us = processor_us(change, changes)
+    replacement_us = processor_us(replace_one, replacements)
     # Hosts whose hashes are not cached.
-    fresh = tuple(make_host(number, count % 65_000 + 500) for number in range(count))
+    uncached_hosts = tuple(make_host(number, count % 65_000 + 500) for number in range(count))
     ids = [host.id for host in hosts if host.service == service_name(0)]
-    return Cost(
+    return DeciderCost(
         count,
         request_us,
-        change_us - request_us,
-        processor_us(lambda: HashRing(ids), changes),
-        heap_bytes(lambda: _filled(fresh, services)),
+        replacement_us - request_us,
+        processor_us(lambda: HashRing(ids), replacements),
+        heap_bytes(lambda: _load_all_services(uncached_hosts, services)),
     )
 
 
-def _filled(hosts: tuple[Host, ...], services: tuple[Service, ...]) -> Load:
-    load = Load(services)
-    load.list_hosts(hosts)
-    for number in range(MODELS):
+def _load_all_services(hosts: tuple[Host, ...], services: tuple[Service, ...]) -> SimulatedLoad:
+    load = SimulatedLoad(services)
+    load.update_hosts(hosts)
+    for number in range(MODEL_COUNT):
         load.request(service_name(number))
     return load
 
 
-def prompt_memory(holders: int, parts: int) -> int:
+def prompt_memory_bytes(hosts_per_part: int, prompt_parts: int) -> int:
     """Measure the bytes of a memory of prompts with so many hosts for each of its parts."""
 
     def build() -> PrefixCacheTracker:
-        memory = PrefixCacheTracker()
-        names = [make_host(number).id for number in range(holders)]
-        for number in range(parts):
-            for name in names:
-                memory.record_prefill(name, (PromptSegment(f"{number:08x}", 400),), float(number))
-        return memory
+        prompt_memory = PrefixCacheTracker()
+        host_ids = [make_host(number).id for number in range(hosts_per_part)]
+        for number in range(prompt_parts):
+            for host_id in host_ids:
+                prompt_memory.record_prefill(
+                    host_id, (PromptSegment(f"{number:08x}", 400),), float(number)
+                )
+        return prompt_memory
 
     return heap_bytes(build)
 
 
 def main(
-    sizes: Sequence[int] = HOSTS,
+    sizes: Sequence[int] = HOST_COUNTS,
     requests: int = REQUESTS,
-    changes: int = CHANGES,
-    parts: int = MAX_TRACKED_SEGMENTS,
-) -> list[Cost]:
+    replacements: int = REPLACEMENTS,
+    prompt_parts: int = MAX_TRACKED_SEGMENTS,
+) -> list[DeciderCost]:
     """Measure and print."""
-    print(machine())
-    costs = [measure(count, requests, changes) for count in sizes]
-    rows = [(c.hosts, c.request_us, c.change_us, c.ring_us, c.memory) for c in costs]
-    show(
+    print(describe_machine())
+    costs = [measure(count, requests, replacements) for count in sizes]
+    rows = [
+        (cost.hosts, cost.request_us, cost.replacement_us, cost.ring_us, cost.heap_bytes)
+        for cost in costs
+    ]
+    print_table(
         "Decider",
         ("hosts", "request us", "replacement us", "ring of 1 of 4 us", "heap bytes"),
         rows,
     )
-    show_line("request", "us", "host", [(c.hosts, c.request_us) for c in costs])
-    show_line("replacement", "us", "host", [(c.hosts, c.change_us) for c in costs])
-    show_line("memory", "bytes", "host", [(c.hosts, c.memory) for c in costs])
-    memories = [(holders, prompt_memory(holders, parts)) for holders in HOLDERS]
-    show(
+    print_fit("request", "us", "host", [(cost.hosts, cost.request_us) for cost in costs])
+    print_fit("replacement", "us", "host", [(cost.hosts, cost.replacement_us) for cost in costs])
+    print_fit("memory", "bytes", "host", [(cost.hosts, cost.heap_bytes) for cost in costs])
+    prompt_memories = [
+        (hosts_per_part, prompt_memory_bytes(hosts_per_part, prompt_parts))
+        for hosts_per_part in HOSTS_PER_PART
+    ]
+    print_table(
         "Memory of prompts, full",
         ("hosts a part", "parts", "bytes"),
-        [(h, parts, b) for h, b in memories],
+        [(hosts_per_part, prompt_parts, size) for hosts_per_part, size in prompt_memories],
     )
-    show_line(
-        "memory of prompts", "bytes", "host a part", [(holders, size) for holders, size in memories]
+    print_fit(
+        "memory of prompts",
+        "bytes",
+        "host a part",
+        [(hosts_per_part, size) for hosts_per_part, size in prompt_memories],
     )
     return costs
 
--- a/tools/exceptions.py
+++ b/tools/exceptions.py
@@ -9,7 +9,7 @@
     """Base of the errors of the tools."""
 
 
-class TooFewPointsError(ToolError, ValueError):
+class DegenerateFitError(ToolError, ValueError):
     """A line can't be fitted, since all points have the same x.
 
     Attributes:
--- a/tools/host_list.py
+++ b/tools/host_list.py
@@ -1,6 +1,6 @@
 """Costs of reading the platform's list of hosts, by their number: duration and processor time.
 
-The reader's schedule runs in simulated time; each call has its response after `CALL_S`.
+The reader's schedule runs in simulated time; each call has its response after `CALL_DURATION_S`.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
     SetTimer,
     parse_page,
 )
-from tools.measure import machine, processor_us, show, show_line
+from tools.measure import describe_machine, print_fit, print_table, processor_us
 from tools.synthetic_fleet import make_host
 
 if TYPE_CHECKING:
@@ -27,33 +27,33 @@
 
     from roselink.model.fleet import Host
 
-HOSTS = (60, 600, 3_000, 12_000)
+HOST_COUNTS = (60, 600, 3_000, 12_000)
 # Entries of one page.
-PAGE = 50
+PAGE_SIZE = 50
 # The rate of calls that the platform grants.
 RATE_PER_S = 40.0
 # The duration of one call, in seconds.
-CALL_S = 0.003
-TIMES = 30
+CALL_DURATION_S = 0.003
+REPETITIONS = 30
 
 
 @dataclass(frozen=True, slots=True)
-class Cost:
+class HostListCost:
     """The costs of one fleet's list.
 
     Attributes:
         hosts: how many hosts.
         calls: calls of one pass over the list.
         pass_s: the duration of a pass, in seconds.
-        shown_s: from a host's end until the published list lacks it, at worst, in seconds.
-        read_us: processor time to parse the pages of a pass, in microseconds.
+        removal_delay_s: from a host's end until the published list lacks it, at worst, in seconds.
+        parse_us: processor time to parse the pages of a pass, in microseconds.
     """
 
     hosts: int
     calls: int
     pass_s: float
-    shown_s: float
-    read_us: float
+    removal_delay_s: float
+    parse_us: float
 
 
 def _entry(number: int) -> dict[str, object]:
@@ -72,7 +72,7 @@
     }
 
 
-class Platform:
+class SimulatedPlatform:
     """A list in pages, and one reader of it in simulated time."""
 
     def __init__(self, count: int) -> None:
@@ -83,7 +83,7 @@
         self._reader = HostListReader(RATE_PER_S, random.Random(1))
         self._effects: list[ReaderEffect] = self._reader.start(0.0, 1)
 
-    def next_list(self) -> tuple[Host, ...]:
+    def read_next_list(self) -> tuple[Host, ...]:
         """Run until the reader publishes its next list."""
         while True:
             effects = self._effects
@@ -92,7 +92,7 @@
             for effect in effects:
                 if isinstance(effect, Fetch):
                     self.calls += 1
-                    self.now += CALL_S
+                    self.now += CALL_DURATION_S
                     self._effects += self._reader.fetch_completed(
                         self.now, effect.number, self._page(effect.page_token)
                     )
@@ -104,53 +104,54 @@
 
     def _page(self, token: str | None) -> Page:
         first = int(token or 0)
-        rest = first + PAGE
-        return Page(
-            tuple(self.hosts[first:rest]), (), str(rest) if rest < len(self.hosts) else None
-        )
+        end = first + PAGE_SIZE
+        return Page(tuple(self.hosts[first:end]), (), str(end) if end < len(self.hosts) else None)
 
 
-def measure(count: int, times: int) -> Cost:
+def measure(count: int, repetitions: int) -> HostListCost:
     """Measure one fleet's list.
 
     The host whose end is timed is on the first page, and ends right after that was read.
     """
-    platform = Platform(count)
-    platform.next_list()
-    began = platform.now
+    platform = SimulatedPlatform(count)
+    platform.read_next_list()
+    started_at = platform.now
     calls = platform.calls
-    platform.next_list()
-    pass_s = platform.now - began
+    platform.read_next_list()
+    pass_s = platform.now - started_at
     calls = platform.calls - calls
-    ended = platform.hosts.pop(0)
-    began = platform.now
-    while ended.id in {host.id for host in platform.next_list()}:
+    removed_host = platform.hosts.pop(0)
+    started_at = platform.now
+    while removed_host.id in {host.id for host in platform.read_next_list()}:
         pass
     body = json.dumps(
-        {"instances": [_entry(number) for number in range(PAGE)], "next_page_token": None}
+        {"instances": [_entry(number) for number in range(PAGE_SIZE)], "next_page_token": None}
     ).encode()
-    pages = -(-count // PAGE)
-    return Cost(
+    pages = -(-count // PAGE_SIZE)
+    return HostListCost(
         count,
         calls,
         pass_s,
-        platform.now - began,
-        pages * processor_us(lambda: parse_page(200, body), times),
+        platform.now - started_at,
+        pages * processor_us(lambda: parse_page(200, body), repetitions),
     )
 
 
-def main(sizes: Sequence[int] = HOSTS, times: int = TIMES) -> None:
+def main(sizes: Sequence[int] = HOST_COUNTS, repetitions: int = REPETITIONS) -> None:
     """Measure and print."""
-    print(machine())
-    costs = [measure(count, times) for count in sizes]
+    print(describe_machine())
+    costs = [measure(count, repetitions) for count in sizes]
     columns = ("hosts", "calls a pass", "pass s", "absence shown s", "read us a pass")
-    show(
-        f"The platform's list, {PAGE} entries a page, {RATE_PER_S} calls a s told",
+    print_table(
+        f"The platform's list, {PAGE_SIZE} entries a page, {RATE_PER_S} calls a s told",
         columns,
-        [(c.hosts, c.calls, c.pass_s, c.shown_s, c.read_us) for c in costs],
+        [
+            (cost.hosts, cost.calls, cost.pass_s, cost.removal_delay_s, cost.parse_us)
+            for cost in costs
+        ],
     )
-    show_line("pass", "s", "host", [(c.hosts, c.pass_s) for c in costs])
-    show_line("reading", "us", "host", [(c.hosts, c.read_us) for c in costs])
+    print_fit("pass", "s", "host", [(cost.hosts, cost.pass_s) for cost in costs])
+    print_fit("reading", "us", "host", [(cost.hosts, cost.parse_us) for cost in costs])
 
 
 if __name__ == "__main__":
--- a/tools/losses.py
+++ b/tools/losses.py
@@ -17,13 +17,13 @@
 
 import defopt  # type: ignore[import-untyped]
 
-from tools.compare import interval
+from tools.compare import confidence_interval
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
 # Causes whose mean is below this are left out.
-LEAST_SHOWN = 0.0005
+MIN_SHOWN_LOSS = 0.0005
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,25 +44,27 @@
         yield DayLosses(name, day["G"], causes)
 
 
-def table(days: list[DayLosses]) -> list[list[str]]:
+def loss_table(days: list[DayLosses]) -> list[list[str]]:
     """Make the rows of the table, with the head first."""
     names = list(dict.fromkeys(name for day in days for name in day.causes))
-    columns = {name: interval([day.causes.get(name, 0.0) for day in days]) for name in names}
+    columns = {
+        name: confidence_interval([day.causes.get(name, 0.0) for day in days]) for name in names
+    }
     shown = sorted(
-        (name for name in names if columns[name][0] >= LEAST_SHOWN),
+        (name for name in names if columns[name][0] >= MIN_SHOWN_LOSS),
         key=lambda name: -columns[name][0],
     )
-    worth, half = interval([day.worth for day in days])
+    worth, half_width = confidence_interval([day.worth for day in days])
     rows = [["day", "worth", *shown]]
     for day in days:
         rows.append(
             [day.name, f"{day.worth:.3f}", *(f"{day.causes.get(name, 0.0):.4f}" for name in shown)]
         )
     means = [f"{columns[name][0]:.4f} +- {columns[name][1]:.4f}" for name in shown]
-    return [*rows, ["mean", f"{worth:.3f} +- {half:.3f}", *means]]
+    return [*rows, ["mean", f"{worth:.3f} +- {half_width:.3f}", *means]]
 
 
-def show_losses(*files: str) -> None:
+def print_losses(*files: str) -> None:
     """Print the losses of all days in these files as a table.
 
     :param files: reports (`run --report`) and journal entries
@@ -72,9 +74,9 @@
         for file in files
         for day in read_days(json.loads(Path(file).read_text(encoding="utf-8")))
     ]
-    for row in table(days):
+    for row in loss_table(days):
         print("| " + " | ".join(row) + " |")
 
 
 if __name__ == "__main__":
-    sys.exit(defopt.run(show_losses))
+    sys.exit(defopt.run(print_losses))
--- a/tools/measure.py
+++ b/tools/measure.py
@@ -11,16 +11,16 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from tools.exceptions import TooFewPointsError
+from tools.exceptions import DegenerateFitError
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Sequence
 
 # So many undisturbed rounds are enough; and the most rounds in all.
-ROUNDS = 3
-MOST_ROUNDS = 30
+UNDISTURBED_ROUNDS = 3
+MAX_ROUNDS = 30
 # A round is undisturbed if the fixed loop took at most so many times its least time around it.
-UNDISTURBED_FACTOR = 1.15
+MAX_UNDISTURBED_RATIO = 1.15
 FIXED_LOOP_STEPS = 20_000
 MICROSECONDS = 1e6
 Cell = str | int | float
@@ -30,82 +30,82 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
-    """A least-squares line, y = fixed + slope * x.
+class FittedLine:
+    """A least-squares line, y = intercept + slope * x.
 
     Attributes:
-        fixed: y at x = 0.
+        intercept: y at x = 0.
         slope: of the line.
-        explained: the fraction of the variance of y that the line explains, 0 to 1.
+        r_squared: the fraction of the variance of y that the line explains, 0 to 1.
     """
 
-    fixed: float
+    intercept: float
     slope: float
-    explained: float
+    r_squared: float
 
 
-def fit(points: Sequence[tuple[float, float]]) -> Line:
+def fit_line(points: Sequence[tuple[float, float]]) -> FittedLine:
     """Fit a line to some points.
 
     Raises:
-        TooFewPointsError: all points have the same x.
+        DegenerateFitError: all points have the same x.
 
-    >>> fit([(1, 3), (2, 5), (3, 7)])
-    Line(fixed=1.0, slope=2.0, explained=1.0)
+    >>> fit_line([(1, 3), (2, 5), (3, 7)])
+    FittedLine(intercept=1.0, slope=2.0, r_squared=1.0)
     """
     count = len(points)
     mean_x = sum(x for x, _ in points) / max(1, count)
     mean_y = sum(y for _, y in points) / max(1, count)
-    spread = sum((x - mean_x) ** 2 for x, _ in points)
-    if not spread:
-        raise TooFewPointsError(list(points))
-    slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / spread
-    fixed = mean_y - slope * mean_x
+    x_variation = sum((x - mean_x) ** 2 for x, _ in points)
+    if not x_variation:
+        raise DegenerateFitError(list(points))
+    slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / x_variation
+    intercept = mean_y - slope * mean_x
     total = sum((y - mean_y) ** 2 for _, y in points)
-    unexplained = sum((y - fixed - slope * x) ** 2 for x, y in points)
-    return Line(fixed, slope, 1.0 if not total else 1.0 - unexplained / total)
+    residual = sum((y - intercept - slope * x) ** 2 for x, y in points)
+    return FittedLine(intercept, slope, 1.0 if not total else 1.0 - residual / total)
 
 
-def processor_us(work: Callable[[], object], times: int) -> float:
+def processor_us(work: Callable[[], object], repetitions: int) -> float:
     """Measure the processor time of one call, in microseconds.
 
-    It is the least of some rounds, each of `times` calls.
+    It is the least of some rounds, each of `repetitions` calls.
 
     Other programs on the machine slow this one down, in processor time too. So a fixed loop is
     timed on both sides of each round, and a round counts as undisturbed when both took little
-    longer than the loop's least time. Rounds are added, up to `MOST_ROUNDS`, until `ROUNDS` of
-    them were undisturbed.
+    longer than the loop's least time. Rounds are added, up to `MAX_ROUNDS`, until
+    `UNDISTURBED_ROUNDS` of them were undisturbed.
     """
-    best = float("inf")
+    min_cpu_time_s = float("inf")
     undisturbed = 0
     gc.collect()
-    for _ in range(MOST_ROUNDS):
+    for _ in range(MAX_ROUNDS):
         before = _time_fixed_loop_us()
-        began = time.process_time()
-        for _ in range(times):
+        started_at = time.process_time()
+        for _ in range(repetitions):
             work()
-        spent = time.process_time() - began
-        best = min(best, spent)
+        cpu_time_s = time.process_time() - started_at
+        min_cpu_time_s = min(min_cpu_time_s, cpu_time_s)
         undisturbed += (
-            max(before, _time_fixed_loop_us()) <= UNDISTURBED_FACTOR * _least_fixed_loop_us()
+            max(before, _time_fixed_loop_us()) <= MAX_UNDISTURBED_RATIO * _min_fixed_loop_us()
         )
-        if undisturbed >= ROUNDS:
+        if undisturbed >= UNDISTURBED_ROUNDS:
             break
-    return best / times * MICROSECONDS
+    return min_cpu_time_s / repetitions * MICROSECONDS
 
 
 def _time_fixed_loop_us() -> float:
     """Processor time of the fixed loop."""
-    began = time.process_time()
+    started_at = time.process_time()
     total = 0
     for number in range(FIXED_LOOP_STEPS):
         total += number
-    spent = (time.process_time() - began) * MICROSECONDS
-    _fixed_loop_us.append(spent)
-    return spent
+    cpu_us = (time.process_time() - started_at) * MICROSECONDS
+    _fixed_loop_us.append(cpu_us)
+    return cpu_us
 
 
-def _least_fixed_loop_us() -> float:
+def _min_fixed_loop_us() -> float:
     return min(_fixed_loop_us)
 
 
@@ -122,7 +122,7 @@
     return size
 
 
-def machine() -> str:
+def describe_machine() -> str:
     """Describe the processor, its present speed at a fixed loop, and the interpreter."""
     model = platform.machine()
     try:
@@ -134,10 +134,10 @@
         pass
     for _ in range(200):
         _time_fixed_loop_us()
-    return f"{model}, Python {sys.version.split()[0]}, fixed loop {_least_fixed_loop_us():.0f} us"
+    return f"{model}, Python {sys.version.split()[0]}, fixed loop {_min_fixed_loop_us():.0f} us"
 
 
-def show(title: str, columns: Sequence[str], rows: Iterable[Sequence[Cell]]) -> None:
+def print_table(title: str, columns: Sequence[str], rows: Iterable[Sequence[Cell]]) -> None:
     """Print a table."""
     texts = [list(columns), *[[_text(cell) for cell in row] for row in rows]]
     widths = [max(len(row[column]) for row in texts) for column in range(len(columns))]
@@ -146,12 +146,12 @@
         print("  " + "  ".join(cell.rjust(width) for cell, width in zip(row, widths, strict=True)))
 
 
-def show_line(what: str, unit: str, by: str, points: Sequence[tuple[float, float]]) -> Line:
+def print_fit(label: str, unit: str, per: str, points: Sequence[tuple[float, float]]) -> FittedLine:
     """Fit a line to some points, print it and return it."""
-    line = fit(points)
+    line = fit_line(points)
     print(
-        f"  {what}: {line.fixed:.4g} + {line.slope:.4g} {unit} per {by} "
-        f"(explains {line.explained:.3f})"
+        f"  {label}: {line.intercept:.4g} + {line.slope:.4g} {unit} per {per} "
+        f"(explains {line.r_squared:.3f})"
     )
     return line
 
--- a/tools/own_days.py
+++ b/tools/own_days.py
@@ -19,11 +19,11 @@
 
 # One fault, as the keys and values of its TOML table.
 Fault = dict[str, object]
-FIRST_AT_S = 3.0
+FIRST_FAULT_AT_S = 3.0
 # No fault begins after this fraction of a day, so that the recovery is a part of the day.
-LAST_FRACTION = 0.8
+LAST_FAULT_FRACTION = 0.8
 # The kinds that a deployment file lists as planned, in place of faults.
-PLANNED = {
+PLANNED_KINDS = {
     "release",
     "roll_term",
     "config_change",
@@ -32,9 +32,9 @@
     "bad_config",
     "revoke",
 }
-PLANNED |= {"replace_core", "seed_turnover", "hup", "scale_out", "scale_in"}
+PLANNED_KINDS |= {"replace_core", "seed_turnover", "hup", "scale_out", "scale_in"}
 
-KINDS: tuple[Fault, ...] = (
+FAULT_KINDS: tuple[Fault, ...] = (
     {"kind": "burst", "x": 1.5, "for_s": 4.0},
     {"kind": "hot_key", "share": 0.3, "for_s": 5.0},
     {"kind": "hot_tenant", "x": 7.0, "for_s": 6.0},
@@ -105,7 +105,7 @@
     {"kind": "node_cut", "share": 0.2, "for_s": 5.0},
     {"kind": "node_cut", "share": 0.2, "for_s": 5.0, "how": "servers"},
 )
-CLOSINGS: tuple[Fault | None, ...] = (
+CLOSING_FAULTS: tuple[Fault | None, ...] = (
     None,
     {"kind": "power_off_all", "down_s": 1.0},
     {"kind": "power_off_all", "down_s": 1.0, "how": "timed"},
@@ -117,21 +117,21 @@
 Scenario = Callable[[random.Random], list[Fault]]
 
 
-def long_cut(draw: random.Random) -> list[Fault]:
+def long_cut(rng: random.Random) -> list[Fault]:
     """A control machine is cut off for twenty seconds, while changes race."""
-    how = draw.choice(("leader lure hard", "lure race", "all race", "one_way meet", "near race"))
+    how = rng.choice(("leader lure hard", "lure race", "all race", "one_way meet", "near race"))
     return [
-        {"kind": "core_cut", "count": 1, "for_s": 20.0, "how": how, "at": draw.uniform(4, 7)},
+        {"kind": "core_cut", "count": 1, "for_s": 20.0, "how": how, "at": rng.uniform(4, 7)},
         {"kind": "config_race", "count": 5, "gap_s": 2.5, "at": 6.0},
         {"kind": "revoke", "count": 2, "gap_s": 5.0, "at": 9.0},
     ]
 
 
-def lost_answers(draw: random.Random) -> list[Fault]:
+def lost_answers(rng: random.Random) -> list[Fault]:
     """Operators race under one generation, and most acknowledgements are lost."""
     return [
-        {"kind": "ack_lost", "for_s": 24.0, "x": draw.choice((0.6, 0.9)), "at": 2.0},
-        {"kind": "config_race", "count": 12, "gap_s": draw.choice((0.3, 0.8, 1.5)), "at": 4.0},
+        {"kind": "ack_lost", "for_s": 24.0, "x": rng.choice((0.6, 0.9)), "at": 2.0},
+        {"kind": "config_race", "count": 12, "gap_s": rng.choice((0.3, 0.8, 1.5)), "at": 4.0},
         {
             "kind": "node_kill",
             "on": "core",
@@ -144,10 +144,10 @@
     ]
 
 
-def loss_after_repair(draw: random.Random) -> list[Fault]:
+def loss_after_repair(rng: random.Random) -> list[Fault]:
     """One machine after the other is replaced, and disks are lost right after."""
-    how = draw.choice(("planned", "oldest", "leader"))
-    gap_s = draw.uniform(5.0, 8.0)
+    how = rng.choice(("planned", "oldest", "leader"))
+    gap_s = rng.uniform(5.0, 8.0)
     return [
         {"kind": "replace_core", "x": 1.0, "how": how, "at": 4.0},
         {"kind": "after_ack_wipe", "for_s": 2.0, "how": "oldest", "at": 4.0 + gap_s},
@@ -156,9 +156,9 @@
     ]
 
 
-def many_changes(draw: random.Random) -> list[Fault]:
+def many_changes(rng: random.Random) -> list[Fault]:
     """Hundreds of changes, then restarts."""
-    down_s = draw.uniform(1, 4)
+    down_s = rng.uniform(1, 4)
     return [
         {"kind": "config_storm", "gap_s": 0.035, "count": 500, "at": 3.0},
         {
@@ -174,14 +174,14 @@
     ]
 
 
-def spoilt_answers(draw: random.Random) -> list[Fault]:
+def spoilt_answers(rng: random.Random) -> list[Fault]:
     """Hosts duplicate, corrupt, lose and truncate their responses."""
-    extra: list[Fault] = [
+    garbled: list[Fault] = [
         {"kind": "garble", "share": 0.7, "x": 0.08, "for_s": 20.0, "how": how, "at": 4.0 + index}
-        for index, how in enumerate(draw.sample(("extra", "unframed", "early"), 2))
+        for index, how in enumerate(rng.sample(("extra", "unframed", "early"), 2))
     ]
     return [
-        *extra,
+        *garbled,
         {"kind": "answer_lost", "share": 0.7, "x": 0.08, "for_s": 20.0, "at": 4.0},
         {"kind": "srv_grey", "share": 0.3, "x": 0.4, "for_s": 8.0, "how": "reset", "at": 8.0},
         {"kind": "give_up", "share": 0.3, "for_s": 12.0, "at": 6.0},
@@ -189,32 +189,32 @@
     ]
 
 
-def losses_that_overlap(draw: random.Random) -> list[Fault]:
+def losses_that_overlap(rng: random.Random) -> list[Fault]:
     """Halves without a majority, a minority that missed changes, and a loss of all power."""
     return [
-        {"kind": "core_cut", "for_s": draw.uniform(3, 6), "how": "split hard", "at": 4.0},
+        {"kind": "core_cut", "for_s": rng.uniform(3, 6), "how": "split hard", "at": 4.0},
         {"kind": "core_cut", "count": 1, "for_s": 3.0, "how": "behind", "at": 13.0},
         {
             "kind": "herd_kill",
             "on": "core",
             "for_s": 1.0,
             "how": "taken all",
-            "at": draw.uniform(17, 21),
+            "at": rng.uniform(17, 21),
         },
         {"kind": "config_race", "count": 8, "gap_s": 2.0, "at": 5.0},
     ]
 
 
-def last_disks(draw: random.Random) -> list[Fault]:
+def last_disks(rng: random.Random) -> list[Fault]:
     """Disks and all power are lost shortly before the end, which may lose disks as well."""
     return [
-        {"kind": "after_ack_wipe", "for_s": 1.5, "how": draw.choice(("", "oldest")), "at": 12.0},
+        {"kind": "after_ack_wipe", "for_s": 1.5, "how": rng.choice(("", "oldest")), "at": 12.0},
         {
             "kind": "herd_kill",
             "on": "core",
             "for_s": 1.0,
             "how": "taken all",
-            "at": 12.0 + draw.random(),
+            "at": 12.0 + rng.random(),
         },
         {"kind": "config_storm", "gap_s": 0.5, "count": 12, "at": 9.0},
         {
@@ -222,7 +222,7 @@
             "on": "core",
             "for_s": 1.0,
             "how": "taken all",
-            "at": draw.uniform(25, 28),
+            "at": rng.uniform(25, 28),
         },
     ]
 
@@ -238,57 +238,59 @@
 )
 
 
-def value_of(value: object) -> str:
+def toml_value(value: object) -> str:
     """Encode a TOML value."""
     if isinstance(value, str):
         return f'"{value}"'
     return f"{value:.2f}" if isinstance(value, float) else str(value)
 
 
-def table_of(fault: Fault) -> str:
+def toml_table(fault: Fault) -> str:
     """Encode a TOML inline table."""
-    return "{ " + ", ".join(f"{key} = {value_of(value)}" for key, value in fault.items()) + " }"
+    return "{ " + ", ".join(f"{key} = {toml_value(value)}" for key, value in fault.items()) + " }"
 
 
-def kind_pairs(draw: random.Random) -> Iterator[tuple[Fault, Fault]]:
+def kind_pairs(rng: random.Random) -> Iterator[tuple[Fault, Fault]]:
     """All pairs of kinds, in an order that has every kind early."""
-    kinds = list(KINDS)
-    draw.shuffle(kinds)
+    kinds = list(FAULT_KINDS)
+    rng.shuffle(kinds)
     for distance in itertools.count(1):
         for index, first in enumerate(kinds):
             yield first, kinds[(index + distance) % len(kinds)]
 
 
-def paired(draw: random.Random, pair: tuple[Fault, Fault], length_s: float) -> list[Fault]:
+def paired_faults(rng: random.Random, pair: tuple[Fault, Fault], length_s: float) -> list[Fault]:
     """Make a day with both kinds twice, overlapping, and with configuration changes."""
-    last = LAST_FRACTION * length_s
-    first_at = draw.uniform(FIRST_AT_S, last / 2)
-    second_at = draw.uniform(last / 2, last)
+    last_at = LAST_FAULT_FRACTION * length_s
+    first_at = rng.uniform(FIRST_FAULT_AT_S, last_at / 2)
+    second_at = rng.uniform(last_at / 2, last_at)
     faults: list[Fault] = []
     for at in (first_at, second_at):
         for fault in pair:
-            faults.append(fault | {"at": round(at + draw.uniform(0, 1.5), 2)})
-    changes = draw.choice(("config_race", "config_storm"))
+            faults.append(fault | {"at": round(at + rng.uniform(0, 1.5), 2)})
+    change_kind = rng.choice(("config_race", "config_storm"))
     faults.append(
-        {"kind": changes, "count": 6, "gap_s": round(draw.uniform(0.5, 3.0), 2), "at": 4.0}
+        {"kind": change_kind, "count": 6, "gap_s": round(rng.uniform(0.5, 3.0), 2), "at": 4.0}
     )
     return faults
 
 
-def day_text(name: str, seed: int, faults: list[Fault], closing: Fault | None) -> str:
+def day_toml(name: str, seed: int, faults: list[Fault], closing: Fault | None) -> str:
     """One day of a deployment file, without its traffic."""
 
-    def listed(name: str, entries: list[Fault]) -> str:
-        return f"{name} = [\n" + "".join(f"  {table_of(entry)},\n" for entry in entries) + "]\n"
+    def toml_array(name: str, entries: list[Fault]) -> str:
+        return f"{name} = [\n" + "".join(f"  {toml_table(entry)},\n" for entry in entries) + "]\n"
 
     lines = ["[[day]]", f'name = "{name}"', 'slot = "trouble"', f"seed = {seed}"]
     if closing is not None:
-        lines.append(f"closing = {table_of(closing)}")
+        lines.append(f"closing = {toml_table(closing)}")
     lines += ["one = 0.8", "zero = 0.3", "goal = { floor = 0.1 }", "labels = []", "wall = 2.0"]
     lines.append("light = true")
     text = "\n".join(lines) + "\n"
-    text += listed("plan", [fault for fault in faults if fault["kind"] in PLANNED])
-    return text + listed("faults", [fault for fault in faults if fault["kind"] not in PLANNED])
+    text += toml_array("plan", [fault for fault in faults if fault["kind"] in PLANNED_KINDS])
+    return text + toml_array(
+        "faults", [fault for fault in faults if fault["kind"] not in PLANNED_KINDS]
+    )
 
 
 def write_days(site: str, out: str, *, days: int = 60, seed: int = 1) -> None:
@@ -301,25 +303,25 @@
     """
     text = Path(site).read_text(encoding="utf-8")
     deployment = tomllib.loads(text)
-    head, _, first_day = text.partition("[[day]]")
+    preamble, _, first_day = text.partition("[[day]]")
     day = first_day.partition("[[day]]")[0]
     traffic = day[day.index("traffic = [") :].partition("\n]\n")[0] + "\n]\n"
-    draw = random.Random(seed)
-    pairs = kind_pairs(draw)
-    written = [head]
+    rng = random.Random(seed)
+    pairs = kind_pairs(rng)
+    sections = [preamble]
     for number in range(1, days + 1):
         index = (number - 1) % (2 * len(SCENARIOS))
         if index < len(SCENARIOS):
             name = SCENARIOS[index].__name__
-            faults = SCENARIOS[index](draw)
+            faults = SCENARIOS[index](rng)
         else:
             pair = next(pairs)
             name = "-".join(str(kind["kind"]) for kind in pair)
-            faults = paired(draw, pair, deployment["length_s"])
-        closing = draw.choice(CLOSINGS)
+            faults = paired_faults(rng, pair, deployment["length_s"])
+        closing = rng.choice(CLOSING_FAULTS)
         title = f"own-{number}-{name.replace('_', '-')}"
-        written.append(day_text(title, draw.randrange(1, 10**9), faults, closing) + traffic + "\n")
-    Path(out).write_text("".join(written), encoding="utf-8")
+        sections.append(day_toml(title, rng.randrange(1, 10**9), faults, closing) + traffic + "\n")
+    Path(out).write_text("".join(sections), encoding="utf-8")
 
 
 if __name__ == "__main__":
--- a/tools/pulls.py
+++ b/tools/pulls.py
@@ -25,10 +25,10 @@
 from roselink.protocol.framing import FrameDecoder, FrameKind, encode_frame
 from roselink.protocol.pull import DeltaPullReply, PullReply, PullRequest
 from tools.exceptions import MeasurementError
-from tools.measure import heap_bytes, machine, processor_us, show, show_line
+from tools.measure import describe_machine, heap_bytes, print_fit, print_table, processor_us
 from tools.synthetic_fleet import (
     make_configuration,
-    make_cores,
+    make_core_addresses,
     make_hosts,
     make_member,
     make_roster,
@@ -38,16 +38,16 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-HOSTS = (60, 600, 3_000, 12_000)
-GATEWAYS = (6, 60, 175, 350)
-CORES = (3, 9, 54)
-PULLS = 500
-CHANGES = 3
+HOST_COUNTS = (60, 600, 3_000, 12_000)
+GATEWAY_COUNTS = (6, 60, 175, 350)
+CORE_SIZES = (3, 9, 54)
+PULL_COUNT = 500
+REPETITIONS = 3
 EPOCH = 1
 
 
 @dataclass(frozen=True, slots=True)
-class QuietPull:
+class UnchangedPull:
     """A pull without changes, at a gateway.
 
     Attributes:
@@ -73,32 +73,32 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HostList:
+class FullListCost:
     """A whole list of hosts, from the tail to the data plane of a gateway; times in microseconds.
 
     Attributes:
         hosts: how many hosts.
-        list_us: to publish the list at the tail.
+        publish_us: to publish the list at the tail.
         encode_us: to encode it for one gateway.
         decode_us: to decode it at a gateway.
-        directory_us: to apply it in the data plane.
-        one_us: to apply it in the data plane when only one host has changed.
+        apply_us: to apply it in the data plane.
+        apply_one_us: to apply it in the data plane when only one host has changed.
         reply_bytes: the size of the reply.
-        memory: bytes on a gateway's heap of the list and of the data plane's directory.
+        gateway_heap_bytes: bytes on a gateway's heap of the list and of the data plane's directory.
     """
 
     hosts: int
-    list_us: float
+    publish_us: float
     encode_us: float
     decode_us: float
-    directory_us: float
-    one_us: float
+    apply_us: float
+    apply_one_us: float
     reply_bytes: int
-    memory: int
+    gateway_heap_bytes: int
 
 
 @dataclass(frozen=True, slots=True)
-class HostDifference:
+class HostDeltaCost:
     """One replaced host, sent as a difference; times in microseconds.
 
     Attributes:
@@ -106,14 +106,14 @@
         tail_us: at the tail, for each gateway after the first.
         gateway_us: at a gateway, up to its new list.
         reply_bytes: the size of the reply.
-        list_again_us: at the tail, for the whole list instead, for each gateway after the first.
+        full_list_us: at the tail, for the whole list instead, for each gateway after the first.
     """
 
     hosts: int
     tail_us: float
     gateway_us: float
     reply_bytes: int
-    list_again_us: float
+    full_list_us: float
 
 
 def _reply(
@@ -130,48 +130,48 @@
         configuration=None,
         hosts=hosts,
         roster=roster,
-        cores=make_cores(cores),
+        cores=make_core_addresses(cores),
     )
 
 
-def quiet_pull(cores: int, pulls: int) -> QuietPull:
+def unchanged_pull(cores: int, pulls: int) -> UnchangedPull:
     """Measure a gateway's pulls from a core without changes."""
-    puller = PullStateMachine(make_member(1), [("10.2.0.1", 7500)], random.Random(1))
+    pull_state = PullStateMachine(make_member(1), [("10.2.0.1", 7500)], random.Random(1))
     vector = VersionVector(1, EPOCH << 32 | 1, EPOCH << 32 | 1)
     reply = encode_frame(FrameKind.REPLY, 1, _reply(vector, cores))
     pull_bytes = len(
         encode_frame(FrameKind.CALL, 1, PullRequest(make_member(1), vector, serving=True))
     )
-    reader = FrameDecoder()
+    decoder = FrameDecoder()
     now = 0.0
 
     def pull() -> None:
         nonlocal now
-        now = max(now + PULL_INTERVAL_S, puller.due_at)
-        for effect in puller.wake(now):
+        now = max(now + PULL_INTERVAL_S, pull_state.due_at)
+        for effect in pull_state.wake(now):
             if isinstance(effect, SendPull):
                 encode_frame(FrameKind.CALL, effect.call, effect.pull)
-                for _, _, decoded in reader.feed(reply):
-                    puller.reply_received(effect.call, decoded, now + 0.003)
+                for _, _, decoded in decoder.feed(reply):
+                    pull_state.reply_received(effect.call, decoded, now + 0.003)
 
-    return QuietPull(cores, processor_us(pull, pulls), pull_bytes, len(reply))
+    return UnchangedPull(cores, processor_us(pull, pulls), pull_bytes, len(reply))
 
 
 def tail_pull(gateways: int, cores: int, pulls: int) -> TailPull:
     """Measure the tail with so many gateways, each of which has pulled lately."""
     pull_server = PullServer()
-    pull_server.view_changed(0.0, EPOCH, None, make_cores(cores), is_tail=True)
+    pull_server.view_changed(0.0, EPOCH, None, make_core_addresses(cores), is_tail=True)
     members = make_roster(gateways)
     confirmation = Confirmation(EPOCH, 1, b"", 1)
     now = 1.0
     number = 0
     interval_s = PULL_INTERVAL_S / gateways
 
-    def pull_of(member: Member) -> PullReply | None:
+    def handle_pull(member: Member) -> PullReply | None:
         nonlocal number
         number += 1
-        held = VersionVector(1, pull_server.versions.hosts, pull_server.versions.roster)
-        data = encode_frame(FrameKind.CALL, number, PullRequest(member, held, serving=True))
+        known_vector = VersionVector(1, pull_server.versions.hosts, pull_server.versions.roster)
+        data = encode_frame(FrameKind.CALL, number, PullRequest(member, known_vector, serving=True))
         for _, _, message in FrameDecoder().feed(data):
             pull_server.pull_received(now, number, message)
         for effect in pull_server.confirmation_received(now, number, confirmation):
@@ -181,12 +181,12 @@
         return None
 
     for member in members * 2:
-        pull_of(member)
+        handle_pull(member)
 
     def pull() -> None:
         nonlocal now
         now += interval_s
-        pull_of(members[number % gateways])
+        handle_pull(members[number % gateways])
 
     tail_us = processor_us(pull, pulls)
     vector = VersionVector(1, 1, pull_server.versions.roster)
@@ -194,33 +194,35 @@
     return TailPull(gateways, tail_us, len(roster))
 
 
-def host_list(count: int, cores: int, times: int) -> HostList:
+def full_list_cost(count: int, cores: int, repetitions: int) -> FullListCost:
     """Measure a changed list of so many hosts."""
     hosts = make_hosts(count)
     pull_server = PullServer()
-    pull_server.view_changed(0.0, EPOCH, None, make_cores(cores), is_tail=True)
+    pull_server.view_changed(0.0, EPOCH, None, make_core_addresses(cores), is_tail=True)
     reply = _reply(VersionVector(1, 1, 1), cores, hosts=hosts)
     data = encode_frame(FrameKind.REPLY, 1, reply)
     loop = asyncio.new_event_loop()
     try:
-        directory_us = processor_us(_Directory(loop, hosts, make_hosts(count)), times)
-        one_us = processor_us(_Directory(loop, hosts, replace_host(hosts, 0, 1)), times)
-        memory = heap_bytes(lambda: _received(loop, data))
+        apply_us = processor_us(_DirectoryUpdate(loop, hosts, make_hosts(count)), repetitions)
+        apply_one_us = processor_us(
+            _DirectoryUpdate(loop, hosts, replace_host(hosts, 0, 1)), repetitions
+        )
+        gateway_heap_bytes = heap_bytes(lambda: _directory_from_frame(loop, data))
     finally:
         loop.close()
-    return HostList(
+    return FullListCost(
         count,
-        processor_us(lambda: pull_server.hosts_listed(1.0, EPOCH, hosts), times),
-        processor_us(lambda: encode_frame(FrameKind.REPLY, 1, reply), times),
-        processor_us(lambda: FrameDecoder().feed(data), times),
-        directory_us,
-        one_us,
+        processor_us(lambda: pull_server.hosts_listed(1.0, EPOCH, hosts), repetitions),
+        processor_us(lambda: encode_frame(FrameKind.REPLY, 1, reply), repetitions),
+        processor_us(lambda: FrameDecoder().feed(data), repetitions),
+        apply_us,
+        apply_one_us,
         len(data),
-        memory,
+        gateway_heap_bytes,
     )
 
 
-def host_difference(count: int, times: int) -> HostDifference:
+def host_delta_cost(count: int, repetitions: int) -> HostDeltaCost:
     """Measure a list of so many hosts, of which one is replaced.
 
     Raises:
@@ -229,38 +231,38 @@
     hosts = make_hosts(count)
     members = make_roster(1)
     pull_server = PullServer()
-    pull_server.view_changed(0.0, EPOCH, None, make_cores(MAX_VOTERS), is_tail=True)
+    pull_server.view_changed(0.0, EPOCH, None, make_core_addresses(MAX_VOTERS), is_tail=True)
     pull_server.hosts_listed(0.0, EPOCH, hosts)
-    held = VersionVector(1, pull_server.versions.hosts, 0)
+    known_vector = VersionVector(1, pull_server.versions.hosts, 0)
     pull_server.hosts_listed(0.0, EPOCH, replace_host(hosts, 0, 1))
     confirmation = Confirmation(EPOCH, 1, b"", 1)
 
-    def reply_to(vector: VersionVector) -> bytes:
+    def reply_frame_to(vector: VersionVector) -> bytes:
         pull_server.pull_received(0.0, 1, PullRequest(members[0], vector, serving=True), delta=True)
         for effect in pull_server.confirmation_received(0.0, 1, confirmation):
             if isinstance(effect, SendDeltaReply):
                 return encode_frame(FrameKind.REPLY, 1, effect.reply)
         raise MeasurementError("reply", None)
 
-    data = reply_to(held)
+    data = reply_frame_to(known_vector)
     reply: DeltaPullReply = FrameDecoder().feed(data)[0][2]
     if reply.host_changes is None:
         raise MeasurementError("difference", reply)
 
-    def apply() -> None:
+    def apply_delta() -> None:
         FrameDecoder().feed(data)
-        expand_reply(reply, held.hosts, hosts)
+        expand_reply(reply, known_vector.hosts, hosts)
 
-    return HostDifference(
+    return HostDeltaCost(
         count,
-        processor_us(lambda: reply_to(held), times),
-        processor_us(apply, times),
+        processor_us(lambda: reply_frame_to(known_vector), repetitions),
+        processor_us(apply_delta, repetitions),
         len(data),
-        processor_us(lambda: reply_to(VersionVector()), times),
+        processor_us(lambda: reply_frame_to(VersionVector()), repetitions),
     )
 
 
-class _Directory:
+class _DirectoryUpdate:
     """The data plane's directory of hosts, to which two lists are applied in turn."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, *lists: tuple[Host, ...]) -> None:
@@ -275,35 +277,41 @@
         self._directory.update(next(self._snapshots))
 
 
-def _received(loop: asyncio.AbstractEventLoop, data: bytes) -> _Directory:
+def _directory_from_frame(loop: asyncio.AbstractEventLoop, data: bytes) -> _DirectoryUpdate:
     reply = FrameDecoder().feed(data)[0][2]
-    return _Directory(loop, reply.hosts)
+    return _DirectoryUpdate(loop, reply.hosts)
 
 
 def main(
-    sizes: Sequence[int] = HOSTS,
-    gateways: Sequence[int] = GATEWAYS,
-    cores: Sequence[int] = CORES,
-    pulls: int = PULLS,
-    changes: int = CHANGES,
+    sizes: Sequence[int] = HOST_COUNTS,
+    gateways: Sequence[int] = GATEWAY_COUNTS,
+    cores: Sequence[int] = CORE_SIZES,
+    pulls: int = PULL_COUNT,
+    repetitions: int = REPETITIONS,
 ) -> None:
     """Measure and print."""
-    print(machine())
-    quiet = [quiet_pull(count, pulls) for count in cores]
+    print(describe_machine())
+    unchanged = [unchanged_pull(count, pulls) for count in cores]
     columns: tuple[str, ...] = ("core members", "gateway us", "pull bytes", "reply bytes")
-    show(
+    print_table(
         "A pull that brings nothing",
         columns,
-        [(q.cores, q.gateway_us, q.pull_bytes, q.reply_bytes) for q in quiet],
+        [(cost.cores, cost.gateway_us, cost.pull_bytes, cost.reply_bytes) for cost in unchanged],
+    )
+    print_fit("gateway", "us", "core member", [(cost.cores, cost.gateway_us) for cost in unchanged])
+    print_fit(
+        "reply", "bytes", "core member", [(cost.cores, cost.reply_bytes) for cost in unchanged]
     )
-    show_line("gateway", "us", "core member", [(q.cores, q.gateway_us) for q in quiet])
-    show_line("reply", "bytes", "core member", [(q.cores, q.reply_bytes) for q in quiet])
     tails = [tail_pull(count, MAX_VOTERS, pulls) for count in gateways]
     columns = ("gateways", "tail us", "reply bytes with roster")
-    show("A pull at the tail", columns, [(d.gateways, d.tail_us, d.roster_bytes) for d in tails])
-    show_line("tail", "us", "gateway", [(d.gateways, d.tail_us) for d in tails])
-    show_line("roster", "bytes", "gateway", [(d.gateways, d.roster_bytes) for d in tails])
-    lists = [host_list(count, MAX_VOTERS, changes) for count in sizes]
+    print_table(
+        "A pull at the tail",
+        columns,
+        [(cost.gateways, cost.tail_us, cost.roster_bytes) for cost in tails],
+    )
+    print_fit("tail", "us", "gateway", [(cost.gateways, cost.tail_us) for cost in tails])
+    print_fit("roster", "bytes", "gateway", [(cost.gateways, cost.roster_bytes) for cost in tails])
+    lists = [full_list_cost(count, MAX_VOTERS, repetitions) for count in sizes]
     columns = (
         "hosts",
         "tail lists us",
@@ -314,40 +322,60 @@
         "reply bytes",
         "heap bytes",
     )
-    show(
+    print_table(
         "A changed list of hosts",
         columns,
         [
             (
-                h.hosts,
-                h.list_us,
-                h.encode_us,
-                h.decode_us,
-                h.directory_us,
-                h.one_us,
-                h.reply_bytes,
-                h.memory,
+                cost.hosts,
+                cost.publish_us,
+                cost.encode_us,
+                cost.decode_us,
+                cost.apply_us,
+                cost.apply_one_us,
+                cost.reply_bytes,
+                cost.gateway_heap_bytes,
             )
-            for h in lists
+            for cost in lists
         ],
     )
-    show_line("listed at the tail", "us", "host", [(h.hosts, h.list_us) for h in lists])
-    show_line("encoded at the tail", "us", "host", [(h.hosts, h.encode_us) for h in lists])
-    show_line("decoded at a gateway", "us", "host", [(h.hosts, h.decode_us) for h in lists])
-    show_line("taken by the data plane", "us", "host", [(h.hosts, h.directory_us) for h in lists])
-    show_line("taken but for one", "us", "host", [(h.hosts, h.one_us) for h in lists])
-    show_line("reply", "bytes", "host", [(h.hosts, h.reply_bytes) for h in lists])
-    show_line("list and directory", "bytes", "host", [(h.hosts, h.memory) for h in lists])
-    ones = [host_difference(count, changes) for count in sizes]
+    print_fit("listed at the tail", "us", "host", [(cost.hosts, cost.publish_us) for cost in lists])
+    print_fit("encoded at the tail", "us", "host", [(cost.hosts, cost.encode_us) for cost in lists])
+    print_fit(
+        "decoded at a gateway", "us", "host", [(cost.hosts, cost.decode_us) for cost in lists]
+    )
+    print_fit(
+        "taken by the data plane", "us", "host", [(cost.hosts, cost.apply_us) for cost in lists]
+    )
+    print_fit(
+        "taken but for one", "us", "host", [(cost.hosts, cost.apply_one_us) for cost in lists]
+    )
+    print_fit("reply", "bytes", "host", [(cost.hosts, cost.reply_bytes) for cost in lists])
+    print_fit(
+        "list and directory",
+        "bytes",
+        "host",
+        [(cost.hosts, cost.gateway_heap_bytes) for cost in lists],
+    )
+    deltas = [host_delta_cost(count, repetitions) for count in sizes]
     columns = ("hosts", "tail us", "gateway us", "reply bytes", "whole list again us")
-    show(
+    print_table(
         "One host replaced, sent as what changed",
         columns,
-        [(o.hosts, o.tail_us, o.gateway_us, o.reply_bytes, o.list_again_us) for o in ones],
+        [
+            (cost.hosts, cost.tail_us, cost.gateway_us, cost.reply_bytes, cost.full_list_us)
+            for cost in deltas
+        ],
+    )
+    print_fit(
+        "difference at the tail", "us", "host", [(cost.hosts, cost.tail_us) for cost in deltas]
+    )
+    print_fit(
+        "difference at a gateway", "us", "host", [(cost.hosts, cost.gateway_us) for cost in deltas]
+    )
+    print_fit(
+        "whole list again", "us", "host", [(cost.hosts, cost.full_list_us) for cost in deltas]
     )
-    show_line("difference at the tail", "us", "host", [(o.hosts, o.tail_us) for o in ones])
-    show_line("difference at a gateway", "us", "host", [(o.hosts, o.gateway_us) for o in ones])
-    show_line("whole list again", "us", "host", [(o.hosts, o.list_again_us) for o in ones])
 
 
 if __name__ == "__main__":
--- a/tools/quota_requests.py
+++ b/tools/quota_requests.py
@@ -18,7 +18,7 @@
 from roselink.budgets.usage import QuotaLimit, QuotaRule
 from roselink.protocol.budgets import QuotaReply, QuotaRequest, ReplyStatus
 from roselink.protocol.framing import FrameDecoder, FrameKind, encode_frame
-from tools.measure import MICROSECONDS, machine, processor_us, show, show_line
+from tools.measure import MICROSECONDS, describe_machine, print_fit, print_table, processor_us
 from tools.synthetic_fleet import make_member, make_roster
 
 if TYPE_CHECKING:
@@ -27,16 +27,16 @@
 RULE = QuotaRule(8.0, 0.1, 110_000.0)
 LIMIT = QuotaLimit(120_000.0, 120_000.0)
 AMOUNT = 1_890.0
-REQUESTERS = (6, 60, 175, 350)
-TENANTS = (5, 50, 200)
-GATEWAYS = (6, 60, 175, 350)
+REQUESTER_COUNTS = (6, 60, 175, 350)
+TENANT_COUNTS = (5, 50, 200)
+GATEWAY_COUNTS = (6, 60, 175, 350)
 # Requests at one gateway: 10,000 over 350 gateways.
-RATE_PER_S = 28.6
+REQUEST_RATE_PER_S = 28.6
 # The simulated time of a measurement, in seconds.
-SPAN_S = 10.0
+DURATION_S = 10.0
 # From a quota request to its reply, in seconds.
 ROUND_TRIP_S = 0.004
-QUOTA_REQUESTS = 500
+QUOTA_REQUEST_COUNT = 500
 # Between two requests of one requester to an owner, in seconds.
 REQUEST_INTERVAL_S = 0.4
 
@@ -82,14 +82,14 @@
     owner = QuotaOwner(RULE, 1)
     owner.configure({"t": LIMIT}, 0.0)
     owner.set_owned(["t"], (), 0.0)
-    names = itertools.cycle([make_member(number).name for number in range(requesters)])
+    requester_names = itertools.cycle([make_member(number).name for number in range(requesters)])
     now = 1.0
 
-    def make() -> QuotaRequest:
+    def make_request() -> QuotaRequest:
         return QuotaRequest(
             tenant="t",
             fencing_token=1,
-            requester=next(names),
+            requester=next(requester_names),
             incarnation=1,
             amounts=(AMOUNT,),
             lease_wanted=0.0,
@@ -102,17 +102,20 @@
 
     for number in range(requesters):
         owner.decide(
-            replace(make(), requester=make_member(number).name, amounts=(), usage_report=()), now
+            replace(
+                make_request(), requester=make_member(number).name, amounts=(), usage_report=()
+            ),
+            now,
         )
 
     def decide() -> QuotaReply:
         nonlocal now
         now += REQUEST_INTERVAL_S / requesters
-        return owner.decide(make(), now)
+        return owner.decide(make_request(), now)
 
-    make_us = processor_us(make, requests)
-    decide_us = processor_us(decide, requests) - make_us
-    request_frame = encode_frame(FrameKind.CALL, 1, make())
+    make_request_us = processor_us(make_request, requests)
+    decide_us = processor_us(decide, requests) - make_request_us
+    request_frame = encode_frame(FrameKind.CALL, 1, make_request())
     reply_frame = encode_frame(FrameKind.REPLY, 1, decide())
     reply = QuotaReply(ReplyStatus.DECIDED, 1, (True,), 0.0, 0.0, 0.5, 7, 1000.0)
     codec_us = processor_us(
@@ -122,7 +125,7 @@
     return OwnerCost(requesters, decide_us, codec_us, len(request_frame), len(reply_frame))
 
 
-class Gateway:
+class SimulatedGateway:
     """One gateway's quota client in simulated time.
 
     Attributes:
@@ -135,8 +138,8 @@
         ownership = OwnershipView(make_member(0))
         ownership.update(1, make_roster(gateways))
         self.client = QuotaClient(ownership, RULE)
-        self.names = [f"tenant{number}" for number in range(tenants)]
-        self.client.configure(dict.fromkeys(self.names, LIMIT))
+        self.tenant_names = [f"tenant{number}" for number in range(tenants)]
+        self.client.configure(dict.fromkeys(self.tenant_names, LIMIT))
         self.now = 0.0
         self.quota_requests = 0
         self._number = 0
@@ -148,17 +151,17 @@
         arrival = self.now + self._random.expovariate(rate_per_s)
         while True:
             reply_at = self._replies[0][0] if self._replies else float("inf")
-            at = min(arrival, reply_at, self.client.next_wake_at(self.now))
-            if at >= until:
+            event_at = min(arrival, reply_at, self.client.next_wake_at(self.now))
+            if event_at >= until:
                 self.now = until
                 return
-            self.now = max(self.now, at)
-            if reply_at <= at:
+            self.now = max(self.now, event_at)
+            if reply_at <= event_at:
                 _, call, reply = self._replies.pop(0)
                 self._perform(self.client.handle_reply(call, reply, self.now))
-            elif arrival <= at:
+            elif arrival <= event_at:
                 self._number += 1
-                tenant = self._random.choice(self.names)
+                tenant = self._random.choice(self.tenant_names)
                 self._perform(self.client.admit(self._number, tenant, AMOUNT, self.now))
                 arrival = self.now + self._random.expovariate(rate_per_s)
             else:
@@ -173,20 +176,23 @@
                 self._replies.append((self.now + ROUND_TRIP_S, effect.call, reply))
 
 
-def client_cost(tenants: int, span_s: float) -> ClientCost:
+def client_cost(tenants: int, duration_s: float) -> ClientCost:
     """Measure a gateway with its usual requests."""
-    gateway = Gateway(tenants)
-    gateway.run(RULE.window_s, RATE_PER_S)
+    gateway = SimulatedGateway(tenants)
+    gateway.run(RULE.window_s, REQUEST_RATE_PER_S)
     before = gateway.quota_requests
-    began = gateway.now
-    spent_us = processor_us(lambda: gateway.run(gateway.now + span_s, RATE_PER_S), 1)
-    requests = (gateway.quota_requests - before) * span_s / (gateway.now - began)
+    started_at = gateway.now
+    cpu_us = processor_us(lambda: gateway.run(gateway.now + duration_s, REQUEST_RATE_PER_S), 1)
+    requests = (gateway.quota_requests - before) * duration_s / (gateway.now - started_at)
     return ClientCost(
-        tenants, requests / span_s, spent_us / max(1, requests), spent_us / MICROSECONDS / span_s
+        tenants,
+        requests / duration_s,
+        cpu_us / max(1, requests),
+        cpu_us / MICROSECONDS / duration_s,
     )
 
 
-def roster_cost(gateways: int, tenants: int) -> float:
+def roster_cost_us(gateways: int, tenants: int) -> float:
     """Measure how long it takes to find all tenants' owners under a new roster, in microseconds."""
     roster = make_roster(gateways)
     token = itertools.count(1)
@@ -202,30 +208,34 @@
 
 
 def main(
-    requesters: Sequence[int] = REQUESTERS,
-    tenants: Sequence[int] = TENANTS,
-    gateways: Sequence[int] = GATEWAYS,
-    requests: int = QUOTA_REQUESTS,
-    span_s: float = SPAN_S,
+    requesters: Sequence[int] = REQUESTER_COUNTS,
+    tenants: Sequence[int] = TENANT_COUNTS,
+    gateways: Sequence[int] = GATEWAY_COUNTS,
+    requests: int = QUOTA_REQUEST_COUNT,
+    duration_s: float = DURATION_S,
 ) -> None:
     """Measure and print."""
-    print(machine())
+    print(describe_machine())
     owners = [owner_cost(count, requests) for count in requesters]
     columns = ("askers", "decide us", "read and answer us", "ask bytes", "answer bytes")
-    rows = [(o.requesters, o.decide_us, o.codec_us, o.request_bytes, o.reply_bytes) for o in owners]
-    show("One ask at its owner", columns, rows)
-    show_line("decision", "us", "asker", [(o.requesters, o.decide_us) for o in owners])
-    clients = [client_cost(count, span_s) for count in tenants]
-    names = ("tenants", "asks a s", "us an ask", "part of a core")
-    per_cent = [
-        (c.tenants, c.requests_per_s, c.request_us, f"{c.busy_fraction:.4f}") for c in clients
+    rows = [
+        (cost.requesters, cost.decide_us, cost.codec_us, cost.request_bytes, cost.reply_bytes)
+        for cost in owners
     ]
-    show(f"One gateway with {RATE_PER_S} requests a s", names, per_cent)
-    show_line("asks", "a s", "tenant", [(c.tenants, c.requests_per_s) for c in clients])
-    show_line("an ask", "us", "tenant", [(c.tenants, c.request_us) for c in clients])
-    moves = [(count, roster_cost(count, tenants[-1])) for count in gateways]
-    show(f"A new roster, {tenants[-1]} tenants", ("gateways", "us"), moves)
-    show_line("new roster", "us", "gateway", moves)
+    print_table("One ask at its owner", columns, rows)
+    print_fit("decision", "us", "asker", [(cost.requesters, cost.decide_us) for cost in owners])
+    clients = [client_cost(count, duration_s) for count in tenants]
+    client_columns = ("tenants", "asks a s", "us an ask", "part of a core")
+    client_rows = [
+        (cost.tenants, cost.requests_per_s, cost.request_us, f"{cost.busy_fraction:.4f}")
+        for cost in clients
+    ]
+    print_table(f"One gateway with {REQUEST_RATE_PER_S} requests a s", client_columns, client_rows)
+    print_fit("asks", "a s", "tenant", [(cost.tenants, cost.requests_per_s) for cost in clients])
+    print_fit("an ask", "us", "tenant", [(cost.tenants, cost.request_us) for cost in clients])
+    roster_costs = [(count, roster_cost_us(count, tenants[-1])) for count in gateways]
+    print_table(f"A new roster, {tenants[-1]} tenants", ("gateways", "us"), roster_costs)
+    print_fit("new roster", "us", "gateway", roster_costs)
 
 
 if __name__ == "__main__":
--- a/tools/synthetic_fleet.py
+++ b/tools/synthetic_fleet.py
@@ -7,8 +7,8 @@
 from roselink.model.configuration import Configuration
 from roselink.model.fleet import Host, HostState, Member
 
-MODELS = 4
-ZONES = 13
+MODEL_COUNT = 4
+ZONE_COUNT = 13
 
 
 def service_name(number: int) -> str:
@@ -16,13 +16,13 @@
     return f"model-{number}"
 
 
-def make_host(number: int, start: int = 0) -> Host:
-    """Make one model host; another `start` is another incarnation at the same address."""
+def make_host(number: int, incarnation: int = 0) -> Host:
+    """Make one model host; another `incarnation` is another incarnation at the same address."""
     return Host(
-        id=f"i-{number:06x}{start:04x}9c41",
-        service=service_name(number % MODELS),
+        id=f"i-{number:06x}{incarnation:04x}9c41",
+        service=service_name(number % MODEL_COUNT),
         address=f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}:8000",
-        zone=f"zone-{number % ZONES:02}",
+        zone=f"zone-{number % ZONE_COUNT:02}",
         generation="v12",
         capacity=64,
         state=HostState.READY,
@@ -36,15 +36,15 @@
     return tuple(make_host(number) for number in range(count))
 
 
-def replace_host(hosts: tuple[Host, ...], index: int, start: int) -> tuple[Host, ...]:
+def replace_host(hosts: tuple[Host, ...], index: int, incarnation: int) -> tuple[Host, ...]:
     """The list with one host replaced by its next incarnation."""
-    return (*hosts[:index], make_host(index, start), *hosts[index + 1 :])
+    return (*hosts[:index], make_host(index, incarnation), *hosts[index + 1 :])
 
 
 def make_member(number: int) -> Member:
     """One gateway."""
     return Member(
-        f"edge-zone-{number % ZONES:02}-{number}",
+        f"edge-zone-{number % ZONE_COUNT:02}-{number}",
         f"10.1.{number >> 8}.{number & 255}:7500",
         7**17 + number,
     )
@@ -57,7 +57,7 @@
     )
 
 
-def make_cores(count: int) -> tuple[str, ...]:
+def make_core_addresses(count: int) -> tuple[str, ...]:
     """Peer addresses of the core."""
     return tuple(f"10.2.{number >> 8}.{number & 255}:7500" for number in range(count))
 
@@ -81,7 +81,7 @@
                     "models": [{"name": "m"}],
                 },
             }
-            for number in range(MODELS)
+            for number in range(MODEL_COUNT)
         ],
         "limits": {
             "max_header_bytes": 16384,
@@ -108,8 +108,8 @@
         "target_latency_ms": 1200,
         "priority": number % 3,
         "traffic_split": [
-            {"service": service_name(number % MODELS), "weight": 90},
-            {"service": service_name((number + 1) % MODELS), "weight": 10},
+            {"service": service_name(number % MODEL_COUNT), "weight": 90},
+            {"service": service_name((number + 1) % MODEL_COUNT), "weight": 10},
         ],
         "max_attempts": 2,
         "public": False,
