--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -15,35 +15,37 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-LIST = ROOT / "KNOWN-RED.txt"
-FIELDS = 3
+LIST_PATH = ROOT / "KNOWN-RED.txt"
+FIELD_COUNT = 3
 
 
-def read(text: str) -> list[str]:
+def parse_list(text: str) -> list[str]:
     """The tests that the file names; raises ValueError for a line that isn't whole."""
     tests = []
     for line in filter(None, map(str.strip, text.splitlines())):
-        fields = [field.strip() for field in line.rsplit(", ", FIELDS - 1)]
-        if len(fields) < FIELDS or not all(fields):
+        fields = [field.strip() for field in line.rsplit(", ", FIELD_COUNT - 1)]
+        if len(fields) < FIELD_COUNT or not all(fields):
             message = f"needs test, cause, issue: {line!r}"
             raise ValueError(message)
         tests.append(line.split(", ", 1)[0].strip())
     return tests
 
 
-def faults(tests: list[str], collected: list[str]) -> list[str]:
+def entry_errors(tests: list[str], collected: list[str]) -> list[str]:
     """What keeps these from standing for just these tests."""
-    found = []
+    errors = []
     for test in tests:
-        matches = [one for one in collected if one.startswith(test)]
-        others = [one for one in matches if one != test and not one.startswith(f"{test}[")]
+        matches = [test_id for test_id in collected if test_id.startswith(test)]
+        others = [
+            test_id for test_id in matches if test_id != test and not test_id.startswith(f"{test}[")
+        ]
         if not matches:
-            found.append(f"there is no test {test}")
-        found += [f"{test} would take {other} along" for other in others]
-    return found
+            errors.append(f"there is no test {test}")
+        errors += [f"{test} would take {other} along" for other in others]
+    return errors
 
 
-def collect() -> list[str]:
+def collect_test_ids() -> list[str]:
     """The ids of all tests."""
     command = [
         sys.executable,
@@ -51,27 +53,27 @@
         "pytest",
         "--collect-only",
     ]  # the project's own options make it one id a line
-    variables = {name: value for name, value in os.environ.items() if name != "PYTEST_ADDOPTS"}
-    run = subprocess.run(
-        command, cwd=ROOT, env=variables, capture_output=True, text=True, check=True
+    environment = {name: value for name, value in os.environ.items() if name != "PYTEST_ADDOPTS"}
+    completed = subprocess.run(
+        command, cwd=ROOT, env=environment, capture_output=True, text=True, check=True
     )
-    return [line for line in run.stdout.splitlines() if "::" in line]
+    return [line for line in completed.stdout.splitlines() if "::" in line]
 
 
 def main() -> int:
     """Print the options; the exit status."""
-    if not LIST.exists():
+    if not LIST_PATH.exists():
         return 0
-    text = LIST.read_text()
+    text = LIST_PATH.read_text()
     try:
-        tests = read(text)
+        tests = parse_list(text)
     except ValueError as error:
-        sys.stderr.write(f"{LIST.name}: {error}\n")
+        sys.stderr.write(f"{LIST_PATH.name}: {error}\n")
         return 1
-    if found := faults(tests, collect()) if tests else []:
-        sys.stderr.writelines(f"{LIST.name}: {fault}\n" for fault in found)
+    if errors := entry_errors(tests, collect_test_ids()) if tests else []:
+        sys.stderr.writelines(f"{LIST_PATH.name}: {message}\n" for message in errors)
         return 1
-    sys.stderr.write(f"{LIST.name}: these fail for known faults and are passed over:\n{text}")
+    sys.stderr.write(f"{LIST_PATH.name}: these fail for known faults and are passed over:\n{text}")
     sys.stdout.write(" ".join(shlex.quote(f"--deselect={test}") for test in tests))
     return 0
 
--- a/tests/mutations/__main__.py
+++ b/tests/mutations/__main__.py
@@ -34,14 +34,16 @@
     :param only: take those whose name or file has this text
     :param conditions: take all conditions of this package in place of the tables
     """
-    listed = MUTATIONS if conditions is None else conditions_of(conditions)
-    chosen = [each for each in listed if only in each.name or only in each.file]
+    available = MUTATIONS if conditions is None else conditions_of(conditions)
+    selected = [
+        mutation for mutation in available if only in mutation.name or only in mutation.file
+    ]
     if drawn is not None:
-        chosen = random.Random(seed).sample(chosen, min(drawn, len(chosen)))
-    began = time.monotonic()
+        selected = random.Random(seed).sample(selected, min(drawn, len(selected)))
+    started_at = time.monotonic()
     survivors = []
     with ThreadPoolExecutor(jobs) as pool:
-        for result in pool.map(run_tests, chosen):
+        for result in pool.map(run_tests, selected):
             if not result.caught:
                 survivors.append(result.mutation)
                 print(
@@ -49,7 +51,10 @@
                     f"{result.mutation.file}: {result.mutation.name}",
                     flush=True,
                 )
-    print(f"{len(chosen)} removed, {len(survivors)} not caught, {time.monotonic() - began:.0f} s")
+    print(
+        f"{len(selected)} removed, {len(survivors)} not caught, "
+        f"{time.monotonic() - started_at:.0f} s"
+    )
     return 1 if survivors else 0
 
 
--- a/tests/mutations/conditions.py
+++ b/tests/mutations/conditions.py
@@ -17,7 +17,7 @@
     from collections.abc import Iterator
 
 # The tests of each package, the fast ones first: a run ends with the first failure.
-TESTS = {
+TESTS_BY_PACKAGE = {
     "coordination": (
         "tests/coordination",
         "tests/simulation/test_scenarios.py",
@@ -33,30 +33,30 @@
     """The conditions of one package of roselink, in the order of its files.
 
     Raises:
-        KeyError: `TESTS` does not name the package.
+        KeyError: `TESTS_BY_PACKAGE` does not name the package.
     """
-    tests = TESTS[package]
+    tests = TESTS_BY_PACKAGE[package]
     paths = sorted((ROOT / "roselink" / package).glob("*.py"))
     return [
-        Mutation(f"{path.name}:{name}", f"{package}/{path.name}", text, instead, tests)
+        Mutation(f"{path.name}:{name}", f"{package}/{path.name}", text, replacement, tests)
         for path in paths
         for text in [path.read_text(encoding="utf-8")]
-        for name, instead in _edits(text)
+        for name, replacement in _removals(text)
     ]
 
 
-def _edits(text: str) -> Iterator[tuple[str, str]]:
+def _removals(text: str) -> Iterator[tuple[str, str]]:
     """The line with what is left out, and the whole text without it."""
     for node in ast.walk(ast.parse(text)):
         if isinstance(node, ast.BoolOp):
             for operand in node.values:
-                rest = [ast.unparse(each) for each in node.values if each is not operand]
+                remaining = [ast.unparse(other) for other in node.values if other is not operand]
                 joined = f" {'and' if isinstance(node.op, ast.And) else 'or'} ".join(
-                    f"({each})" for each in rest
+                    f"({other})" for other in remaining
                 )
-                yield _edit(text, node, f"({joined})", ast.unparse(operand))
+                yield _replace_expression(text, node, f"({joined})", ast.unparse(operand))
         elif isinstance(node, ast.If | ast.IfExp) and _is_simple(node.test):
-            yield _edit(text, node.test, "False", ast.unparse(node.test))
+            yield _replace_expression(text, node.test, "False", ast.unparse(node.test))
 
 
 def _is_simple(test: ast.expr) -> bool:
@@ -64,11 +64,13 @@
     return not isinstance(test, ast.BoolOp) and ast.unparse(test) != "TYPE_CHECKING"
 
 
-def _edit(text: str, node: ast.expr, instead: str, left_out: str) -> tuple[str, str]:
+def _replace_expression(
+    text: str, node: ast.expr, replacement: str, removed_source: str
+) -> tuple[str, str]:
     lines = text.encode().splitlines(keepends=True)
     assert node.end_lineno is not None
     start = sum(map(len, lines[: node.lineno - 1])) + node.col_offset
     end = sum(map(len, lines[: node.end_lineno - 1])) + (node.end_col_offset or 0)
-    whole = text.encode()
-    changed = whole[:start] + instead.encode() + whole[end:]
-    return f"{node.lineno} without {left_out}", changed.decode()
+    encoded = text.encode()
+    changed = encoded[:start] + replacement.encode() + encoded[end:]
+    return f"{node.lineno} without {removed_source}", changed.decode()
--- a/tests/mutations/mutation.py
+++ b/tests/mutations/mutation.py
@@ -31,14 +31,14 @@
         name: what goes wrong without the guard.
         file: the file that has the guard, below `roselink`.
         guard: the guard's text, which stands once in the file.
-        instead: the text that takes the guard's place.
+        replacement: the text that takes the guard's place.
         tests: files and folders of tests, at least one of which fails without the guard.
     """
 
     name: str
     file: str
     guard: str
-    instead: str
+    replacement: str
     tests: tuple[str, ...]
 
     def apply(self, tree: Path) -> None:
@@ -52,9 +52,9 @@
         count = text.count(self.guard)
         if count != 1:
             raise GuardNotFoundError(self, count)
-        path.write_text(text.replace(self.guard, self.instead), encoding="utf-8")
+        path.write_text(text.replace(self.guard, self.replacement), encoding="utf-8")
 
 
 def mutations_of(file: str, tests: tuple[str, ...], *edits: tuple[str, str, str]) -> list[Mutation]:
     """The mutations of one file, whose edits are (name, guard, instead)."""
-    return [Mutation(name, file, guard, instead, tests) for name, guard, instead in edits]
+    return [Mutation(name, file, guard, replacement, tests) for name, guard, replacement in edits]
--- a/tests/mutations/runner.py
+++ b/tests/mutations/runner.py
@@ -17,12 +17,12 @@
 if TYPE_CHECKING:
     from tests.mutations.mutation import Mutation
 
-COPIED = ("roselink", "tests", "pyproject.toml", "docs", "README.md")
+COPIED_PATHS = ("roselink", "tests", "pyproject.toml", "docs", "README.md")
 TIME_LIMIT_S = 400
 
 # pytest's exit statuses
-PASSED = 0
-FAILED = 1
+EXIT_PASSED = 0
+EXIT_FAILED = 1
 
 
 class PytestRunError(ValueError):
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Result:
+class MutationResult:
     """Whether a test caught a mutation, and after how many seconds."""
 
     mutation: Mutation
@@ -49,24 +49,26 @@
     seconds: float
 
 
-def copy_tree(to: Path) -> None:
+def copy_tree(destination: Path) -> None:
     """Copy the parts of the project that tests need."""
-    for name in COPIED:
+    for name in COPIED_PATHS:
         source = ROOT / name
         if source.is_dir():
-            shutil.copytree(source, to / name, ignore=shutil.ignore_patterns("__pycache__"))
+            shutil.copytree(
+                source, destination / name, ignore=shutil.ignore_patterns("__pycache__")
+            )
         else:
-            shutil.copy(source, to / name)
+            shutil.copy(source, destination / name)
 
 
-def run_tests(mutation: Mutation) -> Result:
+def run_tests(mutation: Mutation) -> MutationResult:
     """Remove one guard on a copy, and run its tests; a time-out counts as caught.
 
     Raises:
         GuardNotFoundError: the guard's text does not stand exactly once in its file.
         PytestRunError: pytest did not run the tests.
     """
-    began = time.monotonic()
+    started_at = time.monotonic()
     with tempfile.TemporaryDirectory() as folder:
         tree = Path(folder)
         copy_tree(tree)
@@ -84,7 +86,7 @@
         environment = {**os.environ, "PYTHONPATH": str(tree), "PYTHONDONTWRITEBYTECODE": "1"}
         environment.pop("PYTEST_ADDOPTS", None)
         try:
-            ended = subprocess.run(
+            completed = subprocess.run(
                 command,
                 cwd=tree,
                 env=environment,
@@ -95,7 +97,7 @@
         except subprocess.TimeoutExpired:
             caught = True
         else:
-            if ended.returncode not in (PASSED, FAILED):
-                raise PytestRunError(mutation, ended.returncode)
-            caught = ended.returncode == FAILED
-    return Result(mutation, caught, time.monotonic() - began)
+            if completed.returncode not in (EXIT_PASSED, EXIT_FAILED):
+                raise PytestRunError(mutation, completed.returncode)
+            caught = completed.returncode == EXIT_FAILED
+    return MutationResult(mutation, caught, time.monotonic() - started_at)
--- a/tests/test_error_codes.py
+++ b/tests/test_error_codes.py
@@ -18,9 +18,9 @@
     from collections.abc import Iterator
 
 ROOT = Path(__file__).parent.parent
-CODE = re.compile(r"[A-Z]{3}-\d{3}\Z")
+CODE_PATTERN = re.compile(r"[A-Z]{3}-\d{3}\Z")
 # It starts a program when it is imported.
-PROGRAMS = ("roselink.__main__", "roselink.gateway.__main__")
+ENTRY_POINTS = ("roselink.__main__", "roselink.gateway.__main__")
 
 
 def subclasses_of(base: type[RoselinkError]) -> Iterator[type[RoselinkError]]:
@@ -30,44 +30,44 @@
         yield from subclasses_of(derived)
 
 
-def codes() -> list[tuple[str, str]]:
+def error_codes() -> list[tuple[str, str]]:
     """Each code, with the name of its error."""
     for module in pkgutil.walk_packages(roselink.__path__, "roselink."):
-        if module.name not in PROGRAMS:
+        if module.name not in ENTRY_POINTS:
             importlib.import_module(module.name)
     classes = {
-        each for each in subclasses_of(RoselinkError) if each.__module__.startswith("roselink.")
+        error for error in subclasses_of(RoselinkError) if error.__module__.startswith("roselink.")
     }
-    named = [(each.code, each.__name__) for each in classes]
-    return sorted(named + [(each.code, each.name) for each in ApiError])
+    entries = [(error.code, error.__name__) for error in classes]
+    return sorted(entries + [(error.code, error.name) for error in ApiError])
 
 
-def test_each_error_has_a_code_of_its_own() -> None:
-    found = codes()
-    assert len(found) > 60
-    assert [each for each in found if not CODE.match(each[0])] == []
-    numbers = [code for code, _ in found]
-    assert sorted(set(numbers)) == numbers
+def test_error_codes_are_valid_and_unique() -> None:
+    entries = error_codes()
+    assert len(entries) > 60
+    assert [error for error in entries if not CODE_PATTERN.match(error[0])] == []
+    codes = [code for code, _ in entries]
+    assert sorted(set(codes)) == codes
 
 
-def test_a_class_without_a_code_would_share_that_of_its_base() -> None:
+def test_class_without_a_code_inherits_the_code_of_its_base() -> None:
     """So that the test above finds it."""
 
-    class NamelessError(RoselinkError):
+    class UncodedError(RoselinkError):
         pass
 
-    assert NamelessError.code == RoselinkError.code
+    assert UncodedError.code == RoselinkError.code
 
 
-def test_the_docs_list_each_code() -> None:
+def test_operations_page_lists_every_error_code() -> None:
     text = (ROOT / "docs" / "operations.md").read_text(encoding="utf-8")
     section = text.partition("\n## Error codes\n")[2].partition("\n## ")[0]
     listed = re.findall(r"^\| `([A-Z]{3}-\d{3})` \| `([A-Za-z_]+)` \|", section, re.MULTILINE)
-    assert listed == codes()
+    assert listed == error_codes()
 
 
 @pytest.mark.parametrize(
     ("error", "code"), [(RoselinkError("x"), "RSL-000"), (OSError(), None), (None, None)]
 )
-def test_code_of(error: BaseException | None, code: str | None) -> None:
+def test_code_of_returns_the_code_or_none(error: BaseException | None, code: str | None) -> None:
     assert code_of(error) == code
--- a/tests/test_glossary.py
+++ b/tests/test_glossary.py
@@ -12,14 +12,14 @@
 
 ROOT = Path(__file__).resolve().parents[1]
 PACKAGE = ROOT / "roselink"
-TERM = re.compile(r"`([A-Za-z_][A-Za-z_0-9]*)`")
-PLACE = re.compile(r"`([a-z_/]+(?:\.py)?)`")
+TERM_PATTERN = re.compile(r"`([A-Za-z_][A-Za-z_0-9]*)`")
+LOCATION_PATTERN = re.compile(r"`([a-z_/]+(?:\.py)?)`")
 # The entry points of programs and the two words that every package may use for its main function.
-NOT_TERMS = {"main", "run"}
+EXEMPT_NAMES = {"main", "run"}
 
 
 @cache
-def rows() -> list[list[str]]:
+def glossary_rows() -> list[list[str]]:
     """The cells of the glossary's table, without its head."""
     text = (ROOT / "docs" / "glossary.md").read_text(encoding="utf-8")
     lines = [line for line in text.splitlines() if line.startswith("| ")]
@@ -28,20 +28,20 @@
 
 
 @cache
-def names_of(path: Path) -> frozenset[str]:
+def defined_names(path: Path) -> frozenset[str]:
     """Every name that a module defines, and its own."""
-    found = {path.stem, path.parent.name}
+    names = {path.stem, path.parent.name}
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef | ast.ClassDef):
-            found.add(node.name)
+            names.add(node.name)
         elif isinstance(node, ast.arg):
-            found.add(node.arg)
+            names.add(node.arg)
         elif isinstance(node, ast.Name | ast.Attribute) and isinstance(node.ctx, ast.Store):
-            found.add(node.id if isinstance(node, ast.Name) else node.attr)
-    return frozenset(found)
+            names.add(node.id if isinstance(node, ast.Name) else node.attr)
+    return frozenset(names)
 
 
-def exported() -> dict[str, set[str]]:
+def exporting_packages() -> dict[str, set[str]]:
     """The packages that define each public class or function."""
     packages = defaultdict(set)
     for path in PACKAGE.rglob("*.py"):
@@ -52,33 +52,33 @@
     return packages
 
 
-@pytest.mark.parametrize("row", rows(), ids=lambda row: row[2].strip("`"))
-def test_a_term_stands_in_the_code_at_the_place_that_is_named(row: list[str]) -> None:
-    _, _, terms, meaning, places = row
-    found: set[str] = set()
-    for place in PLACE.findall(places):
-        path = PACKAGE / place
+@pytest.mark.parametrize("row", glossary_rows(), ids=lambda row: row[2].strip("`"))
+def test_term_is_defined_at_its_listed_location(row: list[str]) -> None:
+    _, _, terms, meaning, locations = row
+    names: set[str] = set()
+    for location in LOCATION_PATTERN.findall(locations):
+        path = PACKAGE / location
         files = [path] if path.suffix else sorted(path.rglob("*.py"))
-        assert files, place
-        assert all(file.exists() for file in files), place
-        found = found.union(*(names_of(file) for file in files))
+        assert files, location
+        assert all(file.exists() for file in files), location
+        names = names.union(*(defined_names(file) for file in files))
     assert meaning.endswith(".")
-    assert TERM.findall(terms)
-    assert set(TERM.findall(terms)) <= found
+    assert TERM_PATTERN.findall(terms)
+    assert set(TERM_PATTERN.findall(terms)) <= names
 
 
-def test_a_name_that_two_packages_export_is_explained() -> None:
-    explained = {term for row in rows() for term in TERM.findall(row[2])}
+def test_name_exported_by_two_packages_is_in_the_glossary() -> None:
+    documented = {term for row in glossary_rows() for term in TERM_PATTERN.findall(row[2])}
     shared = {
         name: sorted(packages)
-        for name, packages in exported().items()
-        if len(packages) > 1 and not name.startswith("_") and name not in NOT_TERMS
+        for name, packages in exporting_packages().items()
+        if len(packages) > 1 and not name.startswith("_") and name not in EXEMPT_NAMES
     }
-    assert {name: where for name, where in shared.items() if name not in explained} == {}
+    assert {name: exporters for name, exporters in shared.items() if name not in documented} == {}
 
 
-def test_the_architecture_page_names_modules_that_are_there() -> None:
+def test_architecture_page_names_existing_modules() -> None:
     text = (ROOT / "docs" / "architecture.md").read_text(encoding="utf-8")
-    named = set(re.findall(r"`([a-z_]+(?:/[a-z_]+)*\.py)`", text))
-    assert len(named) > 40
-    assert sorted(name for name in named if not (PACKAGE / name).exists()) == []
+    modules = set(re.findall(r"`([a-z_]+(?:/[a-z_]+)*\.py)`", text))
+    assert len(modules) > 40
+    assert sorted(name for name in modules if not (PACKAGE / name).exists()) == []
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -32,14 +32,14 @@
         ("a::b, one, two and three, #3\n\nc::d[x-1], y, #4", ["a::b", "c::d[x-1]"]),
     ],
 )
-def test_lines_are_read(known_red: ModuleType, text: str, tests: list[str]) -> None:
-    assert known_red.read(text) == tests
+def test_list_is_parsed(known_red: ModuleType, text: str, tests: list[str]) -> None:
+    assert known_red.parse_list(text) == tests
 
 
 @pytest.mark.parametrize("text", ["a::b", "a::b, cause", "a::b, , #3", ", cause, #3"])
-def test_a_line_that_is_not_whole_is_an_error(known_red: ModuleType, text: str) -> None:
+def test_incomplete_line_is_rejected(known_red: ModuleType, text: str) -> None:
     with pytest.raises(ValueError, match="needs test, cause, issue"):
-        known_red.read(text)
+        known_red.parse_list(text)
 
 
 COLLECTED = [
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize(
-    ("test", "faults"),
+    ("test", "errors"),
     [
         ("b.py::last", []),
         ("a.py::table", []),
@@ -62,8 +62,10 @@
         ("a.py::none", ["there is no test a.py::none"]),
         ("a.py::one", ["a.py::one would take a.py::one_more along"]),
         ("b.py", ["b.py would take b.py::last along"]),
-        ("a.py::tab", [f"a.py::tab would take {each} along" for each in COLLECTED[2:5]]),
+        ("a.py::tab", [f"a.py::tab would take {test_id} along" for test_id in COLLECTED[2:5]]),
     ],
 )
-def test_a_line_stands_for_one_test(known_red: ModuleType, test: str, faults: list[str]) -> None:
-    assert known_red.faults([test], COLLECTED) == faults
+def test_missing_and_ambiguous_entries_are_reported(
+    known_red: ModuleType, test: str, errors: list[str]
+) -> None:
+    assert known_red.entry_errors([test], COLLECTED) == errors
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -12,14 +12,14 @@
 README = Path(__file__).parent.parent / "README.md"
 
 
-def test_example_runs(capsys: pytest.CaptureFixture[str]) -> None:
+def test_readme_example_runs(capsys: pytest.CaptureFixture[str]) -> None:
     blocks = re.findall(r"```python\n(.*?)```", README.read_text(), re.DOTALL)
     assert len(blocks) == 1
     exec(compile(blocks[0], "README.md", "exec"), {})
     assert "send request 1" in capsys.readouterr().out
 
 
-def test_test_command_is_what_ci_runs() -> None:
+def test_readme_test_command_is_the_one_that_ci_runs() -> None:
     command = ".venv-dev/bin/python -m pytest"
     assert f"\n{command}\n" in README.read_text()
     assert f"\n{command}\n" in (README.parent / ".ci" / "run").read_text()
--- a/tests/tools/test_losses.py
+++ b/tests/tools/test_losses.py
@@ -21,14 +21,14 @@
 }
 
 
-def test_causes_come_by_what_they_cost() -> None:
+def test_causes_are_sorted_by_mean_loss() -> None:
     head, row, mean = loss_table(list(read_days(REPORT)))
     assert head == ["day", "worth", "machines", "worst windows", "whole day"]
     assert row == ["report:0", "0.500", "0.2000", "0.1500", "0.0700"]
     assert mean[:2] == ["mean", "0.500 +- inf"]
 
 
-def test_days_of_a_journal_entry() -> None:
+def test_journal_entry_is_read_as_named_days() -> None:
     entry = {"site": "one", "days": [REPORT | {"name": "a"}, REPORT | {"name": "b", "G": 0.7}]}
     days = list(read_days(entry))
     assert [day.name for day in days] == ["one:a", "one:b"]
@@ -44,12 +44,12 @@
         ([0.0, 2.0], 1.0, 12.71),
     ],
 )
-def test_intervals(values: list[float], mean: float, half_width: float) -> None:
+def test_confidence_interval(values: list[float], mean: float, half_width: float) -> None:
     assert confidence_interval(values) == pytest.approx((mean, half_width))
 
 
-def test_what_a_report_says() -> None:
-    measured = read_report(REPORT)
-    assert measured.figures["late"] == 0.05
-    assert measured.figures["price: machines"] == 0.2
-    assert measured.faults == ("broken: TWICE",)
+def test_figures_and_faults_of_a_report_are_extracted() -> None:
+    result = read_report(REPORT)
+    assert result.figures["late"] == 0.05
+    assert result.figures["price: machines"] == 0.2
+    assert result.faults == ("broken: TWICE",)
--- a/tests/tools/test_smoke.py
+++ b/tests/tools/test_smoke.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-TINY: dict[str, tuple[Callable[[], object], tuple[str, ...]]] = {
+SMALL_RUNS: dict[str, tuple[Callable[[], object], tuple[str, ...]]] = {
     "decider": (
         lambda: decider.main((8, 16), requests=20, replacements=2, prompt_parts=4),
         ("request:", "replacement:", "memory:"),
@@ -50,15 +50,15 @@
 }
 
 
-@pytest.mark.parametrize("name", TINY)
-def test_a_measurement_prints_its_lines(name: str, capsys: pytest.CaptureFixture[str]) -> None:
-    run, lines = TINY[name]
+@pytest.mark.parametrize("name", SMALL_RUNS)
+def test_measurement_prints_its_fitted_lines(name: str, capsys: pytest.CaptureFixture[str]) -> None:
+    run, labels = SMALL_RUNS[name]
     run()
     printed = capsys.readouterr().out
-    for line in lines:
-        assert f"  {line} " in printed
+    for label in labels:
+        assert f"  {label} " in printed
 
 
-def test_a_line_needs_two_sizes() -> None:
+def test_fit_rejects_points_with_equal_x() -> None:
     with pytest.raises(ValueError, match="two sizes"):
         fit_line([(1, 2), (1, 3)])
