--- a/tests/tools/test_smoke.py
+++ b/tests/tools/test_smoke.py
@@ -33,19 +33,19 @@
         lambda: quota_requests.main(
             (2, 3), tenants=(2, 3), gateways=(2, 3), requests=4, duration_s=1.0
         ),
-        ("decision:", "asks:", "new roster:"),
+        ("decision:", "quota requests:", "new roster:"),
     ),
     "configurations": (
         lambda: configurations.main((1, 2), tenants=2, repetitions=1),
-        ("check:", "read:", "table:"),
+        ("validate:", "parse:", "route table:"),
     ),
     "streams": (lambda: streams.main((1, 2), reads=4), ("read:",)),
-    "host_list": (lambda: host_list.main((8, 16), repetitions=1), ("pass:", "reading:")),
+    "host_list": (lambda: host_list.main((8, 16), repetitions=1), ("pass:", "parsing:")),
     "core": (
         lambda: core.main(
             (1, 2), core_sizes=(2, 3), document_sizes=(10, 20), repetitions=2, saves=1
         ),
-        ("round:", "beat:", "save:"),
+        ("confirm round:", "heartbeat:", "save:"),
     ),
 }
 
@@ -60,5 +60,5 @@
 
 
 def test_fit_rejects_points_with_equal_x() -> None:
-    with pytest.raises(ValueError, match="two sizes"):
+    with pytest.raises(ValueError, match="different x values"):
         fit_line([(1, 2), (1, 3)])
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,5 +1,5 @@
-"""Measured costs of single mechanisms, each against its size: the figures behind docs/CAPACITY.md.
+"""Benchmarks of single mechanisms by their size, which docs/CAPACITY.md cites.
 
-Each module is a program (`python -m tools.NAME`) that prints its figures, a line fitted
-through them and the machine. Nothing here is part of the product.
+A benchmark is a program (`python -m tools.NAME`) that prints its measurements, lines fitted to
+them and a description of the machine. Nothing here is part of the product.
 """
--- a/tools/compare.py
+++ b/tools/compare.py
@@ -2,9 +2,10 @@
 
     python -m tools.compare BENCH BEFORE AFTER --days SITE:DAY ... --seeds 1 2 3
 
-Runs of both sides alternate, so that both meet the same load of the machine. Printed are each pair,
-and for each day and all days the mean difference of worth, of its parts and of each price, with a
-95% confidence interval (Student's t). Worth is the report's `G`, which is not clipped.
+Runs of both checkouts alternate, so that both see the same load on the machine. The program prints
+each pair, and for each day and for all days the mean difference of the score, of its parts and of
+each price, with a 95% confidence interval (Student's t). The score, printed as `worth`, is the
+report's `G`, which is not clipped.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 import defopt  # type: ignore[import-untyped]
 
-# Student's t for a two-sided 95% interval, by degrees of freedom from 1 on; about 2 beyond.
+# Student's t for a two-sided 95% interval, by degrees of freedom from 1 to 15.
 T_95 = (
     12.71,
     4.30,
@@ -40,10 +41,11 @@
     2.14,
     2.13,
 )
+# The factor for more degrees of freedom, where t is between 2.12 and 1.96.
 T_95_LARGE = 2.0
-# Mean differences of parts and prices below this are not printed.
+# Mean differences of figures other than the score are not printed if they are smaller than this.
 MIN_SHOWN_DIFFERENCE = 0.0005
-# How many characters of a failed run's output are printed.
+# Number of characters printed from the end of a failed run's output and error streams, each.
 OUTPUT_TAIL_CHARACTERS = 500
 
 
@@ -57,7 +59,7 @@
 
     @property
     def name(self) -> str:
-        """The site's file and the day."""
+        """File names of the site and the day, without directories and suffixes."""
         return f"{Path(self.site).stem}:{Path(self.day).stem}"
 
 
@@ -66,8 +68,9 @@
     """The result of a run.
 
     Attributes:
-        figures: the figures of its report, by name.
-        faults: what went wrong.
+        figures: the figures of its report, by name; empty if there is no report.
+        faults: broken rules and other faults that the report lists, or the end of the output if
+            there is no report.
     """
 
     figures: dict[str, float]
@@ -75,7 +78,7 @@
 
 
 def run_bench(bench: str, checkout: str, run: BenchRun, why: str) -> RunResult:
-    """Run one day in a checkout."""
+    """Run one day of the bench in a checkout and read its report."""
     with tempfile.TemporaryDirectory() as folder:
         report = Path(folder) / "report.json"
         command = [bench, "run", run.site, run.day, "--seed", str(run.seed), "--jobs", "1"]
@@ -95,7 +98,7 @@
 
 
 def read_report(report: dict[str, Any]) -> RunResult:
-    """Extract the figures of a report: worth, its parts, and its prices as worth lost."""
+    """Extract the score, its parts, the score lost to each price, and the rates of a report."""
     figures = {"worth": float(report["G"])}
     figures |= {f"part: {name}": float(value) for name, _, value in report["parts"]}
     figures |= {f"price: {name}": float(value) for name, _, value in report["prices"]}
@@ -110,7 +113,7 @@
 
 
 def confidence_interval(differences: list[float]) -> tuple[float, float]:
-    """The mean, and half of the width of its 95% interval."""
+    """Return the mean and half the width of its 95% confidence interval."""
     if not differences:
         return 0.0, math.inf
     if len(differences) == 1:
@@ -121,7 +124,7 @@
 
 
 def print_differences(title: str, pairs: list[tuple[RunResult, RunResult]]) -> None:
-    """Print the differences of paired runs, figure by figure."""
+    """Print the mean difference of each figure over paired runs."""
     names = list(pairs[0][0].figures)
     for name in names:
         values = [
@@ -137,14 +140,14 @@
             )
 
 
-# A run and its results in both checkouts.
+# A run with its results in the first and in the second checkout.
 PairedResult = tuple[BenchRun, RunResult, RunResult]
 
 
 def run_pairs(
     bench: str, before: str, after: str, runs: list[BenchRun], jobs: int, why: str
 ) -> list[PairedResult]:
-    """Run each day in both checkouts, one after the other."""
+    """Run each day in both checkouts; the two runs of a day are submitted one after the other."""
     with ThreadPoolExecutor(jobs) as pool:
         submitted = [
             (
@@ -174,13 +177,13 @@
 ) -> None:
     """Run each day with each seed in both checkouts.
 
-    :param bench: the bench's program
-    :param before: a checkout
-    :param after: another one
-    :param days: each SITE:DAY, where DAY is a name or a file
+    :param bench: path of the bench's program
+    :param before: directory of the checkout to compare with
+    :param after: directory of the changed checkout
+    :param days: SITE:DAY of each day, where DAY is a name or a file
     :param seeds: seeds of the runs
-    :param jobs: runs at a time
-    :param why: for the bench's journal
+    :param jobs: number of runs at a time
+    :param why: reason that the bench's journal records
     """
     paired_results = run_pairs(
         bench, before, after, [_parse_run(day, seed) for seed in seeds for day in days], jobs, why
--- a/tools/configurations.py
+++ b/tools/configurations.py
@@ -1,4 +1,4 @@
-"""Costs of a configuration by its routes: bytes, validation, and its use at a gateway."""
+"""Costs of a configuration by its number of routes: size, validation, updates, use at a gateway."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
     """The costs of one configuration.
 
     Attributes:
-        routes: how many routes it has.
-        document_bytes: the size of its document.
-        validate_us: processor time of the validation at the core.
+        routes: number of routes.
+        document_bytes: size of the document.
+        validate_us: processor time of validation at the core.
         update_us: processor time of an update of one route.
-        update_heap_bytes: bytes on the heap of that update.
+        update_heap_bytes: heap size of the result of that update.
         parse_us: processor time to parse the document at a gateway.
         route_table_us: processor time to build the gateway's route table.
-        route_table_heap_bytes: bytes on the heap of that table.
+        route_table_heap_bytes: heap size of that table.
     """
 
     routes: int
@@ -49,7 +49,7 @@
 
 
 def measure(routes: int, tenants: int, repetitions: int) -> ConfigurationCost:
-    """Measure a document with so many routes and tenants.
+    """Measure a document with the given numbers of routes and tenants.
 
     Raises:
         MeasurementError: the document is not valid.
@@ -72,7 +72,7 @@
 
 
 def _apply_update(body: bytes) -> ConfigurationChange:
-    """Change one route by an update of items, merged into the document."""
+    """Merge an update of one route into the document."""
     document = json.loads(body)
     generation = document["generation"]
     route = document["routes"][0] | {"timeout_ms": 1234}
@@ -93,18 +93,18 @@
     tenants: int = TENANT_COUNT,
     repetitions: int = REPETITIONS,
 ) -> None:
-    """Measure and print."""
+    """Measure and print each number of routes."""
     print(describe_machine())
     costs = [measure(count, tenants, repetitions) for count in routes]
     columns = (
         "routes",
         "document bytes",
-        "check us",
+        "validate us",
         "update us",
-        "update heap",
-        "read us",
-        "table us",
-        "heap bytes",
+        "update heap bytes",
+        "parse us",
+        "route table us",
+        "route table heap bytes",
     )
     rows = [
         (
@@ -121,10 +121,10 @@
     ]
     print_table(f"A configuration with {tenants} tenants", columns, rows)
     print_fit("document", "bytes", "route", [(cost.routes, cost.document_bytes) for cost in costs])
-    print_fit("check", "us", "route", [(cost.routes, cost.validate_us) for cost in costs])
+    print_fit("validate", "us", "route", [(cost.routes, cost.validate_us) for cost in costs])
     print_fit("update", "us", "route", [(cost.routes, cost.update_us) for cost in costs])
-    print_fit("read", "us", "route", [(cost.routes, cost.parse_us) for cost in costs])
-    print_fit("table", "us", "route", [(cost.routes, cost.route_table_us) for cost in costs])
+    print_fit("parse", "us", "route", [(cost.routes, cost.parse_us) for cost in costs])
+    print_fit("route table", "us", "route", [(cost.routes, cost.route_table_us) for cost in costs])
 
 
 if __name__ == "__main__":
--- a/tools/core.py
+++ b/tools/core.py
@@ -1,6 +1,7 @@
-"""Costs of the core, without network and disk waits: confirm rounds, heartbeats and writes.
+"""Processor time and message sizes of the core: confirm rounds, heartbeats and writes.
 
-A save is timed as processor time only, in a temporary folder; a machine's disk adds three syncs.
+Network and disk waits are excluded: a save into a temporary directory counts with its processor
+time only, and on a real disk three syncs add to it.
 """
 
 from __future__ import annotations
@@ -36,9 +37,9 @@
 
 VOTER_COUNTS = (3, 5, MAX_VOTERS)
 CORE_SIZES = (3, 9, 27, 54)
-# The sizes of documents of 10, 200 and 400 routes with 200 tenants, in bytes.
+# Sizes of documents with 10, 200 and 400 routes and 200 tenants, in bytes.
 DOCUMENT_SIZES = (36_640, 98_740, 164_100)
-# The size of one entry of the history, in bytes.
+# Size of one history entry.
 HISTORY_ENTRY_BYTES = 48
 REPETITIONS = 100
 SAVES = 3
@@ -46,12 +47,12 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageCost:
-    """The cost of all messages of one round or heartbeat.
+    """Cost of all messages of one confirm round or heartbeat.
 
     Attributes:
-        members: how many members.
-        cpu_us: processor time in microseconds.
-        message_bytes: bytes of the messages.
+        members: number of members that take part.
+        cpu_us: processor time, in microseconds.
+        message_bytes: total size of the messages.
     """
 
     members: int
@@ -61,14 +62,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteCost:
-    """The cost of one write at one member of the chain, with a full history.
+    """Cost of one write at one member of the chain, with a full history.
 
     Attributes:
-        document_bytes: the size of the document, in bytes.
+        document_bytes: size of the document.
         forward_us: processor time to receive, apply and forward the write.
         save_us: processor time of the save.
-        message_bytes: the size of the message.
-        record_bytes: the size of the saved record.
+        message_bytes: size of the message.
+        record_bytes: size of the saved record.
     """
 
     document_bytes: int
@@ -79,10 +80,10 @@
 
 
 def confirm_round_cost(count: int, repetitions: int) -> MessageCost:
-    """Measure one confirm round at a tail with so many voters, their replies included.
+    """Measure one confirm round at a tail with `count` voters, including their replies.
 
     Raises:
-        MeasurementError: the round did something else than sending.
+        MeasurementError: the round had an effect other than sending.
     """
     voters = tuple(Voter(address, 1) for address in make_core_addresses(count))
     view = View(1, voters, tuple(ChainReplica(voter, 1, 1) for voter in voters))
@@ -101,7 +102,7 @@
         message_bytes = 0
         for voter, effect in zip(voters, sent, strict=True):
             if not isinstance(effect, Send):
-                raise MeasurementError("round", effect)
+                raise MeasurementError("confirmation", effect)
             message_bytes += len(encode_frame(FrameKind.NOTICE, 0, effect.message))
             reply = encode_frame(
                 FrameKind.NOTICE, 0, ConfirmReply(voter, 1, number, is_newest=True)
@@ -115,9 +116,9 @@
 
 
 def heartbeat_cost(count: int, repetitions: int) -> MessageCost:
-    """Measure one heartbeat of a member to all others, and one from each of them.
+    """Measure a member that sends a heartbeat to all others and receives one from each.
 
-    The bytes are those of the heartbeats that it sends.
+    `message_bytes` counts only the heartbeats that it sends.
     """
     heartbeat = Heartbeat(
         sender=Voter(make_core_addresses(1)[0], 1),
@@ -142,7 +143,7 @@
 
 
 def write_cost(document_bytes: int, saves: int) -> WriteCost:
-    """Measure a write of a document that a member receives, saves and forwards."""
+    """Measure a member that receives, saves and forwards the write of a document."""
     document = b"x" * document_bytes
     change = ConfigurationChange(0, 5, document, digest_of(0, document))
     write = Write(Voter(make_core_addresses(1)[0], 1), 1, 2, refused=False, change=change)
@@ -170,7 +171,7 @@
     repetitions: int = REPETITIONS,
     saves: int = SAVES,
 ) -> None:
-    """Measure and print."""
+    """Measure and print all three costs."""
     print(describe_machine())
     rounds = [confirm_round_cost(count, repetitions) for count in voters]
     print_table(
@@ -178,16 +179,18 @@
         ("voters", "us", "bytes"),
         [(cost.members, cost.cpu_us, cost.message_bytes) for cost in rounds],
     )
-    print_fit("round", "us", "voter", [(cost.members, cost.cpu_us) for cost in rounds])
+    print_fit("confirm round", "us", "voter", [(cost.members, cost.cpu_us) for cost in rounds])
     heartbeats = [heartbeat_cost(count, repetitions) for count in core_sizes]
     print_table(
         "Heartbeats",
         ("core members", "us", "bytes"),
         [(cost.members, cost.cpu_us, cost.message_bytes) for cost in heartbeats],
     )
-    print_fit("beat", "us", "core member", [(cost.members, cost.cpu_us) for cost in heartbeats])
+    print_fit(
+        "heartbeat", "us", "core member", [(cost.members, cost.cpu_us) for cost in heartbeats]
+    )
     writes = [write_cost(size, saves) for size in document_sizes]
-    columns = ("document bytes", "carry us", "save us", "carried bytes", "saved bytes")
+    columns = ("document bytes", "forward us", "save us", "message bytes", "record bytes")
     table = [
         (cost.document_bytes, cost.forward_us, cost.save_us, cost.message_bytes, cost.record_bytes)
         for cost in writes
--- a/tools/decider.py
+++ b/tools/decider.py
@@ -1,8 +1,8 @@
-"""Costs of the decider by the number of hosts: a request, a replaced host, and memory.
+"""Costs of the decider by the number of hosts: requests, host replacements and memory.
 
-A request is a stream on a route with affinity: arrival, first event, end. A replacement is a new
-list with one other host, and the first request to its service after it, which builds that service's
-ring.
+A request is a stream on a route with session affinity: arrival, first event, end. A replacement is
+a host list in which one host differs, and the first request to that host's service, which rebuilds
+the service's hash ring.
 """
 
 from __future__ import annotations
@@ -44,11 +44,11 @@
 HOST_COUNTS = (60, 600, 3_000, 12_000)
 REQUESTS = 3_000
 REPLACEMENTS = 6
-# How many different prompts requests share.
+# Number of distinct prompts that requests share.
 SHARED_PROMPTS = 500
-# How many hosts are remembered for each part of a prompt.
+# Numbers of hosts remembered for each prompt part.
 HOSTS_PER_PART = (1, 4, 16)
-# Between two requests, in seconds: 28 a second.
+# Simulated time between two requests, in seconds: 28 requests per second.
 REQUEST_INTERVAL_S = 0.035
 
 REQUEST_FACTS = RequestFacts(
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DeciderCost:
-    """Processor time in microseconds, memory in bytes on the heap."""
+    """Processor times in microseconds and heap size at one number of hosts."""
 
     hosts: int
     request_us: float
@@ -81,21 +81,21 @@
 
 
 class SimulatedLoad:
-    """Requests at one decider in simulated time."""
+    """One decider that receives requests in simulated time."""
 
     def __init__(self, services: tuple[Service, ...]) -> None:
-        """Make a decider that knows no hosts."""
+        """Create a decider without hosts."""
         self.decider = FleetDecider("zone-00", 1, 0.2, 10.0)
         self._services = services
         self._numbers = itertools.count(1)
         self._now = 0.0
 
     def update_hosts(self, hosts: tuple[Host, ...]) -> None:
-        """Give the decider a new list of hosts."""
+        """Replace the decider's list of hosts."""
         self.decider.handle(self._now, TopologyChanged(hosts, self._services))
 
     def request(self, service: str | None = None) -> None:
-        """Handle one request from its arrival to its end.
+        """Handle one request from arrival to end.
 
         Raises:
             MeasurementError: the decider sent no attempt.
@@ -125,7 +125,7 @@
 
 
 def measure(count: int, requests: int, replacements: int) -> DeciderCost:
-    """Measure the costs at one number of hosts."""
+    """Measure the costs with `count` hosts."""
     services = make_configuration(1, 1).services
     hosts = make_hosts(count)
     load = SimulatedLoad(services)
@@ -142,7 +142,7 @@
         load.request(service_name(0))
 
     replacement_us = processor_us(replace_one, replacements)
-    # Hosts whose hashes are not cached.
+    # Different host ids, whose hashes are not cached yet.
     uncached_hosts = tuple(make_host(number, count % 65_000 + 500) for number in range(count))
     ids = [host.id for host in hosts if host.service == service_name(0)]
     return DeciderCost(
@@ -163,7 +163,7 @@
 
 
 def prompt_memory_bytes(hosts_per_part: int, prompt_parts: int) -> int:
-    """Measure the bytes of a memory of prompts with so many hosts for each of its parts."""
+    """Measure the heap size of a prefix memory with `prompt_parts` parts of some hosts each."""
 
     def build() -> PrefixCacheTracker:
         prompt_memory = PrefixCacheTracker()
@@ -184,7 +184,7 @@
     replacements: int = REPLACEMENTS,
     prompt_parts: int = MAX_TRACKED_SEGMENTS,
 ) -> list[DeciderCost]:
-    """Measure and print."""
+    """Measure and print each number of hosts, then the prefix memory."""
     print(describe_machine())
     costs = [measure(count, requests, replacements) for count in sizes]
     rows = [
@@ -193,7 +193,7 @@
     ]
     print_table(
         "Decider",
-        ("hosts", "request us", "replacement us", "ring of 1 of 4 us", "heap bytes"),
+        ("hosts", "request us", "replacement us", "hash ring of one service us", "heap bytes"),
         rows,
     )
     print_fit("request", "us", "host", [(cost.hosts, cost.request_us) for cost in costs])
@@ -204,14 +204,14 @@
         for hosts_per_part in HOSTS_PER_PART
     ]
     print_table(
-        "Memory of prompts, full",
-        ("hosts a part", "parts", "bytes"),
+        "Full prefix memory",
+        ("hosts per part", "prompt parts", "bytes"),
         [(hosts_per_part, prompt_parts, size) for hosts_per_part, size in prompt_memories],
     )
     print_fit(
-        "memory of prompts",
+        "prefix memory",
         "bytes",
-        "host a part",
+        "host per part",
         [(hosts_per_part, size) for hosts_per_part, size in prompt_memories],
     )
     return costs
--- a/tools/exceptions.py
+++ b/tools/exceptions.py
@@ -10,28 +10,28 @@
 
 
 class DegenerateFitError(ToolError, ValueError):
-    """A line can't be fitted, since all points have the same x.
+    """A line can't be fitted because all points have the same x.
 
     Attributes:
-        points: the points.
+        points: points that the line should fit.
     """
 
     def __init__(self, points: list[tuple[float, float]]) -> None:
-        """Note the points."""
-        super().__init__(f"a line needs two sizes: {points}")
+        """Store the points."""
+        super().__init__(f"a line fit needs points with different x values: {points}")
         self.points = points
 
 
 class MeasurementError(ToolError):
-    """What is measured did not do what its measurement relies on.
+    """A measured operation did not have the result that its measurement expects.
 
     Attributes:
-        subject: what was measured.
-        result: what it did.
+        subject: name of the measured operation.
+        result: actual result of the operation.
     """
 
     def __init__(self, subject: str, result: object) -> None:
-        """Note what was measured, and what it did."""
-        super().__init__(f"{subject}: {result}")
+        """Store the name of the operation and its result."""
+        super().__init__(f"unexpected result of {subject}: {result}")
         self.subject = subject
         self.result = result
--- a/tools/host_list.py
+++ b/tools/host_list.py
@@ -1,6 +1,7 @@
-"""Costs of reading the platform's list of hosts, by their number: duration and processor time.
+"""Costs of reading the platform's host list by the number of hosts: duration and processor time.
 
-The reader's schedule runs in simulated time; each call has its response after `CALL_DURATION_S`.
+The reader's schedule runs in simulated time; the response to a call arrives after
+`CALL_DURATION_S`.
 """
 
 from __future__ import annotations
@@ -28,25 +29,26 @@
     from roselink.model.fleet import Host
 
 HOST_COUNTS = (60, 600, 3_000, 12_000)
-# Entries of one page.
+# Entries per page.
 PAGE_SIZE = 50
-# The rate of calls that the platform grants.
+# Calls per second that the platform permits.
 RATE_PER_S = 40.0
-# The duration of one call, in seconds.
+# Duration of one call, in seconds.
 CALL_DURATION_S = 0.003
 REPETITIONS = 30
 
 
 @dataclass(frozen=True, slots=True)
 class HostListCost:
-    """The costs of one fleet's list.
+    """Costs of reading the list of one fleet.
 
     Attributes:
-        hosts: how many hosts.
-        calls: calls of one pass over the list.
-        pass_s: the duration of a pass, in seconds.
-        removal_delay_s: from a host's end until the published list lacks it, at worst, in seconds.
-        parse_us: processor time to parse the pages of a pass, in microseconds.
+        hosts: number of hosts.
+        calls: number of calls of one pass over the list.
+        pass_s: duration of a pass, in seconds.
+        removal_delay_s: longest time from a host's removal until a published list omits it, in
+            seconds.
+        parse_us: processor time to parse all pages of a pass, in microseconds.
     """
 
     hosts: int
@@ -73,10 +75,10 @@
 
 
 class SimulatedPlatform:
-    """A list in pages, and one reader of it in simulated time."""
+    """A platform that serves its host list in pages to one reader, in simulated time."""
 
     def __init__(self, count: int) -> None:
-        """Make a list of so many hosts, and start its reader."""
+        """Create a list of `count` hosts and start its reader."""
         self.hosts: list[Host] = [make_host(number) for number in range(count)]
         self.now = 0.0
         self.calls = 0
@@ -109,9 +111,10 @@
 
 
 def measure(count: int, repetitions: int) -> HostListCost:
-    """Measure one fleet's list.
+    """Measure a list of `count` hosts.
 
-    The host whose end is timed is on the first page, and ends right after that was read.
+    The removed host is on the first page and is removed right after a pass has read that page. That
+    is the longest delay, since the next pass is the first to omit the host.
     """
     platform = SimulatedPlatform(count)
     platform.read_next_list()
@@ -138,12 +141,12 @@
 
 
 def main(sizes: Sequence[int] = HOST_COUNTS, repetitions: int = REPETITIONS) -> None:
-    """Measure and print."""
+    """Measure and print each number of hosts."""
     print(describe_machine())
     costs = [measure(count, repetitions) for count in sizes]
-    columns = ("hosts", "calls a pass", "pass s", "absence shown s", "read us a pass")
+    columns = ("hosts", "calls per pass", "pass s", "removal delay s", "parse us per pass")
     print_table(
-        f"The platform's list, {PAGE_SIZE} entries a page, {RATE_PER_S} calls a s told",
+        f"The platform's list, {PAGE_SIZE} entries per page, {RATE_PER_S} calls per s permitted",
         columns,
         [
             (cost.hosts, cost.calls, cost.pass_s, cost.removal_delay_s, cost.parse_us)
@@ -151,7 +154,7 @@
         ],
     )
     print_fit("pass", "s", "host", [(cost.hosts, cost.pass_s) for cost in costs])
-    print_fit("reading", "us", "host", [(cost.hosts, cost.parse_us) for cost in costs])
+    print_fit("parsing", "us", "host", [(cost.hosts, cost.parse_us) for cost in costs])
 
 
 if __name__ == "__main__":
--- a/tools/losses.py
+++ b/tools/losses.py
@@ -1,10 +1,10 @@
-"""Prints where worth is lost, from reports of the users' bench or entries of its journal.
+"""Prints what reduces the score, from reports of the users' bench or entries of its journal.
 
     python -m tools.losses FILE...
 
-Each day is a row: worth, what its parts cost (weight times the difference to 1), and each price, as
-worth. The last row is the mean over the days with half of the width of its 95% interval; the
-columns are sorted by that mean.
+Each day is a row: the score (`worth`), the loss of each of its parts (weight times the difference
+to 1), and the loss to each price. The last row holds the mean over the days and half the width of
+its 95% confidence interval; the columns are sorted by that mean.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-# Causes whose mean is below this are left out.
+# Causes with a smaller mean loss are not printed.
 MIN_SHOWN_LOSS = 0.0005
 
 
 @dataclass(frozen=True, slots=True)
 class DayLosses:
-    """The losses of one day, by cause."""
+    """Score of one day, with its losses by cause."""
 
     name: str
     worth: float
@@ -36,7 +36,7 @@
 
 
 def read_days(document: dict[str, Any]) -> Iterator[DayLosses]:
-    """Extract the days of a journal entry, or the one day of a report."""
+    """Yield the days of a journal entry, or the single day of a report."""
     for number, day in enumerate(document.get("days", [document])):
         causes = {name: weight * (1.0 - value) for name, weight, value in day["parts"]}
         causes |= {name: value for name, _, value in day["prices"]}
@@ -45,7 +45,7 @@
 
 
 def loss_table(days: list[DayLosses]) -> list[list[str]]:
-    """Make the rows of the table, with the head first."""
+    """Return the rows of the table: header, days, means."""
     names = list(dict.fromkeys(name for day in days for name in day.causes))
     columns = {
         name: confidence_interval([day.causes.get(name, 0.0) for day in days]) for name in names
@@ -65,7 +65,7 @@
 
 
 def print_losses(*files: str) -> None:
-    """Print the losses of all days in these files as a table.
+    """Print the losses of all days in the files as a table.
 
     :param files: reports (`run --report`) and journal entries
     """
--- a/tools/measure.py
+++ b/tools/measure.py
@@ -1,4 +1,4 @@
-"""Shared by the measurements: processor time, bytes on the heap, fitted lines, printed tables."""
+"""Common parts of the benchmarks: processor time, heap size, fitted lines, printed tables."""
 
 from __future__ import annotations
 
@@ -16,16 +16,17 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Sequence
 
-# So many undisturbed rounds are enough; and the most rounds in all.
+# A measurement ends after this number of undisturbed rounds, or at the latest after `MAX_ROUNDS`.
 UNDISTURBED_ROUNDS = 3
 MAX_ROUNDS = 30
-# A round is undisturbed if the fixed loop took at most so many times its least time around it.
+# A round is undisturbed if the fixed loop, timed before and after it, took at most this multiple of
+# the loop's shortest time. A larger ratio accepts slower rounds; a smaller one needs more rounds.
 MAX_UNDISTURBED_RATIO = 1.15
 FIXED_LOOP_STEPS = 20_000
 MICROSECONDS = 1e6
 Cell = str | int | float
 
-# All times of the fixed loop, in microseconds.
+# All measured times of the fixed loop, in microseconds.
 _fixed_loop_us: list[float] = []
 
 
@@ -35,7 +36,7 @@
 
     Attributes:
         intercept: y at x = 0.
-        slope: of the line.
+        slope: increase of y per unit of x.
         r_squared: the fraction of the variance of y that the line explains, 0 to 1.
     """
 
@@ -45,7 +46,7 @@
 
 
 def fit_line(points: Sequence[tuple[float, float]]) -> FittedLine:
-    """Fit a line to some points.
+    """Fit a least-squares line to points.
 
     Raises:
         DegenerateFitError: all points have the same x.
@@ -69,11 +70,11 @@
 def processor_us(work: Callable[[], object], repetitions: int) -> float:
     """Measure the processor time of one call, in microseconds.
 
-    It is the least of some rounds, each of `repetitions` calls.
+    The result is the shortest of several rounds of `repetitions` calls each.
 
-    Other programs on the machine slow this one down, in processor time too. So a fixed loop is
-    timed on both sides of each round, and a round counts as undisturbed when both took little
-    longer than the loop's least time. Rounds are added, up to `MAX_ROUNDS`, until
+    Other programs on the machine increase even the processor time of this one. Therefore a fixed
+    loop is timed before and after each round, and a round counts as undisturbed if both times are
+    close to the loop's shortest time. Rounds are added, up to `MAX_ROUNDS`, until
     `UNDISTURBED_ROUNDS` of them were undisturbed.
     """
     min_cpu_time_s = float("inf")
@@ -95,7 +96,7 @@
 
 
 def _time_fixed_loop_us() -> float:
-    """Processor time of the fixed loop."""
+    """Time the fixed loop, store its processor time and return it."""
     started_at = time.process_time()
     total = 0
     for number in range(FIXED_LOOP_STEPS):
@@ -110,7 +111,7 @@
 
 
 def heap_bytes(build: Callable[[], object]) -> int:
-    """Measure how many bytes on Python's heap are kept by what `build` returns."""
+    """Measure how many bytes the result of `build` occupies on Python's heap."""
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
@@ -123,7 +124,7 @@
 
 
 def describe_machine() -> str:
-    """Describe the processor, its present speed at a fixed loop, and the interpreter."""
+    """Describe the processor, the interpreter and the current time of the fixed loop."""
     model = platform.machine()
     try:
         for line in Path("/proc/cpuinfo").read_text().splitlines():
@@ -138,7 +139,7 @@
 
 
 def print_table(title: str, columns: Sequence[str], rows: Iterable[Sequence[Cell]]) -> None:
-    """Print a table."""
+    """Print a table with right-aligned columns."""
     texts = [list(columns), *[[_text(cell) for cell in row] for row in rows]]
     widths = [max(len(row[column]) for row in texts) for column in range(len(columns))]
     print(f"\n{title}")
@@ -147,11 +148,11 @@
 
 
 def print_fit(label: str, unit: str, per: str, points: Sequence[tuple[float, float]]) -> FittedLine:
-    """Fit a line to some points, print it and return it."""
+    """Fit a line to points, print it and return it."""
     line = fit_line(points)
     print(
         f"  {label}: {line.intercept:.4g} + {line.slope:.4g} {unit} per {per} "
-        f"(explains {line.r_squared:.3f})"
+        f"(R^2 {line.r_squared:.3f})"
     )
     return line
 
--- a/tools/own_days.py
+++ b/tools/own_days.py
@@ -1,9 +1,9 @@
 """Writes a deployment file whose days pair every kind of fault with every other.
 
 `python -m tools.own_days SITE OUT --days 60 --seed 1` keeps the deployment of SITE and
-replaces its standard days. Each day has two kinds of faults, each twice and close together, above
-a background of configuration changes. The first half of every fourteen follows `SCENARIOS`: what
-operators saw go wrong before.
+replaces its standard days. Of every fourteen days, the first seven follow `SCENARIOS`, which repeat
+failures that operators have seen. Each other day has two kinds of faults, each injected twice and
+close together, in addition to configuration changes.
 """
 
 from __future__ import annotations
@@ -17,12 +17,14 @@
 
 import defopt  # type: ignore[import-untyped]
 
-# One fault, as the keys and values of its TOML table.
+# Keys and values of the TOML table of one fault.
 Fault = dict[str, object]
+# Earliest start of a pair of faults, in seconds.
 FIRST_FAULT_AT_S = 3.0
-# No fault begins after this fraction of a day, so that the recovery is a part of the day.
+# Latest start of a pair of faults, as a fraction of the day, so that the day includes the recovery.
+# A larger fraction leaves less time to recover; a smaller one concentrates the faults.
 LAST_FAULT_FRACTION = 0.8
-# The kinds that a deployment file lists as planned, in place of faults.
+# Kinds that a deployment file lists under `plan` instead of `faults`.
 PLANNED_KINDS = {
     "release",
     "roll_term",
@@ -118,7 +120,7 @@
 
 
 def long_cut(rng: random.Random) -> list[Fault]:
-    """A control machine is cut off for twenty seconds, while changes race."""
+    """A core machine is partitioned for twenty seconds during concurrent changes."""
     how = rng.choice(("leader lure hard", "lure race", "all race", "one_way meet", "near race"))
     return [
         {"kind": "core_cut", "count": 1, "for_s": 20.0, "how": how, "at": rng.uniform(4, 7)},
@@ -128,7 +130,7 @@
 
 
 def lost_answers(rng: random.Random) -> list[Fault]:
-    """Operators race under one generation, and most acknowledgements are lost."""
+    """Concurrent changes use one generation, and most acknowledgements are lost."""
     return [
         {"kind": "ack_lost", "for_s": 24.0, "x": rng.choice((0.6, 0.9)), "at": 2.0},
         {"kind": "config_race", "count": 12, "gap_s": rng.choice((0.3, 0.8, 1.5)), "at": 4.0},
@@ -145,7 +147,7 @@
 
 
 def loss_after_repair(rng: random.Random) -> list[Fault]:
-    """One machine after the other is replaced, and disks are lost right after."""
+    """Core machines are replaced one by one, and a disk is lost after each replacement."""
     how = rng.choice(("planned", "oldest", "leader"))
     gap_s = rng.uniform(5.0, 8.0)
     return [
@@ -157,7 +159,7 @@
 
 
 def many_changes(rng: random.Random) -> list[Fault]:
-    """Hundreds of changes, then restarts."""
+    """Hundreds of changes are followed by restarts."""
     down_s = rng.uniform(1, 4)
     return [
         {"kind": "config_storm", "gap_s": 0.035, "count": 500, "at": 3.0},
@@ -175,7 +177,7 @@
 
 
 def spoilt_answers(rng: random.Random) -> list[Fault]:
-    """Hosts duplicate, corrupt, lose and truncate their responses."""
+    """Hosts duplicate, corrupt, lose and truncate their responses while clients give up."""
     garbled: list[Fault] = [
         {"kind": "garble", "share": 0.7, "x": 0.08, "for_s": 20.0, "how": how, "at": 4.0 + index}
         for index, how in enumerate(rng.sample(("extra", "unframed", "early"), 2))
@@ -190,7 +192,7 @@
 
 
 def losses_that_overlap(rng: random.Random) -> list[Fault]:
-    """Halves without a majority, a minority that missed changes, and a loss of all power."""
+    """Two halves without a majority, then a stale minority, then a loss of all power."""
     return [
         {"kind": "core_cut", "for_s": rng.uniform(3, 6), "how": "split hard", "at": 4.0},
         {"kind": "core_cut", "count": 1, "for_s": 3.0, "how": "behind", "at": 13.0},
@@ -206,7 +208,7 @@
 
 
 def last_disks(rng: random.Random) -> list[Fault]:
-    """Disks and all power are lost shortly before the end, which may lose disks as well."""
+    """Disks and all power are lost before the end, whose closing fault may wipe disks too."""
     return [
         {"kind": "after_ack_wipe", "for_s": 1.5, "how": rng.choice(("", "oldest")), "at": 12.0},
         {
@@ -227,6 +229,7 @@
     ]
 
 
+# The title of a day contains the name of its function.
 SCENARIOS: tuple[Scenario, ...] = (
     long_cut,
     lost_answers,
@@ -251,7 +254,7 @@
 
 
 def kind_pairs(rng: random.Random) -> Iterator[tuple[Fault, Fault]]:
-    """All pairs of kinds, in an order that has every kind early."""
+    """Yield all pairs of kinds, ordered so that the first pairs include every kind."""
     kinds = list(FAULT_KINDS)
     rng.shuffle(kinds)
     for distance in itertools.count(1):
@@ -260,7 +263,7 @@
 
 
 def paired_faults(rng: random.Random, pair: tuple[Fault, Fault], length_s: float) -> list[Fault]:
-    """Make a day with both kinds twice, overlapping, and with configuration changes."""
+    """Return the faults of a day: both kinds twice, overlapping, and configuration changes."""
     last_at = LAST_FAULT_FRACTION * length_s
     first_at = rng.uniform(FIRST_FAULT_AT_S, last_at / 2)
     second_at = rng.uniform(last_at / 2, last_at)
@@ -276,7 +279,7 @@
 
 
 def day_toml(name: str, seed: int, faults: list[Fault], closing: Fault | None) -> str:
-    """One day of a deployment file, without its traffic."""
+    """Encode one day of a deployment file, without its traffic."""
 
     def toml_array(name: str, entries: list[Fault]) -> str:
         return f"{name} = [\n" + "".join(f"  {toml_table(entry)},\n" for entry in entries) + "]\n"
@@ -294,12 +297,12 @@
 
 
 def write_days(site: str, out: str, *, days: int = 60, seed: int = 1) -> None:
-    """Write the deployment of one file with other days.
+    """Write a copy of a deployment file with generated days.
 
-    :param site: the deployment's file
-    :param out: the file to write
-    :param days: how many days
-    :param seed: the seed of all random choices
+    :param site: path of the deployment file to copy
+    :param out: path of the file to write
+    :param days: number of days
+    :param seed: seed of all random choices
     """
     text = Path(site).read_text(encoding="utf-8")
     deployment = tomllib.loads(text)
--- a/tools/pulls.py
+++ b/tools/pulls.py
@@ -1,7 +1,7 @@
-"""Costs of pulls without a network: at a gateway, at the tail, and of a change at both.
+"""Costs of pulls without a network: at a gateway, at the tail, and of a host change at both.
 
-Frames are encoded and decoded as on the wire. The cost of a confirmed read at the tail and its
-voters is not included.
+Frames are encoded and decoded as on the wire. The confirmed read by the tail and its voters is not
+included.
 """
 
 from __future__ import annotations
@@ -48,13 +48,13 @@
 
 @dataclass(frozen=True, slots=True)
 class UnchangedPull:
-    """A pull without changes, at a gateway.
+    """Cost at a gateway of a pull without changes.
 
     Attributes:
-        cores: how many members the core has, all of which each reply names.
+        cores: number of core members, all of which each reply lists.
         gateway_us: processor time, in microseconds.
-        pull_bytes: the size of the request.
-        reply_bytes: the size of the reply.
+        pull_bytes: size of the request.
+        reply_bytes: size of the reply.
     """
 
     cores: int
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TailPull:
-    """A pull without changes at the tail, and the size of a reply with the roster."""
+    """Cost at the tail of a pull without changes, and the size of a reply with the roster."""
 
     gateways: int
     tail_us: float
@@ -74,17 +74,17 @@
 
 @dataclass(frozen=True, slots=True)
 class FullListCost:
-    """A whole list of hosts, from the tail to the data plane of a gateway; times in microseconds.
+    """Cost of a full host list from the tail to a gateway's data plane; times in microseconds.
 
     Attributes:
-        hosts: how many hosts.
-        publish_us: to publish the list at the tail.
-        encode_us: to encode it for one gateway.
-        decode_us: to decode it at a gateway.
-        apply_us: to apply it in the data plane.
-        apply_one_us: to apply it in the data plane when only one host has changed.
-        reply_bytes: the size of the reply.
-        gateway_heap_bytes: bytes on a gateway's heap of the list and of the data plane's directory.
+        hosts: number of hosts.
+        publish_us: publishing the list at the tail.
+        encode_us: encoding the reply for one gateway.
+        decode_us: decoding the reply at a gateway.
+        apply_us: applying the list in the data plane, with new objects for all hosts.
+        apply_one_us: applying a list with one replaced host in the data plane.
+        reply_bytes: size of the reply.
+        gateway_heap_bytes: heap size of the list and the data plane's host directory.
     """
 
     hosts: int
@@ -99,14 +99,14 @@
 
 @dataclass(frozen=True, slots=True)
 class HostDeltaCost:
-    """One replaced host, sent as a difference; times in microseconds.
+    """Cost of one replaced host that is sent as a delta; times in microseconds.
 
     Attributes:
-        hosts: how many hosts the list has.
-        tail_us: at the tail, for each gateway after the first.
-        gateway_us: at a gateway, up to its new list.
-        reply_bytes: the size of the reply.
-        full_list_us: at the tail, for the whole list instead, for each gateway after the first.
+        hosts: number of hosts in the list.
+        tail_us: replying with the delta at the tail, to each gateway after the first.
+        gateway_us: decoding the delta and expanding it to the new list at a gateway.
+        reply_bytes: size of the reply.
+        full_list_us: replying with the full list at the tail, to each gateway after the first.
     """
 
     hosts: int
@@ -123,7 +123,7 @@
     hosts: tuple[Host, ...] | None = None,
     roster: tuple[Member, ...] | None = None,
 ) -> PullReply:
-    """A confirmed reply without a configuration, of a core with so many members."""
+    """Return a confirmed reply without a configuration, from a core with `cores` members."""
     return PullReply(
         confirmed=True,
         vector=vector,
@@ -135,7 +135,7 @@
 
 
 def unchanged_pull(cores: int, pulls: int) -> UnchangedPull:
-    """Measure a gateway's pulls from a core without changes."""
+    """Measure a gateway that pulls from a core without changes."""
     pull_state = PullStateMachine(make_member(1), [("10.2.0.1", 7500)], random.Random(1))
     vector = VersionVector(1, EPOCH << 32 | 1, EPOCH << 32 | 1)
     reply = encode_frame(FrameKind.REPLY, 1, _reply(vector, cores))
@@ -158,7 +158,7 @@
 
 
 def tail_pull(gateways: int, cores: int, pulls: int) -> TailPull:
-    """Measure the tail with so many gateways, each of which has pulled lately."""
+    """Measure the tail with `gateways` gateways, each of which has pulled recently."""
     pull_server = PullServer()
     pull_server.view_changed(0.0, EPOCH, None, make_core_addresses(cores), is_tail=True)
     members = make_roster(gateways)
@@ -195,7 +195,7 @@
 
 
 def full_list_cost(count: int, cores: int, repetitions: int) -> FullListCost:
-    """Measure a changed list of so many hosts."""
+    """Measure a changed list of `count` hosts."""
     hosts = make_hosts(count)
     pull_server = PullServer()
     pull_server.view_changed(0.0, EPOCH, None, make_core_addresses(cores), is_tail=True)
@@ -223,10 +223,10 @@
 
 
 def host_delta_cost(count: int, repetitions: int) -> HostDeltaCost:
-    """Measure a list of so many hosts, of which one is replaced.
+    """Measure a list of `count` hosts of which one is replaced.
 
     Raises:
-        MeasurementError: the tail sent no reply, or the whole list.
+        MeasurementError: the tail sent no delta reply, or one with the full list.
     """
     hosts = make_hosts(count)
     members = make_roster(1)
@@ -242,12 +242,12 @@
         for effect in pull_server.confirmation_received(0.0, 1, confirmation):
             if isinstance(effect, SendDeltaReply):
                 return encode_frame(FrameKind.REPLY, 1, effect.reply)
-        raise MeasurementError("reply", None)
+        raise MeasurementError("pull", None)
 
     data = reply_frame_to(known_vector)
     reply: DeltaPullReply = FrameDecoder().feed(data)[0][2]
     if reply.host_changes is None:
-        raise MeasurementError("difference", reply)
+        raise MeasurementError("delta", reply)
 
     def apply_delta() -> None:
         FrameDecoder().feed(data)
@@ -263,10 +263,10 @@
 
 
 class _DirectoryUpdate:
-    """The data plane's directory of hosts, to which two lists are applied in turn."""
+    """Applies the given host lists in turn to a directory of the data plane."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, *lists: tuple[Host, ...]) -> None:
-        """Make a directory, and apply the first list."""
+        """Create a directory and apply the first list."""
         self._directory = HostDirectory(FleetHostPool(loop, Descriptors(1000)))
         configuration = make_configuration(1, 1)
         snapshots = [Snapshot(VersionVector(1, 1, 1), configuration, hosts, ()) for hosts in lists]
@@ -289,12 +289,12 @@
     pulls: int = PULL_COUNT,
     repetitions: int = REPETITIONS,
 ) -> None:
-    """Measure and print."""
+    """Measure and print all four costs."""
     print(describe_machine())
     unchanged = [unchanged_pull(count, pulls) for count in cores]
     columns: tuple[str, ...] = ("core members", "gateway us", "pull bytes", "reply bytes")
     print_table(
-        "A pull that brings nothing",
+        "A pull without changes",
         columns,
         [(cost.cores, cost.gateway_us, cost.pull_bytes, cost.reply_bytes) for cost in unchanged],
     )
@@ -314,16 +314,16 @@
     lists = [full_list_cost(count, MAX_VOTERS, repetitions) for count in sizes]
     columns = (
         "hosts",
-        "tail lists us",
-        "tail encodes us",
-        "gateway decodes us",
-        "data plane takes us",
-        "but for one us",
+        "publish at tail us",
+        "encode at tail us",
+        "decode at gateway us",
+        "apply us",
+        "apply one host us",
         "reply bytes",
         "heap bytes",
     )
     print_table(
-        "A changed list of hosts",
+        "A changed host list",
         columns,
         [
             (
@@ -339,16 +339,21 @@
             for cost in lists
         ],
     )
-    print_fit("listed at the tail", "us", "host", [(cost.hosts, cost.publish_us) for cost in lists])
+    print_fit(
+        "published at the tail", "us", "host", [(cost.hosts, cost.publish_us) for cost in lists]
+    )
     print_fit("encoded at the tail", "us", "host", [(cost.hosts, cost.encode_us) for cost in lists])
     print_fit(
         "decoded at a gateway", "us", "host", [(cost.hosts, cost.decode_us) for cost in lists]
     )
     print_fit(
-        "taken by the data plane", "us", "host", [(cost.hosts, cost.apply_us) for cost in lists]
+        "applied in the data plane", "us", "host", [(cost.hosts, cost.apply_us) for cost in lists]
     )
     print_fit(
-        "taken but for one", "us", "host", [(cost.hosts, cost.apply_one_us) for cost in lists]
+        "one replaced host applied",
+        "us",
+        "host",
+        [(cost.hosts, cost.apply_one_us) for cost in lists],
     )
     print_fit("reply", "bytes", "host", [(cost.hosts, cost.reply_bytes) for cost in lists])
     print_fit(
@@ -358,23 +363,21 @@
         [(cost.hosts, cost.gateway_heap_bytes) for cost in lists],
     )
     deltas = [host_delta_cost(count, repetitions) for count in sizes]
-    columns = ("hosts", "tail us", "gateway us", "reply bytes", "whole list again us")
+    columns = ("hosts", "tail us", "gateway us", "reply bytes", "full list at tail us")
     print_table(
-        "One host replaced, sent as what changed",
+        "One replaced host, sent as a delta",
         columns,
         [
             (cost.hosts, cost.tail_us, cost.gateway_us, cost.reply_bytes, cost.full_list_us)
             for cost in deltas
         ],
     )
+    print_fit("delta at the tail", "us", "host", [(cost.hosts, cost.tail_us) for cost in deltas])
     print_fit(
-        "difference at the tail", "us", "host", [(cost.hosts, cost.tail_us) for cost in deltas]
-    )
-    print_fit(
-        "difference at a gateway", "us", "host", [(cost.hosts, cost.gateway_us) for cost in deltas]
+        "delta at a gateway", "us", "host", [(cost.hosts, cost.gateway_us) for cost in deltas]
     )
     print_fit(
-        "whole list again", "us", "host", [(cost.hosts, cost.full_list_us) for cost in deltas]
+        "full list at the tail", "us", "host", [(cost.hosts, cost.full_list_us) for cost in deltas]
     )
 
 
--- a/tools/quota_requests.py
+++ b/tools/quota_requests.py
@@ -1,8 +1,8 @@
-"""Costs of quota requests: both sides' processor time, bytes and their number, without a network.
+"""Costs of quota requests without a network: processor time at both ends, sizes and rates.
 
-Their number is counted over simulated time at one gateway whose requests are spread evenly over the
-tenants, with an owner that replies at once. The owner's cost is measured with a number of
-requesters in its bucket.
+The rate is counted in simulated time at one gateway whose requests are spread evenly over the
+tenants; each quota request is granted after `ROUND_TRIP_S`. The owner's cost is measured by the
+number of requesters of one bucket.
 """
 
 from __future__ import annotations
@@ -30,27 +30,27 @@
 REQUESTER_COUNTS = (6, 60, 175, 350)
 TENANT_COUNTS = (5, 50, 200)
 GATEWAY_COUNTS = (6, 60, 175, 350)
-# Requests at one gateway: 10,000 over 350 gateways.
+# Requests per second at one gateway: 10,000 per second over 350 gateways.
 REQUEST_RATE_PER_S = 28.6
-# The simulated time of a measurement, in seconds.
+# Simulated time of a measurement, in seconds.
 DURATION_S = 10.0
-# From a quota request to its reply, in seconds.
+# Time from a quota request to its reply, in seconds.
 ROUND_TRIP_S = 0.004
 QUOTA_REQUEST_COUNT = 500
-# Between two requests of one requester to an owner, in seconds.
+# Simulated time between two requests of one requester, in seconds.
 REQUEST_INTERVAL_S = 0.4
 
 
 @dataclass(frozen=True, slots=True)
 class OwnerCost:
-    """The cost of one quota request at its owner.
+    """Cost of one quota request at its owner.
 
     Attributes:
-        requesters: how many gateways draw on the bucket.
+        requesters: number of gateways that draw on the bucket.
         decide_us: processor time of the decision, in microseconds.
-        codec_us: processor time to decode the request and to encode the reply.
-        request_bytes: the size of the request.
-        reply_bytes: the size of the reply.
+        codec_us: processor time to decode the request and encode the reply, in microseconds.
+        request_bytes: size of the request.
+        reply_bytes: size of the reply.
     """
 
     requesters: int
@@ -62,13 +62,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientCost:
-    """The cost of quota requests at one gateway, wake-ups included.
+    """Cost of quota requests at one gateway, including wake-ups.
 
     Attributes:
-        tenants: how many tenants its requests have.
-        requests_per_s: quota requests sent per second.
+        tenants: number of tenants of its requests.
+        requests_per_s: number of quota requests sent per second.
         request_us: processor time per quota request, in microseconds.
-        busy_fraction: the fraction of a core that is used.
+        busy_fraction: fraction of a processor core that is used.
     """
 
     tenants: int
@@ -78,7 +78,7 @@
 
 
 def owner_cost(requesters: int, requests: int) -> OwnerCost:
-    """Measure a bucket on which so many gateways draw, each of which has sent a request lately."""
+    """Measure a bucket with `requesters` gateways, each of which has recently sent a request."""
     owner = QuotaOwner(RULE, 1)
     owner.configure({"t": LIMIT}, 0.0)
     owner.set_owned(["t"], (), 0.0)
@@ -126,15 +126,15 @@
 
 
 class SimulatedGateway:
-    """One gateway's quota client in simulated time.
+    """Quota client of one gateway in simulated time.
 
     Attributes:
-        now: the simulated time, in seconds.
-        quota_requests: how many quota requests it has sent.
+        now: simulated time, in seconds.
+        quota_requests: number of quota requests sent.
     """
 
     def __init__(self, tenants: int, gateways: int = 6) -> None:
-        """Make a gateway whose requests have so many tenants."""
+        """Create a gateway whose requests belong to `tenants` tenants."""
         ownership = OwnershipView(make_member(0))
         ownership.update(1, make_roster(gateways))
         self.client = QuotaClient(ownership, RULE)
@@ -147,7 +147,7 @@
         self._replies: list[tuple[float, int, QuotaReply]] = []
 
     def run(self, until: float, rate_per_s: float) -> None:
-        """Handle requests of all tenants, replies and wake-ups in order of time."""
+        """Handle requests, replies and wake-ups in order of time."""
         arrival = self.now + self._random.expovariate(rate_per_s)
         while True:
             reply_at = self._replies[0][0] if self._replies else float("inf")
@@ -177,7 +177,7 @@
 
 
 def client_cost(tenants: int, duration_s: float) -> ClientCost:
-    """Measure a gateway with its usual requests."""
+    """Measure a gateway for `duration_s`, after a warm-up of one quota window."""
     gateway = SimulatedGateway(tenants)
     gateway.run(RULE.window_s, REQUEST_RATE_PER_S)
     before = gateway.quota_requests
@@ -193,7 +193,7 @@
 
 
 def roster_cost_us(gateways: int, tenants: int) -> float:
-    """Measure how long it takes to find all tenants' owners under a new roster, in microseconds."""
+    """Measure the processor time to find the owners of all tenants under a new roster."""
     roster = make_roster(gateways)
     token = itertools.count(1)
     ownership = OwnershipView(roster[0])
@@ -214,25 +214,39 @@
     requests: int = QUOTA_REQUEST_COUNT,
     duration_s: float = DURATION_S,
 ) -> None:
-    """Measure and print."""
+    """Measure and print the costs at the owner, at a gateway and of a new roster."""
     print(describe_machine())
     owners = [owner_cost(count, requests) for count in requesters]
-    columns = ("askers", "decide us", "read and answer us", "ask bytes", "answer bytes")
+    columns = ("requesters", "decide us", "decode and encode us", "request bytes", "reply bytes")
     rows = [
         (cost.requesters, cost.decide_us, cost.codec_us, cost.request_bytes, cost.reply_bytes)
         for cost in owners
     ]
-    print_table("One ask at its owner", columns, rows)
-    print_fit("decision", "us", "asker", [(cost.requesters, cost.decide_us) for cost in owners])
+    print_table("One quota request at its owner", columns, rows)
+    print_fit("decision", "us", "requester", [(cost.requesters, cost.decide_us) for cost in owners])
     clients = [client_cost(count, duration_s) for count in tenants]
-    client_columns = ("tenants", "asks a s", "us an ask", "part of a core")
+    client_columns = (
+        "tenants",
+        "quota requests per s",
+        "us per quota request",
+        "fraction of a core",
+    )
     client_rows = [
         (cost.tenants, cost.requests_per_s, cost.request_us, f"{cost.busy_fraction:.4f}")
         for cost in clients
     ]
-    print_table(f"One gateway with {REQUEST_RATE_PER_S} requests a s", client_columns, client_rows)
-    print_fit("asks", "a s", "tenant", [(cost.tenants, cost.requests_per_s) for cost in clients])
-    print_fit("an ask", "us", "tenant", [(cost.tenants, cost.request_us) for cost in clients])
+    print_table(
+        f"One gateway with {REQUEST_RATE_PER_S} requests per s", client_columns, client_rows
+    )
+    print_fit(
+        "quota requests",
+        "per s",
+        "tenant",
+        [(cost.tenants, cost.requests_per_s) for cost in clients],
+    )
+    print_fit(
+        "one quota request", "us", "tenant", [(cost.tenants, cost.request_us) for cost in clients]
+    )
     roster_costs = [(count, roster_cost_us(count, tenants[-1])) for count in gateways]
     print_table(f"A new roster, {tenants[-1]} tenants", ("gateways", "us"), roster_costs)
     print_fit("new roster", "us", "gateway", roster_costs)
--- a/tools/streams.py
+++ b/tools/streams.py
@@ -1,7 +1,7 @@
 """Costs of event streams: splitting, recording and forwarding, without sockets and timers.
 
-One read of the socket brings a number of events of one stream. A read that brings one event is the
-usual case where a model makes tokens one by one.
+Each read of the socket returns a number of events of one stream. One event per read is the usual
+case, since a model generates tokens one by one.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamCost:
-    """Processor time of one read, and of each of its events, in microseconds."""
+    """Processor times of one read and of each of its events, in microseconds."""
 
     events: int
     read_us: float
@@ -30,29 +30,31 @@
 
 
 def make_event(number: int) -> bytes:
-    """One event of some tokens."""
+    """Return an event with a few tokens."""
     return b"id: %d\ndata: token token token token token %d\n\n" % (number, number)
 
 
 def measure(events: int, reads: int) -> StreamCost:
-    """Measure reads of so many events each."""
+    """Measure reads that return `events` events each."""
     stream = StreamFilter(StreamProgress(), resumed=False)
     data = [
         b"".join(make_event(read * events + index + 1) for index in range(events))
         for read in range(reads)
     ]
-    # A repeated event costs the same as a new one, since this stream was not resumed.
+    # Since the stream is not resumed, a repeated event costs the same as a new one.
     repeated_reads = itertools.cycle(data)
     read_us = processor_us(lambda: stream.feed(next(repeated_reads)), reads)
     return StreamCost(events, read_us, read_us / events)
 
 
 def main(sizes: Sequence[int] = EVENTS_PER_READ, reads: int = READ_COUNT) -> None:
-    """Measure and print."""
+    """Measure and print each number of events per read."""
     print(describe_machine())
     costs = [measure(count, reads) for count in sizes]
     rows = [(cost.events, cost.read_us, cost.event_us) for cost in costs]
-    print_table("Event streams, cut and passed on", ("events a read", "read us", "event us"), rows)
+    print_table(
+        "Event streams, split and forwarded", ("events per read", "read us", "event us"), rows
+    )
     print_fit("read", "us", "event", [(cost.events, cost.read_us) for cost in costs])
 
 
--- a/tools/synthetic_fleet.py
+++ b/tools/synthetic_fleet.py
@@ -1,4 +1,4 @@
-"""Synthetic hosts, gateways and configurations of any size, like those of the deployments."""
+"""Synthetic hosts, gateways and configurations of any size, modelled on the deployments."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 def service_name(number: int) -> str:
-    """The service of one model."""
+    """Return the name of the service of one model."""
     return f"model-{number}"
 
 
 def make_host(number: int, incarnation: int = 0) -> Host:
-    """Make one model host; another `incarnation` is another incarnation at the same address."""
+    """Make one model host; a new incarnation has a new id at the same address."""
     return Host(
         id=f"i-{number:06x}{incarnation:04x}9c41",
         service=service_name(number % MODEL_COUNT),
@@ -32,17 +32,17 @@
 
 
 def make_hosts(count: int) -> tuple[Host, ...]:
-    """Hosts of all models."""
+    """Make hosts, assigned to the models in turn."""
     return tuple(make_host(number) for number in range(count))
 
 
 def replace_host(hosts: tuple[Host, ...], index: int, incarnation: int) -> tuple[Host, ...]:
-    """The list with one host replaced by its next incarnation."""
+    """Return the list with one host replaced by another incarnation."""
     return (*hosts[:index], make_host(index, incarnation), *hosts[index + 1 :])
 
 
 def make_member(number: int) -> Member:
-    """One gateway."""
+    """Make one gateway."""
     return Member(
         f"edge-zone-{number % ZONE_COUNT:02}-{number}",
         f"10.1.{number >> 8}.{number & 255}:7500",
@@ -51,19 +51,19 @@
 
 
 def make_roster(count: int) -> tuple[Member, ...]:
-    """Live gateways, by name."""
+    """Make a roster of gateways, sorted by name."""
     return tuple(
         sorted((make_member(number) for number in range(count)), key=lambda member: member.name)
     )
 
 
 def make_core_addresses(count: int) -> tuple[str, ...]:
-    """Peer addresses of the core."""
+    """Make the peer addresses of the core members."""
     return tuple(f"10.2.{number >> 8}.{number & 255}:7500" for number in range(count))
 
 
 def make_document(routes: int, tenants: int, generation: int = 1) -> dict[str, Any]:
-    """An operator's document like the example of the protocol, but larger."""
+    """Make a configuration document with the fields of the protocol's example, but larger."""
     return {
         "generation": generation,
         "routes": [_route(number) for number in range(routes)],
@@ -94,7 +94,7 @@
 
 
 def make_configuration(routes: int, tenants: int) -> Configuration:
-    """The same, parsed."""
+    """Make the parsed configuration of such a document."""
     return Configuration.from_document(make_document(routes, tenants))
 
 
