--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -1,9 +1,9 @@
-"""Tells pytest to pass over the tests in KNOWN-RED.txt, and prints their lines.
+"""Prints pytest options that deselect the tests listed in KNOWN-RED.txt.
 
-A line is `test, cause, issue`, where `test` is pytest's id of one test; without the brackets of a
-table's case it stands for all its cases. The options go to standard output, all else to standard
-error. A line that isn't whole, names no test, or would take other tests along (pytest goes by the
-begin of ids) is an error: exit status 1.
+A line is `test, cause, issue`, where `test` is pytest's id of one test. An id without the brackets
+of a parametrized case covers all cases of its test. The options go to standard output; the lines of
+the file and errors go to standard error. A line is an error (exit status 1) if it lacks a field,
+matches no test, or would deselect other tests too, since pytest compares the beginnings of ids.
 """
 
 from __future__ import annotations
@@ -20,19 +20,19 @@
 
 
 def parse_list(text: str) -> list[str]:
-    """The tests that the file names; raises ValueError for a line that isn't whole."""
+    """Return the tests that the file lists; raise ValueError for a line that lacks a field."""
     tests = []
     for line in filter(None, map(str.strip, text.splitlines())):
         fields = [field.strip() for field in line.rsplit(", ", FIELD_COUNT - 1)]
         if len(fields) < FIELD_COUNT or not all(fields):
-            message = f"needs test, cause, issue: {line!r}"
+            message = f"a line needs test, cause and issue: {line!r}"
             raise ValueError(message)
         tests.append(line.split(", ", 1)[0].strip())
     return tests
 
 
 def entry_errors(tests: list[str], collected: list[str]) -> list[str]:
-    """What keeps these from standing for just these tests."""
+    """Return an error for each entry without a test, and for each other test that it deselects."""
     errors = []
     for test in tests:
         matches = [test_id for test_id in collected if test_id.startswith(test)]
@@ -40,19 +40,19 @@
             test_id for test_id in matches if test_id != test and not test_id.startswith(f"{test}[")
         ]
         if not matches:
-            errors.append(f"there is no test {test}")
-        errors += [f"{test} would take {other} along" for other in others]
+            errors.append(f"no test matches {test}")
+        errors += [f"{test} would also deselect {other}" for other in others]
     return errors
 
 
 def collect_test_ids() -> list[str]:
-    """The ids of all tests."""
+    """Return the ids of all tests."""
     command = [
         sys.executable,
         "-m",
         "pytest",
         "--collect-only",
-    ]  # the project's own options make it one id a line
+    ]  # the options in pyproject.toml make it print one id per line
     environment = {name: value for name, value in os.environ.items() if name != "PYTEST_ADDOPTS"}
     completed = subprocess.run(
         command, cwd=ROOT, env=environment, capture_output=True, text=True, check=True
@@ -61,7 +61,7 @@
 
 
 def main() -> int:
-    """Print the options; the exit status."""
+    """Print the options and return the exit status."""
     if not LIST_PATH.exists():
         return 0
     text = LIST_PATH.read_text()
@@ -73,7 +73,7 @@
     if errors := entry_errors(tests, collect_test_ids()) if tests else []:
         sys.stderr.writelines(f"{LIST_PATH.name}: {message}\n" for message in errors)
         return 1
-    sys.stderr.write(f"{LIST_PATH.name}: these fail for known faults and are passed over:\n{text}")
+    sys.stderr.write(f"{LIST_PATH.name}: deselected tests, which fail for known faults:\n{text}")
     sys.stdout.write(" ".join(shlex.quote(f"--deselect={test}") for test in tests))
     return 0
 
--- a/tests/mutations/__init__.py
+++ b/tests/mutations/__init__.py
@@ -1,8 +1,9 @@
-"""Guards of the fleet, each with the edit that removes it.
+"""Mutation tests of the fleet: guards of the code, each with the edit that removes it.
 
-A guard that no test misses is dead or untested. `python -m tests.mutations` removes the guards one
-at a time, on copies of the tree, and runs the fast tests of their area; it names those that nothing
-caught. One module a package of roselink lists its guards; add a package's table to MUTATIONS here.
+A guard whose removal fails no test is dead or untested. `python -m tests.mutations` removes the
+guards one at a time in copies of the tree, runs the fast tests of their package, and prints the
+removals that no test caught. Each package of roselink has a module here with its table of guards;
+add a new table to MUTATIONS.
 """
 
 from __future__ import annotations
--- a/tests/mutations/__main__.py
+++ b/tests/mutations/__main__.py
@@ -1,7 +1,7 @@
-"""`python -m tests.mutations`: removes guards one at a time and names those that no test missed.
+"""`python -m tests.mutations`: removes guards one at a time and prints those that no test caught.
 
-`--drawn N --seed S` takes N of them. `--conditions PACKAGE` takes every condition of a package
-instead, to find those that the tables lack.
+`--drawn N --seed S` selects N of them at random. `--conditions PACKAGE` selects every condition of
+a package instead, to find guards that the tables lack.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
     only: str = "",
     conditions: str | None = None,
 ) -> int:
-    """Remove guards one at a time, and name those that no test missed.
+    """Remove guards one at a time and print those whose removal no test caught.
 
-    :param drawn: take only so many, drawn by the seed
-    :param seed: of the draw
-    :param jobs: how many at a time
-    :param only: take those whose name or file has this text
-    :param conditions: take all conditions of this package in place of the tables
+    :param drawn: number of guards to select at random; all by default
+    :param seed: seed of the random selection
+    :param jobs: number of guards tested at a time
+    :param only: select guards whose name or file contains this text
+    :param conditions: package whose conditions replace the tables
     """
     available = MUTATIONS if conditions is None else conditions_of(conditions)
     selected = [
--- a/tests/mutations/conditions.py
+++ b/tests/mutations/conditions.py
@@ -1,9 +1,9 @@
 """Every condition of a package, each with the edit that removes it.
 
-The tables of this folder hold the guards that someone thought of. This makes the rest: each operand
-of `and` and `or` left out, and each other `if` never taken. Nothing here has to be caught: most
-survivors are short cuts that change no result; the others want a test, a row in a table, or to go
-out.
+The tables of this package list guards chosen by hand. This module generates the others: it drops
+each operand of `and` and `or`, and replaces each other condition of `if` by False. Tests need not
+catch all of these: most survivors are shortcuts that change no result. The others need a test and a
+row in a table, or the condition is superfluous.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-# The tests of each package, the fast ones first: a run ends with the first failure.
+# Tests of each package. Fast ones come first, since a run ends with the first failure.
 TESTS_BY_PACKAGE = {
     "coordination": (
         "tests/coordination",
@@ -30,10 +30,10 @@
 
 
 def conditions_of(package: str) -> list[Mutation]:
-    """The conditions of one package of roselink, in the order of its files.
+    """Return the conditions of one package of roselink, in the order of its files.
 
     Raises:
-        KeyError: `TESTS_BY_PACKAGE` does not name the package.
+        KeyError: `TESTS_BY_PACKAGE` does not contain the package.
     """
     tests = TESTS_BY_PACKAGE[package]
     paths = sorted((ROOT / "roselink" / package).glob("*.py"))
@@ -46,7 +46,7 @@
 
 
 def _removals(text: str) -> Iterator[tuple[str, str]]:
-    """The line with what is left out, and the whole text without it."""
+    """Yield a name with line and removed condition, and the full source without the condition."""
     for node in ast.walk(ast.parse(text)):
         if isinstance(node, ast.BoolOp):
             for operand in node.values:
@@ -60,7 +60,7 @@
 
 
 def _is_simple(test: ast.expr) -> bool:
-    """Whether a condition has no operands, and isn't the one of imports for types."""
+    """Whether a condition has no operands and does not guard imports for type checking."""
     return not isinstance(test, ast.BoolOp) and ast.unparse(test) != "TYPE_CHECKING"
 
 
--- a/tests/mutations/mutation.py
+++ b/tests/mutations/mutation.py
@@ -1,4 +1,4 @@
-"""One guard of the code, and the edit that removes it."""
+"""A guard of the code, and the edit that removes it."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 class GuardNotFoundError(ValueError):
-    """A guard's text does not stand exactly once in its file.
+    """A guard's text does not occur exactly once in its file.
 
     Attributes:
-        mutation: the mutation that can't be applied.
-        count: how often the guard's text stands in the file.
+        mutation: mutation that can't be applied.
+        count: number of occurrences of the guard's text in the file.
     """
 
     def __init__(self, mutation: Mutation, count: int) -> None:
-        """Note which mutation can't be applied, and how often its guard was found."""
-        super().__init__(f"{mutation.name}: its guard stands {count} times in {mutation.file}")
+        """Store the mutation and the number of occurrences of its guard."""
+        super().__init__(f"{mutation.name}: its guard occurs {count} times in {mutation.file}")
         self.mutation = mutation
         self.count = count
 
@@ -28,11 +28,11 @@
     """A guard of the code, and the edit that removes it.
 
     Attributes:
-        name: what goes wrong without the guard.
-        file: the file that has the guard, below `roselink`.
-        guard: the guard's text, which stands once in the file.
-        replacement: the text that takes the guard's place.
-        tests: files and folders of tests, at least one of which fails without the guard.
+        name: failure that the guard prevents.
+        file: path of the file with the guard, relative to `roselink`.
+        guard: text of the guard, which occurs once in the file.
+        replacement: text that replaces the guard.
+        tests: test files and directories, in at least one of which a test fails without the guard.
     """
 
     name: str
@@ -42,10 +42,10 @@
     tests: tuple[str, ...]
 
     def apply(self, tree: Path) -> None:
-        """Remove the guard from a copy of the tree.
+        """Remove the guard in a copy of the tree.
 
         Raises:
-            GuardNotFoundError: the guard's text does not stand exactly once in its file.
+            GuardNotFoundError: the guard's text does not occur exactly once in its file.
         """
         path = tree / "roselink" / self.file
         text = path.read_text(encoding="utf-8")
@@ -56,5 +56,5 @@
 
 
 def mutations_of(file: str, tests: tuple[str, ...], *edits: tuple[str, str, str]) -> list[Mutation]:
-    """The mutations of one file, whose edits are (name, guard, instead)."""
+    """Return the mutations of one file from edits of the form (name, guard, replacement)."""
     return [Mutation(name, file, guard, replacement, tests) for name, guard, replacement in edits]
--- a/tests/mutations/runner.py
+++ b/tests/mutations/runner.py
@@ -18,31 +18,32 @@
     from tests.mutations.mutation import Mutation
 
 COPIED_PATHS = ("roselink", "tests", "pyproject.toml", "docs", "README.md")
+# Time limit of the tests of one mutation, in seconds. A run that exceeds it counts as caught.
 TIME_LIMIT_S = 400
 
-# pytest's exit statuses
+# Exit statuses of pytest.
 EXIT_PASSED = 0
 EXIT_FAILED = 1
 
 
 class PytestRunError(ValueError):
-    """pytest neither passed nor failed: it did not run the tests of a mutation.
+    """pytest neither passed nor failed, so it did not run the tests of a mutation.
 
     Attributes:
-        mutation: the mutation whose tests did not run.
-        status: pytest's exit status.
+        mutation: mutation whose tests did not run.
+        status: exit status of pytest.
     """
 
     def __init__(self, mutation: Mutation, status: int) -> None:
-        """Note which mutation's tests did not run, and pytest's exit status."""
-        super().__init__(f"{mutation.name}: pytest ended with {status}")
+        """Store the mutation and the exit status of pytest."""
+        super().__init__(f"{mutation.name}: pytest exited with status {status}")
         self.mutation = mutation
         self.status = status
 
 
 @dataclass(frozen=True, slots=True)
 class MutationResult:
-    """Whether a test caught a mutation, and after how many seconds."""
+    """Whether a test caught a mutation, and the duration of the run in seconds."""
 
     mutation: Mutation
     caught: bool
@@ -50,7 +51,7 @@
 
 
 def copy_tree(destination: Path) -> None:
-    """Copy the parts of the project that tests need."""
+    """Copy the files of the project that the tests need."""
     for name in COPIED_PATHS:
         source = ROOT / name
         if source.is_dir():
@@ -62,10 +63,10 @@
 
 
 def run_tests(mutation: Mutation) -> MutationResult:
-    """Remove one guard on a copy, and run its tests; a time-out counts as caught.
+    """Remove one guard in a copy of the tree and run its tests; a time-out counts as caught.
 
     Raises:
-        GuardNotFoundError: the guard's text does not stand exactly once in its file.
+        GuardNotFoundError: the guard's text does not occur exactly once in its file.
         PytestRunError: pytest did not run the tests.
     """
     started_at = time.monotonic()
--- a/tests/test_error_codes.py
+++ b/tests/test_error_codes.py
@@ -1,4 +1,4 @@
-"""Every error that roselink defines has a code of its own, and docs/operations.md lists it."""
+"""Every error class of roselink has a unique code, which docs/operations.md lists."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 
 ROOT = Path(__file__).parent.parent
 CODE_PATTERN = re.compile(r"[A-Z]{3}-\d{3}\Z")
-# It starts a program when it is imported.
+# Modules that start a program when they are imported.
 ENTRY_POINTS = ("roselink.__main__", "roselink.gateway.__main__")
 
 
 def subclasses_of(base: type[RoselinkError]) -> Iterator[type[RoselinkError]]:
-    """The class, and all that derive from it."""
+    """Yield the class and all classes derived from it."""
     yield base
     for derived in base.__subclasses__():
         yield from subclasses_of(derived)
 
 
 def error_codes() -> list[tuple[str, str]]:
-    """Each code, with the name of its error."""
+    """Return each code with the name of its error, sorted."""
     for module in pkgutil.walk_packages(roselink.__path__, "roselink."):
         if module.name not in ENTRY_POINTS:
             importlib.import_module(module.name)
@@ -51,7 +51,7 @@
 
 
 def test_class_without_a_code_inherits_the_code_of_its_base() -> None:
-    """So that the test above finds it."""
+    """The uniqueness test detects a class without a code, because it has the code of its base."""
 
     class UncodedError(RoselinkError):
         pass
--- a/tests/test_glossary.py
+++ b/tests/test_glossary.py
@@ -1,4 +1,4 @@
-"""docs/glossary.md names terms that the code uses, where it uses them, and each shared name."""
+"""docs/glossary.md lists terms of the code, their locations, and every name that packages share."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 PACKAGE = ROOT / "roselink"
 TERM_PATTERN = re.compile(r"`([A-Za-z_][A-Za-z_0-9]*)`")
 LOCATION_PATTERN = re.compile(r"`([a-z_/]+(?:\.py)?)`")
-# The entry points of programs and the two words that every package may use for its main function.
+# Names of entry points, which any package may define.
 EXEMPT_NAMES = {"main", "run"}
 
 
 @cache
 def glossary_rows() -> list[list[str]]:
-    """The cells of the glossary's table, without its head."""
+    """Return the cells of the glossary's table, without the header."""
     text = (ROOT / "docs" / "glossary.md").read_text(encoding="utf-8")
     lines = [line for line in text.splitlines() if line.startswith("| ")]
     cells = [[cell.strip() for cell in line.strip("|").split("|")] for line in lines]
@@ -29,7 +29,7 @@
 
 @cache
 def defined_names(path: Path) -> frozenset[str]:
-    """Every name that a module defines, and its own."""
+    """Return every name that a module defines, and the names of the module and its package."""
     names = {path.stem, path.parent.name}
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef | ast.ClassDef):
@@ -42,7 +42,7 @@
 
 
 def exporting_packages() -> dict[str, set[str]]:
-    """The packages that define each public class or function."""
+    """Return the packages that define each top-level class or function."""
     packages = defaultdict(set)
     for path in PACKAGE.rglob("*.py"):
         package = path.relative_to(PACKAGE).parts[0]
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failing tests passes over just the tests that it names."""
+"""The list of known failing tests deselects only the tests that it names."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 @pytest.mark.parametrize("text", ["a::b", "a::b, cause", "a::b, , #3", ", cause, #3"])
 def test_incomplete_line_is_rejected(known_red: ModuleType, text: str) -> None:
-    with pytest.raises(ValueError, match="needs test, cause, issue"):
+    with pytest.raises(ValueError, match="needs test, cause and issue"):
         known_red.parse_list(text)
 
 
@@ -59,10 +59,10 @@
         ("a.py::table", []),
         ("a.py::table[1]", []),
         ("a.py::one_more", []),
-        ("a.py::none", ["there is no test a.py::none"]),
-        ("a.py::one", ["a.py::one would take a.py::one_more along"]),
-        ("b.py", ["b.py would take b.py::last along"]),
-        ("a.py::tab", [f"a.py::tab would take {test_id} along" for test_id in COLLECTED[2:5]]),
+        ("a.py::none", ["no test matches a.py::none"]),
+        ("a.py::one", ["a.py::one would also deselect a.py::one_more"]),
+        ("b.py", ["b.py would also deselect b.py::last"]),
+        ("a.py::tab", [f"a.py::tab would also deselect {test_id}" for test_id in COLLECTED[2:5]]),
     ],
 )
 def test_missing_and_ambiguous_entries_are_reported(
--- a/tests/test_mutations.py
+++ b/tests/test_mutations.py
@@ -1,4 +1,4 @@
-"""Every guard that `mutations` removes stands in the code, once, and its removal is detected."""
+"""Every guard in the mutation tables occurs once in the code, and tests detect a removed guard."""
 
 from __future__ import annotations
 
@@ -57,5 +57,5 @@
 def test_apply_rejects_a_guard_that_is_not_found(tmp_path: Path) -> None:
     (tmp_path / "roselink" / "routing").mkdir(parents=True)
     (tmp_path / "roselink" / "routing" / "classifier.py").write_text("nothing\n")
-    with pytest.raises(ValueError, match="stands 0 times"):
+    with pytest.raises(ValueError, match="occurs 0 times"):
         Mutation("any", "routing/classifier.py", "guard", "", ROUTING).apply(tmp_path)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -1,4 +1,4 @@
-"""docs/operations.md lists the fleet's log events, each once, and no others."""
+"""docs/operations.md lists every log event of the fleet once, and no others."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def logged_events() -> Iterator[tuple[str, str]]:
-    """Each logged event's first word, and where it stands."""
+    """Yield the name of each logged event, and the file and line of the call."""
     for package in LOGGING_PACKAGES:
         for path in sorted((ROOT / "roselink" / package).glob("*.py")):
             for node in ast.walk(ast.parse(path.read_text())):
@@ -37,8 +37,8 @@
 
 
 def _event_text(call: ast.Call) -> str | None:
-    """The text of a call that logs: of a logger named `log`, or a `LogWarning` that its driver
-    logs.
+    """Return the text that a call logs: a call of a logger named `log`, or a `LogWarning` that a
+    driver logs.
     """
     function = call.func
     is_log_call = (
@@ -51,7 +51,7 @@
     argument = call.args[0]
     if isinstance(argument, ast.Constant) and isinstance(argument.value, str):
         return argument.value
-    return None  # handed on by name from a `LogWarning`
+    return None  # a variable: the text of a `LogWarning`
 
 
 def test_event_names_are_snake_case() -> None:
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs as it stands there."""
+"""The README's example runs, and CI runs the README's test command."""
 
 from __future__ import annotations
 
--- a/tests/tools/test_losses.py
+++ b/tests/tools/test_losses.py
@@ -1,4 +1,4 @@
-"""Tables of losses, and differences of paired plays, from made-up reports."""
+"""Tables of losses, and figures and confidence intervals of runs, from synthetic reports."""
 
 from __future__ import annotations
 
--- a/tests/tools/test_smoke.py
+++ b/tests/tools/test_smoke.py
@@ -1,4 +1,4 @@
-"""Each measurement runs at tiny sizes and prints its figures and its lines."""
+"""Each benchmark runs at small sizes and prints its fitted lines."""
 
 from __future__ import annotations
 
