--- a/tests/mutations/conditions.py
+++ b/tests/mutations/conditions.py
@@ -67,6 +67,7 @@
 def _replace_expression(
     text: str, node: ast.expr, replacement: str, removed_source: str
 ) -> tuple[str, str]:
+    """Return a name with line and removed condition, and the source with the replacement."""
     lines = text.encode().splitlines(keepends=True)
     assert node.end_lineno is not None
     start = sum(map(len, lines[: node.lineno - 1])) + node.col_offset
--- a/tools/compare.py
+++ b/tools/compare.py
@@ -189,9 +189,9 @@
         bench, before, after, [_parse_run(day, seed) for seed in seeds for day in days], jobs, why
     )
     for run, *results in paired_results:
-        worths = " ".join(f"{result.figures.get('worth', math.nan):.4f}" for result in results)
+        scores = " ".join(f"{result.figures.get('worth', math.nan):.4f}" for result in results)
         print(
-            f"{run.name:40} seed {run.seed:<8} {worths}",
+            f"{run.name:40} seed {run.seed:<8} {scores}",
             *(result.faults for result in results if result.faults),
         )
     complete_pairs = [
--- a/tools/host_list.py
+++ b/tools/host_list.py
@@ -113,8 +113,8 @@
 def measure(count: int, repetitions: int) -> HostListCost:
     """Measure a list of `count` hosts.
 
-    The removed host is on the first page and is removed right after a pass has read that page. That
-    is the longest delay, since the next pass is the first to omit the host.
+    The removed host is on the first page and is removed right after that page has been read, which
+    makes the delay longest.
     """
     platform = SimulatedPlatform(count)
     platform.read_next_list()
--- a/tools/losses.py
+++ b/tools/losses.py
@@ -31,7 +31,7 @@
     """Score of one day, with its losses by cause."""
 
     name: str
-    worth: float
+    score: float
     causes: dict[str, float]
 
 
@@ -54,14 +54,14 @@
         (name for name in names if columns[name][0] >= MIN_SHOWN_LOSS),
         key=lambda name: -columns[name][0],
     )
-    worth, half_width = confidence_interval([day.worth for day in days])
+    score, half_width = confidence_interval([day.score for day in days])
     rows = [["day", "worth", *shown]]
     for day in days:
         rows.append(
-            [day.name, f"{day.worth:.3f}", *(f"{day.causes.get(name, 0.0):.4f}" for name in shown)]
+            [day.name, f"{day.score:.3f}", *(f"{day.causes.get(name, 0.0):.4f}" for name in shown)]
         )
     means = [f"{columns[name][0]:.4f} +- {columns[name][1]:.4f}" for name in shown]
-    return [*rows, ["mean", f"{worth:.3f} +- {half_width:.3f}", *means]]
+    return [*rows, ["mean", f"{score:.3f} +- {half_width:.3f}", *means]]
 
 
 def print_losses(*files: str) -> None:
