--- a/roselink/controller/api.py
+++ b/roselink/controller/api.py
@@ -190,7 +190,7 @@
         )
         if base is None:
             return _invalid(
-                request, (ValidationFault("X-Base-Version", "must be one non-negative integer"),)
+                request, (ValidationFault("X-Base-Version", "must be one whole number"),)
             )
         if self._stopping:
             return _unavailable(request, ApiError.STOPPING)
--- a/roselink/controller/field_validators.py
+++ b/roselink/controller/field_validators.py
@@ -31,7 +31,7 @@
         try:
             value.encode()
         except UnicodeEncodeError:
-            raise Invalid("contains a lone surrogate") from None
+            raise Invalid("holds half a character") from None
     return value
 
 
--- a/roselink/controller/updates.py
+++ b/roselink/controller/updates.py
@@ -216,7 +216,7 @@
             yield ValidationFault(field, "must be an object")
             return
         if GENERATION in sections[field]:
-            yield ValidationFault(f"{field}.{GENERATION}", "is not a section")
+            yield ValidationFault(f"{field}.{GENERATION}", "is no section")
     for section, items in sections[UPSERT].items():
         yield from _upsert_faults(section, items, sections[REMOVE].get(section))
     for section, names in sections[REMOVE].items():
@@ -240,7 +240,7 @@
         if not isinstance(name, str) or not name:
             yield ValidationFault(f"{path}[{index}]", "must be an object with a name")
         elif name in seen:
-            yield ValidationFault(f"{path}[{index}].name", "occurs twice")
+            yield ValidationFault(f"{path}[{index}].name", "stands twice")
         elif isinstance(removed, list) and name in removed:
             yield ValidationFault(f"{path}[{index}].name", "is also removed")
         else:
@@ -263,7 +263,7 @@
             continue
         existing = document.get(section)
         if existing is not None and not _is_list_of_objects(existing):
-            yield ValidationFault(section, "is not a list of items")
+            yield ValidationFault(section, "is no list of items")
 
 
 def _is_list_of_objects(value: JsonValue) -> bool:
--- a/roselink/controller/validation.py
+++ b/roselink/controller/validation.py
@@ -103,7 +103,7 @@
 
 
 def _reject_constant(name: str) -> NoReturn:
-    raise ValueError(f"{name} is not a JSON number")
+    raise ValueError(f"{name} is no number")
 
 
 def _to_fault(error: Invalid) -> ValidationFault:
--- a/tests/controller/test_validation.py
+++ b/tests/controller/test_validation.py
@@ -211,7 +211,7 @@
     "name with a lone surrogate": (
         with_route(name="\ud800"),
         "routes[0].name",
-        "contains a lone surrogate",
+        "holds half a character",
     ),
     "hostname absent": (with_route(hostname=ABSENT), "routes[0].hostname", "is missing"),
     "hostname a number": (with_route(hostname=3), "routes[0].hostname", "must be text"),
