--- a/tests/controller/test_chain_driver.py
+++ b/tests/controller/test_chain_driver.py
@@ -176,13 +176,21 @@
     asyncio.run(stop_the_head(tmp_path, planned))
 
 
+async def only_state_record(folder: Path) -> Path:
+    """Wait until the last save has removed the older generation; return the newer one."""
+    async with asyncio.timeout(10):
+        while len(paths := list(folder.glob("state-*.dat"))) != 1:
+            await asyncio.sleep(0.01)
+    return paths[0]
+
+
 async def damage_state_record_twice(folder: Path, capsys: pytest.CaptureFixture[str]) -> None:
     """Flip a byte of a running member's state record, twice, then restart it on a torn one."""
     process = MemberProcess(HOSTS[0], free_port(), folder, seeds=HOSTS[:1])
     await process.start()
     await submit_until_decided(process, change_on(0, 1))
     for times in (1, 2):
-        (path,) = folder.glob("state-*.dat")
+        path = await only_state_record(folder)
         content = bytearray(path.read_bytes())
         content[-1] ^= 1
         path.write_bytes(content)
@@ -195,8 +203,8 @@
     assert status.healthy
     assert status.checks >= 2
     assert status.checked_s is not None
+    path = await only_state_record(folder)
     process.kill()
-    (path,) = folder.glob("state-*.dat")
     path.write_bytes(path.read_bytes()[:-1])
     restarted = MemberProcess(HOSTS[0], process.port, folder, bootstrap=False)
     await restarted.start()
