--- a/roselink/simulation/clients.py
+++ b/roselink/simulation/clients.py
@@ -19,7 +19,7 @@
 from roselink.coordination.state import digest_of
 from roselink.protocol.chain import ConfigurationChange
 from roselink.simulation.exceptions import ChangeNotValidError
-from roselink.simulation.history import CallResult, Change, Reading
+from roselink.simulation.history import CallResult, Change, Observation
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -30,7 +30,7 @@
 # An operator sends a change again after this time without a response, in seconds.
 RESPONSE_TIMEOUT_S = 1.0
 # After its last attempt an operator continues with its next change.
-MOST_ATTEMPTS = 12
+MAX_ATTEMPTS = 12
 # The fraction of changes that are sent as updates of items.
 UPDATE_FRACTION = 0.5
 SERVICE = "model"
@@ -78,7 +78,7 @@
 
 
 def _items(change: Change) -> dict[str, Any]:
-    route = {"name": "newest", "hostname": change.text, "path_prefix": "/", "kind": "idempotent"}
+    route = {"name": "newest", "hostname": change.name, "path_prefix": "/", "kind": "idempotent"}
     tenant = {"name": "tenant", "api_keys": sorted(change.keys)}
     return {"routes": [route | {"service": SERVICE}], "tenants": [tenant]}
 
@@ -93,14 +93,14 @@
     """
 
     change: Change
-    command: ConfigurationChange | UpdateRequest
+    message: ConfigurationChange | UpdateRequest
 
     def send(
         self, machine: Machine, done: Callable[[SubmitOutcome | ValidationFailure], None]
     ) -> None:
         """Send the change to a member."""
-        if isinstance(self.command, ConfigurationChange):
-            machine.submit(self.command, done)
+        if isinstance(self.message, ConfigurationChange):
+            machine.submit(self.message, done)
             return
         process_number = machine.process_number
 
@@ -108,10 +108,10 @@
             if machine.process_number == process_number:
                 machine.submit(change, done)
 
-        submit_update(self.command, machine.read, submit, done)
+        submit_update(self.message, machine.read, submit, done)
 
 
-def command_of(change: Change, padding: int = 0) -> ConfigurationChange:
+def configuration_change_of(change: Change, padding: int = 0) -> ConfigurationChange:
     """A change with its whole document, as members handle it."""
     document = document_of(change, padding)
     return ConfigurationChange(
@@ -119,7 +119,7 @@
     )
 
 
-def update_command_of(change: Change, missing: int) -> UpdateRequest:
+def update_request_of(change: Change, missing: int) -> UpdateRequest:
     """A change as an update of items, as members handle it.
 
     Raises:
@@ -131,7 +131,7 @@
     return request
 
 
-def change_in(cluster: Cluster, document: bytes | None) -> Change | None:
+def change_of(cluster: Cluster, document: bytes | None) -> Change | None:
     """The change that a document belongs to; None for no document."""
     if document is None:
         return None
@@ -166,53 +166,55 @@
         self.base = 0
         self.count = 0
         self.stopped = False
-        self.slowest_s = 0.0
+        self.max_confirmation_latency_s = 0.0
         self._sent: list[ChangeRequest] = []
         cluster.after(cluster.random.uniform(0.5, 1.5), self._next)
 
     def _next(self) -> None:
         if self.stopped:
             return
-        draw = self.cluster.random
-        if self._sent and draw.random() < REPEAT_FRACTION:
-            request = draw.choice(self._sent)
+        rng = self.cluster.random
+        if self._sent and rng.random() < REPEAT_FRACTION:
+            request = rng.choice(self._sent)
         else:
             change = self._change()
-            update = change.base > 0 and draw.random() < UPDATE_FRACTION
-            size = draw.randrange(300)
-            command = update_command_of(change, size) if update else command_of(change, size)
-            self.cluster.digests[change.text] = command.digest
-            request = ChangeRequest(change, command)
+            update = change.base > 0 and rng.random() < UPDATE_FRACTION
+            size = rng.randrange(300)
+            message = (
+                update_request_of(change, size) if update else configuration_change_of(change, size)
+            )
+            self.cluster.digests[change.name] = message.digest
+            request = ChangeRequest(change, message)
             self._sent.append(request)
         self._send(request, self.cluster.now, 0)
 
     def _change(self) -> Change:
-        draw = self.cluster.random
+        rng = self.cluster.random
         self.count += 1
-        base = self.base + (draw.choice([3, 7]) if draw.random() < UNKNOWN_BASE_FRACTION else 0)
+        base = self.base + (rng.choice([3, 7]) if rng.random() < UNKNOWN_BASE_FRACTION else 0)
         version = max(
-            1, base + draw.choice([1, 1, 2, 5]) - (4 if draw.random() < OLD_VERSION_FRACTION else 0)
+            1, base + rng.choice([1, 1, 2, 5]) - (4 if rng.random() < OLD_VERSION_FRACTION else 0)
         )
         keys = frozenset(f"key-{(version + turn) % KEY_COUNT}" for turn in range(2))
         change = Change(base, version, f"{self.name}-{self.count}", keys)
-        self.cluster.changes[change.text] = change
+        self.cluster.changes[change.name] = change
         return change
 
-    def _send(self, request: ChangeRequest, began: float, attempts: int) -> None:
+    def _send(self, request: ChangeRequest, started_at: float, attempts: int) -> None:
         cluster = self.cluster
         running = cluster.running_machines()
-        if attempts >= MOST_ATTEMPTS or not running:
+        if attempts >= MAX_ATTEMPTS or not running:
             cluster.after(self.pause_s, self._next)
             return
-        ended: list[bool] = []
-        copies = 2 if cluster.random.random() < CONCURRENT_FRACTION else 1
-        for machine in cluster.random.sample(running, min(copies, len(running))):
-            self._call(machine, request, began, attempts, ended)
+        completed: list[bool] = []
+        recipients = 2 if cluster.random.random() < CONCURRENT_FRACTION else 1
+        for machine in cluster.random.sample(running, min(recipients, len(running))):
+            self._call(machine, request, started_at, attempts, completed)
 
         def time_out() -> None:
-            if not ended:
-                ended.append(True)
-                self._send(request, began, attempts + 1)
+            if not completed:
+                completed.append(True)
+                self._send(request, started_at, attempts + 1)
 
         cluster.after(RESPONSE_TIMEOUT_S, time_out)
 
@@ -220,31 +222,31 @@
         self,
         machine: Machine,
         request: ChangeRequest,
-        began: float,
+        started_at: float,
         attempts: int,
-        ended: list[bool],
+        completed: list[bool],
     ) -> None:
         cluster = self.cluster
         change = request.change
         call = cluster.history.begin_call(change, cluster.now)
 
         def done(outcome: SubmitOutcome | ValidationFailure) -> None:
-            call.ended = cluster.now
+            call.ended_at = cluster.now
             call.result = result_of(outcome)
             if isinstance(outcome, ChangeCommitted):
-                cluster.record_confirmed(change.text, outcome.sequence)
+                cluster.record_confirmed(change.name, outcome.sequence)
             lost = cluster.random.random() < LOST_RESPONSE_FRACTION
-            if ended or lost:
+            if completed or lost:
                 return
-            ended.append(True)
-            self._respond(request, began, attempts, outcome)
+            completed.append(True)
+            self._respond(request, started_at, attempts, outcome)
 
         request.send(machine, done)
 
     def _respond(
         self,
         request: ChangeRequest,
-        began: float,
+        started_at: float,
         attempts: int,
         outcome: SubmitOutcome | ValidationFailure,
     ) -> None:
@@ -252,14 +254,16 @@
         change = request.change
         if isinstance(outcome, ChangeCommitted):
             self.base = max(self.base, change.version)
-            self.slowest_s = max(self.slowest_s, cluster.now - began)
+            self.max_confirmation_latency_s = max(
+                self.max_confirmation_latency_s, cluster.now - started_at
+            )
             if cluster.random.random() < CONFIRMED_REPEAT_FRACTION:
                 self._send(request, cluster.now, attempts + 1)
                 return
         elif isinstance(outcome, Conflict | StaleGeneration):
             self.base = max(self.base, outcome.current)
         elif isinstance(outcome, OutcomeUnknown):
-            self._send(request, began, attempts + 1)
+            self._send(request, started_at, attempts + 1)
             return
         cluster.after(cluster.random.uniform(0, self.pause_s), self._next)
 
@@ -281,13 +285,15 @@
         running = self.cluster.running_machines()
         if not running:
             return
-        began = self.cluster.now
+        started_at = self.cluster.now
 
         def done(confirmation: Confirmation | None) -> None:
             if confirmation is not None:
-                change = change_in(self.cluster, confirmation.document)
-                text = change.text if change is not None else None
-                self.cluster.record_shown(confirmation.sequence, text)
-                self.cluster.history.readings.append(Reading(began, self.cluster.now, change))
+                change = change_of(self.cluster, confirmation.document)
+                name = change.name if change is not None else None
+                self.cluster.record_observed(confirmation.sequence, name)
+                self.cluster.history.observations.append(
+                    Observation(started_at, self.cluster.now, change)
+                )
 
         self.cluster.random.choice(running).read(done)
--- a/roselink/simulation/cluster.py
+++ b/roselink/simulation/cluster.py
@@ -14,9 +14,9 @@
 from roselink.simulation.scheduler import Scheduler
 
 # How many machines settings name.
-MOST_SEEDS = 3
+MAX_SEEDS = 3
 # The largest offset at which machines start for the first time, in seconds.
-START_SPREAD_S = 0.3
+MAX_START_OFFSET_S = 0.3
 
 
 class Cluster(Scheduler):
@@ -36,9 +36,9 @@
     """
 
     def __init__(
-        self, seed: int, machines: int = 3, tolerated: int = 1, seeds: int = MOST_SEEDS
+        self, seed: int, machines: int = 3, tolerated: int = 1, seeds: int = MAX_SEEDS
     ) -> None:
-        """Make a core of `machines` machines, all of which start within `START_SPREAD_S`."""
+        """Make a core of `machines` machines, all of which start within `MAX_START_OFFSET_S`."""
         super().__init__()
         self.random = random.Random(seed)
         self.tolerated = tolerated
@@ -51,30 +51,30 @@
         self.changes: dict[str, Change] = {}
         self.digests: dict[str, bytes] = {}
         self.confirmed_sequences: dict[str, int] = {}
-        self.shown_texts: dict[int, str | None] = {0: None}
+        self.observed_names: dict[int, str | None] = {0: None}
         for machine in self.machines.values():
-            delay = self.random.uniform(0, START_SPREAD_S)
+            delay = self.random.uniform(0, MAX_START_OFFSET_S)
             self.after(delay, partial(machine.start, bootstrap=True))
 
-    def record_confirmed(self, text: str, sequence: int) -> None:
+    def record_confirmed(self, name: str, sequence: int) -> None:
         """Record that a change was confirmed under a sequence.
 
         Raises:
             SequenceConflictError: it was confirmed under another sequence before, or another
                 change was under this one.
         """
-        if self.confirmed_sequences.setdefault(text, sequence) != sequence:
-            raise SequenceConflictError(sequence, text)
-        self.record_shown(sequence, text)
+        if self.confirmed_sequences.setdefault(name, sequence) != sequence:
+            raise SequenceConflictError(sequence, name)
+        self.record_observed(sequence, name)
 
-    def record_shown(self, sequence: int, text: str | None) -> None:
+    def record_observed(self, sequence: int, name: str | None) -> None:
         """Record that a configuration was returned under a sequence.
 
         Raises:
             SequenceConflictError: another configuration was returned under that sequence before.
         """
-        if self.shown_texts.setdefault(sequence, text) != text:
-            raise SequenceConflictError(sequence, text)
+        if self.observed_names.setdefault(sequence, name) != name:
+            raise SequenceConflictError(sequence, name)
 
     def next_number(self) -> int:
         """A number that nothing else has."""
@@ -82,7 +82,7 @@
 
     def add(self, address: str) -> None:
         """Add a machine that is new to the system; settings now name the first present machines."""
-        self.seeds = tuple(list(self.machines)[:MOST_SEEDS])
+        self.seeds = tuple(list(self.machines)[:MAX_SEEDS])
         machine = Machine(self, address)
         self.machines[address] = machine
         machine.start()
--- a/roselink/simulation/command.py
+++ b/roselink/simulation/command.py
@@ -9,16 +9,16 @@
 
 from roselink.simulation.scenarios import (
     ScenarioResult,
-    day_of_seed,
-    fault_episodes_day,
-    storm_day,
+    run_fault_episodes,
+    run_overlapping_faults,
+    run_scenario_of_seed,
 )
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
 # A core with more machines tolerates the loss of two.
-LARGEST_TOLERATING_ONE = 4
+MAX_MACHINES_TOLERATING_ONE = 4
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,12 +53,12 @@
     """Run one day."""
     try:
         if job.machines is None:
-            result = day_of_seed(job.seed)
+            result = run_scenario_of_seed(job.seed)
         elif job.seed % 2:
-            tolerated = 1 if job.machines <= LARGEST_TOLERATING_ONE else 2
-            result = fault_episodes_day(job.seed, job.machines, tolerated, lossy=job.seed % 4 == 1)
+            tolerated = 1 if job.machines <= MAX_MACHINES_TOLERATING_ONE else 2
+            result = run_fault_episodes(job.seed, job.machines, tolerated, lossy=job.seed % 4 == 1)
         else:
-            result = storm_day(job.seed, job.machines, 1)
+            result = run_overlapping_faults(job.seed, job.machines, 1)
     except AssertionError as error:
         return JobResult(job.seed, None, str(error))
     return JobResult(job.seed, result, None)
--- a/roselink/simulation/disk.py
+++ b/roselink/simulation/disk.py
@@ -96,22 +96,22 @@
         """Each content that a power failure may leave."""
         for kept in itertools.product(Kept, repeat=len(self.unsynced)):
             content = self.synced
-            for write, remainder in zip(self.unsynced, kept, strict=True):
-                content = write.apply(content, remainder)
+            for write, kept_part in zip(self.unsynced, kept, strict=True):
+                content = write.apply(content, kept_part)
             yield content
 
-    def drawn_content(self, draw: random.Random) -> bytes:
+    def random_power_failure_content(self, rng: random.Random) -> bytes:
         """One of the contents that a power failure may leave."""
         content = self.synced
         for write in self.unsynced:
-            content = write.apply(content, draw.choice(tuple(Kept)))
+            content = write.apply(content, rng.choice(tuple(Kept)))
         return content
 
 
-Failure = Callable[[], Exception]
+ErrorFactory = Callable[[], Exception]
 
 
-def disk_full() -> Exception:
+def disk_full_error() -> Exception:
     """The error of a write on a full disk."""
     return OSError(errno.ENOSPC, "no space left")
 
@@ -122,8 +122,8 @@
     Attributes:
         present: the files by their names, as a reader sees them.
         durable: the files by their names at the folder's last sync.
-        operations: how many disk operations there were since the last `fail`.
-        fail_at: the operation, counted from 1, that raises `failure`; None for none.
+        operations: how many disk operations there were since the last `inject_failure`.
+        fail_at: the operation, counted from 1, that raises `make_error`; None for none.
         failure: makes the exception.
         persistent: whether all later operations fail too.
         full: whether all writes are refused.
@@ -135,19 +135,19 @@
         self.durable: dict[str, File] = {}
         self.operations = 0
         self.fail_at: int | None = None
-        self.failure: Failure = ProcessCrashError
+        self.make_error: ErrorFactory = ProcessCrashError
         self.persistent = False
         self.full = False
         self._databases = _databases_on(self)
 
-    def fail(self, at: int, failure: Failure, *, persistent: bool) -> None:
+    def inject_failure(self, at: int, make_error: ErrorFactory, *, persistent: bool) -> None:
         """Fail at a disk operation, counted from here, and at all later ones if `persistent`."""
         self.operations = 0
         self.fail_at = at
-        self.failure = failure
+        self.make_error = make_error
         self.persistent = persistent
 
-    def heal(self) -> None:
+    def clear_failure(self) -> None:
         """Stop failing."""
         self.fail_at = None
 
@@ -216,12 +216,12 @@
         if self.fail_at is None:
             return
         if self.operations == self.fail_at or (self.persistent and self.operations > self.fail_at):
-            raise self.failure()
+            raise self.make_error()
 
     def write(self, file: File, offset: int, data: bytes) -> None:
         """Write in two operations: a process may end, or a disk fill up, between them."""
         if self.full:
-            raise disk_full()
+            raise disk_full_error()
         self.begin_operation()
         half = len(data) // 2
         file.unsynced.append(Write(offset, data[:half]))
@@ -253,15 +253,19 @@
             count *= len(Kept) ** len(file.unsynced)
         return count
 
-    def lose_power(self, draw: random.Random) -> None:
+    def lose_power(self, rng: random.Random) -> None:
         """Go on with one of the states that a power failure may leave."""
-        self.restore(self.drawn_state(draw))
+        self.restore(self.random_power_failure_state(rng))
 
-    def drawn_state(self, draw: random.Random) -> dict[str, bytes]:
+    def random_power_failure_state(self, rng: random.Random) -> dict[str, bytes]:
         """One of the states that a power failure may leave."""
         names = sorted({*self.present, *self.durable})
-        files = {name: draw.choice(self._alternatives(name)) for name in names}
-        contents = {file: file.drawn_content(draw) for file in files.values() if file is not None}
+        files = {name: rng.choice(self._alternatives(name)) for name in names}
+        contents = {
+            file: file.random_power_failure_content(rng)
+            for file in files.values()
+            if file is not None
+        }
         return {name: contents[file] for name, file in files.items() if file is not None}
 
     def restore(self, contents: dict[str, bytes]) -> None:
@@ -269,14 +273,14 @@
         self.present = {name: File(content) for name, content in contents.items()}
         self.durable = dict(self.present)
 
-    def rot(self, draw: random.Random) -> None:
+    def flip_random_bit(self, rng: random.Random) -> None:
         """Flip a bit of one record's bytes, as drawn; nothing happens on an empty disk."""
         names = sorted(name for name, file in self.present.items() if file.content)
         if not names:
             return
-        file = self.present[draw.choice(names)]
+        file = self.present[rng.choice(names)]
         content = bytearray(file.content)
-        content[draw.randrange(len(content))] ^= 1 << draw.randrange(8)
+        content[rng.randrange(len(content))] ^= 1 << rng.randrange(8)
         file.synced = bytes(content)
         file.unsynced = []
 
@@ -352,12 +356,12 @@
     module: Any = importlib.util.module_from_spec(spec)
     spec.loader.exec_module(module)
     module._io = module._os = files
-    kind = module._Database
-    kind._io = kind._os = files
-    kind._chmod = lambda _self, _file: None
+    database_class = module._Database
+    database_class._io = database_class._os = files
+    database_class._chmod = lambda _self, _file: None
 
     def database(base: str, flag: str) -> Database:
-        opened: Database = kind(base, "", flag)
+        opened: Database = database_class(base, "", flag)
         return opened
 
     return database
--- a/roselink/simulation/exceptions.py
+++ b/roselink/simulation/exceptions.py
@@ -58,7 +58,7 @@
     code = "SIM-003"
 
 
-class UnknownStateError(SimulationError, AssertionError):
+class UnsupportedTypeError(SimulationError, AssertionError):
     """A machine has a part of which no fingerprint can be taken.
 
     Attributes:
@@ -115,11 +115,11 @@
 
     code = "SIM-007"
 
-    def __init__(self, sequence: int, text: str | None) -> None:
+    def __init__(self, sequence: int, name: str | None) -> None:
         """Note the sequence and the text of the change."""
-        super().__init__(f"sequence {sequence} is not unique to the change {text}")
+        super().__init__(f"sequence {sequence} is not unique to the change {name}")
         self.sequence = sequence
-        self.text = text
+        self.name = name
 
 
 class NoActiveChainError(ScenarioError):
@@ -132,7 +132,7 @@
         super().__init__("no active chain at the end")
 
 
-class HostListWentBackError(ScenarioError):
+class HostListRegressedError(ScenarioError):
     """A gateway used an older list of hosts after a newer one."""
 
     code = "SIM-009"
@@ -152,7 +152,7 @@
         super().__init__("no change was confirmed, or no key was used")
 
 
-class UnexplainedHistoryError(ScenarioError):
+class InconsistentHistoryError(ScenarioError):
     """One register can't explain the history of a scenario."""
 
     code = "SIM-011"
--- a/roselink/simulation/faults.py
+++ b/roselink/simulation/faults.py
@@ -21,7 +21,7 @@
 # The latency of a save on a slow disk, in seconds.
 SLOW_SAVE_S = 0.25
 # The bounds of a drawn quota, as fractions of a core.
-QUOTA_SHARES = (0.08, 0.6)
+QUOTA_SHARE_RANGE = (0.08, 0.6)
 # After a loss of all processes each returns within so long, in seconds.
 RESTART_SPREAD_S = 1.0
 
@@ -86,7 +86,7 @@
         machine.start()
     if machine.frozen:
         machine.resume()
-    cluster.network.heal()
+    cluster.network.restore_links()
     machine.disk.stalled = False
     machine.disk.full = False
     machine.disk.latency_s = SAVE_LATENCY_S
@@ -94,10 +94,10 @@
 
 def limit_processors(cluster: Cluster) -> None:
     """Give each machine a quota of its processor, as drawn; periods are not aligned."""
-    draw = cluster.random
+    rng = cluster.random
     for machine in cluster.machines.values():
-        busy_s = QUOTA_PERIOD_S * draw.uniform(*QUOTA_SHARES)
-        machine.quota = ProcessorQuota(busy_s, draw.uniform(0.0, QUOTA_PERIOD_S))
+        busy_s = QUOTA_PERIOD_S * rng.uniform(*QUOTA_SHARE_RANGE)
+        machine.quota = ProcessorQuota(busy_s, rng.uniform(0.0, QUOTA_PERIOD_S))
 
 
 def inject_and_repair(
@@ -112,7 +112,7 @@
         duration_s: until the repair, in seconds.
         successor: the address of the machine that takes its place when it is replaced.
     """
-    draw = cluster.random
+    rng = cluster.random
     if fault is Fault.WIPED_DISK:
         victim.kill()
         victim.wipe()
@@ -124,7 +124,7 @@
     elif fault is Fault.LEAVE:
         if victim.member is not None:
             victim.perform(victim.member.leave(cluster.now))
-        cluster.run(draw.uniform(0.0, 0.5))
+        cluster.run(rng.uniform(0.0, 0.5))
         victim.kill()
     else:
         inject_fault(cluster, victim, fault)
@@ -144,18 +144,18 @@
 
 def inject_gateway_fault(cluster: Cluster, gateways: Sequence[Gateway]) -> None:
     """Restart or freeze a gateway, or cut it off from some machines, as drawn."""
-    draw = cluster.random
-    gateway = draw.choice(gateways)
-    fault = draw.choice((Fault.KILL, Fault.FREEZE, Fault.LINK))
+    rng = cluster.random
+    gateway = rng.choice(gateways)
+    fault = rng.choice((Fault.KILL, Fault.FREEZE, Fault.LINK))
     if fault is Fault.KILL:
         gateway.start()
     elif fault is Fault.FREEZE:
-        gateway.freeze(draw.choice([0.4, 2.0, REVOKE_S + 1.0]))
+        gateway.freeze(rng.choice([0.4, 2.0, REVOKE_S + 1.0]))
     else:
         for address in cluster.machines:
-            if draw.random() < 0.7:
-                cluster.network.separate(gateway.name, address, one_way=draw.random() < 0.5)
-        cluster.after(draw.choice([0.5, 3.0]), cluster.network.heal)
+            if rng.random() < 0.7:
+                cluster.network.block_link(gateway.name, address, one_way=rng.random() < 0.5)
+        cluster.after(rng.choice([0.5, 3.0]), cluster.network.restore_links)
 
 
 def restart_all(cluster: Cluster, wiped: Sequence[Machine] = ()) -> None:
@@ -181,12 +181,12 @@
     restart_all(cluster, cluster.random.sample(cluster.running_machines(), cluster.tolerated))
 
 
-def cut_random_link(cluster: Cluster, victim: Machine) -> None:
+def block_random_link(cluster: Cluster, victim: Machine) -> None:
     """Cut a machine off from another one, both ways or one way, as drawn."""
     others = [machine for machine in cluster.machines.values() if machine is not victim]
     other = cluster.random.choice(others)
     one_way = cluster.random.random() < 0.5
-    cluster.network.separate(victim.address, other.address, one_way=one_way)
+    cluster.network.block_link(victim.address, other.address, one_way=one_way)
 
 
 def partition_in_halves(cluster: Cluster) -> None:
@@ -195,4 +195,4 @@
     half = len(drawn) // 2
     for address in drawn[:half]:
         for other in drawn[half:]:
-            cluster.network.separate(address, other)
+            cluster.network.block_link(address, other)
--- a/roselink/simulation/gateways.py
+++ b/roselink/simulation/gateways.py
@@ -15,7 +15,7 @@
 from roselink.distribution.pull_state_machine import Effect as PullEffect
 from roselink.model.fleet import Member, Snapshot
 from roselink.protocol.pull import DeltaPullRequest
-from roselink.simulation.history import Change, ConfigurationApplied, KeyUse, Reading
+from roselink.simulation.history import Change, ConfigurationApplied, KeyUse, Observation
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -48,20 +48,20 @@
         self.process_number = 0
         self.frozen_until = 0.0
         self.in_force: Change | None = None
-        self.newest_list = ""
-        self.lists_went_back = 0
+        self.newest_host_list = ""
+        self.host_list_regressions = 0
         self.start()
 
     def start(self) -> None:
         """Start a process that knows nothing but its seeds."""
         self.process_number += 1
-        draw = self.cluster.random
+        rng = self.cluster.random
         seeds = [_address(seed) for seed in self.cluster.seeds]
-        member = Member(self.name, f"{self.name}:7500", draw.getrandbits(50))
-        self.puller = PullStateMachine(member, seeds, random.Random(draw.getrandbits(50)))
+        member = Member(self.name, f"{self.name}:7500", rng.getrandbits(50))
+        self.puller = PullStateMachine(member, seeds, random.Random(rng.getrandbits(50)))
         self.puller.serving = True
         self.in_force = None
-        self.newest_list = ""
+        self.newest_host_list = ""
         self._wake(self.process_number)
         self._use_keys(self.process_number)
 
@@ -102,8 +102,8 @@
                 case ApplySnapshot(snapshot):
                     self._apply(snapshot)
                 case SnapshotConfirmed(at):
-                    self.cluster.history.readings.append(
-                        Reading(at, self.cluster.now, self.in_force)
+                    self.cluster.history.observations.append(
+                        Observation(at, self.cluster.now, self.in_force)
                     )
         if not self.puller.in_flight:
             wait_s = max(0.001, self.puller.due_at - self.cluster.now)
@@ -116,8 +116,8 @@
             ConfigurationApplied(self.name, self.process_number, self.cluster.now, self.in_force)
         )
         for host in snapshot.hosts:
-            self.lists_went_back += host.id < self.newest_list
-            self.newest_list = host.id
+            self.host_list_regressions += host.id < self.newest_host_list
+            self.newest_host_list = host.id
 
     def _use_keys(self, process_number: int) -> None:
         if process_number != self.process_number:
--- a/roselink/simulation/history.py
+++ b/roselink/simulation/history.py
@@ -40,7 +40,7 @@
 
     base: int
     version: int
-    text: str
+    name: str
     keys: frozenset[str] = frozenset()
 
 
@@ -49,21 +49,21 @@
     """One call with a change; a call without a response has no end."""
 
     change: Change
-    began: float
-    ended: float = float("inf")
+    started_at: float
+    ended_at: float = float("inf")
     result: CallResult = CallResult.UNKNOWN
 
 
 @dataclass(frozen=True, slots=True)
-class Reading:
+class Observation:
     """A configuration that was returned as the newest.
 
     Either by a read, from its begin to its end, or by the confirmation of a gateway's pull: what
-    the gateway uses was the newest at some time after `began`.
+    the gateway uses was the newest at some time after `started_at`.
     """
 
-    began: float
-    ended: float
+    started_at: float
+    ended_at: float
     change: Change | None
 
 
@@ -91,7 +91,7 @@
     """All calls and configurations of one run."""
 
     calls: list[ChangeCall] = field(default_factory=list)
-    readings: list[Reading] = field(default_factory=list)
+    observations: list[Observation] = field(default_factory=list)
     applied: list[ConfigurationApplied] = field(default_factory=list)
     key_uses: list[KeyUse] = field(default_factory=list)
 
@@ -127,18 +127,18 @@
         self._evidence = self._first_evidence()
         self._first_sent: dict[Change, float] = {}
         for call in history.calls:
-            self._first_sent.setdefault(call.change, call.began)
+            self._first_sent.setdefault(call.change, call.started_at)
 
     def violations(self) -> list[Violation]:
         """All violations; none for a history that one register explains."""
         return [
-            *self._one_change_a_version(),
-            *self._refused_and_in_force(),
-            *self._built_on_nothing(),
-            *self._shown_too_early(),
-            *self._older_than_known(),
-            *self._refused_without_reason(),
-            *self._regresses(),
+            *self._duplicate_versions(),
+            *self._refused_in_force(),
+            *self._nonexistent_bases(),
+            *self._observed_before_sent(),
+            *self._stale_results(),
+            *self._unjustified_refusals(),
+            *self._gateway_regressions(),
             *self._removed_keys_used(),
         ]
 
@@ -151,15 +151,15 @@
 
         for call in self._history.calls:
             if call.result is CallResult.CONFIRMED:
-                add(call.change, call.ended)
-        for reading in self._history.readings:
+                add(call.change, call.ended_at)
+        for reading in self._history.observations:
             if reading.change is not None:
-                add(reading.change, reading.ended)
+                add(reading.change, reading.ended_at)
         for applied in self._history.applied:
             add(applied.change, applied.at)
         return evidence
 
-    def _one_change_a_version(self) -> Iterator[Violation]:
+    def _duplicate_versions(self) -> Iterator[Violation]:
         by_version: dict[int, Change] = {}
         by_base: dict[int, Change] = {}
         for change in self._evidence:
@@ -168,12 +168,12 @@
             if by_base.setdefault(change.base, change) != change:
                 yield Violation("two changes on one base", str(change.base))
 
-    def _refused_and_in_force(self) -> Iterator[Violation]:
+    def _refused_in_force(self) -> Iterator[Violation]:
         for call in self._history.calls:
             if call.result is CallResult.REFUSED and call.change in self._evidence:
                 yield Violation("a refused change is in force", _describe(call.change))
 
-    def _built_on_nothing(self) -> Iterator[Violation]:
+    def _nonexistent_bases(self) -> Iterator[Violation]:
         """Each change in force builds on a version that was sent and that may be in force."""
         refused = {call.change for call in self._history.calls if call.result is CallResult.REFUSED}
         possible = {change.version for change in self._first_sent if change not in refused}
@@ -181,23 +181,25 @@
             if change.version <= change.base or (change.base and change.base not in possible):
                 yield Violation("built on what never was", _describe(change))
 
-    def _shown_too_early(self) -> Iterator[Violation]:
+    def _observed_before_sent(self) -> Iterator[Violation]:
         for change, at in self._evidence.items():
             if at < self._first_sent.get(change, float("inf")):
                 yield Violation("shown before it was sent", _describe(change))
 
-    def _older_than_known(self) -> Iterator[Violation]:
+    def _stale_results(self) -> Iterator[Violation]:
         """A read that begins after a change is known to be in force returns it or a later one."""
-        known = _RisingBound((at, change.version) for change, at in self._evidence.items())
-        for reading in self._history.readings:
+        known = _RunningMaximum((at, change.version) for change, at in self._evidence.items())
+        for reading in self._history.observations:
             shown = reading.change.version if reading.change is not None else 0
-            if shown < known.before(reading.began):
-                yield Violation("an old configuration was shown", f"{shown} at {reading.began:.3f}")
+            if shown < known.before(reading.started_at):
+                yield Violation(
+                    "an old configuration was shown", f"{shown} at {reading.started_at:.3f}"
+                )
         for change, sent in self._first_sent.items():
             if change in self._evidence and change.version <= known.before(sent):
                 yield Violation("a change went back", _describe(change))
 
-    def _refused_without_reason(self) -> Iterator[Violation]:
+    def _unjustified_refusals(self) -> Iterator[Violation]:
         """A change that builds on the newest version is not refused.
 
         Except when the version was another at some moment of the call, or when the change had been
@@ -210,18 +212,18 @@
         known = {change.version: at for change, at in self._evidence.items()}
         known[0] = 0.0
         refused_before: set[Change] = set()
-        for call in sorted(self._history.calls, key=lambda call: call.began):
+        for call in sorted(self._history.calls, key=lambda call: call.started_at):
             change = call.change
             if call.result is not CallResult.REFUSED or change in refused_before:
                 continue
             refused_before.add(change)
-            was_newest = change.base in known and known[change.base] <= call.began
-            if was_newest and call.ended < replaced.get(change.base, float("inf")):
-                rivals = [c for c in self._first_sent if c.base == change.base and c != change]
-                if change.version > change.base and not rivals:
+            was_newest = change.base in known and known[change.base] <= call.started_at
+            if was_newest and call.ended_at < replaced.get(change.base, float("inf")):
+                competing = [c for c in self._first_sent if c.base == change.base and c != change]
+                if change.version > change.base and not competing:
                     yield Violation("a proper change was refused", _describe(change))
 
-    def _regresses(self) -> Iterator[Violation]:
+    def _gateway_regressions(self) -> Iterator[Violation]:
         newest: dict[tuple[str, int], int] = defaultdict(int)
         for each in self._history.applied:
             process = (each.gateway, each.process_number)
@@ -236,18 +238,18 @@
         """
         confirmed = [call for call in self._history.calls if call.result is CallResult.CONFIRMED]
         for key in {use.key for use in self._history.key_uses}:
-            without = _RisingBound(
-                (call.ended, call.change.version)
+            without_key = _RunningMaximum(
+                (call.ended_at, call.change.version)
                 for call in confirmed
                 if key not in call.change.keys
             )
-            having = _RisingBound(
+            with_key = _RunningMaximum(
                 (sent, change.version)
                 for change, sent in self._first_sent.items()
                 if key in change.keys
             )
             for use in self._history.key_uses:
-                if use.key == key and without.before(use.at - self._revoke_s) > having.before(
+                if use.key == key and without_key.before(use.at - self._revoke_s) > with_key.before(
                     use.at
                 ):
                     yield Violation(
@@ -255,7 +257,7 @@
                     )
 
 
-class _RisingBound:
+class _RunningMaximum:
     """The highest version known before a moment."""
 
     def __init__(self, known: Iterable[tuple[float, int]]) -> None:
@@ -275,4 +277,4 @@
 
 
 def _describe(change: Change) -> str:
-    return f"{change.version} on {change.base} ({change.text})"
+    return f"{change.version} on {change.base} ({change.name})"
--- a/roselink/simulation/initial_states.py
+++ b/roselink/simulation/initial_states.py
@@ -8,7 +8,7 @@
 from roselink.simulation.system_state import System
 
 
-def command_on(base: int, generation: int, text: str = "") -> ConfigurationChange:
+def change_on(base: int, generation: int, text: str = "") -> ConfigurationChange:
     """A change with a small document."""
     document = f"{base}-{generation}-{text}".encode()
     return ConfigurationChange(base, generation, document, digest_of(base, document))
@@ -36,7 +36,7 @@
             return
 
 
-def calm_system() -> System:
+def idle_system() -> System:
     """A chain of three that is active, with nothing in flight."""
     system = System()
     system.begin()
@@ -62,7 +62,7 @@
 
 def view_accepted() -> System:
     """Two of three have accepted a view without the tail; no member knows that it is chosen."""
-    system = calm_system()
+    system = idle_system()
     system.propose("a:1", without="c:1")
     deliver_only(system, Prepare, Promise, Accept)
     return system
@@ -77,8 +77,8 @@
 
 def member_joining() -> System:
     """The tail's disk was lost, and the view that adds it again has just been chosen."""
-    system = calm_system()
-    system.submit("a:1", command_on(0, 3))
+    system = idle_system()
+    system.submit("a:1", change_on(0, 3))
     run_to_quiescence(system)
     system.restart("c:1", wiped=True)
     run_to_quiescence(system)
@@ -89,18 +89,18 @@
 
 def member_partitioned(address: str) -> System:
     """The others have formed a view without a member and confirmed a change in it."""
-    system = calm_system()
+    system = idle_system()
     proposer = "b:1" if address == "a:1" else "a:1"
     system.propose(proposer, without=address)
     run_to_quiescence(system, unreachable=address)
-    system.submit(proposer, command_on(0, 3))
+    system.submit(proposer, change_on(0, 3))
     run_to_quiescence(system, unreachable=address)
     return system
 
 
 def two_proposers() -> System:
     """Two members propose different views at the same time."""
-    system = calm_system()
+    system = idle_system()
     system.propose("a:1", without="c:1")
     system.propose("b:1", without="a:1")
     return system
--- a/roselink/simulation/linearizability.py
+++ b/roselink/simulation/linearizability.py
@@ -46,8 +46,8 @@
         change: the proposed change, or the one that was read; None for no configuration.
     """
 
-    began: float
-    ended: float
+    started_at: float
+    ended_at: float
     kind: Kind
     change: Change | None
 
@@ -63,7 +63,7 @@
         refused: all that were refused up to then.
     """
 
-    placed: int = 0
+    linearized: int = 0
     current: Change | None = None
     in_force: frozenset[Change] = frozenset()
     refused: frozenset[Change | None] = frozenset()
@@ -82,19 +82,20 @@
 
 def operations_of(history: History) -> list[Operation]:
     """The calls of operators and readers."""
-    found = [
+    operations = [
         Operation(
-            call.began,
-            call.ended if call.result is not CallResult.UNKNOWN else float("inf"),
+            call.started_at,
+            call.ended_at if call.result is not CallResult.UNKNOWN else float("inf"),
             _KINDS[call.result],
             call.change,
         )
         for call in history.calls
     ]
-    found += [
-        Operation(each.began, each.ended, Kind.READ, each.change) for each in history.readings
+    operations += [
+        Operation(read.started_at, read.ended_at, Kind.READ, read.change)
+        for read in history.observations
     ]
-    return found
+    return operations
 
 
 def is_linearizable(operations: list[Operation]) -> bool:
@@ -106,67 +107,73 @@
     """The search over one history."""
 
     def __init__(self, operations: list[Operation]) -> None:
-        self._operations = sorted(operations, key=lambda each: each.began)
+        self._operations = sorted(operations, key=lambda operation: operation.started_at)
         # A refused change is refused in every order, so nothing may put it in force.
-        self._refused = {each.change for each in operations if each.kind is Kind.REFUSED}
+        self._refused = {
+            operation.change for operation in operations if operation.kind is Kind.REFUSED
+        }
         self._required = sum(
             1 << index
-            for index, each in enumerate(self._operations)
-            if each.kind is not Kind.UNKNOWN
+            for index, operation in enumerate(self._operations)
+            if operation.kind is not Kind.UNKNOWN
         )
 
     def run(self) -> bool:
         """Search; False once every order has failed."""
         seen: set[tuple[int, Change | None]] = set()
-        pending = [self._settled(_State())]
+        pending = [self._place_non_mutating(_State())]
         while pending:
             state = pending.pop()
-            if state.placed & self._required == self._required:
+            if state.linearized & self._required == self._required:
                 return True
-            if (state.placed, state.current) in seen:
+            if (state.linearized, state.current) in seen:
                 continue
-            seen.add((state.placed, state.current))
+            seen.add((state.linearized, state.current))
             pending += [
-                self._settled(_with_change(state, index, each.change))
-                for index, each in self._next(state)
-                if self._puts_in_force(state, each)
+                self._place_non_mutating(_with_change(state, index, operation.change))
+                for index, operation in self._candidates(state)
+                if self._takes_effect(state, operation)
             ]
         return False
 
-    def _settled(self, state: _State) -> _State:
+    def _place_non_mutating(self, state: _State) -> _State:
         """The state after all calls that are legal now and change nothing."""
         while True:
-            legal = [pair for pair in self._next(state) if self._changes_nothing(state, pair[1])]
+            legal = [
+                pair for pair in self._candidates(state) if self._is_non_mutating(state, pair[1])
+            ]
             if not legal:
                 return state
-            refusals = {each.change for _, each in legal if each.change in self._refused}
-            placed = state.placed | sum(1 << index for index, _ in legal)
-            state = replace(state, placed=placed, refused=state.refused | refusals)
+            refusals = {
+                operation.change for _, operation in legal if operation.change in self._refused
+            }
+            linearized = state.linearized | sum(1 << index for index, _ in legal)
+            state = replace(state, linearized=linearized, refused=state.refused | refusals)
 
-    def _next(self, state: _State) -> Iterator[tuple[int, Operation]]:
+    def _candidates(self, state: _State) -> Iterator[tuple[int, Operation]]:
         """The calls that may come next: none that is not placed has ended before they began."""
         earliest_end = float("inf")
-        for index, each in enumerate(self._operations):
-            if each.began > earliest_end:
+        for index, operation in enumerate(self._operations):
+            if operation.started_at > earliest_end:
                 return
-            if not state.placed >> index & 1:
-                earliest_end = min(earliest_end, each.ended)
-                yield index, each
-
-    def _changes_nothing(self, state: _State, each: Operation) -> bool:
-        if each.kind is Kind.READ:
-            return each.change == state.current
-        if each.change in self._refused:
+            if not state.linearized >> index & 1:
+                earliest_end = min(earliest_end, operation.ended_at)
+                yield index, operation
+
+    def _is_non_mutating(self, state: _State, operation: Operation) -> bool:
+        if operation.kind is Kind.READ:
+            return operation.change == state.current
+        if operation.change in self._refused:
             # Whichever of its calls came first may have been the one that was refused for good.
-            return each.change in state.refused or not _is_acceptable(state, each.change)
-        return each.change in state.in_force
+            return operation.change in state.refused or not _is_acceptable(state, operation.change)
+        return operation.change in state.in_force
 
-    def _puts_in_force(self, state: _State, each: Operation) -> bool:
+    def _takes_effect(self, state: _State, operation: Operation) -> bool:
         return (
-            each.kind in (Kind.CONFIRMED, Kind.UNKNOWN)
-            and each.change not in self._refused
-            and each.change not in state.in_force
-            and _is_acceptable(state, each.change)
+            operation.kind in (Kind.CONFIRMED, Kind.UNKNOWN)
+            and operation.change not in self._refused
+            and operation.change not in state.in_force
+            and _is_acceptable(state, operation.change)
         )
 
 
@@ -176,4 +183,6 @@
 
 def _with_change(state: _State, index: int, change: Change | None) -> _State:
     in_force = state.in_force if change is None else state.in_force | {change}
-    return replace(state, placed=state.placed | 1 << index, current=change, in_force=in_force)
+    return replace(
+        state, linearized=state.linearized | 1 << index, current=change, in_force=in_force
+    )
--- a/roselink/simulation/machine.py
+++ b/roselink/simulation/machine.py
@@ -50,10 +50,10 @@
 FORWARD_TIMEOUT_S = 0.4
 # In each period of so many seconds a quota's share of the processor can be spent.
 QUOTA_PERIOD_S = 0.1
-LEAST_WAIT_S = 1e-6
+MIN_WAIT_S = 1e-6
 # Between two readings of the platform's list of hosts, and until the list is there, in seconds.
-LIST_INTERVAL_S = 0.3
-LIST_LATENCY_S = 0.02
+HOST_LIST_INTERVAL_S = 0.3
+HOST_LIST_LATENCY_S = 0.02
 
 
 @dataclass
@@ -96,13 +96,13 @@
     busy_s: float
     phase_s: float
 
-    def wait_s(self, now: float) -> float:
+    def throttled_s(self, now: float) -> float:
         """How long the process stands still from now on; 0 while it runs."""
         into_period_s = (now - self.phase_s) % QUOTA_PERIOD_S
         if into_period_s < self.busy_s:
             return 0.0
         # A rest that rounding leaves of a period must not be waited for without end.
-        return max(QUOTA_PERIOD_S - into_period_s, LEAST_WAIT_S)
+        return max(QUOTA_PERIOD_S - into_period_s, MIN_WAIT_S)
 
 
 class Machine:
@@ -144,14 +144,14 @@
         self.process_number += 1
         self.storage = Storage(FOLDER, self.disk.files)
         votes, state = self.storage.load()
-        draw = self.cluster.random
+        rng = self.cluster.random
         start = Start(
             address=self.address,
             seeds=self.cluster.seeds,
             bootstrap=bootstrap,
             tolerated=self.cluster.tolerated,
-            session=draw.getrandbits(60) + 1,
-            fresh_incarnation=draw.getrandbits(60) + 1,
+            session=rng.getrandbits(60) + 1,
+            fresh_incarnation=rng.getrandbits(60) + 1,
             acceptor_state=votes,
             state=state,
         )
@@ -180,14 +180,14 @@
         self.disk.queue = []
         self.disk.busy = False
         if queue and not self.disk.stalled:
-            self._save_partly(queue[0])
+            self._interrupt_save(queue[0])
         if power_loss:
             self.disk.files.lose_power(self.cluster.random)
 
-    def _save_partly(self, save: Persist) -> None:
+    def _interrupt_save(self, save: Persist) -> None:
         """Begin a save that ends at a random disk operation."""
         files = self.disk.files
-        files.fail(
+        files.inject_failure(
             self.cluster.random.randint(1, STEPS_PER_SAVE), ProcessCrashError, persistent=True
         )
         try:
@@ -195,7 +195,7 @@
         except (ProcessCrashError, OSError):
             pass  # the disk stays as the save left it
         finally:
-            files.heal()
+            files.clear_failure()
 
     def wipe(self) -> None:
         """Replace the disk by an empty one; only while no process runs."""
@@ -220,15 +220,15 @@
         if self.frozen:
             self.deferred.append(lambda: self.run(process_number, step))
             return
-        wait_s = self._stands_still_s()
-        if wait_s:
-            self.cluster.after(wait_s, lambda: self.run(process_number, step))
+        throttled_s = self._throttled_s()
+        if throttled_s:
+            self.cluster.after(throttled_s, lambda: self.run(process_number, step))
             return
         self.perform(step(self.member))
 
-    def _stands_still_s(self) -> float:
+    def _throttled_s(self) -> float:
         """How long the process stands still from now on because its quota is spent."""
-        return 0.0 if self.quota is None else self.quota.wait_s(self.cluster.now)
+        return 0.0 if self.quota is None else self.quota.throttled_s(self.cluster.now)
 
     # --- calls
 
@@ -334,7 +334,7 @@
         """Have the tail read the platform's list of hosts periodically."""
         if process_number != self.process_number or self.member is None:
             return
-        self.cluster.after(LIST_INTERVAL_S, partial(self._read_platform, process_number))
+        self.cluster.after(HOST_LIST_INTERVAL_S, partial(self._read_platform, process_number))
         if self.frozen or not self.member.chain.is_tail or self.member.view is None:
             return
         hosts = self.cluster.listed_hosts()
@@ -344,7 +344,7 @@
             self._serve(self.pull_server.hosts_listed(self.cluster.now, epoch, hosts))
             return []
 
-        self.cluster.after(LIST_LATENCY_S, lambda: self.run(process_number, listed))
+        self.cluster.after(HOST_LIST_LATENCY_S, lambda: self.run(process_number, listed))
 
     # --- the disk
 
@@ -383,9 +383,9 @@
     def _tick(self, process_number: int) -> None:
         if process_number != self.process_number or self.member is None:
             return
-        wait_s = self._stands_still_s()
-        if wait_s:
-            self.cluster.after(wait_s, lambda: self._tick(process_number))
+        throttled_s = self._throttled_s()
+        if throttled_s:
+            self.cluster.after(throttled_s, lambda: self._tick(process_number))
             return
         if not self.frozen:
             self.perform(self.member.tick(self.cluster.now))
--- a/roselink/simulation/model_checker.py
+++ b/roselink/simulation/model_checker.py
@@ -109,7 +109,7 @@
     depth = 0
     step_count = 0
     while level and depth < bounds.depth:
-        following: list[tuple[System, tuple[ModelStep, ...]]] = []
+        next_level: list[tuple[System, tuple[ModelStep, ...]]] = []
         for state, path in level:
             for step in possible_steps(state, bounds):
                 if len(seen) >= bounds.states:
@@ -125,8 +125,8 @@
                 fingerprint = changed.fingerprint()
                 if fingerprint not in seen:
                     seen.add(fingerprint)
-                    following.append((changed, (*path, step)))
-        level = following
+                    next_level.append((changed, (*path, step)))
+        level = next_level
         depth += 1
     return Exploration(
         states=len(seen),
@@ -143,7 +143,7 @@
         if message not in system.messages[:index]:
             yield ModelStep(StepKind.DELIVER, message.receiver, index)
     limited = [
-        kind for kind, most in bounds.limits.items() if system.step_counts.get(kind, 0) < most
+        kind for kind, limit in bounds.limits.items() if system.step_counts.get(kind, 0) < limit
     ]
     for address, machine in system.machines.items():
         if machine.saving:
@@ -209,11 +209,11 @@
 def _views(system: System) -> dict[int, View]:
     """All views that a member follows or a message carries, by epoch; check that each has one."""
     views: dict[int, View] = {}
-    known = [machine.view for machine in system.machines.values() if machine.view is not None]
-    known += [
+    known_views = [machine.view for machine in system.machines.values() if machine.view is not None]
+    known_views += [
         decode(m.number, m.payload).view for m in system.messages if m.number in _VIEW_RECORDS
     ]
-    for view in known:
+    for view in known_views:
         assert views.setdefault(view.epoch, view) == view, "two views in one epoch"
     return views
 
@@ -226,19 +226,19 @@
 
 def _check_confirmed(system: System, newest: View) -> None:
     """Each confirmed change has its own sequence; every possible head of the next view has it."""
-    sequences = [sequence for _, sequence in system.known.confirmed]
+    sequences = [sequence for _, sequence in system.client_knowledge.confirmed]
     assert len(set(sequences)) == len(sequences), "two changes under one sequence"
     for link in newest.chain:
         stored = _stored(system.machines[link.voter.address], link.voter)
         if stored is None or stored.epoch < link.since:
             continue  # not intact
-        for digest, _ in system.known.confirmed:
+        for digest, _ in system.client_knowledge.confirmed:
             assert _in_force(stored.state, digest), "a possible head lacks a confirmed change"
 
 
 def _check_refused(system: System) -> None:
     """No refused change is in force at any member."""
-    for digest in system.known.refused:
+    for digest in system.client_knowledge.refused:
         for machine in system.machines.values():
             state = ConfigurationState(0, 0, b"", machine.durable_history)
             assert not _in_force(state, digest), "a refused change is in force"
@@ -256,7 +256,7 @@
     return stored_state(machine.state) if stored_votes(machine.votes).voter == voter else None
 
 
-def random_walk(system: System, bounds: Bounds, draw: random.Random) -> System:
+def random_walk(system: System, bounds: Bounds, rng: random.Random) -> System:
     """The state at the end of one random path, as long as the bounds are deep.
 
     Raises:
@@ -268,7 +268,7 @@
         possible = list(possible_steps(state, bounds))
         if not possible:
             break
-        step = draw.choice(possible)
+        step = rng.choice(possible)
         state = state_after(state, step, path)
         path = (*path, step)
     return state
--- a/roselink/simulation/network.py
+++ b/roselink/simulation/network.py
@@ -21,9 +21,9 @@
 ReplyHandler = Callable[[PullReply | DeltaPullReply | None], None]
 
 # The delay of a message, in seconds: uniform between these; of a late one, up to so much more.
-SHORTEST_DELAY_S = 0.0002
-LONGEST_DELAY_S = 0.0014
-MOST_EXTRA_DELAY_S = 0.4
+MIN_DELAY_S = 0.0002
+MAX_DELAY_S = 0.0014
+MAX_EXTRA_DELAY_S = 0.4
 
 
 class Network:
@@ -37,27 +37,27 @@
     """
 
     def __init__(
-        self, scheduler: Scheduler, draw: random.Random, machines: Mapping[str, Machine]
+        self, scheduler: Scheduler, rng: random.Random, machines: Mapping[str, Machine]
     ) -> None:
         """Connect machines, which may come and go in their mapping; all links carry."""
         self._scheduler = scheduler
-        self._random = draw
+        self._random = rng
         self._machines = machines
-        self.cut_links: set[tuple[str, str]] = set()
-        self.loss = 0.0
-        self.duplication = 0.0
-        self.lateness = 0.0
+        self.blocked_links: set[tuple[str, str]] = set()
+        self.loss_rate = 0.0
+        self.duplication_rate = 0.0
+        self.late_rate = 0.0
 
     def send(self, sender: str, send: Send) -> None:
         """Send a message to a machine: late, twice or not at all, as the links are."""
-        copies = 1 + (self._random.random() < self.duplication)
+        copies = 1 + (self._random.random() < self.duplication_rate)
         for _ in range(copies):
             delay = self._delay_s()
             if delay is not None:
                 number = record_number_of(send.message)
                 payload = encode(send.message)
                 self._scheduler.after(
-                    delay, partial(self._arrive, sender, send.to, number, payload)
+                    delay, partial(self._deliver, sender, send.to, number, payload)
                 )
 
     def call(
@@ -85,11 +85,12 @@
             delay = self._delay_s()
             if delay is not None:
                 self._scheduler.after(
-                    delay, lambda: None if (receiver, sender) in self.cut_links else finish(reply)
+                    delay,
+                    lambda: None if (receiver, sender) in self.blocked_links else finish(reply),
                 )
 
         def arrive() -> None:
-            machine = self._reached(sender, receiver)
+            machine = self._reachable_machine(sender, receiver)
             if machine is not None:
                 handle = partial(machine.handle_pull, decode(number, payload), send_reply)
                 machine.run(machine.process_number, handle)
@@ -99,42 +100,42 @@
             self._scheduler.after(delay, arrive)
         self._scheduler.after(timeout_s, lambda: finish(None))
 
-    def separate(self, sender: str, receiver: str, *, one_way: bool = False) -> None:
+    def block_link(self, sender: str, receiver: str, *, one_way: bool = False) -> None:
         """Cut the link between two addresses, or only that from the sender to the receiver."""
-        self.cut_links.add((sender, receiver))
+        self.blocked_links.add((sender, receiver))
         if not one_way:
-            self.cut_links.add((receiver, sender))
+            self.blocked_links.add((receiver, sender))
 
     def isolate(self, address: str) -> None:
         """Cut a machine off from all other machines; gateways still reach it."""
         for other in self._machines:
             if other != address:
-                self.separate(address, other)
+                self.block_link(address, other)
 
-    def heal(self) -> None:
+    def restore_links(self) -> None:
         """Have all links carry again."""
-        self.cut_links.clear()
+        self.blocked_links.clear()
 
     def _delay_s(self) -> float | None:
         """How long a message takes, in seconds, or None when it is lost."""
-        if self._random.random() < self.loss:
+        if self._random.random() < self.loss_rate:
             return None
-        delay = self._random.uniform(SHORTEST_DELAY_S, LONGEST_DELAY_S)
-        if self._random.random() < self.lateness:
-            delay += self._random.uniform(0.0, MOST_EXTRA_DELAY_S)
+        delay = self._random.uniform(MIN_DELAY_S, MAX_DELAY_S)
+        if self._random.random() < self.late_rate:
+            delay += self._random.uniform(0.0, MAX_EXTRA_DELAY_S)
         return delay
 
-    def _arrive(self, sender: str, receiver: str, number: int, payload: bytes) -> None:
-        machine = self._reached(sender, receiver)
+    def _deliver(self, sender: str, receiver: str, number: int, payload: bytes) -> None:
+        machine = self._reachable_machine(sender, receiver)
         if machine is not None:
             message = decode(number, payload)
             machine.run(
                 machine.process_number, lambda member: member.receive(message, self._scheduler.now)
             )
 
-    def _reached(self, sender: str, receiver: str) -> Machine | None:
+    def _reachable_machine(self, sender: str, receiver: str) -> Machine | None:
         """The machine that a message reaches, if it has a process and the link carries."""
         machine = self._machines.get(receiver)
-        if machine is None or machine.member is None or (sender, receiver) in self.cut_links:
+        if machine is None or machine.member is None or (sender, receiver) in self.blocked_links:
             return None
         return machine
--- a/roselink/simulation/packing.py
+++ b/roselink/simulation/packing.py
@@ -11,7 +11,7 @@
 from roselink.coordination.effects import Persist, Store
 from roselink.coordination.member import Member
 from roselink.protocol.records import decode
-from roselink.simulation.exceptions import UnknownStateError
+from roselink.simulation.exceptions import UnsupportedTypeError
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True)
-class Machine:
+class UnpackedMachine:
     """One machine, unpacked.
 
     Attributes:
@@ -70,19 +70,24 @@
     durable_history: bytes
 
 
-def unpack(packed: PackedMachine) -> Machine:
+def unpack(packed: PackedMachine) -> UnpackedMachine:
     """A copy of the machine that may be changed."""
-    machine: Machine = pickle.loads(packed.data)
+    machine: UnpackedMachine = pickle.loads(packed.data)
     return machine
 
 
-def pack(machine: Machine) -> PackedMachine:
+def pack(machine: UnpackedMachine) -> PackedMachine:
     """The machine as a value."""
     member = machine.member
-    parts = (_frozen(member), _frozen(machine.disk), _frozen(machine.saves), machine.starts)
+    components = (
+        _hashable(member),
+        _hashable(machine.disk),
+        _hashable(machine.saves),
+        machine.starts,
+    )
     return PackedMachine(
         data=pickle.dumps(machine, protocol=pickle.HIGHEST_PROTOCOL),
-        fingerprint=hash(parts),
+        fingerprint=hash(components),
         view=member.view,
         is_head=member.chain.is_head,
         saving=bool(machine.saves),
@@ -126,7 +131,7 @@
     return known
 
 
-def _frozen(value: Any) -> Any:
+def _hashable(value: Any) -> Any:
     """A hashable copy of a part of a machine, without callables and times.
 
     Raises:
@@ -137,20 +142,20 @@
         return value
     if kind is float or callable(value):
         return None
-    if kind in _FREEZERS:
-        return _FREEZERS[kind](value)
+    if kind in _HASHABLE_COPIES:
+        return _HASHABLE_COPIES[kind](value)
     if is_dataclass(value):
-        return tuple([_frozen(getattr(value, name)) for name in _field_names(kind)])
-    raise UnknownStateError(kind)
+        return tuple([_hashable(getattr(value, name)) for name in _field_names(kind)])
+    raise UnsupportedTypeError(kind)
 
 
-def _frozen_items(items: Iterable[Any]) -> tuple[Any, ...]:
-    return tuple([_frozen(each) for each in items])
+def _hashable_items(items: Iterable[Any]) -> tuple[Any, ...]:
+    return tuple([_hashable(each) for each in items])
 
 
-def _frozen_member(member: Member) -> tuple[Any, ...]:
+def _hashable_member(member: Member) -> tuple[Any, ...]:
     """The parts of a member that decide its behaviour."""
-    parts = (
+    components = (
         member.acceptor,
         member.reply_gate,
         member.chain,
@@ -159,13 +164,13 @@
         member.sequencer,
         member.pending_calls,
     )
-    return _frozen_items(parts)
+    return _hashable_items(components)
 
 
-_FREEZERS: dict[type[Any], Callable[[Any], Any]] = {
-    list: _frozen_items,
-    tuple: _frozen_items,
-    dict: lambda items: tuple([(key, _frozen(each)) for key, each in items.items()]),
+_HASHABLE_COPIES: dict[type[Any], Callable[[Any], Any]] = {
+    list: _hashable_items,
+    tuple: _hashable_items,
+    dict: lambda items: tuple([(key, _hashable(each)) for key, each in items.items()]),
     set: frozenset,
-    Member: _frozen_member,
+    Member: _hashable_member,
 }
--- a/roselink/simulation/scenarios.py
+++ b/roselink/simulation/scenarios.py
@@ -8,10 +8,11 @@
 
 from roselink.coordination.scrub import FACTOR_RANGE, FIRST_FACTOR, INTERVAL_S
 from roselink.coordination.state import find
-from roselink.simulation.clients import Operator, Reader, change_in
+from roselink.simulation.clients import Operator, Reader, change_of
 from roselink.simulation.cluster import Cluster
 from roselink.simulation.exceptions import (
-    HostListWentBackError,
+    HostListRegressedError,
+    InconsistentHistoryError,
     LostChangeError,
     NoActiveChainError,
     NothingConfirmedError,
@@ -19,7 +20,6 @@
     ReadTimedOutError,
     RefusedChangeInForceError,
     UnconfirmedReadError,
-    UnexplainedHistoryError,
 )
 from roselink.simulation.faults import (
     CLUSTER_FAULTS,
@@ -27,7 +27,7 @@
     RECOVERY_S,
     RESTART_SPREAD_S,
     Fault,
-    cut_random_link,
+    block_random_link,
     inject_and_repair,
     inject_fault,
     inject_gateway_fault,
@@ -39,7 +39,7 @@
     restart_all,
 )
 from roselink.simulation.gateways import REVOKE_S, Gateway
-from roselink.simulation.history import CallResult, HistoryChecker, Reading, Violation
+from roselink.simulation.history import CallResult, HistoryChecker, Observation, Violation
 from roselink.simulation.linearizability import is_linearizable, operations_of
 
 if TYPE_CHECKING:
@@ -48,14 +48,14 @@
     from roselink.coordination.effects import Confirmation
     from roselink.simulation.machine import Machine
 
-GATEWAYS = 3
+GATEWAY_COUNT = 3
 # Until all machines form the first view, in virtual seconds.
-START_S = 3.0
+FIRST_VIEW_S = 3.0
 # Within this time the scrub has read each record of every member, in virtual seconds.
 SCRUB_S = 2 * (FIRST_FACTOR + FACTOR_RANGE) * INTERVAL_S + 1.0
 # From the last fault to the checks, in virtual seconds.
 SETTLING_S = 8.0
-STORM_FAULTS = (
+OVERLAPPING_FAULTS = (
     Fault.KILL,
     Fault.POWER_LOSS,
     Fault.FREEZE,
@@ -67,11 +67,11 @@
     Fault.GATEWAY,
 )
 # The fractions of messages that lossy links lose, send twice, and delay.
-LOSS = 0.02
-DUPLICATION = 0.05
-LATENESS = 0.05
-STORM_LATENESS = 0.1
-STORM_FAULT_COUNT = 40
+LOSS_RATE = 0.02
+DUPLICATION_RATE = 0.05
+LATE_RATE = 0.05
+OVERLAPPING_FAULTS_LATE_RATE = 0.1
+OVERLAPPING_FAULT_COUNT = 40
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,9 +86,9 @@
     """
 
     confirmed: int
-    readings: int
+    observations: int
     key_uses: int
-    slowest_s: float
+    max_confirmation_latency_s: float
 
 
 class Scenario:
@@ -99,7 +99,7 @@
         self.cluster = cluster
         self.operators = [Operator(cluster, name) for name in ("a", "b")]
         self.readers = [Reader(cluster) for _ in range(2)]
-        self.gateways = [Gateway(cluster, f"gateway-{number}") for number in range(GATEWAYS)]
+        self.gateways = [Gateway(cluster, f"gateway-{number}") for number in range(GATEWAY_COUNT)]
 
     def finish(self, settling_s: float = SETTLING_S) -> ScenarioResult:
         """Stop operators and readers, let the cluster recover, and check."""
@@ -132,16 +132,20 @@
             _check_state(cluster, machine)
         violations = tuple(HistoryChecker(history, REVOKE_S).violations())
         if violations:
-            raise UnexplainedHistoryError(violations)
+            raise InconsistentHistoryError(violations)
         if not is_linearizable(operations_of(history)):
-            raise UnexplainedHistoryError((Violation("not linearizable", "no order of calls"),))
-        if any(gateway.lists_went_back for gateway in self.gateways):
-            raise HostListWentBackError
+            raise InconsistentHistoryError((Violation("not linearizable", "no order of calls"),))
+        if any(gateway.host_list_regressions for gateway in self.gateways):
+            raise HostListRegressedError
         confirmed = sum(call.result is CallResult.CONFIRMED for call in history.calls)
         if not (confirmed and history.key_uses):
             raise NothingConfirmedError
-        slowest_s = max(operator.slowest_s for operator in self.operators)
-        return ScenarioResult(confirmed, len(history.readings), len(history.key_uses), slowest_s)
+        max_confirmation_latency_s = max(
+            operator.max_confirmation_latency_s for operator in self.operators
+        )
+        return ScenarioResult(
+            confirmed, len(history.observations), len(history.key_uses), max_confirmation_latency_s
+        )
 
 
 def read(cluster: Cluster, machine: Machine, timeout_s: float = 4.0) -> Confirmation | None:
@@ -163,13 +167,13 @@
     Raises:
         UnconfirmedReadError: the read was not confirmed.
     """
-    began = cluster.now
+    started_at = cluster.now
     confirmation = read(cluster, machine)
     if confirmation is None:
         raise UnconfirmedReadError(machine.address)
-    change = change_in(cluster, confirmation.document)
-    cluster.record_shown(confirmation.sequence, change.text if change is not None else None)
-    cluster.history.readings.append(Reading(began, cluster.now, change))
+    change = change_of(cluster, confirmation.document)
+    cluster.record_observed(confirmation.sequence, change.name if change is not None else None)
+    cluster.history.observations.append(Observation(started_at, cluster.now, change))
 
 
 def in_chain(cluster: Cluster, machine: Machine) -> bool:
@@ -188,10 +192,10 @@
         return
     state = machine.member.chain.durable
     for call in cluster.history.calls:
-        text = call.change.text
-        found = find(state, cluster.digests[text])
+        name = call.change.name
+        found = find(state, cluster.digests[name])
         in_force = found is not None and found[0] > 0
-        kept = in_force and found is not None and found[1] == cluster.confirmed_sequences.get(text)
+        kept = in_force and found is not None and found[1] == cluster.confirmed_sequences.get(name)
         if call.result is CallResult.CONFIRMED and not kept:
             raise LostChangeError(call.change)
         if call.result is CallResult.REFUSED and in_force:
@@ -201,126 +205,126 @@
 # --- kinds of days
 
 
-def fault_episodes_day(
+def run_fault_episodes(
     seed: int, machines: int, tolerated: int, *, lossy: bool, episodes: int = 6
 ) -> ScenarioResult:
     """Inject faults one after the other, or at once up to the tolerated number."""
     cluster = Cluster(seed, machines, tolerated)
     network = cluster.network
     if lossy:
-        network.loss = LOSS
-        network.duplication = DUPLICATION
-        network.lateness = LATENESS
-    return _episodes_day(cluster, episodes)
+        network.loss_rate = LOSS_RATE
+        network.duplication_rate = DUPLICATION_RATE
+        network.late_rate = LATE_RATE
+    return _run_episodes(cluster, episodes)
 
 
-def processor_quota_day(seed: int, machines: int, tolerated: int) -> ScenarioResult:
+def run_processor_quota(seed: int, machines: int, tolerated: int) -> ScenarioResult:
     """Inject the same faults while each machine's processor has a quota."""
     cluster = Cluster(seed, machines, tolerated)
     limit_processors(cluster)
-    return _episodes_day(cluster, episodes=6)
+    return _run_episodes(cluster, episodes=6)
 
 
-def _episodes_day(cluster: Cluster, episodes: int) -> ScenarioResult:
+def _run_episodes(cluster: Cluster, episodes: int) -> ScenarioResult:
     scenario = Scenario(cluster)
-    cluster.run(START_S)
+    cluster.run(FIRST_VIEW_S)
     for episode in range(episodes):
-        _episode(scenario, episode)
-    cluster.network.loss = 0.0
+        _run_episode(scenario, episode)
+    cluster.network.loss_rate = 0.0
     return scenario.finish()
 
 
-def storm_day(seed: int, machines: int, tolerated: int) -> ScenarioResult:
+def run_overlapping_faults(seed: int, machines: int, tolerated: int) -> ScenarioResult:
     """Kill, freeze or cut off any number of machines at any time; disks stay."""
     cluster = Cluster(seed, machines, tolerated)
     network = cluster.network
-    network.loss = LOSS
-    network.duplication = DUPLICATION
-    network.lateness = STORM_LATENESS
+    network.loss_rate = LOSS_RATE
+    network.duplication_rate = DUPLICATION_RATE
+    network.late_rate = OVERLAPPING_FAULTS_LATE_RATE
     scenario = Scenario(cluster)
-    cluster.run(START_S)
-    draw = cluster.random
-    for _ in range(STORM_FAULT_COUNT):
-        victim = draw.choice(list(cluster.machines.values()))
-        fault = draw.choice(STORM_FAULTS)
+    cluster.run(FIRST_VIEW_S)
+    rng = cluster.random
+    for _ in range(OVERLAPPING_FAULT_COUNT):
+        victim = rng.choice(list(cluster.machines.values()))
+        fault = rng.choice(OVERLAPPING_FAULTS)
         if fault is Fault.LINK:
-            cut_random_link(cluster, victim)
+            block_random_link(cluster, victim)
         elif fault is Fault.GATEWAY:
             inject_gateway_fault(cluster, scenario.gateways)
         elif victim.running:
             inject_fault(cluster, victim, fault)
-            duration_s = draw.choice([0.05, 0.3, 0.8, 2.0])
+            duration_s = rng.choice([0.05, 0.3, 0.8, 2.0])
             cluster.after(duration_s, partial(repair, cluster, victim))
-        cluster.run(draw.choice([0.02, 0.1, 0.5, 1.0]))
-    network.loss = 0.0
+        cluster.run(rng.choice([0.02, 0.1, 0.5, 1.0]))
+    network.loss_rate = 0.0
     cluster.run(3.0)
     for machine in cluster.machines.values():
         repair(cluster, machine)
     return scenario.finish(12.0)
 
 
-def long_partition_day(seed: int, machines: int = 3) -> ScenarioResult:
+def run_long_partition(seed: int, machines: int = 3) -> ScenarioResult:
     """Cut a member off for twenty seconds, both ways or one way; all clients reach it."""
     cluster = Cluster(seed, machines, 1)
     scenario = Scenario(cluster)
-    cluster.run(START_S)
-    draw = cluster.random
-    victim = draw.choice(list(cluster.machines.values()))
-    one_way = draw.random() < 0.4
-    inwards = draw.random() < 0.5
+    cluster.run(FIRST_VIEW_S)
+    rng = cluster.random
+    victim = rng.choice(list(cluster.machines.values()))
+    one_way = rng.random() < 0.4
+    inwards = rng.random() < 0.5
     for other in cluster.machines:
         if other != victim.address:
             link = (other, victim.address) if inwards else (victim.address, other)
-            cluster.network.separate(*link, one_way=one_way)
-    if draw.random() < 0.5:
+            cluster.network.block_link(*link, one_way=one_way)
+    if rng.random() < 0.5:
         others = [address for address in cluster.seeds if address != victim.address]
         cluster.seeds = (victim.address, *others)
-    cluster.run(draw.uniform(0, 10))
+    cluster.run(rng.uniform(0, 10))
     inject_gateway_fault(cluster, scenario.gateways)
     cluster.run(20.0)
-    cluster.network.heal()
+    cluster.network.restore_links()
     cluster.run(6.0)
     return scenario.finish()
 
 
-def rolling_repair_day(seed: int, machines: int = 3) -> ScenarioResult:
+def run_rolling_repair(seed: int, machines: int = 3) -> ScenarioResult:
     """Replace or wipe one machine after the other, the next as soon as the last has recovered."""
     cluster = Cluster(seed, machines, 1)
     scenario = Scenario(cluster)
-    cluster.run(START_S)
-    draw = cluster.random
+    cluster.run(FIRST_VIEW_S)
+    rng = cluster.random
     kinds = (Fault.WIPED_DISK, Fault.REPLACEMENT, Fault.LEAVE, Fault.PLANNED_REPLACEMENT)
     for number in range(6):
-        victim = draw.choice(cluster.running_machines())
-        fault = draw.choice(kinds)
+        victim = rng.choice(cluster.running_machines())
+        fault = rng.choice(kinds)
         successor = f"10.1.0.{number + 1}:7500"
         if fault is Fault.PLANNED_REPLACEMENT:
             replace_as_planned(cluster, victim, successor)
         else:
-            inject_and_repair(cluster, victim, fault, draw.choice([0.1, 1.0]), successor)
+            inject_and_repair(cluster, victim, fault, rng.choice([0.1, 1.0]), successor)
         cluster.run(1.0 + RECOVERY_S)
     return scenario.finish()
 
 
-def split_brain_day(seed: int, machines: int, tolerated: int) -> ScenarioResult:
+def run_split_brain(seed: int, machines: int, tolerated: int) -> ScenarioResult:
     """Partition the core in halves, with losses of power in both, that overlap.
 
     No more disks are lost than is tolerated. Operators, readers and gateways reach both halves.
     """
     cluster = Cluster(seed, machines, tolerated)
     scenario = Scenario(cluster)
-    cluster.run(START_S + RECOVERY_S)
-    draw = cluster.random
+    cluster.run(FIRST_VIEW_S + RECOVERY_S)
+    rng = cluster.random
     for _ in range(3):
         partition_in_halves(cluster)
-        cluster.run(draw.uniform(1.0, 4.0))
-        for victim in draw.sample(cluster.running_machines(), draw.randint(0, machines)):
-            fault = draw.choice((Fault.KILL, Fault.POWER_LOSS, Fault.FREEZE))
+        cluster.run(rng.uniform(1.0, 4.0))
+        for victim in rng.sample(cluster.running_machines(), rng.randint(0, machines)):
+            fault = rng.choice((Fault.KILL, Fault.POWER_LOSS, Fault.FREEZE))
             inject_fault(cluster, victim, fault)
-        cluster.run(draw.choice([0.1, 1.0, 3.0]))
+        cluster.run(rng.choice([0.1, 1.0, 3.0]))
         for machine in list(cluster.machines.values()):
             repair(cluster, machine)
-        if draw.random() < 0.5:
+        if rng.random() < 0.5:
             cluster.run(8.0 + RECOVERY_S)
             lose_disks_after_commit(cluster)
             for gateway in scenario.gateways:
@@ -329,57 +333,57 @@
     return scenario.finish()
 
 
-def rot_day(seed: int, machines: int, tolerated: int) -> ScenarioResult:
+def run_bit_rot(seed: int, machines: int, tolerated: int) -> ScenarioResult:
     """Have records rot on disks while their members run: one after the other, and beside losses.
 
     Rotten copies that the scrub has not found yet count as lost disks, and no more are lost.
     """
     cluster = Cluster(seed, machines, tolerated)
     scenario = Scenario(cluster)
-    cluster.run(START_S + RECOVERY_S)
-    draw = cluster.random
+    cluster.run(FIRST_VIEW_S + RECOVERY_S)
+    rng = cluster.random
     for machine in list(cluster.machines.values()):
-        machine.disk.files.rot(draw)
-        cluster.run(draw.uniform(SCRUB_S, SCRUB_S + 5.0))
+        machine.disk.files.flip_random_bit(rng)
+        cluster.run(rng.uniform(SCRUB_S, SCRUB_S + 5.0))
     restart_all(cluster)
     cluster.run(RESTART_SPREAD_S + RECOVERY_S)
-    victims = draw.sample(cluster.running_machines(), tolerated)
-    wiped = draw.randint(0, tolerated)
+    victims = rng.sample(cluster.running_machines(), tolerated)
+    wiped = rng.randint(0, tolerated)
     for victim in victims[wiped:]:
-        victim.disk.files.rot(draw)
-    cluster.run(draw.choice([0.0, 0.1, 1.0]))
+        victim.disk.files.flip_random_bit(rng)
+    cluster.run(rng.choice([0.0, 0.1, 1.0]))
     restart_all(cluster, victims[:wiped])
     cluster.run(RESTART_SPREAD_S + RECOVERY_S)
     return scenario.finish()
 
 
 # By the remainder of the seed by 16; the other days are of faults one after the other.
-_DAYS: dict[int, Callable[[int, int, int], ScenarioResult]] = {
-    1: lambda seed, machines, _: long_partition_day(seed, machines),
-    3: lambda seed, machines, _: rolling_repair_day(seed, machines),
-    5: split_brain_day,
-    7: rot_day,
-    9: processor_quota_day,
+_SCENARIO_OF_REMAINDER: dict[int, Callable[[int, int, int], ScenarioResult]] = {
+    1: lambda seed, machines, _: run_long_partition(seed, machines),
+    3: lambda seed, machines, _: run_rolling_repair(seed, machines),
+    5: run_split_brain,
+    7: run_bit_rot,
+    9: run_processor_quota,
 }
 
 
-def day_of_seed(seed: int) -> ScenarioResult:
+def run_scenario_of_seed(seed: int) -> ScenarioResult:
     """Run a day whose kind, size and links follow from its seed."""
     machines = 3 + seed % 3
     tolerated = 2 if machines == 5 else 1
     if seed % 4 == 0:
-        return storm_day(seed, machines, 1)
-    if (day := _DAYS.get(seed % 16)) is not None:
+        return run_overlapping_faults(seed, machines, 1)
+    if (day := _SCENARIO_OF_REMAINDER.get(seed % 16)) is not None:
         return day(seed, machines, tolerated)
-    return fault_episodes_day(seed, machines, tolerated, lossy=bool(seed % 2))
+    return run_fault_episodes(seed, machines, tolerated, lossy=bool(seed % 2))
 
 
-def _episode(scenario: Scenario, episode: int) -> None:
+def _run_episode(scenario: Scenario, episode: int) -> None:
     """Inject faults within what is tolerated, and wait until their machines have recovered."""
     cluster = scenario.cluster
-    draw = cluster.random
-    fault = draw.choice(MACHINE_FAULTS + CLUSTER_FAULTS)
-    duration_s = draw.choice([0.1, 0.4, 1.0, 3.0])
+    rng = cluster.random
+    fault = rng.choice(MACHINE_FAULTS + CLUSTER_FAULTS)
+    duration_s = rng.choice([0.1, 0.4, 1.0, 3.0])
     if fault is Fault.RESTART_OF_ALL:
         restart_all(cluster)
     elif fault is Fault.LOST_DISKS:
@@ -387,13 +391,13 @@
     elif fault is Fault.GATEWAY:
         inject_gateway_fault(cluster, scenario.gateways)
     elif fault is Fault.LINK:
-        cut_random_link(cluster, draw.choice(cluster.running_machines()))
-        cluster.after(duration_s, cluster.network.heal)
+        block_random_link(cluster, rng.choice(cluster.running_machines()))
+        cluster.after(duration_s, cluster.network.restore_links)
     else:
-        victims = draw.sample(cluster.running_machines(), draw.randint(1, cluster.tolerated))
+        victims = rng.sample(cluster.running_machines(), rng.randint(1, cluster.tolerated))
         for number, victim in enumerate(victims):
-            kind = fault if number == 0 else draw.choice(MACHINE_FAULTS)
+            kind = fault if number == 0 else rng.choice(MACHINE_FAULTS)
             successor = f"10.0.{number + 1}.{episode + 1}:7500"
             inject_and_repair(cluster, victim, kind, duration_s, successor)
-            cluster.run(draw.choice([0.0, 0.0, 0.05, 0.5]))
+            cluster.run(rng.choice([0.0, 0.0, 0.05, 0.5]))
     cluster.run(max(duration_s, 1.0) + RECOVERY_S)
--- a/roselink/simulation/system_state.py
+++ b/roselink/simulation/system_state.py
@@ -26,7 +26,7 @@
 from roselink.coordination.views import PeerStatus, plan
 from roselink.protocol.chain import ConfigurationChange, Heartbeat
 from roselink.protocol.records import decode, encode, record_number_of
-from roselink.simulation.packing import RECORD_NUMBERS, Machine, PackedMachine, pack, unpack
+from roselink.simulation.packing import RECORD_NUMBERS, PackedMachine, UnpackedMachine, pack, unpack
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -73,10 +73,10 @@
         newest: the newest sequence that was confirmed or returned by a read.
     """
 
-    commands: tuple[tuple[int, ConfigurationChange], ...] = ()
+    changes: tuple[tuple[int, ConfigurationChange], ...] = ()
     confirmed: tuple[tuple[bytes, int], ...] = ()
     refused: frozenset[bytes] = frozenset()
-    read_floors: tuple[tuple[int, int], ...] = ()
+    read_lower_bounds: tuple[tuple[int, int], ...] = ()
     newest: int = 0
 
 
@@ -94,17 +94,19 @@
     machines: dict[str, PackedMachine] = field(default_factory=dict)
     messages: tuple[Message, ...] = ()
     step_counts: dict[StepKind, int] = field(default_factory=dict)
-    known: ClientKnowledge = field(default_factory=ClientKnowledge)
+    client_knowledge: ClientKnowledge = field(default_factory=ClientKnowledge)
 
     def copy(self) -> System:
         """Another state that is equal; machines and messages are shared values."""
-        return System(dict(self.machines), self.messages, dict(self.step_counts), self.known)
+        return System(
+            dict(self.machines), self.messages, dict(self.step_counts), self.client_knowledge
+        )
 
     def fingerprint(self) -> int:
         """Equal for states that differ in nothing that decides their behaviour."""
         machines = tuple(machine.fingerprint for machine in self.machines.values())
         counts = tuple(sorted((kind.value, count) for kind, count in self.step_counts.items()))
-        return hash((tuple(sorted(self.messages)), machines, counts, self.known))
+        return hash((tuple(sorted(self.messages)), machines, counts, self.client_knowledge))
 
     # --- steps
 
@@ -158,19 +160,24 @@
             member.pending_calls.view_changed(member.view, NOW)
         self._perform(address, machine, member.collect_effects(NOW))
 
-    def submit(self, address: str, command: ConfigurationChange) -> None:
+    def submit(self, address: str, change: ConfigurationChange) -> None:
         """Have a client submit a change to a member."""
         machine = unpack(self.machines[address])
-        number, effects = machine.member.submit(command, NOW)
-        self.known = replace(self.known, commands=(*self.known.commands, (number, command)))
+        number, effects = machine.member.submit(change, NOW)
+        self.client_knowledge = replace(
+            self.client_knowledge, changes=(*self.client_knowledge.changes, (number, change))
+        )
         self._perform(address, machine, effects)
 
     def read(self, address: str) -> None:
         """Have a client read the newest configuration at a member."""
         machine = unpack(self.machines[address])
         number, effects = machine.member.read(NOW)
-        floors = (*self.known.read_floors, (number, self.known.newest))
-        self.known = replace(self.known, read_floors=floors)
+        lower_bounds = (
+            *self.client_knowledge.read_lower_bounds,
+            (number, self.client_knowledge.newest),
+        )
+        self.client_knowledge = replace(self.client_knowledge, read_lower_bounds=lower_bounds)
         self._perform(address, machine, effects)
 
     # --- parts of steps
@@ -197,10 +204,10 @@
             acceptor_state=votes,
             state=stored,
         )
-        machine = Machine(Member(start, NOW), disk, starts=starts)
+        machine = UnpackedMachine(Member(start, NOW), disk, starts=starts)
         self._perform(address, machine, machine.member.begin(NOW))
 
-    def _perform(self, address: str, machine: Machine, effects: list[Effect]) -> None:
+    def _perform(self, address: str, machine: UnpackedMachine, effects: list[Effect]) -> None:
         sent = []
         for effect in effects:
             if isinstance(effect, Send):
@@ -218,39 +225,48 @@
         self.machines[address] = pack(machine)
 
     def _submit_ended(self, done: SubmitDone) -> None:
-        digest = dict(self.known.commands)[done.number].digest
-        confirmed = dict(self.known.confirmed)
+        digest = dict(self.client_knowledge.changes)[done.number].digest
+        confirmed = dict(self.client_knowledge.confirmed)
         if isinstance(done.outcome, ChangeCommitted):
             sequence = done.outcome.sequence
-            assert digest not in self.known.refused, "a refused change was confirmed"
+            assert digest not in self.client_knowledge.refused, "a refused change was confirmed"
             assert confirmed.setdefault(digest, sequence) == sequence, "one change, two sequences"
-            self.known = replace(
-                self.known,
+            self.client_knowledge = replace(
+                self.client_knowledge,
                 confirmed=tuple(sorted(confirmed.items())),
-                newest=max(self.known.newest, sequence),
+                newest=max(self.client_knowledge.newest, sequence),
             )
         elif isinstance(done.outcome, Conflict | StaleGeneration):
             assert digest not in confirmed, "a confirmed change was refused"
-            self.known = replace(self.known, refused=self.known.refused | {digest})
+            self.client_knowledge = replace(
+                self.client_knowledge, refused=self.client_knowledge.refused | {digest}
+            )
 
     def _read_ended(self, done: ReadDone) -> None:
-        floors = dict(self.known.read_floors)
-        floor = floors.pop(done.number)
-        newest = self.known.newest
+        lower_bounds = dict(self.client_knowledge.read_lower_bounds)
+        lower_bound = lower_bounds.pop(done.number)
+        newest = self.client_knowledge.newest
         if done.confirmation is not None:
             sequence = done.confirmation.sequence
-            assert sequence >= floor, "a read is older than what was known before it began"
+            assert sequence >= lower_bound, "a read is older than what was known before it began"
             newest = max(newest, sequence)
-        self.known = replace(self.known, read_floors=tuple(sorted(floors.items())), newest=newest)
+        self.client_knowledge = replace(
+            self.client_knowledge,
+            read_lower_bounds=tuple(sorted(lower_bounds.items())),
+            newest=newest,
+        )
 
 
 def _membership_of(members: Mapping[str, Member]) -> dict[str, PeerStatus]:
     """The membership in which these members are healthy and reach each other and nobody else."""
     reachable = frozenset(members)
-    return {address: _peer_of(member, reachable - {address}) for address, member in members.items()}
+    return {
+        address: _peer_status_of(member, reachable - {address})
+        for address, member in members.items()
+    }
 
 
-def _peer_of(member: Member, reachable: frozenset[str]) -> PeerStatus:
+def _peer_status_of(member: Member, reachable: frozenset[str]) -> PeerStatus:
     view = member.view
     return PeerStatus(
         voter=member.voter,
--- a/tests/cli/test_simulate.py
+++ b/tests/cli/test_simulate.py
@@ -26,7 +26,7 @@
     def fails(_: int) -> ScenarioResult:
         raise ScenarioError("unexplained", (Violation("an old configuration was shown", "3 at 7"),))
 
-    monkeypatch.setattr(command, "day_of_seed", fails)
+    monkeypatch.setattr(command, "run_scenario_of_seed", fails)
     outcome = run_job(Job(7, None))
     assert outcome.failure is not None
     assert "an old configuration was shown: 3 at 7" in outcome.failure
--- a/tests/simulation/test_disk.py
+++ b/tests/simulation/test_disk.py
@@ -12,7 +12,7 @@
 from roselink.coordination.effects import Store
 from roselink.protocol.chain import AcceptorState, ConfigurationState, StoredState, View, Voter
 from roselink.protocol.records import encode
-from roselink.simulation.disk import FOLDER, Kept, MemoryFiles, Write, disk_full
+from roselink.simulation.disk import FOLDER, Kept, MemoryFiles, Write, disk_full_error
 from roselink.simulation.exceptions import ProcessCrashError
 
 VOTER = Voter("10.0.0.1:7500", 7)
@@ -55,12 +55,12 @@
     return Storage(FOLDER, files).load()
 
 
-def remains(files: MemoryFiles, draw: random.Random, most: int) -> list[dict[str, bytes]]:
+def remains(files: MemoryFiles, rng: random.Random, most: int) -> list[dict[str, bytes]]:
     """All that a loss of power may leave, or so many drawn of it, each once."""
     if files.count_power_failure_states() <= most:
         found = list(files.power_failure_states())
     else:
-        found = [files.drawn_state(draw) for _ in range(most)]
+        found = [files.random_power_failure_state(rng) for _ in range(most)]
     return [dict(each) for each in {tuple(contents.items()) for contents in found}]
 
 
@@ -100,14 +100,14 @@
     """A load gives the last durable record or the one under way, never less and never a mix."""
     files = MemoryFiles()
     storage = saved(files)
-    files.fail(at, ProcessCrashError, persistent=True)
-    ended = True
+    files.inject_failure(at, ProcessCrashError, persistent=True)
+    completed = True
     try:
         save(storage, store, 3)
     except ProcessCrashError:
-        ended = False
-    files.heal()
-    allowed = {3} if ended else {2, 3}
+        completed = False
+    files.clear_failure()
+    allowed = {3} if completed else {2, 3}
     survivors = [{name: file.content for name, file in files.present.items()}]
     survivors += remains(files, random.Random(at), most)
     for contents in survivors:
@@ -131,24 +131,24 @@
     """Power may be lost after the refusal, and after the next save."""
     files = MemoryFiles()
     storage = saved(files)
-    files.fail(at, disk_full, persistent=on)
-    ended = True
+    files.inject_failure(at, disk_full_error, persistent=on)
+    completed = True
     try:
         save(storage, store, 3)
     except OSError:
-        ended = False
+        completed = False
         if not on:
             assert (
                 len(files.present) == RECORD_FILES
             )  # a full disk needs the room of what it refused
-    files.heal()
+    files.clear_failure()
     for contents in remains(files, random.Random(at), most):
         kept_votes, kept_state = load(contents)
         assert kept_votes is not None
         assert kept_votes.view is not None
         assert kept_state is not None
         newest = kept_votes.view.epoch if store is Store.ACCEPTOR else kept_state.state.sequence
-        assert newest in ({3} if ended else {2, 3})
+        assert newest in ({3} if completed else {2, 3})
     save(storage, store, 4)
     for contents in remains(files, random.Random(at), most):
         kept_votes, kept_state = load(contents)
@@ -175,16 +175,18 @@
     storage = Storage(FOLDER, files)
     storage.load()
     save(storage, Store.STATE, 1)
-    files.fail(cut_at, ProcessCrashError, persistent=True)
-    ended = True
+    files.inject_failure(cut_at, ProcessCrashError, persistent=True)
+    completed = True
     try:
         save(storage, Store.ACCEPTOR, 1)
     except ProcessCrashError:
-        ended = False
-    files.heal()
+        completed = False
+    files.clear_failure()
     for contents in remains(files, random.Random(cut_at), DRAWN):
         found = load(contents)
-        assert found in ([(votes(1), state(1))] if ended else [(None, None), (votes(1), state(1))])
+        assert found in (
+            [(votes(1), state(1))] if completed else [(None, None), (votes(1), state(1))]
+        )
 
 
 @pytest.mark.parametrize("store", list(Store))
--- a/tests/simulation/test_history.py
+++ b/tests/simulation/test_history.py
@@ -12,7 +12,7 @@
     History,
     HistoryChecker,
     KeyUse,
-    Reading,
+    Observation,
 )
 
 ONE = Change(0, 1, "one", frozenset({"k"}))
@@ -24,18 +24,18 @@
 
 
 def sent(
-    change: Change, began: float, ended: float, result: CallResult = CallResult.CONFIRMED
+    change: Change, started_at: float, ended_at: float, result: CallResult = CallResult.CONFIRMED
 ) -> ChangeCall:
-    return ChangeCall(change, began, ended, result)
+    return ChangeCall(change, started_at, ended_at, result)
 
 
-def rules(*events: ChangeCall | Reading | ConfigurationApplied | KeyUse) -> list[str]:
+def rules(*events: ChangeCall | Observation | ConfigurationApplied | KeyUse) -> list[str]:
     history = History()
     for event in events:
         if isinstance(event, ChangeCall):
             history.calls.append(event)
-        elif isinstance(event, Reading):
-            history.readings.append(event)
+        elif isinstance(event, Observation):
+            history.observations.append(event)
         elif isinstance(event, ConfigurationApplied):
             history.applied.append(event)
         else:
@@ -49,9 +49,15 @@
 @pytest.mark.parametrize(
     "events",
     [
-        (A, sent(TWO, 2, 3), Reading(4, 5, TWO)),
-        (A, sent(TWO, 2, 6), Reading(3, 4, ONE), Reading(3, 4, TWO), Reading(5, 7, TWO)),
-        (A, sent(TWO, 2, 3, CallResult.UNKNOWN), Reading(4, 5, ONE), Reading(6, 7, TWO)),
+        (A, sent(TWO, 2, 3), Observation(4, 5, TWO)),
+        (
+            A,
+            sent(TWO, 2, 6),
+            Observation(3, 4, ONE),
+            Observation(3, 4, TWO),
+            Observation(5, 7, TWO),
+        ),
+        (A, sent(TWO, 2, 3, CallResult.UNKNOWN), Observation(4, 5, ONE), Observation(6, 7, TWO)),
         (A, sent(TWO, 2, 3, CallResult.UNKNOWN), sent(THREE, 4, 5), sent(TWO, 6, 7)),
         (
             A,
@@ -60,7 +66,7 @@
             sent(RIVAL, 6, 7, CallResult.REFUSED),
         ),
         (A, sent(TWO, 2, 3), sent(ONE, 4, 5), sent(ALSO_ON_ONE, 4, 5, CallResult.REFUSED)),
-        (sent(LOST, 0, 1, CallResult.REFUSED), Reading(2, 3, None)),
+        (sent(LOST, 0, 1, CallResult.REFUSED), Observation(2, 3, None)),
         (
             A,
             ConfigurationApplied("g", 1, 2, ONE),
@@ -77,7 +83,7 @@
     ],
 )
 def test_what_one_register_can_say(
-    events: tuple[ChangeCall | Reading | ConfigurationApplied | KeyUse, ...],
+    events: tuple[ChangeCall | Observation | ConfigurationApplied | KeyUse, ...],
 ) -> None:
     assert rules(*events) == []
 
@@ -89,15 +95,15 @@
         ((A, sent(TWO, 2, 3), sent(ALSO_ON_ONE, 2, 3)), "two changes on one base"),
         ((A, sent(TWO, 2, 3), sent(TWO, 4, 5, CallResult.REFUSED)), "a refused change is in force"),
         (
-            (A, sent(RIVAL, 2, 3, CallResult.REFUSED), Reading(4, 5, RIVAL)),
+            (A, sent(RIVAL, 2, 3, CallResult.REFUSED), Observation(4, 5, RIVAL)),
             "a refused change is in force",
         ),
         ((A, sent(LOST, 2, 3)), "built on what never was"),
-        ((A, Reading(2, 3, TWO), sent(TWO, 4, 5)), "shown before it was sent"),
-        ((A, sent(TWO, 2, 3), Reading(4, 5, ONE)), "an old configuration was shown"),
-        ((A, Reading(2, 3, None)), "an old configuration was shown"),
+        ((A, Observation(2, 3, TWO), sent(TWO, 4, 5)), "shown before it was sent"),
+        ((A, sent(TWO, 2, 3), Observation(4, 5, ONE)), "an old configuration was shown"),
+        ((A, Observation(2, 3, None)), "an old configuration was shown"),
         (
-            (A, sent(TWO, 2, 9), Reading(3, 4, TWO), Reading(5, 6, ONE)),
+            (A, sent(TWO, 2, 9), Observation(3, 4, TWO), Observation(5, 6, ONE)),
             "an old configuration was shown",
         ),
         (
@@ -118,6 +124,6 @@
     ],
 )
 def test_what_no_register_can_say(
-    events: tuple[ChangeCall | Reading | ConfigurationApplied | KeyUse, ...], rule: str
+    events: tuple[ChangeCall | Observation | ConfigurationApplied | KeyUse, ...], rule: str
 ) -> None:
     assert rule in rules(*events)
--- a/tests/simulation/test_linearizability.py
+++ b/tests/simulation/test_linearizability.py
@@ -18,20 +18,20 @@
 THREE = Change(2, 3, "three")
 
 
-def confirmed(change: Change, began: float, ended: float) -> Operation:
-    return Operation(began, ended, Kind.CONFIRMED, change)
+def confirmed(change: Change, started_at: float, ended_at: float) -> Operation:
+    return Operation(started_at, ended_at, Kind.CONFIRMED, change)
 
 
-def refused(change: Change, began: float, ended: float) -> Operation:
-    return Operation(began, ended, Kind.REFUSED, change)
+def refused(change: Change, started_at: float, ended_at: float) -> Operation:
+    return Operation(started_at, ended_at, Kind.REFUSED, change)
 
 
-def unknown(change: Change, began: float) -> Operation:
-    return Operation(began, INFINITY, Kind.UNKNOWN, change)
+def unknown(change: Change, started_at: float) -> Operation:
+    return Operation(started_at, INFINITY, Kind.UNKNOWN, change)
 
 
-def read(change: Change | None, began: float, ended: float) -> Operation:
-    return Operation(began, ended, Kind.READ, change)
+def read(change: Change | None, started_at: float, ended_at: float) -> Operation:
+    return Operation(started_at, ended_at, Kind.READ, change)
 
 
 A = confirmed(ONE, 0, 1)
@@ -102,26 +102,26 @@
         assert not is_linearizable(list(order))
 
 
-def drawn_history(draw: random.Random, *, spoilt: bool) -> list[Operation]:
+def drawn_history(rng: random.Random, *, spoilt: bool) -> list[Operation]:
     """The calls of a real register, each around its moment; `spoilt`: one read is moved back."""
     changes: list[Change] = []
     operations: list[Operation] = []
     for moment in range(1, 60):
         current = changes[-1] if changes else None
         version = current.version if current is not None else 0
-        began = moment - draw.uniform(0, 3)
-        ended = moment + draw.uniform(0, 3)
-        if draw.random() < 0.3:
+        started_at = moment - rng.uniform(0, 3)
+        ended_at = moment + rng.uniform(0, 3)
+        if rng.random() < 0.3:
             change = Change(version, version + 1, f"change-{moment}")
             changes.append(change)
-            kind = draw.choice((Kind.CONFIRMED, Kind.CONFIRMED, Kind.UNKNOWN))
-            ended = ended if kind is Kind.CONFIRMED else INFINITY
-            operations.append(Operation(began, ended, kind, change))
-        elif draw.random() < 0.2:
+            kind = rng.choice((Kind.CONFIRMED, Kind.CONFIRMED, Kind.UNKNOWN))
+            ended_at = ended_at if kind is Kind.CONFIRMED else INFINITY
+            operations.append(Operation(started_at, ended_at, kind, change))
+        elif rng.random() < 0.2:
             never = Change(version + 5, version + 9, f"never-{moment}")
-            operations.append(refused(never, began, ended))
+            operations.append(refused(never, started_at, ended_at))
         else:
-            operations.append(read(current, began, ended))
+            operations.append(read(current, started_at, ended_at))
     if spoilt:
         operations.append(read(changes[0], 90.0, 91.0))
         operations.append(read(changes[-1], 80.0, 81.0))
--- a/tests/simulation/test_model_checker.py
+++ b/tests/simulation/test_model_checker.py
@@ -13,8 +13,8 @@
 from roselink.coordination.reads import ReadRounds
 from roselink.coordination.sequencer import ChangeSequencer
 from roselink.simulation.initial_states import (
-    calm_system,
-    command_on,
+    change_on,
+    idle_system,
     member_joining,
     member_partitioned,
     run_to_quiescence,
@@ -42,16 +42,16 @@
     The search may begin one more read at any time.
     """
     system = begin()
-    newest = system.known.newest
+    newest = system.client_knowledge.newest
     base = 3 if newest else 0
-    system.submit("a:1", command_on(base, 5, "one"))
-    system.submit("c:1", command_on(base, 5, "other"))
+    system.submit("a:1", change_on(base, 5, "one"))
+    system.submit("c:1", change_on(base, 5, "other"))
     system.read("c:1")
     return system
 
 
 STARTS: dict[str, tuple[Callable[[], System], Bounds]] = {
-    "calm": (calm_system, Bounds(30, STATES, reads=0)),
+    "calm": (idle_system, Bounds(30, STATES, reads=0)),
     "a view is accepted": (view_accepted, Bounds(30, STATES, kills=1, proposals=0, reads=0)),
     "a view is decided": (view_decided, Bounds(30, STATES, kills=1, proposals=1, reads=0)),
     "a member joins": (member_joining, Bounds(30, STATES, kills=1, proposals=0, reads=0)),
@@ -65,7 +65,7 @@
         Bounds(30, STATES, kills=0, proposals=0),
     ),
     "a disk is lost": (
-        calm_system,
+        idle_system,
         Bounds(30, STATES, kills=0, wipes=1, proposals=1, retransmissions=1, reads=0),
     ),
 }
--- a/tests/simulation/test_scenarios.py
+++ b/tests/simulation/test_scenarios.py
@@ -13,23 +13,23 @@
 from roselink.simulation.cluster import Cluster
 from roselink.simulation.faults import Fault, inject_fault, limit_processors, repair
 from roselink.simulation.scenarios import (
-    day_of_seed,
-    fault_episodes_day,
     in_chain,
-    long_partition_day,
-    processor_quota_day,
     read,
-    rolling_repair_day,
-    rot_day,
-    split_brain_day,
-    storm_day,
+    run_bit_rot,
+    run_fault_episodes,
+    run_long_partition,
+    run_overlapping_faults,
+    run_processor_quota,
+    run_rolling_repair,
+    run_scenario_of_seed,
+    run_split_brain,
 )
 
 if TYPE_CHECKING:
     from roselink.simulation.machine import Machine
 
 
-def command_on(base: int, generation: int) -> ConfigurationChange:
+def change_on(base: int, generation: int) -> ConfigurationChange:
     document = f"{base}-{generation}".encode()
     return ConfigurationChange(base, generation, document, digest_of(base, document))
 
@@ -53,7 +53,7 @@
 @pytest.mark.parametrize("machines", [1, 3, 4, 5])
 def test_calm_core_takes_an_order_and_shows_it_everywhere(machines: int) -> None:
     cluster = calm(machines, 0 if machines == 1 else 1)
-    first = command_on(0, 5)
+    first = change_on(0, 5)
     began = cluster.now
     assert submit(cluster, cluster.running_machines()[0], first) == ChangeCommitted(1)
     assert cluster.now - began < 0.2
@@ -93,7 +93,7 @@
         return
     inject_fault(cluster, victim_machine, fault)
     began = cluster.now
-    assert submit(cluster, machines[by], command_on(0, 5)) == ChangeCommitted(1)
+    assert submit(cluster, machines[by], change_on(0, 5)) == ChangeCommitted(1)
     assert cluster.now - began < 1.5
     repair(cluster, victim_machine)
     assert cluster.run_until(lambda: in_chain(cluster, victim_machine), 2.5)
@@ -104,7 +104,7 @@
 def test_a_machine_that_lost_its_disk_is_back_in_time(machines: int, victim: int) -> None:
     cluster = calm(machines)
     victim_machine = list(cluster.machines.values())[victim]
-    assert submit(cluster, victim_machine, command_on(0, 5)) == ChangeCommitted(1)
+    assert submit(cluster, victim_machine, change_on(0, 5)) == ChangeCommitted(1)
     victim_machine.kill()
     victim_machine.wipe()
     cluster.run(0.2)
@@ -123,7 +123,7 @@
 ) -> None:
     cluster = calm(machines)
     victim_machine = list(cluster.machines.values())[victim]
-    assert submit(cluster, victim_machine, command_on(0, 5)) == ChangeCommitted(1)
+    assert submit(cluster, victim_machine, change_on(0, 5)) == ChangeCommitted(1)
     victim_machine.kill()
     del cluster.machines[victim_machine.address]
     cluster.run(after_s)
@@ -139,15 +139,15 @@
 @pytest.mark.parametrize("machines", [3, 5])
 def test_a_core_that_was_killed_whole_serves_again_with_two_thirds_of_it(machines: int) -> None:
     cluster = calm(machines)
-    assert submit(cluster, cluster.running_machines()[0], command_on(0, 5)) == ChangeCommitted(1)
+    assert submit(cluster, cluster.running_machines()[0], change_on(0, 5)) == ChangeCommitted(1)
     for machine in cluster.machines.values():
         machine.kill()
     cluster.run(1.0)
     back = list(cluster.machines.values())[: machines // 2 + 1]
     for machine in back:
         machine.start()
-    assert submit(cluster, back[0], command_on(5, 6)) == ChangeCommitted(2)
-    assert submit(cluster, back[-1], command_on(0, 5)) == ChangeCommitted(1)
+    assert submit(cluster, back[0], change_on(5, 6)) == ChangeCommitted(2)
+    assert submit(cluster, back[-1], change_on(0, 5)) == ChangeCommitted(1)
 
 
 @pytest.mark.parametrize("machines", [3, 5])
@@ -156,7 +156,7 @@
     machines: int, spread_s: float
 ) -> None:
     cluster = calm(machines)
-    assert submit(cluster, cluster.running_machines()[0], command_on(0, 5)) == ChangeCommitted(1)
+    assert submit(cluster, cluster.running_machines()[0], change_on(0, 5)) == ChangeCommitted(1)
     newest = cluster.running_machines()[0].member
     assert newest is not None
     assert newest.view is not None
@@ -179,11 +179,11 @@
 
 def test_a_frozen_tail_confirms_nothing_old_when_it_wakes() -> None:
     cluster = calm()
-    assert submit(cluster, cluster.running_machines()[0], command_on(0, 5)) == ChangeCommitted(1)
+    assert submit(cluster, cluster.running_machines()[0], change_on(0, 5)) == ChangeCommitted(1)
     tail = cluster.active_tail()
     assert tail is not None
     tail.freeze()
-    assert submit(cluster, cluster.running_machines()[0], command_on(5, 6)) == ChangeCommitted(2)
+    assert submit(cluster, cluster.running_machines()[0], change_on(5, 6)) == ChangeCommitted(2)
     cluster.run(2.0)
     tail.deferred.clear()
     tail.resume()
@@ -201,64 +201,64 @@
     assert cluster.run_until(lambda: head.member is not None and head.member.has_left, 0.5)
     head.kill()
     began = cluster.now
-    assert submit(cluster, cluster.running_machines()[0], command_on(0, 5)) == ChangeCommitted(1)
+    assert submit(cluster, cluster.running_machines()[0], change_on(0, 5)) == ChangeCommitted(1)
     assert cluster.now - began < 0.25
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_three_machines(seed: int) -> None:
-    result = fault_episodes_day(seed, 3, 1, lossy=False)
-    assert result.slowest_s < 4.0
+    result = run_fault_episodes(seed, 3, 1, lossy=False)
+    assert result.max_confirmation_latency_s < 4.0
 
 
 @pytest.mark.parametrize("seed", range(100, 110))
 def test_four_machines_on_lossy_links(seed: int) -> None:
-    fault_episodes_day(seed, 4, 1, lossy=True)
+    run_fault_episodes(seed, 4, 1, lossy=True)
 
 
 @pytest.mark.parametrize("seed", range(200, 208))
 def test_five_machines(seed: int) -> None:
-    fault_episodes_day(seed, 5, 2, lossy=bool(seed % 2))
+    run_fault_episodes(seed, 5, 2, lossy=bool(seed % 2))
 
 
 @pytest.mark.parametrize("seed", range(400, 403))
 def test_eight_machines_of_which_three_are_seeds(seed: int) -> None:
-    fault_episodes_day(seed, 8, 2, lossy=False, episodes=4)
+    run_fault_episodes(seed, 8, 2, lossy=False, episodes=4)
 
 
 @pytest.mark.parametrize("seed", range(300, 312))
 def test_storms(seed: int) -> None:
-    storm_day(seed, 3 + seed % 3, 1)
+    run_overlapping_faults(seed, 3 + seed % 3, 1)
 
 
 def test_a_tail_that_gets_late_replies_shows_nothing_old() -> None:
     """A storm in which a tail confirmed reads before it had its view's state."""
-    day_of_seed(20348)
+    run_scenario_of_seed(20348)
 
 
 def test_a_state_that_a_full_disk_refused_is_saved_once_there_is_room() -> None:
     """A storm after which the chain waited for ever for a save that nobody repeated."""
-    day_of_seed(40040)
+    run_scenario_of_seed(40040)
 
 
 @pytest.mark.parametrize("seed", range(500, 508))
 def test_a_member_cut_off_for_twenty_seconds(seed: int) -> None:
-    long_partition_day(seed, 3 + seed % 2)
+    run_long_partition(seed, 3 + seed % 2)
 
 
 @pytest.mark.parametrize("seed", range(600, 608))
 def test_one_repair_after_the_other(seed: int) -> None:
-    rolling_repair_day(seed, 3 + seed % 2)
+    run_rolling_repair(seed, 3 + seed % 2)
 
 
 @pytest.mark.parametrize("seed", range(700, 706))
 def test_halves_that_cannot_agree_and_losses_that_overlap(seed: int) -> None:
-    split_brain_day(seed, 3 + seed % 3, 2 if seed % 3 == 2 else 1)
+    run_split_brain(seed, 3 + seed % 3, 2 if seed % 3 == 2 else 1)
 
 
 @pytest.mark.parametrize("seed", range(900, 906))
 def test_faults_while_processors_have_quotas(seed: int) -> None:
-    processor_quota_day(seed, 3 + seed % 3, 2 if seed % 3 == 2 else 1)
+    run_processor_quota(seed, 3 + seed % 3, 2 if seed % 3 == 2 else 1)
 
 
 @pytest.mark.parametrize(("machines", "tolerated"), [(3, 1), (5, 2)])
@@ -301,10 +301,10 @@
 
 @pytest.mark.parametrize("seed", range(800, 803))
 def test_records_that_rot_on_disks(seed: int) -> None:
-    rot_day(seed, 3 + seed % 3, 2 if seed % 3 == 2 else 1)
+    run_bit_rot(seed, 3 + seed % 3, 2 if seed % 3 == 2 else 1)
 
 
 @pytest.mark.many_seeds
 @pytest.mark.parametrize("seed", range(1000, 5000))
 def test_many_days(seed: int) -> None:
-    day_of_seed(seed)
+    run_scenario_of_seed(seed)
