--- a/roselink/lab/clients.py
+++ b/roselink/lab/clients.py
@@ -13,7 +13,7 @@
 
 from roselink.dataplane.event_streams import EventSplitter
 from roselink.lab.exceptions import MalformedMessageError
-from roselink.lab.hosts import event, record, signature
+from roselink.lab.hosts import encode_event, encode_record, signature
 from roselink.lab.http_messages import Head, encode_message, read_body, read_chunks, read_head
 from roselink.lab.operator import HOSTNAME, KEY
 
@@ -23,14 +23,14 @@
 # A response with such a status says that the request has not run.
 NOT_RUN_STATUSES = (408, 421, 429, 503)
 DEADLINE_S = 5.0
-MOST_ATTEMPTS = 4
+MAX_ATTEMPTS = 4
 CONNECT_TIMEOUT_S = 1.0
 # The mean pause between two requests of a client, in seconds.
 PAUSE_S = 0.05
 # The fewest and the most events of a stream.
-EVENTS = (4, 12)
+EVENT_COUNT_RANGE = (4, 12)
 # The fraction of requests for a plain response.
-LOOKUPS = 0.3
+LOOKUP_FRACTION = 0.3
 # How many different prefixes the prompts have.
 PROMPT_PREFIXES = 5
 # How long a client waits when no gateway is ready, in seconds.
@@ -53,19 +53,19 @@
         outcomes: how many requests ended in each way.
         retries: how many retries there were.
         first_event_s: the times to the first event of streams, since the last
-            `take_first_events`, in seconds.
+            `take_first_event_latencies`, in seconds.
         faults: what went wrong with each failed request.
     """
 
     outcomes: dict[Outcome, int] = field(default_factory=lambda: dict.fromkeys(Outcome, 0))
     retries: int = 0
-    first_event_s: list[float] = field(default_factory=list)
+    first_event_latencies_s: list[float] = field(default_factory=list)
     faults: list[str] = field(default_factory=list)
 
-    def take_first_events(self) -> list[float]:
+    def take_first_event_latencies(self) -> list[float]:
         """The times to the first event since the last call, sorted, in seconds."""
-        times = sorted(self.first_event_s)
-        self.first_event_s = []
+        times = sorted(self.first_event_latencies_s)
+        self.first_event_latencies_s = []
         return times
 
 
@@ -78,8 +78,8 @@
     events: int
     prompt: str
     began: float
-    last_id: int = 0
-    first_at: float | None = None
+    last_event_id: int = 0
+    first_event_at: float | None = None
 
     @property
     def remaining_s(self) -> float:
@@ -120,10 +120,10 @@
     async def run(self) -> None:
         """Send requests until `stopping`; the last one is completed."""
         while not self._stopping.is_set():
-            outcome = await self._request()
+            outcome = await self._run_request()
             self._statistics.outcomes[outcome] += 1
             await self._pause(PAUSE_S * self._random.uniform(0.5, 1.5))
-        self._drop()
+        self._close_connection()
 
     async def _pause(self, pause_s: float) -> None:
         try:
@@ -132,22 +132,22 @@
         except TimeoutError:
             pass
 
-    def _make(self) -> _Request:
-        plain = self._random.random() < LOOKUPS
+    def _make_request(self) -> _Request:
+        plain = self._random.random() < LOOKUP_FRACTION
         path = f"/{'lookup' if plain else 'chat'}/{self._name}/{next(self._numbers)}"
         prompt = (
             f"{self._random.randrange(PROMPT_PREFIXES):x}:400,{self._random.getrandbits(32):x}:100"
         )
         return _Request(
-            path, 0 if plain else self._random.randint(*EVENTS), prompt, time.monotonic()
+            path, 0 if plain else self._random.randint(*EVENT_COUNT_RANGE), prompt, time.monotonic()
         )
 
-    async def _request(self) -> Outcome:
+    async def _run_request(self) -> Outcome:
         """Send a request, with retries until it is served, or attempts or time are used up."""
-        request = self._make()
+        request = self._make_request()
         tried = set[str]()
         attempt = _Attempt(Outcome.FAILED, "no gateway was ready")
-        for number in range(MOST_ATTEMPTS):
+        for number in range(MAX_ATTEMPTS):
             if number:
                 self._statistics.retries += 1
             try:
@@ -156,10 +156,12 @@
             except TimeoutError:
                 attempt = _Attempt(Outcome.FAILED, "no whole answer in time")
             if attempt.outcome is Outcome.SERVED:
-                if request.first_at is not None:
-                    self._statistics.first_event_s.append(request.first_at - request.began)
+                if request.first_event_at is not None:
+                    self._statistics.first_event_latencies_s.append(
+                        request.first_event_at - request.began
+                    )
                 return attempt.outcome
-            self._drop()
+            self._close_connection()
             if request.remaining_s <= attempt.pause_s:
                 break
             await asyncio.sleep(attempt.pause_s)
@@ -197,7 +199,7 @@
             self._connection = _Connection(gateway.name, *pair)
         return self._connection
 
-    def _drop(self) -> None:
+    def _close_connection(self) -> None:
         if self._connection is not None:
             self._connection.writer.close()
             self._connection = None
@@ -213,8 +215,8 @@
         if request.events:
             headers |= {"X-Model": "m", "X-Token-Usage": f"500,{request.events}"}
             headers["X-Prompt-Prefix"] = request.prompt
-            if request.last_id:
-                headers["Last-Event-Id"] = str(request.last_id)
+            if request.last_event_id:
+                headers["Last-Event-Id"] = str(request.last_event_id)
         return encode_message(f"POST {request.path} HTTP/1.1", headers, b"{}")
 
     async def _check_response(
@@ -225,11 +227,11 @@
             fault = await self._check_events(request, head, connection)
         else:
             body = await read_body(connection.reader, head)
-            fault = "" if body == record(request.path) else "another body"
+            fault = "" if body == encode_record(request.path) else "another body"
         if head.headers.get("x-response-signature") != signature(self._sent_id):
             fault = fault or "no valid stamp"
         if not head.keep_alive:
-            self._drop()
+            self._close_connection()
         return _Attempt(Outcome.FAILED if fault else Outcome.SERVED, fault)
 
     async def _check_events(self, request: _Request, head: Head, connection: _Connection) -> str:
@@ -237,10 +239,10 @@
         splitter = EventSplitter()
         async for chunk in read_chunks(connection.reader, head):
             for received in splitter.feed(chunk):
-                request.first_at = request.first_at or time.monotonic()
-                if received.data != event(request.path, request.last_id + 1):
-                    return f"event {received.id} behind {request.last_id}"
-                request.last_id += 1
-        if request.last_id != request.events:
-            return f"{request.last_id} of {request.events} events"
+                request.first_event_at = request.first_event_at or time.monotonic()
+                if received.data != encode_event(request.path, request.last_event_id + 1):
+                    return f"event {received.id} behind {request.last_event_id}"
+                request.last_event_id += 1
+        if request.last_event_id != request.events:
+            return f"{request.last_event_id} of {request.events} events"
         return ""
--- a/roselink/lab/command.py
+++ b/roselink/lab/command.py
@@ -19,7 +19,7 @@
 # From the start until the fleet serves, in seconds.
 START_TIMEOUT_S = 30.0
 # Between two lines of output, in seconds.
-LINE_INTERVAL_S = 1.0
+STATUS_INTERVAL_S = 1.0
 # From the first request to the kills, in seconds; no later than these fractions of a run with an
 # end.
 KILL_ROUTER_S = 1.0
@@ -27,7 +27,7 @@
 KILL_ROUTER_FRACTION = 0.25
 KILL_CONTROLLER_FRACTION = 0.5
 # How many faults are printed at the end.
-MOST_FAULTS = 5
+MAX_PRINTED_FAULTS = 5
 
 
 @dataclass(frozen=True, slots=True)
@@ -110,29 +110,29 @@
         self._ingress = Ingress(
             [Gateway(m.name, (m.ip, ports.http), (m.ip, ports.readiness)) for m in fleet.routers]
         )
-        fleet.begin()
+        fleet.start()
         try:
             error = await self._until_stopped()
         except BaseException:
-            await fleet.end()
+            await fleet.stop()
             raise
-        return await self._end(error)
+        return await self._shut_down(error)
 
     async def _until_stopped(self) -> str | None:
         """Serve until the end of the run, a signal or an error; returns the error."""
-        watch = asyncio.create_task(self._ingress.watch())
-        work = [
+        checks = asyncio.create_task(self._ingress.run_checks())
+        tasks = [
             asyncio.create_task(self._serve()),
             asyncio.create_task(self._fleet.wait_for_failure()),
             asyncio.create_task(self._stopping.wait()),
         ]
-        done, pending = await asyncio.wait(work, return_when=asyncio.FIRST_COMPLETED)
+        done, pending = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
         for task in pending:
             task.cancel()
         self._clients_stopping.set()
         await asyncio.gather(*pending, *self._clients, return_exceptions=True)
-        watch.cancel()
-        await asyncio.gather(watch, return_exceptions=True)
+        checks.cancel()
+        await asyncio.gather(checks, return_exceptions=True)
         reason = None
         for task in done:
             try:
@@ -145,7 +145,7 @@
         began = time.monotonic()
         async with asyncio.timeout(START_TIMEOUT_S):
             await self._operator.send(1)
-            await self._ingress.all_ready()
+            await self._ingress.wait_until_all_ready()
         self._print_addresses()
         self._print_line(f"serving {time.monotonic() - began:.1f} s after the start")
         self._began = time.monotonic()
@@ -155,10 +155,10 @@
         ]
         self._clients = [asyncio.create_task(client.run()) for client in clients]
         async with asyncio.TaskGroup() as group:
-            killing = group.create_task(self._kill()) if self._options.kill else None
+            kill_task = group.create_task(self._kill_machines()) if self._options.kill else None
             await self._print_status_lines()
-            if killing is not None:
-                killing.cancel()
+            if kill_task is not None:
+                kill_task.cancel()
 
     def _print_addresses(self) -> None:
         ports = self._fleet.ports
@@ -178,30 +178,33 @@
         """Print one line a second until the end of the run."""
         seconds = self._options.seconds
         number = 0
-        while seconds is None or number * LINE_INTERVAL_S < seconds:
+        while seconds is None or number * STATUS_INTERVAL_S < seconds:
             number += 1
-            await asyncio.sleep(max(0.0, self._began + number * LINE_INTERVAL_S - time.monotonic()))
+            await asyncio.sleep(
+                max(0.0, self._began + number * STATUS_INTERVAL_S - time.monotonic())
+            )
             state = await self._operator.status()
-            self._print_line(self._status_line(number, state))
+            self._print_line(self._format_status(number, state))
 
-    def _status_line(self, number: int, state: dict[str, object] | None) -> str:
+    def _format_status(self, number: int, state: dict[str, object] | None) -> str:
         outcomes = self._statistics.outcomes
         counts = " ".join(f"{each.value} {outcomes[each]}" for each in Outcome)
-        times = self._statistics.take_first_events()
-        waits = "no first events"
+        times = self._statistics.take_first_event_latencies()
+        latencies = "no first events"
         if times:
             median_ms = _percentile_ms(times, 0.5)
-            waits = f"first event p50 {median_ms} ms p95 {_percentile_ms(times, 0.95)} ms"
-        ready = f"gateways {self._ingress.ready}/{len(self._ingress.gateways)}"
+            latencies = f"first event p50 {median_ms} ms p95 {_percentile_ms(times, 0.95)} ms"
+        ready = f"gateways {self._ingress.ready_count}/{len(self._ingress.gateways)}"
         core = "no controller answers"
         if state is not None:
-            tail = self._fleet.by_address(str(state["tail"]))
+            tail = self._fleet.machine_name(str(state["tail"]))
             core = f"epoch {state['epoch']} tail {tail} generation {state['generation']}"
         return (
-            f"{number:>4} s  {counts} retries {self._statistics.retries}  {waits}  {ready}  {core}"
+            f"{number:>4} s  {counts} retries {self._statistics.retries}"
+            f"  {latencies}  {ready}  {core}"
         )
 
-    async def _kill(self) -> None:
+    async def _kill_machines(self) -> None:
         """Kill a gateway and the chain's tail; then send a second configuration."""
         kill_router_s = KILL_ROUTER_S
         kill_controller_s = KILL_CONTROLLER_S
@@ -209,12 +212,12 @@
             kill_router_s = min(kill_router_s, seconds * KILL_ROUTER_FRACTION)
             kill_controller_s = min(kill_controller_s, seconds * KILL_CONTROLLER_FRACTION)
         await self._sleep_until(kill_router_s)
-        self._kill_one(self._fleet.routers[-1])
+        self._kill_machine(self._fleet.routers[-1])
         await self._sleep_until(kill_controller_s)
         state = await self._operator.status()
-        tail = self._fleet.by_address(str(state["tail"])) if state is not None else ""
+        tail = self._fleet.machine_name(str(state["tail"])) if state is not None else ""
         tails = [machine for machine in self._fleet.controllers if machine.name == tail]
-        self._kill_one((tails or self._fleet.controllers)[0])
+        self._kill_machine((tails or self._fleet.controllers)[0])
         began = time.monotonic()
         await self._operator.send(2)
         self._print_line(
@@ -225,12 +228,12 @@
         """Sleep until so many seconds after the first request."""
         await asyncio.sleep(max(0.0, self._began + at - time.monotonic()))
 
-    def _kill_one(self, machine: Machine) -> None:
+    def _kill_machine(self, machine: Machine) -> None:
         self._print_line(f"killing {machine.name}, pid {machine.pids[-1]}")
-        machine.send(signal.SIGKILL)
+        machine.send_signal(signal.SIGKILL)
 
-    async def _end(self, error: str | None) -> LabReport:
-        overdue = await self._fleet.end()
+    async def _shut_down(self, error: str | None) -> LabReport:
+        overdue = await self._fleet.stop()
         for host in self._hosts:
             await host.stop()
         await self._host_list.stop()
@@ -251,7 +254,7 @@
 
 def summary(report: LabReport) -> list[str]:
     """The last lines of a run."""
-    lines = [f"fault: {fault}" for fault in report.faults[:MOST_FAULTS]]
+    lines = [f"fault: {fault}" for fault in report.faults[:MAX_PRINTED_FAULTS]]
     if report.error is not None:
         lines.append(f"trouble: {report.error}")
     if report.overdue:
--- a/roselink/lab/exceptions.py
+++ b/roselink/lab/exceptions.py
@@ -21,10 +21,10 @@
 
     code = "LAB-001"
 
-    def __init__(self, part: str, reason: object) -> None:
+    def __init__(self, element: str, reason: object) -> None:
         """Note the part and what is wrong with it."""
-        super().__init__(f"no {part}: {reason}")
-        self.part = part
+        super().__init__(f"no {element}: {reason}")
+        self.element = element
         self.reason = reason
 
 
--- a/roselink/lab/fleet.py
+++ b/roselink/lab/fleet.py
@@ -29,11 +29,11 @@
 # Exit statuses after which a restart can't help: invalid settings, or an address that is in use.
 PERMANENT_EXIT_STATUSES = (2, 3)
 # The last numbers of the first addresses, in 127.0.0.x.
-FIRST_CONTROLLER_NUMBER = 11
-FIRST_ROUTER_NUMBER = 21
+FIRST_CONTROLLER_OCTET = 11
+FIRST_ROUTER_OCTET = 21
 # How many characters of a log an error has.
 LOG_TAIL_CHARACTERS = 600
-PACKAGES = Path(__file__).resolve().parents[2]
+IMPORT_ROOT = Path(__file__).resolve().parents[2]
 
 # Prints one line.
 LinePrinter = Callable[[str], None]
@@ -111,7 +111,7 @@
         path.write_text(json.dumps(self.settings, indent=2))
         # Only the first start may form a new core.
         self.settings["bootstrap"] = False
-        paths = [str(PACKAGES), *filter(None, [os.environ.get("PYTHONPATH")])]
+        paths = [str(IMPORT_ROOT), *filter(None, [os.environ.get("PYTHONPATH")])]
         variables = {ENVIRONMENT_VARIABLE: str(path), "PYTHONPATH": os.pathsep.join(paths)}
         inherited = {
             name: os.environ[name] for name in ("PATH", "HOME", "LANG") if name in os.environ
@@ -134,7 +134,7 @@
         """Whether its process runs."""
         return self.process is not None and self.process.returncode is None
 
-    def send(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         """Send a signal to the newest process, if it still runs."""
         if self.process is not None and self.running:
             self.process.send_signal(number)
@@ -172,17 +172,19 @@
             raise RouterCountError(routers, MOST_ROUTERS)
         self._folder = folder
         self._print_line = print_line
-        self._ending = asyncio.Event()
+        self._stopping = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
-        core = [f"127.0.0.{FIRST_CONTROLLER_NUMBER + number}" for number in range(CONTROLLERS)]
-        edge = [f"127.0.0.{FIRST_ROUTER_NUMBER + number}" for number in range(routers)]
-        self.ports = free_ports(core + edge)
-        self._seeds = [f"{ip}:{self.ports.admin}" for ip in core]
+        controller_ips = [
+            f"127.0.0.{FIRST_CONTROLLER_OCTET + number}" for number in range(CONTROLLERS)
+        ]
+        router_ips = [f"127.0.0.{FIRST_ROUTER_OCTET + number}" for number in range(routers)]
+        self.ports = free_ports(controller_ips + router_ips)
+        self._seeds = [f"{ip}:{self.ports.admin}" for ip in controller_ips]
         self._host_list = "{}:{}".format(*host_list)
         self.controllers = [
-            self._machine(ip, number, "controller") for number, ip in enumerate(core)
+            self._machine(ip, number, "controller") for number, ip in enumerate(controller_ips)
         ]
-        self.routers = [self._machine(ip, number, "router") for number, ip in enumerate(edge)]
+        self.routers = [self._machine(ip, number, "router") for number, ip in enumerate(router_ips)]
         self.machines = self.controllers + self.routers
 
     def _machine(self, ip: str, number: int, role: str) -> Machine:
@@ -192,9 +194,11 @@
         disk = folder / "disk"
         disk.mkdir(parents=True)
         ports = self.ports
-        core = role == "controller"
+        is_controller = role == "controller"
         binds = (
-            {"admin": ports.admin} if core else {"http": ports.http, "readiness": ports.readiness}
+            {"admin": ports.admin}
+            if is_controller
+            else {"http": ports.http, "readiness": ports.readiness}
         )
         settings = {
             "node_name": name,
@@ -206,17 +210,17 @@
             "port_range": [ports.peer, ports.peer],
             "seeds": self._seeds,
             "bootstrap": True,
-            "counts_for_quorum": core,
+            "counts_for_quorum": is_controller,
             "limits": {"max_fds": 1024},
-            "data_dir": str(disk) if core else None,
+            "data_dir": str(disk) if is_controller else None,
             "fault_tolerance": {"nodes": 1},
             "thresholds": {"grace_s": GRACE_S},
             "cloud_api": {"address": self._host_list, "rate_per_s": 40.0, "max_lag_ms": 100},
         }
         return Machine(name, role, ip, zone, folder, settings)
 
-    def begin(self) -> None:
-        """Start all processes, and restart those that end, until `end`."""
+    def start(self) -> None:
+        """Start all processes, and restart those that end, until `stop`."""
         self._tasks = [asyncio.create_task(self._supervise(machine)) for machine in self.machines]
 
     async def wait_for_failure(self) -> None:
@@ -230,14 +234,14 @@
             task.result()
 
     async def _supervise(self, machine: Machine) -> None:
-        while not self._ending.is_set():
+        while not self._stopping.is_set():
             await machine.start()
             assert machine.process is not None
             # The end may have begun while the process was started.
-            if self._ending.is_set():
-                machine.send(signal.SIGTERM)
+            if self._stopping.is_set():
+                machine.send_signal(signal.SIGTERM)
             machine.status = await machine.process.wait()
-            if self._ending.is_set():
+            if self._stopping.is_set():
                 return
             if machine.status in PERMANENT_EXIT_STATUSES:
                 raise StartError(machine.name, machine.status, machine.log_tail())
@@ -246,26 +250,26 @@
                 f"starts again in {RESTART_DELAY_S:g} s"
             )
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._ending.wait(), RESTART_DELAY_S)
+                await asyncio.wait_for(self._stopping.wait(), RESTART_DELAY_S)
 
-    async def end(self) -> list[str]:
+    async def stop(self) -> list[str]:
         """End all processes by SIGTERM, and after `GRACE_S` by SIGKILL.
 
         Returns:
             The names of the machines whose processes had to be killed.
         """
-        self._ending.set()
+        self._stopping.set()
         for machine in self.machines:
-            machine.send(signal.SIGTERM)
+            machine.send_signal(signal.SIGTERM)
         if self._tasks:
             await asyncio.wait(self._tasks, timeout=GRACE_S)
         overdue = [machine.name for machine in self.machines if machine.running]
         for machine in self.machines:
-            machine.send(signal.SIGKILL)
+            machine.send_signal(signal.SIGKILL)
         await asyncio.gather(*self._tasks, return_exceptions=True)
         return overdue
 
-    def by_address(self, address: str) -> str:
+    def machine_name(self, address: str) -> str:
         """The name of the machine with that address, or the address."""
         ip = address.partition(":")[0]
         return next((machine.name for machine in self.machines if machine.ip == ip), address)
--- a/roselink/lab/hosts.py
+++ b/roselink/lab/hosts.py
@@ -25,19 +25,19 @@
 # How many requests beyond the capacity wait.
 QUEUE_LENGTH = 4
 # How long a host takes to the first event, between two events, and for a plain response, seconds.
-FIRST_EVENT_S = 0.04
-EVENT_S = 0.02
-RECORD_S = 0.02
-MOST_EVENTS = 1000
-NOT_EXECUTED = {"X-Not-Executed": "1"}
+FIRST_EVENT_LATENCY_S = 0.04
+EVENT_INTERVAL_S = 0.02
+RECORD_LATENCY_S = 0.02
+MAX_EVENTS = 1000
+NOT_EXECUTED_HEADER = {"X-Not-Executed": "1"}
 
 
-def event(path: str, number: int) -> bytes:
+def encode_event(path: str, number: int) -> bytes:
     """The event with a number in the stream for a path."""
     return f"id: {number}\ndata: {path} {number}\n\n".encode()
 
 
-def record(path: str) -> bytes:
+def encode_record(path: str) -> bytes:
     """The plain response for a path."""
     return json.dumps({"record": path}).encode()
 
@@ -71,23 +71,23 @@
     _slots: asyncio.Semaphore = field(init=False)
     _in_flight: int = 0
     _server: asyncio.Server | None = None
-    _open: set[asyncio.Task[None]] = field(default_factory=set)
+    _connections: set[asyncio.Task[None]] = field(default_factory=set)
 
     async def start(self) -> None:
         """Listen on a free port."""
         self._slots = asyncio.Semaphore(self.capacity)
-        self._server = await asyncio.start_server(self._connected, "127.0.0.1", 0)
+        self._server = await asyncio.start_server(self._handle_connection, "127.0.0.1", 0)
         self.address = self._server.sockets[0].getsockname()[:2]
 
     async def stop(self) -> None:
         """End the listener and all connections."""
         if self._server is not None:
             self._server.close()
-        for task in self._open:
+        for task in self._connections:
             task.cancel()
-        await asyncio.gather(*self._open, return_exceptions=True)
+        await asyncio.gather(*self._connections, return_exceptions=True)
 
-    def entry(self) -> dict[str, object]:
+    def list_item(self) -> dict[str, object]:
         """This host as an item of the platform's list."""
         return {
             "id": self.id,
@@ -104,10 +104,12 @@
             else [],
         }
 
-    async def _connected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _handle_connection(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         task = asyncio.current_task()
         assert task is not None
-        self._open.add(task)
+        self._connections.add(task)
         try:
             while True:
                 head = await read_head(reader)
@@ -118,7 +120,7 @@
         except (MalformedMessageError, OSError, asyncio.CancelledError):
             pass
         finally:
-            self._open.discard(task)
+            self._connections.discard(task)
             writer.close()
 
     async def _respond(self, head: Head, writer: asyncio.StreamWriter) -> None:
@@ -132,7 +134,7 @@
             )
         elif (refusal := self._refusal(head)) is not None:
             echo = {"X-Request-Id": head.headers.get("x-request-id", "")}
-            writer.write(encode_message(f"HTTP/1.1 {refusal}", NOT_EXECUTED | echo))
+            writer.write(encode_message(f"HTTP/1.1 {refusal}", NOT_EXECUTED_HEADER | echo))
         else:
             await self._execute(head, writer)
         await writer.drain()
@@ -154,10 +156,10 @@
                 if self.service == MODEL:
                     await self._stream(head, writer)
                 else:
-                    await asyncio.sleep(RECORD_S)
+                    await asyncio.sleep(RECORD_LATENCY_S)
                     writer.write(
                         encode_message(
-                            "HTTP/1.1 200 OK", self._signed_headers(head), record(head.path)
+                            "HTTP/1.1 200 OK", self._signed_headers(head), encode_record(head.path)
                         )
                     )
         finally:
@@ -167,18 +169,18 @@
     async def _stream(self, head: Head, writer: asyncio.StreamWriter) -> None:
         """Send the events after `Last-Event-Id`, up to the second number of `X-Token-Usage`."""
         _, _, requested = head.headers.get("x-token-usage", "0,1").partition(",")
-        events = min(int(requested), MOST_EVENTS)
+        events = min(int(requested), MAX_EVENTS)
         first = int(head.headers.get("last-event-id", "0")) + 1
-        await asyncio.sleep(FIRST_EVENT_S)
+        await asyncio.sleep(FIRST_EVENT_LATENCY_S)
         headers = self._signed_headers(head) | {
             "Content-Type": "text/event-stream",
             "Versions": "1",
         }
         writer.write(encode_message("HTTP/1.1 200 OK", headers, None))
         for number in range(first, events + 1):
-            writer.write(encode_chunk(event(head.path, number)))
+            writer.write(encode_chunk(encode_event(head.path, number)))
             await writer.drain()
-            await asyncio.sleep(EVENT_S)
+            await asyncio.sleep(EVENT_INTERVAL_S)
         writer.write(encode_chunk(b""))
 
     def _signed_headers(self, head: Head) -> dict[str, str]:
--- a/roselink/lab/http_messages.py
+++ b/roselink/lab/http_messages.py
@@ -17,7 +17,7 @@
 HEAD = "head"
 BODY = "whole body"
 # Method and path, or version and status.
-FEWEST_START_LINE_PARTS = 2
+MIN_START_LINE_FIELDS = 2
 
 
 @dataclass(slots=True)
@@ -83,7 +83,7 @@
         raise MalformedMessageError(HEAD, error) from None
     first, *lines = text.strip().split("\r\n")
     start_line = first.split(" ", 2)
-    if len(start_line) < FEWEST_START_LINE_PARTS:
+    if len(start_line) < MIN_START_LINE_FIELDS:
         raise MalformedMessageError(HEAD, repr(first))
     pairs = (line.partition(":") for line in lines)
     return Head(start_line, {name.strip().lower(): value.strip() for name, _, value in pairs})
--- a/roselink/lab/operator.py
+++ b/roselink/lab/operator.py
@@ -18,7 +18,7 @@
 STATUS_TIMEOUT_S = 0.8
 # The first and the longest pause before a retry, in seconds; each is twice the one before.
 FIRST_RETRY_PAUSE_S = 0.1
-LONGEST_RETRY_PAUSE_S = 0.8
+MAX_RETRY_PAUSE_S = 0.8
 
 
 def configuration(generation: int) -> dict[str, Any]:
@@ -96,7 +96,7 @@
                     response.head.status, response.body.decode(errors="replace")
                 )
             await asyncio.sleep(pause_s)
-            pause_s = min(LONGEST_RETRY_PAUSE_S, pause_s * 2)
+            pause_s = min(MAX_RETRY_PAUSE_S, pause_s * 2)
 
     async def status(self) -> dict[str, Any] | None:
         """The status of the first controller that has it confirmed; None if there is none."""
--- a/roselink/lab/platform.py
+++ b/roselink/lab/platform.py
@@ -29,7 +29,7 @@
 FIRST_CHECK_INTERVAL_S = 0.1
 CHECK_TIMEOUT_S = 0.8
 # After so many failed checks in a row a gateway gets no new connections.
-FAILED_CHECKS = 2
+FAILURES_BEFORE_REMOVAL = 2
 
 
 class HostList:
@@ -38,33 +38,35 @@
     def __init__(self, hosts: list[Host]) -> None:
         """Take the hosts of the list."""
         self._hosts = hosts
-        self._open: set[asyncio.Task[None]] = set()
+        self._connections: set[asyncio.Task[None]] = set()
         self.address: Address = ("", 0)
         self.calls = 0
 
     async def start(self) -> None:
         """Listen on a free port."""
-        self._server = await asyncio.start_server(self._connected, "127.0.0.1", 0)
+        self._server = await asyncio.start_server(self._handle_connection, "127.0.0.1", 0)
         self.address = self._server.sockets[0].getsockname()[:2]
 
     async def stop(self) -> None:
         """End the listener and all connections."""
         self._server.close()
-        for task in self._open:
+        for task in self._connections:
             task.cancel()
-        await asyncio.gather(*self._open, return_exceptions=True)
+        await asyncio.gather(*self._connections, return_exceptions=True)
 
-    async def _connected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _handle_connection(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         task = asyncio.current_task()
         assert task is not None
-        self._open.add(task)
+        self._connections.add(task)
         try:
             while True:
                 head = await read_head(reader)
                 await read_body(reader, head)
                 self.calls += 1
                 listed = {
-                    "instances": [host.entry() for host in self._hosts],
+                    "instances": [host.list_item() for host in self._hosts],
                     "next_page_token": None,
                 }
                 body = json.dumps(listed).encode()
@@ -75,7 +77,7 @@
         except (MalformedMessageError, OSError, asyncio.CancelledError):
             pass
         finally:
-            self._open.discard(task)
+            self._connections.discard(task)
             writer.close()
 
 
@@ -104,15 +106,15 @@
 
     gateways: list[Gateway]
     random: Random = field(default_factory=Random)
-    changed: asyncio.Event = field(default_factory=asyncio.Event)
+    readiness_changed: asyncio.Event = field(default_factory=asyncio.Event)
 
-    async def watch(self) -> None:
+    async def run_checks(self) -> None:
         """Check until cancelled."""
         async with asyncio.TaskGroup() as group:
             for gateway in self.gateways:
-                group.create_task(self._watch(gateway))
+                group.create_task(self._check_periodically(gateway))
 
-    async def _watch(self, gateway: Gateway) -> None:
+    async def _check_periodically(self, gateway: Gateway) -> None:
         was_ready = False
         while True:
             response = await send_request(
@@ -126,24 +128,24 @@
     def record_check(self, gateway: Gateway, *, passed: bool) -> None:
         """Record a readiness check: two failures remove a gateway, one success adds it."""
         gateway.failures = 0 if passed else gateway.failures + 1
-        ready = passed or (gateway.ready and gateway.failures < FAILED_CHECKS)
+        ready = passed or (gateway.ready and gateway.failures < FAILURES_BEFORE_REMOVAL)
         if ready != gateway.ready:
             gateway.ready = ready
-            self.changed.set()
+            self.readiness_changed.set()
 
     def pick(self, tried: Collection[str] = ()) -> Gateway | None:
         """A random ready gateway, preferably one that wasn't tried; None if none is ready."""
         ready = [gateway for gateway in self.gateways if gateway.ready]
-        fresh = [gateway for gateway in ready if gateway.name not in tried]
-        return self.random.choice(fresh or ready) if ready else None
+        untried = [gateway for gateway in ready if gateway.name not in tried]
+        return self.random.choice(untried or ready) if ready else None
 
     @property
-    def ready(self) -> int:
+    def ready_count(self) -> int:
         """How many gateways get new connections."""
         return sum(gateway.ready for gateway in self.gateways)
 
-    async def all_ready(self) -> None:
+    async def wait_until_all_ready(self) -> None:
         """Wait until every gateway is ready."""
-        while self.ready < len(self.gateways):
-            self.changed.clear()
-            await self.changed.wait()
+        while self.ready_count < len(self.gateways):
+            self.readiness_changed.clear()
+            await self.readiness_changed.wait()
--- a/tests/lab/test_components.py
+++ b/tests/lab/test_components.py
@@ -13,7 +13,7 @@
 from roselink.lab.clients import Client, Outcome, Statistics
 from roselink.lab.exceptions import StartError
 from roselink.lab.fleet import Fleet, free_ports
-from roselink.lab.hosts import MODEL, RECORDS, Host, event, record, signature
+from roselink.lab.hosts import MODEL, RECORDS, Host, encode_event, encode_record, signature
 from roselink.lab.http_messages import (
     Head,
     Request,
@@ -39,7 +39,7 @@
 
 
 def events(head: Head, *numbers: int) -> bytes:
-    body = b"".join(encode_chunk(event(head.path, number)) for number in numbers)
+    body = b"".join(encode_chunk(encode_event(head.path, number)) for number in numbers)
     return encode_message("HTTP/1.1 200 OK", stamped(head), None) + body
 
 
@@ -69,7 +69,7 @@
 
 
 def plain(head: Head) -> bytes:
-    return encode_message("HTTP/1.1 200 OK", stamped(head), record(head.path))
+    return encode_message("HTTP/1.1 200 OK", stamped(head), encode_record(head.path))
 
 
 def status(code: int) -> Script:
@@ -104,8 +104,8 @@
     outcome: Outcome,
     retries: int,
 ) -> None:
-    monkeypatch.setattr(clients, "LOOKUPS", 1.0 if kind == "lookup" else 0.0)
-    monkeypatch.setattr(clients, "EVENTS", (3, 3))
+    monkeypatch.setattr(clients, "LOOKUP_FRACTION", 1.0 if kind == "lookup" else 0.0)
+    monkeypatch.setattr(clients, "EVENT_COUNT_RANGE", (3, 3))
     remaining = iter(scripts)
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -135,7 +135,7 @@
     assert statistics.outcomes == dict.fromkeys(Outcome, 0) | {outcome: 1}
     assert statistics.retries == retries
     assert len(statistics.faults) == (1 if outcome is Outcome.FAILED else 0)
-    assert len(statistics.take_first_events()) == (
+    assert len(statistics.take_first_event_latencies()) == (
         1 if outcome is Outcome.SERVED and kind == "chat" else 0
     )
 
@@ -143,14 +143,14 @@
 @pytest.mark.parametrize(
     ("service", "headers", "status", "body"),
     [
-        (RECORDS, {"X-Request-Id": "a"}, 200, record("/p")),
+        (RECORDS, {"X-Request-Id": "a"}, 200, encode_record("/p")),
         (RECORDS, {}, 400, b""),
         (RECORDS, {"X-Request-Id": "a", "X-Target-Instance": "other"}, 421, b""),
         (
             MODEL,
             {"X-Request-Id": "a", "X-Token-Usage": "5,2"},
             200,
-            event("/p", 1) + event("/p", 2),
+            encode_event("/p", 1) + encode_event("/p", 2),
         ),
         (
             MODEL,
@@ -161,7 +161,7 @@
                 "X-Target-Instance": "h",
             },
             200,
-            event("/p", 3),
+            encode_event("/p", 3),
         ),
     ],
 )
@@ -222,11 +222,11 @@
         fleet = Fleet(tmp_path, 1, ("127.0.0.1", 1), lambda _line: None)
         for machine in fleet.machines:
             machine.settings["ip"] = 5
-        fleet.begin()
+        fleet.start()
         async with asyncio.timeout(BOUND_S):
             with pytest.raises(StartError, match="settings: ip: must be text"):
                 await fleet.wait_for_failure()
-        overdue = await fleet.end()
+        overdue = await fleet.stop()
         assert not any(machine.running for machine in fleet.machines)
         return overdue
 
