--- a/roselink/lab/__init__.py
+++ b/roselink/lab/__init__.py
@@ -1,5 +1,5 @@
-"""A whole fleet of real processes on loopback, with simulated surroundings, for demonstration.
+"""A complete fleet of real processes on loopback in a simulated environment, for demonstration.
 
-`command` runs it, `fleet` has the processes, `hosts`, `platform`, `operator` and `clients` their
-surroundings. Nothing of it runs in a deployment.
+`command` runs the lab, `fleet` manages the processes, and `hosts`, `platform`, `operator` and
+`clients` simulate their environment. A deployment uses nothing of this package.
 """
--- a/roselink/lab/clients.py
+++ b/roselink/lab/clients.py
@@ -1,4 +1,4 @@
-"""Simulated clients: they check every byte, retry as clients do, and count the outcomes."""
+"""Simulated clients, which check each byte of the responses, retry, and count the outcomes."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 if TYPE_CHECKING:
     from roselink.lab.platform import Ingress
 
-# A response with such a status says that the request has not run.
+# The statuses of responses to requests that have not been executed.
 NOT_RUN_STATUSES = (408, 421, 429, 503)
 DEADLINE_S = 5.0
 MAX_ATTEMPTS = 4
 CONNECT_TIMEOUT_S = 1.0
 # The mean pause between two requests of a client, in seconds.
 PAUSE_S = 0.05
-# The fewest and the most events of a stream.
+# The minimum and maximum number of events of a stream.
 EVENT_COUNT_RANGE = (4, 12)
 # The fraction of requests for a plain response.
 LOOKUP_FRACTION = 0.3
-# How many different prefixes the prompts have.
+# The number of distinct prompt prefixes.
 PROMPT_PREFIXES = 5
 # How long a client waits when no gateway is ready, in seconds.
 NOT_READY_PAUSE_S = 0.1
@@ -47,14 +47,14 @@
 
 @dataclass(slots=True)
 class Statistics:
-    """Counts over all clients.
+    """Statistics of all clients.
 
     Attributes:
-        outcomes: how many requests ended in each way.
-        retries: how many retries there were.
-        first_event_s: the times to the first event of streams, since the last
-            `take_first_event_latencies`, in seconds.
-        faults: what went wrong with each failed request.
+        outcomes: the number of requests by outcome.
+        retries: the number of retries.
+        first_event_latencies_s: the times from a request to the first event of its stream, since
+            the last `take_first_event_latencies`, in seconds.
+        faults: the path of each failed request and the reason for its failure.
     """
 
     outcomes: dict[Outcome, int] = field(default_factory=lambda: dict.fromkeys(Outcome, 0))
@@ -63,7 +63,7 @@
     faults: list[str] = field(default_factory=list)
 
     def take_first_event_latencies(self) -> list[float]:
-        """The times to the first event since the last call, sorted, in seconds."""
+        """Return and clear the times to the first event, sorted, in seconds."""
         times = sorted(self.first_event_latencies_s)
         self.first_event_latencies_s = []
         return times
@@ -71,10 +71,10 @@
 
 @dataclass(slots=True)
 class _Request:
-    """One request over all its attempts."""
+    """One request with the state of all its attempts."""
 
     path: str
-    # 0 for a plain response.
+    # The number of events of the stream; 0 for a plain response.
     events: int
     prompt: str
     began: float
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Attempt:
-    """The result of one attempt: outcome, reason, and the pause before a retry in seconds."""
+    """The result of one attempt: outcome, reason, and the pause before a retry, in seconds."""
 
     outcome: Outcome
     reason: str = ""
@@ -103,12 +103,12 @@
 
 
 class Client:
-    """One client with one connection: a request, a pause, and so on until `stopping`."""
+    """A client with one connection, which sends one request at a time until `stopping` is set."""
 
     def __init__(
         self, name: str, ingress: Ingress, statistics: Statistics, stopping: asyncio.Event
     ) -> None:
-        """Make a client whose name is also the seed of its random choices."""
+        """Create a client; its name is the seed of its random choices."""
         self._name = name
         self._ingress = ingress
         self._statistics = statistics
@@ -118,7 +118,7 @@
         self._connection: _Connection | None = None
 
     async def run(self) -> None:
-        """Send requests until `stopping`; the last one is completed."""
+        """Send requests until `stopping` is set; complete the last one."""
         while not self._stopping.is_set():
             outcome = await self._run_request()
             self._statistics.outcomes[outcome] += 1
@@ -143,7 +143,7 @@
         )
 
     async def _run_request(self) -> Outcome:
-        """Send a request, with retries until it is served, or attempts or time are used up."""
+        """Send a request; retry until it is served or the attempts or the time are used up."""
         request = self._make_request()
         tried = set[str]()
         attempt = _Attempt(Outcome.FAILED, "no gateway was ready")
@@ -154,7 +154,7 @@
                 async with asyncio.timeout(max(0.01, request.remaining_s)):
                     attempt = await self._attempt(request, tried)
             except TimeoutError:
-                attempt = _Attempt(Outcome.FAILED, "no whole answer in time")
+                attempt = _Attempt(Outcome.FAILED, "no complete response before the deadline")
             if attempt.outcome is Outcome.SERVED:
                 if request.first_event_at is not None:
                     self._statistics.first_event_latencies_s.append(
@@ -170,7 +170,7 @@
         return attempt.outcome
 
     async def _attempt(self, request: _Request, tried: set[str]) -> _Attempt:
-        """Attempt a request at one gateway."""
+        """Send a request to one gateway."""
         connection: _Connection | None = None
         try:
             connection = await self._connect(tried)
@@ -183,7 +183,7 @@
                 return await self._check_response(request, head, connection)
             await read_body(connection.reader, head)
         except (OSError, TimeoutError, MalformedMessageError) as error:
-            gateway = connection.gateway if connection is not None else "a connection"
+            gateway = connection.gateway if connection is not None else "the connection"
             return _Attempt(Outcome.FAILED, f"{gateway}: {error!r}")
         reason = f"{connection.gateway}: status {head.status}"
         if head.status in NOT_RUN_STATUSES:
@@ -222,27 +222,27 @@
     async def _check_response(
         self, request: _Request, head: Head, connection: _Connection
     ) -> _Attempt:
-        """Read a whole response, and compare it with what the host must have sent."""
+        """Read a response, and compare it with the one that the host must have sent."""
         if request.events:
             fault = await self._check_events(request, head, connection)
         else:
             body = await read_body(connection.reader, head)
-            fault = "" if body == encode_record(request.path) else "another body"
+            fault = "" if body == encode_record(request.path) else "unexpected body"
         if head.headers.get("x-response-signature") != signature(self._sent_id):
-            fault = fault or "no valid stamp"
+            fault = fault or "invalid signature"
         if not head.keep_alive:
             self._close_connection()
         return _Attempt(Outcome.FAILED if fault else Outcome.SERVED, fault)
 
     async def _check_events(self, request: _Request, head: Head, connection: _Connection) -> str:
-        """Check the events of a stream; the fault, or nothing."""
+        """Check the events of a stream; return a description of the fault, or an empty string."""
         splitter = EventSplitter()
         async for chunk in read_chunks(connection.reader, head):
             for received in splitter.feed(chunk):
                 request.first_event_at = request.first_event_at or time.monotonic()
                 if received.data != encode_event(request.path, request.last_event_id + 1):
-                    return f"event {received.id} behind {request.last_event_id}"
+                    return f"event {received.id} follows event {request.last_event_id}"
                 request.last_event_id += 1
         if request.last_event_id != request.events:
-            return f"{request.last_event_id} of {request.events} events"
+            return f"stream ended after {request.last_event_id} of {request.events} events"
         return ""
--- a/roselink/lab/command.py
+++ b/roselink/lab/command.py
@@ -1,4 +1,4 @@
-"""`roselink lab`: a run of a fleet and its surroundings, with one line of output a second."""
+"""`roselink lab`: runs a fleet in a simulated environment, and prints a status line per second."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 from roselink.lab.operator import Operator
 from roselink.lab.platform import Gateway, HostList, Ingress
 
-# From the start until the fleet serves, in seconds.
+# Time limit for the fleet to become ready, in seconds.
 START_TIMEOUT_S = 30.0
-# Between two lines of output, in seconds.
+# Interval of the status lines, in seconds.
 STATUS_INTERVAL_S = 1.0
-# From the first request to the kills, in seconds; no later than these fractions of a run with an
-# end.
+# Times of the kills after the first request, in seconds, and their limits as fractions of the
+# duration, if the run has one.
 KILL_ROUTER_S = 1.0
 KILL_CONTROLLER_S = 2.5
 KILL_ROUTER_FRACTION = 0.25
 KILL_CONTROLLER_FRACTION = 0.5
-# How many faults are printed at the end.
+# Maximum number of faults that the summary lists.
 MAX_PRINTED_FAULTS = 5
 
 
@@ -35,11 +35,12 @@
     """The options of a run.
 
     Attributes:
-        routers: how many gateways.
-        clients: how many clients.
-        seconds: how long the fleet serves; None: until a signal.
-        kill: whether a gateway and the chain's tail are killed.
-        folder: for settings, disks and logs; None: a temporary one, removed at the end.
+        routers: the number of gateways.
+        clients: the number of clients.
+        seconds: how long the fleet serves, in seconds; None to serve until a signal.
+        kill: whether to kill a gateway and the chain's tail during the run.
+        folder: the folder for settings, disks and logs; None for a temporary one, which is removed
+            at the end.
     """
 
     routers: int = 3
@@ -54,12 +55,12 @@
     """The result of a run.
 
     Attributes:
-        outcomes: how many requests ended in each way.
-        retries: how many retries there were.
-        faults: what went wrong with each failed request.
-        overdue: the machines whose processes had to be killed at the end.
+        outcomes: the number of requests by outcome.
+        retries: the number of retries.
+        faults: the path of each failed request and the reason for its failure.
+        overdue: the machines whose processes did not end in time and were killed.
         pids: the ids of all processes.
-        error: why the run ended before its time; None if it did not.
+        error: why the run ended early; None if it did not.
     """
 
     outcomes: dict[Outcome, int]
@@ -71,7 +72,7 @@
 
 
 def run_lab(options: LabOptions, print_line: LinePrinter) -> LabReport:
-    """Run a lab until its time is over, SIGINT or SIGTERM."""
+    """Run a lab until the end of its duration, SIGINT or SIGTERM."""
     if options.folder is not None:
         options.folder.mkdir(parents=True, exist_ok=True)
         return asyncio.run(Lab(options, options.folder, print_line).run())
@@ -80,10 +81,10 @@
 
 
 class Lab:
-    """One run. Made inside a running loop by `run_lab`."""
+    """One run, created by `run_lab`; `run` needs a running event loop."""
 
     def __init__(self, options: LabOptions, folder: Path, print_line: LinePrinter) -> None:
-        """Make the simulated hosts and the list of them; nothing runs yet."""
+        """Create the simulated hosts and the host list; nothing runs yet."""
         self._options = options
         self._folder = folder
         self._print_line = print_line
@@ -92,7 +93,7 @@
         self._host_list = HostList(self._hosts)
 
     async def run(self) -> LabReport:
-        """Start the fleet, serve until the end of the run, and end everything."""
+        """Start the fleet, serve until the end of the run, and stop everything."""
         self._stopping = asyncio.Event()
         self._clients_stopping = asyncio.Event()
         self._clients: list[asyncio.Task[None]] = []
@@ -119,7 +120,7 @@
         return await self._shut_down(error)
 
     async def _until_stopped(self) -> str | None:
-        """Serve until the end of the run, a signal or an error; returns the error."""
+        """Serve until the end of the run, a signal or an error; return the error, if any."""
         checks = asyncio.create_task(self._ingress.run_checks())
         tasks = [
             asyncio.create_task(self._serve()),
@@ -138,7 +139,7 @@
             try:
                 task.result()
             except (StartError, ConfigurationRefusedError, TimeoutError) as error:
-                reason = str(error) or f"the fleet did not serve within {START_TIMEOUT_S:g} s"
+                reason = str(error) or f"the fleet was not ready within {START_TIMEOUT_S:g} s"
         return reason
 
     async def _serve(self) -> None:
@@ -175,7 +176,7 @@
             )
 
     async def _print_status_lines(self) -> None:
-        """Print one line a second until the end of the run."""
+        """Print a status line per second until the end of the run."""
         seconds = self._options.seconds
         number = 0
         while seconds is None or number * STATUS_INTERVAL_S < seconds:
@@ -195,7 +196,7 @@
             median_ms = _percentile_ms(times, 0.5)
             latencies = f"first event p50 {median_ms} ms p95 {_percentile_ms(times, 0.95)} ms"
         ready = f"gateways {self._ingress.ready_count}/{len(self._ingress.gateways)}"
-        core = "no controller answers"
+        core = "no status from any controller"
         if state is not None:
             tail = self._fleet.machine_name(str(state["tail"]))
             core = f"epoch {state['epoch']} tail {tail} generation {state['generation']}"
@@ -205,7 +206,7 @@
         )
 
     async def _kill_machines(self) -> None:
-        """Kill a gateway and the chain's tail; then send a second configuration."""
+        """Kill a gateway and the chain's tail, then send a second configuration."""
         kill_router_s = KILL_ROUTER_S
         kill_controller_s = KILL_CONTROLLER_S
         if (seconds := self._options.seconds) is not None:
@@ -221,11 +222,11 @@
         began = time.monotonic()
         await self._operator.send(2)
         self._print_line(
-            f"configuration 2 taken in {time.monotonic() - began:.1f} s without {tail or 'it'}"
+            f"configuration 2 confirmed in {time.monotonic() - began:.1f} s without {tail or 'it'}"
         )
 
     async def _sleep_until(self, at: float) -> None:
-        """Sleep until so many seconds after the first request."""
+        """Sleep until a number of seconds after the first request."""
         await asyncio.sleep(max(0.0, self._began + at - time.monotonic()))
 
     def _kill_machine(self, machine: Machine) -> None:
@@ -253,12 +254,12 @@
 
 
 def summary(report: LabReport) -> list[str]:
-    """The last lines of a run."""
+    """The lines of the summary at the end of a run."""
     lines = [f"fault: {fault}" for fault in report.faults[:MAX_PRINTED_FAULTS]]
     if report.error is not None:
-        lines.append(f"trouble: {report.error}")
+        lines.append(f"error: {report.error}")
     if report.overdue:
-        lines.append(f"had to be killed: {', '.join(report.overdue)}")
+        lines.append(f"killed because they did not end in time: {', '.join(report.overdue)}")
     counts = " ".join(f"{outcome.value} {count}" for outcome, count in report.outcomes.items())
     lines.append(
         f"ended: {counts} retries {report.retries}; {len(report.pids)} processes ran, none is left"
@@ -267,5 +268,5 @@
 
 
 def _percentile_ms(times: list[float], fraction: float) -> int:
-    """A percentile of sorted times in seconds; in milliseconds."""
+    """A percentile in milliseconds of sorted times in seconds."""
     return round(times[min(len(times) - 1, int(len(times) * fraction))] * 1000)
--- a/roselink/lab/exceptions.py
+++ b/roselink/lab/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the lab: messages, processes and configurations that can't be used."""
+"""Errors of the lab: malformed messages, failed starts and refused configurations."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
     """An HTTP message ended early or can't be parsed.
 
     Attributes:
-        part: the part that can't be read, as `http_messages` names it.
-        reason: what is wrong with it.
+        element: `HEAD` or `BODY` of `http_messages`.
+        reason: why it can't be read.
     """
 
     code = "LAB-001"
 
     def __init__(self, element: str, reason: object) -> None:
-        """Note the part and what is wrong with it."""
-        super().__init__(f"no {element}: {reason}")
+        """Store the element and the reason."""
+        super().__init__(f"can't read the {element}: {reason}")
         self.element = element
         self.reason = reason
 
 
 class StartError(LabError):
-    """A process of the fleet can't run: it ended with a status after which it is not restarted.
+    """A process of the fleet ended with an exit status after which it is not restarted.
 
     Attributes:
         name: the name of its machine.
@@ -40,32 +40,32 @@
     code = "LAB-002"
 
     def __init__(self, name: str, status: int, log_tail: str) -> None:
-        """Note the machine, the exit status and the end of the log."""
-        super().__init__(f"{name}: exit status {status}: {log_tail}")
+        """Store the machine, the exit status and the end of the log."""
+        super().__init__(f"{name} ended with exit status {status}; end of its log: {log_tail}")
         self.name = name
         self.status = status
         self.log_tail = log_tail
 
 
 class RouterCountError(LabError, ValueError):
-    """A fleet can't have so many routers.
+    """The number of routers is out of range.
 
     Attributes:
-        routers: the number that was asked for.
-        most: the largest number.
+        routers: the requested number.
+        most: the largest allowed number.
     """
 
     code = "LAB-003"
 
     def __init__(self, routers: int, most: int) -> None:
-        """Note the number of routers and the limit."""
-        super().__init__(f"routers: 1 to {most}")
+        """Store the requested number and the limit."""
+        super().__init__(f"the number of routers must be between 1 and {most}")
         self.routers = routers
         self.most = most
 
 
 class ConfigurationRefusedError(LabError):
-    """The fleet refused a configuration.
+    """A controller refused a configuration.
 
     Attributes:
         status: the HTTP status of the response.
@@ -75,7 +75,7 @@
     code = "LAB-004"
 
     def __init__(self, status: int, body: str) -> None:
-        """Note the status and the body of the response."""
-        super().__init__(f"status {status}: {body}")
+        """Store the status and the body of the response."""
+        super().__init__(f"configuration refused with HTTP status {status}: {body}")
         self.status = status
         self.body = body
--- a/roselink/lab/fleet.py
+++ b/roselink/lab/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet's processes: their settings, starts, restarts, and an orderly end."""
+"""The fleet's processes: their settings, starts, restarts and shutdown."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 
 CONTROLLERS = 3
 MOST_ROUTERS = 100
-# From a process's end to its restart, in seconds.
+# Time from a process's end to its restart, in seconds.
 RESTART_DELAY_S = 2.0
-# From SIGTERM to SIGKILL, in seconds.
+# Time from SIGTERM to SIGKILL, in seconds.
 GRACE_S = 8.0
-# Exit statuses after which a restart can't help: invalid settings, or an address that is in use.
+# Exit statuses after which a restart can't help: invalid settings, or an address in use.
 PERMANENT_EXIT_STATUSES = (2, 3)
-# The last numbers of the first addresses, in 127.0.0.x.
+# The last octets of the first controller's and the first router's address in 127.0.0.0/24.
 FIRST_CONTROLLER_OCTET = 11
 FIRST_ROUTER_OCTET = 21
-# How many characters of a log an error has.
+# The maximum number of log characters in a `StartError`.
 LOG_TAIL_CHARACTERS = 600
 IMPORT_ROOT = Path(__file__).resolve().parents[2]
 
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ports:
-    """One port of each kind, the same on every machine."""
+    """The ports of a machine, which are the same on every machine."""
 
     http: int
     readiness: int
@@ -50,7 +50,7 @@
 
 
 def free_ports(addresses: list[str]) -> Ports:
-    """Find ports that are free at each of these addresses at present."""
+    """Find ports that are free at each of these addresses now."""
     listeners: list[socket.socket] = []
     ports: list[int] = []
     try:
@@ -66,7 +66,7 @@
 
 
 def _listen_on_free_port(addresses: list[str]) -> list[socket.socket]:
-    """Listen on one port of the kernel's choice, at the first addresses that have it free."""
+    """Listen on one port of the kernel's choice; stop at the first address where it is in use."""
     port = 0
     listeners: list[socket.socket] = []
     for address in addresses:
@@ -81,17 +81,17 @@
 
 @dataclass(slots=True)
 class Machine:
-    """One machine: its folder with `boot.json`, `log` and `disk`, and at most one process.
+    """One machine: a folder with `boot.json`, `log` and `disk`, and at most one process.
 
     Attributes:
-        name: its name.
+        name: the name of the machine.
         role: `controller` or `router`.
-        ip: its address.
-        zone: its zone.
-        folder: its folder.
+        ip: the IP address.
+        zone: the zone.
+        folder: the folder.
         settings: the content of `boot.json`.
         process: the newest process; None before the first start.
-        pids: the ids of all its processes.
+        pids: the ids of all processes of the machine.
         status: the exit status of the last process that ended.
     """
 
@@ -106,7 +106,7 @@
     status: int | None = None
 
     async def start(self) -> None:
-        """Start the process, which appends to the log."""
+        """Write `boot.json`, and start a process that appends to the log."""
         path = self.folder / "boot.json"
         path.write_text(json.dumps(self.settings, indent=2))
         # Only the first start may form a new core.
@@ -124,14 +124,14 @@
                 stdin=asyncio.subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
-                # A Ctrl-C at the terminal reaches the lab alone, which ends its fleet.
+                # A Ctrl-C at the terminal must reach only the lab, which then stops the fleet.
                 process_group=0,
             )
         self.pids.append(self.process.pid)
 
     @property
     def running(self) -> bool:
-        """Whether its process runs."""
+        """Whether the newest process runs."""
         return self.process is not None and self.process.returncode is None
 
     def send_signal(self, number: signal.Signals) -> None:
@@ -140,33 +140,33 @@
             self.process.send_signal(number)
 
     def log_tail(self) -> str:
-        """The end of its log."""
+        """The end of the log."""
         return (self.folder / "log").read_text(errors="replace")[-LOG_TAIL_CHARACTERS:]
 
 
 class Fleet:
-    """All machines, with their processes.
+    """All machines of the fleet with their processes.
 
     Attributes:
         ports: the ports of all machines.
         controllers: the machines of the control plane.
         routers: the gateways.
-        machines: all of these.
+        machines: the controllers, then the routers.
     """
 
     def __init__(
         self, folder: Path, routers: int, host_list: Address, print_line: LinePrinter
     ) -> None:
-        """Make the folders and settings of all machines.
+        """Create the folders and settings of all machines.
 
         Args:
             folder: the parent of the machines' folders.
-            routers: how many gateways.
-            host_list: the address of the platform's list of hosts.
-            print_line: prints what happens to processes.
+            routers: the number of gateways.
+            host_list: the address that serves the platform's host list.
+            print_line: prints the ends and restarts of processes.
 
         Raises:
-            RouterCountError: too few or too many gateways.
+            RouterCountError: the number of gateways is out of range.
         """
         if not 1 <= routers <= MOST_ROUTERS:
             raise RouterCountError(routers, MOST_ROUTERS)
@@ -224,7 +224,7 @@
         self._tasks = [asyncio.create_task(self._supervise(machine)) for machine in self.machines]
 
     async def wait_for_failure(self) -> None:
-        """Wait until a process can't run.
+        """Wait until a process ends and can't be restarted.
 
         Raises:
             StartError: a process ended with a status after which it is not restarted.
@@ -237,7 +237,7 @@
         while not self._stopping.is_set():
             await machine.start()
             assert machine.process is not None
-            # The end may have begun while the process was started.
+            # `stop` may have been called while the process was being created.
             if self._stopping.is_set():
                 machine.send_signal(signal.SIGTERM)
             machine.status = await machine.process.wait()
@@ -247,16 +247,16 @@
                 raise StartError(machine.name, machine.status, machine.log_tail())
             self._print_line(
                 f"{machine.name} ended with status {machine.status}; "
-                f"starts again in {RESTART_DELAY_S:g} s"
+                f"restarting in {RESTART_DELAY_S:g} s"
             )
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self._stopping.wait(), RESTART_DELAY_S)
 
     async def stop(self) -> list[str]:
-        """End all processes by SIGTERM, and after `GRACE_S` by SIGKILL.
+        """Send SIGTERM to all processes, and SIGKILL to those that still run after `GRACE_S`.
 
         Returns:
-            The names of the machines whose processes had to be killed.
+            The names of the machines whose processes were killed.
         """
         self._stopping.set()
         for machine in self.machines:
@@ -270,6 +270,6 @@
         return overdue
 
     def machine_name(self, address: str) -> str:
-        """The name of the machine with that address, or the address."""
+        """The name of the machine with this address; the address itself if there is none."""
         ip = address.partition(":")[0]
         return next((machine.name for machine in self.machines if machine.ip == ip), address)
--- a/roselink/lab/hosts.py
+++ b/roselink/lab/hosts.py
@@ -1,6 +1,6 @@
-"""Simulated hosts: a model service with event streams, and a service with plain responses.
+"""Simulated hosts of a model service with event streams and a service with plain responses.
 
-The request decides its response, so a client can check each byte whichever host sent it.
+The response is a function of the request, so that a client can check each byte from any host.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 
 MODEL = "lab-model"
 RECORDS = "lab-records"
-# How many requests beyond the capacity wait.
+# How many requests beyond the capacity may wait.
 QUEUE_LENGTH = 4
-# How long a host takes to the first event, between two events, and for a plain response, seconds.
+# Latencies of the first event, of each further event and of a plain response, in seconds.
 FIRST_EVENT_LATENCY_S = 0.04
 EVENT_INTERVAL_S = 0.02
 RECORD_LATENCY_S = 0.02
@@ -33,12 +33,12 @@
 
 
 def encode_event(path: str, number: int) -> bytes:
-    """The event with a number in the stream for a path."""
+    """Encode the event with a number in the stream for a path."""
     return f"id: {number}\ndata: {path} {number}\n\n".encode()
 
 
 def encode_record(path: str) -> bytes:
-    """The plain response for a path."""
+    """Encode the plain response for a path."""
     return json.dumps({"record": path}).encode()
 
 
@@ -49,17 +49,17 @@
 
 @dataclass(slots=True)
 class Host:
-    """One host, which runs a limited number of requests at a time.
+    """One host, which executes a limited number of requests concurrently.
 
-    A few more wait in a queue; all others are refused as not executed.
+    Up to `QUEUE_LENGTH` more wait; further requests are refused as not executed.
 
     Attributes:
-        id: its id.
-        service: its service.
-        zone: its zone.
-        capacity: how many requests it runs at a time.
-        address: where it listens.
-        completed: how many requests it has completed.
+        id: the host's id.
+        service: the service that it belongs to.
+        zone: the zone of the host.
+        capacity: the maximum number of requests that it executes concurrently.
+        address: the address on which it listens.
+        completed: the number of requests that it has completed.
     """
 
     id: str
@@ -80,7 +80,7 @@
         self.address = self._server.sockets[0].getsockname()[:2]
 
     async def stop(self) -> None:
-        """End the listener and all connections."""
+        """Close the listener and all connections."""
         if self._server is not None:
             self._server.close()
         for task in self._connections:
@@ -88,7 +88,7 @@
         await asyncio.gather(*self._connections, return_exceptions=True)
 
     def list_item(self) -> dict[str, object]:
-        """This host as an item of the platform's list."""
+        """This host as an item of the platform's host list."""
         return {
             "id": self.id,
             "service": self.service,
@@ -149,7 +149,7 @@
         return None
 
     async def _execute(self, head: Head, writer: asyncio.StreamWriter) -> None:
-        """Execute a request; a client that has left is noticed at the next write."""
+        """Execute a request; a closed connection is noticed at the next write."""
         self._in_flight += 1
         try:
             async with self._slots:
@@ -199,7 +199,7 @@
 
 
 def make_hosts() -> list[Host]:
-    """Three hosts of the model service and two of the plain one, in three zones."""
+    """Three hosts of the model service and two of the service with plain responses, by zone."""
     models = [Host(f"m-{number}", MODEL, f"zone-{'abc'[number]}", 32) for number in range(3)]
     return models + [
         Host(f"r-{number}", RECORDS, f"zone-{'abc'[number]}", 8) for number in range(2)
--- a/roselink/lab/http_messages.py
+++ b/roselink/lab/http_messages.py
@@ -1,4 +1,4 @@
-"""The part of HTTP/1.1 that the lab needs: heads, and bodies by length or chunked (RFC 9112)."""
+"""The subset of HTTP/1.1 (RFC 9112) that the lab needs: heads, and bodies by length or chunked."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 # Host and port.
 Address = tuple[str, int]
-# The parts of a message, as errors name them.
+# The elements of a message, as `MalformedMessageError` names them.
 HEAD = "head"
-BODY = "whole body"
-# Method and path, or version and status.
+BODY = "message body"
+# Method and path of a request, or version and status of a response.
 MIN_START_LINE_FIELDS = 2
 
 
@@ -25,8 +25,8 @@
     """The start line and the headers of a message.
 
     Attributes:
-        start_line: the start line, split at spaces.
-        headers: the values by lower-case names.
+        start_line: the fields of the start line.
+        headers: the values by lower-case name.
     """
 
     start_line: list[str]
@@ -49,13 +49,13 @@
 
     @property
     def keep_alive(self) -> bool:
-        """Whether the connection stays open behind this message."""
+        """Whether the connection stays open after this message."""
         return self.headers.get("connection", "").lower() != "close"
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A request; `Host`, `Connection` and the body's length are added to its headers."""
+    """A request; `send_request` adds `Host`, `Connection` and the body's length to its headers."""
 
     method: str
     path: str
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """A response with its whole body."""
+    """A response with its complete body."""
 
     head: Head
     body: bytes
@@ -75,7 +75,7 @@
     """Read the next head.
 
     Raises:
-        MalformedMessageError: it ended early, or its start line has less than two parts.
+        MalformedMessageError: it ended early, or its start line has fewer than two fields.
     """
     try:
         text = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
@@ -90,7 +90,7 @@
 
 
 async def read_chunks(reader: asyncio.StreamReader, head: Head) -> AsyncIterator[bytes]:
-    """Read a body in chunks, as they arrive.
+    """Read a body in chunks as they arrive.
 
     Raises:
         MalformedMessageError: the body ended early.
@@ -107,7 +107,7 @@
 
 
 async def read_body(reader: asyncio.StreamReader, head: Head) -> bytes:
-    """Read a whole body.
+    """Read a complete body.
 
     Raises:
         MalformedMessageError: the body ended early.
@@ -116,7 +116,7 @@
 
 
 def encode_message(start_line: str, headers: dict[str, str], body: bytes | None = b"") -> bytes:
-    """Encode a message with its body; None for a chunked body, whose chunks follow."""
+    """Encode a message; with `body=None` the head of one whose body follows in chunks."""
     framing = (
         {"Transfer-Encoding": "chunked"} if body is None else {"Content-Length": str(len(body))}
     )
@@ -130,7 +130,7 @@
 
 
 async def send_request(address: Address, request: Request, *, timeout_s: float) -> Response | None:
-    """Send a request on a new connection; None without a whole response in `timeout_s` seconds."""
+    """Send a request on a new connection; None without a complete response in `timeout_s`."""
     writer: asyncio.StreamWriter | None = None
     try:
         async with asyncio.timeout(timeout_s):
--- a/roselink/lab/operator.py
+++ b/roselink/lab/operator.py
@@ -1,4 +1,4 @@
-"""A simulated operator: sends configurations until they are confirmed, and reads the status."""
+"""A simulated operator, which sends configurations until confirmed, and reads the status."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 HOSTNAME = "lab.example"
 KEY = "lab-key"
-# The time-outs of the two kinds of requests, in seconds.
+# The time-outs of configuration and status requests, in seconds.
 REPLACE_TIMEOUT_S = 2.5
 STATUS_TIMEOUT_S = 0.8
-# The first and the longest pause before a retry, in seconds; each is twice the one before.
+# The first and the longest pause before a retry, in seconds; each pause doubles the previous one.
 FIRST_RETRY_PAUSE_S = 0.1
 MAX_RETRY_PAUSE_S = 0.8
 
 
 def configuration(generation: int) -> dict[str, Any]:
-    """A streaming route to the model service, a plain one to the records, and one tenant."""
+    """A configuration with a streaming and a plain route to the two services, and one tenant."""
     common = {"hostname": HOSTNAME, "priority": 0, "max_attempts": 3, "public": False}
     chat = {"kind": "streaming", "timeout_ms": 5000, "target_latency_ms": 500, "service": MODEL}
     chat |= {"session_affinity": True, "resumable": True, "gap_aim_ms": 500}
@@ -69,15 +69,15 @@
     """
 
     def __init__(self, controllers: list[Address]) -> None:
-        """Take the addresses of all controllers' admin APIs."""
+        """Take the addresses of the admin APIs of all controllers."""
         self._controllers = controllers
         self.generation = 0
 
     async def send(self, generation: int) -> None:
-        """Send a configuration that builds on the last one, until it is confirmed.
+        """Send a configuration based on the last confirmed one, and retry until it is confirmed.
 
         Raises:
-            ConfigurationRefusedError: the fleet refused it.
+            ConfigurationRefusedError: a controller refused it.
         """
         body = json.dumps(configuration(generation)).encode()
         headers = {"X-Base-Version": str(self.generation), "Content-Type": "application/json"}
@@ -99,7 +99,7 @@
             pause_s = min(MAX_RETRY_PAUSE_S, pause_s * 2)
 
     async def status(self) -> dict[str, Any] | None:
-        """The status of the first controller that has it confirmed; None if there is none."""
+        """The first confirmed status from any controller; None if there is none."""
         for address in self._controllers:
             response = await send_request(
                 address, Request("GET", "/status"), timeout_s=STATUS_TIMEOUT_S
--- a/roselink/lab/platform.py
+++ b/roselink/lab/platform.py
@@ -1,4 +1,4 @@
-"""A simulated platform: the list of hosts, and the load balancer in front of the gateways."""
+"""A simulated platform: the host list, and the load balancer in front of the gateways."""
 
 from __future__ import annotations
 
@@ -24,16 +24,17 @@
 
     from roselink.lab.hosts import Host
 
-# The interval of readiness checks, in seconds; and until a gateway was ready once.
+# The interval of readiness checks, and the one until a gateway is ready for the first time, in
+# seconds.
 CHECK_INTERVAL_S = 1.0
 FIRST_CHECK_INTERVAL_S = 0.1
 CHECK_TIMEOUT_S = 0.8
-# After so many failed checks in a row a gateway gets no new connections.
+# After this many consecutive failed checks a gateway gets no new connections.
 FAILURES_BEFORE_REMOVAL = 2
 
 
 class HostList:
-    """Serves `GET /instances`: one page with all hosts."""
+    """Responds to each request with the host list, one page with all hosts."""
 
     def __init__(self, hosts: list[Host]) -> None:
         """Take the hosts of the list."""
@@ -48,7 +49,7 @@
         self.address = self._server.sockets[0].getsockname()[:2]
 
     async def stop(self) -> None:
-        """End the listener and all connections."""
+        """Close the listener and all connections."""
         self._server.close()
         for task in self._connections:
             task.cancel()
@@ -83,14 +84,14 @@
 
 @dataclass(slots=True)
 class Gateway:
-    """A gateway as the ingress knows it.
+    """A gateway with the state of its readiness checks.
 
     Attributes:
-        name: its name.
+        name: the name of the gateway.
         http: the address for clients.
         readiness: the address for readiness checks.
         ready: whether it gets new connections.
-        failures: how many checks in a row have failed.
+        failures: the number of consecutive failed checks.
     """
 
     name: str
@@ -102,14 +103,14 @@
 
 @dataclass(slots=True)
 class Ingress:
-    """Checks the readiness of gateways, and gives new connections to those that are ready."""
+    """A load balancer, which checks the readiness of gateways and picks ready ones for clients."""
 
     gateways: list[Gateway]
     random: Random = field(default_factory=Random)
     readiness_changed: asyncio.Event = field(default_factory=asyncio.Event)
 
     async def run_checks(self) -> None:
-        """Check until cancelled."""
+        """Check the readiness of all gateways until cancelled."""
         async with asyncio.TaskGroup() as group:
             for gateway in self.gateways:
                 group.create_task(self._check_periodically(gateway))
@@ -134,14 +135,14 @@
             self.readiness_changed.set()
 
     def pick(self, tried: Collection[str] = ()) -> Gateway | None:
-        """A random ready gateway, preferably one that wasn't tried; None if none is ready."""
+        """A random ready gateway, preferably an untried one; None if none is ready."""
         ready = [gateway for gateway in self.gateways if gateway.ready]
         untried = [gateway for gateway in ready if gateway.name not in tried]
         return self.random.choice(untried or ready) if ready else None
 
     @property
     def ready_count(self) -> int:
-        """How many gateways get new connections."""
+        """The number of gateways that get new connections."""
         return sum(gateway.ready for gateway in self.gateways)
 
     async def wait_until_all_ready(self) -> None:
--- a/roselink/simulation/clients.py
+++ b/roselink/simulation/clients.py
@@ -1,4 +1,4 @@
-"""Simulated operators and readers, whose calls go into the cluster's history."""
+"""Simulated operators and readers, whose calls are recorded in the cluster's history."""
 
 from __future__ import annotations
 
@@ -27,23 +27,23 @@
     from roselink.simulation.cluster import Cluster
     from roselink.simulation.machine import Machine
 
-# An operator sends a change again after this time without a response, in seconds.
+# An operator resends a change after this time without a response, in seconds.
 RESPONSE_TIMEOUT_S = 1.0
-# After its last attempt an operator continues with its next change.
+# After this many attempts an operator gives up a change and continues with its next one.
 MAX_ATTEMPTS = 12
 # The fraction of changes that are sent as updates of items.
 UPDATE_FRACTION = 0.5
 SERVICE = "model"
-# The number of API keys, of which each configuration has two in turn.
+# The number of API keys; each configuration has two of them, in rotation.
 KEY_COUNT = 5
 # The fraction of calls that operators send to two members at once.
 CONCURRENT_FRACTION = 0.1
 # The fraction of responses that operators do not receive.
 LOST_RESPONSE_FRACTION = 0.05
-# The fraction of calls with which an operator sends one of its former changes again.
+# The fraction of calls in which an operator resends one of its earlier changes.
 REPEAT_FRACTION = 0.05
-# The fraction of changes that build on a version that may not exist, and of those whose version
-# may be no higher than the base.
+# The fractions of changes whose base version may not exist, and whose own version may be no higher
+# than the base.
 UNKNOWN_BASE_FRACTION = 0.03
 OLD_VERSION_FRACTION = 0.05
 # The fraction of confirmed changes that are sent once more.
@@ -51,13 +51,13 @@
 
 
 def document_of(change: Change, padding: int = 0) -> bytes:
-    """A change as a whole document.
+    """Encode a change as a full configuration document.
 
-    Its only route has the same name in all changes; the change's text is the route's host name.
+    Its only route has the same name in all changes; the change's name is the route's host name.
 
     Args:
         change: the change.
-        padding: the size of a setting that only makes the document longer, in bytes.
+        padding: the size of a setting that only varies the document's length, in bytes.
     """
     document = _items(change) | {
         "generation": change.version,
@@ -68,7 +68,7 @@
 
 
 def update_of(change: Change, missing: int) -> bytes:
-    """A change as an update of items, which also removes a route that does not exist."""
+    """Encode a change as an update of items, which also removes a nonexistent route."""
     update = {
         "generation": change.version,
         "upsert": _items(change),
@@ -85,11 +85,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeRequest:
-    """A change as its operator sends it, always with the same bytes.
+    """A change in the form in which its operator sends it, byte for byte the same in each attempt.
 
     Attributes:
         change: the change.
-        command: the change as a whole document, or as an update of items.
+        message: the request, which has a full document or an update of items.
     """
 
     change: Change
@@ -112,7 +112,7 @@
 
 
 def configuration_change_of(change: Change, padding: int = 0) -> ConfigurationChange:
-    """A change with its whole document, as members handle it."""
+    """The request that replaces the configuration by a change's full document."""
     document = document_of(change, padding)
     return ConfigurationChange(
         change.base, change.version, document, digest_of(change.base, document)
@@ -120,7 +120,7 @@
 
 
 def update_request_of(change: Change, missing: int) -> UpdateRequest:
-    """A change as an update of items, as members handle it.
+    """The request that makes a change by an update of items.
 
     Raises:
         ChangeNotValidError: the controller's validation refuses it.
@@ -132,14 +132,14 @@
 
 
 def change_of(cluster: Cluster, document: bytes | None) -> Change | None:
-    """The change that a document belongs to; None for no document."""
+    """The change that a document encodes; None for no document."""
     if document is None:
         return None
     return cluster.changes[json.loads(document)["routes"][0]["hostname"]]
 
 
 def result_of(outcome: SubmitOutcome | ValidationFailure) -> CallResult:
-    """What an operator knows of its change after an outcome."""
+    """What an operator knows about its change after an outcome."""
     if isinstance(outcome, ChangeCommitted):
         return CallResult.CONFIRMED
     refused = isinstance(outcome, Conflict | StaleGeneration | ValidationFailure)
@@ -147,19 +147,20 @@
 
 
 class Operator:
-    """Sends one change after the other, each to any members, again until its result is known.
+    """Sends changes one at a time to random members, and resends each until its result is known.
 
     Attributes:
         name: the name of the operator.
         pause_s: the longest pause between two changes, in seconds.
         base: the highest version that the operator knows to be in force.
         count: how many changes it has made.
-        stopped: whether it begins no more changes.
-        slowest_s: the longest time from a first send to its confirmation, in seconds.
+        stopped: whether it starts no more changes.
+        max_confirmation_latency_s: the longest time from the first send of a change to its
+            confirmation, in seconds.
     """
 
     def __init__(self, cluster: Cluster, name: str, pause_s: float = 0.3) -> None:
-        """Begin to send changes soon."""
+        """Schedule the first change."""
         self.cluster = cluster
         self.name = name
         self.pause_s = pause_s
@@ -269,10 +270,10 @@
 
 
 class Reader:
-    """Reads the configuration at any member, with several reads in flight at once."""
+    """Reads the configuration at random members; several reads may be in flight at once."""
 
     def __init__(self, cluster: Cluster, pause_s: float = 0.08) -> None:
-        """Begin to read soon, every `pause_s` seconds in the mean."""
+        """Schedule the first read; the mean interval of reads is `pause_s` seconds."""
         self.cluster = cluster
         self.pause_s = pause_s
         self.stopped = False
--- a/roselink/simulation/cluster.py
+++ b/roselink/simulation/cluster.py
@@ -13,9 +13,9 @@
 from roselink.simulation.network import Network
 from roselink.simulation.scheduler import Scheduler
 
-# How many machines settings name.
+# How many machines are named as seeds in the settings.
 MAX_SEEDS = 3
-# The largest offset at which machines start for the first time, in seconds.
+# Each machine starts at a random time within this offset, in seconds.
 MAX_START_OFFSET_S = 0.3
 
 
@@ -23,22 +23,22 @@
     """Machines, their network, and the history of all clients.
 
     Attributes:
-        random: the only source of randomness; the same seed gives the same run.
-        tolerated: how many machines the core survives the loss of.
-        seeds: the addresses that settings name.
-        machines: the core machines, by their addresses.
+        random: the only source of randomness, so that the same seed gives the same run.
+        tolerated: how many machines the core may lose at a time.
+        seeds: the addresses of the seeds in the settings.
+        machines: the core machines, by address.
         network: the links between them, and to the gateways.
         history: the calls of all clients.
-        changes: all configuration changes, by their texts.
-        digests: the digests under which the changes were submitted, by their texts.
-        confirmed_sequences: the sequences of confirmed changes, by their texts.
-        shown_texts: the texts of the configurations that reads returned, by their sequences.
+        changes: all configuration changes, by name.
+        digests: the digests under which the changes were submitted, by name.
+        confirmed_sequences: the sequence numbers of confirmed changes, by name.
+        observed_names: the names of the changes that reads returned, by sequence number.
     """
 
     def __init__(
         self, seed: int, machines: int = 3, tolerated: int = 1, seeds: int = MAX_SEEDS
     ) -> None:
-        """Make a core of `machines` machines, all of which start within `MAX_START_OFFSET_S`."""
+        """Create a core of `machines` machines, which all start within `MAX_START_OFFSET_S`."""
         super().__init__()
         self.random = random.Random(seed)
         self.tolerated = tolerated
@@ -57,31 +57,31 @@
             self.after(delay, partial(machine.start, bootstrap=True))
 
     def record_confirmed(self, name: str, sequence: int) -> None:
-        """Record that a change was confirmed under a sequence.
+        """Record that a change was confirmed with a sequence number.
 
         Raises:
-            SequenceConflictError: it was confirmed under another sequence before, or another
-                change was under this one.
+            SequenceConflictError: it was confirmed with another sequence number before, or another
+                change has this one.
         """
         if self.confirmed_sequences.setdefault(name, sequence) != sequence:
             raise SequenceConflictError(sequence, name)
         self.record_observed(sequence, name)
 
     def record_observed(self, sequence: int, name: str | None) -> None:
-        """Record that a configuration was returned under a sequence.
+        """Record that a configuration was returned with a sequence number.
 
         Raises:
-            SequenceConflictError: another configuration was returned under that sequence before.
+            SequenceConflictError: another configuration was returned with that number before.
         """
         if self.observed_names.setdefault(sequence, name) != name:
             raise SequenceConflictError(sequence, name)
 
     def next_number(self) -> int:
-        """A number that nothing else has."""
+        """A number that is unique in this cluster."""
         return next(self._numbers)
 
     def add(self, address: str) -> None:
-        """Add a machine that is new to the system; settings now name the first present machines."""
+        """Start a new machine; the settings now name the first of the present machines as seeds."""
         self.seeds = tuple(list(self.machines)[:MAX_SEEDS])
         machine = Machine(self, address)
         self.machines[address] = machine
@@ -92,7 +92,7 @@
         return [machine for machine in self.machines.values() if machine.running]
 
     def active_tail(self) -> Machine | None:
-        """The tail of the newest view that any running member knows, once that is active."""
+        """The machine that is the tail of the newest view that a running member knows, if any."""
         running = [m for m in self.running_machines() if m.member and m.member.view]
         if not running:
             return None
@@ -104,6 +104,6 @@
         return None
 
     def listed_hosts(self) -> tuple[Host, ...]:
-        """The platform's list of hosts just now: one host, whose name is the present time."""
-        moment = f"{self.now:012.3f}"
-        return (Host(moment, "model", "10.9.0.1:80", "z", "v1", 1, HostState.READY, 0.0, ("m",)),)
+        """The platform's current host list: one host, whose id is the current time."""
+        now = f"{self.now:012.3f}"
+        return (Host(now, "model", "10.9.0.1:80", "z", "v1", 1, HostState.READY, 0.0, ("m",)),)
--- a/roselink/simulation/command.py
+++ b/roselink/simulation/command.py
@@ -1,4 +1,7 @@
-"""`roselink simulate`: runs days on a simulated control plane, and prints the failing seeds."""
+"""`roselink simulate`: runs scenarios with consecutive seeds, and prints those that failed.
+
+The command calls one run of a scenario a day.
+"""
 
 from __future__ import annotations
 
@@ -17,17 +20,17 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# A core with more machines tolerates the loss of two.
+# The largest core that tolerates the loss of one machine; a larger one tolerates two.
 MAX_MACHINES_TOLERATING_ONE = 4
 
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """One day to run.
+    """One scenario to run.
 
     Attributes:
-        seed: what the day follows from.
-        machines: how many; None if the number follows from the seed as well.
+        seed: the seed of the scenario.
+        machines: the number of core machines; None to derive it from the seed.
     """
 
     seed: int
@@ -36,12 +39,12 @@
 
 @dataclass(frozen=True, slots=True)
 class JobResult:
-    """The result of a day.
+    """The result of a scenario.
 
     Attributes:
-        seed: the seed of the day.
-        result: what clients did; None if the day failed.
-        failure: why the day failed; None if it passed.
+        seed: the seed of the scenario.
+        result: what clients did; None if the scenario failed.
+        failure: why the scenario failed; None if it passed.
     """
 
     seed: int
@@ -50,7 +53,7 @@
 
 
 def run_job(job: Job) -> JobResult:
-    """Run one day."""
+    """Run one scenario."""
     try:
         if job.machines is None:
             result = run_scenario_of_seed(job.seed)
@@ -67,17 +70,17 @@
 def run_days(
     seed: int, days: int, machines: int | None, jobs: int, print_line: Callable[[str], None]
 ) -> int:
-    """Run days with consecutive seeds, and print those that failed and a summary.
+    """Run scenarios with consecutive seeds, and print the failures and a summary.
 
     Args:
-        seed: the seed of the first day.
-        days: how many days.
-        machines: how many core machines; None if the number follows from the seed.
-        jobs: how many days at a time.
+        seed: the seed of the first scenario.
+        days: how many scenarios.
+        machines: how many core machines; None to derive the number from each seed.
+        jobs: how many scenarios run in parallel.
         print_line: prints one line.
 
     Returns:
-        How many days failed.
+        How many scenarios failed.
     """
     began = time.monotonic()
     job_list = [Job(number, machines) for number in range(seed, seed + days)]
--- a/roselink/simulation/disk.py
+++ b/roselink/simulation/disk.py
@@ -1,9 +1,9 @@
-"""A folder in memory that loses, at a power failure, any part of what was not synced.
+"""A folder in memory, of which a power failure may lose any part that was not synced.
 
-Each file has the bytes that its last sync covered and the writes since then; each name the file
-that the folder's last sync covered. At a power failure every later write is complete, missing or
-torn (cut short, or followed by zeros), and every changed name is kept or lost, each independently
-of all others. `MemoryFiles.power_failure_states` enumerates these states.
+A file consists of its content at its last sync and the writes since then; a name refers to one file
+at present and to one at the folder's last sync. At a power failure each unsynced write is complete,
+missing or torn (truncated, or padded with zeros), and each changed name is kept or lost,
+independently of all others. `MemoryFiles.power_failure_states` enumerates these states.
 """
 
 from __future__ import annotations
@@ -32,13 +32,13 @@
 
 
 class Kept(Enum):
-    """What a power failure leaves of one write."""
+    """The part of one write that survives a power failure."""
 
     COMPLETE = "whole"
     MISSING = "missing"
-    # Its first half.
+    # The first half of the data.
     SHORT = "short"
-    # Its first half, and zeros in place of the other.
+    # The first half of the data, and zeros in place of the second half.
     ZEROED = "empty"
 
 
@@ -49,7 +49,7 @@
     Attributes:
         offset: where the data begins, in bytes.
         data: the bytes.
-        truncate: whether the file was cut off at the offset first.
+        truncate: whether the file is truncated at the offset before the write.
     """
 
     offset: int
@@ -57,7 +57,7 @@
     truncate: bool = False
 
     def apply(self, content: bytes, kept: Kept) -> bytes:
-        """The content of a file after what is kept of this write."""
+        """The content of a file after the kept part of this write."""
         if kept is Kept.MISSING:
             return content
         data = self.data if kept is Kept.COMPLETE else self.data[: len(self.data) // 2]
@@ -69,7 +69,7 @@
 
 @dataclass(slots=True, eq=False)
 class File:
-    """One file, whatever its name.
+    """One file, independent of its names.
 
     Attributes:
         synced: its content at the last sync.
@@ -81,27 +81,27 @@
 
     @property
     def content(self) -> bytes:
-        """What a reader sees now."""
+        """The content that a reader sees."""
         content = self.synced
         for write in self.unsynced:
             content = write.apply(content, Kept.COMPLETE)
         return content
 
     def sync(self) -> None:
-        """Make the present content outlive a power failure."""
+        """Make the present content durable."""
         self.synced = self.content
         self.unsynced = []
 
     def power_failure_contents(self) -> Iterator[bytes]:
-        """Each content that a power failure may leave."""
-        for kept in itertools.product(Kept, repeat=len(self.unsynced)):
+        """Each content that the file may have after a power failure."""
+        for combination in itertools.product(Kept, repeat=len(self.unsynced)):
             content = self.synced
-            for write, kept_part in zip(self.unsynced, kept, strict=True):
-                content = write.apply(content, kept_part)
+            for write, kept in zip(self.unsynced, combination, strict=True):
+                content = write.apply(content, kept)
             yield content
 
     def random_power_failure_content(self, rng: random.Random) -> bytes:
-        """One of the contents that a power failure may leave."""
+        """A random one of the contents that the file may have after a power failure."""
         content = self.synced
         for write in self.unsynced:
             content = write.apply(content, rng.choice(tuple(Kept)))
@@ -117,20 +117,20 @@
 
 
 class MemoryFiles:
-    """One folder as `Storage` needs it, which may fail at any disk operation.
+    """An in-memory file system with one folder for `Storage`, which may fail at any operation.
 
     Attributes:
         present: the files by their names, as a reader sees them.
         durable: the files by their names at the folder's last sync.
         operations: how many disk operations there were since the last `inject_failure`.
-        fail_at: the operation, counted from 1, that raises `make_error`; None for none.
-        failure: makes the exception.
-        persistent: whether all later operations fail too.
-        full: whether all writes are refused.
+        fail_at: the operation, counted from 1, that fails; None for none.
+        make_error: creates the exception that a failing operation raises.
+        persistent: whether all operations after `fail_at` fail too.
+        full: whether the disk is full, so that every write fails.
     """
 
     def __init__(self) -> None:
-        """Make an empty folder."""
+        """Create an empty folder."""
         self.present: dict[str, File] = {}
         self.durable: dict[str, File] = {}
         self.operations = 0
@@ -141,20 +141,20 @@
         self._databases = _databases_on(self)
 
     def inject_failure(self, at: int, make_error: ErrorFactory, *, persistent: bool) -> None:
-        """Fail at a disk operation, counted from here, and at all later ones if `persistent`."""
+        """Make the `at`-th operation from now fail, and all later ones too if `persistent`."""
         self.operations = 0
         self.fail_at = at
         self.make_error = make_error
         self.persistent = persistent
 
     def clear_failure(self) -> None:
-        """Stop failing."""
+        """End the injected failure."""
         self.fail_at = None
 
-    # --- The interface `FileSystem`, which `Storage` uses.
+    # --- The `FileSystem` interface that `Storage` uses.
 
     def make_folder(self, folder: str) -> None:
-        """Do nothing: the only folder exists."""
+        """Do nothing: the only folder always exists."""
 
     def names(self, folder: str) -> list[str]:
         """The names of all files."""
@@ -169,7 +169,7 @@
         del self.present[name]
 
     def sync(self, path: str) -> None:
-        """Make a file's bytes, or all names, outlive a loss of power."""
+        """Make a file's content durable, or all names if the path is the folder."""
         self.begin_operation()
         if path == FOLDER:
             self.durable = dict(self.present)
@@ -177,23 +177,23 @@
             self.present[_name(path)].sync()
 
     def database(self, base: str, flag: str) -> Database:
-        """A database on these files."""
+        """Open a database that is stored in this folder."""
         return self._databases(base, flag)
 
-    # --- What `dbm.dumb` uses of the modules `io` and `os`.
+    # --- The functions of the modules `io` and `os` that `dbm.dumb` uses.
 
     unlink = remove
     fsencode = staticmethod(os.fsencode)
 
     def rename(self, old: str | bytes, new: str | bytes) -> None:
-        """Give a file another name."""
+        """Rename a file."""
         if _name(old) not in self.present:
             raise FileNotFoundError(errno.ENOENT, _name(old))
         self.begin_operation()
         self.present[_name(new)] = self.present.pop(_name(old))
 
     def open(self, path: str | bytes, mode: str = "r", encoding: str | None = None) -> IO[Any]:
-        """Open a file as the builtin does."""
+        """Open a file, with the interface of the builtin `open`."""
         name = _name(path)
         if name not in self.present:
             if mode[0] == "r":
@@ -208,10 +208,10 @@
         buffered: Any = io.BufferedRandom(raw) if "+" in mode else _buffered(raw, mode)
         return buffered if "b" in mode else io.TextIOWrapper(buffered, encoding=encoding)
 
-    # --- Faults.
+    # --- Fault injection.
 
     def begin_operation(self) -> None:
-        """Count a disk operation, and fail if it is the one to fail."""
+        """Count a disk operation, and raise the injected failure if it is due."""
         self.operations += 1
         if self.fail_at is None:
             return
@@ -219,7 +219,7 @@
             raise self.make_error()
 
     def write(self, file: File, offset: int, data: bytes) -> None:
-        """Write in two operations: a process may end, or a disk fill up, between them."""
+        """Write in two operations, so that a crash or a full disk may interrupt between them."""
         if self.full:
             raise disk_full_error()
         self.begin_operation()
@@ -229,7 +229,7 @@
         file.unsynced[-1] = Write(offset, data)
 
     def power_failure_states(self) -> Iterator[dict[str, bytes]]:
-        """Each state of the folder that a power failure may leave, as contents by name."""
+        """Each state that the folder may have after a power failure, as contents by name."""
         names = sorted({*self.present, *self.durable})
         choices = [self._alternatives(name) for name in names]
         for files in itertools.product(*choices):
@@ -244,7 +244,7 @@
                 }
 
     def count_power_failure_states(self) -> int:
-        """How many states `power_failure_states` gives, equal ones counted apart."""
+        """How many states `power_failure_states` yields, duplicates included."""
         names = {*self.present, *self.durable}
         count = 1
         for name in names:
@@ -254,11 +254,11 @@
         return count
 
     def lose_power(self, rng: random.Random) -> None:
-        """Go on with one of the states that a power failure may leave."""
+        """Continue with a random one of the states that a power failure may leave."""
         self.restore(self.random_power_failure_state(rng))
 
     def random_power_failure_state(self, rng: random.Random) -> dict[str, bytes]:
-        """One of the states that a power failure may leave."""
+        """A random one of the states that the folder may have after a power failure."""
         names = sorted({*self.present, *self.durable})
         files = {name: rng.choice(self._alternatives(name)) for name in names}
         contents = {
@@ -269,12 +269,12 @@
         return {name: contents[file] for name, file in files.items() if file is not None}
 
     def restore(self, contents: dict[str, bytes]) -> None:
-        """Become a folder with these files, all synced."""
+        """Replace the folder's content by these files, all synced."""
         self.present = {name: File(content) for name, content in contents.items()}
         self.durable = dict(self.present)
 
     def flip_random_bit(self, rng: random.Random) -> None:
-        """Flip a bit of one record's bytes, as drawn; nothing happens on an empty disk."""
+        """Flip a random bit of a random file; no effect if all files are empty."""
         names = sorted(name for name, file in self.present.items() if file.content)
         if not names:
             return
@@ -294,26 +294,26 @@
     """An open file."""
 
     def __init__(self, files: MemoryFiles, file: File, *, at_end: bool) -> None:
-        """Open a file at its begin, or at its end."""
+        """Open a file with the position at its start or its end."""
         super().__init__()
         self._files = files
         self._file = file
         self._position = len(file.content) if at_end else 0
 
     def readable(self) -> bool:
-        """True: every file can."""
+        """True for every file."""
         return True
 
     def writable(self) -> bool:
-        """True: every file can."""
+        """True for every file."""
         return True
 
     def seekable(self) -> bool:
-        """True: every file can."""
+        """True for every file."""
         return True
 
     def readinto(self, buffer: WriteableBuffer) -> int:
-        """Read at the position."""
+        """Read from the position."""
         target = memoryview(buffer).cast("B")
         data = self._file.content[self._position : self._position + len(target)]
         target[: len(data)] = data
@@ -349,7 +349,7 @@
 
 
 def _databases_on(files: MemoryFiles) -> Callable[[str, str], Database]:
-    """`dbm.dumb` itself, in a module object of its own whose files are these."""
+    """Load a second copy of the module `dbm.dumb` that does its file access on `files`."""
     spec = importlib.util.find_spec(dbm.dumb.__name__)
     if spec is None or spec.loader is None:
         raise StandardLibraryError(dbm.dumb.__name__)
--- a/roselink/simulation/exceptions.py
+++ b/roselink/simulation/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the simulation: a scenario that failed, an invariant that does not hold, a crash."""
+"""Errors of the simulation: failed scenarios, violated invariants and simulated crashes."""
 
 from __future__ import annotations
 
@@ -19,57 +19,57 @@
 
 
 class ScenarioError(SimulationError, AssertionError):
-    """A scenario ended in a state that it must not end in.
+    """A check at the end of a scenario failed.
 
     Attributes:
         reason: what went wrong.
-        violations: what the history checker found that one register can't explain.
+        violations: the results that the history checker found to be impossible for one register.
     """
 
     code = "SIM-001"
 
     def __init__(self, reason: str, violations: tuple[Violation, ...] = ()) -> None:
-        """Note the reason and the violations, which the text lists one a line."""
+        """Store the reason and the violations; the message has one line for each violation."""
         super().__init__(reason + "".join(f"\n  {each.rule}: {each.detail}" for each in violations))
         self.reason = reason
         self.violations = violations
 
 
 class InvariantViolatedError(SimulationError, AssertionError):
-    """A state in which an invariant does not hold.
+    """An invariant does not hold in a state that the model checker reached.
 
     Attributes:
-        reason: the invariant that does not hold.
-        path: the steps that lead to the state.
+        reason: the violated invariant.
+        path: the steps from the initial state to the violation.
     """
 
     code = "SIM-002"
 
     def __init__(self, reason: str, path: tuple[ModelStep, ...]) -> None:
-        """Note the invariant and the path, whose steps the text lists one a line."""
+        """Store the invariant and the path; the message has one line for each step."""
         super().__init__(reason + "".join(f"\n  {step}" for step in path))
         self.reason = reason
         self.path = path
 
 
 class ProcessCrashError(SimulationError):
-    """The simulated process ends at this disk operation."""
+    """The simulated process crashes at this disk operation."""
 
     code = "SIM-003"
 
 
 class UnsupportedTypeError(SimulationError, AssertionError):
-    """A machine has a part of which no fingerprint can be taken.
+    """A machine has an object for whose class no fingerprint is defined.
 
     Attributes:
-        kind: the class of the part.
+        kind: the class of the object.
     """
 
     code = "SIM-004"
 
     def __init__(self, kind: type[object]) -> None:
-        """Note the class of the part."""
-        super().__init__(f"no fingerprint of a {kind.__name__}")
+        """Store the class of the object."""
+        super().__init__(f"no fingerprint is defined for objects of class {kind.__name__}")
         self.kind = kind
 
 
@@ -83,13 +83,13 @@
     code = "SIM-005"
 
     def __init__(self, address: str) -> None:
-        """Note the address of the machine."""
-        super().__init__(f"{address} runs no process")
+        """Store the address of the machine."""
+        super().__init__(f"machine {address} runs no process")
         self.address = address
 
 
 class ChangeNotValidError(SimulationError, AssertionError):
-    """The controller's validation refuses a change that an operator made up.
+    """The controller's validation rejects a change that an operator generated.
 
     Attributes:
         change: the change.
@@ -99,25 +99,25 @@
     code = "SIM-006"
 
     def __init__(self, change: Change, refusal: ValidationFailure) -> None:
-        """Note the change and the result of its validation."""
-        super().__init__(f"{change}: {refusal}")
+        """Store the change and the result of its validation."""
+        super().__init__(f"the validation rejects {change}: {refusal}")
         self.change = change
         self.refusal = refusal
 
 
 class SequenceConflictError(ScenarioError):
-    """Two changes were confirmed or returned under one sequence, or one change under two.
+    """Two changes were confirmed or returned with one sequence number, or one change with two.
 
     Attributes:
-        sequence: the sequence.
-        text: the text of the change that was confirmed or returned; None for no configuration.
+        sequence: the sequence number.
+        name: the name of the change that was confirmed or returned; None for no configuration.
     """
 
     code = "SIM-007"
 
     def __init__(self, sequence: int, name: str | None) -> None:
-        """Note the sequence and the text of the change."""
-        super().__init__(f"sequence {sequence} is not unique to the change {name}")
+        """Store the sequence number and the name of the change."""
+        super().__init__(f"sequence number {sequence} is not unique to the change {name}")
         self.sequence = sequence
         self.name = name
 
@@ -128,42 +128,42 @@
     code = "SIM-008"
 
     def __init__(self) -> None:
-        """Give the reason."""
-        super().__init__("no active chain at the end")
+        """Set the fixed message."""
+        super().__init__("no chain is active at the end")
 
 
 class HostListRegressedError(ScenarioError):
-    """A gateway used an older list of hosts after a newer one."""
+    """A gateway applied an older host list after a newer one."""
 
     code = "SIM-009"
 
     def __init__(self) -> None:
-        """Give the reason."""
-        super().__init__("a gateway's list of hosts went back")
+        """Set the fixed message."""
+        super().__init__("a gateway applied an older host list after a newer one")
 
 
 class NothingConfirmedError(ScenarioError):
-    """No change was confirmed in a scenario, or no gateway let a request through."""
+    """No change was confirmed in a scenario, or no gateway admitted a request."""
 
     code = "SIM-010"
 
     def __init__(self) -> None:
-        """Give the reason."""
-        super().__init__("no change was confirmed, or no key was used")
+        """Set the fixed message."""
+        super().__init__("no change was confirmed, or no gateway admitted a request")
 
 
 class InconsistentHistoryError(ScenarioError):
-    """One register can't explain the history of a scenario."""
+    """The history of a scenario is impossible for one linearizable register."""
 
     code = "SIM-011"
 
     def __init__(self, violations: tuple[Violation, ...]) -> None:
-        """Note the violations."""
-        super().__init__("the history has no explanation", violations)
+        """Store the violations."""
+        super().__init__("the history is not that of one register", violations)
 
 
 class MachineError(ScenarioError):
-    """Base of what is wrong with one machine.
+    """Base of the errors that concern one machine.
 
     Attributes:
         address: the address of the machine.
@@ -172,43 +172,43 @@
     code = "SIM-012"
 
     def __init__(self, address: str, reason: str) -> None:
-        """Note the machine and the reason."""
-        super().__init__(f"{address} {reason}")
+        """Store the machine and the reason."""
+        super().__init__(f"machine {address} {reason}")
         self.address = address
 
 
 class NotRecoveredError(MachineError):
-    """A machine does not take part in the active chain at the end of a scenario."""
+    """A machine is not a participant of the active chain at the end of a scenario."""
 
     code = "SIM-013"
 
     def __init__(self, address: str) -> None:
-        """Note the machine."""
-        super().__init__(address, "has not recovered")
+        """Store the machine."""
+        super().__init__(address, "does not take part in the active chain at the end")
 
 
 class ReadTimedOutError(MachineError):
-    """A read at a machine did not end within its time-out."""
+    """A read at a machine did not complete within its time-out."""
 
     code = "SIM-014"
 
     def __init__(self, address: str) -> None:
-        """Note the machine."""
-        super().__init__(address, "did not end a read")
+        """Store the machine."""
+        super().__init__(address, "did not complete a read within the time-out")
 
 
 class UnconfirmedReadError(MachineError):
-    """A read that has to be confirmed was not."""
+    """A read at a machine was not confirmed by the core at the end of a scenario."""
 
     code = "SIM-015"
 
     def __init__(self, address: str) -> None:
-        """Note the machine."""
-        super().__init__(address, "can't confirm a read")
+        """Store the machine."""
+        super().__init__(address, "returned no confirmed configuration")
 
 
 class ChangeStateError(ScenarioError):
-    """Base of what is wrong with one change on a member's disk.
+    """Base of the errors that concern one change on a member's disk.
 
     Attributes:
         change: the change.
@@ -217,19 +217,19 @@
     code = "SIM-016"
 
     def __init__(self, reason: str, change: Change) -> None:
-        """Note the reason and the change."""
+        """Store the reason and the change."""
         super().__init__(f"{reason}: {change}")
         self.change = change
 
 
 class LostChangeError(ChangeStateError):
-    """A confirmed change is not on a member's disk."""
+    """A confirmed change is missing on a member's disk."""
 
     code = "SIM-017"
 
     def __init__(self, change: Change) -> None:
-        """Note the change."""
-        super().__init__("a confirmed change is lost", change)
+        """Store the change."""
+        super().__init__("a member's disk lacks a confirmed change", change)
 
 
 class RefusedChangeInForceError(ChangeStateError):
@@ -238,12 +238,12 @@
     code = "SIM-018"
 
     def __init__(self, change: Change) -> None:
-        """Note the change."""
-        super().__init__("a refused change came into force", change)
+        """Store the change."""
+        super().__init__("a refused change is in force on a member's disk", change)
 
 
 class StandardLibraryError(SimulationError, AssertionError):
-    """A module of the standard library that the simulation loads once more can't be found.
+    """A module of the standard library that the simulation loads a second time can't be found.
 
     Attributes:
         module: the name of the module.
@@ -252,6 +252,6 @@
     code = "SIM-019"
 
     def __init__(self, module: str) -> None:
-        """Note the name of the module."""
-        super().__init__(f"{module} is no module of the standard library")
+        """Store the name of the module."""
+        super().__init__(f"module {module} of the standard library not found")
         self.module = module
--- a/roselink/simulation/faults.py
+++ b/roselink/simulation/faults.py
@@ -16,18 +16,18 @@
     from roselink.simulation.gateways import Gateway
     from roselink.simulation.machine import Machine
 
-# How long after its return a machine still counts as lost, in seconds.
+# How long after its restart a machine still counts as lost, in seconds.
 RECOVERY_S = 4.0
 # The latency of a save on a slow disk, in seconds.
 SLOW_SAVE_S = 0.25
-# The bounds of a drawn quota, as fractions of a core.
-QUOTA_SHARE_RANGE = (0.08, 0.6)
-# After a loss of all processes each returns within so long, in seconds.
+# The bounds of a random processor quota, as fractions of a core.
+QUOTA_FRACTION_RANGE = (0.08, 0.6)
+# After all processes ended, each restarts at a random time within this limit, in seconds.
 RESTART_SPREAD_S = 1.0
 
 
 class Fault(Enum):
-    """What may go wrong with one machine, or with the cluster."""
+    """A fault of one machine or of the cluster."""
 
     KILL = "kill"
     POWER_LOSS = "power"
@@ -39,13 +39,13 @@
     WIPED_DISK = "wipe"
     REPLACEMENT = "replace"
     LEAVE = "leave"
-    # The new machine joins before the old one leaves for good.
+    # The new machine joins before the old one leaves permanently.
     PLANNED_REPLACEMENT = "planned"
     LINK = "link"
     GATEWAY = "gateways"
-    # All processes end.
+    # All processes end at once and restart.
     RESTART_OF_ALL = "herd"
-    # The tolerated number of disks is lost, right after a commit.
+    # The tolerated number of disks is lost right after a commit.
     LOST_DISKS = "ruin"
 
 
@@ -65,7 +65,7 @@
 
 
 def inject_fault(cluster: Cluster, machine: Machine, fault: Fault) -> None:
-    """Inject a fault into one machine that `repair` can end: its process, links or disk."""
+    """Inject a fault that `repair` can end into a machine's process, links or disk."""
     if fault in (Fault.KILL, Fault.POWER_LOSS):
         machine.kill(power_loss=fault is Fault.POWER_LOSS)
     elif fault is Fault.FREEZE:
@@ -81,7 +81,7 @@
 
 
 def repair(cluster: Cluster, machine: Machine) -> None:
-    """End all faults of a machine; all links of the cluster carry again."""
+    """End all faults of a machine, and restore all links of the cluster."""
     if machine.member is None:
         machine.start()
     if machine.frozen:
@@ -93,24 +93,24 @@
 
 
 def limit_processors(cluster: Cluster) -> None:
-    """Give each machine a quota of its processor, as drawn; periods are not aligned."""
+    """Give each machine a random processor quota; the periods are not aligned."""
     rng = cluster.random
     for machine in cluster.machines.values():
-        busy_s = QUOTA_PERIOD_S * rng.uniform(*QUOTA_SHARE_RANGE)
+        busy_s = QUOTA_PERIOD_S * rng.uniform(*QUOTA_FRACTION_RANGE)
         machine.quota = ProcessorQuota(busy_s, rng.uniform(0.0, QUOTA_PERIOD_S))
 
 
 def inject_and_repair(
     cluster: Cluster, victim: Machine, fault: Fault, duration_s: float, successor: str
 ) -> None:
-    """Inject any fault of one machine, which is repaired or replaced after a duration.
+    """Inject a fault into one machine, and schedule its repair or replacement.
 
     Args:
         cluster: the cluster of the machine.
         victim: the machine.
         fault: one of `MACHINE_FAULTS`.
-        duration_s: until the repair, in seconds.
-        successor: the address of the machine that takes its place when it is replaced.
+        duration_s: the time until the repair, in seconds.
+        successor: the address of the replacement machine.
     """
     rng = cluster.random
     if fault is Fault.WIPED_DISK:
@@ -132,7 +132,7 @@
 
 
 def replace_as_planned(cluster: Cluster, victim: Machine, successor: str) -> None:
-    """Add the successor first, then have the old machine leave for good."""
+    """Add the successor first, then have the old machine leave permanently."""
     cluster.add(successor)
     cluster.run(cluster.random.uniform(0.2, 2.0))
     if victim.member is not None:
@@ -143,7 +143,7 @@
 
 
 def inject_gateway_fault(cluster: Cluster, gateways: Sequence[Gateway]) -> None:
-    """Restart or freeze a gateway, or cut it off from some machines, as drawn."""
+    """Restart or freeze a random gateway, or block its links to some machines."""
     rng = cluster.random
     gateway = rng.choice(gateways)
     fault = rng.choice((Fault.KILL, Fault.FREEZE, Fault.LINK))
@@ -159,7 +159,7 @@
 
 
 def restart_all(cluster: Cluster, wiped: Sequence[Machine] = ()) -> None:
-    """Kill all processes, or have all machines lose power; each returns within a second.
+    """Kill all processes, or have all machines lose power, and schedule their restarts.
 
     Args:
         cluster: the cluster.
@@ -175,14 +175,14 @@
 
 
 def lose_disks_after_commit(cluster: Cluster) -> None:
-    """Right after a commit lose the tolerated number of disks, and all processes."""
+    """Lose the tolerated number of disks, and all processes, right after a commit."""
     before = cluster.history.newest_confirmed()
     cluster.run_until(lambda: cluster.history.newest_confirmed() > before, 3.0)
     restart_all(cluster, cluster.random.sample(cluster.running_machines(), cluster.tolerated))
 
 
 def block_random_link(cluster: Cluster, victim: Machine) -> None:
-    """Cut a machine off from another one, both ways or one way, as drawn."""
+    """Block the link from a machine to a random other one, in one or both directions."""
     others = [machine for machine in cluster.machines.values() if machine is not victim]
     other = cluster.random.choice(others)
     one_way = cluster.random.random() < 0.5
@@ -190,9 +190,9 @@
 
 
 def partition_in_halves(cluster: Cluster) -> None:
-    """Cut all links between two halves, as drawn."""
-    drawn = cluster.random.sample(list(cluster.machines), len(cluster.machines))
-    half = len(drawn) // 2
-    for address in drawn[:half]:
-        for other in drawn[half:]:
+    """Partition the machines into two random halves."""
+    shuffled = cluster.random.sample(list(cluster.machines), len(cluster.machines))
+    half = len(shuffled) // 2
+    for address in shuffled[:half]:
+        for other in shuffled[half:]:
             cluster.network.block_link(address, other)
--- a/roselink/simulation/gateways.py
+++ b/roselink/simulation/gateways.py
@@ -1,4 +1,4 @@
-"""Simulated gateways: the real pull state machine, and the API keys that they let through."""
+"""Simulated gateways: the real pull state machine, and the API keys that they accept."""
 
 from __future__ import annotations
 
@@ -33,16 +33,16 @@
     """One gateway without its data plane.
 
     Attributes:
-        name: its name, which is also its address.
-        process_number: counts its processes; a step of a former process is dropped.
-        frozen_until: the virtual time until which the process stands still, in seconds.
-        in_force: the change whose configuration it uses.
-        newest_list: the newest of the platform's lists of hosts that it has used.
-        lists_went_back: how often it used an older list after a newer one.
+        name: the gateway's name and address.
+        process_number: counts its processes; a step scheduled by an earlier process is dropped.
+        frozen_until: the virtual time until which the process is frozen, in seconds.
+        in_force: the change whose configuration the process uses.
+        newest_host_list: the id of the newest host list that the process has applied.
+        host_list_regressions: how often it applied an older host list after a newer one.
     """
 
     def __init__(self, cluster: Cluster, name: str) -> None:
-        """Start a gateway of a cluster."""
+        """Create a gateway, and start its process."""
         self.cluster = cluster
         self.name = name
         self.process_number = 0
@@ -53,7 +53,7 @@
         self.start()
 
     def start(self) -> None:
-        """Start a process that knows nothing but its seeds."""
+        """Start a process that only knows its seeds."""
         self.process_number += 1
         rng = self.cluster.random
         seeds = [_address(seed) for seed in self.cluster.seeds]
@@ -66,7 +66,7 @@
         self._use_keys(self.process_number)
 
     def freeze(self, seconds: float) -> None:
-        """Stop the process for a time, in seconds."""
+        """Suspend the process for a time, in seconds."""
         self.frozen_until = self.cluster.now + seconds
 
     def _run(self, process_number: int, step: Callable[[], None]) -> None:
--- a/roselink/simulation/history.py
+++ b/roselink/simulation/history.py
@@ -1,10 +1,11 @@
 """The history of all client calls, and a checker that shares no code with what it checks.
 
-A configuration is a register that changes replace by compare-and-set: a change names the version
-that it builds on and its own, higher one. The checker knows nothing of views, chains or sequences.
-From the calls with their begin and end it works out which changes were ever in force, and names
-every result that no single linearizable register (Herlihy and Wing, 1990) can give. It searches for
-no order of the calls: it checks necessary conditions, each a method of `HistoryChecker`.
+The configuration is modelled as a register that changes replace by compare-and-set: a change names
+its base version and its own, higher version. The checker is independent of views, chains and
+sequence numbers. From the start and end of each call it derives which changes were ever in force,
+and reports every result that is impossible for one linearizable register (Herlihy and Wing, 1990).
+It does not search for an order of the calls, as `linearizability` does; it checks necessary
+conditions, each in a method of `HistoryChecker`.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 
 class CallResult(Enum):
-    """What an operator knows of its change after a call."""
+    """What an operator knows about its change after a call."""
 
     CONFIRMED = "confirmed"
     REFUSED = "refused"
@@ -29,12 +30,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """A proposed change of the configuration, whoever sends it and how often.
+    """A proposed change of the configuration, which may be sent in several calls.
 
     Attributes:
-        base: the version that it builds on.
+        base: the version that it replaces.
         version: its own version.
-        text: its name, which no other change has.
+        name: its unique name.
         keys: the API keys of its configuration.
     """
 
@@ -46,7 +47,7 @@
 
 @dataclass(slots=True)
 class ChangeCall:
-    """One call with a change; a call without a response has no end."""
+    """One call that submits a change; without a response, `ended_at` is infinite."""
 
     change: Change
     started_at: float
@@ -56,10 +57,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Observation:
-    """A configuration that was returned as the newest.
+    """A configuration that was returned as the newest one between two times.
 
-    Either by a read, from its begin to its end, or by the confirmation of a gateway's pull: what
-    the gateway uses was the newest at some time after `started_at`.
+    It comes from a read or from the confirmation of a gateway's pull, which says that the
+    gateway's configuration was the newest one at some time after `started_at`.
     """
 
     started_at: float
@@ -69,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationApplied:
-    """A gateway's process uses a configuration from now on."""
+    """A gateway's process uses a configuration from this time on."""
 
     gateway: str
     process_number: int
@@ -79,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyUse:
-    """A gateway lets a request with this key through."""
+    """A gateway admits a request with this API key."""
 
     gateway: str
     at: float
@@ -88,7 +89,7 @@
 
 @dataclass(slots=True)
 class History:
-    """All calls and configurations of one run."""
+    """The recorded calls and configurations of one run."""
 
     calls: list[ChangeCall] = field(default_factory=list)
     observations: list[Observation] = field(default_factory=list)
@@ -96,7 +97,7 @@
     key_uses: list[KeyUse] = field(default_factory=list)
 
     def begin_call(self, change: Change, now: float) -> ChangeCall:
-        """Record that a call begins."""
+        """Record the start of a call."""
         call = ChangeCall(change, now)
         self.calls.append(call)
         return call
@@ -111,17 +112,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A result that no single register can give; `rule` names the condition that is violated."""
+    """A result that is impossible for one register; `rule` names the violated condition."""
 
     rule: str
     detail: str
 
 
 class HistoryChecker:
-    """Checks one history. Times are seconds of the one clock by which the calls were recorded."""
+    """Checks one history, whose times were all taken from one clock, in seconds."""
 
     def __init__(self, history: History, revoke_s: float = float("inf")) -> None:
-        """Check a history of gateways that may use a removed key for `revoke_s` seconds."""
+        """Take a history; gateways may accept a removed key for `revoke_s` more seconds."""
         self._history = history
         self._revoke_s = revoke_s
         self._evidence = self._first_evidence()
@@ -130,11 +131,11 @@
             self._first_sent.setdefault(call.change, call.started_at)
 
     def violations(self) -> list[Violation]:
-        """All violations; none for a history that one register explains."""
+        """All violations; empty if the history satisfies all conditions."""
         return [
             *self._duplicate_versions(),
             *self._refused_in_force(),
-            *self._nonexistent_bases(),
+            *self._invalid_bases(),
             *self._observed_before_sent(),
             *self._stale_results(),
             *self._unjustified_refusals(),
@@ -143,7 +144,7 @@
         ]
 
     def _first_evidence(self) -> dict[Change, float]:
-        """When each change is first known to be in force."""
+        """The earliest time at which each change is known to have been in force."""
         evidence: dict[Change, float] = {}
 
         def add(change: Change, at: float) -> None:
@@ -152,9 +153,9 @@
         for call in self._history.calls:
             if call.result is CallResult.CONFIRMED:
                 add(call.change, call.ended_at)
-        for reading in self._history.observations:
-            if reading.change is not None:
-                add(reading.change, reading.ended_at)
+        for observation in self._history.observations:
+            if observation.change is not None:
+                add(observation.change, observation.ended_at)
         for applied in self._history.applied:
             add(applied.change, applied.at)
         return evidence
@@ -164,7 +165,7 @@
         by_base: dict[int, Change] = {}
         for change in self._evidence:
             if by_version.setdefault(change.version, change) != change:
-                yield Violation("two changes under one number", str(change.version))
+                yield Violation("two changes with one version", str(change.version))
             if by_base.setdefault(change.base, change) != change:
                 yield Violation("two changes on one base", str(change.base))
 
@@ -173,37 +174,38 @@
             if call.result is CallResult.REFUSED and call.change in self._evidence:
                 yield Violation("a refused change is in force", _describe(call.change))
 
-    def _nonexistent_bases(self) -> Iterator[Violation]:
-        """Each change in force builds on a version that was sent and that may be in force."""
+    def _invalid_bases(self) -> Iterator[Violation]:
+        """Each change in force has a lower base version, which may have been in force itself."""
         refused = {call.change for call in self._history.calls if call.result is CallResult.REFUSED}
         possible = {change.version for change in self._first_sent if change not in refused}
         for change in self._evidence:
             if change.version <= change.base or (change.base and change.base not in possible):
-                yield Violation("built on what never was", _describe(change))
+                yield Violation("invalid base version", _describe(change))
 
     def _observed_before_sent(self) -> Iterator[Violation]:
         for change, at in self._evidence.items():
             if at < self._first_sent.get(change, float("inf")):
-                yield Violation("shown before it was sent", _describe(change))
+                yield Violation("returned before it was sent", _describe(change))
 
     def _stale_results(self) -> Iterator[Violation]:
-        """A read that begins after a change is known to be in force returns it or a later one."""
+        """A read that starts after a change is known to be in force returns it or a later one."""
         known = _RunningMaximum((at, change.version) for change, at in self._evidence.items())
-        for reading in self._history.observations:
-            shown = reading.change.version if reading.change is not None else 0
-            if shown < known.before(reading.started_at):
+        for observation in self._history.observations:
+            returned = observation.change.version if observation.change is not None else 0
+            if returned < known.before(observation.started_at):
                 yield Violation(
-                    "an old configuration was shown", f"{shown} at {reading.started_at:.3f}"
+                    "a stale configuration was returned",
+                    f"version {returned} at {observation.started_at:.3f}",
                 )
         for change, sent in self._first_sent.items():
             if change in self._evidence and change.version <= known.before(sent):
-                yield Violation("a change went back", _describe(change))
+                yield Violation("a change lowered the version", _describe(change))
 
     def _unjustified_refusals(self) -> Iterator[Violation]:
-        """A change that builds on the newest version is not refused.
+        """A change whose base is the newest version is not refused.
 
-        Except when the version was another at some moment of the call, or when the change had been
-        refused for that before.
+        Except if the newest version was another one at some time during the call, or if the change
+        had been refused before.
         """
         replaced: dict[int, float] = {}
         for change in self._evidence:
@@ -221,20 +223,22 @@
             if was_newest and call.ended_at < replaced.get(change.base, float("inf")):
                 competing = [c for c in self._first_sent if c.base == change.base and c != change]
                 if change.version > change.base and not competing:
-                    yield Violation("a proper change was refused", _describe(change))
+                    yield Violation("a valid change was refused", _describe(change))
 
     def _gateway_regressions(self) -> Iterator[Violation]:
         newest: dict[tuple[str, int], int] = defaultdict(int)
         for each in self._history.applied:
             process = (each.gateway, each.process_number)
             if each.change.version < newest[process]:
-                yield Violation("a gateway went back", f"{each.gateway} at {each.at:.3f}")
+                yield Violation(
+                    "a gateway applied an older configuration", f"{each.gateway} at {each.at:.3f}"
+                )
             newest[process] = each.change.version
 
     def _removed_keys_used(self) -> Iterator[Violation]:
-        """A key is used no later than `revoke_s` after a confirmed change without it.
+        """No key is accepted more than `revoke_s` after the confirmation of a change without it.
 
-        Except when a later change that was sent by then, and that may be in force, has the key.
+        Except if a later change with the key was sent by then, which may be in force.
         """
         confirmed = [call for call in self._history.calls if call.result is CallResult.CONFIRMED]
         for key in {use.key for use in self._history.key_uses}:
@@ -253,15 +257,15 @@
                     use.at
                 ):
                     yield Violation(
-                        "a removed key was used", f"{key} at {use.at:.3f} by {use.gateway}"
+                        "a removed key was accepted", f"{key} at {use.at:.3f} by {use.gateway}"
                     )
 
 
 class _RunningMaximum:
-    """The highest version known before a moment."""
+    """The highest version that was known before a given time."""
 
     def __init__(self, known: Iterable[tuple[float, int]]) -> None:
-        """Make the bound from (time, version) of each piece of evidence."""
+        """Take the pairs (time, version) of the evidence, in any order."""
         self._times: list[float] = []
         self._versions: list[int] = []
         newest = 0
@@ -271,10 +275,10 @@
             self._versions.append(newest)
 
     def before(self, at: float) -> int:
-        """The highest version whose evidence came before `at`."""
+        """The highest version that was known before `at`; 0 if there is none."""
         index = bisect_left(self._times, at)
         return self._versions[index - 1] if index else 0
 
 
 def _describe(change: Change) -> str:
-    return f"{change.version} on {change.base} ({change.name})"
+    return f"version {change.version} on base {change.base} ({change.name})"
--- a/roselink/simulation/initial_states.py
+++ b/roselink/simulation/initial_states.py
@@ -1,4 +1,4 @@
-"""The states from which a model checker starts, and the steps that lead to them."""
+"""The initial states of the model checker, and the steps that construct them."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 
 def change_on(base: int, generation: int, text: str = "") -> ConfigurationChange:
-    """A change with a small document."""
+    """A change with a small document on a base generation."""
     document = f"{base}-{generation}-{text}".encode()
     return ConfigurationChange(base, generation, document, digest_of(base, document))
 
 
 def run_to_quiescence(system: System, *, unreachable: str = "") -> None:
-    """Save and deliver, saves first, until nothing but messages to one machine is in flight.
+    """Complete saves and deliver messages, saves first, until none is left.
 
     Args:
-        system: the state, which is changed.
-        unreachable: the address to which no message is delivered; empty for none.
+        system: the state, which is modified.
+        unreachable: the address to which no messages are delivered; empty for none.
     """
     while True:
         saving = [address for address, machine in system.machines.items() if machine.saving]
@@ -37,7 +37,7 @@
 
 
 def idle_system() -> System:
-    """A chain of three that is active, with nothing in flight."""
+    """An active chain of three members, with no messages in flight."""
     system = System()
     system.begin()
     run_to_quiescence(system)
@@ -45,7 +45,7 @@
 
 
 def deliver_only(system: System, *records: type[Record]) -> None:
-    """Save and deliver messages of some record types; all other messages stay in flight."""
+    """Complete saves and deliver messages of some record types; others stay in flight."""
     numbers = {record_number_of_class(record) for record in records}
     while True:
         saving = [address for address, machine in system.machines.items() if machine.saving]
@@ -61,7 +61,7 @@
 
 
 def view_accepted() -> System:
-    """Two of three have accepted a view without the tail; no member knows that it is chosen."""
+    """Two of three members have accepted a view without the tail, and none knows it as chosen."""
     system = idle_system()
     system.propose("a:1", without="c:1")
     deliver_only(system, Prepare, Promise, Accept)
@@ -69,14 +69,14 @@
 
 
 def view_decided() -> System:
-    """The proposer has learnt the view without the tail; the others have not."""
+    """Only the proposer knows that the view without the tail is chosen."""
     system = view_accepted()
     deliver_only(system, Accepted)
     return system
 
 
 def member_joining() -> System:
-    """The tail's disk was lost, and the view that adds it again has just been chosen."""
+    """The tail lost its disk, and the view that adds it again has just been chosen."""
     system = idle_system()
     system.submit("a:1", change_on(0, 3))
     run_to_quiescence(system)
@@ -88,7 +88,7 @@
 
 
 def member_partitioned(address: str) -> System:
-    """The others have formed a view without a member and confirmed a change in it."""
+    """The other members have formed a view without one, and have confirmed a change in it."""
     system = idle_system()
     proposer = "b:1" if address == "a:1" else "a:1"
     system.propose(proposer, without=address)
--- a/roselink/simulation/linearizability.py
+++ b/roselink/simulation/linearizability.py
@@ -1,16 +1,16 @@
-"""Decides whether one register explains a history: a search over the orders of its calls.
-
-Linearizability is that of Herlihy and Wing ("Linearizability", ACM TOPLAS 12(3), 1990): there is an
-order of all calls that one register could have executed, in which each call stands between its
-begin and its end. The search is that of Wing and Gong ("Testing and verifying concurrent objects",
-JPDC 17, 1993): of the calls that may come next, one that the register allows is tried, and taken
-back if nothing follows. As Lowe showed ("Testing for linearizability", CCPE 29(4), 2017), a state
-that was reached before, by the same calls in another order, need not be searched again.
-
-The register is the configuration: a change is put in force on top of the version that it names, and
-one that was refused once is refused for good, also when its base comes into force later. A call
-that changes nothing (a read, a refusal, a change confirmed once more) is placed as soon as it
-is legal, which excludes no order of the others.
+"""Decides whether a history is linearizable, by a search over the orders of its calls.
+
+A history is linearizable (Herlihy and Wing, "Linearizability", ACM TOPLAS 12(3), 1990) if one
+register could have executed all calls in some order, each at a time between its start and its end.
+The search is that of Wing and Gong ("Testing and verifying concurrent objects", JPDC 17, 1993): it
+tries a call that may come next and that the register allows, and backtracks if no complete order
+follows. As Lowe showed ("Testing for linearizability", CCPE 29(4), 2017), a state that was reached
+before, by the same calls in another order, need not be searched again.
+
+The register is the configuration: a change takes effect if its base is the version in force. A
+change that was refused once stays refused, even if its base comes into force later. A call that
+changes nothing (a read, a refusal, a repeated confirmation) is linearized as soon as it is legal,
+which excludes no order of the other calls.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 
 
 class Kind(Enum):
-    """What a call's caller knows of it."""
+    """What the caller knows about the result of its call."""
 
     CONFIRMED = 1
     REFUSED = 2
-    # It may have put its change in force, at any time from its begin on, or never will.
+    # The change may take effect at any time after the start of the call, or never.
     UNKNOWN = 3
     READ = 4
 
@@ -40,9 +40,9 @@
     """One call.
 
     Attributes:
-        began: when it began.
-        ended: when it ended; infinite for one without a response.
-        kind: what its caller knows.
+        started_at: the start of the call.
+        ended_at: the end of the call; infinite without a response.
+        kind: what the caller knows.
         change: the proposed change, or the one that was read; None for no configuration.
     """
 
@@ -54,13 +54,13 @@
 
 @dataclass(frozen=True, slots=True)
 class _State:
-    """A point of the search.
+    """A state of the search.
 
     Attributes:
-        placed: which calls are placed, by index.
-        current: the change that is in force.
-        in_force: all that were in force up to then.
-        refused: all that were refused up to then.
+        linearized: the calls in the order so far, as a bit mask of their indices.
+        current: the change in force.
+        in_force: all changes that have been in force.
+        refused: all changes that have been refused.
     """
 
     linearized: int = 0
@@ -99,16 +99,16 @@
 
 
 def is_linearizable(operations: list[Operation]) -> bool:
-    """Whether some order of the calls is one that the register could have executed."""
+    """Whether the register could have executed the calls in some order."""
     return _Search(operations).run()
 
 
 class _Search:
-    """The search over one history."""
+    """The search over the calls of one history."""
 
     def __init__(self, operations: list[Operation]) -> None:
         self._operations = sorted(operations, key=lambda operation: operation.started_at)
-        # A refused change is refused in every order, so nothing may put it in force.
+        # A change that was refused in any call must not take effect in any order.
         self._refused = {
             operation.change for operation in operations if operation.kind is Kind.REFUSED
         }
@@ -119,9 +119,9 @@
         )
 
     def run(self) -> bool:
-        """Search; False once every order has failed."""
+        """Search; False if no order is valid."""
         seen: set[tuple[int, Change | None]] = set()
-        pending = [self._place_non_mutating(_State())]
+        pending = [self._linearize_non_mutating(_State())]
         while pending:
             state = pending.pop()
             if state.linearized & self._required == self._required:
@@ -130,13 +130,13 @@
                 continue
             seen.add((state.linearized, state.current))
             pending += [
-                self._place_non_mutating(_with_change(state, index, operation.change))
+                self._linearize_non_mutating(_with_change(state, index, operation.change))
                 for index, operation in self._candidates(state)
                 if self._takes_effect(state, operation)
             ]
         return False
 
-    def _place_non_mutating(self, state: _State) -> _State:
+    def _linearize_non_mutating(self, state: _State) -> _State:
         """The state after all calls that are legal now and change nothing."""
         while True:
             legal = [
@@ -151,7 +151,7 @@
             state = replace(state, linearized=linearized, refused=state.refused | refusals)
 
     def _candidates(self, state: _State) -> Iterator[tuple[int, Operation]]:
-        """The calls that may come next: none that is not placed has ended before they began."""
+        """The calls that may come next: those that started before any remaining call ended."""
         earliest_end = float("inf")
         for index, operation in enumerate(self._operations):
             if operation.started_at > earliest_end:
@@ -164,7 +164,7 @@
         if operation.kind is Kind.READ:
             return operation.change == state.current
         if operation.change in self._refused:
-            # Whichever of its calls came first may have been the one that was refused for good.
+            # Any call with this change may be the first one, in which it was refused permanently.
             return operation.change in state.refused or not _is_acceptable(state, operation.change)
         return operation.change in state.in_force
 
--- a/roselink/simulation/machine.py
+++ b/roselink/simulation/machine.py
@@ -1,4 +1,4 @@
-"""A simulated core machine: the real member and pull service, and a disk that outlives them."""
+"""A simulated core machine: the real member and pull service, and a disk that outlives both."""
 
 from __future__ import annotations
 
@@ -40,32 +40,32 @@
     from roselink.simulation.cluster import Cluster
     from roselink.simulation.network import ReplyHandler
 
-# How long a save takes, in seconds, times a factor drawn between the two bounds.
+# The latency of a save, in seconds, and the bounds of a random factor that it is multiplied by.
 SAVE_LATENCY_S = 0.015
 LATENCY_FACTORS = (0.7, 1.5)
-# How often a stalled disk is checked, in seconds.
+# The interval at which a save on a stalled disk is retried, in seconds.
 STALL_POLL_S = 0.05
-# Operations on the disk of one save, about; a killed process ends at one of them.
+# The approximate number of disk operations of one save; a killed process ends at one of them.
 STEPS_PER_SAVE = 14
 FORWARD_TIMEOUT_S = 0.4
-# In each period of so many seconds a quota's share of the processor can be spent.
+# The period of processor quotas, in seconds.
 QUOTA_PERIOD_S = 0.1
 MIN_WAIT_S = 1e-6
-# Between two readings of the platform's list of hosts, and until the list is there, in seconds.
+# The interval of calls for the platform's host list, and the latency of a call, in seconds.
 HOST_LIST_INTERVAL_S = 0.3
 HOST_LIST_LATENCY_S = 0.02
 
 
 @dataclass
 class Disk:
-    """A disk that saves one record after the other, through the real `Storage`.
+    """A disk that saves one record at a time through the real `Storage`.
 
     Attributes:
-        files: the folder, with what a loss of power leaves of it.
-        queue: the saves that have not ended.
-        latency_s: how long a save takes, in seconds.
-        busy: whether a save has begun.
-        stalled: whether no save ends.
+        files: the folder, which simulates losses of power.
+        queue: the saves that have not completed.
+        latency_s: the latency of a save before the random factor, in seconds.
+        busy: whether a save is in progress.
+        stalled: whether no save completes.
     """
 
     files: MemoryFiles = field(default_factory=MemoryFiles)
@@ -76,7 +76,7 @@
 
     @property
     def full(self) -> bool:
-        """Whether the disk refuses every write."""
+        """Whether the disk is full, so that every write fails."""
         return self.files.full
 
     @full.setter
@@ -86,40 +86,40 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessorQuota:
-    """A share of a core as a quota: full speed until it is spent, then nothing for a while.
+    """A processor quota: in each period the process runs until its share is spent.
 
     Attributes:
         busy_s: how long the process runs in each period, in seconds.
-        phase_s: when its periods begin, in seconds.
+        phase_s: the start of one of its periods, in seconds of virtual time.
     """
 
     busy_s: float
     phase_s: float
 
     def throttled_s(self, now: float) -> float:
-        """How long the process stands still from now on; 0 while it runs."""
+        """How long the process is throttled from now on, in seconds; 0 while it runs."""
         into_period_s = (now - self.phase_s) % QUOTA_PERIOD_S
         if into_period_s < self.busy_s:
             return 0.0
-        # A rest that rounding leaves of a period must not be waited for without end.
+        # Rounding may leave a wait too short to advance the clock, which would be repeated forever.
         return max(QUOTA_PERIOD_S - into_period_s, MIN_WAIT_S)
 
 
 class Machine:
-    """One core machine, its disk and at most one process.
+    """One core machine with a disk and at most one process.
 
     Attributes:
         address: its peer address, host and port.
         member: the state machine of its process; None while no process runs.
         process_number: counts starts and ends of processes; a step that was scheduled under
             another number is dropped.
-        frozen: whether the process stands still.
-        deferred: the inputs that a frozen process finds when it resumes.
-        quota: the processor's quota; None if the process runs all the time.
+        frozen: whether the process is suspended.
+        deferred: the inputs that arrived while the process was suspended.
+        quota: the processor quota; None if the process is never throttled.
     """
 
     def __init__(self, cluster: Cluster, address: str) -> None:
-        """Make a machine with an empty disk and no process."""
+        """Create a machine with an empty disk and no process."""
         self.cluster = cluster
         self.address = address
         self.disk = Disk()
@@ -136,11 +136,11 @@
 
     @property
     def running(self) -> bool:
-        """Whether its process runs."""
+        """Whether it has a process that is not suspended."""
         return self.member is not None and not self.frozen
 
     def start(self, *, bootstrap: bool = False) -> None:
-        """Start a process on the disk as it is; with `bootstrap` it may form a new core."""
+        """Start a process from the records on the disk; with `bootstrap` it may form a new core."""
         self.process_number += 1
         self.storage = Storage(FOLDER, self.disk.files)
         votes, state = self.storage.load()
@@ -163,11 +163,11 @@
         self._read_platform(self.process_number)
 
     def kill(self, *, power_loss: bool = False) -> None:
-        """End the process at once, maybe in a save.
+        """End the process at once, possibly during a save.
 
         Args:
-            power_loss: whether the machine loses power too, so that writes that were not synced
-                may be lost or torn.
+            power_loss: whether the machine loses power too, so that unsynced writes may be lost or
+                torn.
         """
         self.process_number += 1
         self.member = None
@@ -185,7 +185,7 @@
             self.disk.files.lose_power(self.cluster.random)
 
     def _interrupt_save(self, save: Persist) -> None:
-        """Begin a save that ends at a random disk operation."""
+        """Run a save that crashes at a random disk operation."""
         files = self.disk.files
         files.inject_failure(
             self.cluster.random.randint(1, STEPS_PER_SAVE), ProcessCrashError, persistent=True
@@ -193,20 +193,20 @@
         try:
             self.storage.save(save.store, record_number(save.store), save.payload)
         except (ProcessCrashError, OSError):
-            pass  # the disk stays as the save left it
+            pass  # the disk keeps the state that the save left
         finally:
             files.clear_failure()
 
     def wipe(self) -> None:
-        """Replace the disk by an empty one; only while no process runs."""
+        """Replace the disk by an empty one; no process may run."""
         self.disk = Disk()
 
     def freeze(self) -> None:
-        """Stop the process until it is resumed."""
+        """Suspend the process until `resume`."""
         self.frozen = True
 
     def resume(self) -> None:
-        """Resume a frozen process, which then handles the inputs that arrived meanwhile."""
+        """Resume a suspended process, which first handles the inputs that arrived meanwhile."""
         self.frozen = False
         deferred = self.deferred
         self.deferred = []
@@ -227,13 +227,13 @@
         self.perform(step(self.member))
 
     def _throttled_s(self) -> float:
-        """How long the process stands still from now on because its quota is spent."""
+        """How long the process is throttled from now on, in seconds."""
         return 0.0 if self.quota is None else self.quota.throttled_s(self.cluster.now)
 
     # --- calls
 
     def submit(self, change: ConfigurationChange, done: Callable[[SubmitOutcome], None]) -> None:
-        """SubmitRequest a configuration change to the process.
+        """Submit a configuration change to the process.
 
         Raises:
             ProcessNotRunningError: no process runs.
@@ -245,7 +245,7 @@
         self.perform(effects)
 
     def read(self, done: Callable[[Confirmation | None], None]) -> None:
-        """Have the process read the configuration, confirmed by the core.
+        """Have the process read the configuration and the core confirm it.
 
         Raises:
             ProcessNotRunningError: no process runs.
@@ -259,7 +259,7 @@
     def handle_pull(
         self, message: DeltaPullRequest | ForwardedDeltaPull, send_reply: ReplyHandler, _: Member
     ) -> list[Effect]:
-        """Handle a gateway's pull, or one that another member forwarded."""
+        """Handle a pull from a gateway, or one that another member forwarded."""
         number = self.cluster.next_number()
         self.pending_pulls[number] = send_reply
         forwarded = isinstance(message, ForwardedDeltaPull)
@@ -273,7 +273,7 @@
     # --- effects
 
     def perform(self, effects: list[Effect]) -> None:
-        """Carry out the effects of the member's state machine."""
+        """Carry out the effects that the member's state machine returned."""
         for effect in effects:
             if isinstance(effect, Send):
                 self.cluster.network.send(self.address, effect)
@@ -331,7 +331,7 @@
         self.run(process_number, step)
 
     def _read_platform(self, process_number: int) -> None:
-        """Have the tail read the platform's list of hosts periodically."""
+        """Request the platform's host list periodically while the member is the tail."""
         if process_number != self.process_number or self.member is None:
             return
         self.cluster.after(HOST_LIST_INTERVAL_S, partial(self._read_platform, process_number))
@@ -373,7 +373,7 @@
         self._save_next(process_number)
 
     def _verify(self, process_number: int, store: Store) -> None:
-        """Read a record back once the disk gets to it."""
+        """Read a record back after the latency of the disk."""
 
         def read(member: Member) -> list[Effect]:
             return member.verified(store, self.storage.verify(store), self.cluster.now)
--- a/roselink/simulation/model_checker.py
+++ b/roselink/simulation/model_checker.py
@@ -1,9 +1,9 @@
-"""An explicit-state model checker of the real state machines.
+"""An explicit-state model checker for the real state machines.
 
-It explores every order of a few steps, breadth first and each state once. A step delivers one
-message (any of them: links may reorder; one that is never delivered is lost), ends a save, ends a
-process with or without its disk, has a member propose another view or retransmit what has no reply,
-or begins a read. The invariants are checked in each state.
+It explores every order of a few steps, breadth first, and visits each state once. A step delivers
+one message (any of them, since links may reorder; an undelivered one counts as lost), completes a
+save, restarts a process with or without its disk, has a member propose another view or retransmit
+unanswered messages, or starts a read. The invariants are checked in each state.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
     import random
     from collections.abc import Iterator
 
-# The numbers of the records that carry a chosen view.
+# The record numbers of messages that carry a chosen view.
 _VIEW_RECORDS = frozenset((record_number_of_class(Decided), record_number_of_class(Sync)))
 
 
@@ -32,10 +32,10 @@
     """One step.
 
     Attributes:
-        kind: what happens.
-        machine: the address of the machine that it happens to.
+        kind: the kind of the step.
+        machine: the address of the machine that the step changes.
         message: the index of the delivered message.
-        without: the address that a proposed view leaves out; empty for none.
+        without: the address that a proposed view excludes; empty for none.
     """
 
     kind: StepKind
@@ -46,16 +46,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """How far an exploration goes, and how often each limited step may happen on one path.
+    """Limits of an exploration, and of the steps of some kinds on one path.
 
     Attributes:
-        depth: the longest path, in steps.
-        states: the most states.
-        kills: the most restarts with the disk, on one path.
-        wipes: the most restarts without the disk.
-        proposals: the most proposed views.
-        retransmissions: the most retransmissions.
-        reads: the most reads that the exploration begins.
+        depth: the maximum length of a path, in steps.
+        states: the maximum number of states.
+        kills: the maximum number of restarts that keep the disk, on one path.
+        wipes: the maximum number of restarts that lose the disk, on one path.
+        proposals: the maximum number of proposed views, on one path.
+        retransmissions: the maximum number of retransmissions, on one path.
+        reads: the maximum number of reads that steps start, on one path.
     """
 
     depth: int
@@ -68,7 +68,7 @@
 
     @property
     def limits(self) -> dict[StepKind, int]:
-        """How often each limited kind of step may happen on one path."""
+        """The maximum number of steps on one path, for each limited kind."""
         return {
             StepKind.KILL: self.kills,
             StepKind.WIPE: self.wipes,
@@ -80,14 +80,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Exploration:
-    """What was explored.
+    """The extent of an exploration.
 
     Attributes:
-        states: how many states.
-        steps: how many steps, those that led to a known state counted too.
-        depth: how many steps from the start, in the longest path.
-        seconds: how long it took.
-        complete: whether all paths of that depth were explored, not only `Bounds.states` states.
+        states: the number of distinct states.
+        steps: the number of steps, those that led to a known state included.
+        depth: the number of levels that were explored completely.
+        seconds: the duration of the exploration.
+        complete: whether all paths of that depth were explored; False if the exploration stopped at
+            `Bounds.states` states.
     """
 
     states: int
@@ -98,7 +99,7 @@
 
 
 def explore(system: System, bounds: Bounds) -> Exploration:
-    """Explore all orders of steps from a state.
+    """Explore all orders of steps from an initial state.
 
     Raises:
         InvariantViolatedError: an invariant does not hold in a state.
@@ -138,7 +139,7 @@
 
 
 def possible_steps(system: System, bounds: Bounds) -> Iterator[ModelStep]:
-    """All steps that may happen next."""
+    """All steps that are possible in a state; equal messages give one step."""
     for index, message in enumerate(system.messages):
         if message not in system.messages[:index]:
             yield ModelStep(StepKind.DELIVER, message.receiver, index)
@@ -157,7 +158,7 @@
 
 
 def state_after(system: System, step: ModelStep, path: tuple[ModelStep, ...] = ()) -> System:
-    """The state that a step leads to.
+    """The state after a step.
 
     Raises:
         InvariantViolatedError: an invariant does not hold in that state.
@@ -172,7 +173,7 @@
 
 
 def apply_step(system: System, step: ModelStep) -> None:
-    """Change a state by one step."""
+    """Apply a step to a state, in place."""
     match step.kind:
         case StepKind.DELIVER:
             system.deliver(step.message)
@@ -195,7 +196,7 @@
 
 
 def check_invariants(system: System) -> None:
-    """Check what must hold in every state.
+    """Check the invariants of a state.
 
     Raises:
         AssertionError: an invariant does not hold.
@@ -207,7 +208,7 @@
 
 
 def _views(system: System) -> dict[int, View]:
-    """All views that a member follows or a message carries, by epoch; check that each has one."""
+    """The views that members follow or messages carry, by epoch; check that each epoch has one."""
     views: dict[int, View] = {}
     known_views = [machine.view for machine in system.machines.values() if machine.view is not None]
     known_views += [
@@ -219,25 +220,25 @@
 
 
 def _check_heads(system: System) -> None:
-    """No two processes are the head of one epoch's chain."""
+    """Check that no two processes are the head of one epoch's chain."""
     heads = [m.view.epoch for m in system.machines.values() if m.is_head and m.view is not None]
     assert len(set(heads)) == len(heads), "two heads in one epoch"
 
 
 def _check_confirmed(system: System, newest: View) -> None:
-    """Each confirmed change has its own sequence; every possible head of the next view has it."""
+    """Check that confirmed changes have distinct sequences and are on each possible next head."""
     sequences = [sequence for _, sequence in system.client_knowledge.confirmed]
-    assert len(set(sequences)) == len(sequences), "two changes under one sequence"
+    assert len(set(sequences)) == len(sequences), "two changes have one sequence number"
     for link in newest.chain:
         stored = _stored(system.machines[link.voter.address], link.voter)
         if stored is None or stored.epoch < link.since:
-            continue  # not intact
+            continue  # a replica whose state is not intact can't become the head
         for digest, _ in system.client_knowledge.confirmed:
             assert _in_force(stored.state, digest), "a possible head lacks a confirmed change"
 
 
 def _check_refused(system: System) -> None:
-    """No refused change is in force at any member."""
+    """Check that no refused change is in force at any member."""
     for digest in system.client_knowledge.refused:
         for machine in system.machines.values():
             state = ConfigurationState(0, 0, b"", machine.durable_history)
@@ -250,14 +251,14 @@
 
 
 def _stored(machine: PackedMachine, voter: Voter) -> StoredState | None:
-    """The state on a disk, if it still belongs to this voter."""
+    """The configuration state on a disk, if the disk still belongs to this voter."""
     if not (machine.votes and machine.state):
         return None
     return stored_state(machine.state) if stored_votes(machine.votes).voter == voter else None
 
 
 def random_walk(system: System, bounds: Bounds, rng: random.Random) -> System:
-    """The state at the end of one random path, as long as the bounds are deep.
+    """The state at the end of a random path of at most `bounds.depth` steps.
 
     Raises:
         InvariantViolatedError: an invariant does not hold on the path.
--- a/roselink/simulation/network.py
+++ b/roselink/simulation/network.py
@@ -1,4 +1,4 @@
-"""Links between simulated machines and gateways: delays, losses, duplicates and partitions."""
+"""Links between simulated machines and gateways: delay, loss, duplication and partitions."""
 
 from __future__ import annotations
 
@@ -17,39 +17,39 @@
     from roselink.simulation.machine import Machine
     from roselink.simulation.scheduler import Scheduler
 
-# Handles the outcome of a pull, once: the reply, or None without one in time.
+# Called once with the reply to a pull, or with None after its time-out.
 ReplyHandler = Callable[[PullReply | DeltaPullReply | None], None]
 
-# The delay of a message, in seconds: uniform between these; of a late one, up to so much more.
+# The bounds of a message's random delay, and the maximum extra delay of a late one, in seconds.
 MIN_DELAY_S = 0.0002
 MAX_DELAY_S = 0.0014
 MAX_EXTRA_DELAY_S = 0.4
 
 
 class Network:
-    """Carries messages and calls through the real codec, by the state of the links.
+    """Delivers messages and calls, encoded by the real codec, depending on the state of the links.
 
     Attributes:
-        cut_links: the links that carry nothing, as (sender, receiver).
-        loss: the fraction of messages that are lost.
-        duplication: the fraction of messages that arrive twice.
-        lateness: the fraction of messages that are delayed much longer, and overtaken.
+        blocked_links: the links that deliver nothing, as (sender, receiver).
+        loss_rate: the fraction of messages that are lost.
+        duplication_rate: the fraction of messages that are sent twice.
+        extra_delay_rate: the fraction of messages with an extra delay, so that others overtake.
     """
 
     def __init__(
         self, scheduler: Scheduler, rng: random.Random, machines: Mapping[str, Machine]
     ) -> None:
-        """Connect machines, which may come and go in their mapping; all links carry."""
+        """Connect the machines in a mapping, which may change later; no link is blocked."""
         self._scheduler = scheduler
         self._random = rng
         self._machines = machines
         self.blocked_links: set[tuple[str, str]] = set()
         self.loss_rate = 0.0
         self.duplication_rate = 0.0
-        self.late_rate = 0.0
+        self.extra_delay_rate = 0.0
 
     def send(self, sender: str, send: Send) -> None:
-        """Send a message to a machine: late, twice or not at all, as the links are."""
+        """Send a message to a machine; it may be lost, duplicated or late."""
         copies = 1 + (self._random.random() < self.duplication_rate)
         for _ in range(copies):
             delay = self._delay_s()
@@ -68,7 +68,7 @@
         timeout_s: float,
         done: ReplyHandler,
     ) -> None:
-        """Send a call, which ends once: with the reply, or with None after the time-out.
+        """Send a call; `done` is called once, with the reply or with None after the time-out.
 
         A reply after the time-out is dropped.
         """
@@ -101,27 +101,27 @@
         self._scheduler.after(timeout_s, lambda: finish(None))
 
     def block_link(self, sender: str, receiver: str, *, one_way: bool = False) -> None:
-        """Cut the link between two addresses, or only that from the sender to the receiver."""
+        """Block the link between two addresses, or only the direction from sender to receiver."""
         self.blocked_links.add((sender, receiver))
         if not one_way:
             self.blocked_links.add((receiver, sender))
 
     def isolate(self, address: str) -> None:
-        """Cut a machine off from all other machines; gateways still reach it."""
+        """Block the links between a machine and all others; gateways still reach it."""
         for other in self._machines:
             if other != address:
                 self.block_link(address, other)
 
     def restore_links(self) -> None:
-        """Have all links carry again."""
+        """Unblock all links."""
         self.blocked_links.clear()
 
     def _delay_s(self) -> float | None:
-        """How long a message takes, in seconds, or None when it is lost."""
+        """The random delay of a message, in seconds; None if the message is lost."""
         if self._random.random() < self.loss_rate:
             return None
         delay = self._random.uniform(MIN_DELAY_S, MAX_DELAY_S)
-        if self._random.random() < self.late_rate:
+        if self._random.random() < self.extra_delay_rate:
             delay += self._random.uniform(0.0, MAX_EXTRA_DELAY_S)
         return delay
 
@@ -134,7 +134,7 @@
             )
 
     def _reachable_machine(self, sender: str, receiver: str) -> Machine | None:
-        """The machine that a message reaches, if it has a process and the link carries."""
+        """The receiver of a message, if it has a process and the link is not blocked."""
         machine = self._machines.get(receiver)
         if machine is None or machine.member is None or (sender, receiver) in self.blocked_links:
             return None
--- a/roselink/simulation/packing.py
+++ b/roselink/simulation/packing.py
@@ -1,4 +1,4 @@
-"""A model checker's machines as values: packed to bytes, with a fingerprint for comparison."""
+"""The model checker's machines as values: pickled, with a fingerprint for comparison."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
     from roselink.protocol.chain import AcceptorState, StoredState, View
 
-# The record number of each of a disk's two records.
+# The record numbers of the two records on a disk.
 RECORD_NUMBERS = {Store.ACCEPTOR: 33, Store.STATE: 36}
-# How many decoded records are kept.
+# How many decoded records are cached.
 CACHE_SIZE = 4096
 
 # Caches by class: the names of its fields, and whether its objects are immutable values.
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class UnpackedMachine:
-    """One machine, unpacked.
+    """One machine in its mutable form.
 
     Attributes:
         member: the state machine of its process.
@@ -47,17 +47,17 @@
 
 @dataclass(frozen=True, slots=True)
 class PackedMachine:
-    """One machine, packed, and what the invariants need of it.
+    """One machine as an immutable value, with the data that the invariants need.
 
     Attributes:
         data: the pickled machine.
-        fingerprint: equal for machines that differ in nothing that decides their behaviour.
+        fingerprint: equal for machines with the same behaviour-relevant state.
         view: the view that the process follows.
         is_head: whether the process is the head of that view's chain.
-        saving: whether a save is not durable yet.
-        votes: the record of the votes on the disk; empty if there is none.
-        state: the record of the configuration state on the disk; empty if there is none.
-        durable_history: the history that the process takes for durable.
+        saving: whether any save is not durable yet.
+        votes: the record with the votes on the disk; empty if there is none.
+        state: the record with the configuration state on the disk; empty if there is none.
+        durable_history: the history that the process considers durable.
     """
 
     data: bytes
@@ -71,13 +71,13 @@
 
 
 def unpack(packed: PackedMachine) -> UnpackedMachine:
-    """A copy of the machine that may be changed."""
+    """A mutable copy of the machine."""
     machine: UnpackedMachine = pickle.loads(packed.data)
     return machine
 
 
 def pack(machine: UnpackedMachine) -> PackedMachine:
-    """The machine as a value."""
+    """The machine as an immutable value."""
     member = machine.member
     components = (
         _hashable(member),
@@ -99,14 +99,14 @@
 
 @lru_cache(maxsize=CACHE_SIZE)
 def stored_state(data: bytes) -> StoredState:
-    """Decode the record of the configuration state on a disk."""
+    """Decode the record with the configuration state on a disk."""
     stored: StoredState = decode(RECORD_NUMBERS[Store.STATE], data)
     return stored
 
 
 @lru_cache(maxsize=CACHE_SIZE)
 def stored_votes(data: bytes) -> AcceptorState:
-    """Decode the record of the votes on a disk."""
+    """Decode the record with the votes on a disk."""
     votes: AcceptorState = decode(RECORD_NUMBERS[Store.ACCEPTOR], data)
     return votes
 
@@ -121,7 +121,7 @@
 
 
 def _is_value(kind: type[Any]) -> bool:
-    """Whether its objects are immutable, with a hash of their content."""
+    """Whether the objects of a class are immutable and hashable by content."""
     known = _is_value_type.get(kind)
     if known is None:
         parameters = getattr(kind, "__dataclass_params__", None)
@@ -132,10 +132,10 @@
 
 
 def _hashable(value: Any) -> Any:
-    """A hashable copy of a part of a machine, without callables and times.
+    """A hashable copy of an object of a machine, without callables and times.
 
     Raises:
-        UnknownStateError: the part has a class that no part of a machine should have.
+        UnsupportedTypeError: no copy is defined for the class of the object.
     """
     kind = type(value)
     if _is_value(kind):
@@ -154,7 +154,7 @@
 
 
 def _hashable_member(member: Member) -> tuple[Any, ...]:
-    """The parts of a member that decide its behaviour."""
+    """The components of a member that determine its behaviour."""
     components = (
         member.acceptor,
         member.reply_gate,
--- a/roselink/simulation/scenarios.py
+++ b/roselink/simulation/scenarios.py
@@ -1,4 +1,4 @@
-"""Simulated days: each injects faults into a control plane and ends with checks of its history."""
+"""Scenarios: each injects faults into a simulated control plane, then checks its history."""
 
 from __future__ import annotations
 
@@ -49,11 +49,11 @@
     from roselink.simulation.machine import Machine
 
 GATEWAY_COUNT = 3
-# Until all machines form the first view, in virtual seconds.
+# The time in which all machines form the first view, in virtual seconds.
 FIRST_VIEW_S = 3.0
-# Within this time the scrub has read each record of every member, in virtual seconds.
+# The time in which the scrub reads each record of every member, in virtual seconds.
 SCRUB_S = 2 * (FIRST_FACTOR + FACTOR_RANGE) * INTERVAL_S + 1.0
-# From the last fault to the checks, in virtual seconds.
+# The time from the last fault to the checks, in virtual seconds.
 SETTLING_S = 8.0
 OVERLAPPING_FAULTS = (
     Fault.KILL,
@@ -66,23 +66,24 @@
     Fault.LINK,
     Fault.GATEWAY,
 )
-# The fractions of messages that lossy links lose, send twice, and delay.
+# The fractions of messages that lossy links lose, duplicate and delay.
 LOSS_RATE = 0.02
 DUPLICATION_RATE = 0.05
-LATE_RATE = 0.05
-OVERLAPPING_FAULTS_LATE_RATE = 0.1
+EXTRA_DELAY_RATE = 0.05
+OVERLAPPING_FAULTS_EXTRA_DELAY_RATE = 0.1
 OVERLAPPING_FAULT_COUNT = 40
 
 
 @dataclass(frozen=True, slots=True)
 class ScenarioResult:
-    """What clients did in a scenario that passed.
+    """Statistics of the clients in a scenario that passed.
 
     Attributes:
-        confirmed: calls whose change was confirmed.
-        readings: configurations that were returned as the newest.
-        key_uses: requests that gateways let through with a key.
-        slowest_s: the longest time from the first send of a change to its confirmation, seconds.
+        confirmed: the number of calls whose change was confirmed.
+        observations: the number of configurations that were returned as the newest.
+        key_uses: the number of requests that gateways admitted with a key.
+        max_confirmation_latency_s: the longest time from the first send of a change to its
+            confirmation, in seconds.
     """
 
     confirmed: int
@@ -92,7 +93,7 @@
 
 
 class Scenario:
-    """A cluster with its clients, and the checks at the end."""
+    """A cluster with its clients, and the checks at the end of a scenario."""
 
     def __init__(self, cluster: Cluster) -> None:
         """Add two operators, two readers and three gateways to a cluster."""
@@ -102,24 +103,24 @@
         self.gateways = [Gateway(cluster, f"gateway-{number}") for number in range(GATEWAY_COUNT)]
 
     def finish(self, settling_s: float = SETTLING_S) -> ScenarioResult:
-        """Stop operators and readers, let the cluster recover, and check."""
+        """Stop operators and readers, wait until the cluster has recovered, and check."""
         self.stop()
         self.cluster.run(settling_s)
         return self.check()
 
     def stop(self) -> None:
-        """Have operators and readers begin no more calls; gateways go on."""
+        """Have operators and readers start no more calls; gateways continue."""
         for operator in self.operators:
             operator.stopped = True
         for reader in self.readers:
             reader.stopped = True
 
     def check(self) -> ScenarioResult:
-        """Check, once all faults are repaired, every member's state and the whole history.
+        """Check every member's state and the complete history; all faults must be repaired.
 
         Raises:
-            ScenarioError: the chain is not active, a machine did not recover, a confirmed change is
-                lost, or one register can't explain the history.
+            ScenarioError: no chain is active, a machine did not recover, a confirmed change is
+                lost, or the history is impossible for one linearizable register.
         """
         cluster = self.cluster
         history = cluster.history
@@ -134,7 +135,7 @@
         if violations:
             raise InconsistentHistoryError(violations)
         if not is_linearizable(operations_of(history)):
-            raise InconsistentHistoryError((Violation("not linearizable", "no order of calls"),))
+            raise InconsistentHistoryError((Violation("not linearizable", "no valid order"),))
         if any(gateway.host_list_regressions for gateway in self.gateways):
             raise HostListRegressedError
         confirmed = sum(call.result is CallResult.CONFIRMED for call in history.calls)
@@ -149,7 +150,7 @@
 
 
 def read(cluster: Cluster, machine: Machine, timeout_s: float = 4.0) -> Confirmation | None:
-    """Read the configuration at one machine, and wait for the outcome.
+    """Read the configuration at one machine, and wait for the result.
 
     Raises:
         ReadTimedOutError: the read did not end within the time-out.
@@ -162,7 +163,7 @@
 
 
 def record_confirmed_read(cluster: Cluster, machine: Machine) -> None:
-    """Read at one machine, and record the outcome in the history.
+    """Read at one machine, and record the result in the history.
 
     Raises:
         UnconfirmedReadError: the read was not confirmed.
@@ -177,7 +178,7 @@
 
 
 def in_chain(cluster: Cluster, machine: Machine) -> bool:
-    """Whether a machine takes part in the newest view's active chain."""
+    """Whether a machine takes part in the active chain of the newest view."""
     tail = cluster.active_tail()
     member = machine.member
     if tail is None or member is None or tail.member is None:
@@ -187,7 +188,7 @@
 
 
 def _check_state(cluster: Cluster, machine: Machine) -> None:
-    """Check that a member's disk holds confirmed changes, and no refused ones."""
+    """Check that a member's disk has all confirmed changes and no refused ones."""
     if machine.member is None:
         return
     state = machine.member.chain.durable
@@ -202,24 +203,24 @@
             raise RefusedChangeInForceError(call.change)
 
 
-# --- kinds of days
+# --- scenarios
 
 
 def run_fault_episodes(
     seed: int, machines: int, tolerated: int, *, lossy: bool, episodes: int = 6
 ) -> ScenarioResult:
-    """Inject faults one after the other, or at once up to the tolerated number."""
+    """Inject faults in sequence, or up to the tolerated number at the same time."""
     cluster = Cluster(seed, machines, tolerated)
     network = cluster.network
     if lossy:
         network.loss_rate = LOSS_RATE
         network.duplication_rate = DUPLICATION_RATE
-        network.late_rate = LATE_RATE
+        network.extra_delay_rate = EXTRA_DELAY_RATE
     return _run_episodes(cluster, episodes)
 
 
 def run_processor_quota(seed: int, machines: int, tolerated: int) -> ScenarioResult:
-    """Inject the same faults while each machine's processor has a quota."""
+    """Inject the faults of `run_fault_episodes` while each machine has a processor quota."""
     cluster = Cluster(seed, machines, tolerated)
     limit_processors(cluster)
     return _run_episodes(cluster, episodes=6)
@@ -235,12 +236,12 @@
 
 
 def run_overlapping_faults(seed: int, machines: int, tolerated: int) -> ScenarioResult:
-    """Kill, freeze or cut off any number of machines at any time; disks stay."""
+    """Kill, freeze or partition any number of machines at any time; no disk is lost."""
     cluster = Cluster(seed, machines, tolerated)
     network = cluster.network
     network.loss_rate = LOSS_RATE
     network.duplication_rate = DUPLICATION_RATE
-    network.late_rate = OVERLAPPING_FAULTS_LATE_RATE
+    network.extra_delay_rate = OVERLAPPING_FAULTS_EXTRA_DELAY_RATE
     scenario = Scenario(cluster)
     cluster.run(FIRST_VIEW_S)
     rng = cluster.random
@@ -264,17 +265,17 @@
 
 
 def run_long_partition(seed: int, machines: int = 3) -> ScenarioResult:
-    """Cut a member off for twenty seconds, both ways or one way; all clients reach it."""
+    """Partition a member for twenty seconds, in one or both directions; all clients reach it."""
     cluster = Cluster(seed, machines, 1)
     scenario = Scenario(cluster)
     cluster.run(FIRST_VIEW_S)
     rng = cluster.random
     victim = rng.choice(list(cluster.machines.values()))
     one_way = rng.random() < 0.4
-    inwards = rng.random() < 0.5
+    inbound = rng.random() < 0.5
     for other in cluster.machines:
         if other != victim.address:
-            link = (other, victim.address) if inwards else (victim.address, other)
+            link = (other, victim.address) if inbound else (victim.address, other)
             cluster.network.block_link(*link, one_way=one_way)
     if rng.random() < 0.5:
         others = [address for address in cluster.seeds if address != victim.address]
@@ -288,7 +289,7 @@
 
 
 def run_rolling_repair(seed: int, machines: int = 3) -> ScenarioResult:
-    """Replace or wipe one machine after the other, the next as soon as the last has recovered."""
+    """Replace or wipe machines one at a time, each as soon as the previous one has recovered."""
     cluster = Cluster(seed, machines, 1)
     scenario = Scenario(cluster)
     cluster.run(FIRST_VIEW_S)
@@ -307,9 +308,10 @@
 
 
 def run_split_brain(seed: int, machines: int, tolerated: int) -> ScenarioResult:
-    """Partition the core in halves, with losses of power in both, that overlap.
+    """Partition the core into halves, and inject overlapping faults into both.
 
-    No more disks are lost than is tolerated. Operators, readers and gateways reach both halves.
+    At most the tolerated number of disks is lost. Operators, readers and gateways reach both
+    halves.
     """
     cluster = Cluster(seed, machines, tolerated)
     scenario = Scenario(cluster)
@@ -334,9 +336,10 @@
 
 
 def run_bit_rot(seed: int, machines: int, tolerated: int) -> ScenarioResult:
-    """Have records rot on disks while their members run: one after the other, and beside losses.
+    """Corrupt records on the disks of running members, in sequence and together with lost disks.
 
-    Rotten copies that the scrub has not found yet count as lost disks, and no more are lost.
+    A corrupted copy that the scrub has not found yet counts as a lost disk; together no more than
+    the tolerated number are lost.
     """
     cluster = Cluster(seed, machines, tolerated)
     scenario = Scenario(cluster)
@@ -357,7 +360,7 @@
     return scenario.finish()
 
 
-# By the remainder of the seed by 16; the other days are of faults one after the other.
+# Scenarios by the seed modulo 16; seeds with other remainders run `run_fault_episodes`.
 _SCENARIO_OF_REMAINDER: dict[int, Callable[[int, int, int], ScenarioResult]] = {
     1: lambda seed, machines, _: run_long_partition(seed, machines),
     3: lambda seed, machines, _: run_rolling_repair(seed, machines),
@@ -368,18 +371,18 @@
 
 
 def run_scenario_of_seed(seed: int) -> ScenarioResult:
-    """Run a day whose kind, size and links follow from its seed."""
+    """Run a scenario whose kind, number of machines and links are derived from the seed."""
     machines = 3 + seed % 3
     tolerated = 2 if machines == 5 else 1
     if seed % 4 == 0:
         return run_overlapping_faults(seed, machines, 1)
-    if (day := _SCENARIO_OF_REMAINDER.get(seed % 16)) is not None:
-        return day(seed, machines, tolerated)
+    if (scenario := _SCENARIO_OF_REMAINDER.get(seed % 16)) is not None:
+        return scenario(seed, machines, tolerated)
     return run_fault_episodes(seed, machines, tolerated, lossy=bool(seed % 2))
 
 
 def _run_episode(scenario: Scenario, episode: int) -> None:
-    """Inject faults within what is tolerated, and wait until their machines have recovered."""
+    """Inject tolerated faults, and wait until the machines have recovered."""
     cluster = scenario.cluster
     rng = cluster.random
     fault = rng.choice(MACHINE_FAULTS + CLUSTER_FAULTS)
--- a/roselink/simulation/scheduler.py
+++ b/roselink/simulation/scheduler.py
@@ -1,4 +1,4 @@
-"""Virtual time: scheduled steps run in the order of their times, and only they move the clock."""
+"""Virtual time: scheduled steps run in time order, and only they advance the clock."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Scheduler:
-    """Runs steps in the order of their times, steps of one moment in the order of scheduling.
+    """Runs steps in the order of their times, and simultaneous ones in the order of scheduling.
 
     Attributes:
         now: the virtual time, in seconds.
--- a/roselink/simulation/system_state.py
+++ b/roselink/simulation/system_state.py
@@ -1,8 +1,8 @@
-"""The state of a core of three members, as a value that a model checker can keep by thousands.
+"""The state of a core of three members, compact enough for a model checker to keep thousands.
 
 A state has the members with their disks, and all messages in flight. A step unpacks the machines
-that it concerns, changes them, and packs them again; all others are shared between states. Time
-does not pass. A process that ends loses what was in flight to it and starts again at once.
+that it changes and packs them again; all other machines are shared between states. The clock stands
+still. A process that ends loses the messages in flight to it and restarts at once.
 """
 
 from __future__ import annotations
@@ -31,16 +31,16 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-# The time of all steps, in seconds; and a time by which all retry intervals are over.
+# The time of all steps, and a time by which all retry intervals have elapsed, in seconds.
 NOW = 100.0
 RETRANSMIT_TIME = NOW + 10.0
 ADDRESSES = ("a:1", "b:1", "c:1")
-# A process numbers its calls from its session on; sessions are so far apart.
+# A process numbers its calls from its session number on; sessions differ by this many numbers.
 CALLS_PER_PROCESS = 1000
 
 
 class StepKind(Enum):
-    """What may happen next. All but the first two may happen only so often on one path."""
+    """The kinds of steps. The number of all but the first two is limited on each path."""
 
     DELIVER = "deliver"
     SAVE = "save"
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Message:
-    """A record in flight, as it goes on the wire."""
+    """An encoded record in flight."""
 
     receiver: str
     number: int
@@ -62,15 +62,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientKnowledge:
-    """What clients know.
+    """What clients have submitted and the results that they have received.
 
     Attributes:
-        commands: the submitted changes, by the numbers of their calls.
-        confirmed: the sequences of confirmed changes, by their digests.
+        changes: the submitted changes, by the numbers of their calls.
+        confirmed: the sequence numbers of confirmed changes, by digest.
         refused: the digests of refused changes.
-        read_floors: of the reads in flight, by their numbers: the newest sequence that was known
-            before the read began.
-        newest: the newest sequence that was confirmed or returned by a read.
+        read_lower_bounds: the newest sequence number that was known before each read in flight
+            started, by the number of the read.
+        newest: the newest sequence number that was confirmed or returned by a read.
     """
 
     changes: tuple[tuple[int, ConfigurationChange], ...] = ()
@@ -82,13 +82,13 @@
 
 @dataclass(slots=True)
 class System:
-    """One state, changed only by its methods; `copy` it before a step.
+    """One state, modified by the methods for steps; call `copy` before a step to keep it.
 
     Attributes:
-        machines: the packed machines, by their addresses.
+        machines: the packed machines, by address.
         messages: the messages in flight.
         step_counts: how often each kind of limited step has happened on the path to this state.
-        known: what clients know.
+        client_knowledge: the calls and results of clients.
     """
 
     machines: dict[str, PackedMachine] = field(default_factory=dict)
@@ -97,13 +97,13 @@
     client_knowledge: ClientKnowledge = field(default_factory=ClientKnowledge)
 
     def copy(self) -> System:
-        """Another state that is equal; machines and messages are shared values."""
+        """An equal state, which shares the machines and messages."""
         return System(
             dict(self.machines), self.messages, dict(self.step_counts), self.client_knowledge
         )
 
     def fingerprint(self) -> int:
-        """Equal for states that differ in nothing that decides their behaviour."""
+        """Equal for states with the same behaviour-relevant content."""
         machines = tuple(machine.fingerprint for machine in self.machines.values())
         counts = tuple(sorted((kind.value, count) for kind, count in self.step_counts.items()))
         return hash((tuple(sorted(self.messages)), machines, counts, self.client_knowledge))
@@ -111,7 +111,7 @@
     # --- steps
 
     def deliver(self, index: int) -> None:
-        """Deliver the message at an index of `messages`."""
+        """Deliver the message with this index in `messages`."""
         message = self.messages[index]
         self.messages = self.messages[:index] + self.messages[index + 1 :]
         machine = unpack(self.machines[message.receiver])
@@ -137,7 +137,7 @@
         self._begin(address, {} if wiped else machine.disk, machine.starts + 1, bootstrap=False)
 
     def propose(self, address: str, without: str) -> None:
-        """Have a member propose the view that it would if another member had failed."""
+        """Have a member propose the view that it would propose if another member had failed."""
         machine = unpack(self.machines[address])
         member = machine.member
         if member.view is None or not member.acceptor.is_voter:
@@ -152,7 +152,7 @@
             self._perform(address, machine, member.collect_effects(NOW))
 
     def retransmit(self, address: str) -> None:
-        """Have a member send again whatever had no reply."""
+        """Have a member retransmit all messages without a reply."""
         machine = unpack(self.machines[address])
         member = machine.member
         member.chain.resend(RETRANSMIT_TIME)
@@ -248,7 +248,7 @@
         newest = self.client_knowledge.newest
         if done.confirmation is not None:
             sequence = done.confirmation.sequence
-            assert sequence >= lower_bound, "a read is older than what was known before it began"
+            assert sequence >= lower_bound, "a read returned less than was known before it started"
             newest = max(newest, sequence)
         self.client_knowledge = replace(
             self.client_knowledge,
@@ -258,7 +258,7 @@
 
 
 def _membership_of(members: Mapping[str, Member]) -> dict[str, PeerStatus]:
-    """The membership in which these members are healthy and reach each other and nobody else."""
+    """The status of these members if all are healthy and reach only each other."""
     reachable = frozenset(members)
     return {
         address: _peer_status_of(member, reachable - {address})
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -93,7 +93,7 @@
                 await run.until("serving")
                 await run.until("killing router")
                 killed = _KILLED.findall(await run.until("killing controller"))[0]
-                await run.until("configuration 2 taken")
+                await run.until("configuration 2 confirmed")
                 await run.serve_more()
                 # Its second process ends as all others do once it has started.
                 await run.until_logged(folder / killed / "log", '"core_started"', 2)
