--- a/tests/lab/test_components.py
+++ b/tests/lab/test_components.py
@@ -1,4 +1,4 @@
-"""The lab's own parts: clients that detect faults, hosts, readiness, processes that can't start."""
+"""The lab's components: fault detection of clients, hosts, readiness and failed starts."""
 
 from __future__ import annotations
 
@@ -30,83 +30,83 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-BOUND_S = 10.0
-Script = Callable[[Head], bytes]  # what a gateway says to a request, before it ends the connection
+TIMEOUT_S = 10.0
+Responder = Callable[[Head], bytes]  # a response, after which the gateway disconnects
 
 
-def stamped(head: Head) -> dict[str, str]:
+def signed_headers(head: Head) -> dict[str, str]:
     return {"X-Response-Signature": signature(head.headers["x-request-id"])}
 
 
 def events(head: Head, *numbers: int) -> bytes:
     body = b"".join(encode_chunk(encode_event(head.path, number)) for number in numbers)
-    return encode_message("HTTP/1.1 200 OK", stamped(head), None) + body
+    return encode_message("HTTP/1.1 200 OK", signed_headers(head), None) + body
 
 
-def whole(head: Head) -> bytes:
+def complete(head: Head) -> bytes:
     first = int(head.headers.get("last-event-id", "0")) + 1
     return events(head, *range(first, 4)) + encode_chunk(b"")
 
 
-def cut(head: Head) -> bytes:
+def aborted(head: Head) -> bytes:
     return events(head, 1, 2)
 
 
-def gap(head: Head) -> bytes:
+def missing_event(head: Head) -> bytes:
     return events(head, 1, 3) + encode_chunk(b"")
 
 
-def short(head: Head) -> bytes:
+def too_few_events(head: Head) -> bytes:
     return events(head, 1) + encode_chunk(b"")
 
 
-def unstamped(head: Head) -> bytes:
-    return whole(head).replace(b"X-Response-Signature", b"X-Other")
+def unsigned(head: Head) -> bytes:
+    return complete(head).replace(b"X-Response-Signature", b"X-Other")
 
 
-def other_body(head: Head) -> bytes:
-    return encode_message("HTTP/1.1 200 OK", stamped(head), b"something else")
+def unexpected_body(head: Head) -> bytes:
+    return encode_message("HTTP/1.1 200 OK", signed_headers(head), b"something else")
 
 
-def plain(head: Head) -> bytes:
-    return encode_message("HTTP/1.1 200 OK", stamped(head), encode_record(head.path))
+def plain_body(head: Head) -> bytes:
+    return encode_message("HTTP/1.1 200 OK", signed_headers(head), encode_record(head.path))
 
 
-def status(code: int) -> Script:
+def status(code: int) -> Responder:
     return lambda _head: encode_message(f"HTTP/1.1 {code} -", {"Retry-After": "0.01"})
 
 
-def nothing(_head: Head) -> bytes:
+def no_response(_head: Head) -> bytes:
     return b""
 
 
 @pytest.mark.parametrize(
-    ("kind", "scripts", "outcome", "retries"),
+    ("service", "responders", "outcome", "retries"),
     [
-        ("chat", [whole], Outcome.SERVED, 0),
-        ("chat", [cut, whole], Outcome.SERVED, 1),
-        ("chat", [nothing, status(503), status(502), whole], Outcome.SERVED, 3),
-        ("chat", [cut, cut, cut, cut], Outcome.FAILED, 3),
-        ("chat", [gap, gap, gap, gap], Outcome.FAILED, 3),
-        ("chat", [short, gap, gap, gap], Outcome.FAILED, 3),
-        ("chat", [unstamped] * 4, Outcome.FAILED, 3),
+        ("chat", [complete], Outcome.SERVED, 0),
+        ("chat", [aborted, complete], Outcome.SERVED, 1),
+        ("chat", [no_response, status(503), status(502), complete], Outcome.SERVED, 3),
+        ("chat", [aborted, aborted, aborted, aborted], Outcome.FAILED, 3),
+        ("chat", [missing_event, missing_event, missing_event, missing_event], Outcome.FAILED, 3),
+        ("chat", [too_few_events, missing_event, missing_event, missing_event], Outcome.FAILED, 3),
+        ("chat", [unsigned] * 4, Outcome.FAILED, 3),
         ("chat", [status(503)] * 4, Outcome.REFUSED, 3),
         ("chat", [status(429)] * 4, Outcome.REFUSED, 3),
         ("chat", [status(504)] * 4, Outcome.FAILED, 3),
-        ("lookup", [plain], Outcome.SERVED, 0),
-        ("lookup", [other_body] * 4, Outcome.FAILED, 3),
+        ("lookup", [plain_body], Outcome.SERVED, 0),
+        ("lookup", [unexpected_body] * 4, Outcome.FAILED, 3),
     ],
 )
-def test_a_client_tells_how_its_request_ended(
+def test_client_counts_the_outcome_of_its_request(
     monkeypatch: pytest.MonkeyPatch,
-    kind: str,
-    scripts: list[Script],
+    service: str,
+    responders: list[Responder],
     outcome: Outcome,
     retries: int,
 ) -> None:
-    monkeypatch.setattr(clients, "LOOKUP_FRACTION", 1.0 if kind == "lookup" else 0.0)
+    monkeypatch.setattr(clients, "LOOKUP_FRACTION", 1.0 if service == "lookup" else 0.0)
     monkeypatch.setattr(clients, "EVENT_COUNT_RANGE", (3, 3))
-    remaining = iter(scripts)
+    remaining = iter(responders)
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         head = await read_head(reader)
@@ -114,8 +114,8 @@
         writer.write(next(remaining)(head))
         writer.close()
 
-    async def work() -> Statistics:
-        async with asyncio.timeout(BOUND_S):
+    async def run() -> Statistics:
+        async with asyncio.timeout(TIMEOUT_S):
             server = await asyncio.start_server(serve, "127.0.0.1", 0)
             address = server.sockets[0].getsockname()[:2]
             statistics = Statistics()
@@ -131,12 +131,12 @@
             server.close()
             return statistics
 
-    statistics = asyncio.run(work())
+    statistics = asyncio.run(run())
     assert statistics.outcomes == dict.fromkeys(Outcome, 0) | {outcome: 1}
     assert statistics.retries == retries
     assert len(statistics.faults) == (1 if outcome is Outcome.FAILED else 0)
     assert len(statistics.take_first_event_latencies()) == (
-        1 if outcome is Outcome.SERVED and kind == "chat" else 0
+        1 if outcome is Outcome.SERVED and service == "chat" else 0
     )
 
 
@@ -165,17 +165,17 @@
         ),
     ],
 )
-def test_a_host_answers(service: str, headers: dict[str, str], status: int, body: bytes) -> None:
-    async def work() -> Response | None:
+def test_host_response(service: str, headers: dict[str, str], status: int, body: bytes) -> None:
+    async def run() -> Response | None:
         host = Host("h", service, "zone-a", 4)
         await host.start()
         response = await send_request(
-            host.address, Request("POST", "/p", b"{}", headers), timeout_s=BOUND_S
+            host.address, Request("POST", "/p", b"{}", headers), timeout_s=TIMEOUT_S
         )
         await host.stop()
         return response
 
-    response = asyncio.run(work())
+    response = asyncio.run(run())
     assert response is not None
     assert (response.head.status, response.body) == (status, body)
     assert ("x-not-executed" in response.head.headers) is (status != 200)
@@ -188,7 +188,9 @@
     ("checks", "ready"),
     [([True], True), ([False], False), ([True, False], True), ([True, False, False], False)],
 )
-def test_two_misses_take_a_gateway_out(checks: list[bool], *, ready: bool) -> None:
+def test_ingress_removes_a_gateway_after_two_failed_checks(
+    checks: list[bool], *, ready: bool
+) -> None:
     gateway = Gateway("g", ("", 0), ("", 0))
     ingress = Ingress([gateway])
     for passed in checks:
@@ -197,7 +199,7 @@
     assert ingress.pick() is (gateway if ready else None)
 
 
-def test_a_retry_meets_another_gateway() -> None:
+def test_retry_prefers_an_untried_gateway() -> None:
     gateways = [
         Gateway(name, ("", 0), ("", 0), ready=name != "g-3") for name in ("g-1", "g-2", "g-3")
     ]
@@ -208,32 +210,32 @@
 
 
 @pytest.mark.parametrize("generation", [1, 2])
-def test_the_operator_sends_what_is_valid(generation: int) -> None:
+def test_operator_sends_valid_configurations(generation: int) -> None:
     assert not isinstance(validate_document(configuration(generation)), ValidationFailure)
 
 
-def test_ports_are_free_at_all_addresses_and_differ() -> None:
+def test_free_ports_are_distinct() -> None:
     ports = free_ports(["127.0.0.11", "127.0.0.12"])
     assert len({ports.http, ports.readiness, ports.admin, ports.peer}) == 4
 
 
-def test_a_process_that_cannot_run_is_reported_with_the_end_of_its_log(tmp_path: Path) -> None:
-    async def work() -> list[str]:
+def test_process_with_invalid_settings_fails_the_start_with_its_log_tail(tmp_path: Path) -> None:
+    async def run() -> list[str]:
         fleet = Fleet(tmp_path, 1, ("127.0.0.1", 1), lambda _line: None)
         for machine in fleet.machines:
             machine.settings["ip"] = 5
         fleet.start()
-        async with asyncio.timeout(BOUND_S):
+        async with asyncio.timeout(TIMEOUT_S):
             with pytest.raises(StartError, match="settings: ip: must be text"):
                 await fleet.wait_for_failure()
         overdue = await fleet.stop()
         assert not any(machine.running for machine in fleet.machines)
         return overdue
 
-    assert asyncio.run(work()) == []
+    assert asyncio.run(run()) == []
 
 
 @pytest.mark.parametrize("routers", [0, 101])
-def test_a_fleet_has_a_bounded_number_of_gateways(tmp_path: Path, routers: int) -> None:
+def test_fleet_rejects_a_number_of_gateways_out_of_range(tmp_path: Path, routers: int) -> None:
     with pytest.raises(ValueError, match="routers"):
         Fleet(tmp_path, routers, ("127.0.0.1", 1), lambda _line: None)
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -1,4 +1,4 @@
-"""The lab as it is started from the command line: real processes, served, killed, ended."""
+"""The lab started from the command line: its processes serve, are killed and stop."""
 
 from __future__ import annotations
 
@@ -13,53 +13,53 @@
 import pytest
 
 ROOT = Path(__file__).resolve().parents[2]
-BOUND_S = 60.0
-SERVED = 15
+TIMEOUT_S = 60.0
+ADDITIONAL_REQUESTS = 15
 
-_COUNTS = re.compile(r"served (\d+) refused (\d+) failed (\d+)")
+_COUNTS_PATTERN = re.compile(r"served (\d+) refused (\d+) failed (\d+)")
 
-_KILLED = re.compile(r"killing (controller-\d)")
+_KILLED_PATTERN = re.compile(r"killing (controller-\d)")
 
 
-class Run:
-    """One lab, its lines, and the counts in its newest line."""
+class LabProcess:
+    """A lab process with its output lines and the counts in the newest status line."""
 
     def __init__(self, process: Process) -> None:
         self.process = process
         self.lines: list[str] = []
         self.served = self.refused = self.failed = 0
 
-    async def line(self) -> str:
-        """The next line."""
+    async def read_line(self) -> str:
+        """Read the next line of output."""
         assert self.process.stdout is not None
         text = (await self.process.stdout.readline()).decode()
-        assert text, f"the lab has ended: {self.lines}"
+        assert text, f"the lab ended early: {self.lines}"
         self.lines.append(text)
-        if found := _COUNTS.search(text):
+        if found := _COUNTS_PATTERN.search(text):
             self.served, self.refused, self.failed = map(int, found.groups())
         return text
 
-    async def until(self, word: str) -> str:
-        """Read up to a line with this in it, and return that line."""
-        while word not in (text := await self.line()):
+    async def read_until(self, text: str) -> str:
+        """Read up to the next line that contains a text, and return that line."""
+        while text not in (line := await self.read_line()):
             pass
-        return text
+        return line
 
-    async def until_logged(self, log: Path, event: str, times: int) -> None:
-        """Read on until a machine's log has an event so many times."""
+    async def wait_for_event(self, log: Path, event: str, times: int) -> None:
+        """Read lines until an event is in a machine's log a number of times."""
         while count_of(event, log) < times:
-            await self.line()
+            await self.read_line()
 
-    async def serve_more(self) -> None:
-        """Read until so many more have been served."""
-        goal = self.served + SERVED
-        while self.served < goal:
-            await self.line()
+    async def wait_for_more_requests(self) -> None:
+        """Read lines until `ADDITIONAL_REQUESTS` more requests have been served."""
+        target = self.served + ADDITIONAL_REQUESTS
+        while self.served < target:
+            await self.read_line()
 
-    async def end(self) -> None:
-        """As Ctrl-C ends it; everything that ran must be gone."""
+    async def stop(self) -> None:
+        """Stop the lab as Ctrl-C does, and check that all its processes have ended."""
         self.process.send_signal(signal.SIGINT)
-        await self.until("ended:")
+        await self.read_until("ended:")
         assert await self.process.wait() == 0
         pids = [int(pid) for line in self.lines for pid in re.findall(r"pid (\d+)$", line)]
         assert len(pids) >= 6
@@ -69,43 +69,43 @@
 
 
 def count_of(event: str, log: Path) -> int:
-    """How often a log has an event."""
+    """The number of occurrences of an event in a log."""
     return log.read_text().count(event)
 
 
-async def start(*arguments: str) -> Run:
-    """A lab in a process of its own."""
+async def start_lab(*arguments: str) -> LabProcess:
+    """Start a lab in a process of its own."""
     process = await asyncio.create_subprocess_exec(
         *(sys.executable, "-m", "roselink", "lab", *arguments), cwd=ROOT, stdout=PIPE, stderr=STDOUT
     )
-    return Run(process)
+    return LabProcess(process)
 
 
-def test_a_fleet_serves_through_the_loss_of_a_gateway_and_of_the_tail_and_ends_whole(
+def test_fleet_serves_after_the_loss_of_a_gateway_and_the_tail_and_stops_cleanly(
     tmp_path: Path,
 ) -> None:
     folder = tmp_path / "lab"
 
-    async def work() -> Run:
-        async with asyncio.timeout(BOUND_S):
-            run = await start("--kill", "--folder", str(folder))
+    async def run_lab() -> LabProcess:
+        async with asyncio.timeout(TIMEOUT_S):
+            lab = await start_lab("--kill", "--folder", str(folder))
             try:
-                await run.until("serving")
-                await run.until("killing router")
-                killed = _KILLED.findall(await run.until("killing controller"))[0]
-                await run.until("configuration 2 confirmed")
-                await run.serve_more()
-                # Its second process ends as all others do once it has started.
-                await run.until_logged(folder / killed / "log", '"core_started"', 2)
-                await run.end()
+                await lab.read_until("serving")
+                await lab.read_until("killing router")
+                killed = _KILLED_PATTERN.findall(await lab.read_until("killing controller"))[0]
+                await lab.read_until("configuration 2 confirmed")
+                await lab.wait_for_more_requests()
+                # The restarted controller must have started before it can stop in an orderly way.
+                await lab.wait_for_event(folder / killed / "log", '"core_started"', 2)
+                await lab.stop()
             finally:
-                if run.process.returncode is None:
-                    run.process.terminate()  # it ends its own processes
-                    await run.process.wait()
-        return run
+                if lab.process.returncode is None:
+                    lab.process.terminate()  # the lab then stops its own processes
+                    await lab.process.wait()
+        return lab
 
-    run = asyncio.run(work())
-    assert (run.refused, run.failed) == (0, 0), run.lines
+    lab = asyncio.run(run_lab())
+    assert (lab.refused, lab.failed) == (0, 0), lab.lines
     machines = [f"{role}-{number}" for role in ("controller", "router") for number in (1, 2, 3)]
     assert sorted(entry.name for entry in folder.iterdir()) == machines
     for name in machines[:3]:
--- a/tests/simulation/test_disk.py
+++ b/tests/simulation/test_disk.py
@@ -1,5 +1,6 @@
-"""Saves that end at any step, by a kill or a loss of power, over every state that the disk may be
-left in.
+"""Saves that a crash, a power failure or a full disk interrupts at any disk operation.
+
+Each test loads the records from every state in which the disk may be left.
 """
 
 from __future__ import annotations
@@ -16,11 +17,11 @@
 from roselink.simulation.exceptions import ProcessCrashError
 
 VOTER = Voter("10.0.0.1:7500", 7)
-DRAWN = 150  # states after each step, drawn where there are more
-DRAWN_ON_DEMAND = 30_000  # the same with `many_seeds`: nearly all are enumerated
-STEPS = 30  # more than a save has
+STATE_LIMIT = 150  # states after each operation; if there are more, random ones
+STATE_LIMIT_MANY_SEEDS = 30_000  # with `many_seeds`, where nearly all states are enumerated
+OPERATIONS = 30  # more than a save has
 RECORD_FILES = 4  # of both records
-BOUNDS = [DRAWN, pytest.param(DRAWN_ON_DEMAND, marks=pytest.mark.many_seeds)]
+STATE_LIMITS = [STATE_LIMIT, pytest.param(STATE_LIMIT_MANY_SEEDS, marks=pytest.mark.many_seeds)]
 
 
 def votes(round_number: int) -> AcceptorState:
@@ -28,14 +29,14 @@
 
 
 def state(sequence: int) -> StoredState:
-    """Its second half is history alone: zeros in its place still read as a record."""
+    """Its second half is only history, so that zeros in its place still decode as a record."""
     return StoredState(
         3, ConfigurationState(sequence, sequence, b"document" * 5, b"h" * (300 + sequence))
     )
 
 
-def saved(files: MemoryFiles) -> Storage:
-    """Both records, each saved twice."""
+def storage_with_saved_records(files: MemoryFiles) -> Storage:
+    """A storage with both records, each saved twice."""
     storage = Storage(FOLDER, files)
     assert storage.load() == (None, None)
     for number in (1, 2):
@@ -55,12 +56,14 @@
     return Storage(FOLDER, files).load()
 
 
-def remains(files: MemoryFiles, rng: random.Random, most: int) -> list[dict[str, bytes]]:
-    """All that a loss of power may leave, or so many drawn of it, each once."""
-    if files.count_power_failure_states() <= most:
+def power_failure_states(
+    files: MemoryFiles, rng: random.Random, state_limit: int
+) -> list[dict[str, bytes]]:
+    """The distinct states that a power failure may leave, or random ones if there are too many."""
+    if files.count_power_failure_states() <= state_limit:
         found = list(files.power_failure_states())
     else:
-        found = [files.random_power_failure_state(rng) for _ in range(most)]
+        found = [files.random_power_failure_state(rng) for _ in range(state_limit)]
     return [dict(each) for each in {tuple(contents.items()) for contents in found}]
 
 
@@ -73,11 +76,11 @@
         (Kept.ZEROED, b"abX\0\0"),
     ],
 )
-def test_what_is_left_of_a_write(kept: Kept, content: bytes) -> None:
+def test_torn_write_leaves_the_expected_content(kept: Kept, content: bytes) -> None:
     assert Write(2, b"XYZ").apply(b"abcd", kept) == content
 
 
-def test_only_what_was_synced_is_sure() -> None:
+def test_only_synced_content_and_names_survive_every_power_failure() -> None:
     files = MemoryFiles()
     with files.open(f"{FOLDER}/a", "w") as opened:
         opened.write("one")
@@ -90,17 +93,19 @@
     found = list(files.power_failure_states())
     assert {"a": b"one"} in found
     assert {"b": b"one"} in found
-    assert {} in found  # a rename is two names, each kept or lost by itself
+    assert {} in found  # a rename changes two names, each kept or lost independently
 
 
-@pytest.mark.parametrize("most", BOUNDS)
+@pytest.mark.parametrize("state_limit", STATE_LIMITS)
 @pytest.mark.parametrize("store", list(Store))
-@pytest.mark.parametrize("at", range(1, STEPS))
-def test_a_save_cut_off_at_any_step(store: Store, at: int, most: int) -> None:
-    """A load gives the last durable record or the one under way, never less and never a mix."""
+@pytest.mark.parametrize("operation", range(1, OPERATIONS))
+def test_crash_during_a_save_keeps_the_last_or_the_new_record(
+    store: Store, operation: int, state_limit: int
+) -> None:
+    """A load returns the last durable record or the one being saved, never older data or a mix."""
     files = MemoryFiles()
-    storage = saved(files)
-    files.inject_failure(at, ProcessCrashError, persistent=True)
+    storage = storage_with_saved_records(files)
+    files.inject_failure(operation, ProcessCrashError, persistent=True)
     completed = True
     try:
         save(storage, store, 3)
@@ -108,9 +113,9 @@
         completed = False
     files.clear_failure()
     allowed = {3} if completed else {2, 3}
-    survivors = [{name: file.content for name, file in files.present.items()}]
-    survivors += remains(files, random.Random(at), most)
-    for contents in survivors:
+    states_after_crash = [{name: file.content for name, file in files.present.items()}]
+    states_after_crash += power_failure_states(files, random.Random(operation), state_limit)
+    for contents in states_after_crash:
         kept_votes, kept_state = load(contents)
         assert kept_votes is not None
         assert kept_votes.view is not None
@@ -123,26 +128,26 @@
         assert kept_state == state(kept_state.state.sequence)
 
 
-@pytest.mark.parametrize("most", BOUNDS)
+@pytest.mark.parametrize("state_limit", STATE_LIMITS)
 @pytest.mark.parametrize("store", list(Store))
-@pytest.mark.parametrize("at", range(1, STEPS))
-@pytest.mark.parametrize("on", [False, True])
-def test_a_disk_that_refuses_at_any_step(store: Store, at: int, most: int, *, on: bool) -> None:
-    """Power may be lost after the refusal, and after the next save."""
+@pytest.mark.parametrize("operation", range(1, OPERATIONS))
+@pytest.mark.parametrize("persistent", [False, True])
+def test_failed_write_during_a_save_keeps_the_last_or_the_new_record(
+    store: Store, operation: int, state_limit: int, *, persistent: bool
+) -> None:
+    """Power may fail after the failed save, and after the next save."""
     files = MemoryFiles()
-    storage = saved(files)
-    files.inject_failure(at, disk_full_error, persistent=on)
+    storage = storage_with_saved_records(files)
+    files.inject_failure(operation, disk_full_error, persistent=persistent)
     completed = True
     try:
         save(storage, store, 3)
     except OSError:
         completed = False
-        if not on:
-            assert (
-                len(files.present) == RECORD_FILES
-            )  # a full disk needs the room of what it refused
+        if not persistent:
+            assert len(files.present) == RECORD_FILES  # the failed save has freed its space
     files.clear_failure()
-    for contents in remains(files, random.Random(at), most):
+    for contents in power_failure_states(files, random.Random(operation), state_limit):
         kept_votes, kept_state = load(contents)
         assert kept_votes is not None
         assert kept_votes.view is not None
@@ -150,7 +155,7 @@
         newest = kept_votes.view.epoch if store is Store.ACCEPTOR else kept_state.state.sequence
         assert newest in ({3} if completed else {2, 3})
     save(storage, store, 4)
-    for contents in remains(files, random.Random(at), most):
+    for contents in power_failure_states(files, random.Random(operation), state_limit):
         kept_votes, kept_state = load(contents)
         assert kept_votes is not None
         assert kept_votes.view is not None
@@ -160,29 +165,29 @@
         ) == 4
 
 
-def test_the_steps_cover_a_whole_save() -> None:
+def test_a_save_has_fewer_operations_than_the_tests_interrupt() -> None:
     files = MemoryFiles()
-    storage = saved(files)
+    storage = storage_with_saved_records(files)
     files.operations = 0
     save(storage, Store.STATE, 3)
-    assert 10 < files.operations < STEPS
+    assert 10 < files.operations < OPERATIONS
 
 
-@pytest.mark.parametrize("cut_at", range(1, STEPS))
-def test_a_member_that_ends_in_its_first_saves_is_nobody_yet(cut_at: int) -> None:
-    """Until both records are durable a restart finds neither."""
+@pytest.mark.parametrize("operation", range(1, OPERATIONS))
+def test_crash_during_the_first_saves_leaves_both_records_or_none(operation: int) -> None:
+    """A restart finds either both records or none until both are durable."""
     files = MemoryFiles()
     storage = Storage(FOLDER, files)
     storage.load()
     save(storage, Store.STATE, 1)
-    files.inject_failure(cut_at, ProcessCrashError, persistent=True)
+    files.inject_failure(operation, ProcessCrashError, persistent=True)
     completed = True
     try:
         save(storage, Store.ACCEPTOR, 1)
     except ProcessCrashError:
         completed = False
     files.clear_failure()
-    for contents in remains(files, random.Random(cut_at), DRAWN):
+    for contents in power_failure_states(files, random.Random(operation), STATE_LIMIT):
         found = load(contents)
         assert found in (
             [(votes(1), state(1))] if completed else [(None, None), (votes(1), state(1))]
@@ -190,7 +195,7 @@
 
 
 @pytest.mark.parametrize("store", list(Store))
-def test_one_record_alone_is_nothing(store: Store) -> None:
+def test_load_ignores_a_single_record(store: Store) -> None:
     files = MemoryFiles()
     storage = Storage(FOLDER, files)
     storage.load()
--- a/tests/simulation/test_history.py
+++ b/tests/simulation/test_history.py
@@ -1,4 +1,4 @@
-"""The history checker: what one register explains passes, and each kind of violation is named."""
+"""The history checker: valid histories pass, and each kind of violation is reported."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
     Observation,
 )
 
-ONE = Change(0, 1, "one", frozenset({"k"}))
-TWO = Change(1, 2, "two")
-RIVAL = Change(1, 2, "rival")
-ALSO_ON_ONE = Change(1, 3, "another on 1")
-THREE = Change(2, 3, "three")
-LOST = Change(7, 9, "on what never was")
+V1 = Change(0, 1, "one", frozenset({"k"}))
+V2 = Change(1, 2, "two")
+OTHER_V2 = Change(1, 2, "conflicting 2")
+V3_ON_V1 = Change(1, 3, "3 on 1")
+V3 = Change(2, 3, "three")
+UNKNOWN_BASE = Change(7, 9, "on an unknown base")
 
 
-def sent(
+def call(
     change: Change, started_at: float, ended_at: float, result: CallResult = CallResult.CONFIRMED
 ) -> ChangeCall:
     return ChangeCall(change, started_at, ended_at, result)
 
 
-def rules(*events: ChangeCall | Observation | ConfigurationApplied | KeyUse) -> list[str]:
+def violated_rules(*events: ChangeCall | Observation | ConfigurationApplied | KeyUse) -> list[str]:
     history = History()
     for event in events:
         if isinstance(event, ChangeCall):
@@ -43,87 +43,95 @@
     return [violation.rule for violation in HistoryChecker(history, revoke_s=5.0).violations()]
 
 
-A = sent(ONE, 0, 1)
+FIRST_CALL = call(V1, 0, 1)
 
 
 @pytest.mark.parametrize(
     "events",
     [
-        (A, sent(TWO, 2, 3), Observation(4, 5, TWO)),
+        (FIRST_CALL, call(V2, 2, 3), Observation(4, 5, V2)),
         (
-            A,
-            sent(TWO, 2, 6),
-            Observation(3, 4, ONE),
-            Observation(3, 4, TWO),
-            Observation(5, 7, TWO),
+            FIRST_CALL,
+            call(V2, 2, 6),
+            Observation(3, 4, V1),
+            Observation(3, 4, V2),
+            Observation(5, 7, V2),
         ),
-        (A, sent(TWO, 2, 3, CallResult.UNKNOWN), Observation(4, 5, ONE), Observation(6, 7, TWO)),
-        (A, sent(TWO, 2, 3, CallResult.UNKNOWN), sent(THREE, 4, 5), sent(TWO, 6, 7)),
         (
-            A,
-            sent(TWO, 2, 4),
-            sent(RIVAL, 2, 4, CallResult.REFUSED),
-            sent(RIVAL, 6, 7, CallResult.REFUSED),
+            FIRST_CALL,
+            call(V2, 2, 3, CallResult.UNKNOWN),
+            Observation(4, 5, V1),
+            Observation(6, 7, V2),
         ),
-        (A, sent(TWO, 2, 3), sent(ONE, 4, 5), sent(ALSO_ON_ONE, 4, 5, CallResult.REFUSED)),
-        (sent(LOST, 0, 1, CallResult.REFUSED), Observation(2, 3, None)),
+        (FIRST_CALL, call(V2, 2, 3, CallResult.UNKNOWN), call(V3, 4, 5), call(V2, 6, 7)),
         (
-            A,
-            ConfigurationApplied("g", 1, 2, ONE),
-            ConfigurationApplied("g", 2, 3, ONE),
+            FIRST_CALL,
+            call(V2, 2, 4),
+            call(OTHER_V2, 2, 4, CallResult.REFUSED),
+            call(OTHER_V2, 6, 7, CallResult.REFUSED),
+        ),
+        (FIRST_CALL, call(V2, 2, 3), call(V1, 4, 5), call(V3_ON_V1, 4, 5, CallResult.REFUSED)),
+        (call(UNKNOWN_BASE, 0, 1, CallResult.REFUSED), Observation(2, 3, None)),
+        (
+            FIRST_CALL,
+            ConfigurationApplied("g", 1, 2, V1),
+            ConfigurationApplied("g", 2, 3, V1),
             KeyUse("g", 9, "k"),
         ),
-        (A, sent(TWO, 2, 3), KeyUse("g", 7.9, "k")),
+        (FIRST_CALL, call(V2, 2, 3), KeyUse("g", 7.9, "k")),
         (
-            A,
-            sent(TWO, 2, 3),
-            sent(Change(2, 3, "k again", frozenset({"k"})), 4, 5),
+            FIRST_CALL,
+            call(V2, 2, 3),
+            call(Change(2, 3, "with k again", frozenset({"k"})), 4, 5),
             KeyUse("g", 30, "k"),
         ),
     ],
 )
-def test_what_one_register_can_say(
+def test_history_of_one_register_has_no_violations(
     events: tuple[ChangeCall | Observation | ConfigurationApplied | KeyUse, ...],
 ) -> None:
-    assert rules(*events) == []
+    assert violated_rules(*events) == []
 
 
 @pytest.mark.parametrize(
     ("events", "rule"),
     [
-        ((A, sent(TWO, 2, 3), sent(RIVAL, 2, 3)), "two changes under one number"),
-        ((A, sent(TWO, 2, 3), sent(ALSO_ON_ONE, 2, 3)), "two changes on one base"),
-        ((A, sent(TWO, 2, 3), sent(TWO, 4, 5, CallResult.REFUSED)), "a refused change is in force"),
+        ((FIRST_CALL, call(V2, 2, 3), call(OTHER_V2, 2, 3)), "two changes with one version"),
+        ((FIRST_CALL, call(V2, 2, 3), call(V3_ON_V1, 2, 3)), "two changes on one base"),
+        (
+            (FIRST_CALL, call(V2, 2, 3), call(V2, 4, 5, CallResult.REFUSED)),
+            "a refused change is in force",
+        ),
         (
-            (A, sent(RIVAL, 2, 3, CallResult.REFUSED), Observation(4, 5, RIVAL)),
+            (FIRST_CALL, call(OTHER_V2, 2, 3, CallResult.REFUSED), Observation(4, 5, OTHER_V2)),
             "a refused change is in force",
         ),
-        ((A, sent(LOST, 2, 3)), "built on what never was"),
-        ((A, Observation(2, 3, TWO), sent(TWO, 4, 5)), "shown before it was sent"),
-        ((A, sent(TWO, 2, 3), Observation(4, 5, ONE)), "an old configuration was shown"),
-        ((A, Observation(2, 3, None)), "an old configuration was shown"),
+        ((FIRST_CALL, call(UNKNOWN_BASE, 2, 3)), "invalid base version"),
+        ((FIRST_CALL, Observation(2, 3, V2), call(V2, 4, 5)), "returned before it was sent"),
+        ((FIRST_CALL, call(V2, 2, 3), Observation(4, 5, V1)), "a stale configuration was returned"),
+        ((FIRST_CALL, Observation(2, 3, None)), "a stale configuration was returned"),
         (
-            (A, sent(TWO, 2, 9), Observation(3, 4, TWO), Observation(5, 6, ONE)),
-            "an old configuration was shown",
+            (FIRST_CALL, call(V2, 2, 9), Observation(3, 4, V2), Observation(5, 6, V1)),
+            "a stale configuration was returned",
         ),
         (
-            (A, sent(TWO, 2, 3), sent(THREE, 4, 5), sent(Change(3, 2, "back"), 6, 7)),
-            "a change went back",
+            (FIRST_CALL, call(V2, 2, 3), call(V3, 4, 5), call(Change(3, 2, "lower"), 6, 7)),
+            "a change lowered the version",
         ),
-        ((A, sent(TWO, 2, 3, CallResult.REFUSED)), "a proper change was refused"),
+        ((FIRST_CALL, call(V2, 2, 3, CallResult.REFUSED)), "a valid change was refused"),
         (
             (
-                A,
-                sent(TWO, 2, 3),
-                ConfigurationApplied("g", 1, 4, TWO),
-                ConfigurationApplied("g", 1, 5, ONE),
+                FIRST_CALL,
+                call(V2, 2, 3),
+                ConfigurationApplied("g", 1, 4, V2),
+                ConfigurationApplied("g", 1, 5, V1),
             ),
-            "a gateway went back",
+            "a gateway applied an older configuration",
         ),
-        ((A, sent(TWO, 2, 3), KeyUse("g", 8.1, "k")), "a removed key was used"),
+        ((FIRST_CALL, call(V2, 2, 3), KeyUse("g", 8.1, "k")), "a removed key was accepted"),
     ],
 )
-def test_what_no_register_can_say(
+def test_impossible_result_is_reported_by_its_rule(
     events: tuple[ChangeCall | Observation | ConfigurationApplied | KeyUse, ...], rule: str
 ) -> None:
-    assert rule in rules(*events)
+    assert rule in violated_rules(*events)
--- a/tests/simulation/test_model_checker.py
+++ b/tests/simulation/test_model_checker.py
@@ -1,4 +1,4 @@
-"""The model checker on the real members, from states in which view changes and commands race."""
+"""The model checker on the real members, from states with concurrent view changes and calls."""
 
 from __future__ import annotations
 
@@ -30,18 +30,18 @@
     from roselink.protocol.chain import SubmitRequest, View
     from roselink.simulation.system_state import System
 
-STATES = 1500  # of each search in CI
-STATES_ON_DEMAND = 60_000  # the same with `many_seeds`
+STATES = 1500  # of each exploration in CI
+STATES_MANY_SEEDS = 60_000  # with `many_seeds`
 WALKS, STEPS = 8, 60
-WALKS_ON_DEMAND = 600
+WALKS_MANY_SEEDS = 600
 
 
-def with_calls(begin: Callable[[], System]) -> System:
-    """Two orders on the newest version at the chain's two ends, and a read at its tail.
+def with_calls(create_state: Callable[[], System]) -> System:
+    """Submit two changes on the newest version, at the head and the tail, and read at the tail.
 
-    The search may begin one more read at any time.
+    The exploration may start one more read at any time.
     """
-    system = begin()
+    system = create_state()
     newest = system.client_knowledge.newest
     base = 3 if newest else 0
     system.submit("a:1", change_on(base, 5, "one"))
@@ -50,104 +50,112 @@
     return system
 
 
-STARTS: dict[str, tuple[Callable[[], System], Bounds]] = {
-    "calm": (idle_system, Bounds(30, STATES, reads=0)),
-    "a view is accepted": (view_accepted, Bounds(30, STATES, kills=1, proposals=0, reads=0)),
-    "a view is decided": (view_decided, Bounds(30, STATES, kills=1, proposals=1, reads=0)),
-    "a member joins": (member_joining, Bounds(30, STATES, kills=1, proposals=0, reads=0)),
-    "two propose": (two_proposers, Bounds(30, STATES, kills=0, proposals=0, reads=0)),
-    "the tail is left behind": (
+INITIAL_STATES: dict[str, tuple[Callable[[], System], Bounds]] = {
+    "idle chain": (idle_system, Bounds(30, STATES, reads=0)),
+    "view accepted": (view_accepted, Bounds(30, STATES, kills=1, proposals=0, reads=0)),
+    "view decided": (view_decided, Bounds(30, STATES, kills=1, proposals=1, reads=0)),
+    "member joining": (member_joining, Bounds(30, STATES, kills=1, proposals=0, reads=0)),
+    "two proposers": (two_proposers, Bounds(30, STATES, kills=0, proposals=0, reads=0)),
+    "tail partitioned": (
         partial(member_partitioned, "c:1"),
         Bounds(30, STATES, kills=0, proposals=0),
     ),
-    "the head is left behind": (
+    "head partitioned": (
         partial(member_partitioned, "a:1"),
         Bounds(30, STATES, kills=0, proposals=0),
     ),
-    "a disk is lost": (
+    "disk lost": (
         idle_system,
         Bounds(30, STATES, kills=0, wipes=1, proposals=1, retransmissions=1, reads=0),
     ),
 }
 
 
-@pytest.mark.parametrize("start", STARTS)
-def test_every_order_of_a_few_steps(start: str) -> None:
-    begin, bounds = STARTS[start]
-    found = explore(with_calls(begin), bounds)
-    assert found.depth >= 3
-    assert found.states >= STATES
+@pytest.mark.parametrize("initial_state", INITIAL_STATES)
+def test_invariants_hold_in_every_order_of_a_few_steps(initial_state: str) -> None:
+    create_state, bounds = INITIAL_STATES[initial_state]
+    exploration = explore(with_calls(create_state), bounds)
+    assert exploration.depth >= 3
+    assert exploration.states >= STATES
 
 
 @pytest.mark.many_seeds
-@pytest.mark.parametrize("start", STARTS)
-def test_every_order_of_more_steps(start: str, capsys: pytest.CaptureFixture[str]) -> None:
-    begin, bounds = STARTS[start]
-    found = explore(with_calls(begin), replace(bounds, states=STATES_ON_DEMAND))
+@pytest.mark.parametrize("initial_state", INITIAL_STATES)
+def test_invariants_hold_in_every_order_of_more_steps(
+    initial_state: str, capsys: pytest.CaptureFixture[str]
+) -> None:
+    create_state, bounds = INITIAL_STATES[initial_state]
+    exploration = explore(with_calls(create_state), replace(bounds, states=STATES_MANY_SEEDS))
     with capsys.disabled():
-        print(f"\n{start}: {found}")
+        print(f"\n{initial_state}: {exploration}")
 
 
-@pytest.mark.parametrize("start", STARTS)
+@pytest.mark.parametrize("initial_state", INITIAL_STATES)
 @pytest.mark.parametrize("seed", range(WALKS))
-def test_long_paths(start: str, seed: int) -> None:
-    begin, bounds = STARTS[start]
-    wide = Bounds(STEPS, STATES, 2, bounds.wipes, 3, 3, 4)
-    run_to_quiescence(random_walk(with_calls(begin), wide, random.Random(seed)))
+def test_invariants_hold_on_a_long_random_path(initial_state: str, seed: int) -> None:
+    create_state, bounds = INITIAL_STATES[initial_state]
+    walk_bounds = Bounds(STEPS, STATES, 2, bounds.wipes, 3, 3, 4)
+    run_to_quiescence(random_walk(with_calls(create_state), walk_bounds, random.Random(seed)))
 
 
 @pytest.mark.many_seeds
-@pytest.mark.parametrize("start", STARTS)
-@pytest.mark.parametrize("seed", range(WALKS, WALKS_ON_DEMAND))
-def test_many_long_paths(start: str, seed: int) -> None:
-    test_long_paths(start, seed)
+@pytest.mark.parametrize("initial_state", INITIAL_STATES)
+@pytest.mark.parametrize("seed", range(WALKS, WALKS_MANY_SEEDS))
+def test_invariants_hold_on_many_long_random_paths(initial_state: str, seed: int) -> None:
+    test_invariants_hold_on_a_long_random_path(initial_state, seed)
 
 
-# The search finds what it is for.
+# The model checker detects faults in the state machines.
 
 
-def hunt(start: str) -> Exploration:
-    begin, bounds = STARTS[start]
-    found = explore(with_calls(begin), bounds)
+def explore_and_walk(initial_state: str) -> Exploration:
+    create_state, bounds = INITIAL_STATES[initial_state]
+    exploration = explore(with_calls(create_state), bounds)
     for seed in range(60):
         random_walk(
-            with_calls(begin), Bounds(STEPS, STATES, 2, bounds.wipes, 3, 3, 4), random.Random(seed)
+            with_calls(create_state),
+            Bounds(STEPS, STATES, 2, bounds.wipes, 3, 3, 4),
+            random.Random(seed),
         )
-    return found
+    return exploration
 
 
-def answers_at_once(self: ChangeSequencer, order: SubmitRequest) -> None:
-    """An order's answer does not wait until it is committed."""
+def reply_before_commit(self: ChangeSequencer, request: SubmitRequest) -> None:
+    """Replies to a request before its change is committed."""
     before = self.chain.committed
     self.chain.committed = 1 << 60
     try:
-        self._sequence(order)
+        self._sequence(request)
     finally:
         self.chain.committed = before
 
 
-def shows_unconfirmed(self: ReadRounds, _answer: object) -> list[object]:
-    """One answer confirms."""
+def confirm_after_one_reply(self: ReadRounds, _reply: object) -> list[object]:
+    """Confirms reads after a single reply."""
     confirmed, self._in_flight = self._in_flight, []
     return list(confirmed)
 
 
-def forgets_what_was_accepted(self: ProposalRound) -> View:
-    """A proposer puts its own view forward, whatever was accepted before."""
+def propose_ignoring_accepted_view(self: ProposalRound) -> View:
+    """Proposes the proposer's own view instead of one that was accepted before."""
     return self.wanted
 
 
 @pytest.mark.parametrize(
-    ("start", "owner", "name", "broken"),
+    ("initial_state", "owner", "name", "replacement"),
     [
-        ("calm", ChangeSequencer, "submit", answers_at_once),
-        ("the tail is left behind", ReadRounds, "on_reply", shows_unconfirmed),
-        ("a view is accepted", ProposalRound, "_choose", forgets_what_was_accepted),
+        ("idle chain", ChangeSequencer, "submit", reply_before_commit),
+        ("tail partitioned", ReadRounds, "on_reply", confirm_after_one_reply),
+        ("view accepted", ProposalRound, "_choose", propose_ignoring_accepted_view),
     ],
 )
-def test_a_guard_that_is_gone_is_found(
-    monkeypatch: pytest.MonkeyPatch, start: str, owner: type[object], name: str, broken: object
+def test_exploration_detects_a_removed_guard(
+    monkeypatch: pytest.MonkeyPatch,
+    initial_state: str,
+    owner: type[object],
+    name: str,
+    replacement: object,
 ) -> None:
-    monkeypatch.setattr(owner, name, broken)
+    monkeypatch.setattr(owner, name, replacement)
     with pytest.raises(AssertionError):
-        hunt(start)
+        explore_and_walk(initial_state)
