--- a/roselink/simulation/machine.py
+++ b/roselink/simulation/machine.py
@@ -46,7 +46,7 @@
 # The interval at which a save on a stalled disk is retried, in seconds.
 STALL_POLL_S = 0.05
 # The approximate number of disk operations of one save; a killed process ends at one of them.
-STEPS_PER_SAVE = 14
+OPERATIONS_PER_SAVE = 14
 FORWARD_TIMEOUT_S = 0.4
 # The period of processor quotas, in seconds.
 QUOTA_PERIOD_S = 0.1
@@ -188,7 +188,7 @@
         """Run a save that crashes at a random disk operation."""
         files = self.disk.files
         files.inject_failure(
-            self.cluster.random.randint(1, STEPS_PER_SAVE), ProcessCrashError, persistent=True
+            self.cluster.random.randint(1, OPERATIONS_PER_SAVE), ProcessCrashError, persistent=True
         )
         try:
             self.storage.save(save.store, record_number(save.store), save.payload)
