--- a/roselink/dataplane/client_connection.py
+++ b/roselink/dataplane/client_connection.py
@@ -34,7 +34,7 @@
         self._head_only = self._chunked = self._keeps_connection = False
         self._pending_head = b""
 
-    def _client_left(self) -> None:
+    def _client_disconnected(self) -> None:
         if self._exchange is not None:
             exchange = self._exchange
             self._exchange = None
--- a/roselink/dataplane/client_server.py
+++ b/roselink/dataplane/client_server.py
@@ -35,13 +35,13 @@
         loop: asyncio.AbstractEventLoop,
         driver: DecisionDriver,
         descriptors: Descriptors,
-        drop_idle_connection: Callable[[], bool],
+        free_descriptor: Callable[[], bool],
     ) -> None:
         """Start with the default limits, which hold until a configuration is applied."""
         self.driver = driver
         self._limits: tuple[Limits, ...] = (Limits(),)  # the latest is last
         self._limits_are_configured = False  # False: the defaults
-        super().__init__(loop, descriptors, drop_idle_connection, _size_limits(0, 0))
+        super().__init__(loop, descriptors, free_descriptor, _size_limits(0, 0))
         self._update_limits()
 
     def apply_limits(self, limits: Limits) -> None:
--- a/roselink/dataplane/gateway_data_plane.py
+++ b/roselink/dataplane/gateway_data_plane.py
@@ -57,9 +57,9 @@
         self.driver = DecisionDriver(
             loop, decider, self.host_pool, authority, quotas, shared_budget, seed
         )
-        drop_idle_connection = self.host_pool.drop_oldest_idle
-        self.server = FleetServer(loop, self.driver, descriptors, drop_idle_connection)
-        self.readiness = ReadinessServer(loop, self.ready, descriptors, drop_idle_connection)
+        free_descriptor = self.host_pool.drop_oldest_idle
+        self.server = FleetServer(loop, self.driver, descriptors, free_descriptor)
+        self.readiness = ReadinessServer(loop, self.ready, descriptors, free_descriptor)
         self.port = self.readiness_port = 0
         self.draining = False
         self._drain_ends_at = 0.0
--- a/roselink/dataplane/interfaces.py
+++ b/roselink/dataplane/interfaces.py
@@ -55,7 +55,7 @@
         """
         ...
 
-    def give_back(self, tenant: Tenant, amount: float) -> None:
+    def refund(self, tenant: Tenant, amount: float) -> None:
         """Return `amount` of an admitted request that has not run and never will."""
         ...
 
@@ -63,6 +63,6 @@
 class SharedBudget(Protocol):
     """Retry budget per service, shared by all gateways."""
 
-    def ask(self, service: str, decide: Callable[[bool], None]) -> None:
+    def request_retry(self, service: str, decide: Callable[[bool], None]) -> None:
         """Request one retry; `decide(allowed)` is called once, now or later."""
         ...
--- a/roselink/dataplane/proxy_request.py
+++ b/roselink/dataplane/proxy_request.py
@@ -6,7 +6,7 @@
 
 from roselink.http.exceptions import BadRequestError
 from roselink.model.configuration import Route, RouteKind, Tenant
-from roselink.routing.events_and_actions import PromptPart
+from roselink.routing.events_and_actions import PromptSegment
 
 Headers = list[tuple[bytes, bytes]]
 
@@ -57,7 +57,7 @@
     key: str | None
     last_event_id: bytes
     tokens: tuple[int, int] | None
-    prompt: tuple[PromptPart, ...]
+    prompt: tuple[PromptSegment, ...]
     version: str = "1.1"
 
 
@@ -129,7 +129,7 @@
     return int(first), int(second)
 
 
-def _parse_prompt_prefix(value: bytes | None) -> tuple[PromptPart, ...]:
+def _parse_prompt_prefix(value: bytes | None) -> tuple[PromptSegment, ...]:
     if not value:
         return ()
     entries = []
@@ -137,7 +137,7 @@
         name, colon, tokens = entry.strip().partition(b":")
         if not (colon and tokens.isdigit() and len(tokens) <= TOKEN_DIGITS_LIMIT):
             return ()
-        entries.append(PromptPart(name.decode("latin-1"), int(tokens)))
+        entries.append(PromptSegment(name.decode("latin-1"), int(tokens)))
     return tuple(entries)
 
 
--- a/roselink/dataplane/readiness_server.py
+++ b/roselink/dataplane/readiness_server.py
@@ -55,10 +55,10 @@
         loop: asyncio.AbstractEventLoop,
         ready: Callable[[], bool],
         descriptors: Descriptors,
-        drop_idle_connection: Callable[[], bool],
+        free_descriptor: Callable[[], bool],
     ) -> None:
         """Start with `ready`, which returns whether the gateway takes requests."""
-        super().__init__(loop, descriptors, drop_idle_connection, SizeLimits(8192, 8192, 65536))
+        super().__init__(loop, descriptors, free_descriptor, SizeLimits(8192, 8192, 65536))
         self.ready = ready
 
     def time_limits(self) -> TimeLimits:
--- a/roselink/gateway/config.py
+++ b/roselink/gateway/config.py
@@ -1,6 +1,6 @@
-"""The configuration at the start and at a reload: `GW_*` and the JSON file, as typed values.
+"""Reads and validates a gateway's configuration: `GW_*` variables and the JSON file.
 
-Everything is validated here, once, so that no value is missing in a gateway that has started.
+All validation happens here, so that a gateway that has started has every value it needs.
 """
 
 from __future__ import annotations
@@ -21,20 +21,20 @@
     from roselink.balancer.interface import Settings
     from roselink.http.address import Address
 
-PORTS = 65536
+PORT_COUNT = 65536
 MICROSECONDS_PER_S = 1e6
 
 
 class ReservedDescriptor:
-    """A descriptor that no client can take, to open a file with."""
+    """Reserves a descriptor, so that a file can be opened when clients use all others."""
 
     def __init__(self) -> None:
-        """Reserves it."""
+        """Opens a socket that occupies the descriptor."""
         self._reserved = socket.socket()
 
     @contextmanager
-    def lent(self) -> Iterator[None]:
-        """Frees the descriptor within a block, which must not wait."""
+    def released(self) -> Iterator[None]:
+        """Frees the descriptor within a `with` block, which must not await."""
         self._reserved.close()
         try:
             yield
@@ -52,10 +52,10 @@
         discovery: The address of discovery.
         seed: The decider's random source.
         sockets: How many descriptors the process may have.
-        known: The list of hosts as this gateway last had it; empty for none.
+        known: The last host list that this gateway received; empty for none.
         settings: The decider's settings.
         tenants: Names of the tenants, in the order of the settings.
-        kinds: Names of the kinds of machine, in the order of the settings.
+        kinds: Names of the machine types, in the order of the settings.
         zones: Names of the zones, in the order of the settings.
         connect_timeout_s: Time-out to connect to a host.
         idle_s: Keep-alive time-out of connections to hosts.
@@ -76,49 +76,49 @@
 
 
 def read_address(text: str | None, field: str) -> Address:
-    """An address of the form `host:port`.
+    """Parses an address of the form `host:port`.
 
     Raises:
-        ConfigError: It has another form; the error names `field`.
+        ConfigError: The text has another form; the error names `field`.
     """
     host, colon, port = str(text).rpartition(":")
-    if not (colon and host and port.isascii() and port.isdigit() and 0 <= int(port) < PORTS):
+    if not (colon and host and port.isascii() and port.isdigit() and 0 <= int(port) < PORT_COUNT):
         raise ConfigError(field, f"needs address:port, not {text!r}")
     return host, int(port)
 
 
-def _value(
-    data: Mapping[str, Any], key: str, kind: type[Any], field: str, default: Any = None
+def _typed_value(
+    data: Mapping[str, Any], key: str, expected: type[Any], field: str, default: Any = None
 ) -> Any:
     value = data.get(key)
     if value is None:
         value = default
     if value is None:
         raise ConfigError(field, "missing")
-    if not isinstance(value, kind) or isinstance(value, bool):
-        raise ConfigError(field, f"needs {kind.__name__}, not {type(value).__name__}")
+    if not isinstance(value, expected) or isinstance(value, bool):
+        raise ConfigError(field, f"needs {expected.__name__}, not {type(value).__name__}")
     return value
 
 
-def _above_zero(data: Mapping[str, Any], key: str, field: str, default: int) -> int:
-    value: int = _value(data, key, int, field, default)
+def _positive_integer(data: Mapping[str, Any], key: str, field: str, default: int) -> int:
+    value: int = _typed_value(data, key, int, field, default)
     if value <= 0:
         raise ConfigError(field, "must be above 0")
     return value
 
 
-def _timeout_s(limits: Mapping[str, Any], key: str, *, default_us: int) -> float:
-    """A time-out of the settings, which give it in microseconds."""
-    return _above_zero(limits, key, f"settings.limits.{key}", default_us) / MICROSECONDS_PER_S
+def _read_timeout_s(limits: Mapping[str, Any], key: str, *, default_us: int) -> float:
+    """Reads a time-out, which the settings give in microseconds."""
+    return _positive_integer(limits, key, f"settings.limits.{key}", default_us) / MICROSECONDS_PER_S
 
 
-def _names(data: Mapping[str, Any], key: str) -> tuple[str, ...]:
-    names = _value(data, key, list, f"settings.{key}", [])
+def _read_names(data: Mapping[str, Any], key: str) -> tuple[str, ...]:
+    names = _typed_value(data, key, list, f"settings.{key}", [])
     return tuple(str(name.get("name")) if isinstance(name, dict) else str(name) for name in names)
 
 
-def _seed(value: Any) -> int:
-    """The seed is hexadecimal text as a rule; any other text or number seeds as well."""
+def _parse_seed(value: Any) -> int:
+    """Parses a hexadecimal seed; other values are accepted and seed by their checksum."""
     text = str(value)
     try:
         return int(text, 16)
@@ -127,10 +127,10 @@
 
 
 def load(environment: Mapping[str, str]) -> Config:
-    """The configuration that the environment names.
+    """Loads the configuration that the environment variables name.
 
     Raises:
-        ConfigError: It cannot work.
+        ConfigError: The configuration is invalid.
     """
     path = environment.get("GW_CONFIG")
     if not path:
@@ -144,8 +144,8 @@
         raise ConfigError("GW_CONFIG", f"{path} is not JSON: {error}") from None
     if not isinstance(data, dict):
         raise ConfigError("GW_CONFIG", f"{path} holds no JSON object")
-    raw_settings = _value(data, "settings", dict, "settings")
-    limits = _value(raw_settings, "limits", dict, "settings.limits", {})
+    raw_settings = _typed_value(data, "settings", dict, "settings")
+    limits = _typed_value(raw_settings, "limits", dict, "settings.limits", {})
     try:
         settings = read_settings(raw_settings)
     except (ValueError, TypeError) as error:
@@ -156,32 +156,34 @@
         discovery=read_address(
             environment.get("GW_DISCOVERY") or data.get("discovery"), "GW_DISCOVERY"
         ),
-        seed=_seed(data.get("seed", 0)),
-        sockets=_above_zero(
-            _value(data, "limits", dict, "limits", {}), "sockets", "limits.sockets", 1024
+        seed=_parse_seed(data.get("seed", 0)),
+        sockets=_positive_integer(
+            _typed_value(data, "limits", dict, "limits", {}), "sockets", "limits.sockets", 1024
         ),
-        known=_value(data, "known", dict, "known", {}),
+        known=_typed_value(data, "known", dict, "known", {}),
         settings=settings,
-        tenants=_names(raw_settings, "orgs"),
-        kinds=_names(raw_settings, "models"),
-        zones=_names(raw_settings, "zones"),
-        connect_timeout_s=_timeout_s(limits, "connect_timeout", default_us=1_000_000),
-        idle_s=_timeout_s(limits, "conn_idle", default_us=15_000_000),
+        tenants=_read_names(raw_settings, "orgs"),
+        kinds=_read_names(raw_settings, "models"),
+        zones=_read_names(raw_settings, "zones"),
+        connect_timeout_s=_read_timeout_s(limits, "connect_timeout", default_us=1_000_000),
+        idle_s=_read_timeout_s(limits, "conn_idle", default_us=15_000_000),
     )
 
 
 def reload(environment: Mapping[str, str]) -> Config:
-    """The file as it is now; its `discovery` is used, not the environment's, which is the start's.
+    """Reads the file again and ignores `GW_DISCOVERY`, so that the file's `discovery` applies.
+
+    The environment is that of the start and cannot change; the file can.
 
     Raises:
-        ConfigError: It cannot work.
+        ConfigError: The configuration is invalid.
     """
     return load({name: value for name, value in environment.items() if name != "GW_DISCOVERY"})
 
 
 def changed_fields(old: Config, new: Config) -> list[str]:
-    """The fields that differ and that a reload does not take over."""
-    # Discovery is taken over; seed and known list are used at a start only.
+    """Names of the fields that differ and that a reload does not apply."""
+    # A reload applies `discovery`; the seed and the known list matter at a start only.
     reloadable = {"discovery", "known", "seed"}
     names = [field.name for field in fields(Config) if field.name not in reloadable]
     return [name for name in names if getattr(old, name) != getattr(new, name)]
--- a/roselink/gateway/server.py
+++ b/roselink/gateway/server.py
@@ -1,7 +1,6 @@
-"""The client side: reads requests, writes the one response to each, drains.
+"""The gateway's HTTP server: passes requests to the engine, writes responses and drains.
 
-`roselink.http` has what any server needs; `request_checks` checks what a request of this service
-must look like.
+`roselink.http` has the general part of the server; `request_checks` validates the requests.
 """
 
 from __future__ import annotations
@@ -28,32 +27,32 @@
 log = logging.getLogger("roselink.gateway.server")
 
 MESSAGE_LIMIT = HEAD_LIMIT + 4 * BODY_LIMIT  # with a chunked body's framing
-# Statuses without a request that are not logged: those of `/up`.
-QUIET_STATUSES = (200, 503)
-# Time-out for a request to arrive, from its first byte, and for a first one to begin at all.
-RECEIVE_S = 2.0
-# Time-out for a client to read its response.
-UNREAD_S = 5.0
-# Keep-alive time-out: connections are kept long, and the longest idle are closed when descriptors
-# run short.
-IDLE_S = 60.0
-# The same after one request only: most such clients never come back.
-IDLE_ONCE_S = 2.0
+# Statuses that are not logged for responses without a request: those of `/up`.
+UNLOGGED_STATUSES = (200, 503)
+# Time-out of reading a request, from its first byte, and of waiting for a connection's first one.
+RECEIVE_TIMEOUT_S = 2.0
+# Time-out of writing a response to a client that does not read it.
+WRITE_TIMEOUT_S = 5.0
+# Keep-alive time-out. It can be long, since the longest idle connections are closed when
+# descriptors run short.
+IDLE_TIMEOUT_S = 60.0
+# Keep-alive time-out after a connection's first request: most such clients send no other.
+IDLE_AFTER_FIRST_TIMEOUT_S = 2.0
 
 
 class ClientConnection(ServerConnection):
-    """One client connection: its requests go to the engine."""
+    """One client connection, whose requests go to the engine."""
 
     def __init__(self, server: Server) -> None:
-        """A connection that `server` has accepted."""
+        """Creates the state of a connection that `server` has accepted."""
         super().__init__(server)
         self._owner = server
-        self._opened: OpenRequest | None = None
+        self._open_request: OpenRequest | None = None
 
-    def _client_left(self) -> None:
-        if self._opened is not None:
-            opened = self._opened
-            self._opened = None
+    def _client_disconnected(self) -> None:
+        if self._open_request is not None:
+            opened = self._open_request
+            self._open_request = None
             self._owner.engine.depart(opened)
 
     def _read_request(self, method: bytes, *, keep: bool) -> PendingRequest:
@@ -69,34 +68,34 @@
         self._serving = True
         self._keep_alive = pending.keep
         if pending.request is None:
-            if pending.status not in QUIET_STATUSES:
+            if pending.status not in UNLOGGED_STATUSES:
                 log.info("%d: %s", pending.status, pending.why)
-            self.answer(Reply(pending.status))
+            self.respond(Reply(pending.status))
             return
         engine = self._owner.engine
         if engine.is_open(pending.request.id):
-            log.info("400: the id of an open request")
-            self.answer(Reply(400))
+            log.info("400: request id is in use by an open request")
+            self.respond(Reply(400))
             return
-        # It may have waited for the responses before it.
+        # A pipelined request may have expired while it waited for earlier responses.
         expired = self._owner.loop.time() >= pending.request.expires
         if expired or self._owner.is_overloaded():
-            self.answer(Reply(503, None, self._owner.retry_after_us))
+            self.respond(Reply(503, None, self._owner.retry_after_us))
             return
         try:
-            opened = engine.accept(pending.request, self.answer, self.has_left)
+            opened = engine.accept(pending.request, self.respond, self.has_left)
         except Exception:
             log.exception("request %s failed", pending.request.id)
             if self._serving:
-                self.answer(Reply(500))
+                self.respond(Reply(500))
             return
-        # It may have its response already.
+        # The engine may have responded during `accept`.
         if self._serving:
-            self._opened = opened
+            self._open_request = opened
 
-    def answer(self, reply: Reply) -> None:
-        """Writes the response to a client; nothing else writes to it."""
-        self._opened = None
+    def respond(self, reply: Reply) -> None:
+        """Writes the response to the client; the only place that writes to the connection."""
+        self._open_request = None
         self._serving = False
         self.last_progress_at = self._owner.loop.time()
         if self._transport is None:
@@ -104,10 +103,10 @@
         keep = self._may_keep_alive()
         lines = [b"HTTP/1.1 %d %b" % (reply.status, REASON_PHRASES[reply.status])]
         body = b""
-        if reply.answer is not None:
-            body = reply.answer.body
-            if reply.answer.content_type is not None:
-                lines.append(b"Content-Type: " + reply.answer.content_type)
+        if reply.response is not None:
+            body = reply.response.body
+            if reply.response.content_type is not None:
+                lines.append(b"Content-Type: " + reply.response.content_type)
         if reply.retry_after_us:
             lines.append(b"Retry-After: %.3f" % (reply.retry_after_us / 1e6))
         lines.append(b"Content-Length: %d" % len(body))
@@ -117,7 +116,7 @@
 
 
 class Server(HttpServer):
-    """All client connections of the gateway."""
+    """The gateway's HTTP server."""
 
     def __init__(
         self,
@@ -125,19 +124,19 @@
         config: Config,
         engine: Engine,
         descriptors: Descriptors,
-        make_room: Callable[[], bool],
+        free_descriptor: Callable[[], bool],
     ) -> None:
-        """A server that does not listen yet.
+        """Creates a server that does not listen yet.
 
         Args:
-            loop: The loop of the gateway.
-            config: Classes, deadlines and tenants.
-            engine: Takes the requests.
-            descriptors: Count of the sockets that are open.
-            make_room: Closes an idle connection to a host; whether there was one.
+            loop: The event loop.
+            config: Defines routes, deadlines and tenants.
+            engine: Receives the requests.
+            descriptors: Counts the open sockets of the process.
+            free_descriptor: Closes an idle connection to a host; returns whether there was one.
         """
         super().__init__(
-            loop, descriptors, make_room, SizeLimits(HEAD_LIMIT, BODY_LIMIT, MESSAGE_LIMIT)
+            loop, descriptors, free_descriptor, SizeLimits(HEAD_LIMIT, BODY_LIMIT, MESSAGE_LIMIT)
         )
         self.engine = engine
         self.checks = RequestChecks(config)
@@ -150,20 +149,24 @@
 
     def time_limits(self) -> TimeLimits:
         """The time-outs of client connections."""
-        return TimeLimits(RECEIVE_S, RECEIVE_S, UNREAD_S, (RECEIVE_S, IDLE_ONCE_S, IDLE_S))
+        return TimeLimits(
+            RECEIVE_TIMEOUT_S,
+            RECEIVE_TIMEOUT_S,
+            WRITE_TIMEOUT_S,
+            (RECEIVE_TIMEOUT_S, IDLE_AFTER_FIRST_TIMEOUT_S, IDLE_TIMEOUT_S),
+        )
 
-    def drain(self, taken_s: float, most_s: float) -> None:
-        """From now on each response ends its connection.
+    def drain(self, short_deadline_after_s: float, short_deadline_s: float) -> None:
+        """Starts draining: each response closes its connection.
 
         Args:
-            taken_s: A request that comes later than this from now, on a connection that is still
-                open, has the shorter deadline.
-            most_s: That deadline, from now: the process may be killed after it.
+            short_deadline_after_s: Time from now after which new requests get a shorter deadline.
+            short_deadline_s: That deadline, from now; the process may be killed after it.
         """
         self.draining = True
         now = self.loop.time()
-        self.checks.shorten_deadlines(now + taken_s, now + most_s)
+        self.checks.shorten_deadlines(now + short_deadline_after_s, now + short_deadline_s)
 
     def up_status(self) -> int:
-        """The status of `/up`: 200 while there are hosts and the gateway does not drain."""
+        """Status of `/up`: 200 while hosts are listed and the gateway is not draining."""
         return 200 if self.engine.ready and not self.draining else 503
--- a/roselink/routing/affinity.py
+++ b/roselink/routing/affinity.py
@@ -1,15 +1,15 @@
-"""Prompt caches of hosts: a request's affinity key, and what a host would have to read.
-
-A prompt comes in parts; a host that has cached a part and all parts before it reads none of them
-again. Affinity shapes the draw: the two hosts that are compared are the first two of the ring for
-the request's key, in place of two random ones, and each is charged the shared tokens that it would
-have to read as if they were requests in flight. So the host with the larger cached prefix wins,
-unless it is more loaded by that much. The first host of the ring (the key's home) is assumed to
-have cached the shared parts even if this gateway has not sent them: the other gateways send them
+"""Prefix-cache affinity: a request's affinity key, and the prompt tokens that a host would prefill.
+
+A prompt is a sequence of segments; a host that has cached a segment and all segments before it
+prefills none of them again. Affinity replaces the random draw: the two hosts that are compared are
+the first two of the hash ring for the request's key, and the shared tokens that each would have to
+prefill count as load. So the host with the longer cached prefix wins, unless its load exceeds the
+other's by more than that. The first host of the ring (the key's home) is assumed to have
+cached the shared segments even if this gateway has not sent them: the other gateways send them
 there too.
 
-The key is the last shared part. The last part of a prompt belongs to the request alone, or to its
-session: how often a route's last parts recur distinguishes the two.
+The key is the last shared segment. The last segment of a prompt is either unique to the request or
+belongs to its session; the rate at which a route's last segments recur distinguishes the two.
 """
 
 from __future__ import annotations
@@ -19,22 +19,25 @@
 from typing import TYPE_CHECKING, TypeVar
 
 if TYPE_CHECKING:
-    from roselink.routing.events_and_actions import PromptPart, RequestFacts
-
-# Prompt parts whose hosts are remembered.
-MAX_REMEMBERED_PARTS = 8192
-# Hosts remembered for each of these parts.
-MAX_HOSTS_PER_PART = 16
-# Last parts remembered, to detect those that recur.
-MAX_REMEMBERED_LAST_PARTS = 2048
-MAX_REMEMBERED_ROUTES = 1024
-# A host is assumed to cache a part for this long after its last use there.
+    from roselink.routing.events_and_actions import PromptSegment, RequestFacts
+
+# Bound on the prompt segments whose hosts are tracked.
+MAX_TRACKED_SEGMENTS = 8192
+# Bound on the hosts tracked for each of these segments.
+MAX_HOSTS_PER_SEGMENT = 16
+# Bound on the last segments that are kept to detect recurrence.
+MAX_TRACKED_LAST_SEGMENTS = 2048
+MAX_TRACKED_ROUTES = 1024
+# Time for which a host is assumed to cache a segment after its last use there, in seconds. A longer
+# one trusts segments that were evicted; a shorter one charges for segments that are still cached.
 CACHE_LIFETIME_S = 20.0
-# Fraction of the shared tokens that the home is assumed to have cached when nothing is known.
+# Fraction of the shared tokens that the home host is assumed to have cached at least. A larger one
+# keeps keys at their home, a smaller one at the host that this gateway has sent them to.
 HOME_CACHED_FRACTION = 0.9
-# Weight of the newest arrival in a route's recurrence rate.
+# Weight of the newest arrival in a route's recurrence rate (an exponential moving average). A
+# larger one follows changes of the traffic sooner; a smaller one varies less.
 RECURRENCE_SMOOTHING = 1 / 32
-# A route's last parts belong to sessions when more than this fraction of them recurs.
+# Recurrence rate above which a route's last segments are taken to belong to sessions.
 SESSION_RECURRENCE = 0.25
 
 
@@ -42,73 +45,75 @@
 
 
 @dataclass(slots=True)
-class _LastParts:
-    """How often a route's last parts recur."""
+class _LastSegmentRecurrence:
+    """Rate at which a route's last segments recur, from 0 to 1."""
 
     recurrence: float = 0.0
 
 
-class PrefixMemory:
-    """The prompt parts that this gateway has seen, and the hosts that read them; bounded."""
+class PrefixCacheTracker:
+    """Tracks which hosts have probably cached which prompt segments; bounded."""
 
     def __init__(self) -> None:
-        """Start with nothing known."""
-        self._hosts_by_part: OrderedDict[str, dict[str, float]] = OrderedDict()
-        self._last_parts: OrderedDict[str, None] = OrderedDict()
-        self._routes: OrderedDict[str, _LastParts] = OrderedDict()
+        """Start with no segment tracked."""
+        self._hosts_by_segment: OrderedDict[str, dict[str, float]] = OrderedDict()
+        self._recent_last_segments: OrderedDict[str, None] = OrderedDict()
+        self._routes: OrderedDict[str, _LastSegmentRecurrence] = OrderedDict()
 
     def observe_arrival(self, facts: RequestFacts) -> None:
-        """Learn from an arrival whether its route's last parts recur."""
+        """Update the recurrence rate of the route's last segments from an arrival."""
         if not facts.prompt:
             return
-        route = self._routes.setdefault(facts.route, _LastParts())
-        last = facts.prompt[-1].id
-        route.recurrence += ((last in self._last_parts) - route.recurrence) * RECURRENCE_SMOOTHING
-        self._last_parts[last] = None
-        self._last_parts.move_to_end(last)
-        _evict_oldest(self._last_parts, MAX_REMEMBERED_LAST_PARTS)
-        _evict_oldest(self._routes, MAX_REMEMBERED_ROUTES)
-
-    def shared_parts(self, facts: RequestFacts) -> tuple[PromptPart, ...]:
-        """The leading parts that other requests share; the last of them is the affinity key."""
-        parts = facts.prompt
+        route = self._routes.setdefault(facts.route, _LastSegmentRecurrence())
+        last_id = facts.prompt[-1].id
+        route.recurrence += (
+            (last_id in self._recent_last_segments) - route.recurrence
+        ) * RECURRENCE_SMOOTHING
+        self._recent_last_segments[last_id] = None
+        self._recent_last_segments.move_to_end(last_id)
+        _evict_oldest(self._recent_last_segments, MAX_TRACKED_LAST_SEGMENTS)
+        _evict_oldest(self._routes, MAX_TRACKED_ROUTES)
+
+    def shared_segments(self, facts: RequestFacts) -> tuple[PromptSegment, ...]:
+        """The leading segments that other requests share; the last of them is the affinity key."""
+        segments = facts.prompt
         route = self._routes.get(facts.route)
-        last_is_unique = len(parts) > 1 and (
+        last_is_unique = len(segments) > 1 and (
             route is None or route.recurrence <= SESSION_RECURRENCE
         )
-        return parts[:-1] if last_is_unique else parts
+        return segments[:-1] if last_is_unique else segments
 
-    def record_read(self, host: str, shared: tuple[PromptPart, ...], now: float) -> None:
-        """Note that a host has read these parts, in order; `now` in seconds."""
-        for part in shared:
-            hosts = self._hosts_by_part.setdefault(part.id, {})
-            if len(hosts) >= MAX_HOSTS_PER_PART and host not in hosts:
+    def record_prefill(self, host: str, shared: tuple[PromptSegment, ...], now: float) -> None:
+        """Record that a host has prefilled these segments, in order; `now` in seconds."""
+        for segment in shared:
+            hosts = self._hosts_by_segment.setdefault(segment.id, {})
+            if len(hosts) >= MAX_HOSTS_PER_SEGMENT and host not in hosts:
                 del hosts[min(hosts, key=hosts.__getitem__)]
             hosts[host] = now
-            self._hosts_by_part.move_to_end(part.id)
-        _evict_oldest(self._hosts_by_part, MAX_REMEMBERED_PARTS)
+            self._hosts_by_segment.move_to_end(segment.id)
+        _evict_oldest(self._hosts_by_segment, MAX_TRACKED_SEGMENTS)
 
     def uncached_tokens(
-        self, host: str, shared: tuple[PromptPart, ...], now: float, *, is_home: bool
+        self, host: str, shared: tuple[PromptSegment, ...], now: float, *, is_home: bool
     ) -> float:
-        """Shared tokens that a host is expected to have to read.
+        """Shared tokens that a host is expected to have to prefill.
 
         Args:
-            host: Its id.
-            shared: The shared parts, in order.
-            now: Seconds.
-            is_home: Whether the host is the first of the ring for the key.
+            host: The host's id.
+            shared: The shared segments, in order.
+            now: The current time, in seconds.
+            is_home: Whether the host is the first of the hash ring for the key.
         """
         cached = 0
         total = 0
         prefix_cached = True
-        for part in shared:
-            total += part.tokens
-            read_at = self._hosts_by_part.get(part.id, _NO_HOSTS).get(host)
+        for segment in shared:
+            total += segment.tokens
+            prefilled_at = self._hosts_by_segment.get(segment.id, _NO_HOSTS).get(host)
             prefix_cached = (
-                prefix_cached and read_at is not None and now - read_at < CACHE_LIFETIME_S
+                prefix_cached and prefilled_at is not None and now - prefilled_at < CACHE_LIFETIME_S
             )
-            cached += part.tokens * prefix_cached
+            cached += segment.tokens * prefix_cached
         return total - max(cached, HOME_CACHED_FRACTION * total if is_home else 0.0)
 
 
--- a/roselink/routing/fleet_decider.py
+++ b/roselink/routing/fleet_decider.py
@@ -1,8 +1,8 @@
-"""Every decision of a gateway of the fleet: which host, whether again, when to give up.
+"""The routing decisions of a fleet gateway: host choice, retries, hedges and final responses.
 
-No I/O and no clock: `FleetDecider` takes one event at a time and returns actions; types of both are
-in `events_and_actions`. Each call runs under its route's policy. Decisions on a request are in
-`request_lifecycle`, what outcomes show in `learning`.
+No I/O and no clock: `FleetDecider` handles one event at a time and returns actions, whose types are
+in `events_and_actions`. Each request keeps the policy of its route as it was at the arrival. The
+decisions on a request are in `request_lifecycle`, the records of outcomes in `outcome_recorder`.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 import random
 from typing import TYPE_CHECKING, assert_never
 
-from roselink.routing.affinity import PrefixMemory
+from roselink.routing.affinity import PrefixCacheTracker
 from roselink.routing.events_and_actions import (
     AttemptEnded,
     BudgetDecided,
@@ -22,12 +22,12 @@
     TopologyChanged,
 )
 from roselink.routing.host_choice import HostChooser
-from roselink.routing.learning import Learner
+from roselink.routing.outcome_recorder import OutcomeRecorder
 from roselink.routing.policy import EffectivePolicy, RouteLatencyTable
 from roselink.routing.request_lifecycle import RequestLifecycle, RoutingState
 from roselink.routing.request_state import Request, RequestPhase
 from roselink.routing.retry_budget import RetryBudgets
-from roselink.routing.timers import RequestTimer, TimerKind, Timers
+from roselink.routing.timers import RequestTimer, TimerKind, TimerQueue
 from roselink.routing.topology import Topology, UnreportedOutcomes
 
 if TYPE_CHECKING:
@@ -35,7 +35,7 @@
 
 
 class FleetDecider:
-    """One gateway's decisions. The same seed and events bring the same actions."""
+    """The routing decisions of one gateway; deterministic for a given seed and events."""
 
     def __init__(
         self, zone: str, seed: int, retry_budget_ratio: float, retry_window_s: float
@@ -44,41 +44,41 @@
 
         Args:
             zone: The gateway's zone.
-            seed: Of all random draws.
+            seed: Seed of all random draws.
             retry_budget_ratio: Retries allowed for each request of a service, over all gateways.
-            retry_window_s: The window over which they are counted, in seconds.
+            retry_window_s: The window over which retries are counted, in seconds.
         """
-        randomness = random.Random(seed)
-        self._memory = PrefixMemory()
+        rng = random.Random(seed)
+        self._prefix_cache = PrefixCacheTracker()
         self._topology = Topology()
-        self._learner = Learner(self._topology, self._memory)
+        self._outcome_recorder = OutcomeRecorder(self._topology, self._prefix_cache)
         self._routes = RouteLatencyTable()
-        self._timers = Timers()
+        self._timers = TimerQueue()
         self._lifecycle = RequestLifecycle(
             RoutingState(
                 topology=self._topology,
-                chooser=HostChooser(zone, randomness, self._memory),
-                learner=self._learner,
+                chooser=HostChooser(zone, rng, self._prefix_cache),
+                outcome_recorder=self._outcome_recorder,
                 budgets=RetryBudgets(retry_budget_ratio, retry_window_s),
                 timers=self._timers,
-                randomness=randomness,
+                rng=rng,
             )
         )
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event. What comes for a request that is gone is ignored.
+        """Handle one event. Events for requests that no longer exist are ignored.
 
         Args:
-            now: Seconds; never falls from one call to the next.
+            now: Monotonic time, in seconds.
             event: What happened.
 
         Returns:
-            What is to be done, in this order.
+            The actions to execute, in this order.
         """
-        self._lifecycle.begin(now)
+        self._lifecycle.begin_event(now)
         self._topology.expire_pooled_payoffs(now)
-        # Before the timers: they must not use a host that the event takes away.
-        self._take(event, now)
+        # The event comes before due timers, which must not use a host that it removes.
+        self._dispatch(event, now)
         while (timer := self._timers.pop_due(now)) is not None:
             self._on_timer(timer, now)
         start = self._timers.rearm()
@@ -90,7 +90,7 @@
         """Outcomes since the last call, by host, for the other gateways."""
         return self._topology.take_unreported_outcomes()
 
-    def _take(self, event: Event, now: float) -> None:
+    def _dispatch(self, event: Event, now: float) -> None:
         match event:
             case AttemptEnded():
                 self._on_attempt_ended(event, now)
@@ -122,7 +122,7 @@
         facts = event.facts
         request = Request(facts, EffectivePolicy.of(facts), self._routes.find(facts.route))
         if facts.affinity:
-            self._memory.observe_arrival(facts)
+            self._prefix_cache.observe_arrival(facts)
         self._lifecycle.admit(request)
 
     def _on_budget_decided(self, event: BudgetDecided) -> None:
@@ -142,7 +142,7 @@
         if attempt.first_event_seen:
             return
         attempt.first_event_seen = True
-        self._learner.record_first_event(request, attempt, now)
+        self._outcome_recorder.record_first_event(request, attempt, now)
         if request.closed:
             return
         if request.winner is None or request.winner.outcome is not None:
@@ -157,7 +157,7 @@
         request, attempt = found
         attempt.outcome = event.outcome
         request.in_flight -= 1
-        self._learner.record_end(request, attempt, event, now)
+        self._outcome_recorder.record_end(request, attempt, event, now)
         if not request.closed:
             request.progressed = request.progressed or event.progressed
             self._lifecycle.attempt_ended(request, event)
@@ -167,12 +167,12 @@
     def _on_timer(self, timer: RequestTimer, now: float) -> None:
         request = timer.request
         if timer.kind is TimerKind.OVERDUE:
-            self._learner.record_overdue(request, request.attempts[timer.attempt], now)
+            self._outcome_recorder.record_overdue(request, request.attempts[timer.attempt], now)
             return
         if request.closed:
             return
         if timer.kind is TimerKind.DEADLINE:
-            # The data plane ends a stream that is running at its deadline.
+            # A stream that is running at its deadline is ended by the data plane.
             if not request.is_streaming():
                 self._lifecycle.finish(request, out_of_time=True)
         elif timer.kind is TimerKind.HOST_WAIT and request.phase is RequestPhase.AWAITING_HOST:
--- a/tests/dataplane/test_data_plane.py
+++ b/tests/dataplane/test_data_plane.py
@@ -20,7 +20,7 @@
     stream_head,
 )
 from tests.support.event_loop import on_loop, until
-from tests.support.fake_hosts import Behaviour, hang, say
+from tests.support.fake_hosts import Behaviour, hang, sends
 from tests.support.http_messages import Message
 
 
@@ -183,8 +183,8 @@
 @pytest.mark.parametrize(
     ("behave", "status"),
     [
-        (say(b"", end=True), 502),
-        (say(b"no HTTP\r\n\r\n"), 502),
+        (sends(b"", end=True), 502),
+        (sends(b"no HTTP\r\n\r\n"), 502),
         (respond(b"x", signed=False), 502),  # a success without a signature is an error
         (respond(b"x", "503 Busy"), 502),  # no X-Not-Executed: it may have run
         (respond(b"x", "429 Much"), 502),
@@ -194,11 +194,14 @@
         (respond_not_executed(), 503),
         (respond_not_executed("429 Much"), 503),
         (respond_not_executed("421 Other", "X-Any: 1"), 503),
-        (say(b"HTTP/1.1 503 Full\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"), 503),
-        (say(b"HTTP/1.1 421 Other\r\nX-Instance-Id: i-7\r\nContent-Length: 0\r\n\r\n"), 503),
-        (say(b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"), 502),
-        (say(b"HTTP/1.1 500 Fault\r\nX-Response-Signature: s\r\nContent-Length: 0\r\n\r\n"), 502),
-        (say(b"HTTP/1.1 503 Full\r\nX-Request-Id: b\r\nX-Not-Executed: 1\r\n\r\n", end=True), 502),
+        (sends(b"HTTP/1.1 503 Full\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"), 503),
+        (sends(b"HTTP/1.1 421 Other\r\nX-Instance-Id: i-7\r\nContent-Length: 0\r\n\r\n"), 503),
+        (sends(b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"), 502),
+        (sends(b"HTTP/1.1 500 Fault\r\nX-Response-Signature: s\r\nContent-Length: 0\r\n\r\n"), 502),
+        (
+            sends(b"HTTP/1.1 503 Full\r\nX-Request-Id: b\r\nX-Not-Executed: 1\r\n\r\n", end=True),
+            502,
+        ),
     ],
 )
 @on_loop
--- a/tests/dataplane/test_fleet_host_pool.py
+++ b/tests/dataplane/test_fleet_host_pool.py
@@ -29,7 +29,7 @@
     stream_head,
 )
 from tests.support.event_loop import on_loop, until
-from tests.support.fake_hosts import Behaviour, NeverUp, hang, say
+from tests.support.fake_hosts import Behaviour, FullBacklogListener, hang, sends
 from tests.support.http_messages import Message, reset
 
 KEEP_ALIVE = "Keep-Alive: timeout=9"
@@ -123,7 +123,7 @@
 @pytest.mark.parametrize("path", ["/once/x", "/plan/x", "/safe/x"])
 @on_loop
 async def test_connect_timeout_is_retried_at_another_host(path: str) -> None:
-    other = NeverUp()
+    other = FullBacklogListener()
     second = stream(2) if path == "/plan/x" else respond()
     try:
         async with running_data_plane(hang, second) as harness, harness.client() as client:
@@ -184,7 +184,7 @@
 
 @on_loop
 async def test_connecting_attempt_is_moot_after_removal_of_host() -> None:
-    other = NeverUp()
+    other = FullBacklogListener()
     try:
         async with running_data_plane(hang, respond()) as harness, harness.client() as client:
             entry = host_entry(harness.hosts[0], address=f"127.0.0.1:{other.address[1]}")
@@ -501,7 +501,9 @@
         assert harness.quotas.returned == harness.quotas.requested == [("huka", 1540.0)]
 
 
-@pytest.mark.parametrize("behave", [respond(), respond(b"", "500 Fault"), say(b"", end=True), hang])
+@pytest.mark.parametrize(
+    "behave", [respond(), respond(b"", "500 Fault"), sends(b"", end=True), hang]
+)
 @on_loop
 async def test_quota_is_kept_if_request_may_have_run(behave: Behaviour) -> None:
     async with running_data_plane(behave) as harness, harness.client() as client:
--- a/tests/gateway/test_closes.py
+++ b/tests/gateway/test_closes.py
@@ -1,6 +1,5 @@
-"""Every close of a client connection by the gateway's choice, crossed by a request or by an answer
-that is on its way: what lies in the kernel when the gateway closes has been taken, and is owed an
-answer.
+"""Closes of client connections by the gateway that coincide with a request or a response in
+transit: a request that the kernel has received when the gateway closes must get a response.
 """
 
 from __future__ import annotations
@@ -17,26 +16,26 @@
 from roselink.http.host_connection import BODY_LIMIT
 from roselink.http.server_connection import ServerConnection
 from tests.support.event_loop import on_loop, until
-from tests.support.fake_hosts import say, serve_ok
-from tests.support.gateway_clients import SuddenClient
-from tests.support.gateway_harness import World, taken, world
-from tests.support.http_messages import answer
+from tests.support.fake_hosts import sends, serve_ok
+from tests.support.gateway_clients import BlockingClient
+from tests.support.gateway_harness import GatewayHarness, accepted_requests, running_gateway
+from tests.support.http_messages import response
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
 
-async def resting(w: World) -> tuple[SuddenClient, ServerConnection]:
-    """A client that has had an answer, and its connection, which rests."""
-    client = SuddenClient(w.gateway.port)
+async def idle_connection(harness: GatewayHarness) -> tuple[BlockingClient, ServerConnection]:
+    """A client that has received a response, and its idle connection."""
+    client = BlockingClient(harness.gateway.port)
     client.send()
-    await until(lambda: bool(w.gateway.server._idle))
+    await until(lambda: bool(harness.gateway.server._idle))
     assert client.socket.recv(65536).startswith(b"HTTP/1.1 200")
-    return client, next(iter(w.gateway.server._idle))
+    return client, next(iter(harness.gateway.server._idle))
 
 
-async def received(client: SuddenClient) -> bytes:
-    """What comes next; empty at the connection's end, which a reset is too."""
+async def received(client: BlockingClient) -> bytes:
+    """The next bytes received; empty at the end of the connection, also by a reset."""
     client.socket.setblocking(False)
     try:
         return await asyncio.get_running_loop().sock_recv(client.socket, 65536)
@@ -44,75 +43,75 @@
         return b""
 
 
-def sweep(to: Server, connection: ServerConnection) -> None:
+def sweep(server: Server, connection: ServerConnection) -> None:
     connection.last_progress_at -= 1000.0
-    to.sweep()
+    server.sweep()
 
 
-def rest_of_others(to: Server, connection: ServerConnection) -> None:
-    to._used_limit = -1
-    to.connection_idle(next(other for other in to.connections if other is not connection))
+def idle_limit(server: Server, connection: ServerConnection) -> None:
+    server._used_limit = -1
+    server.connection_idle(next(other for other in server.connections if other is not connection))
 
 
-def room(to: Server, connection: ServerConnection) -> None:
-    to._end_another(connection)
+def connection_limit(server: Server, connection: ServerConnection) -> None:
+    server._close_another(connection)
 
 
-def drain(to: Server, connection: ServerConnection) -> None:
-    to.close_idle()
+def drain(server: Server, connection: ServerConnection) -> None:
+    server.close_idle()
 
 
-@pytest.mark.parametrize("close", [sweep, rest_of_others, room, drain])
+@pytest.mark.parametrize("close", [sweep, idle_limit, connection_limit, drain])
 @on_loop
-async def test_a_close_of_an_idle_connection_looks_for_a_request_first(
+async def test_an_idle_connection_with_an_unread_request_is_not_closed(
     close: Callable[[Server, ServerConnection], None],
 ) -> None:
-    async with world(serve_ok) as w, w.client():
-        client, connection = await resting(w)
-        await until(lambda: len(w.gateway.server.connections) == 2)
+    async with running_gateway(serve_ok) as harness, harness.client():
+        client, connection = await idle_connection(harness)
+        await until(lambda: len(harness.gateway.server.connections) == 2)
         client.send()
-        close(w.gateway.server, connection)
+        close(harness.gateway.server, connection)
         assert (await received(client)).startswith(b"HTTP/1.1 200")
         await until(connection.idle)
-        w.gateway.server.close_idle()  # nothing crosses this one
+        harness.gateway.server.close_idle()  # nothing is in transit now
         assert await received(client) == b""
 
 
 @on_loop
-async def test_connections_not_yet_accepted_are_served_before_the_listener_closes() -> None:
-    async with world(serve_ok) as w:
-        clients = [SuddenClient(w.gateway.port) for _ in range(20)]
+async def test_connections_in_the_backlog_are_served_before_the_listener_closes() -> None:
+    async with running_gateway(serve_ok) as harness:
+        clients = [BlockingClient(harness.gateway.port) for _ in range(20)]
         for client in clients:
             client.send()
-        w.gateway.server.drain(1000.0, 1000.0)
-        await w.gateway.server.stop_accepting()
+        harness.gateway.server.drain(1000.0, 1000.0)
+        await harness.gateway.server.stop_accepting()
         for client in clients:
             assert (await received(client)).startswith(b"HTTP/1.1 200")
         with pytest.raises(ConnectionRefusedError):
-            SuddenClient(w.gateway.port)
+            BlockingClient(harness.gateway.port)
 
 
 @on_loop
-async def test_a_drain_leaves_a_new_connection_the_time_for_its_first_request(
+async def test_a_drain_waits_for_the_first_request_of_a_new_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(http_server, "READ_DELAY_S", 1000.0)
-    async with world(serve_ok) as w:
-        client = SuddenClient(w.gateway.port)
-        await until(lambda: bool(w.gateway.server.connections))
-        w.gateway.server.drain(1000.0, 1000.0)
-        w.gateway.server.close_idle()
+    monkeypatch.setattr(http_server, "MAX_READ_DELAY_S", 1000.0)
+    async with running_gateway(serve_ok) as harness:
+        client = BlockingClient(harness.gateway.port)
+        await until(lambda: bool(harness.gateway.server.connections))
+        harness.gateway.server.drain(1000.0, 1000.0)
+        harness.gateway.server.close_idle()
         client.send()
         assert b"Connection: close" in await received(client)
 
 
-async def unread(w: World) -> tuple[SuddenClient, ServerConnection]:
-    """A client that has not read its answer, and its connection, which holds most of it: the
-    kernel's buffers on both sides are small, so that the answer can never fit into them.
+async def unread_response(harness: GatewayHarness) -> tuple[BlockingClient, ServerConnection]:
+    """A client that has not read its response, and its connection, which has most of it unsent: the
+    kernel's buffers on both sides are too small for the response.
     """
-    client = SuddenClient(w.gateway.port, receive_buffer=4096)
-    await until(lambda: bool(w.gateway.server.connections))
-    [connection] = w.gateway.server.connections
+    client = BlockingClient(harness.gateway.port, receive_buffer=4096)
+    await until(lambda: bool(harness.gateway.server.connections))
+    [connection] = harness.gateway.server.connections
     transport = connection._transport
     assert transport is not None
     transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
@@ -123,11 +122,11 @@
 
 
 @on_loop
-async def test_a_drain_ends_no_answer_that_is_not_yet_with_the_kernel() -> None:
-    async with world(say(answer(b"x" * BODY_LIMIT))) as w:
-        client, connection = await unread(w)
-        w.gateway.server.close_idle()
-        assert connection in w.gateway.server.connections
+async def test_a_drain_does_not_cut_off_an_unsent_response() -> None:
+    async with running_gateway(sends(response(b"x" * BODY_LIMIT))) as harness:
+        client, connection = await unread_response(harness)
+        harness.gateway.server.close_idle()
+        assert connection in harness.gateway.server.connections
         data = b""
         while data.count(b"x") < BODY_LIMIT and (part := await received(client)):
             data += part
@@ -136,104 +135,112 @@
 
 
 @on_loop
-async def test_a_last_answer_is_read_whole_however_slowly(monkeypatch: pytest.MonkeyPatch) -> None:
-    looks: list[ServerConnection] = []
-    lingered = ServerConnection._end_linger
+async def test_a_slow_client_receives_the_complete_last_response(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    calls: list[ServerConnection] = []
+    close_after_linger = ServerConnection._close_after_linger
 
-    def look(connection: ServerConnection) -> None:
-        looks.append(connection)
-        lingered(connection)
+    def record_call(connection: ServerConnection) -> None:
+        calls.append(connection)
+        close_after_linger(connection)
 
     monkeypatch.setattr(server_connection, "LINGER_S", 0.001)
-    monkeypatch.setattr(ServerConnection, "_end_linger", look)
-    async with world(say(answer(b"x" * BODY_LIMIT))) as w:
-        client, connection = await unread(w)
+    monkeypatch.setattr(ServerConnection, "_close_after_linger", record_call)
+    async with running_gateway(sends(response(b"x" * BODY_LIMIT))) as harness:
+        client, connection = await unread_response(harness)
         connection._keep_alive = False
         connection._close()
-        await until(lambda: len(looks) >= 3 or connection._transport is None)  # over each time
+        await until(lambda: len(calls) >= 3 or connection._transport is None)  # expired each time
         data = b""
         while part := await received(client):
             data += part
         assert data.count(b"x") == BODY_LIMIT
 
 
-@pytest.mark.parametrize("close", [ServerConnection._end_linger, ServerConnection.close_finished])
+@pytest.mark.parametrize(
+    "close", [ServerConnection._close_after_linger, ServerConnection.close_finished]
+)
 @on_loop
-async def test_a_last_answer_is_not_reset_by_what_still_comes(
+async def test_a_last_response_is_not_lost_by_a_reset_when_more_bytes_arrive(
     close: Callable[[ServerConnection], object], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A slow client: its answer is with this kernel, most of it not with its own yet, and it sends
-    on.
+    """The client is slow and sends another request: this kernel has the complete response, but most
+    of it has not reached the client's kernel.
     """
     monkeypatch.setattr(server_connection, "LINGER_S", 1000.0)
-    async with world(say(answer(b"x" * BODY_LIMIT))) as w:
-        client = SuddenClient(w.gateway.port, receive_buffer=4096)
-        w.gateway.server.draining = True
+    async with running_gateway(sends(response(b"x" * BODY_LIMIT))) as harness:
+        client = BlockingClient(harness.gateway.port, receive_buffer=4096)
+        harness.gateway.server.draining = True
         client.send()
-        await until(lambda: bool(w.gateway.server._finishing))
-        [connection] = w.gateway.server._finishing
+        await until(lambda: bool(harness.gateway.server._finishing))
+        [connection] = harness.gateway.server._finishing
         assert not connection._writing_paused
         client.send()
         close(connection)
-        got = b""
+        data_received = b""
         while data := await received(client):
-            got += data
-        assert got.count(b"x") == BODY_LIMIT
-        close(connection)  # nothing crosses this one
-        await until(lambda: not w.gateway.server.connections)
+            data_received += data
+        assert data_received.count(b"x") == BODY_LIMIT
+        close(connection)  # nothing is in transit now
+        await until(lambda: not harness.gateway.server.connections)
 
 
 @on_loop
-async def test_a_last_answer_looks_for_what_was_sent_ahead(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A client sends ahead: its second request is in the kernel in the turn of the first answer."""
-    async with world(serve_ok) as w:
-        client, whole = SuddenClient(w.gateway.port), ClientConnection.answer
-        w.gateway.server.draining = True
-
-        def cross(connection: ClientConnection, *reply: object) -> None:
-            if not w.hosts[0].seen[1:]:
+async def test_a_drain_serves_an_unread_pipelined_request(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The second, pipelined request is in the kernel when the first response is written."""
+    async with running_gateway(serve_ok) as harness:
+        client, respond = BlockingClient(harness.gateway.port), ClientConnection.respond
+        harness.gateway.server.draining = True
+
+        def send_then_respond(connection: ClientConnection, *reply: object) -> None:
+            if not harness.hosts[0].seen[1:]:
                 client.send()
-            whole(connection, *reply)  # type: ignore[arg-type]
+            respond(connection, *reply)  # type: ignore[arg-type]
 
-        monkeypatch.setattr(ClientConnection, "answer", cross)
+        monkeypatch.setattr(ClientConnection, "respond", send_then_respond)
         client.send()
-        got = b""
+        data_received = b""
         while data := await received(client):
-            got += data
-        assert got.count(b"HTTP/1.1 200 OK") == 2
-        assert got.count(b"Connection: keep-alive") == got.count(b"Connection: close") == 1
+            data_received += data
+        assert data_received.count(b"HTTP/1.1 200 OK") == 2
+        assert (
+            data_received.count(b"Connection: keep-alive")
+            == data_received.count(b"Connection: close")
+            == 1
+        )
 
 
 @on_loop
-async def test_what_comes_after_the_shutdown_is_not_sent_on(
+async def test_a_request_after_the_last_response_is_discarded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its client is told by the end, and sends it once more on a new connection."""
+    """The client sees the end of the connection and retries on a new one."""
     monkeypatch.setattr(server_connection, "LINGER_S", 1000.0)
-    async with world(serve_ok) as w:
-        asked, client = taken(w), SuddenClient(w.gateway.port)
-        w.gateway.server.draining = True
+    async with running_gateway(serve_ok) as harness:
+        requests, client = accepted_requests(harness), BlockingClient(harness.gateway.port)
+        harness.gateway.server.draining = True
         client.send()
-        await until(lambda: bool(w.gateway.server._finishing))
-        [connection] = w.gateway.server._finishing
+        await until(lambda: bool(harness.gateway.server._finishing))
+        [connection] = harness.gateway.server._finishing
         client.send()
         await until(lambda: connection._discarded_bytes > 0)
         assert b"Connection: close" in await received(client)
         assert await received(client) == b""
-        assert len(asked) == len(w.hosts[0].seen) == 1
+        assert len(requests) == len(harness.hosts[0].seen) == 1
 
 
 @on_loop
-async def test_what_comes_late_in_a_drain_is_answered_before_the_kill() -> None:
-    async with world(serve_ok) as w, w.client() as client:
-        asked = taken(w)
-        for taken_s in (1000.0, 0.0):
-            w.gateway.server.draining = False
-            w.gateway.server.drain(taken_s, 2.5)
-            w.gateway.server.draining = (
-                False  # so that its connection is kept for the second request
+async def test_late_requests_in_a_drain_get_a_shorter_deadline() -> None:
+    async with running_gateway(serve_ok) as harness, harness.client() as client:
+        requests = accepted_requests(harness)
+        for short_deadline_after_s in (1000.0, 0.0):
+            harness.gateway.server.draining = False
+            harness.gateway.server.drain(short_deadline_after_s, 2.5)
+            harness.gateway.server.draining = (
+                False  # so that the connection is kept for the second request
             )
-            assert (await client.ask(Request_Timeout_Ms="4000")).status == 200
-        early, late = (request.expires for request in asked)
-        assert late == w.gateway.server.checks._drained_by
+            assert (await client.request(Request_Timeout_Ms="4000")).status == 200
+        early, late = (request.expires for request in requests)
+        assert late == harness.gateway.server.checks._short_deadline
         assert early > late
--- a/tests/mutations/distribution.py
+++ b/tests/mutations/distribution.py
@@ -1,15 +1,15 @@
-"""Guards of `roselink/distribution`, with the edit that removes each and the tests that miss it."""
+"""Guards of `roselink/distribution`: the edit removing each, and the tests that must then fail."""
 
 from __future__ import annotations
 
 from tests.mutations.mutation import Mutation, mutations_of
 
-PULLER = ("tests/distribution", "tests/simulation/test_scenarios.py")
+DISTRIBUTION = ("tests/distribution", "tests/simulation/test_scenarios.py")
 
 MUTATIONS: tuple[Mutation, ...] = (
     *mutations_of(
         "distribution/pull_state_machine.py",
-        PULLER,
+        DISTRIBUTION,
         ("a late reply to an earlier pull is applied", " or self._pending.call != call", ""),
         (
             "an older configuration is applied",
@@ -22,7 +22,7 @@
             "newest.hosts != current.hosts and",
         ),
         (
-            "an older roster is taken",
+            "an older roster is applied",
             "newest.roster > current.roster and",
             "newest.roster != current.roster and",
         ),
@@ -32,26 +32,26 @@
             "if reply is None:",
         ),
         (
-            "a reply without the configuration confirms",
+            "a reply that lacks the newer configuration confirms the snapshot",
             "if newest.configuration == current.configuration:",
             "if True:",
         ),
         (
-            "the lease begins with the reply",
+            "the key lease starts when the reply is received",
             "effects = self._apply_reply(reply, sent_at)",
             "effects = self._apply_reply(reply, now)",
         ),
         (
-            "keys outlive their lease",
-            "self.confirmed_at + revoke_s - KEY_MARGIN_S",
+            "the key lease lasts longer than the revocation time",
+            "self.confirmed_at + revoke_s - KEY_LEASE_MARGIN_S",
             "self.confirmed_at + 2 * revoke_s",
         ),
     ),
     *mutations_of(
         "distribution/host_changes.py",
-        PULLER,
+        DISTRIBUTION,
         (
-            "differences from another version are applied",
+            "host changes based on another version are applied",
             "if changes.base == hosts_version else None",
             "",
         ),
--- a/tests/support/gateway_clients.py
+++ b/tests/support/gateway_clients.py
@@ -1,4 +1,4 @@
-"""Clients of the gateway in service."""
+"""Clients of a gateway under test."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import itertools
 import socket
 
-from tests.support.http_messages import Message, close_resets, read_message
+from tests.support.http_messages import Message, read_message, reset_on_close
 
 request_numbers = itertools.count(1)
 
@@ -14,7 +14,9 @@
 def client_request(
     path: str = "/status-check/k1", body: bytes = b"", method: str = "", **headers: str | None
 ) -> tuple[str, bytes]:
-    """One request and its id; header names have `_` for `-`, None leaves one out."""
+    """Build a request; returns its id and bytes. Header names have `_` for `-`, None omits a
+    header.
+    """
     name = path.split("/")[1]
     number = f"{next(request_numbers):x}"
     given: dict[str, str | None] = {
@@ -32,9 +34,9 @@
     return number, "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
-class SuddenClient:
-    """A client that acts within one turn of the loop: what it does is in the kernel when the call
-    returns, and the gateway's loop has not told of it.
+class BlockingClient:
+    """A client on a blocking socket, which acts within one loop iteration: the effect is in the
+    kernel when the call returns, and the gateway's loop has not reported it.
     """
 
     def __init__(self, port: int, receive_buffer: int | None = None) -> None:
@@ -42,28 +44,28 @@
         if receive_buffer is not None:
             self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
         self.socket.connect(("127.0.0.1", port))
-        self.left = False
+        self.disconnected = False
 
     def send(self, path: str = "/status-check/k1", count: int = 1) -> list[str]:
         requests = [client_request(path) for _ in range(count)]
         self.socket.sendall(b"".join(data for _, data in requests))
         return [number for number, _ in requests]
 
-    def leave(self) -> None:
-        self.left = True
-        self.how()
+    def disconnect(self) -> None:
+        self.disconnected = True
+        self.disconnect_method()
 
     def close(self) -> None:
         self.socket.close()
 
     def reset(self) -> None:
-        close_resets(self.socket)
+        reset_on_close(self.socket)
         self.socket.close()
 
     def end_sending(self) -> None:
         self.socket.shutdown(socket.SHUT_WR)
 
-    how = close  # to leave; tests choose another
+    disconnect_method = close  # replaced by tests
 
 
 class Client:
@@ -86,7 +88,7 @@
         method: str = "",
         **headers: str | None,
     ) -> str:
-        """Write one request as `client_request` words it."""
+        """Write one request as built by `client_request`; returns its id."""
         number, data = client_request(path, body, method, **headers)
         self.writer.write(data)
         return number
@@ -94,7 +96,7 @@
     async def receive(self) -> Message:
         return await read_message(self.reader)
 
-    async def ask(
+    async def request(
         self,
         path: str = "/status-check/k1",
         body: bytes = b"",
--- a/tests/support/gateway_harness.py
+++ b/tests/support/gateway_harness.py
@@ -1,4 +1,4 @@
-"""A gateway in service between fake hosts and a fake discovery, with its configuration."""
+"""Runs a gateway between fake hosts and a fake discovery, with a configuration."""
 
 from __future__ import annotations
 
@@ -86,7 +86,7 @@
 
 
 @dataclass
-class World:
+class GatewayHarness:
     gateway: Gateway
     discovery: FakeDiscovery
     hosts: list[FakeHost]
@@ -96,38 +96,40 @@
 
 
 @asynccontextmanager
-async def world(*behaviours: Behaviour, **changes: Any) -> AsyncIterator[World]:
-    """A gateway that has its list, between fake hosts and a fake discovery."""
+async def running_gateway(*behaviours: Behaviour, **changes: Any) -> AsyncIterator[GatewayHarness]:
+    """Run a gateway that has received its list, between fake hosts and a fake discovery."""
     hosts = [await FakeHost(f"s-{i}", behave).start() for i, behave in enumerate(behaviours)]
     discovery = await FakeDiscovery(*(host.entry() for host in hosts)).start()
     gateway = Gateway(make_config(discovery.port, **changes), asyncio.get_running_loop())
     await gateway.start()
     try:
-        await discovery.asked.get()
+        await discovery.requests.get()
         await until(lambda: len(gateway.engine.hosts) == len(hosts))
-        yield World(gateway, discovery, hosts)
+        yield GatewayHarness(gateway, discovery, hosts)
     finally:
         gateway.stop()
 
 
-def taken(w: World) -> list[ClientRequest]:
-    """The requests that the engine takes from now on."""
+def accepted_requests(harness: GatewayHarness) -> list[ClientRequest]:
+    """Record the requests that the engine accepts from now on."""
     requests: list[ClientRequest] = []
-    accept = w.gateway.engine.accept
+    accept = harness.gateway.engine.accept
 
     def record(
-        request: ClientRequest, reply: Callable[[Reply], None], gone: Callable[[], bool]
+        request: ClientRequest, reply: Callable[[Reply], None], client_gone: Callable[[], bool]
     ) -> OpenRequest:
         requests.append(request)
-        return accept(request, reply, gone)
+        return accept(request, reply, client_gone)
 
-    w.gateway.engine.accept = record  # type: ignore[method-assign]
+    harness.gateway.engine.accept = record  # type: ignore[method-assign]
     return requests
 
 
 @asynccontextmanager
-async def alone(agent: FakeHost, known: dict[str, Any], **changes: Any) -> AsyncIterator[Gateway]:
-    """A gateway that has only its known list, with `agent` in discovery's place."""
+async def gateway_with_known_list(
+    agent: FakeHost, known: dict[str, Any], **changes: Any
+) -> AsyncIterator[Gateway]:
+    """Run a gateway that has only its known list, with `agent` in place of discovery."""
     gateway = Gateway(
         make_config(agent.address[1], known=known, **changes), asyncio.get_running_loop()
     )
