--- a/roselink/lab/command.py
+++ b/roselink/lab/command.py
@@ -1,4 +1,4 @@
-"""`roselink lab`: a run of a fleet and its surroundings, with one line of output a second."""
+"""`roselink lab`: runs a fleet in a simulated environment, and prints a status line per second."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 from roselink.lab.operator import Operator
 from roselink.lab.platform import Gateway, HostList, Ingress
 
-# From the start until the fleet serves, in seconds.
+# Time limit for the fleet to become ready, in seconds.
 START_TIMEOUT_S = 30.0
-# Between two lines of output, in seconds.
-LINE_INTERVAL_S = 1.0
-# From the first request to the kills, in seconds; no later than these fractions of a run with an
-# end.
+# Interval of the status lines, in seconds.
+STATUS_INTERVAL_S = 1.0
+# Times of the kills after the first request, in seconds, and their limits as fractions of the
+# duration, if the run has one.
 KILL_ROUTER_S = 1.0
 KILL_CONTROLLER_S = 2.5
 KILL_ROUTER_FRACTION = 0.25
 KILL_CONTROLLER_FRACTION = 0.5
-# How many faults are printed at the end.
-MOST_FAULTS = 5
+# Maximum number of faults that the summary lists.
+MAX_PRINTED_FAULTS = 5
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,11 +35,12 @@
     """The options of a run.
 
     Attributes:
-        routers: how many gateways.
-        clients: how many clients.
-        seconds: how long the fleet serves; None: until a signal.
-        kill: whether a gateway and the chain's tail are killed.
-        folder: for settings, disks and logs; None: a temporary one, removed at the end.
+        routers: the number of gateways.
+        clients: the number of clients.
+        seconds: how long the fleet serves, in seconds; None to serve until a signal.
+        kill: whether to kill a gateway and the chain's tail during the run.
+        folder: the folder for settings, disks and logs; None for a temporary one, which is removed
+            at the end.
     """
 
     routers: int = 3
@@ -54,12 +55,12 @@
     """The result of a run.
 
     Attributes:
-        outcomes: how many requests ended in each way.
-        retries: how many retries there were.
-        faults: what went wrong with each failed request.
-        overdue: the machines whose processes had to be killed at the end.
+        outcomes: the number of requests by outcome.
+        retries: the number of retries.
+        faults: the path of each failed request and the reason for its failure.
+        overdue: the machines whose processes did not end in time and were killed.
         pids: the ids of all processes.
-        error: why the run ended before its time; None if it did not.
+        error: why the run ended early; None if it did not.
     """
 
     outcomes: dict[Outcome, int]
@@ -71,7 +72,7 @@
 
 
 def run_lab(options: LabOptions, print_line: LinePrinter) -> LabReport:
-    """Run a lab until its time is over, SIGINT or SIGTERM."""
+    """Run a lab until the end of its duration, SIGINT or SIGTERM."""
     if options.folder is not None:
         options.folder.mkdir(parents=True, exist_ok=True)
         return asyncio.run(Lab(options, options.folder, print_line).run())
@@ -80,10 +81,10 @@
 
 
 class Lab:
-    """One run. Made inside a running loop by `run_lab`."""
+    """One run, created by `run_lab`; `run` needs a running event loop."""
 
     def __init__(self, options: LabOptions, folder: Path, print_line: LinePrinter) -> None:
-        """Make the simulated hosts and the list of them; nothing runs yet."""
+        """Create the simulated hosts and the host list; nothing runs yet."""
         self._options = options
         self._folder = folder
         self._print_line = print_line
@@ -92,7 +93,7 @@
         self._host_list = HostList(self._hosts)
 
     async def run(self) -> LabReport:
-        """Start the fleet, serve until the end of the run, and end everything."""
+        """Start the fleet, serve until the end of the run, and stop everything."""
         self._stopping = asyncio.Event()
         self._clients_stopping = asyncio.Event()
         self._clients: list[asyncio.Task[None]] = []
@@ -110,42 +111,42 @@
         self._ingress = Ingress(
             [Gateway(m.name, (m.ip, ports.http), (m.ip, ports.readiness)) for m in fleet.routers]
         )
-        fleet.begin()
+        fleet.start()
         try:
             error = await self._until_stopped()
         except BaseException:
-            await fleet.end()
+            await fleet.stop()
             raise
-        return await self._end(error)
+        return await self._shut_down(error)
 
     async def _until_stopped(self) -> str | None:
-        """Serve until the end of the run, a signal or an error; returns the error."""
-        watch = asyncio.create_task(self._ingress.watch())
-        work = [
+        """Serve until the end of the run, a signal or an error; return the error, if any."""
+        checks = asyncio.create_task(self._ingress.run_checks())
+        tasks = [
             asyncio.create_task(self._serve()),
             asyncio.create_task(self._fleet.wait_for_failure()),
             asyncio.create_task(self._stopping.wait()),
         ]
-        done, pending = await asyncio.wait(work, return_when=asyncio.FIRST_COMPLETED)
+        done, pending = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
         for task in pending:
             task.cancel()
         self._clients_stopping.set()
         await asyncio.gather(*pending, *self._clients, return_exceptions=True)
-        watch.cancel()
-        await asyncio.gather(watch, return_exceptions=True)
+        checks.cancel()
+        await asyncio.gather(checks, return_exceptions=True)
         reason = None
         for task in done:
             try:
                 task.result()
             except (StartError, ConfigurationRefusedError, TimeoutError) as error:
-                reason = str(error) or f"the fleet did not serve within {START_TIMEOUT_S:g} s"
+                reason = str(error) or f"the fleet was not ready within {START_TIMEOUT_S:g} s"
         return reason
 
     async def _serve(self) -> None:
         began = time.monotonic()
         async with asyncio.timeout(START_TIMEOUT_S):
             await self._operator.send(1)
-            await self._ingress.all_ready()
+            await self._ingress.wait_until_all_ready()
         self._print_addresses()
         self._print_line(f"serving {time.monotonic() - began:.1f} s after the start")
         self._began = time.monotonic()
@@ -155,10 +156,10 @@
         ]
         self._clients = [asyncio.create_task(client.run()) for client in clients]
         async with asyncio.TaskGroup() as group:
-            killing = group.create_task(self._kill()) if self._options.kill else None
+            kill_task = group.create_task(self._kill_machines()) if self._options.kill else None
             await self._print_status_lines()
-            if killing is not None:
-                killing.cancel()
+            if kill_task is not None:
+                kill_task.cancel()
 
     def _print_addresses(self) -> None:
         ports = self._fleet.ports
@@ -175,62 +176,65 @@
             )
 
     async def _print_status_lines(self) -> None:
-        """Print one line a second until the end of the run."""
+        """Print a status line per second until the end of the run."""
         seconds = self._options.seconds
         number = 0
-        while seconds is None or number * LINE_INTERVAL_S < seconds:
+        while seconds is None or number * STATUS_INTERVAL_S < seconds:
             number += 1
-            await asyncio.sleep(max(0.0, self._began + number * LINE_INTERVAL_S - time.monotonic()))
+            await asyncio.sleep(
+                max(0.0, self._began + number * STATUS_INTERVAL_S - time.monotonic())
+            )
             state = await self._operator.status()
-            self._print_line(self._status_line(number, state))
+            self._print_line(self._format_status(number, state))
 
-    def _status_line(self, number: int, state: dict[str, object] | None) -> str:
+    def _format_status(self, number: int, state: dict[str, object] | None) -> str:
         outcomes = self._statistics.outcomes
         counts = " ".join(f"{each.value} {outcomes[each]}" for each in Outcome)
-        times = self._statistics.take_first_events()
-        waits = "no first events"
+        times = self._statistics.take_first_event_latencies()
+        latencies = "no first events"
         if times:
             median_ms = _percentile_ms(times, 0.5)
-            waits = f"first event p50 {median_ms} ms p95 {_percentile_ms(times, 0.95)} ms"
-        ready = f"gateways {self._ingress.ready}/{len(self._ingress.gateways)}"
-        core = "no controller answers"
+            latencies = f"first event p50 {median_ms} ms p95 {_percentile_ms(times, 0.95)} ms"
+        ready = f"gateways {self._ingress.ready_count}/{len(self._ingress.gateways)}"
+        core = "no status from any controller"
         if state is not None:
-            tail = self._fleet.by_address(str(state["tail"]))
+            tail = self._fleet.machine_name(str(state["tail"]))
             core = f"epoch {state['epoch']} tail {tail} generation {state['generation']}"
         return (
-            f"{number:>4} s  {counts} retries {self._statistics.retries}  {waits}  {ready}  {core}"
+            f"{number:>4} s  {counts} retries {self._statistics.retries}"
+            f"  {latencies}  {ready}  {core}"
         )
 
-    async def _kill(self) -> None:
-        """Kill a gateway and the chain's tail; then send a second configuration."""
+    async def _kill_machines(self) -> None:
+        """Kill a gateway and the chain's tail, then send a second configuration."""
         kill_router_s = KILL_ROUTER_S
         kill_controller_s = KILL_CONTROLLER_S
         if (seconds := self._options.seconds) is not None:
             kill_router_s = min(kill_router_s, seconds * KILL_ROUTER_FRACTION)
             kill_controller_s = min(kill_controller_s, seconds * KILL_CONTROLLER_FRACTION)
         await self._sleep_until(kill_router_s)
-        self._kill_one(self._fleet.routers[-1])
+        self._kill_machine(self._fleet.routers[-1])
         await self._sleep_until(kill_controller_s)
         state = await self._operator.status()
-        tail = self._fleet.by_address(str(state["tail"])) if state is not None else ""
+        tail = self._fleet.machine_name(str(state["tail"])) if state is not None else ""
         tails = [machine for machine in self._fleet.controllers if machine.name == tail]
-        self._kill_one((tails or self._fleet.controllers)[0])
+        self._kill_machine((tails or self._fleet.controllers)[0])
         began = time.monotonic()
         await self._operator.send(2)
         self._print_line(
-            f"configuration 2 taken in {time.monotonic() - began:.1f} s without {tail or 'it'}"
+            f"configuration 2 confirmed in {time.monotonic() - began:.1f} s without {tail or 'it'}"
         )
 
     async def _sleep_until(self, at: float) -> None:
-        """Sleep until so many seconds after the first request."""
+        """Sleep until a number of seconds after the first request."""
         await asyncio.sleep(max(0.0, self._began + at - time.monotonic()))
 
-    def _kill_one(self, machine: Machine) -> None:
+    def _kill_machine(self, machine: Machine) -> None:
         self._print_line(f"killing {machine.name}, pid {machine.pids[-1]}")
-        machine.send(signal.SIGKILL)
+        machine.send_signal(signal.SIGKILL)
 
-    async def _end(self, error: str | None) -> LabReport:
-        overdue = await self._fleet.end()
+    async def _shut_down(self, error: str | None) -> LabReport:
+        overdue = await self._fleet.stop()
         for host in self._hosts:
             await host.stop()
         await self._host_list.stop()
@@ -250,12 +254,12 @@
 
 
 def summary(report: LabReport) -> list[str]:
-    """The last lines of a run."""
-    lines = [f"fault: {fault}" for fault in report.faults[:MOST_FAULTS]]
+    """The lines of the summary at the end of a run."""
+    lines = [f"fault: {fault}" for fault in report.faults[:MAX_PRINTED_FAULTS]]
     if report.error is not None:
-        lines.append(f"trouble: {report.error}")
+        lines.append(f"error: {report.error}")
     if report.overdue:
-        lines.append(f"had to be killed: {', '.join(report.overdue)}")
+        lines.append(f"killed because they did not end in time: {', '.join(report.overdue)}")
     counts = " ".join(f"{outcome.value} {count}" for outcome, count in report.outcomes.items())
     lines.append(
         f"ended: {counts} retries {report.retries}; {len(report.pids)} processes ran, none is left"
@@ -264,5 +268,5 @@
 
 
 def _percentile_ms(times: list[float], fraction: float) -> int:
-    """A percentile of sorted times in seconds; in milliseconds."""
+    """A percentile in milliseconds of sorted times in seconds."""
     return round(times[min(len(times) - 1, int(len(times) * fraction))] * 1000)
--- a/roselink/simulation/initial_states.py
+++ b/roselink/simulation/initial_states.py
@@ -1,4 +1,4 @@
-"""The states from which a model checker starts, and the steps that lead to them."""
+"""The initial states of the model checker, and the steps that construct them."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from roselink.simulation.system_state import System
 
 
-def command_on(base: int, generation: int, text: str = "") -> ConfigurationChange:
-    """A change with a small document."""
+def change_on(base: int, generation: int, text: str = "") -> ConfigurationChange:
+    """A change with a small document on a base generation."""
     document = f"{base}-{generation}-{text}".encode()
     return ConfigurationChange(base, generation, document, digest_of(base, document))
 
 
 def run_to_quiescence(system: System, *, unreachable: str = "") -> None:
-    """Save and deliver, saves first, until nothing but messages to one machine is in flight.
+    """Complete saves and deliver messages, saves first, until none is left.
 
     Args:
-        system: the state, which is changed.
-        unreachable: the address to which no message is delivered; empty for none.
+        system: the state, which is modified.
+        unreachable: the address to which no messages are delivered; empty for none.
     """
     while True:
         saving = [address for address, machine in system.machines.items() if machine.saving]
@@ -36,8 +36,8 @@
             return
 
 
-def calm_system() -> System:
-    """A chain of three that is active, with nothing in flight."""
+def idle_system() -> System:
+    """An active chain of three members, with no messages in flight."""
     system = System()
     system.begin()
     run_to_quiescence(system)
@@ -45,7 +45,7 @@
 
 
 def deliver_only(system: System, *records: type[Record]) -> None:
-    """Save and deliver messages of some record types; all other messages stay in flight."""
+    """Complete saves and deliver messages of some record types; others stay in flight."""
     numbers = {record_number_of_class(record) for record in records}
     while True:
         saving = [address for address, machine in system.machines.items() if machine.saving]
@@ -61,24 +61,24 @@
 
 
 def view_accepted() -> System:
-    """Two of three have accepted a view without the tail; no member knows that it is chosen."""
-    system = calm_system()
+    """Two of three members have accepted a view without the tail, and none knows it as chosen."""
+    system = idle_system()
     system.propose("a:1", without="c:1")
     deliver_only(system, Prepare, Promise, Accept)
     return system
 
 
 def view_decided() -> System:
-    """The proposer has learnt the view without the tail; the others have not."""
+    """Only the proposer knows that the view without the tail is chosen."""
     system = view_accepted()
     deliver_only(system, Accepted)
     return system
 
 
 def member_joining() -> System:
-    """The tail's disk was lost, and the view that adds it again has just been chosen."""
-    system = calm_system()
-    system.submit("a:1", command_on(0, 3))
+    """The tail lost its disk, and the view that adds it again has just been chosen."""
+    system = idle_system()
+    system.submit("a:1", change_on(0, 3))
     run_to_quiescence(system)
     system.restart("c:1", wiped=True)
     run_to_quiescence(system)
@@ -88,19 +88,19 @@
 
 
 def member_partitioned(address: str) -> System:
-    """The others have formed a view without a member and confirmed a change in it."""
-    system = calm_system()
+    """The other members have formed a view without one, and have confirmed a change in it."""
+    system = idle_system()
     proposer = "b:1" if address == "a:1" else "a:1"
     system.propose(proposer, without=address)
     run_to_quiescence(system, unreachable=address)
-    system.submit(proposer, command_on(0, 3))
+    system.submit(proposer, change_on(0, 3))
     run_to_quiescence(system, unreachable=address)
     return system
 
 
 def two_proposers() -> System:
     """Two members propose different views at the same time."""
-    system = calm_system()
+    system = idle_system()
     system.propose("a:1", without="c:1")
     system.propose("b:1", without="a:1")
     return system
--- a/roselink/simulation/packing.py
+++ b/roselink/simulation/packing.py
@@ -1,4 +1,4 @@
-"""A model checker's machines as values: packed to bytes, with a fingerprint for comparison."""
+"""The model checker's machines as values: pickled, with a fingerprint for comparison."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from roselink.coordination.effects import Persist, Store
 from roselink.coordination.member import Member
 from roselink.protocol.records import decode
-from roselink.simulation.exceptions import UnknownStateError
+from roselink.simulation.exceptions import UnsupportedTypeError
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
     from roselink.protocol.chain import AcceptorState, StoredState, View
 
-# The record number of each of a disk's two records.
+# The record numbers of the two records on a disk.
 RECORD_NUMBERS = {Store.ACCEPTOR: 33, Store.STATE: 36}
-# How many decoded records are kept.
+# How many decoded records are cached.
 CACHE_SIZE = 4096
 
 # Caches by class: the names of its fields, and whether its objects are immutable values.
@@ -29,8 +29,8 @@
 
 
 @dataclass(slots=True)
-class Machine:
-    """One machine, unpacked.
+class UnpackedMachine:
+    """One machine in its mutable form.
 
     Attributes:
         member: the state machine of its process.
@@ -47,17 +47,17 @@
 
 @dataclass(frozen=True, slots=True)
 class PackedMachine:
-    """One machine, packed, and what the invariants need of it.
+    """One machine as an immutable value, with the data that the invariants need.
 
     Attributes:
         data: the pickled machine.
-        fingerprint: equal for machines that differ in nothing that decides their behaviour.
+        fingerprint: equal for machines with the same behaviour-relevant state.
         view: the view that the process follows.
         is_head: whether the process is the head of that view's chain.
-        saving: whether a save is not durable yet.
-        votes: the record of the votes on the disk; empty if there is none.
-        state: the record of the configuration state on the disk; empty if there is none.
-        durable_history: the history that the process takes for durable.
+        saving: whether any save is not durable yet.
+        votes: the record with the votes on the disk; empty if there is none.
+        state: the record with the configuration state on the disk; empty if there is none.
+        durable_history: the history that the process considers durable.
     """
 
     data: bytes
@@ -70,19 +70,24 @@
     durable_history: bytes
 
 
-def unpack(packed: PackedMachine) -> Machine:
-    """A copy of the machine that may be changed."""
-    machine: Machine = pickle.loads(packed.data)
+def unpack(packed: PackedMachine) -> UnpackedMachine:
+    """A mutable copy of the machine."""
+    machine: UnpackedMachine = pickle.loads(packed.data)
     return machine
 
 
-def pack(machine: Machine) -> PackedMachine:
-    """The machine as a value."""
+def pack(machine: UnpackedMachine) -> PackedMachine:
+    """The machine as an immutable value."""
     member = machine.member
-    parts = (_frozen(member), _frozen(machine.disk), _frozen(machine.saves), machine.starts)
+    components = (
+        _hashable(member),
+        _hashable(machine.disk),
+        _hashable(machine.saves),
+        machine.starts,
+    )
     return PackedMachine(
         data=pickle.dumps(machine, protocol=pickle.HIGHEST_PROTOCOL),
-        fingerprint=hash(parts),
+        fingerprint=hash(components),
         view=member.view,
         is_head=member.chain.is_head,
         saving=bool(machine.saves),
@@ -94,14 +99,14 @@
 
 @lru_cache(maxsize=CACHE_SIZE)
 def stored_state(data: bytes) -> StoredState:
-    """Decode the record of the configuration state on a disk."""
+    """Decode the record with the configuration state on a disk."""
     stored: StoredState = decode(RECORD_NUMBERS[Store.STATE], data)
     return stored
 
 
 @lru_cache(maxsize=CACHE_SIZE)
 def stored_votes(data: bytes) -> AcceptorState:
-    """Decode the record of the votes on a disk."""
+    """Decode the record with the votes on a disk."""
     votes: AcceptorState = decode(RECORD_NUMBERS[Store.ACCEPTOR], data)
     return votes
 
@@ -116,7 +121,7 @@
 
 
 def _is_value(kind: type[Any]) -> bool:
-    """Whether its objects are immutable, with a hash of their content."""
+    """Whether the objects of a class are immutable and hashable by content."""
     known = _is_value_type.get(kind)
     if known is None:
         parameters = getattr(kind, "__dataclass_params__", None)
@@ -126,31 +131,31 @@
     return known
 
 
-def _frozen(value: Any) -> Any:
-    """A hashable copy of a part of a machine, without callables and times.
+def _hashable(value: Any) -> Any:
+    """A hashable copy of an object of a machine, without callables and times.
 
     Raises:
-        UnknownStateError: the part has a class that no part of a machine should have.
+        UnsupportedTypeError: no copy is defined for the class of the object.
     """
     kind = type(value)
     if _is_value(kind):
         return value
     if kind is float or callable(value):
         return None
-    if kind in _FREEZERS:
-        return _FREEZERS[kind](value)
+    if kind in _HASHABLE_COPIES:
+        return _HASHABLE_COPIES[kind](value)
     if is_dataclass(value):
-        return tuple([_frozen(getattr(value, name)) for name in _field_names(kind)])
-    raise UnknownStateError(kind)
+        return tuple([_hashable(getattr(value, name)) for name in _field_names(kind)])
+    raise UnsupportedTypeError(kind)
 
 
-def _frozen_items(items: Iterable[Any]) -> tuple[Any, ...]:
-    return tuple([_frozen(each) for each in items])
+def _hashable_items(items: Iterable[Any]) -> tuple[Any, ...]:
+    return tuple([_hashable(each) for each in items])
 
 
-def _frozen_member(member: Member) -> tuple[Any, ...]:
-    """The parts of a member that decide its behaviour."""
-    parts = (
+def _hashable_member(member: Member) -> tuple[Any, ...]:
+    """The components of a member that determine its behaviour."""
+    components = (
         member.acceptor,
         member.reply_gate,
         member.chain,
@@ -159,13 +164,13 @@
         member.sequencer,
         member.pending_calls,
     )
-    return _frozen_items(parts)
+    return _hashable_items(components)
 
 
-_FREEZERS: dict[type[Any], Callable[[Any], Any]] = {
-    list: _frozen_items,
-    tuple: _frozen_items,
-    dict: lambda items: tuple([(key, _frozen(each)) for key, each in items.items()]),
+_HASHABLE_COPIES: dict[type[Any], Callable[[Any], Any]] = {
+    list: _hashable_items,
+    tuple: _hashable_items,
+    dict: lambda items: tuple([(key, _hashable(each)) for key, each in items.items()]),
     set: frozenset,
-    Member: _frozen_member,
+    Member: _hashable_member,
 }
--- a/tests/cli/test_simulate.py
+++ b/tests/cli/test_simulate.py
@@ -26,10 +26,10 @@
     def raise_violation(_: int) -> ScenarioResult:
         raise ScenarioError("unexplained", (Violation("an old configuration was shown", "3 at 7"),))
 
-    monkeypatch.setattr(command, "day_of_seed", raise_violation)
-    result = run_job(Job(7, None))
-    assert result.failure is not None
-    assert "an old configuration was shown: 3 at 7" in result.failure
+    monkeypatch.setattr(command, "run_scenario_of_seed", raise_violation)
+    outcome = run_job(Job(7, None))
+    assert outcome.failure is not None
+    assert "an old configuration was shown: 3 at 7" in outcome.failure
 
 
 def test_a_failed_day_exits_with_status_1(monkeypatch: pytest.MonkeyPatch) -> None:
