--- a/roselink/dataplane/gateway_data_plane.py
+++ b/roselink/dataplane/gateway_data_plane.py
@@ -114,7 +114,7 @@
 
     # Payoffs, draining and shutdown.
 
-    def pool_payoffs(self, payoffs: tuple[tuple[str, float], ...]) -> None:
+    def set_pooled_payoffs(self, payoffs: tuple[tuple[str, float], ...]) -> None:
         """Apply the payoffs of hosts over all gateways: id and 0 to 1; hosts not listed have 1."""
         self.driver.handle_event(PooledPayoffs(payoffs))
 
--- a/roselink/router/app.py
+++ b/roselink/router/app.py
@@ -89,7 +89,7 @@
     )
     services.pull_client.exchange_payoffs(
         lambda: tuple(HostOutcomes(*outcome) for outcome in decider.take_unreported_outcomes()),
-        lambda pooled: data_plane.pool_payoffs(pooled.hosts),
+        lambda pooled: data_plane.set_pooled_payoffs(pooled.hosts),
     )
     await data_plane.start()
     status_log = StatusLog(loop, data_plane.status_line)
--- a/roselink/router/interfaces.py
+++ b/roselink/router/interfaces.py
@@ -30,7 +30,7 @@
         """
         ...
 
-    def pool_payoffs(self, payoffs: tuple[tuple[str, float], ...]) -> None:
+    def set_pooled_payoffs(self, payoffs: tuple[tuple[str, float], ...]) -> None:
         """Set the payoffs (0 to 1) of hosts, pooled over all gateways."""
         ...
 
--- a/tests/router/test_app.py
+++ b/tests/router/test_app.py
@@ -278,8 +278,8 @@
     def status_line(self) -> str:
         return "open=0"
 
-    def pool_payoffs(self, payoffs: tuple[tuple[str, float], ...]) -> None:
-        self.calls.append(f"pool_payoffs {len(payoffs)}")
+    def set_pooled_payoffs(self, payoffs: tuple[tuple[str, float], ...]) -> None:
+        self.calls.append(f"set_pooled_payoffs {len(payoffs)}")
 
 
 DECIDERS: list[FakeDecider] = []
