--- a/roselink/gateway/request_checks.py
+++ b/roselink/gateway/request_checks.py
@@ -18,7 +18,7 @@
 
 # Headers that are not forwarded: hop-by-hop ones (RFC 9110, section 7.6.1) and those that the
 # gateway sets itself.
-HOP_BY_HOP = frozenset(
+NOT_FORWARDED = frozenset(
     b"connection keep-alive proxy-connection te trailer transfer-encoding upgrade expect "
     b"content-length "
     b"request-timeout-ms proxy-authorization proxy-authenticate".split()
@@ -120,7 +120,7 @@
             if lower_name in SINGLE_HEADERS and lower_name in values:
                 raise BadRequestError(400, f"duplicate header {lower_name.decode()}")
             values[lower_name] = value
-            if lower_name not in HOP_BY_HOP:
+            if lower_name not in NOT_FORWARDED:
                 forwarded.append(b"%b: %b" % (name, value))
         return values, forwarded
 
