--- a/roselink/balancer/concurrency_limit.py
+++ b/roselink/balancer/concurrency_limit.py
@@ -10,9 +10,11 @@
     from roselink.balancer.slow_start import SlowStart
     from roselink.balancer.state import BalancerState
 
-# Initial limit of a server over all balancers: low, as the capacity of large machines is learned.
+# Initial limit of a server, in attempts of all balancers together. Low, since the capacity of large
+# machines is learned.
 INITIAL_LIMIT = 3.0
-# Requests that queue in a full server. Higher uses it more; lower avoids queues no balancer sees.
+# Requests queued in a full server above which its limit falls. Higher uses servers more fully;
+# lower keeps these queues, which no balancer sees, shorter.
 MAX_SERVER_QUEUE = 1.0
 # Relative change of the limit per answer. Higher adapts sooner; lower is steadier.
 LIMIT_STEP = 0.001
--- a/roselink/balancer/host_choice.py
+++ b/roselink/balancer/host_choice.py
@@ -55,7 +55,7 @@
         Balancing", Mitzenmacher 2001).
         """
         state = self._state
-        # Cold servers first: a send slot not used is lost, and a deploy would leave a fleet cold.
+        # Cold servers first: an unused send slot is lost, and a deploy makes a whole fleet cold.
         for server in state.cold:
             if (
                 self._slow_start.is_cold(server)
@@ -64,7 +64,8 @@
             ):
                 return server
         window = candidate_window(state)
-        # No partition in a window: only a full view shows the fraction of long-running work.
+        # No partition in a window: a balancer that uses only part of the fleet has too little
+        # traffic to know the fraction of long-running work.
         partition = state.candidates if window else self._partition.servers_for(request.route)
         limit_fraction = 1.0 if window else LOCAL_FRACTION
         local = [
@@ -99,7 +100,7 @@
         return (self._payoffs.payoff(server) - cross_zone_price) / load
 
     def may_send(self, request: Request, server: ServerState) -> bool:
-        """Checks rules 2, 3 and 4 before every send."""
+        """Checks rules 2, 3 and 4 (see `decider`) before every send."""
         settings = self._state.settings
         if request.closed or len(request.attempts) >= settings.max_attempts:
             return False
--- a/roselink/balancer/host_window.py
+++ b/roselink/balancer/host_window.py
@@ -16,8 +16,8 @@
 OUTCOMES_PER_SERVER = 6.0
 # Servers in the smallest window: with one bad server there must still be a choice.
 MIN_WINDOW_SIZE = 8
-# Local servers take all requests while one is below this fraction of its limit; also the most of a
-# window that is local. Higher: longer waits; lower: more cross-zone requests.
+# Local servers take all requests while one is below this fraction of its limit; also the largest
+# local fraction of a window. Higher: longer waits; lower: more cross-zone requests.
 LOCAL_FRACTION = 0.5
 # Requests of mean work over which the fraction of long-running work is smoothed.
 LONG_WORK_SAMPLES = 256
--- a/roselink/balancer/interface.py
+++ b/roselink/balancer/interface.py
@@ -46,9 +46,9 @@
     """How a server list relates to the previous one."""
 
     FULL = 0
-    CACHED = 1
+    CACHED = 1  # a full list, known from earlier
     CHANGES = 2
-    FAILED = 3
+    FAILED = 3  # the call failed; there is no list
 
 
 def _require(field: str, problem: str, *, valid: bool) -> None:
@@ -213,7 +213,10 @@
 
 
 class Arrived(NamedTuple):
-    """Event: a client's request. One final answer is due before `give_up_us`."""
+    """Event: a client's request. One final answer is due before `give_up_us`.
+
+    `work_us`: the client's estimate of the work; `repeat`: the client marked it as a retry.
+    """
 
     request: int
     route: int
--- a/roselink/balancer/kind_speeds.py
+++ b/roselink/balancer/kind_speeds.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from roselink.balancer.request_state import Attempt
 
-# Relative weight of an answer slower than its kind: it may have waited, which is not slowness.
+# Relative weight of an answer slower than usual for its kind: it may have waited in a queue.
 SLOWDOWN_WEIGHT = 0.5
 # Answers over which the mean slowness is smoothed where the work of a request is not known.
 MEAN_SAMPLES = 64
--- a/roselink/balancer/outcome_classifier.py
+++ b/roselink/balancer/outcome_classifier.py
@@ -1,4 +1,7 @@
-"""Outcome classification: what allows a retry or a refusal, and what indicates overload."""
+"""Outcome classification: what allows a retry or a refusal, and what indicates overload.
+
+Rule numbers refer to `decider`.
+"""
 
 from __future__ import annotations
 
--- a/roselink/balancer/payoff.py
+++ b/roselink/balancer/payoff.py
@@ -29,7 +29,7 @@
         return math.exp(-max(0, age_us) / self._state.decay_time_us)
 
     def payoff(self, server: ServerState) -> float:
-        """Payoff of a server; good or bad, it decays to the mean of all without new outcomes."""
+        """Payoff of a server; without new outcomes it decays to the mean of all servers."""
         return self.mean + (server.payoff - self.mean) * self.freshness(server)
 
     def observe(self, server: ServerState, value: float) -> None:
--- a/roselink/balancer/request_queue.py
+++ b/roselink/balancer/request_queue.py
@@ -10,8 +10,8 @@
     from roselink.balancer.request_state import Request
     from roselink.balancer.state import BalancerState
 
-# Largest fraction of its objective that a request is queued. Higher: capacity may become available
-# here; lower: more time for a retry at another balancer.
+# Largest fraction of the time left to its objective that a request is queued. Higher: capacity may
+# become available here; lower: more time for a retry at another balancer.
 MAX_QUEUED_FRACTION = 0.2
 
 
--- a/roselink/balancer/simulator_adapter.py
+++ b/roselink/balancer/simulator_adapter.py
@@ -2,8 +2,9 @@
 
 Each input line is a batch of events for the instances of one process, each with its own
 `Balancer`; each output line is the batch of their decisions. No decision is made here. The names
-of the protocol appear only in this file; the library has its own. Run as
-`python -m roselink.balancer.simulator_adapter`. An invalid batch ends the run with status 2.
+of the protocol appear only in this file and, for settings, in `settings_reader`; the library has
+its own. Run as `python -m roselink.balancer.simulator_adapter`. An invalid batch ends the run with
+status 2.
 """
 
 from __future__ import annotations
--- a/roselink/balancer/slow_start.py
+++ b/roselink/balancer/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start (rule 4): bounds the work that all balancers together send to a cold server."""
+"""Slow start (rule 4 of `decider`): bounds the work of all balancers at a cold server."""
 
 from __future__ import annotations
 
@@ -11,7 +11,8 @@
     from roselink.balancer.server_state import ServerState
     from roselink.balancer.state import BalancerState
 
-# Largest fraction of the operators' cold-start budget to use, as sends of many balancers cluster.
+# Fraction of `Settings.fall_multiple`, and of `fall_window_us` for late sends, that may be used:
+# below 1, since sends of many balancers cluster. Higher uses cold servers more; lower risks less.
 COLD_BUDGET_FRACTION = 0.5
 # Lower bound of the load factor, as a fraction of its upper bound.
 MIN_LOAD_FRACTION = 0.25
