--- a/roselink/gateway/config.py
+++ b/roselink/gateway/config.py
@@ -50,10 +50,10 @@
         name: The gateway's name in its log.
         listen: The address for clients.
         discovery: The address of discovery.
-        seed: The decider's random source.
+        seed: Seed of the balancer and of the jitter of discovery calls.
         sockets: How many descriptors the process may have.
         known: The last host list that this gateway received; empty for none.
-        settings: The decider's settings.
+        settings: The balancer's settings.
         tenants: Names of the tenants, in the order of the settings.
         kinds: Names of the machine types, in the order of the settings.
         zones: Names of the zones, in the order of the settings.
--- a/roselink/gateway/discovery.py
+++ b/roselink/gateway/discovery.py
@@ -1,4 +1,4 @@
-"""Watches discovery's host list for as long as the gateway runs and emits each as a `ServerList`.
+"""Watches discovery for as long as the gateway runs and passes each list on as a `ServerList`.
 
 The last list stays in force whatever happens to the watch: an outage of discovery must not take
 running hosts out of service. A malformed list is rejected as a unit, and the watch restarts from
--- a/roselink/gateway/request_checks.py
+++ b/roselink/gateway/request_checks.py
@@ -16,8 +16,7 @@
 if TYPE_CHECKING:
     from roselink.gateway.config import Config
 
-# Headers that are not forwarded: hop-by-hop ones (RFC 9110, section 7.6.1) and those that the
-# gateway sets itself.
+# Hop-by-hop headers (RFC 9110, section 7.6.1) and those that the gateway sets itself.
 NOT_FORWARDED = frozenset(
     b"connection keep-alive proxy-connection te trailer transfer-encoding upgrade expect "
     b"content-length "
@@ -43,7 +42,7 @@
         self._effects = [route.effect for route in routes]
         self._deadlines_s = [route.deadline_us / 1e6 for route in routes]
         self._tenants = {name: index for index, name in enumerate(config.tenants)}
-        # Requests that begin at or after the first loop time expire at the second at the latest.
+        # Loop times: requests that begin at the first or later expire by the second.
         self._short_deadline_from = math.inf
         self._short_deadline = math.inf
 
--- a/roselink/gateway/server.py
+++ b/roselink/gateway/server.py
@@ -26,7 +26,8 @@
 
 log = logging.getLogger("roselink.gateway.server")
 
-MESSAGE_LIMIT = HEAD_LIMIT + 4 * BODY_LIMIT  # with a chunked body's framing
+# Largest request in bytes, with the framing of a chunked body.
+MESSAGE_LIMIT = HEAD_LIMIT + 4 * BODY_LIMIT
 # Statuses that are not logged for responses without a request: those of `/up`.
 UNLOGGED_STATUSES = (200, 503)
 # Time-out of reading a request, from its first byte, and of waiting for a connection's first one.
--- a/roselink/http/host_connection.py
+++ b/roselink/http/host_connection.py
@@ -25,6 +25,7 @@
     from roselink.http.address import Address
     from roselink.http.host_pool import HostPool
 
+# Largest body and head of a response, in bytes.
 BODY_LIMIT = 64 * 1024
 HEAD_LIMIT = 16 * 1024
 # Largest response in bytes, framing included: a chunk extension is passed to no parser callback.
@@ -124,7 +125,7 @@
             task.cancel()
 
     def withdraw(self) -> None:
-        """End the attempt without sending: its host went out of service before the write."""
+        """End the attempt unsent: its host is out of service, or no connection may be opened."""
         self._end(Outcome.MOOT)
 
     def finish(self, outcome: Outcome, response: HostResponse | None = None) -> None:
@@ -167,6 +168,7 @@
         self._section_bytes = 0
         self._body: list[bytes] = []
         self._in_head = True
+        # `_has_excess`: bytes were received that are no part of a valid response.
         self._in_message = self._is_complete = self._has_excess = self._keep_alive = False
         self._status = 0
 
--- a/roselink/http/host_pool.py
+++ b/roselink/http/host_pool.py
@@ -166,7 +166,7 @@
             connection.holds_descriptor = False
             self._descriptors.used -= 1
             connection.host.open_count -= 1
-        if self._idle.pop(connection, connection) is None:
+        if self._idle.pop(connection, connection) is None:  # it was idle: the values are None
             connection.host.idle.remove(connection)
 
     def retire(self, host: PooledHost) -> None:
--- a/roselink/http/server.py
+++ b/roselink/http/server.py
@@ -19,7 +19,8 @@
 
 # Length of the kernel's queue of connections to be accepted.
 BACKLOG = 1024
-# Time by which a first request is normally read here, or a last response by its client, in seconds.
+# Time within which a first request is normally read here, or a last response by its client, in
+# seconds.
 MAX_READ_DELAY_S = 0.2
 # Longest time to accept queued connections when the listener closes, however many still arrive.
 BACKLOG_ACCEPT_S = 0.2
@@ -105,8 +106,8 @@
     def connection_opened(self, connection: ServerConnection) -> None:
         """Register a new connection; past the connection limit, close another one.
 
-        Guards against floods of connections. Connections with their last response and those that
-        never sent a byte are closed first, then idle ones, and never one with a request.
+        Guards against floods of connections. Connections whose last response was written and those
+        that never sent a byte are closed first, then idle ones, and never one with a request.
         """
         self._descriptors.used += 1
         self.connections[connection] = self._unused[connection] = None
@@ -123,6 +124,7 @@
             or _close_oldest(self._idle, ServerConnection.close_idle)
         ):
             return
+        # Far past the limit, recent connections without a request are closed too.
         flooded = len(self.connections) > self._connection_limit + self._connection_limit // 4
         if flooded and next(iter(self._unused)) is not newest:
             _close_oldest(self._unused, ServerConnection.close_idle)
