--- a/roselink/dataplane/client_server.py
+++ b/roselink/dataplane/client_server.py
@@ -83,4 +83,5 @@
 
 
 def _size_limits(head: int, body: int) -> SizeLimits:
+    # The message may have 4 times the size of the body, for the framing of its chunks.
     return SizeLimits(head, body, head + 4 * body)
--- a/roselink/dataplane/decision_driver.py
+++ b/roselink/dataplane/decision_driver.py
@@ -62,7 +62,7 @@
 
 
 class DecisionDriver:
-    """Connects one decider to the event loop, whose clock is the only one."""
+    """Connects one decider to the event loop; all times are those of the loop's clock."""
 
     def __init__(
         self,
--- a/roselink/dataplane/exchange.py
+++ b/roselink/dataplane/exchange.py
@@ -25,7 +25,7 @@
 
 # Attempts of one request; protects the event loop from a decider that retries for ever.
 ATTEMPTS_LIMIT = 64
-# Digits of a `Last-Event-Id`; the same limit as for ids in a stream.
+# Most digits of a `Last-Event-Id`; longer ones are ignored. The same limit holds in a stream.
 EVENT_ID_DIGITS_LIMIT = 18
 # Bytes of an incomplete response, or of an incomplete event, that are buffered.
 # A larger value takes more memory; a smaller one relays more responses before their end is known.
@@ -195,7 +195,7 @@
 
     @property
     def progressed(self) -> bool:
-        """Whether part of it was relayed."""
+        """Whether part of this response was relayed."""
         return self.exchange.response_begun and self.exchange.relayed_attempt is self
 
     @property
--- a/roselink/dataplane/fleet_host_connection.py
+++ b/roselink/dataplane/fleet_host_connection.py
@@ -1,7 +1,7 @@
 """Connection to a host of the fleet that passes on a response as it is received.
 
-Unlike `HostConnection`, it streams bodies, does not take silence for a failure, and recognises
-responses to other requests by their id.
+Unlike `HostConnection`, it streams bodies, sets no time-out between the parts of a response, and
+recognises responses to other requests by their id.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 KEEPALIVE_PROBES = 2
 # Surplus responses, which belong to other requests, that may precede the expected one.
 SURPLUS_LIMIT = 2
-# Idle limit for hosts that state none; theirs is below one second.
+# Idle limit for hosts that state none; such hosts close idle connections within one second.
 DEFAULT_IDLE_S = 0.4
 # Digits of the idle time in a `Keep-Alive` header, in seconds.
 IDLE_DIGITS_LIMIT = 7
@@ -120,6 +120,7 @@
         """Start without a transport, for one host."""
         self._raw_headers: Headers = []
         self._body_pieces: list[bytes] = []
+        # `_bytes_since_progress`: received since the parser last reported a part of a response.
         self._bytes_since_progress = self._surplus_count = self._sent_bytes = 0
         self._in_surplus = self._head_is_new = self._reading_paused = False
         self._idle_limit_s = DEFAULT_IDLE_S
--- a/roselink/dataplane/gateway_data_plane.py
+++ b/roselink/dataplane/gateway_data_plane.py
@@ -25,18 +25,20 @@
 SWEEP_INTERVAL_S = 0.25
 # A sweep delayed by more than this closes nothing, because data received meanwhile is still unread.
 SWEEP_OVERDUE_LIMIT_S = 1.0
-# After SIGTERM. The platform checks readiness every second and sends connections until two checks
-# have failed. A smaller value would refuse connections; a larger one would delay the drain.
+# How long connections are accepted after SIGTERM. The platform checks readiness every second and
+# sends connections until two checks have failed. A smaller value would refuse connections; a larger
+# one would delay the drain.
 ACCEPT_AFTER_SIGTERM_S = 2.5
 # Part of the grace time that is kept for sending the last responses and for exiting.
 EXIT_RESERVE_S = 1.0
+# Interval between two checks whether every connection has closed.
 CLOSE_POLL_S = 0.02
 # File descriptors for uses other than clients and hosts: files, peers, libraries.
 RESERVED_DESCRIPTORS = 300
 
 
 class GatewayDataPlane:
-    """Public interface: `start`, `begin_drain`, `drained`, `stop`, `status_line`."""
+    """Owns the components of the data plane and starts, drains and stops them."""
 
     def __init__(
         self,
@@ -115,7 +117,7 @@
     # Payoffs, draining and shutdown.
 
     def set_pooled_payoffs(self, payoffs: tuple[tuple[str, float], ...]) -> None:
-        """Apply the payoffs of hosts over all gateways: id and 0 to 1; hosts not listed have 1."""
+        """Set payoffs (0 to 1) pooled over all gateways, by host id; hosts not listed have 1."""
         self.driver.handle_event(PooledPayoffs(payoffs))
 
     def begin_drain(self) -> None:
--- a/roselink/dataplane/proxy_request.py
+++ b/roselink/dataplane/proxy_request.py
@@ -29,6 +29,7 @@
 LOWEST_PRIORITY = 9
 # Weight of the tenant's priority relative to the route's.
 PRIORITY_STEP = 3
+# Most commas in `X-Prompt-Prefix`; a header with more is ignored.
 PROMPT_ENTRIES_LIMIT = 256
 # One day; a request with a longer deadline counts as having none.
 DEADLINE_LIMIT_S = 86400
@@ -41,7 +42,8 @@
     """One complete client request.
 
     `received_at`: loop time from which the deadline counts; `deadline_s`: how long the client
-    waits, None if not stated; `version`: the client's HTTP version.
+    waits, None if not stated; `key`: the API key; `tokens`: prompt tokens and expected response
+    tokens, None if not stated; `version`: the client's HTTP version.
     """
 
     method: bytes
--- a/roselink/dataplane/route_table.py
+++ b/roselink/dataplane/route_table.py
@@ -50,7 +50,7 @@
         self.requires_keys = bool(configuration.tenants)  # on routes that aren't public
 
     def find(self, host: str, path: str) -> RouteEntry | None:
-        """The route with the longest prefix of a path (without query) for a `Host` header."""
+        """The route for a `Host` header with the longest prefix of the path, which has no query."""
         prefixes = self._routes_by_prefix.get(hostname(host))
         if prefixes is None:
             return None
--- a/roselink/routing/affinity.py
+++ b/roselink/routing/affinity.py
@@ -27,6 +27,7 @@
 MAX_HOSTS_PER_SEGMENT = 16
 # Bound on the last segments that are kept to detect recurrence.
 MAX_TRACKED_LAST_SEGMENTS = 2048
+# Bound on the routes whose recurrence rate is kept.
 MAX_TRACKED_ROUTES = 1024
 # Time for which a host is assumed to cache a segment after its last use there, in seconds. A longer
 # one trusts segments that were evicted; a shorter one charges for segments that are still cached.
--- a/roselink/routing/backoff.py
+++ b/roselink/routing/backoff.py
@@ -16,7 +16,8 @@
 MAX_MEAN_WAIT_S = 0.25
 # Retry-After for a rejected client while no host rejects attempts.
 RETRY_AFTER_S = 0.05
-# Added in proportion to the rejection rate; in full when hosts reject every attempt.
+# Addition to `RETRY_AFTER_S` in proportion to the rejection rate; in full when hosts reject every
+# attempt.
 OVERLOAD_RETRY_AFTER_S = 0.15
 # Retry-After when no host is ready.
 NO_HOST_RETRY_AFTER_S = 0.3
--- a/roselink/routing/host_record.py
+++ b/roselink/routing/host_record.py
@@ -78,7 +78,7 @@
         return self.in_flight < self.limit
 
     def is_saturated(self) -> bool:
-        """Whether own requests in flight reach the fraction of it that one gateway may use."""
+        """Whether own requests in flight reach the fraction of the limit for one gateway."""
         return self.in_flight >= min(
             self.limit, max(MIN_SATURATED, SATURATED_FRACTION * self.limit)
         )
--- a/roselink/routing/policy.py
+++ b/roselink/routing/policy.py
@@ -26,8 +26,8 @@
 LATENCIES_PER_RECOMPUTE = 32
 # Lowest attempt limit of a route with hedges: a hedge is a second attempt.
 MIN_HEDGE_ATTEMPTS = 2
-# Streams are hedged only long after the percentile and the target latency, and only when the host
-# seems unresponsive: each hedge costs the prefill of a full prompt.
+# Whether streams are hedged: only long after the percentile and the target latency, and only when
+# the host seems unresponsive, as each hedge costs the prefill of a full prompt.
 HEDGE_STREAMS = True
 # Factor of the percentile after which a stream may be hedged. A larger one saves prefills; a
 # smaller one hedges streams earlier.
