--- a/roselink/balancer/concurrency_limit.py
+++ b/roselink/balancer/concurrency_limit.py
@@ -10,8 +10,7 @@
     from roselink.balancer.slow_start import SlowStart
     from roselink.balancer.state import BalancerState
 
-# Initial limit of a server, in attempts of all balancers together. Low, since the capacity of large
-# machines is learned.
+# Initial limit of a server over all balancers: low, as the capacity of large machines is learned.
 INITIAL_LIMIT = 3.0
 # Requests queued in a full server above which its limit falls. Higher uses servers more fully;
 # lower keeps these queues, which no balancer sees, shorter.
--- a/roselink/balancer/host_choice.py
+++ b/roselink/balancer/host_choice.py
@@ -64,8 +64,7 @@
             ):
                 return server
         window = candidate_window(state)
-        # No partition in a window: a balancer that uses only part of the fleet has too little
-        # traffic to know the fraction of long-running work.
+        # No partition in a window: the fraction of long work is known only with traffic for all.
         partition = state.candidates if window else self._partition.servers_for(request.route)
         limit_fraction = 1.0 if window else LOCAL_FRACTION
         local = [
--- a/roselink/balancer/outcome_classifier.py
+++ b/roselink/balancer/outcome_classifier.py
@@ -1,7 +1,4 @@
-"""Outcome classification: what allows a retry or a refusal, and what indicates overload.
-
-Rule numbers refer to `decider`.
-"""
+"""Outcome classification: what allows a retry or a refusal, and what indicates overload."""
 
 from __future__ import annotations
 
@@ -19,7 +16,7 @@
 
 
 def may_refuse(request: Request) -> bool:
-    """Whether a request may be refused. Rule 2: a refusal signals that a retry is safe.
+    """Whether a request may be refused. Rule 2 (`decider`): a refusal signals a safe retry.
 
     It is safe if a repeat does no harm or if no attempt may have run.
     """
--- a/roselink/balancer/outlier_ejection.py
+++ b/roselink/balancer/outlier_ejection.py
@@ -13,9 +13,8 @@
 
 # Payoff below which a server is ejected. Higher ejects bad ones sooner; lower spares unlucky ones.
 EJECTION_PAYOFF = 0.3
-# First ejection, as a multiple of the work of one trial request from each balancer that shares the
-# server; at least the longest deadline of a route. Higher: fewer trials of a broken server; lower:
-# a recovered one returns sooner.
+# First ejection, but at least the longest deadline: a multiple of the work of one trial request per
+# balancer that shares the server. Higher: fewer trials if broken; lower: back sooner if recovered.
 EJECTION_TRIALS = 2.0
 # Longest ejection, as a multiple of the first.
 MAX_EJECTION_MULTIPLE = 4
--- a/roselink/balancer/request_state.py
+++ b/roselink/balancer/request_state.py
@@ -13,8 +13,7 @@
     from roselink.balancer.interface import Arrived, Route
     from roselink.balancer.server_state import ServerState
 
-# Newest latencies of a route, from which its percentiles are computed.
-TRACKED_LATENCIES = 128
+TRACKED_LATENCIES = 128  # newest ones of a route, from which its percentiles are computed
 # Answers after which only those of idle servers change a route's cost: latencies under overload
 # must not become the reference.
 COST_SAMPLES_MIN = 64
--- a/roselink/balancer/server_table.py
+++ b/roselink/balancer/server_table.py
@@ -33,8 +33,7 @@
             }
         for server in event.servers:
             self._update_server(server)
-        # Rule 3 (see `decider`): a draining or removed server leaves the candidates with the event
-        # that reports it.
+        # Rule 3 (`decider`): a draining or removed server leaves the candidates with this event.
         ready = [server for server in state.servers.values() if server.spec.state is State.READY]
         state.candidates = sorted(ready, key=lambda server: server.sort_key)
         state.cold = [server for server in state.candidates if self._slow_start.is_cold(server)]
--- a/roselink/balancer/slow_start.py
+++ b/roselink/balancer/slow_start.py
@@ -11,8 +11,7 @@
     from roselink.balancer.server_state import ServerState
     from roselink.balancer.state import BalancerState
 
-# Fraction of `Settings.fall_multiple`, and of `fall_window_us` for late sends, that may be used:
-# below 1, since sends of many balancers cluster. Higher uses cold servers more; lower risks less.
+# Largest fraction of `fall_multiple` and `fall_window_us` to use, as sends of balancers cluster.
 COLD_BUDGET_FRACTION = 0.5
 # Lower bound of the load factor, as a fraction of its upper bound.
 MIN_LOAD_FRACTION = 0.25
