--- a/roselink/gateway/request_checks.py
+++ b/roselink/gateway/request_checks.py
@@ -16,9 +16,8 @@
 if TYPE_CHECKING:
     from roselink.gateway.config import Config
 
-# Headers that are not forwarded: hop-by-hop ones (RFC 9110, section 7.6.1) and those that the
-# gateway sets itself.
-HOP_BY_HOP = frozenset(
+# Hop-by-hop headers (RFC 9110, section 7.6.1) and those that the gateway sets itself.
+NOT_FORWARDED = frozenset(
     b"connection keep-alive proxy-connection te trailer transfer-encoding upgrade expect "
     b"content-length "
     b"request-timeout-ms proxy-authorization proxy-authenticate".split()
@@ -43,7 +42,7 @@
         self._effects = [route.effect for route in routes]
         self._deadlines_s = [route.deadline_us / 1e6 for route in routes]
         self._tenants = {name: index for index, name in enumerate(config.tenants)}
-        # Requests that begin at or after the first loop time expire at the second at the latest.
+        # Loop times: requests that begin at the first or later expire by the second.
         self._short_deadline_from = math.inf
         self._short_deadline = math.inf
 
@@ -120,7 +119,7 @@
             if lower_name in SINGLE_HEADERS and lower_name in values:
                 raise BadRequestError(400, f"duplicate header {lower_name.decode()}")
             values[lower_name] = value
-            if lower_name not in HOP_BY_HOP:
+            if lower_name not in NOT_FORWARDED:
                 forwarded.append(b"%b: %b" % (name, value))
         return values, forwarded
 
