--- a/roselink/cli.py
+++ b/roselink/cli.py
@@ -144,10 +144,10 @@
     :param folder: new folder that keeps settings, disks and logs
     """
     from roselink.lab.command import LabOptions, run_lab
-    from roselink.lab.fleet import MOST_ROUTERS
+    from roselink.lab.fleet import MAX_ROUTERS
 
-    if not (1 <= routers <= MOST_ROUTERS and clients >= 1):
-        return _report_faults([f"routers: 1 to {MOST_ROUTERS}; clients: at least 1"])
+    if not (1 <= routers <= MAX_ROUTERS and clients >= 1):
+        return _report_faults([f"routers: 1 to {MAX_ROUTERS}; clients: at least 1"])
     if folder is not None and folder.exists():
         return _report_faults([f"{folder}: already exists"])
     report = run_lab(LabOptions(routers, clients, seconds, kill, folder), _print_flushed)
--- a/roselink/controller/chain_driver.py
+++ b/roselink/controller/chain_driver.py
@@ -189,7 +189,7 @@
     def chain_addresses(self) -> tuple[str, ...]:
         """The peer addresses of the newest known view's chain, from head to tail."""
         view = self._member.view if self._member is not None else None
-        return () if view is None else tuple(link.voter.address for link in view.chain)
+        return () if view is None else tuple(replica.voter.address for replica in view.chain)
 
     @property
     def forming(self) -> bool:
@@ -252,7 +252,7 @@
         """Log each agreed view once, and at its tail the activation of its chain."""
         if view.epoch != self._logged_epoch:
             self._logged_epoch = view.epoch
-            chain = [link.voter.address for link in view.chain]
+            chain = [replica.voter.address for replica in view.chain]
             log.info("view_changed", epoch=view.epoch, chain=chain, voters=len(view.voters))
         if self.is_tail:
             log.info("chain_activated", epoch=view.epoch)
--- a/roselink/controller/disk_inspection.py
+++ b/roselink/controller/disk_inspection.py
@@ -100,7 +100,9 @@
 
 
 def _format_view(title: str, view: View) -> str:
-    chain = " -> ".join(f"{format_voter(link.voter)} (since {link.since})" for link in view.chain)
+    chain = " -> ".join(
+        f"{format_voter(replica.voter)} (since {replica.since})" for replica in view.chain
+    )
     voters = ", ".join(format_voter(voter) for voter in view.voters)
     return f"{title:<11}{view.epoch}: chain {chain}; voters {voters}"
 
--- a/roselink/controller/disk_recovery.py
+++ b/roselink/controller/disk_recovery.py
@@ -242,7 +242,7 @@
     may_lack: tuple[str, ...] = ()
     if not _is_intact(newest, source):
         may_lack = tuple(
-            format_voter(link.voter) for link in newest.chain if link.voter not in given
+            format_voter(replica.voter) for replica in newest.chain if replica.voter not in given
         )
     return RecoveryPlan(
         source_folder=source.folder,
--- a/roselink/lab/exceptions.py
+++ b/roselink/lab/exceptions.py
@@ -52,16 +52,16 @@
 
     Attributes:
         routers: the requested number.
-        most: the largest allowed number.
+        maximum: the largest allowed number.
     """
 
     code = "LAB-003"
 
-    def __init__(self, routers: int, most: int) -> None:
+    def __init__(self, routers: int, maximum: int) -> None:
         """Store the requested number and the limit."""
-        super().__init__(f"the number of routers must be between 1 and {most}")
+        super().__init__(f"the number of routers must be between 1 and {maximum}")
         self.routers = routers
-        self.most = most
+        self.maximum = maximum
 
 
 class ConfigurationRefusedError(LabError):
--- a/roselink/lab/fleet.py
+++ b/roselink/lab/fleet.py
@@ -21,7 +21,7 @@
     from roselink.lab.http_messages import Address
 
 CONTROLLERS = 3
-MOST_ROUTERS = 100
+MAX_ROUTERS = 100
 # Time from a process's end to its restart, in seconds.
 RESTART_DELAY_S = 2.0
 # Time from SIGTERM to SIGKILL, in seconds.
@@ -168,8 +168,8 @@
         Raises:
             RouterCountError: the number of gateways is out of range.
         """
-        if not 1 <= routers <= MOST_ROUTERS:
-            raise RouterCountError(routers, MOST_ROUTERS)
+        if not 1 <= routers <= MAX_ROUTERS:
+            raise RouterCountError(routers, MAX_ROUTERS)
         self._folder = folder
         self._print_line = print_line
         self._stopping = asyncio.Event()
--- a/roselink/simulation/clients.py
+++ b/roselink/simulation/clients.py
@@ -67,12 +67,12 @@
     return json.dumps(document).encode()
 
 
-def update_of(change: Change, missing: int) -> bytes:
+def update_of(change: Change, missing_route: int) -> bytes:
     """Encode a change as an update of items, which also removes a nonexistent route."""
     update = {
         "generation": change.version,
         "upsert": _items(change),
-        "remove": {"routes": [f"gone-{missing}"]},
+        "remove": {"routes": [f"gone-{missing_route}"]},
     }
     return json.dumps(update).encode()
 
@@ -119,13 +119,13 @@
     )
 
 
-def update_request_of(change: Change, missing: int) -> UpdateRequest:
+def update_request_of(change: Change, missing_route: int) -> UpdateRequest:
     """The request that makes a change by an update of items.
 
     Raises:
         ChangeNotValidError: the controller's validation refuses it.
     """
-    request = parse_update_request(change.base, update_of(change, missing))
+    request = parse_update_request(change.base, update_of(change, missing_route))
     if isinstance(request, ValidationFailure):
         raise ChangeNotValidError(change, request)
     return request
--- a/roselink/simulation/machine.py
+++ b/roselink/simulation/machine.py
@@ -143,7 +143,7 @@
         """Start a process from the records on the disk; with `bootstrap` it may form a new core."""
         self.process_number += 1
         self.storage = Storage(FOLDER, self.disk.files)
-        votes, state = self.storage.load()
+        acceptor_state, state = self.storage.load()
         rng = self.cluster.random
         start = Start(
             address=self.address,
@@ -152,7 +152,7 @@
             tolerated=self.cluster.tolerated,
             session=rng.getrandbits(60) + 1,
             fresh_incarnation=rng.getrandbits(60) + 1,
-            acceptor_state=votes,
+            acceptor_state=acceptor_state,
             state=state,
         )
         self.member = Member(start, self.cluster.now)
--- a/roselink/simulation/model_checker.py
+++ b/roselink/simulation/model_checker.py
@@ -16,7 +16,7 @@
 from roselink.protocol.chain import ConfigurationState, Decided, StoredState, Sync, View, Voter
 from roselink.protocol.records import decode, record_number_of_class
 from roselink.simulation.exceptions import InvariantViolatedError
-from roselink.simulation.packing import PackedMachine, stored_state, stored_votes
+from roselink.simulation.packing import PackedMachine, stored_acceptor_state, stored_state
 from roselink.simulation.system_state import StepKind, System
 
 if TYPE_CHECKING:
@@ -229,9 +229,9 @@
     """Check that confirmed changes have distinct sequences and are on each possible next head."""
     sequences = [sequence for _, sequence in system.client_knowledge.confirmed]
     assert len(set(sequences)) == len(sequences), "two changes have one sequence number"
-    for link in newest.chain:
-        stored = _stored(system.machines[link.voter.address], link.voter)
-        if stored is None or stored.epoch < link.since:
+    for replica in newest.chain:
+        stored = _stored(system.machines[replica.voter.address], replica.voter)
+        if stored is None or stored.epoch < replica.since:
             continue  # a replica whose state is not intact can't become the head
         for digest, _ in system.client_knowledge.confirmed:
             assert _in_force(stored.state, digest), "a possible head lacks a confirmed change"
@@ -252,9 +252,13 @@
 
 def _stored(machine: PackedMachine, voter: Voter) -> StoredState | None:
     """The configuration state on a disk, if the disk still belongs to this voter."""
-    if not (machine.votes and machine.state):
+    if not (machine.acceptor_state and machine.state):
         return None
-    return stored_state(machine.state) if stored_votes(machine.votes).voter == voter else None
+    return (
+        stored_state(machine.state)
+        if stored_acceptor_state(machine.acceptor_state).voter == voter
+        else None
+    )
 
 
 def random_walk(system: System, bounds: Bounds, rng: random.Random) -> System:
--- a/roselink/simulation/packing.py
+++ b/roselink/simulation/packing.py
@@ -55,7 +55,7 @@
         view: the view that the process follows.
         is_head: whether the process is the head of that view's chain.
         saving: whether any save is not durable yet.
-        votes: the record with the votes on the disk; empty if there is none.
+        acceptor_state: the record with the acceptor state on the disk; empty if there is none.
         state: the record with the configuration state on the disk; empty if there is none.
         durable_history: the history that the process considers durable.
     """
@@ -65,7 +65,7 @@
     view: View | None
     is_head: bool
     saving: bool
-    votes: bytes
+    acceptor_state: bytes
     state: bytes
     durable_history: bytes
 
@@ -91,7 +91,7 @@
         view=member.view,
         is_head=member.chain.is_head,
         saving=bool(machine.saves),
-        votes=machine.disk.get(Store.ACCEPTOR, b""),
+        acceptor_state=machine.disk.get(Store.ACCEPTOR, b""),
         state=machine.disk.get(Store.STATE, b""),
         durable_history=member.chain.durable.history,
     )
@@ -105,10 +105,10 @@
 
 
 @lru_cache(maxsize=CACHE_SIZE)
-def stored_votes(data: bytes) -> AcceptorState:
-    """Decode the record with the votes on a disk."""
-    votes: AcceptorState = decode(RECORD_NUMBERS[Store.ACCEPTOR], data)
-    return votes
+def stored_acceptor_state(data: bytes) -> AcceptorState:
+    """Decode the record with the acceptor state on a disk."""
+    acceptor_state: AcceptorState = decode(RECORD_NUMBERS[Store.ACCEPTOR], data)
+    return acceptor_state
 
 
 def _field_names(kind: type[Any]) -> tuple[str, ...]:
--- a/roselink/simulation/system_state.py
+++ b/roselink/simulation/system_state.py
@@ -192,7 +192,9 @@
     ) -> None:
         session = CALLS_PER_PROCESS * (len(ADDRESSES) * starts + ADDRESSES.index(address))
         complete = len(disk) == len(Store)
-        votes = decode(RECORD_NUMBERS[Store.ACCEPTOR], disk[Store.ACCEPTOR]) if complete else None
+        acceptor_state = (
+            decode(RECORD_NUMBERS[Store.ACCEPTOR], disk[Store.ACCEPTOR]) if complete else None
+        )
         stored = decode(RECORD_NUMBERS[Store.STATE], disk[Store.STATE]) if complete else None
         start = Start(
             address=address,
@@ -201,7 +203,7 @@
             tolerated=1,
             session=session,
             fresh_incarnation=session,
-            acceptor_state=votes,
+            acceptor_state=acceptor_state,
             state=stored,
         )
         machine = UnpackedMachine(Member(start, NOW), disk, starts=starts)
--- a/tests/tools/test_smoke.py
+++ b/tests/tools/test_smoke.py
@@ -22,7 +22,7 @@
 
 SMALL_RUNS: dict[str, tuple[Callable[[], object], tuple[str, ...]]] = {
     "decider": (
-        lambda: decider.main((8, 16), requests=20, replacements=2, prompt_parts=4),
+        lambda: decider.main((8, 16), requests=20, replacements=2, prompt_segments=4),
         ("request:", "replacement:", "memory:"),
     ),
     "pulls": (
--- a/tools/decider.py
+++ b/tools/decider.py
@@ -47,7 +47,7 @@
 # Number of distinct prompts that requests share.
 SHARED_PROMPTS = 500
 # Numbers of hosts remembered for each prompt part.
-HOSTS_PER_PART = (1, 4, 16)
+HOSTS_PER_SEGMENT = (1, 4, 16)
 # Simulated time between two requests, in seconds: 28 requests per second.
 REQUEST_INTERVAL_S = 0.035
 
@@ -103,7 +103,7 @@
         number = next(self._numbers)
         self._now += REQUEST_INTERVAL_S
         prompt_number = number * 7919 % SHARED_PROMPTS
-        prompt_parts = (
+        prompt_segments = (
             PromptSegment(f"{prompt_number % 20:08x}", 800),
             PromptSegment(f"s{prompt_number:07x}", 410),
         )
@@ -114,7 +114,7 @@
             route=f"r-{number % 50}",
             arrived_at=self._now,
             deadline=self._now + 5.0,
-            prompt=(*prompt_parts, PromptSegment(f"n{number:07x}", 250)),
+            prompt=(*prompt_segments, PromptSegment(f"n{number:07x}", 250)),
         )
         actions = self.decider.handle(self._now, RequestArrived(facts))
         if not any(isinstance(action, SendAttempt) for action in actions):
@@ -162,18 +162,18 @@
     return load
 
 
-def prompt_memory_bytes(hosts_per_part: int, prompt_parts: int) -> int:
-    """Measure the heap size of a prefix memory with `prompt_parts` parts of some hosts each."""
+def prefix_cache_tracker_bytes(hosts_per_segment: int, prompt_segments: int) -> int:
+    """Measure the heap size of a prefix memory with `prompt_segments` parts of some hosts each."""
 
     def build() -> PrefixCacheTracker:
-        prompt_memory = PrefixCacheTracker()
-        host_ids = [make_host(number).id for number in range(hosts_per_part)]
-        for number in range(prompt_parts):
+        tracker = PrefixCacheTracker()
+        host_ids = [make_host(number).id for number in range(hosts_per_segment)]
+        for number in range(prompt_segments):
             for host_id in host_ids:
-                prompt_memory.record_prefill(
+                tracker.record_prefill(
                     host_id, (PromptSegment(f"{number:08x}", 400),), float(number)
                 )
-        return prompt_memory
+        return tracker
 
     return heap_bytes(build)
 
@@ -182,7 +182,7 @@
     sizes: Sequence[int] = HOST_COUNTS,
     requests: int = REQUESTS,
     replacements: int = REPLACEMENTS,
-    prompt_parts: int = MAX_TRACKED_SEGMENTS,
+    prompt_segments: int = MAX_TRACKED_SEGMENTS,
 ) -> list[DeciderCost]:
     """Measure and print each number of hosts, then the prefix memory."""
     print(describe_machine())
@@ -199,20 +199,20 @@
     print_fit("request", "us", "host", [(cost.hosts, cost.request_us) for cost in costs])
     print_fit("replacement", "us", "host", [(cost.hosts, cost.replacement_us) for cost in costs])
     print_fit("memory", "bytes", "host", [(cost.hosts, cost.heap_bytes) for cost in costs])
-    prompt_memories = [
-        (hosts_per_part, prompt_memory_bytes(hosts_per_part, prompt_parts))
-        for hosts_per_part in HOSTS_PER_PART
+    tracker_sizes = [
+        (hosts_per_segment, prefix_cache_tracker_bytes(hosts_per_segment, prompt_segments))
+        for hosts_per_segment in HOSTS_PER_SEGMENT
     ]
     print_table(
         "Full prefix memory",
         ("hosts per part", "prompt parts", "bytes"),
-        [(hosts_per_part, prompt_parts, size) for hosts_per_part, size in prompt_memories],
+        [(hosts_per_segment, prompt_segments, size) for hosts_per_segment, size in tracker_sizes],
     )
     print_fit(
         "prefix memory",
         "bytes",
         "host per part",
-        [(hosts_per_part, size) for hosts_per_part, size in prompt_memories],
+        [(hosts_per_segment, size) for hosts_per_segment, size in tracker_sizes],
     )
     return costs
 
--- a/tools/measure.py
+++ b/tools/measure.py
@@ -23,7 +23,7 @@
 # the loop's shortest time. A larger ratio accepts slower rounds; a smaller one needs more rounds.
 MAX_UNDISTURBED_RATIO = 1.15
 FIXED_LOOP_STEPS = 20_000
-MICROSECONDS = 1e6
+MICROSECONDS_PER_S = 1e6
 Cell = str | int | float
 
 # All measured times of the fixed loop, in microseconds.
@@ -92,7 +92,7 @@
         )
         if undisturbed >= UNDISTURBED_ROUNDS:
             break
-    return min_cpu_time_s / repetitions * MICROSECONDS
+    return min_cpu_time_s / repetitions * MICROSECONDS_PER_S
 
 
 def _time_fixed_loop_us() -> float:
@@ -101,7 +101,7 @@
     total = 0
     for number in range(FIXED_LOOP_STEPS):
         total += number
-    cpu_us = (time.process_time() - started_at) * MICROSECONDS
+    cpu_us = (time.process_time() - started_at) * MICROSECONDS_PER_S
     _fixed_loop_us.append(cpu_us)
     return cpu_us
 
--- a/tools/quota_requests.py
+++ b/tools/quota_requests.py
@@ -18,7 +18,7 @@
 from roselink.budgets.usage import QuotaLimit, QuotaRule
 from roselink.protocol.budgets import QuotaReply, QuotaRequest, ReplyStatus
 from roselink.protocol.framing import FrameDecoder, FrameKind, encode_frame
-from tools.measure import MICROSECONDS, describe_machine, print_fit, print_table, processor_us
+from tools.measure import MICROSECONDS_PER_S, describe_machine, print_fit, print_table, processor_us
 from tools.synthetic_fleet import make_member, make_roster
 
 if TYPE_CHECKING:
@@ -188,7 +188,7 @@
         tenants,
         requests / duration_s,
         cpu_us / max(1, requests),
-        cpu_us / MICROSECONDS / duration_s,
+        cpu_us / MICROSECONDS_PER_S / duration_s,
     )
 
 
