--- a/roselink/controller/api.py
+++ b/roselink/controller/api.py
@@ -43,10 +43,12 @@
     from roselink.model.fleet import VersionVector
 
 MAX_BODY_BYTES = 16 * 1024 * 1024
+# Less than the 2.5 s after which the chain itself ends a change with an unknown outcome.
 SUBMIT_TIMEOUT_S = 2.3
 # Less than the 1 s after which a caller tries another member.
 CONFIRM_TIMEOUT_S = 0.9
 STATUS_TIMEOUT_S = 0.5
+# Value of the Retry-After header, in seconds.
 RETRY_AFTER_S = "0.2"
 IDLE_TIMEOUT_S = 60
 # Digits of the largest integer of a record; longer text is rejected without conversion.
--- a/roselink/controller/app.py
+++ b/roselink/controller/app.py
@@ -38,10 +38,11 @@
     from roselink.controller.twisted_reactor import ListeningPort, Reactor
     from roselink.protocol.peer_connection import ReplySender
 
-# After SIGTERM, the fraction of `grace_s` that changes in flight may take to complete, and then
-# leaving the chain. More lets more changes complete; less ends the process sooner.
+# Fraction of `grace_s` that each of two steps may take after SIGTERM: first completing the changes
+# in flight, then leaving the chain. A larger one lets more changes complete; a smaller one ends the
+# process sooner.
 STOP_GRACE_FRACTION = 0.25
-# Upper bound of each of these two times, in seconds.
+# Upper bound of the time for each of these two steps, in seconds.
 MAX_STOP_S = 1.5
 STOP_CHECK_INTERVAL_S = 0.05
 MAX_LISTEN_ATTEMPTS = 50
@@ -49,7 +50,7 @@
 
 
 def run(settings: ProcessSettings) -> None:
-    """Run a core process until SIGTERM; it has shut down in order when this returns."""
+    """Run a core process until SIGTERM or SIGINT, including its orderly shutdown."""
     loop = asyncio.new_event_loop()
     asyncio.set_event_loop(loop)
     process = CoreProcess(settings, loop, _make_chain)
@@ -69,7 +70,7 @@
     """The components of one process, their start and their shutdown.
 
     Attributes:
-        failure: the exception that ends the process; None if it ends in order.
+        failure: the exception that ends the process; None after an orderly shutdown.
     """
 
     def __init__(
@@ -225,7 +226,7 @@
                 return
 
     def _update_reader_role(self) -> None:
-        """Have the host list read if this member is the tail of the active view, else not."""
+        """Read the host list only while this member is the tail of the active view."""
         if self._host_list_client is not None and self._chain is not None and not self._stopping:
             self._host_list_client.set_role(self._chain.epoch if self._chain.is_tail else None)
 
--- a/roselink/controller/chain_interface.py
+++ b/roselink/controller/chain_interface.py
@@ -63,18 +63,18 @@
 
     @property
     def is_tail(self) -> bool:
-        """Whether this member is the tail of its active view."""
+        """Whether this member is the tail of an active view, to its knowledge."""
 
     @property
     def tail(self) -> Address | None:
-        """The peer address of the active view's tail, if one is known."""
+        """The peer address of the newest known view's tail; None before the first view."""
 
     @property
     def epoch(self) -> int:
-        """The number of the active view; 0 before the first."""
+        """The newest known view's epoch; 0 before the first."""
 
     def core_addresses(self) -> tuple[str, ...]:
-        """The peer addresses ("ip:port") of the core's members."""
+        """The peer addresses ("ip:port") of the newest known view's voters."""
 
     def chain_addresses(self) -> tuple[str, ...]:
         """The peer addresses of the newest known view's chain, from head to tail."""
@@ -92,7 +92,7 @@
         """The disk's health, and what the scrub has found on it."""
 
     def on_view_change(self, callback: Callable[[], None]) -> None:
-        """Register a callback, called after each change of the active view."""
+        """Register a callback, called when the view changes or its chain becomes active."""
 
 
 class RunnableChain(ReplicatedChain, Protocol):
--- a/roselink/controller/gateway_roster.py
+++ b/roselink/controller/gateway_roster.py
@@ -45,7 +45,7 @@
     Attributes:
         name: the gateway's name.
         address: its address for peers, "ip:port".
-        serving: whether it may own roles.
+        serving: whether it is in the roster, whose members own the shared budgets.
         silent_s: seconds since its last pull.
         configuration: the configuration's version that it had at its last pull.
         hosts: how many versions of the host list it is behind.
--- a/roselink/controller/pull_server.py
+++ b/roselink/controller/pull_server.py
@@ -31,7 +31,7 @@
 if TYPE_CHECKING:
     from roselink.controller.chain_interface import Address, Confirmation
 
-# A version of hosts or roster has the view's epoch above these bits and a counter in them.
+# A version of hosts or roster consists of the view's epoch and, in this many low bits, a counter.
 EPOCH_SHIFT = 32
 
 
--- a/roselink/controller/stepwise_imports.py
+++ b/roselink/controller/stepwise_imports.py
@@ -28,7 +28,7 @@
     "twisted.internet.tcp",
     "twisted.internet.asyncioreactor",
 )
-# The client of the platform's host list, in equally short steps; behind the reactor.
+# The client of the platform's host list, in equally short steps; loaded after the reactor.
 CLIENT_MODULES = (
     "twisted.internet.endpoints",
     "twisted.web.http",
--- a/roselink/coordination/disk_health.py
+++ b/roselink/coordination/disk_health.py
@@ -41,7 +41,7 @@
     """The disk's health, judged by the requested saves.
 
     Attributes:
-        healthy: whether the disk completes saves, in time.
+        healthy: whether the disk completes saves in time.
         last_save_failed: whether the save that ended last has failed.
     """
 
--- a/roselink/coordination/heartbeats.py
+++ b/roselink/coordination/heartbeats.py
@@ -1,4 +1,4 @@
-"""A member's heartbeats, and the membership snapshot for its plans. No I/O, no clock."""
+"""A member's heartbeats, and the membership snapshot that it plans views from. No I/O, no clock."""
 
 from __future__ import annotations
 
--- a/roselink/coordination/peer_table.py
+++ b/roselink/coordination/peer_table.py
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True)
 class PeerTable:
-    """The other machines by address."""
+    """The other machines, by peer address, with the newest heartbeat of each."""
 
     voter: Voter
     _known: dict[str, _KnownPeer] = field(default_factory=dict)
--- a/roselink/coordination/proposer.py
+++ b/roselink/coordination/proposer.py
@@ -42,8 +42,9 @@
 # Interval at which the request is sent again to voters that have not replied.
 REQUEST_RETRY_INTERVAL_S = 0.15
 
-# The pseudo-random backoff between rounds: the session's bits select a fraction of a delay that
-# grows by this step with each round, up to the maximum number of steps.
+# The pseudo-random backoff between rounds is a fraction of a delay, which grows by this step with
+# each round, up to the maximum number of steps. The session's bits select the fraction: one of
+# `BACKOFF_VALUES` values, from one of `BACKOFF_SHIFTS` bit positions.
 BACKOFF_STEP_S = 0.1
 MAX_BACKOFF_STEPS = 4
 BACKOFF_VALUES = 97
--- a/roselink/coordination/sequencer.py
+++ b/roselink/coordination/sequencer.py
@@ -6,9 +6,9 @@
 
 H1. A refused change is never committed.
 
-  Proof. A refusal is sent only when it depends on a committed state. Every later head's state
-  follows that one (V1 in `roselink.coordination.views`), and the change is refused in every state
-  that follows as well (S1 in `roselink.coordination.state`): generations only increase, and a
+  Proof. A refusal is sent only once the state on which it depends is committed. Every later head's
+  state follows that one (V1 in `roselink.coordination.views`), and the change is refused in every
+  state that follows as well (S1 in `roselink.coordination.state`): generations only increase, and a
   change whose base is a future generation is recorded in the state itself as refused.
 """
 
--- a/roselink/coordination/views.py
+++ b/roselink/coordination/views.py
@@ -95,7 +95,8 @@
         leaving: whether its process is about to end.
         live: whether it and the planner receive each other's heartbeats.
         stable: whether it has been live and eligible for long enough to join.
-        since_heartbeat_s: the time since its last heartbeat; 0 while a live machine receives any.
+        since_heartbeat_s: the time since its last heartbeat; 0 while a live machine reports it
+            as reachable.
         reachable: the addresses from which it reports that it receives heartbeats.
     """
 
--- a/roselink/distribution/pull_client.py
+++ b/roselink/distribution/pull_client.py
@@ -126,7 +126,7 @@
         self._machine.add_core_hints(cores)
 
     def set_serving(self, *, serving: bool) -> None:
-        """Set whether this gateway may hold roles; the next pull reports it and is sent soon."""
+        """Set whether this gateway may be in the roster; the next pull, sent soon, reports it."""
         if serving != self._machine.serving:
             self._machine.serving = serving
             self.pull_soon()
--- a/roselink/lab/hosts.py
+++ b/roselink/lab/hosts.py
@@ -20,6 +20,7 @@
     read_head,
 )
 
+# Names of the services of hosts with event streams and of hosts with plain responses.
 MODEL = "lab-model"
 RECORDS = "lab-records"
 # How many requests beyond the capacity may wait.
--- a/roselink/model/fleet.py
+++ b/roselink/model/fleet.py
@@ -54,7 +54,7 @@
 class VersionVector:
     """The versions of a gateway's state, which never decrease; 0 where it has none.
 
-    The roster's version is the fencing token of every role that is assigned over the roster.
+    The roster's version is the fencing token of the budgets that the roster's gateways own.
 
     Attributes:
         configuration: the sequence number of a committed write in the chain.
--- a/roselink/protocol/pull.py
+++ b/roselink/protocol/pull.py
@@ -21,8 +21,8 @@
 class PullRequest:
     """A gateway's request for everything newer than its `vector`; also its heartbeat.
 
-    `serving`: whether it may hold roles. `outcomes`: its attempts at hosts since the previous pull;
-    they are lost if the pull fails.
+    `serving`: whether it may be in the roster, whose members own the shared budgets. `outcomes`:
+    its attempts at hosts since the previous pull; they are lost if the pull fails.
     """
 
     member: Member
--- a/roselink/simulation/gateways.py
+++ b/roselink/simulation/gateways.py
@@ -23,7 +23,7 @@
     from roselink.protocol.pull import DeltaPullReply, PullReply
     from roselink.simulation.cluster import Cluster
 
-# How long a gateway may use a removed key, in seconds; the setting `revoke_s` of a fleet.
+# How long a gateway may use a removed key, in seconds; a fleet's setting is `revoke_ms`.
 REVOKE_S = 5.0
 # The interval between two requests with the same key, in seconds.
 KEY_USE_INTERVAL_S = 0.1
--- a/roselink/simulation/initial_states.py
+++ b/roselink/simulation/initial_states.py
@@ -61,7 +61,7 @@
 
 
 def view_accepted() -> System:
-    """Two of three members have accepted a view without the tail, and none knows it as chosen."""
+    """Two of three members have accepted a view without the tail, and none knows it as decided."""
     system = idle_system()
     system.propose("a:1", without="c:1")
     deliver_only(system, Prepare, Promise, Accept)
@@ -69,14 +69,14 @@
 
 
 def view_decided() -> System:
-    """Only the proposer knows that the view without the tail is chosen."""
+    """Only the proposer knows that the view without the tail is decided."""
     system = view_accepted()
     deliver_only(system, Accepted)
     return system
 
 
 def member_joining() -> System:
-    """The tail lost its disk, and the view that adds it again has just been chosen."""
+    """The tail lost its disk, and the view that adds it again has just been decided."""
     system = idle_system()
     system.submit("a:1", change_on(0, 3))
     run_to_quiescence(system)
--- a/roselink/simulation/model_checker.py
+++ b/roselink/simulation/model_checker.py
@@ -23,7 +23,7 @@
     import random
     from collections.abc import Iterator
 
-# The record numbers of messages that carry a chosen view.
+# The record numbers of messages that carry a decided view.
 _VIEW_RECORDS = frozenset((record_number_of_class(Decided), record_number_of_class(Sync)))
 
 
--- a/roselink/status.py
+++ b/roselink/status.py
@@ -21,7 +21,7 @@
     from collections.abc import Iterable, Sequence
 
 REQUEST_TIMEOUT_S = 3.0
-# A version of hosts or roster has the view's epoch above these bits and a counter in them.
+# A version of hosts or roster consists of the view's epoch and, in this many low bits, a counter.
 COUNTER_BITS = 32
 COUNTER_MASK = (1 << COUNTER_BITS) - 1
 
--- a/tools/decider.py
+++ b/tools/decider.py
@@ -46,7 +46,7 @@
 REPLACEMENTS = 6
 # Number of distinct prompts that requests share.
 SHARED_PROMPTS = 500
-# Numbers of hosts remembered for each prompt part.
+# Numbers of hosts tracked for each prompt segment.
 HOSTS_PER_SEGMENT = (1, 4, 16)
 # Simulated time between two requests, in seconds: 28 requests per second.
 REQUEST_INTERVAL_S = 0.035
@@ -163,7 +163,7 @@
 
 
 def prefix_cache_tracker_bytes(hosts_per_segment: int, prompt_segments: int) -> int:
-    """Measure the heap size of a prefix memory with `prompt_segments` parts of some hosts each."""
+    """Measure a `PrefixCacheTracker` of this many segments, each with this many hosts."""
 
     def build() -> PrefixCacheTracker:
         tracker = PrefixCacheTracker()
@@ -184,7 +184,7 @@
     replacements: int = REPLACEMENTS,
     prompt_segments: int = MAX_TRACKED_SEGMENTS,
 ) -> list[DeciderCost]:
-    """Measure and print each number of hosts, then the prefix memory."""
+    """Measure and print each number of hosts, then the prefix cache tracker."""
     print(describe_machine())
     costs = [measure(count, requests, replacements) for count in sizes]
     rows = [
@@ -204,14 +204,14 @@
         for hosts_per_segment in HOSTS_PER_SEGMENT
     ]
     print_table(
-        "Full prefix memory",
-        ("hosts per part", "prompt parts", "bytes"),
+        "Full prefix cache tracker",
+        ("hosts per segment", "segments", "bytes"),
         [(hosts_per_segment, prompt_segments, size) for hosts_per_segment, size in tracker_sizes],
     )
     print_fit(
-        "prefix memory",
+        "prefix cache tracker",
         "bytes",
-        "host per part",
+        "host per segment",
         [(hosts_per_segment, size) for hosts_per_segment, size in tracker_sizes],
     )
     return costs
--- a/tools/quota_requests.py
+++ b/tools/quota_requests.py
@@ -24,8 +24,10 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
+# Amounts and rates are in tokens.
 RULE = QuotaRule(8.0, 0.1, 110_000.0)
 LIMIT = QuotaLimit(120_000.0, 120_000.0)
+# Amount of each request.
 AMOUNT = 1_890.0
 REQUESTER_COUNTS = (6, 60, 175, 350)
 TENANT_COUNTS = (5, 50, 200)
