--- a/roselink/model/configuration.py
+++ b/roselink/model/configuration.py
@@ -33,7 +33,7 @@
 class Route:
     """One route, selected by hostname and the longest matching path prefix.
 
-    Times are in milliseconds; 0 stands for none.
+    Times are in milliseconds; 0 stands for none. Requests of a `public` route need no API key.
     """
 
     name: str
@@ -85,7 +85,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant: keys, priority (0 is highest) and quota; `rate_per_s` 0 sets no limit."""
+    """One tenant: keys, priority (0 is highest) and quota; `rate_per_s` 0 sets no limit.
+
+    `unit`: whether the quota counts "tokens" or requests. `plain_tokens`: what a request that
+    doesn't declare its tokens is charged if `unit` is "tokens".
+    """
 
     name: str
     api_keys: tuple[str, ...]
--- a/roselink/model/settings.py
+++ b/roselink/model/settings.py
@@ -64,7 +64,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Thresholds:
-    """The operators' thresholds, in the units of their names (milliseconds or seconds)."""
+    """The operators' thresholds, in the units of their names (milliseconds or seconds).
+
+    Only these are used; the others are only read and validated.
+
+    Attributes:
+        grace_s: the time that a process has to shut down after SIGTERM.
+        revocation_strict: whether a gateway without a recent confirmed pull refuses API keys.
+        revoke_ms: the time within which the removal of an API key must take effect.
+        retry_budget_ratio: the retries per first send that all gateways may make in any window.
+        retry_window_s: that window.
+        retry_slack: the retries that they may make in it beyond the ratio.
+        quota_window_s: the window of `quota_over` and `quota_slack`.
+        quota_over: the fraction by which usage may exceed a tenant's limit in any such window.
+        quota_slack: the additional amount by which it may.
+    """
 
     contact_ms: float = 3000
     ack_ms: float = 4000
