--- a/roselink/balancer/decider.py
+++ b/roselink/balancer/decider.py
@@ -68,7 +68,7 @@
 # First wait between retry groups, as a fraction of the target latency; it doubles each time.
 FIRST_BACKOFF_FRACTION = 1 / 64
 # First wait after a failed discovery call, and the most times that it doubles.
-DISCOVERY_BACKOFF_US = 100_000
+DISCOVERY_WAIT_US = 100_000
 MAX_DISCOVERY_DOUBLINGS = 9
 
 
@@ -200,9 +200,7 @@
         Waits grow, with jitter: calls must not pile up on discovery, which all balancers share.
         """
         self._failed_calls = min(self._failed_calls + 1, MAX_DISCOVERY_DOUBLINGS)
-        wait_us = min(
-            self.settings.ask_within_us / 4, DISCOVERY_BACKOFF_US * 2.0**self._failed_calls
-        )
+        wait_us = min(self.settings.ask_within_us / 4, DISCOVERY_WAIT_US * 2.0**self._failed_calls)
         jitter = 0.5 + self.state.random.random()
         self._set_alarm(wait_us * jitter, self._subscribe)
 
--- a/roselink/budgets/quota_client.py
+++ b/roselink/budgets/quota_client.py
@@ -269,7 +269,7 @@
             return deadline
         if state.pending:
             return min(deadline, state.not_before)
-        next_send_at = max(state.not_before, _next_keep_alive(state))
+        next_send_at = max(state.not_before, _keep_alive_at(state))
         if not _needs_keep_alive(state, now):
             # The total may be 0 because refunds cancel usage, and change once that has expired.
             next_send_at = max(next_send_at, state.usage.oldest_expires_at())
@@ -279,9 +279,7 @@
         """Send the next quota request if one is due and none is in flight."""
         if state.in_flight is not None or now < state.not_before:
             return []
-        if not state.pending and (
-            not _needs_keep_alive(state, now) or now < _next_keep_alive(state)
-        ):
+        if not state.pending and (not _needs_keep_alive(state, now) or now < _keep_alive_at(state)):
             return []
         if self._ownership.is_superseded:
             # A refused token is not used again: pending amounts wait for the next roster.
@@ -370,7 +368,7 @@
     return bool(state.returned or state.lease or state.usage.total(now))
 
 
-def _next_keep_alive(state: _TenantState) -> float:
+def _keep_alive_at(state: _TenantState) -> float:
     """Return when the next keep-alive is due, or the next probe of an unreachable owner."""
     return state.last_sent_at + (PROBE_INTERVAL_S if state.local.active else KEEP_ALIVE_INTERVAL_S)
 
--- a/roselink/budgets/quota_owner.py
+++ b/roselink/budgets/quota_owner.py
@@ -55,7 +55,7 @@
 MAX_RETRY_AFTER_S = 2.0
 
 # Name and incarnation of a gateway process.
-Requester = tuple[str, int]
+RequesterId = tuple[str, int]
 
 
 @dataclass(slots=True)
@@ -96,7 +96,7 @@
     previous_usage: float = 0.0
     reported_usage: float = 0.0
     previous_level_at: float = float("-inf")
-    requesters: dict[Requester, _RequesterUsage] = field(default_factory=dict)
+    requesters: dict[RequesterId, _RequesterUsage] = field(default_factory=dict)
 
     def refill(self, now: float) -> None:
         """Add the tokens and the start credit for the time since the last update."""
@@ -205,10 +205,10 @@
         bucket = self._buckets.get(request.tenant)
         if bucket is None:
             return QuotaReply(ReplyStatus.NOT_READY, request.fencing_token)
-        requester = (request.requester, request.incarnation)
-        if requester not in bucket.requesters and request.usage_report is None:
+        requester_id = (request.requester, request.incarnation)
+        if requester_id not in bucket.requesters and request.usage_report is None:
             return QuotaReply(ReplyStatus.REPORT_WANTED, request.fencing_token)
-        requester_usage = self._update_requester(bucket, requester, request.usage_report, now)
+        requester = self._update_requester(bucket, requester_id, request.usage_report, now)
         bucket.refill(now)
         if (
             request.last_level is not None
@@ -217,21 +217,19 @@
             bucket.adopt_level(request.last_level, now)
         bucket.take(request.admitted_locally - request.returned)
         if request.returned:
-            requester_usage.usage.add(now, -request.returned)
-        admitted, retry_after_s = self._admit_amounts(bucket, requester_usage, request.amounts, now)
+            requester.usage.add(now, -request.returned)
+        admitted, retry_after_s = self._admit_amounts(bucket, requester, request.amounts, now)
         lease = (
-            self._grant_lease(bucket, requester_usage, request.lease_wanted, now)
+            self._grant_lease(bucket, requester, request.lease_wanted, now)
             if all(admitted)
             else 0.0
         )
-        requester_usage.last_request_at = now
-        requester_usage.rate_per_s = (
-            0.0 if request.draining else requester_usage.usage.total(now) / self._rule.window_s
+        requester.last_request_at = now
+        requester.rate_per_s = (
+            0.0 if request.draining else requester.usage.total(now) / self._rule.window_s
         )
         usage = self._recent_usage(bucket, now)
-        fraction = (
-            max(0.0, min(1.0, requester_usage.usage.total(now) / usage)) if usage > 0 else 0.0
-        )
+        fraction = max(0.0, min(1.0, requester.usage.total(now) / usage)) if usage > 0 else 0.0
         return QuotaReply(
             ReplyStatus.DECIDED,
             request.fencing_token,
@@ -259,17 +257,17 @@
     def _update_requester(
         self,
         bucket: _TenantBucket,
-        requester: Requester,
+        requester_id: RequesterId,
         report: tuple[UsageSample, ...] | None,
         now: float,
     ) -> _RequesterUsage:
         """Return a requester's usage, replaced by its report if there is one."""
         if report is not None:
             usage = self._reported_usage(report, now)
-            if requester not in bucket.requesters:
+            if requester_id not in bucket.requesters:
                 bucket.reported_usage += usage.total(now)
-            bucket.requesters[requester] = _RequesterUsage(usage, now)
-        return bucket.requesters[requester]
+            bucket.requesters[requester_id] = _RequesterUsage(usage, now)
+        return bucket.requesters[requester_id]
 
     def _reported_usage(self, report: tuple[UsageSample, ...], now: float) -> UsageWindow:
         usage = UsageWindow(self._rule.window_s)
@@ -321,14 +319,14 @@
 
         Requesters without usage in the window are removed.
         """
-        for requester, requester_usage in list(bucket.requesters.items()):
+        for requester_id, requester in list(bucket.requesters.items()):
             if (
-                not requester_usage.usage.total(now)
-                and now - requester_usage.last_request_at > self._rule.window_s
+                not requester.usage.total(now)
+                and now - requester.last_request_at > self._rule.window_s
             ):
-                del bucket.requesters[requester]
+                del bucket.requesters[requester_id]
         return sum(
-            max(0.0, requester_usage.usage.total(now))
-            for requester_usage in bucket.requesters.values()
-            if requester_usage.rate_per_s > 0
+            max(0.0, requester.usage.total(now))
+            for requester in bucket.requesters.values()
+            if requester.rate_per_s > 0
         )
--- a/roselink/coordination/member.py
+++ b/roselink/coordination/member.py
@@ -73,7 +73,7 @@
 TICK_S = 0.05
 
 # After its start a member waits at most this time for the chain's other machines before it plans.
-START_TIMEOUT_S = 0.3
+START_WAIT_S = 0.3
 
 # If two ticks are further apart than this, the process was suspended in between.
 PAUSE_THRESHOLD_S = 0.3
@@ -397,17 +397,13 @@
     def _propose(self, now: float) -> None:
         if self.view is None or not self.acceptor.is_voter:
             return
-        outside_complete_chain = not self.chain.participating and self.peers.reports_complete_chain(
+        is_outside_chain = not self.chain.participating and self.peers.reports_complete_chain(
             now, self.view.epoch
         )
         snapshot = self.heartbeats.snapshot(self.view, now)
-        if now - self._started_at < START_TIMEOUT_S and not chain_is_reconnected(
-            self.view, snapshot
-        ):
+        if now - self._started_at < START_WAIT_S and not chain_is_reconnected(self.view, snapshot):
             return  # the others may be starting too, after a loss of the entire core
-        self.proposer.advance(
-            self.acceptor, snapshot, now, outside_complete_chain=outside_complete_chain
-        )
+        self.proposer.advance(self.acceptor, snapshot, now, outside_complete_chain=is_outside_chain)
 
     # --- effects
 
--- a/roselink/gateway/engine.py
+++ b/roselink/gateway/engine.py
@@ -131,13 +131,11 @@
     times of hosts, also those before this process began.
     """
 
-    def __init__(
-        self, loop: asyncio.AbstractEventLoop, balancer: Balancer, upstream: HostPool
-    ) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, balancer: Balancer, pool: HostPool) -> None:
         """Creates an engine without hosts or requests."""
         self._loop = loop
         self._balancer = balancer
-        self._upstream = upstream
+        self._pool = pool
         self._epoch_us = time.time_ns() // 1000 - int(loop.time() * 1e6)
         self._request_numbers = itertools.count(1)
         self._open: dict[int, OpenRequest] = {}
@@ -270,7 +268,7 @@
             moved = current_server is not None and addresses[number] != host.address
             if gone or moved:
                 del self.hosts[number]
-                self._upstream.retire(host)
+                self._pool.retire(host)
         for number, server in present.items():
             current = self.hosts.get(number) or PooledHost(names[number], addresses[number])
             self.hosts[number] = current
@@ -279,7 +277,7 @@
                 # Idle connections belong to the host's previous process and may never respond.
                 current.drop_idle()
             if server.state is State.DRAINING:
-                self._upstream.retire(current)
+                self._pool.retire(current)
             else:
                 current.ready = True
 
@@ -374,7 +372,7 @@
             opened.request.body,
         )
         try:
-            attempt = self._upstream.start(
+            attempt = self._pool.start(
                 host,
                 request,
                 timeout_s,
--- a/roselink/http/server_connection.py
+++ b/roselink/http/server_connection.py
@@ -186,21 +186,17 @@
 
     def _pause_or_resume_reading(self) -> None:
         """Pause reading while unparsed bytes are left, and resume it after."""
-        must_pause = bool(self._unparsed) and not self._input_ended
-        if (
-            self._transport is None
-            or self._poller is None
-            or not (must_pause or self._reading_paused)
-        ):
+        pause = bool(self._unparsed) and not self._input_ended
+        if self._transport is None or self._poller is None or not (pause or self._reading_paused):
             return
         if not self._reading_paused:
             self._last_empty_at = self._read_at
             self._transport.pause_reading()
         elif not self._poller.has_unread():
-            self._last_empty_at = self._server.loop.time() if must_pause else math.inf
-        if not must_pause:
+            self._last_empty_at = self._server.loop.time() if pause else math.inf
+        if not pause:
             self._transport.resume_reading()
-        self._reading_paused = must_pause
+        self._reading_paused = pause
 
     # Callbacks of the parser.
 
--- a/tests/mutations/budgets.py
+++ b/tests/mutations/budgets.py
@@ -53,7 +53,7 @@
         ),
         (
             "an unknown requester is decided without a usage report",
-            "if requester not in bucket.requesters and request.usage_report is None:",
+            "if requester_id not in bucket.requesters and request.usage_report is None:",
             "if False:",
         ),
         (
