--- a/roselink/balancer/decider.py
+++ b/roselink/balancer/decider.py
@@ -101,11 +101,9 @@
         return self.state.settings
 
     def handle(self, now_us: int, events: list[Event]) -> list[Action]:
-        """Handles events in order and returns the resulting actions, in order.
+        """Handles the events since the last call and returns the resulting actions, in order.
 
-        Args:
-            now_us: The time in microseconds of a monotonic clock.
-            events: The events since the last call.
+        `now_us` is the time of a monotonic clock, in microseconds.
         """
         self.state.now_us = now_us
         self.actions = []
@@ -176,7 +174,7 @@
         if event.closed or event.outcome is Outcome.SUCCESS or request.closed:
             self.close(request)
         elif not request.in_flight:
-            # None is left in flight: attempts, outcome and retry budget decide on a retry.
+            # No attempt is in flight: attempts so far, outcome and retry budget decide on a retry.
             may_send = len(request.attempts) < self.settings.max_attempts
             retryable = may_send and is_retryable(request, event.outcome)
             if retryable and request.route.retry_budget.spend():
@@ -244,11 +242,9 @@
     # Final answers.
 
     def finish(self, request: Request, retry_after_us: float = math.inf) -> None:
-        """Refuses or fails a request. Rule 1: the only place that does.
+        """Refuses or fails a request; for rule 1, only this method does.
 
-        Args:
-            request: The request to end.
-            retry_after_us: Microseconds after which the client should try again.
+        The client should try again after `retry_after_us`, in microseconds.
         """
         wait_us = 0
         if self.settings.retry_after:
@@ -289,8 +285,7 @@
         possible_runs = request.may_have_run() if route.spec.effect is Effect.KEYED else []
         before_us = possible_runs[0].sent_us + route.spec.memory_span_us if possible_runs else 0
         if not request.attempts:
-            # Recent traffic bounds the tokens: the full buckets of many balancers could together
-            # cause a retry storm.
+            # Bounded by recent traffic: full buckets of many balancers could cause a retry storm.
             max_saved = MAX_TOKENS_PER_RECENT_REQUEST * state.recent_arrivals
             route.retry_budget.earn(TOKENS_PER_REQUEST, max(1.0, min(MAX_TOKENS, max_saved)))
         request.attempts.append(attempt)
@@ -329,8 +324,7 @@
     def _retry(self, request: Request) -> None:
         """Sends a retry, or backs off again.
 
-        Retries are not queued: only some servers may take them, so they could block requests that
-        any server may take.
+        Retries are not queued: limited to some servers, they could block requests that are not.
         """
         if not request.closed and not self._send_if_allowed(request):
             self._back_off(request)
--- a/roselink/budgets/quota_client.py
+++ b/roselink/budgets/quota_client.py
@@ -37,7 +37,7 @@
 MIN_REQUEST_TIMEOUT_S = 0.03
 # A request that has waited for this time is decided locally.
 MAX_WAIT_S = 0.2
-# A failure within this time is a broken connection: the request is sent again once, immediately.
+# A failure within this time counts as a broken connection: the request is resent once, immediately.
 CONNECTION_FAILURE_S = 0.05
 # Delay of the next request after a reply without a decision, while the rosters differ.
 RETRY_INTERVAL_S = 0.03
@@ -49,13 +49,12 @@
 # How long leased tokens may be used. A larger value saves requests and withholds the unused tokens
 # from the other gateways for longer.
 LEASE_DURATION_S = 0.3
-# A lease covers this time at the recent rate, if that is at least a typical request's amount. A
-# larger value saves requests and withholds more from the other gateways.
+# A lease covers the usage of this time at the recent rate; less than a typical request's amount is
+# not requested. A larger value saves requests and withholds more from the other gateways.
 LEASE_AHEAD_S = 0.25
 # The `retry_after_s` of a request that is refused locally.
 LOCAL_RETRY_AFTER_S = 0.3
-# Weight of the newest amount in the moving average of request amounts. A larger value follows
-# changes faster, a smaller one smooths more.
+# Newest amount's weight in the moving average: larger adapts faster, smaller smooths more.
 TYPICAL_AMOUNT_WEIGHT = 0.1
 
 
@@ -166,11 +165,8 @@
     def admit(self, number: int, tenant: str, amount: float, now: float) -> list[Effect]:
         """Decide a request; `QuotaDecided` is returned once, by this call or by a later one.
 
-        Args:
-            number: the caller's unique number of the request.
-            tenant: name of the request's tenant.
-            amount: the amount of the quota that the request uses.
-            now: the time in seconds.
+        The caller's unique `number` identifies the request, which uses `amount` of the tenant's
+        quota; `now` is in seconds.
         """
         state = self._tenants.get(tenant)
         if state is None:
@@ -260,7 +256,7 @@
         return max(now, self._deadlines.earliest())
 
     def _update_deadline(self, tenant: str, state: _TenantState, now: float) -> None:
-        """Update when a tenant needs `wake`, after any change to its state; may be too early."""
+        """Update when `wake` is due for a tenant whose state has changed; it may be too early."""
         self._deadlines.set(tenant, self._deadline(state, now))
 
     def _deadline(self, state: _TenantState, now: float) -> float:
--- a/roselink/budgets/quota_owner.py
+++ b/roselink/budgets/quota_owner.py
@@ -40,8 +40,8 @@
 # send about twice as often (quota_client.KEEP_ALIVE_INTERVAL_S). A smaller value reserves for
 # requesters that are only slow, a larger one starts the reservation later.
 UNREACHABLE_AFTER_S = 0.65
-# Longest reservation: a requester admits at its recent rate for as long
-# (local_admission.RECENT_RATE_S).
+# Longest time that reservations cover: an unreachable requester admits at its recent rate for as
+# long (local_admission.RECENT_RATE_S).
 MAX_RESERVE_S = 3.0
 # Age up to which a reported level is refilled to now. What an older one has gained may have been
 # used by other gateways.
@@ -181,7 +181,7 @@
     def set_owned(self, tenants: Iterable[str], roster: Iterable[Member], now: float) -> None:
         """Begin terms of newly owned tenants and end those of tenants no longer owned.
 
-        Reservations for processes that were restarted since end.
+        Reservations end for processes that have been replaced by a newer one.
         """
         owned = {
             name for name in tenants if name in self._limits and self._limits[name].rate_per_s > 0
--- a/roselink/coordination/member.py
+++ b/roselink/coordination/member.py
@@ -1,8 +1,8 @@
 """One core member: heartbeats, agreed views, the chain, changes and confirmed reads combined.
 
-No I/O, no clock. Inputs are method calls with `now` (seconds of one monotonic clock); each returns
-the effects in order. The invariants are documented, with proofs, in the modules: V1 to V5 in
-`views` (acknowledged writes survive view changes), A1 to A3 in `acceptor` and R1 to R4 in
+It does no I/O and reads no clock. Inputs are method calls with `now` (seconds of one monotonic
+clock); each returns the effects in order. The modules document and prove their invariants: V1 to V5
+in `views` (acknowledged writes survive view changes), A1 to A3 in `acceptor` and R1 to R4 in
 `proposal_round` (Paxos decides one view per epoch), K1 to K3 in `chain` (what is committed), C1 and
 C2 in `reads` (a confirmed read misses no write), H1 in `sequencer` and S1 in `state` (a refusal is
 permanent). This module has to ensure:
@@ -12,7 +12,7 @@
 M2. A decided view is entered at once, before it is on this disk. A member that restarts with an
     older view is equivalent to one that hasn't learned of the newer one; it does not participate in
     any chain of its earlier process, because the view names another session. Its state may be of a
-    later epoch than its view, which only says how new the state is.
+    later epoch than its view; that epoch only says how new the state is.
 M3. Once a member has entered a newer view, it handles no message of the older epoch. Accepting a
     proposal changes nothing in its chain: the older epoch may still acknowledge through it, and the
     new head begins with the state that it has when it enters the new view itself.
@@ -341,7 +341,7 @@
         self.reply_gate.request_save()
 
     def _scrub(self, now: float) -> None:
-        """Have a record read back while the disk isn't needed for anything else."""
+        """Request that a record be read back while the disk isn't needed for anything else."""
         state = self.chain.durable
         self.scrubber.request_due_read(
             now,
--- a/roselink/gateway/engine.py
+++ b/roselink/gateway/engine.py
@@ -47,7 +47,7 @@
 log = logging.getLogger("roselink.gateway.engine")
 
 # How long before the client's deadline attempts time out and the balancer decides the response.
-# Covers the way to the client, a late event loop and a core that another gateway is using. A larger
+# Covers sending to the client, event loop delays and a core that another gateway is using. A larger
 # value fails requests that would be served; a smaller one makes responses miss the deadline.
 ATTEMPT_MARGIN_S = 0.040
 # How long before the client's deadline the engine responds by itself if the balancer has not.
@@ -111,14 +111,13 @@
         """Creates the state of a request; `number` is its id for the balancer."""
         self.number = number
         self.request = request
-        # Whether the client has disconnected, read from the socket: the loop may not have reported
-        # it yet.
+        # Polls the socket for a disconnect, which the loop may not have reported yet.
         self.client_gone = client_gone
-        # Loop time at which its attempts time out.
+        # Loop time at which the request's attempts time out.
         self.attempt_deadline = attempt_deadline
         # None once the request has its response.
         self.reply: Callable[[Reply], None] | None = reply
-        # By attempt number; None if never sent, or ended.
+        # Attempts by number; None for one that was not sent or has ended.
         self.attempts: list[Attempt | None] = []
         self.in_flight = 0
         self.fallback_timer: asyncio.TimerHandle | None = None
@@ -158,7 +157,7 @@
         """Whether any host is listed."""
         return bool(self.hosts)
 
-    # From the client side.
+    # Calls from the client side.
 
     def accept(
         self,
@@ -168,10 +167,8 @@
     ) -> OpenRequest:
         """Opens a request and reports it to the balancer.
 
-        Args:
-            request: The validated request.
-            reply: Called once, before the client's deadline, unless the client disconnects.
-            client_gone: Reads from the socket whether the client has disconnected.
+        `reply` is called once, before the client's deadline, unless the client has disconnected;
+        `client_gone` reads from the socket whether it has.
         """
         remaining_s = max(0.0, request.expires - self._loop.time())
         margin_scale = min(1.0, MARGIN_FRACTION * remaining_s / ATTEMPT_MARGIN_S)
@@ -212,19 +209,17 @@
         """Whether an attempt may be written to its host; called right before each write.
 
         The loop reports a disconnect in its next iteration, or not at all while reading is paused,
-        so the socket is polled: a retry, a hedge or a connection that has just come up must not
-        send a request whose client has left. A slow connect must not send it after `before_us`
-        either, the time limit that the balancer set.
+        so the socket is polled: a retry, a hedge or a new connection must not send a request whose
+        client has left. After a slow connect, the balancer's limit `before_us` may have passed.
         """
         if opened.reply is not None and opened.client_gone():
             self.depart(opened)
         return opened.reply is not None and not 0 < before_us <= self.now_us()
 
     def _respond_at_deadline(self, opened: OpenRequest) -> None:
-        """Fails a request without a decision at its deadline.
+        """Fails a request without a decision at its deadline (rule 1 of `balancer.decider`).
 
-        Rule 1 requires a response in time; a failure says nothing about whether the request ran,
-        so it is always permitted.
+        A failure is always permitted: it does not say whether the request ran.
         """
         if opened.reply is not None:
             log.error("request %s: no balancer decision by its deadline", opened.request.id)
@@ -239,14 +234,10 @@
     ) -> None:
         """Applies a host list.
 
-        The sockets come first, so that hosts taken out of service get no further byte. The
-        balancer gets the list before the outcomes of attempts that it ended; otherwise it would
-        retry on hosts of the old list.
-
-        Args:
-            servers: The list in the form that the balancer takes.
-            names: Host names by host number.
-            addresses: Addresses by host number, of hosts that are not gone.
+        The pool is updated first, so that hosts taken out of service get no new request. The
+        balancer gets the list before the outcomes of attempts that the pool ends; otherwise it
+        would retry on hosts of the old list. `names` and `addresses` have host numbers as keys;
+        hosts that are gone need no address.
         """
         self._events.append(servers)
         self._handling_events = True
@@ -286,8 +277,7 @@
     def feed(self, event: Event) -> None:
         """Passes one event to the balancer and carries out its actions.
 
-        Events that an action raises at once are queued and handled in order, so that the balancer
-        is never called recursively.
+        Events raised during an action are queued, so the balancer is never called recursively.
         """
         self._events.append(event)
         if not self._handling_events:
@@ -380,8 +370,7 @@
                 partial(self._may_write, opened, action.before_us),
             )
         except Exception:
-            # The internal error may have occurred after the first byte, so the attempt must not
-            # count as unsent.
+            # The error may come after the first byte, so the attempt must not count as unsent.
             log.exception("request %s: sending failed", opened.request.id)
             opened.attempts.append(None)
             self._events.append(AttemptDone(action.request, number, Outcome.RESET, 0))
--- a/roselink/http/server_connection.py
+++ b/roselink/http/server_connection.py
@@ -1,7 +1,7 @@
 """Client connection of an HTTP server: parsing, limits, serial handling of requests, idle closes.
 
 Clients are not trusted: the size of heads and bodies and the time for requests, responses and idle
-connections are limited, and malformed input costs only the connection that sent it. Subclasses
+connections are limited, and malformed input closes only the connection that sent it. Subclasses
 interpret and serve the requests.
 """
 
@@ -97,8 +97,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Take over the transport of a new connection (asyncio)."""
         self._transport = cast("asyncio.Transport", transport)  # uvloop's are no subclass of it
-        # With the high-water mark at 0, `_writing_paused` means that bytes of a response are left
-        # in this process.
+        # With a high-water mark of 0, `_writing_paused` means unsent bytes in this process.
         self._transport.set_write_buffer_limits(high=0)
         self._poller = SocketPoller(transport)
         self._server.connection_opened(self)
@@ -108,7 +107,7 @@
         self._transport = self._poller = None
         self._input_ended = True
         self._pending.clear()
-        # breaks a reference cycle with the parser, which only the garbage collector would free
+        # Breaks a reference cycle with the parser, which only the garbage collector would free.
         self._unparsed = b""
         self._parser = None
         self._server.connection_closed(self)
@@ -134,8 +133,8 @@
                 self.abort()
             return
         if not self._unparsed:
-            # Bytes read after a pause may have arrived at any time in it, so the client's deadline
-            # counts from the earliest.
+            # Bytes read after a pause may have arrived at any time since the socket was last empty,
+            # so the client's deadline counts from then.
             self._read_at = min(self._server.loop.time(), self._last_empty_at)
             self._last_empty_at = math.inf
         self._unparsed += data
@@ -157,8 +156,7 @@
                 if self._in_request and completed_before == self._completed_requests:
                     self._limit_request_bytes(len(data))
             except httptools.HttpParserUpgrade:
-                # The upgrade is declined: the request is served, and the parser accepts no more
-                # data after it.
+                # Upgrade declined: the request is served, but the parser takes no data after it.
                 self._input_ended = True
                 self._pending[-1].keep = False
             except (httptools.HttpParserError, BadRequestError) as error:
@@ -174,10 +172,7 @@
         self._pause_or_resume_reading()
 
     def _limit_request_bytes(self, size: int) -> None:
-        """Limit the total size of a request.
-
-        An endless header or chunk extension is passed to no callback of the parser.
-        """
+        """Limit a request's size: endless headers or chunk extensions cause no parser callback."""
         self._request_bytes += size
         if self._in_head and self._request_bytes > self._server.size_limits.head:
             raise BadRequestError(431, "head too long")
@@ -370,7 +365,7 @@
             self._transport.abort()
 
     def has_left(self) -> bool:
-        """Whether the client has disconnected, polled from the socket; closes the connection then.
+        """Whether the client has disconnected, polled from the socket; if so, close the connection.
 
         With reading paused, the loop would not notice the disconnect.
         """
@@ -419,7 +414,7 @@
     def sweep(self, now: float, times: TimeLimits) -> None:
         """Close the connection if it has exceeded a time-out.
 
-        Guards the descriptors against clients that connect and send nothing.
+        Clients that connect and send nothing must not use up the file descriptors.
         """
         waited = now - self.last_progress_at
         if self._writing_paused and waited > times.unread:
