--- a/roselink/balancer/decider.py
+++ b/roselink/balancer/decider.py
@@ -101,7 +101,7 @@
         return self.state.settings
 
     def handle(self, now_us: int, events: list[Event]) -> list[Action]:
-        """Handles the events since the last call and returns the resulting actions, in order.
+        """Handles the events since the last call in order; returns the resulting actions in order.
 
         `now_us` is the time of a monotonic clock, in microseconds.
         """
