--- a/roselink/budgets/quota_client.py
+++ b/roselink/budgets/quota_client.py
@@ -37,7 +37,7 @@
 MIN_REQUEST_TIMEOUT_S = 0.03
 # A request that has waited for this time is decided locally.
 MAX_WAIT_S = 0.2
-# A failure within this time is a broken connection: the request is sent again once, immediately.
+# A failure within this time counts as a broken connection: the request is resent once, immediately.
 CONNECTION_FAILURE_S = 0.05
 # Delay of the next request after a reply without a decision, while the rosters differ.
 RETRY_INTERVAL_S = 0.03
@@ -49,13 +49,12 @@
 # How long leased tokens may be used. A larger value saves requests and withholds the unused tokens
 # from the other gateways for longer.
 LEASE_DURATION_S = 0.3
-# A lease covers this time at the recent rate, if that is at least a typical request's amount. A
-# larger value saves requests and withholds more from the other gateways.
+# A lease covers the usage of this time at the recent rate; less than a typical request's amount is
+# not requested. A larger value saves requests and withholds more from the other gateways.
 LEASE_AHEAD_S = 0.25
 # The `retry_after_s` of a request that is refused locally.
 LOCAL_RETRY_AFTER_S = 0.3
-# Weight of the newest amount in the moving average of request amounts. A larger value follows
-# changes faster, a smaller one smooths more.
+# Newest amount's weight in the moving average: larger adapts faster, smaller smooths more.
 TYPICAL_AMOUNT_WEIGHT = 0.1
 
 
@@ -166,11 +165,8 @@
     def admit(self, number: int, tenant: str, amount: float, now: float) -> list[Effect]:
         """Decide a request; `QuotaDecided` is returned once, by this call or by a later one.
 
-        Args:
-            number: the caller's unique number of the request.
-            tenant: name of the request's tenant.
-            amount: the amount of the quota that the request uses.
-            now: the time in seconds.
+        The caller's unique `number` identifies the request, which uses `amount` of the tenant's
+        quota; `now` is in seconds.
         """
         state = self._tenants.get(tenant)
         if state is None:
@@ -260,7 +256,7 @@
         return max(now, self._deadlines.earliest())
 
     def _update_deadline(self, tenant: str, state: _TenantState, now: float) -> None:
-        """Update when a tenant needs `wake`, after any change to its state; may be too early."""
+        """Update when `wake` is due for a tenant whose state has changed; it may be too early."""
         self._deadlines.set(tenant, self._deadline(state, now))
 
     def _deadline(self, state: _TenantState, now: float) -> float:
@@ -269,7 +265,7 @@
             return deadline
         if state.pending:
             return min(deadline, state.not_before)
-        next_send_at = max(state.not_before, _next_keep_alive(state))
+        next_send_at = max(state.not_before, _keep_alive_at(state))
         if not _needs_keep_alive(state, now):
             # The total may be 0 because refunds cancel usage, and change once that has expired.
             next_send_at = max(next_send_at, state.usage.oldest_expires_at())
@@ -279,9 +275,7 @@
         """Send the next quota request if one is due and none is in flight."""
         if state.in_flight is not None or now < state.not_before:
             return []
-        if not state.pending and (
-            not _needs_keep_alive(state, now) or now < _next_keep_alive(state)
-        ):
+        if not state.pending and (not _needs_keep_alive(state, now) or now < _keep_alive_at(state)):
             return []
         if self._ownership.is_superseded:
             # A refused token is not used again: pending amounts wait for the next roster.
@@ -370,7 +364,7 @@
     return bool(state.returned or state.lease or state.usage.total(now))
 
 
-def _next_keep_alive(state: _TenantState) -> float:
+def _keep_alive_at(state: _TenantState) -> float:
     """Return when the next keep-alive is due, or the next probe of an unreachable owner."""
     return state.last_sent_at + (PROBE_INTERVAL_S if state.local.active else KEEP_ALIVE_INTERVAL_S)
 
--- a/roselink/coordination/member.py
+++ b/roselink/coordination/member.py
@@ -1,8 +1,8 @@
 """One core member: heartbeats, agreed views, the chain, changes and confirmed reads combined.
 
-No I/O, no clock. Inputs are method calls with `now` (seconds of one monotonic clock); each returns
-the effects in order. The invariants are documented, with proofs, in the modules: V1 to V5 in
-`views` (acknowledged writes survive view changes), A1 to A3 in `acceptor` and R1 to R4 in
+It does no I/O and reads no clock. Inputs are method calls with `now` (seconds of one monotonic
+clock); each returns the effects in order. The modules document and prove their invariants: V1 to V5
+in `views` (acknowledged writes survive view changes), A1 to A3 in `acceptor` and R1 to R4 in
 `proposal_round` (Paxos decides one view per epoch), K1 to K3 in `chain` (what is committed), C1 and
 C2 in `reads` (a confirmed read misses no write), H1 in `sequencer` and S1 in `state` (a refusal is
 permanent). This module has to ensure:
@@ -12,7 +12,7 @@
 M2. A decided view is entered at once, before it is on this disk. A member that restarts with an
     older view is equivalent to one that hasn't learned of the newer one; it does not participate in
     any chain of its earlier process, because the view names another session. Its state may be of a
-    later epoch than its view, which only says how new the state is.
+    later epoch than its view; that epoch only says how new the state is.
 M3. Once a member has entered a newer view, it handles no message of the older epoch. Accepting a
     proposal changes nothing in its chain: the older epoch may still acknowledge through it, and the
     new head begins with the state that it has when it enters the new view itself.
@@ -73,7 +73,7 @@
 TICK_S = 0.05
 
 # After its start a member waits at most this time for the chain's other machines before it plans.
-START_TIMEOUT_S = 0.3
+START_WAIT_S = 0.3
 
 # If two ticks are further apart than this, the process was suspended in between.
 PAUSE_THRESHOLD_S = 0.3
@@ -341,7 +341,7 @@
         self.reply_gate.request_save()
 
     def _scrub(self, now: float) -> None:
-        """Have a record read back while the disk isn't needed for anything else."""
+        """Request that a record be read back while the disk isn't needed for anything else."""
         state = self.chain.durable
         self.scrubber.request_due_read(
             now,
@@ -397,17 +397,13 @@
     def _propose(self, now: float) -> None:
         if self.view is None or not self.acceptor.is_voter:
             return
-        outside_complete_chain = not self.chain.participating and self.peers.reports_complete_chain(
+        is_outside_chain = not self.chain.participating and self.peers.reports_complete_chain(
             now, self.view.epoch
         )
         snapshot = self.heartbeats.snapshot(self.view, now)
-        if now - self._started_at < START_TIMEOUT_S and not chain_is_reconnected(
-            self.view, snapshot
-        ):
+        if now - self._started_at < START_WAIT_S and not chain_is_reconnected(self.view, snapshot):
             return  # the others may be starting too, after a loss of the entire core
-        self.proposer.advance(
-            self.acceptor, snapshot, now, outside_complete_chain=outside_complete_chain
-        )
+        self.proposer.advance(self.acceptor, snapshot, now, outside_complete_chain=is_outside_chain)
 
     # --- effects
 
