--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -139,7 +139,7 @@
         if state.ended:
             raise RuleBrokenError(f"1: request {action.request} sent after its end")
         if len(state.sent) >= self.settings.max_attempts:
-            raise RuleBrokenError(f"attempts: more than max_attempts for {action.request}")
+            raise RuleBrokenError(f"attempts: more than max_attempts for request {action.request}")
         if any(s.outcome is None for s in state.sent) and not self.settings.parallel_tries:
             raise RuleBrokenError(f"2: request {action.request} has two open attempts")
         for earlier in [s for s in state.sent if s.may_have_run]:
