--- a/roselink/dataplane/attempt_runner.py
+++ b/roselink/dataplane/attempt_runner.py
@@ -7,7 +7,7 @@
 
 from roselink.dataplane.exchange import AttemptResponse, Exchange, ResponseMode
 from roselink.dataplane.fleet_host_connection import FleetAttempt
-from roselink.dataplane.proxy_request import attempt_head
+from roselink.dataplane.proxy_request import attempt_headers
 from roselink.http.status_codes import INTERNAL_SERVER_ERROR, MISDIRECTED_REQUEST
 from roselink.routing.events_and_actions import AttemptEnded, Event, FirstEvent, SendAttempt
 from roselink.routing.outcome import NEVER_RAN, Outcome
@@ -121,7 +121,7 @@
             last_event_id = b"%d" % (exchange.progress.last_id or 0)
         return (
             exchange.common_head
-            + attempt_head(host.name, remaining_ms, last_event_id)
+            + attempt_headers(host.name, remaining_ms, last_event_id)
             + exchange.request.body
         )
 
--- a/roselink/dataplane/client_connection.py
+++ b/roselink/dataplane/client_connection.py
@@ -13,7 +13,7 @@
 from roselink.http.status_codes import OK, REASON_PHRASES, UNAUTHORIZED
 
 if TYPE_CHECKING:
-    from roselink.dataplane.client_server import FleetServer
+    from roselink.dataplane.client_server import ClientServer
     from roselink.dataplane.exchange import Exchange
 
 log = logging.getLogger("roselink.dataplane")
@@ -25,7 +25,7 @@
 class FleetClientConnection(ServerConnection):
     """Client connection that passes its requests to the driver."""
 
-    def __init__(self, server: FleetServer) -> None:
+    def __init__(self, server: ClientServer) -> None:
         """Start without a request, on a connection of `server`."""
         super().__init__(server)
         self._owner = server
--- a/roselink/dataplane/client_server.py
+++ b/roselink/dataplane/client_server.py
@@ -27,7 +27,7 @@
 OPEN_BODIES_LIMIT_BYTES = 64 * 1024 * 1024
 
 
-class FleetServer(HttpServer):
+class ClientServer(HttpServer):
     """All client connections of the data plane."""
 
     def __init__(
--- a/roselink/dataplane/decision_driver.py
+++ b/roselink/dataplane/decision_driver.py
@@ -29,7 +29,7 @@
 from roselink.dataplane.event_queue import EventQueue
 from roselink.dataplane.exchange import ClientResponse, Exchange
 from roselink.dataplane.host_directory import HostDirectory
-from roselink.dataplane.proxy_request import ProxyRequest, host_head
+from roselink.dataplane.proxy_request import ProxyRequest, common_head
 from roselink.dataplane.route_table import RouteTable
 from roselink.routing.events_and_actions import (
     AcquireSharedBudget,
@@ -143,7 +143,7 @@
     ) -> Exchange | None:
         entry, tenant = admitted
         route = entry.route
-        exchange = Exchange(request, route, tenant, host_head(request, route, tenant), client)
+        exchange = Exchange(request, route, tenant, common_head(request, route, tenant), client)
         exchange.number = next(self._request_numbers)
         exchange.service = entry.choose_service(self._random)
         exchange.expires_at = request.received_at + time_limit_s(request, route)
--- a/roselink/dataplane/gateway_data_plane.py
+++ b/roselink/dataplane/gateway_data_plane.py
@@ -7,7 +7,7 @@
 import zlib
 from typing import TYPE_CHECKING
 
-from roselink.dataplane.client_server import FleetServer
+from roselink.dataplane.client_server import ClientServer
 from roselink.dataplane.decision_driver import DecisionDriver
 from roselink.dataplane.fleet_host_pool import FleetHostPool
 from roselink.dataplane.readiness_server import ReadinessServer
@@ -58,7 +58,7 @@
             loop, decider, self.host_pool, authority, quotas, shared_budget, seed
         )
         free_descriptor = self.host_pool.drop_oldest_idle
-        self.server = FleetServer(loop, self.driver, descriptors, free_descriptor)
+        self.server = ClientServer(loop, self.driver, descriptors, free_descriptor)
         self.readiness = ReadinessServer(loop, self.ready, descriptors, free_descriptor)
         self.port = self.readiness_port = 0
         self.draining = False
--- a/roselink/dataplane/proxy_request.py
+++ b/roselink/dataplane/proxy_request.py
@@ -147,8 +147,8 @@
     return max(0, min(LOWEST_PRIORITY, PRIORITY_STEP * rank + route.priority))
 
 
-def host_head(request: ProxyRequest, route: Route, tenant: Tenant | None) -> bytes:
-    """The part of a request's head that all hosts get; `attempt_head` completes it."""
+def common_head(request: ProxyRequest, route: Route, tenant: Tenant | None) -> bytes:
+    """The part of a request's head that all hosts get; `attempt_headers` completes it."""
     lines = [b"%b %b HTTP/1.1" % (request.method, request.url)]
     connection_options = _connection_options(request.headers)
     for name, value in request.headers:
@@ -177,7 +177,7 @@
     return connection_options
 
 
-def attempt_head(host: str, remaining_ms: int, last_event_id: bytes) -> bytes:
+def attempt_headers(host: str, remaining_ms: int, last_event_id: bytes) -> bytes:
     """The headers that differ by attempt, and the end of the head."""
     resume = b"Last-Event-Id: %b\r\n" % last_event_id if last_event_id else b""
     return b"X-Target-Instance: %b\r\nX-Request-Deadline: %d\r\n%b\r\n" % (
--- a/tests/dataplane/test_admission.py
+++ b/tests/dataplane/test_admission.py
@@ -18,8 +18,8 @@
 )
 from roselink.dataplane.proxy_request import (
     ProxyRequest,
-    attempt_head,
-    host_head,
+    attempt_headers,
+    common_head,
     priority_of,
     read_request,
     relayed_headers,
@@ -211,7 +211,7 @@
     return Tenant(**(fields | changes))
 
 
-def test_host_head_drops_hop_by_hop_and_gateway_headers() -> None:
+def test_common_head_drops_hop_by_hop_and_gateway_headers() -> None:
     request = parse(
         (b"Connection", b"X-Hop, X-Request-Id, keep-alive"),
         (b"X-Hop", b"1"),
@@ -233,7 +233,7 @@
         (b"Cookie", b"c"),
         body=b"abc",
     )
-    assert host_head(request, route_named("safe"), tenant()).split(b"\r\n") == [
+    assert common_head(request, route_named("safe"), tenant()).split(b"\r\n") == [
         b"POST /safe/x?q HTTP/1.1",
         b"Host: ficu.example",
         b"X-Request-Id: r1",
@@ -243,12 +243,13 @@
         b"X-Tenant-Id: huka",
         b"",
     ]
-    assert b"Priority: 4\r\n" in host_head(request, route_named("chat"), tenant())
-    assert b"X-Tenant-Id" not in host_head(request, route_named("open"), None)
+    assert b"Priority: 4\r\n" in common_head(request, route_named("chat"), tenant())
+    assert b"X-Tenant-Id" not in common_head(request, route_named("open"), None)
     assert (
-        attempt_head("i-1", 25, b"") == b"X-Target-Instance: i-1\r\nX-Request-Deadline: 25\r\n\r\n"
+        attempt_headers("i-1", 25, b"")
+        == b"X-Target-Instance: i-1\r\nX-Request-Deadline: 25\r\n\r\n"
     )
-    assert b"Last-Event-Id: 7\r\n" in attempt_head("i-1", 25, b"7")
+    assert b"Last-Event-Id: 7\r\n" in attempt_headers("i-1", 25, b"7")
 
 
 @pytest.mark.parametrize(
