--- a/roselink/budgets/quota_owner.py
+++ b/roselink/budgets/quota_owner.py
@@ -68,10 +68,10 @@
 
     def reserved(self, now: float) -> float:
         """Return the amount that the requester may have admitted locally while unreachable."""
-        unreachable_s = now - self.last_request_at
-        if unreachable_s <= UNREACHABLE_AFTER_S or unreachable_s > self.usage.window_s:
+        silent_s = now - self.last_request_at
+        if silent_s <= UNREACHABLE_AFTER_S or silent_s > self.usage.window_s:
             return 0.0
-        return self.rate_per_s * min(unreachable_s - UNREACHABLE_AFTER_S, MAX_RESERVE_S)
+        return self.rate_per_s * min(silent_s - UNREACHABLE_AFTER_S, MAX_RESERVE_S)
 
 
 @dataclass(slots=True)
@@ -118,11 +118,11 @@
         Other gateways may have used what an old level would have gained since: that counts at most
         as the start credit.
         """
-        learnt_at = now - previous.age_ms / 1000
-        if previous.term == self.term or learnt_at <= self.previous_level_at:
+        received_at = now - previous.age_ms / 1000
+        if previous.term == self.term or received_at <= self.previous_level_at:
             return
-        level = self._refilled(previous.level, now - learnt_at)
-        if now - learnt_at > LEVEL_VALID_S:
+        level = self._refilled(previous.level, now - received_at)
+        if now - received_at > LEVEL_VALID_S:
             self.start_credit = min(self.start_credit, max(level, self.credit_gained))
             level = min(level, 0.0)
         else:
@@ -133,19 +133,21 @@
         self.level = min(self.limit.burst, self.level)
         self.baseline_level = level
         self.baseline_at = now
-        self.previous_level_at = learnt_at
+        self.previous_level_at = received_at
         self.previous_usage = previous.recent_usage
 
-    def reserved(self, requester: _RequesterUsage, now: float) -> float:
+    def reserved_for_others(self, requester_usage: _RequesterUsage, now: float) -> float:
         """Return the amount that other, unreachable gateways may have admitted locally."""
         reserved = sum(
-            other.reserved(now) for other in self.requesters.values() if other is not requester
+            other.reserved(now)
+            for other in self.requesters.values()
+            if other is not requester_usage
         )
-        unreachable_s = now - self.previous_level_at
-        window_s = requester.usage.window_s
-        if UNREACHABLE_AFTER_S < unreachable_s < window_s:
+        level_age_s = now - self.previous_level_at
+        window_s = requester_usage.usage.window_s
+        if UNREACHABLE_AFTER_S < level_age_s < window_s:
             unreported_per_s = max(0.0, self.previous_usage - self.reported_usage) / window_s
-            reserved += unreported_per_s * min(unreachable_s - UNREACHABLE_AFTER_S, MAX_RESERVE_S)
+            reserved += unreported_per_s * min(level_age_s - UNREACHABLE_AFTER_S, MAX_RESERVE_S)
         return reserved
 
     def change_limit(self, limit: QuotaLimit, now: float) -> None:
@@ -192,9 +194,9 @@
             self._buckets[tenant] = self._new_bucket(self._limits[tenant], now)
         incarnations = {member.name: member.incarnation for member in roster}
         for bucket in self._buckets.values():
-            for (name, incarnation), requester in bucket.requesters.items():
+            for (name, incarnation), requester_usage in bucket.requesters.items():
                 if incarnations.get(name, incarnation) != incarnation:
-                    requester.rate_per_s = 0.0
+                    requester_usage.rate_per_s = 0.0
 
     def end_terms(self) -> None:
         """End all terms: the view was unconfirmed so long that others may have been owners."""
@@ -228,17 +230,15 @@
         requester_usage.rate_per_s = (
             0.0 if request.draining else requester_usage.usage.total(now) / self._rule.window_s
         )
-        usage = self._recent_usage(bucket, now)
-        fraction = (
-            max(0.0, min(1.0, requester_usage.usage.total(now) / usage)) if usage > 0 else 0.0
-        )
+        usage = self._expire_and_sum_usage(bucket, now)
+        ratio = max(0.0, min(1.0, requester_usage.usage.total(now) / usage)) if usage > 0 else 0.0
         return QuotaReply(
             ReplyStatus.DECIDED,
             request.fencing_token,
             admitted,
             lease_granted=lease,
             retry_after_s=retry_after_s,
-            usage_fraction=fraction,
+            usage_fraction=ratio,
             term=bucket.term,
             level=bucket.level,
             recent_usage=usage,
@@ -265,13 +265,13 @@
     ) -> _RequesterUsage:
         """Return a requester's usage, replaced by its report if there is one."""
         if report is not None:
-            usage = self._reported_usage(report, now)
+            usage = self._window_from_report(report, now)
             if requester not in bucket.requesters:
                 bucket.reported_usage += usage.total(now)
             bucket.requesters[requester] = _RequesterUsage(usage, now)
         return bucket.requesters[requester]
 
-    def _reported_usage(self, report: tuple[UsageSample, ...], now: float) -> UsageWindow:
+    def _window_from_report(self, report: tuple[UsageSample, ...], now: float) -> UsageWindow:
         usage = UsageWindow(self._rule.window_s)
         for sample in report:
             usage.add(now - sample.age_ms / 1000, sample.amount)
@@ -280,7 +280,7 @@
     def _admit_amounts(
         self,
         bucket: _TenantBucket,
-        requester: _RequesterUsage,
+        requester_usage: _RequesterUsage,
         amounts: tuple[float, ...],
         now: float,
     ) -> tuple[tuple[bool, ...], float]:
@@ -291,7 +291,7 @@
             requested again.
         """
         overdraft = OVERDRAFT_FRACTION * self._rule.allowance(bucket.limit)
-        reserved = bucket.reserved(requester, now)
+        reserved = bucket.reserved_for_others(requester_usage, now)
         decisions = []
         retry_after_s = 0.0
         for amount in amounts:
@@ -299,13 +299,13 @@
             decisions.append(missing <= 0)
             if missing <= 0:
                 bucket.take(amount)
-                requester.usage.add(now, amount)
+                requester_usage.usage.add(now, amount)
             elif not retry_after_s:
                 retry_after_s = min(MAX_RETRY_AFTER_S, missing / bucket.limit.rate_per_s)
         return tuple(decisions), retry_after_s
 
     def _grant_lease(
-        self, bucket: _TenantBucket, requester: _RequesterUsage, wanted: float, now: float
+        self, bucket: _TenantBucket, requester_usage: _RequesterUsage, wanted: float, now: float
     ) -> float:
         """Grant up to `wanted` tokens above `LEASE_MIN_LEVEL_FRACTION`; return the amount."""
         granted = max(
@@ -313,10 +313,10 @@
         )
         if granted > 0:
             bucket.take(granted)
-            requester.usage.add(now, granted)
+            requester_usage.usage.add(now, granted)
         return granted
 
-    def _recent_usage(self, bucket: _TenantBucket, now: float) -> float:
+    def _expire_and_sum_usage(self, bucket: _TenantBucket, now: float) -> float:
         """Return the usage of the last window, without that of draining requesters.
 
         Requesters without usage in the window are removed.
--- a/roselink/controller/gateway_roster.py
+++ b/roselink/controller/gateway_roster.py
@@ -93,11 +93,11 @@
 
     def input_received(self, now: float) -> None:
         """Discount time in which this member was stalled and could not receive pulls."""
-        pause_s = now - self._last_input_at
+        gap_s = now - self._last_input_at
         self._last_input_at = now
-        if pause_s > self._times.stall_s:
+        if gap_s > self._times.stall_s:
             for gateway in self._gateways.values():
-                gateway.last_pull_at += pause_s
+                gateway.last_pull_at += gap_s
 
     def view_changed(self, now: float, *, is_tail: bool) -> None:
         """Start a view: its roster is collected again; only a tail keeps the gateways it knows."""
--- a/roselink/controller/host_list_client.py
+++ b/roselink/controller/host_list_client.py
@@ -169,7 +169,9 @@
         if self._open_call is call:
             self._open_call = None
         if isinstance(outcome, Failure):
-            page: Page | str = f"{type(outcome.value).__name__}: {outcome.getErrorMessage()}"
+            page_or_reason: Page | str = (
+                f"{type(outcome.value).__name__}: {outcome.getErrorMessage()}"
+            )
         else:
-            page = parse_page(*outcome)
-        self._apply(self._reader.fetch_completed(self._clock(), number, page))
+            page_or_reason = parse_page(*outcome)
+        self._apply(self._reader.fetch_completed(self._clock(), number, page_or_reason))
--- a/roselink/dataplane/proxy_request.py
+++ b/roselink/dataplane/proxy_request.py
@@ -28,8 +28,8 @@
 _ALWAYS_RELAYED = frozenset(b"host x-request-id x-model x-token-usage x-prompt-prefix".split())
 LOWEST_PRIORITY = 9
 # Weight of the tenant's priority relative to the route's.
-PRIORITY_STEP = 3
-PROMPT_ENTRIES_LIMIT = 256
+TENANT_PRIORITY_WEIGHT = 3
+PROMPT_SEGMENTS_LIMIT = 256
 # One day; a request with a longer deadline counts as having none.
 DEADLINE_LIMIT_S = 86400
 # Maximum digits of a token count.
@@ -115,36 +115,36 @@
 
 
 def _parse_token_usage(value: bytes | None) -> tuple[int, int] | None:
-    first, comma, second = (value or b"").partition(b",")
-    first = first.strip()
-    second = second.strip()
+    tokens_in, comma, tokens_out = (value or b"").partition(b",")
+    tokens_in = tokens_in.strip()
+    tokens_out = tokens_out.strip()
     if not (
         comma
-        and first.isdigit()
-        and second.isdigit()
-        and len(first) <= TOKEN_DIGITS_LIMIT
-        and len(second) <= TOKEN_DIGITS_LIMIT
+        and tokens_in.isdigit()
+        and tokens_out.isdigit()
+        and len(tokens_in) <= TOKEN_DIGITS_LIMIT
+        and len(tokens_out) <= TOKEN_DIGITS_LIMIT
     ):
         return None
-    return int(first), int(second)
+    return int(tokens_in), int(tokens_out)
 
 
 def _parse_prompt_prefix(value: bytes | None) -> tuple[PromptSegment, ...]:
     if not value:
         return ()
-    entries = []
-    for entry in value.split(b",", PROMPT_ENTRIES_LIMIT):
-        name, colon, tokens = entry.strip().partition(b":")
+    segments = []
+    for segment in value.split(b",", PROMPT_SEGMENTS_LIMIT):
+        name, colon, tokens = segment.strip().partition(b":")
         if not (colon and tokens.isdigit() and len(tokens) <= TOKEN_DIGITS_LIMIT):
             return ()
-        entries.append(PromptSegment(name.decode("latin-1"), int(tokens)))
-    return tuple(entries)
+        segments.append(PromptSegment(name.decode("latin-1"), int(tokens)))
+    return tuple(segments)
 
 
 def priority_of(route: Route, tenant: Tenant | None) -> int:
     """Priority of a request; 0 is the highest, 9 the lowest."""
-    rank = tenant.priority if tenant is not None else 0
-    return max(0, min(LOWEST_PRIORITY, PRIORITY_STEP * rank + route.priority))
+    tenant_priority = tenant.priority if tenant is not None else 0
+    return max(0, min(LOWEST_PRIORITY, TENANT_PRIORITY_WEIGHT * tenant_priority + route.priority))
 
 
 def common_head(request: ProxyRequest, route: Route, tenant: Tenant | None) -> bytes:
@@ -177,11 +177,11 @@
     return connection_options
 
 
-def attempt_headers(host: str, remaining_ms: int, last_event_id: bytes) -> bytes:
+def attempt_headers(instance_id: str, remaining_ms: int, last_event_id: bytes) -> bytes:
     """The headers that differ by attempt, and the end of the head."""
     resume = b"Last-Event-Id: %b\r\n" % last_event_id if last_event_id else b""
     return b"X-Target-Instance: %b\r\nX-Request-Deadline: %d\r\n%b\r\n" % (
-        host.encode(),
+        instance_id.encode(),
         remaining_ms,
         resume,
     )
--- a/roselink/gateway/request_checks.py
+++ b/roselink/gateway/request_checks.py
@@ -18,17 +18,17 @@
 
 # Headers that are not forwarded: hop-by-hop ones (RFC 9110, section 7.6.1) and those that the
 # gateway sets itself.
-HOP_BY_HOP = frozenset(
+NOT_FORWARDED = frozenset(
     b"connection keep-alive proxy-connection te trailer transfer-encoding upgrade expect "
     b"content-length "
     b"request-timeout-ms proxy-authorization proxy-authenticate".split()
 )
-SINGLE_HEADERS = frozenset((b"request-id", b"idempotency-key", b"request-timeout-ms"))
+SINGLE_VALUED = frozenset((b"request-id", b"idempotency-key", b"request-timeout-ms"))
 # Largest number of digits of a number in a header.
 MAX_TIMEOUT_DIGITS = 12
 MAX_HINT_DIGITS = 11
 # Number of segments of the path `/route/key`, with the empty one before its first slash.
-KEYED_PATH_SEGMENTS = 3
+PATH_WITH_KEY_SEGMENTS = 3
 # Index for a tenant that the settings do not name.
 UNKNOWN_TENANT = -1
 
@@ -47,10 +47,10 @@
         self._short_deadline_from = math.inf
         self._short_deadline = math.inf
 
-    def shorten_deadlines(self, begun_from: float, respond_by: float) -> None:
-        """Lets requests that begin at loop time `begun_from` or later expire at `respond_by`."""
-        self._short_deadline_from = begun_from
-        self._short_deadline = respond_by
+    def shorten_deadlines(self, received_from: float, short_deadline: float) -> None:
+        """Requests received at `received_from` or later expire at `short_deadline` at the latest."""
+        self._short_deadline_from = received_from
+        self._short_deadline = short_deadline
 
     def check(
         self,
@@ -88,7 +88,7 @@
             id=request_id,
             route=route,
             tenant=self._tenants.get(tenant, UNKNOWN_TENANT),
-            key=_key(segments),
+            key=_path_key(segments),
             expires=expires
             if received_at < self._short_deadline_from
             else min(expires, self._short_deadline),
@@ -100,12 +100,12 @@
 
     def _route(self, segments: list[bytes]) -> int:
         """Index of the route that the path's first segment names."""
-        if len(segments) < KEYED_PATH_SEGMENTS - 1 or segments[0] or not segments[1]:
+        if len(segments) < PATH_WITH_KEY_SEGMENTS - 1 or segments[0] or not segments[1]:
             raise BadRequestError(404, "unknown path")
         route = self._routes.get(unquote(segments[1].decode("latin-1")))
         if route is None:
-            has_key = len(segments) == KEYED_PATH_SEGMENTS
-            raise BadRequestError(400 if has_key else 404, "unknown route")
+            has_key_segment = len(segments) == PATH_WITH_KEY_SEGMENTS
+            raise BadRequestError(400 if has_key_segment else 404, "unknown route")
         return route
 
     @staticmethod
@@ -117,10 +117,10 @@
         forwarded: list[bytes] = []
         for name, value in headers:
             lower_name = name.lower()
-            if lower_name in SINGLE_HEADERS and lower_name in values:
+            if lower_name in SINGLE_VALUED and lower_name in values:
                 raise BadRequestError(400, f"duplicate header {lower_name.decode()}")
             values[lower_name] = value
-            if lower_name not in HOP_BY_HOP:
+            if lower_name not in NOT_FORWARDED:
                 forwarded.append(b"%b: %b" % (name, value))
         return values, forwarded
 
@@ -129,12 +129,12 @@
     ) -> None:
         """Checks that method, body and Idempotency-Key are valid for the route."""
         safe = self._effects[route] is Effect.SAFE
-        keyed = self._effects[route] is Effect.KEYED
+        needs_idempotency_key = self._effects[route] is Effect.KEYED
         if method != (b"GET" if safe else b"POST"):
             raise BadRequestError(400, "wrong method for the route")
         if safe and body:
             raise BadRequestError(400, "GET request with a body")
-        if keyed != bool(headers.get(b"idempotency-key")):
+        if needs_idempotency_key != bool(headers.get(b"idempotency-key")):
             raise BadRequestError(400, "Idempotency-Key missing or not allowed for the route")
 
     @staticmethod
@@ -146,9 +146,9 @@
         return int(value) / 1000
 
 
-def _key(segments: list[bytes]) -> str | None:
+def _path_key(segments: list[bytes]) -> str | None:
     """Last segment of a path with a key, if any."""
-    if len(segments) >= KEYED_PATH_SEGMENTS and segments[-1]:
+    if len(segments) >= PATH_WITH_KEY_SEGMENTS and segments[-1]:
         return unquote(segments[-1].decode("latin-1"))
     return None
 
--- a/roselink/routing/ring.py
+++ b/roselink/routing/ring.py
@@ -41,10 +41,10 @@
     def __init__(self, ids: Iterable[str]) -> None:
         """Build the ring from host ids; duplicates count once."""
         self._ids = sorted(set(ids))
-        digests = _points_per_host(len(self._ids)) // POINTS_PER_DIGEST
+        digests_per_host = _points_per_host(len(self._ids)) // POINTS_PER_DIGEST
         points: list[int] = []
         for index, host in enumerate(self._ids):
-            for digest_index in range(digests):
+            for digest_index in range(digests_per_host):
                 points += [point | index for point in _points_of_digest(host, digest_index)]
         points.sort()
         self._points = array("Q", points)
@@ -70,10 +70,10 @@
     return int.from_bytes(blake2b(key.encode(), digest_size=8, person=b"key").digest(), "big")
 
 
-def _points_per_host(hosts: int) -> int:
-    if hosts <= SMALL_RING_HOSTS:
+def _points_per_host(host_count: int) -> int:
+    if host_count <= SMALL_RING_HOSTS:
         return SMALL_RING_POINTS
-    return MEDIUM_RING_POINTS if hosts <= MEDIUM_RING_HOSTS else LARGE_RING_POINTS
+    return MEDIUM_RING_POINTS if host_count <= MEDIUM_RING_HOSTS else LARGE_RING_POINTS
 
 
 @lru_cache(maxsize=16384)
--- a/tests/mutations/controller.py
+++ b/tests/mutations/controller.py
@@ -136,7 +136,7 @@
         ),
         (
             "a stall of the tail times out gateways",
-            "        if pause_s > self._times.stall_s:",
+            "        if gap_s > self._times.stall_s:",
             "        if False:",
         ),
         (
