--- a/roselink/balancer/server_table.py
+++ b/roselink/balancer/server_table.py
@@ -14,16 +14,23 @@
 
 
 class ServerTable:
-    """The servers by id, and lists of the ready and the cold ones."""
+    """Keeps the servers of `BalancerState` up to date with the server lists.
+
+    These are all servers by id, the ready ones (`candidates`), and those of them in slow start
+    (`cold`).
+    """
 
     def __init__(self, state: BalancerState, speeds: KindSpeeds, slow_start: SlowStart) -> None:
-        """Starts without servers."""
+        """Keeps the state to update, and the modules that learn of new servers and kinds."""
         self._state = state
         self._speeds = speeds
         self._slow_start = slow_start
 
     def update(self, event: ServerList) -> None:
-        """Applies a full list or a list of changes."""
+        """Applies changes, or a full or cached list, which replaces all servers.
+
+        The caller handles failed calls: a list of that kind would remove all servers.
+        """
         state = self._state
         if event.kind is not ListKind.CHANGES:
             state.servers = {
@@ -33,13 +40,16 @@
             }
         for server in event.servers:
             self._update_server(server)
-        # Rule 3: a draining or removed server leaves the candidates with the event that reports it.
+        # Rule 3 (`decider`): from this event on, a server that is draining or gone is no candidate.
         ready = [server for server in state.servers.values() if server.spec.state is State.READY]
         state.candidates = sorted(ready, key=lambda server: server.sort_key)
         state.cold = [server for server in state.candidates if self._slow_start.is_cold(server)]
 
     def _update_server(self, spec: Server) -> None:
-        """Applies one entry; a server that has restarted gets a new state."""
+        """Applies one entry of a list.
+
+        A server that is gone is removed; a new or restarted one gets a new `ServerState`.
+        """
         servers = self._state.servers
         existing = servers.get(spec.id)
         self._speeds.add(spec.kind)
--- a/roselink/budgets/quota_owner.py
+++ b/roselink/budgets/quota_owner.py
@@ -1,14 +1,14 @@
-"""The owner's side of quotas: an exact token bucket per tenant, and the usage per requester.
+"""The owner's side of quotas: a token bucket per tenant, and the usage per requester.
 
 A term begins when this gateway becomes the owner of a tenant. Each requester reports the previous
 owner's bucket level, as in its last reply, and the amount that it has admitted locally since then.
-The newest such level and the sum of the local admissions give the current level. If no level is
-known, the term starts with a fraction of the rule's allowance, because gateways that have left may
-have used any amount.
+The newest such level and the sum of the local admissions give the current level. Until a level is
+known, the bucket starts empty and receives, besides its refill, only a start credit, a fraction of
+the allowance (`QuotaRule`): gateways that have left cannot report, and may have used any amount.
 
-A requester that stops sending may be unreachable and admit requests locally at its recent rate
-(`local_admission`): the owner reserves that amount and withholds it from the others. A new owner
-does the same for usage that the previous owner counted and no requester has reported yet.
+A requester that sends no quota requests may be unreachable and admit amounts locally at its recent
+rate (`local_admission`): the owner reserves that amount and withholds it from the others. A new
+owner does the same for usage that the previous owner counted and no requester has reported yet.
 """
 
 from __future__ import annotations
@@ -36,22 +36,22 @@
 
     from roselink.model.fleet import Member
 
-# A requester counts as unreachable this long after its last request. Requesters with recent usage
-# send about twice as often (quota_client.KEEP_ALIVE_INTERVAL_S). A smaller value reserves for
-# requesters that are only slow, a larger one starts the reservation later.
+# A requester counts as unreachable this long after its last quota request. One with recent usage
+# sends at least every quota_client.KEEP_ALIVE_INTERVAL_S; the difference tolerates a late one. A
+# smaller value reserves for requesters that are only slow, a larger one reserves later.
 UNREACHABLE_AFTER_S = 0.65
-# Longest reservation: a requester admits at its recent rate for as long
-# (local_admission.RECENT_RATE_S).
+# A reservation grows for at most this time: the longest time for which a requester admits locally
+# on account of its recent rate (local_admission.RECENT_RATE_S).
 MAX_RESERVE_S = 3.0
-# Age up to which a reported level is refilled to now. What an older one has gained may have been
-# used by other gateways.
+# Up to this age, a reported level counts with the refill since then. The refill of an older one may
+# have been used by other gateways.
 LEVEL_VALID_S = 1.0
 # A new term receives its start credit evenly over this time.
 START_CREDIT_S = 1.0
-# Fraction of the burst that leases leave in the bucket. A larger value leaves more for requests of
-# the other gateways, a smaller one saves requests to the owner.
+# Fraction of the burst that leases leave in the bucket. A larger value leaves more for the other
+# gateways, a smaller one saves quota requests.
 LEASE_MIN_LEVEL_FRACTION = 0.5
-# Upper bound of a refused request's `retry_after_s`.
+# Upper bound of the `retry_after_s` of a refused amount.
 MAX_RETRY_AFTER_S = 2.0
 
 # Name and incarnation of a gateway process.
@@ -60,7 +60,7 @@
 
 @dataclass(slots=True)
 class _RequesterUsage:
-    """One requester as the owner knows it: its usage, and its rate as of its last request."""
+    """One requester as the owner knows it: its usage, and its rate at its last quota request."""
 
     usage: UsageWindow
     last_request_at: float
@@ -68,21 +68,22 @@
 
     def reserved(self, now: float) -> float:
         """Return the amount that the requester may have admitted locally while unreachable."""
-        silent_s = now - self.last_request_at
-        if silent_s <= UNREACHABLE_AFTER_S or silent_s > self.usage.window_s:
+        request_age_s = now - self.last_request_at
+        if request_age_s <= UNREACHABLE_AFTER_S or request_age_s > self.usage.window_s:
             return 0.0
-        return self.rate_per_s * min(silent_s - UNREACHABLE_AFTER_S, MAX_RESERVE_S)
+        return self.rate_per_s * min(request_age_s - UNREACHABLE_AFTER_S, MAX_RESERVE_S)
 
 
 @dataclass(slots=True)
 class _TenantBucket:
     """The token bucket of one tenant in this owner's term.
 
-    `baseline_level` at `baseline_at` is the assumed level of the previous owner's bucket, from
-    which this term counts. `previous_level_at` is when a requester received that owner's newest
-    known level; `previous_usage` is the total usage at that time, and `reported_usage` the part of
-    it that requesters of this term have reported. `start_credit` is the credit of a term without a
-    valid level, and `credit_gained` the part of it received so far.
+    `level` assumes that the previous owner's bucket had `baseline_level` at `baseline_at`; a newer
+    report corrects that assumption. `previous_level_at` is when a requester received that owner's
+    newest known level; `previous_usage` is the usage of all gateways in the window that ended then,
+    as that owner counted it, and `reported_usage` the usage that requesters have reported in this
+    term. `start_credit` is the credit that the bucket receives unless a level no older than
+    `LEVEL_VALID_S` is reported, and `credit_gained` the part of it received so far.
     """
 
     limit: QuotaLimit
@@ -99,7 +100,7 @@
     requesters: dict[Requester, _RequesterUsage] = field(default_factory=dict)
 
     def refill(self, now: float) -> None:
-        """Add the tokens and the start credit for the time since the last update."""
+        """Add the amount and the start credit gained since the last update."""
         elapsed_s = max(0.0, now - self.updated_at)
         gain = min(
             self.start_credit - self.credit_gained, self.start_credit * elapsed_s / START_CREDIT_S
@@ -113,10 +114,11 @@
         self.level = min(self.limit.burst, self.level - amount)
 
     def adopt_level(self, previous: BucketLevel, now: float) -> None:
-        """Count from the previous owner's level as a requester received it, if it is the newest.
+        """Base the level on one that a previous owner sent to a requester.
 
-        Other gateways may have used what an old level would have gained since: that counts at most
-        as the start credit.
+        It is ignored if a newer one is known or it is from this term. One older than
+        `LEVEL_VALID_S` counts as at most 0 and only limits the start credit, since other gateways
+        may have used the rest.
         """
         received_at = now - previous.age_ms / 1000
         if previous.term == self.term or received_at <= self.previous_level_at:
@@ -137,7 +139,10 @@
         self.previous_usage = previous.recent_usage
 
     def reserved_for_others(self, requester_usage: _RequesterUsage, now: float) -> float:
-        """Return the amount that other, unreachable gateways may have admitted locally."""
+        """Return the amount that other, unreachable gateways may have admitted locally.
+
+        This includes gateways that only the previous owner knew.
+        """
         reserved = sum(
             other.reserved(now)
             for other in self.requesters.values()
@@ -161,10 +166,14 @@
 
 
 class QuotaOwner:
-    """Decides requests by the buckets of all tenants that this gateway owns."""
+    """Decides quota requests by the buckets of all tenants that this gateway owns."""
 
     def __init__(self, rule: QuotaRule, incarnation: int) -> None:
-        """Start without tenants. Terms count up from `incarnation`, which makes them unique."""
+        """Start without tenants.
+
+        Terms count up from `incarnation`, a random number, so that those of different owners and
+        processes differ.
+        """
         self._rule = rule
         self._last_term = incarnation
         self._limits: dict[str, QuotaLimit] = {}
@@ -183,7 +192,7 @@
     def set_owned(self, tenants: Iterable[str], roster: Iterable[Member], now: float) -> None:
         """Begin terms of newly owned tenants and end those of tenants no longer owned.
 
-        Reservations for processes that were restarted since end.
+        Ends the reservations for gateways that have restarted since these were made.
         """
         owned = {
             name for name in tenants if name in self._limits and self._limits[name].rate_per_s > 0
@@ -199,11 +208,15 @@
                     requester_usage.rate_per_s = 0.0
 
     def end_terms(self) -> None:
-        """End all terms: the view was unconfirmed so long that others may have been owners."""
+        """End all terms.
+
+        Called when this gateway's ownership was unconfirmed for so long that others may have owned
+        its tenants.
+        """
         self._buckets.clear()
 
     def decide(self, request: QuotaRequest, now: float) -> QuotaReply:
-        """Decide a request; the caller has checked its fencing token."""
+        """Decide a quota request; the caller has checked its fencing token."""
         bucket = self._buckets.get(request.tenant)
         if bucket is None:
             return QuotaReply(ReplyStatus.NOT_READY, request.fencing_token)
@@ -284,7 +297,9 @@
         amounts: tuple[float, ...],
         now: float,
     ) -> tuple[tuple[bool, ...], float]:
-        """Admit each amount that the bucket covers; one above the burst requires a full bucket.
+        """Admit each amount covered by the level plus the overdraft minus the reservation.
+
+        Of an amount above the burst, only the burst must be covered.
 
         Returns:
             A decision for each amount, and the seconds after which the first refused one may be
@@ -307,7 +322,10 @@
     def _grant_lease(
         self, bucket: _TenantBucket, requester_usage: _RequesterUsage, wanted: float, now: float
     ) -> float:
-        """Grant up to `wanted` tokens above `LEASE_MIN_LEVEL_FRACTION`; return the amount."""
+        """Grant at most `wanted` as a lease; return the amount.
+
+        `LEASE_MIN_LEVEL_FRACTION` of the burst stays in the bucket.
+        """
         granted = max(
             0.0, min(wanted, bucket.level - LEASE_MIN_LEVEL_FRACTION * bucket.limit.burst)
         )
@@ -317,9 +335,10 @@
         return granted
 
     def _expire_and_sum_usage(self, bucket: _TenantBucket, now: float) -> float:
-        """Return the usage of the last window, without that of draining requesters.
+        """Return the usage in the last window of requesters that may admit locally.
 
-        Requesters without usage in the window are removed.
+        These are neither draining nor restarted since their last quota request. Requesters that
+        have had neither usage nor a quota request in the window are removed.
         """
         for requester, requester_usage in list(bucket.requesters.items()):
             if (
--- a/roselink/budgets/usage.py
+++ b/roselink/budgets/usage.py
@@ -16,13 +16,16 @@
 
 # Division of the rule's allowance; the fractions add up to 1.
 
-# Credit of a new term if the level of the previous owner's bucket is unknown.
+# Credit with which a new owner starts while the level of the previous owner's bucket is unknown.
 START_FRACTION = 0.35
-# Overdraft of the owner's bucket, for requests of several gateways that reach it out of order.
+# Overdraft of the owner's bucket: requests of several gateways reach it out of order, and without
+# an overdraft it could refuse one for that alone.
 OVERDRAFT_FRACTION = 0.15
-# Local admissions of all gateways together for which no owner reserves anything.
+# Bound on what all gateways together admit locally beyond an owner's reservations, divided by their
+# recent usage (`local_admission`).
 LOCAL_FRACTION = 0.4
-# Lower bound of the same, divided equally among all gateways, for those without recent usage.
+# Each gateway may admit locally at least an equal part of this fraction, however small its recent
+# usage.
 MIN_LOCAL_FRACTION = 0.1
 
 
@@ -38,7 +41,7 @@
 class QuotaRule:
     """How far usage over all gateways may exceed a tenant's limit within a window.
 
-    `over` is a fraction of the limit, `slack` an additional constant amount.
+    `over` is a fraction of rate x window + burst, `slack` an additional constant amount.
     """
 
     window_s: float
@@ -46,7 +49,7 @@
     slack: float
 
     def allowance(self, limit: QuotaLimit) -> float:
-        """Return the amount admitted in one window beyond rate x window + burst."""
+        """Return the most that may be admitted in one window beyond rate x window + burst."""
         return self.over * (limit.rate_per_s * self.window_s + limit.burst) + self.slack
 
 
@@ -66,7 +69,7 @@
         self._total = 0.0
 
     def add(self, at: float, amount: float) -> None:
-        """Add an amount at a time, which may be older than the newest one."""
+        """Add an amount used at time `at`, in any order; a negative one is a refund."""
         end = (at // SLOT_S + 1) * SLOT_S
         self._total += amount
         for slot in reversed(self._slots):
@@ -82,7 +85,7 @@
         self._slots = deque(sorted(self._slots))
 
     def total(self, now: float) -> float:
-        """Return the sum of the last window."""
+        """Drop the slots that have expired by `now`, and return the sum of the others."""
         while self._slots and self._slots[0][0] <= now - self.window_s:
             self._total -= self._slots.popleft()[1]
         if not self._slots:
--- a/roselink/controller/gateway_roster.py
+++ b/roselink/controller/gateway_roster.py
@@ -1,7 +1,8 @@
-"""Which gateways are live, as the tail infers it from their pulls. Sans I/O.
+"""Which gateways are live, as the tail of the core's chain infers it from their pulls. Without I/O.
 
-A pull is also a gateway's heartbeat. The roster is the sorted list of the live gateways that serve;
-each change of it makes a new version. `now` is in seconds of a monotonic clock.
+A pull is also a gateway's heartbeat. The roster is the sorted list of the live gateways that may
+own quotas and retry budgets (`serving`); each change of it makes a new version. `now` is in seconds
+of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -29,8 +30,8 @@
             keeps a dead gateway in the roster for longer; a smaller one drops slow gateways.
         collection_s: how long a new view's tail waits for pulls before its first roster. A larger
             value delays the roster; with a smaller one it may lack live gateways.
-        stall_s: after a longer gap without input this member itself was stalled, and the gap does
-            not count against any gateway.
+        stall_s: a longer time without any input means that this core process itself was stalled;
+            it does not count as silence of the gateways.
     """
 
     gateway_timeout_s: float = 1.2
@@ -45,11 +46,12 @@
     Attributes:
         name: the gateway's name.
         address: its address for peers, "ip:port".
-        serving: whether it may own roles.
+        serving: whether it may own quotas and retry budgets.
         silent_s: seconds since its last pull.
-        configuration: the configuration's version that it had at its last pull.
-        hosts: how many versions of the host list it is behind.
-        roster: how many versions of the roster it is behind.
+        configuration: the version of the configuration that it had at its last pull.
+        hosts: the newest version of the host list minus its version, at least 0; about 2**32 per
+            view if its version is of an earlier one.
+        roster: the same for the roster.
     """
 
     name: str
@@ -78,8 +80,8 @@
     """The gateways that pull, and the published roster with its version.
 
     Attributes:
-        members: the published roster; None before a view's first.
-        version: the roster's version; 0 before a view's first.
+        members: the published roster; None until the view's first one is published.
+        version: the roster's version; 0 until the view's first one is published.
     """
 
     def __init__(self, times: LivenessTimes) -> None:
@@ -92,7 +94,11 @@
         self._last_input_at = 0.0
 
     def input_received(self, now: float) -> None:
-        """Discount time in which this member was stalled and could not receive pulls."""
+        """Note an input of any kind, before it is handled.
+
+        If it is the first for longer than `stall_s`, this core process could not receive pulls in
+        that time: it does not count as silence of the gateways.
+        """
         gap_s = now - self._last_input_at
         self._last_input_at = now
         if gap_s > self._times.stall_s:
@@ -100,7 +106,11 @@
                 gateway.last_pull_at += gap_s
 
     def view_changed(self, now: float, *, is_tail: bool) -> None:
-        """Start a view: its roster is collected again; only a tail keeps the gateways it knows."""
+        """Start a view without a roster.
+
+        A tail waits `collection_s` for pulls and adds them to the gateways that it knows; another
+        member forgets them.
+        """
         self.members = None
         self.version = 0
         self._collect_until = now + self._times.collection_s
@@ -126,6 +136,8 @@
     def publish(self, now: float, next_version: Callable[[int], int]) -> None:
         """Drop the gateways that timed out, and publish the roster if it has changed.
 
+        Nothing is published before the collection time is over.
+
         Args:
             now: the time.
             next_version: returns the version that follows the given one.
@@ -146,7 +158,7 @@
             self.version = next_version(self.version)
 
     def lags(self, now: float, hosts_version: int) -> tuple[GatewayLag, ...]:
-        """The live gateways by name, and how far behind each was at its last pull."""
+        """How far behind each gateway was at its last pull, for all not yet dropped, by name."""
         return tuple(
             GatewayLag(
                 gateway.member.name,
--- a/roselink/controller/host_list_client.py
+++ b/roselink/controller/host_list_client.py
@@ -1,7 +1,7 @@
-"""The driver of the host list's reader: treq on a pool that keeps one connection to the platform.
+"""Performs the effects of `HostListReader`, with treq over one persistent connection.
 
-When the member loses the reader's role, the open call is cancelled, so that at most the one in
-flight reaches the platform.
+When this core member loses the reader's role, its open call to the platform is cancelled and none
+follows, so at most that call still reaches the platform.
 """
 
 from __future__ import annotations
@@ -70,7 +70,10 @@
 
 
 class HostListClient:
-    """Reads the host list while this member has the reader's role."""
+    """Reads the host list while this core member has the reader's role.
+
+    That role belongs to the tail of the active view.
+    """
 
     def __init__(
         self,
@@ -84,7 +87,7 @@
 
         Args:
             reactor: Twisted's reactor.
-            platform: the platform's address and rate.
+            platform: the platform's address, and the calls per second that it allows.
             on_hosts_listed: called with the view's epoch and each complete list.
             clock: a monotonic clock, in seconds.
             times: bounds of the reader's schedule.
--- a/roselink/controller/storage.py
+++ b/roselink/controller/storage.py
@@ -1,4 +1,6 @@
-"""A core member's disk: two records, each as generations of `dbm.dumb` files.
+"""The disk of a core member: its acceptor state and its chain state.
+
+Each of these two records is stored as generations of `dbm.dumb` files.
 
 All methods block; only one thread may call them at a time.
 
@@ -6,7 +8,8 @@
 never changed: a save creates the files of the next generation, syncs both and the folder, and only
 then removes the older ones. A record carries its generation and a checksum; the newest generation
 whose record is intact is loaded, so a save that was interrupted anywhere leaves the former record.
-At most two generations of a record are on the disk, and the files of a failed save are removed.
+Unless a removal fails, at most two generations of a record are on the disk, and the files of a
+failed save are removed.
 """
 
 from __future__ import annotations
@@ -25,7 +28,7 @@
 from roselink.protocol.records import decode
 
 _KEY = b"record"
-# Generation, record number, checksum.
+# Generation, number of the record's type (`protocol.records.record`), checksum.
 _HEADER = struct.Struct("!QH16s")
 _SUFFIXES = (".dat", ".dir", ".bak")
 
@@ -37,9 +40,9 @@
     """One generation of one record on the disk.
 
     Attributes:
-        store: which record.
+        store: which of the two records.
         generation: its number.
-        record: its content; None if it is torn or its checksum is wrong.
+        record: its content; None if it is torn, has a wrong checksum or cannot be decoded.
     """
 
     store: Store
@@ -76,7 +79,10 @@
         """Make a file's bytes, or a folder's names, survive a power failure (fsync)."""
 
     def database(self, base: str, flag: str) -> Database:
-        """Open the database of these files: `n` for a new one, `r` to read."""
+        """Open the database whose files begin with the path `base`.
+
+        Flag `n` creates it, `r` opens it for reading.
+        """
 
 
 class _DumbDatabase(dbm.dumb._Database):
@@ -106,7 +112,10 @@
         _fsync(path)
 
     def database(self, base: str, flag: str) -> Database:
-        """Open the database of these files: `n` for a new one, `r` to read."""
+        """Open the database whose files begin with the path `base`.
+
+        Flag `n` creates it, `r` opens it for reading.
+        """
         return _DumbDatabase(base, "", flag)
 
 
@@ -117,7 +126,7 @@
     Attributes:
         folder: the folder, created by `load`.
         files: the file system.
-        damaged: the generations that `load` found torn or with a wrong checksum.
+        damaged: the generations that `load` found torn, with a wrong checksum or not decodable.
     """
 
     folder: str
@@ -149,7 +158,7 @@
 
         Args:
             store: which of the two records.
-            number: the record's number on the wire.
+            number: the number of the record's type (`protocol.records.record`).
             payload: the encoded record.
         """
         generation = self._last_started.get(store, 0) + 1
@@ -217,7 +226,7 @@
         return decoded
 
     def _read_payload(self, store: Store, generation: int) -> tuple[int, bytes] | None:
-        """The record number and the bytes of one generation; None when it isn't intact.
+        """The type number and the bytes of one generation's record; None when it isn't intact.
 
         Raises:
             OSError: the disk failed, and nothing is known of the record.
@@ -254,7 +263,7 @@
 
 
 def record_number(store: Store) -> int:
-    """The wire number of the record in a store."""
+    """The number of the type of the record that `store` names."""
     return {Store.ACCEPTOR: 33, Store.STATE: 36}[store]
 
 
--- a/roselink/dataplane/client_server.py
+++ b/roselink/dataplane/client_server.py
@@ -1,4 +1,4 @@
-"""The listener for clients, with the limits of the configuration."""
+"""The HTTP server for clients of the data plane, with the limits of the configuration."""
 
 from __future__ import annotations
 
@@ -21,14 +21,15 @@
 BODY_TIMEOUT_S = 10.0
 # Time for a client to read buffered response bytes.
 UNREAD_RESPONSE_TIMEOUT_S = 10.0
-# Connections may be idle this much longer than the configuration states to clients.
+# Idle connections are closed this much later than `idle_timeout_ms`, so that a client that keeps to
+# that time does not send on a connection that is being closed.
 IDLE_TIMEOUT_SLACK_S = 1.0
 # Total bytes of the bodies of all open requests; above it, new requests are refused.
 OPEN_BODIES_LIMIT_BYTES = 64 * 1024 * 1024
 
 
 class ClientServer(HttpServer):
-    """All client connections of the data plane."""
+    """HTTP server for clients of the data plane."""
 
     def __init__(
         self,
@@ -37,18 +38,25 @@
         descriptors: Descriptors,
         free_descriptor: Callable[[], bool],
     ) -> None:
-        """Start with the default limits, which hold until a configuration is applied."""
+        """Start with the default limits, which hold until a configuration is applied.
+
+        Args:
+            loop: the event loop.
+            driver: decides the requests, and counts the bytes of open bodies.
+            descriptors: counts the open sockets to clients and to hosts.
+            free_descriptor: closes an idle connection to a host; returns whether there was one.
+        """
         self.driver = driver
         self._limits: tuple[Limits, ...] = (Limits(),)  # the latest is last
-        self._limits_are_configured = False  # False: the defaults
+        self._limits_are_configured = False  # False while the defaults are in force
         super().__init__(loop, descriptors, free_descriptor, _size_limits(0, 0))
         self._update_limits()
 
     def apply_limits(self, limits: Limits) -> None:
         """Apply a configuration's limits.
 
-        The previous limits stay in force where they are higher, for clients that have not learnt of
-        the new ones yet or sent their request before the change.
+        Until the next change, the previous configured limits stay in force where they are higher,
+        for clients that do not know the new ones yet or sent their request before the change.
         """
         if limits != self._limits[-1]:
             self._limits = (self._limits[-1], limits) if self._limits_are_configured else (limits,)
@@ -83,4 +91,5 @@
 
 
 def _size_limits(head: int, body: int) -> SizeLimits:
+    # Limit of the whole request: with its framing, a chunked body may be 4 times as long.
     return SizeLimits(head, body, head + 4 * body)
--- a/roselink/dataplane/proxy_request.py
+++ b/roselink/dataplane/proxy_request.py
@@ -29,8 +29,9 @@
 LOWEST_PRIORITY = 9
 # Weight of the tenant's priority relative to the route's.
 TENANT_PRIORITY_WEIGHT = 3
+# Commas at which a prompt prefix is split; one with more than 257 segments is ignored.
 PROMPT_SEGMENTS_LIMIT = 256
-# One day; a request with a longer deadline counts as having none.
+# One day; a request with a deadline of a day or longer counts as having none.
 DEADLINE_LIMIT_S = 86400
 # Maximum digits of a token count.
 TOKEN_DIGITS_LIMIT = 9
@@ -40,8 +41,10 @@
 class ProxyRequest:
     """One complete client request.
 
-    `received_at`: loop time from which the deadline counts; `deadline_s`: how long the client
-    waits, None if not stated; `version`: the client's HTTP version.
+    `host`: the Host header; `received_at`: loop time from which the deadline counts; `deadline_s`:
+    how long the client waits, in seconds from `received_at`, None if not stated, invalid or a day
+    or longer; `key`: the API key; `tokens`: prompt and response tokens that the client states;
+    `version`: the client's HTTP version.
     """
 
     method: bytes
@@ -101,7 +104,7 @@
 
 
 def _parse_deadline_s(value: bytes | None) -> float | None:
-    """Seconds from milliseconds; None if the value is missing or not a valid deadline."""
+    """The deadline in seconds, from a value in milliseconds; None if missing or invalid."""
     try:
         seconds = float(value or b"") / 1000
     except ValueError:
--- a/roselink/gateway/request_checks.py
+++ b/roselink/gateway/request_checks.py
@@ -1,6 +1,7 @@
 """Validates client requests and builds the head that is forwarded to a host.
 
-An invalid request raises `BadRequestError` with its status: 404 for an unknown path, 400 otherwise.
+An invalid request raises `BadRequestError` with its status: 404 for a path without a known route
+(400 if the path also has a key segment), 400 otherwise.
 """
 
 from __future__ import annotations
@@ -23,18 +24,19 @@
     b"content-length "
     b"request-timeout-ms proxy-authorization proxy-authenticate".split()
 )
+# Headers that a request may have only once.
 SINGLE_VALUED = frozenset((b"request-id", b"idempotency-key", b"request-timeout-ms"))
 # Largest number of digits of a number in a header.
 MAX_TIMEOUT_DIGITS = 12
 MAX_HINT_DIGITS = 11
 # Number of segments of the path `/route/key`, with the empty one before its first slash.
 PATH_WITH_KEY_SEGMENTS = 3
-# Index for a tenant that the settings do not name.
+# Index for a tenant that the configuration does not name.
 UNKNOWN_TENANT = -1
 
 
 class RequestChecks:
-    """Validates requests by the routes and tenants of the settings."""
+    """Validates requests by the routes and tenants of the configuration."""
 
     def __init__(self, config: Config) -> None:
         """Indexes the routes and tenants of the configuration."""
@@ -43,12 +45,13 @@
         self._effects = [route.effect for route in routes]
         self._deadlines_s = [route.deadline_us / 1e6 for route in routes]
         self._tenants = {name: index for index, name in enumerate(config.tenants)}
-        # Requests that begin at or after the first loop time expire at the second at the latest.
+        # Requests received at or after `_short_deadline_from` expire at `_short_deadline` at the
+        # latest (loop times).
         self._short_deadline_from = math.inf
         self._short_deadline = math.inf
 
     def shorten_deadlines(self, received_from: float, short_deadline: float) -> None:
-        """Requests received at `received_from` or later expire at `short_deadline` at the latest."""
+        """Bounds the expiry of requests received from `received_from` on by `short_deadline`."""
         self._short_deadline_from = received_from
         self._short_deadline = short_deadline
 
@@ -101,11 +104,14 @@
     def _route(self, segments: list[bytes]) -> int:
         """Index of the route that the path's first segment names."""
         if len(segments) < PATH_WITH_KEY_SEGMENTS - 1 or segments[0] or not segments[1]:
-            raise BadRequestError(404, "unknown path")
+            raise BadRequestError(404, "the path names no route")
         route = self._routes.get(unquote(segments[1].decode("latin-1")))
         if route is None:
+            # True for `/route/key` only, also with an empty key; longer paths give 404.
             has_key_segment = len(segments) == PATH_WITH_KEY_SEGMENTS
-            raise BadRequestError(400 if has_key_segment else 404, "unknown route")
+            raise BadRequestError(
+                400 if has_key_segment else 404, "the path names an unknown route"
+            )
         return route
 
     @staticmethod
@@ -131,11 +137,11 @@
         safe = self._effects[route] is Effect.SAFE
         needs_idempotency_key = self._effects[route] is Effect.KEYED
         if method != (b"GET" if safe else b"POST"):
-            raise BadRequestError(400, "wrong method for the route")
+            raise BadRequestError(400, "the route requires another method: GET if safe, else POST")
         if safe and body:
             raise BadRequestError(400, "GET request with a body")
         if needs_idempotency_key != bool(headers.get(b"idempotency-key")):
-            raise BadRequestError(400, "Idempotency-Key missing or not allowed for the route")
+            raise BadRequestError(400, "missing Idempotency-Key, or the route does not allow it")
 
     @staticmethod
     def _timeout_s(headers: dict[bytes, bytes]) -> float:
@@ -147,7 +153,7 @@
 
 
 def _path_key(segments: list[bytes]) -> str | None:
-    """Last segment of a path with a key, if any."""
+    """The key in the path: its last segment, if one follows the route and is not empty."""
     if len(segments) >= PATH_WITH_KEY_SEGMENTS and segments[-1]:
         return unquote(segments[-1].decode("latin-1"))
     return None
--- a/roselink/routing/ring.py
+++ b/roselink/routing/ring.py
@@ -1,9 +1,11 @@
-"""Consistent hashing: all gateways map a key to the same hosts; a lost host moves only its keys.
+"""Consistent hashing: all gateways map a key to the same hosts.
+
+A lost host moves only its own keys, except where the number of points per host changes.
 
 Each host has a number of points (virtual nodes) on a ring of 64-bit hashes, and a key's hosts are
 those of the points that follow its hash (Karger et al., Consistent Hashing and Random Trees, STOC
-1997). Hashes are blake2b of the id, so they do not depend on the process. A lookup is a bisection
-and a short walk.
+1997). The ids of hosts and the keys are hashed with blake2b, which gives the same values in every
+process. To look up the first hosts of a key takes a bisection and a few steps.
 """
 
 from __future__ import annotations
@@ -35,7 +37,8 @@
 class HashRing:
     """A hash ring of one service's hosts.
 
-    In a larger ring each host has fewer points: its fraction of the keys is small anyway.
+    In a larger ring each host has fewer points, to save memory: an uneven spread matters less where
+    each host has a small fraction of the keys.
     """
 
     def __init__(self, ids: Iterable[str]) -> None:
@@ -54,7 +57,7 @@
         return len(self._points)
 
     def walk(self, key: str) -> Iterator[str]:
-        """All hosts in the key's ring order, each once."""
+        """All hosts, each once, in the order of their first points after the key's hash."""
         size = len(self._points)
         seen = set()
         start = bisect_right(self._points, key_hash(key))
