--- a/roselink/dataplane/client_server.py
+++ b/roselink/dataplane/client_server.py
@@ -91,5 +91,5 @@
 
 
 def _size_limits(head: int, body: int) -> SizeLimits:
-    # Limit of the whole request: with its framing, a chunked body may be 4 times as long.
+    # Limit of the complete request: with its framing, a chunked body may be 4 times as long.
     return SizeLimits(head, body, head + 4 * body)
