--- a/roselink/dataplane/proxy_request.py
+++ b/roselink/dataplane/proxy_request.py
@@ -28,10 +28,10 @@
 _ALWAYS_RELAYED = frozenset(b"host x-request-id x-model x-token-usage x-prompt-prefix".split())
 LOWEST_PRIORITY = 9
 # Weight of the tenant's priority relative to the route's.
-PRIORITY_STEP = 3
-# Most commas in `X-Prompt-Prefix`; a header with more is ignored.
-PROMPT_ENTRIES_LIMIT = 256
-# One day; a request with a longer deadline counts as having none.
+TENANT_PRIORITY_WEIGHT = 3
+# Commas at which a prompt prefix is split; one with more than 257 segments is ignored.
+PROMPT_SEGMENTS_LIMIT = 256
+# One day; a request with a deadline of a day or longer counts as having none.
 DEADLINE_LIMIT_S = 86400
 # Maximum digits of a token count.
 TOKEN_DIGITS_LIMIT = 9
@@ -41,9 +41,10 @@
 class ProxyRequest:
     """One complete client request.
 
-    `received_at`: loop time from which the deadline counts; `deadline_s`: how long the client
-    waits, None if not stated; `key`: the API key; `tokens`: prompt tokens and expected response
-    tokens, None if not stated; `version`: the client's HTTP version.
+    `host`: the Host header; `received_at`: loop time from which the deadline counts; `deadline_s`:
+    how long the client waits, in seconds from `received_at`, None if not stated, invalid or a day
+    or longer; `key`: the API key; `tokens`: prompt and response tokens that the client states;
+    `version`: the client's HTTP version.
     """
 
     method: bytes
@@ -103,7 +104,7 @@
 
 
 def _parse_deadline_s(value: bytes | None) -> float | None:
-    """Seconds from milliseconds; None if the value is missing or not a valid deadline."""
+    """The deadline in seconds, from a value in milliseconds; None if missing or invalid."""
     try:
         seconds = float(value or b"") / 1000
     except ValueError:
@@ -117,40 +118,40 @@
 
 
 def _parse_token_usage(value: bytes | None) -> tuple[int, int] | None:
-    first, comma, second = (value or b"").partition(b",")
-    first = first.strip()
-    second = second.strip()
+    tokens_in, comma, tokens_out = (value or b"").partition(b",")
+    tokens_in = tokens_in.strip()
+    tokens_out = tokens_out.strip()
     if not (
         comma
-        and first.isdigit()
-        and second.isdigit()
-        and len(first) <= TOKEN_DIGITS_LIMIT
-        and len(second) <= TOKEN_DIGITS_LIMIT
+        and tokens_in.isdigit()
+        and tokens_out.isdigit()
+        and len(tokens_in) <= TOKEN_DIGITS_LIMIT
+        and len(tokens_out) <= TOKEN_DIGITS_LIMIT
     ):
         return None
-    return int(first), int(second)
+    return int(tokens_in), int(tokens_out)
 
 
 def _parse_prompt_prefix(value: bytes | None) -> tuple[PromptSegment, ...]:
     if not value:
         return ()
-    entries = []
-    for entry in value.split(b",", PROMPT_ENTRIES_LIMIT):
-        name, colon, tokens = entry.strip().partition(b":")
+    segments = []
+    for segment in value.split(b",", PROMPT_SEGMENTS_LIMIT):
+        name, colon, tokens = segment.strip().partition(b":")
         if not (colon and tokens.isdigit() and len(tokens) <= TOKEN_DIGITS_LIMIT):
             return ()
-        entries.append(PromptSegment(name.decode("latin-1"), int(tokens)))
-    return tuple(entries)
+        segments.append(PromptSegment(name.decode("latin-1"), int(tokens)))
+    return tuple(segments)
 
 
 def priority_of(route: Route, tenant: Tenant | None) -> int:
     """Priority of a request; 0 is the highest, 9 the lowest."""
-    rank = tenant.priority if tenant is not None else 0
-    return max(0, min(LOWEST_PRIORITY, PRIORITY_STEP * rank + route.priority))
+    tenant_priority = tenant.priority if tenant is not None else 0
+    return max(0, min(LOWEST_PRIORITY, TENANT_PRIORITY_WEIGHT * tenant_priority + route.priority))
 
 
-def host_head(request: ProxyRequest, route: Route, tenant: Tenant | None) -> bytes:
-    """The part of a request's head that all hosts get; `attempt_head` completes it."""
+def common_head(request: ProxyRequest, route: Route, tenant: Tenant | None) -> bytes:
+    """The part of a request's head that all hosts get; `attempt_headers` completes it."""
     lines = [b"%b %b HTTP/1.1" % (request.method, request.url)]
     connection_options = _connection_options(request.headers)
     for name, value in request.headers:
@@ -179,11 +180,11 @@
     return connection_options
 
 
-def attempt_head(host: str, remaining_ms: int, last_event_id: bytes) -> bytes:
+def attempt_headers(instance_id: str, remaining_ms: int, last_event_id: bytes) -> bytes:
     """The headers that differ by attempt, and the end of the head."""
     resume = b"Last-Event-Id: %b\r\n" % last_event_id if last_event_id else b""
     return b"X-Target-Instance: %b\r\nX-Request-Deadline: %d\r\n%b\r\n" % (
-        host.encode(),
+        instance_id.encode(),
         remaining_ms,
         resume,
     )
--- a/roselink/routing/ring.py
+++ b/roselink/routing/ring.py
@@ -1,9 +1,11 @@
-"""Consistent hashing: all gateways map a key to the same hosts; a lost host moves only its keys.
+"""Consistent hashing: all gateways map a key to the same hosts.
+
+A lost host moves only its own keys, except where the number of points per host changes.
 
 Each host has a number of points (virtual nodes) on a ring of 64-bit hashes, and a key's hosts are
 those of the points that follow its hash (Karger et al., Consistent Hashing and Random Trees, STOC
-1997). Hashes are blake2b of the id, so they do not depend on the process. A lookup is a bisection
-and a short walk.
+1997). The ids of hosts and the keys are hashed with blake2b, which gives the same values in every
+process. To look up the first hosts of a key takes a bisection and a few steps.
 """
 
 from __future__ import annotations
@@ -35,16 +37,17 @@
 class HashRing:
     """A hash ring of one service's hosts.
 
-    In a larger ring each host has fewer points: its fraction of the keys is small anyway.
+    In a larger ring each host has fewer points, to save memory: an uneven spread matters less where
+    each host has a small fraction of the keys.
     """
 
     def __init__(self, ids: Iterable[str]) -> None:
         """Build the ring from host ids; duplicates count once."""
         self._ids = sorted(set(ids))
-        digests = _points_per_host(len(self._ids)) // POINTS_PER_DIGEST
+        digests_per_host = _points_per_host(len(self._ids)) // POINTS_PER_DIGEST
         points: list[int] = []
         for index, host in enumerate(self._ids):
-            for digest_index in range(digests):
+            for digest_index in range(digests_per_host):
                 points += [point | index for point in _points_of_digest(host, digest_index)]
         points.sort()
         self._points = array("Q", points)
@@ -54,7 +57,7 @@
         return len(self._points)
 
     def walk(self, key: str) -> Iterator[str]:
-        """All hosts in the key's ring order, each once."""
+        """All hosts, each once, in the order of their first points after the key's hash."""
         size = len(self._points)
         seen = set()
         start = bisect_right(self._points, key_hash(key))
@@ -70,10 +73,10 @@
     return int.from_bytes(blake2b(key.encode(), digest_size=8, person=b"key").digest(), "big")
 
 
-def _points_per_host(hosts: int) -> int:
-    if hosts <= SMALL_RING_HOSTS:
+def _points_per_host(host_count: int) -> int:
+    if host_count <= SMALL_RING_HOSTS:
         return SMALL_RING_POINTS
-    return MEDIUM_RING_POINTS if hosts <= MEDIUM_RING_HOSTS else LARGE_RING_POINTS
+    return MEDIUM_RING_POINTS if host_count <= MEDIUM_RING_HOSTS else LARGE_RING_POINTS
 
 
 @lru_cache(maxsize=16384)
