--- a/roselink/simulation/scenarios.py
+++ b/roselink/simulation/scenarios.py
@@ -82,8 +82,7 @@
         confirmed: the number of calls whose change was confirmed.
         observations: the number of configurations that were returned as the newest.
         key_uses: the number of requests that gateways admitted with a key.
-        max_confirmation_latency_s: the longest time from the first send of a change to its
-            confirmation, in seconds.
+        max_confirmation_latency_s: the most seconds from a change's first send to its confirmation.
     """
 
     confirmed: int
@@ -141,11 +140,9 @@
         confirmed = sum(call.result is CallResult.CONFIRMED for call in history.calls)
         if not (confirmed and history.key_uses):
             raise NothingConfirmedError
-        max_confirmation_latency_s = max(
-            operator.max_confirmation_latency_s for operator in self.operators
-        )
+        max_latency_s = max(operator.max_confirmation_latency_s for operator in self.operators)
         return ScenarioResult(
-            confirmed, len(history.observations), len(history.key_uses), max_confirmation_latency_s
+            confirmed, len(history.observations), len(history.key_uses), max_latency_s
         )
 
 
@@ -203,9 +200,6 @@
             raise RefusedChangeInForceError(call.change)
 
 
-# --- scenarios
-
-
 def run_fault_episodes(
     seed: int, machines: int, tolerated: int, *, lossy: bool, episodes: int = 6
 ) -> ScenarioResult:
@@ -310,8 +304,7 @@
 def run_split_brain(seed: int, machines: int, tolerated: int) -> ScenarioResult:
     """Partition the core into halves, and inject overlapping faults into both.
 
-    At most the tolerated number of disks is lost. Operators, readers and gateways reach both
-    halves.
+    At most the tolerated number of disks is lost. Operators, readers and gateways reach both.
     """
     cluster = Cluster(seed, machines, tolerated)
     scenario = Scenario(cluster)
